--- a/src/main/java/cobaltrack/Contract.java
+++ b/src/main/java/whinlead/Contract.java
@@ -1,9 +1,9 @@
-package cobaltrack;
+package whinlead;
 
 import java.util.List;
 
 /**
- * The whole interface of the decision module {@code cobaltrack.decide.Decide}: the settings it starts from, the events it is told
+ * The whole interface of the decision module {@code whinlead.decide.Decide}: the settings it starts from, the events it is told
  * and the actions it takes. A sidecar embeds this file and that package and nothing else.
  *
  * <p>Times are milliseconds on the embedder's own clock, which may start anywhere and never runs backwards.
--- a/src/main/java/cobaltrack/SettingsReader.java
+++ b/src/main/java/whinlead/SettingsReader.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package whinlead;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cobaltrack/admit/Admission.java
+++ b/src/main/java/whinlead/admit/Admission.java
@@ -1,4 +1,4 @@
-package cobaltrack.admit;
+package whinlead.admit;
 
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/cobaltrack/admit/Client.java
+++ b/src/main/java/whinlead/admit/Client.java
@@ -1,4 +1,4 @@
-package cobaltrack.admit;
+package whinlead.admit;
 
 /**
  * Who counts as one client: the leading bits of an address, IPv4 ones in their mapped form (RFC 4291, section
--- a/src/main/java/cobaltrack/benchlink/BootInfo.java
+++ b/src/main/java/whinlead/benchlink/BootInfo.java
@@ -1,7 +1,7 @@
-package cobaltrack.benchlink;
+package whinlead.benchlink;
 
-import cobaltrack.Contract;
-import cobaltrack.SettingsReader;
+import whinlead.Contract;
+import whinlead.SettingsReader;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/cobaltrack/benchlink/Instance.java
+++ b/src/main/java/whinlead/benchlink/Instance.java
@@ -1,7 +1,7 @@
-package cobaltrack.benchlink;
+package whinlead.benchlink;
 
-import cobaltrack.Contract;
-import cobaltrack.decide.Decide;
+import whinlead.Contract;
+import whinlead.decide.Decide;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 
--- a/src/main/java/cobaltrack/benchlink/Link.java
+++ b/src/main/java/whinlead/benchlink/Link.java
@@ -1,6 +1,6 @@
-package cobaltrack.benchlink;
+package whinlead.benchlink;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
--- a/src/main/java/cobaltrack/benchlink/LongTable.java
+++ b/src/main/java/whinlead/benchlink/LongTable.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package whinlead.benchlink;
 
 /** A table from request ids to requests that boxes nothing: open addressing with back-shift on removal. */
 final class LongTable<V> {
--- a/src/main/java/cobaltrack/benchlink/Main.java
+++ b/src/main/java/whinlead/benchlink/Main.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package whinlead.benchlink;
 
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -12,7 +12,7 @@
     /** Runs the adapter; exits with 2 on bad usage and 1 on input that does not follow the wire. */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("benchlink")) {
-            System.err.println("usage: java -jar cobaltrack.jar benchlink");
+            System.err.println("usage: java -jar whinlead.jar benchlink");
             System.exit(2);
         }
         try {
--- a/src/main/java/cobaltrack/benchlink/WireException.java
+++ b/src/main/java/whinlead/benchlink/WireException.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package whinlead.benchlink;
 
 /** The input does not follow the wire; the message names the line and the field. */
 final class WireException extends RuntimeException {
--- a/src/main/java/cobaltrack/benchlink/WireReader.java
+++ b/src/main/java/whinlead/benchlink/WireReader.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package whinlead.benchlink;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/cobaltrack/capture/CaptureInput.java
+++ b/src/main/java/whinlead/capture/CaptureInput.java
@@ -1,6 +1,6 @@
-package cobaltrack.capture;
+package whinlead.capture;
 
-import cobaltrack.engine.Journal;
+import whinlead.engine.Journal;
 import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.DataInputStream;
--- a/src/main/java/cobaltrack/capture/CaptureOutput.java
+++ b/src/main/java/whinlead/capture/CaptureOutput.java
@@ -1,4 +1,4 @@
-package cobaltrack.capture;
+package whinlead.capture;
 
 import java.io.Closeable;
 import java.io.DataOutputStream;
--- a/src/main/java/cobaltrack/capture/Entry.java
+++ b/src/main/java/whinlead/capture/Entry.java
@@ -1,6 +1,6 @@
-package cobaltrack.capture;
+package whinlead.capture;
 
-import cobaltrack.engine.Journal;
+import whinlead.engine.Journal;
 
 /**
  * A request as a capture has it: no body, id or key.
--- a/src/main/java/cobaltrack/capture/Recorder.java
+++ b/src/main/java/whinlead/capture/Recorder.java
@@ -1,7 +1,7 @@
-package cobaltrack.capture;
+package whinlead.capture;
 
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Journal;
+import whinlead.engine.Ask;
+import whinlead.engine.Journal;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/cobaltrack/capture/Summary.java
+++ b/src/main/java/whinlead/capture/Summary.java
@@ -1,6 +1,6 @@
-package cobaltrack.capture;
+package whinlead.capture;
 
-import cobaltrack.engine.Journal;
+import whinlead.engine.Journal;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cobaltrack/consult/Bounds.java
+++ b/src/main/java/whinlead/consult/Bounds.java
@@ -1,4 +1,4 @@
-package cobaltrack.consult;
+package whinlead.consult;
 
 /**
  * How much callers may have the program hold.
--- a/src/main/java/cobaltrack/consult/Consultation.java
+++ b/src/main/java/whinlead/consult/Consultation.java
@@ -1,10 +1,10 @@
-package cobaltrack.consult;
+package whinlead.consult;
 
-import cobaltrack.Contract;
-import cobaltrack.engine.Caller;
-import cobaltrack.engine.Carrier;
-import cobaltrack.engine.Engine;
-import cobaltrack.engine.Timers;
+import whinlead.Contract;
+import whinlead.engine.Caller;
+import whinlead.engine.Carrier;
+import whinlead.engine.Engine;
+import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/cobaltrack/consult/Consultations.java
+++ b/src/main/java/whinlead/consult/Consultations.java
@@ -1,10 +1,10 @@
-package cobaltrack.consult;
+package whinlead.consult;
 
-import cobaltrack.Contract;
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Engine;
-import cobaltrack.engine.Timers;
-import cobaltrack.membership.EndpointList;
+import whinlead.Contract;
+import whinlead.engine.Ask;
+import whinlead.engine.Engine;
+import whinlead.engine.Timers;
+import whinlead.membership.EndpointList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cobaltrack/consult/Directive.java
+++ b/src/main/java/whinlead/consult/Directive.java
@@ -1,4 +1,4 @@
-package cobaltrack.consult;
+package whinlead.consult;
 
 /** What a caller is told to do with its request. */
 public sealed interface Directive {
--- a/src/main/java/cobaltrack/consult/Peer.java
+++ b/src/main/java/whinlead/consult/Peer.java
@@ -1,4 +1,4 @@
-package cobaltrack.consult;
+package whinlead.consult;
 
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/src/main/java/cobaltrack/consult/Peers.java
+++ b/src/main/java/whinlead/consult/Peers.java
@@ -1,4 +1,4 @@
-package cobaltrack.consult;
+package whinlead.consult;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/cobaltrack/consult/Tally.java
+++ b/src/main/java/whinlead/consult/Tally.java
@@ -1,4 +1,4 @@
-package cobaltrack.consult;
+package whinlead.consult;
 
 /** What callers did that they should not, or that came to nothing; counts since the start. */
 public final class Tally {
--- a/src/main/java/cobaltrack/decide/Attempt.java
+++ b/src/main/java/whinlead/decide/Attempt.java
@@ -1,4 +1,4 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 /** One attempt of a request at one server, in the list of those out there. */
 final class Attempt {
--- a/src/main/java/cobaltrack/decide/Ceiling.java
+++ b/src/main/java/whinlead/decide/Ceiling.java
@@ -1,4 +1,4 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 /**
  * The whole subset's percentage, drawn before any server's where they tell nothing of their load: the walk
--- a/src/main/java/cobaltrack/decide/ColdBudget.java
+++ b/src/main/java/whinlead/decide/ColdBudget.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.Arrays;
 
 /** Against pushing a cold server over: tokens by what a warm one gets from here, and by what it answers. */
--- a/src/main/java/cobaltrack/decide/Controller.java
+++ b/src/main/java/whinlead/decide/Controller.java
@@ -1,4 +1,4 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 /** Moves each server's percentage, a step a period: up while too much is not accepted, else down to zero. */
 final class Controller {
--- a/src/main/java/cobaltrack/decide/Crowding.java
+++ b/src/main/java/whinlead/decide/Crowding.java
@@ -1,4 +1,4 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 /** Against a burst, or a slow server, before outcomes tell: one that holds over its share passes less. */
 final class Crowding {
--- a/src/main/java/cobaltrack/decide/Decide.java
+++ b/src/main/java/whinlead/decide/Decide.java
@@ -1,7 +1,7 @@
-// The decisions of cobaltrack, one rule a file; their interface is Contract.java, a folder up.
-package cobaltrack.decide;
+// The decisions of whinlead, one rule a file; their interface is Contract.java, a folder up.
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 import java.util.SplittableRandom;
 
--- a/src/main/java/cobaltrack/decide/Evidence.java
+++ b/src/main/java/whinlead/decide/Evidence.java
@@ -1,4 +1,4 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 /** Outcomes, weighed: how many there were lately, and how many of them were not accepted. */
 final class Evidence {
--- a/src/main/java/cobaltrack/decide/Lateness.java
+++ b/src/main/java/whinlead/decide/Lateness.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 
 /** What is late, by degrees: against the aim alone a queue is seen when it has cost the answers in it. */
--- a/src/main/java/cobaltrack/decide/Node.java
+++ b/src/main/java/whinlead/decide/Node.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /** A server as this sidecar knows it: what the list says, and the state that each rule keeps of it. */
 final class Node {
--- a/src/main/java/cobaltrack/decide/Outstanding.java
+++ b/src/main/java/whinlead/decide/Outstanding.java
@@ -1,4 +1,4 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 /** The attempts out at one server, oldest first; those that later ones overtook by far tell of no queue. */
 final class Outstanding {
--- a/src/main/java/cobaltrack/decide/Probes.java
+++ b/src/main/java/whinlead/decide/Probes.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /** Probes the subset in turn, as far as requests pay for it, spread over the time between them. */
 final class Probes {
--- a/src/main/java/cobaltrack/decide/Reported.java
+++ b/src/main/java/whinlead/decide/Reported.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /** What one server last told of itself. */
 final class Reported {
--- a/src/main/java/cobaltrack/decide/Retries.java
+++ b/src/main/java/whinlead/decide/Retries.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /** Further attempts: earned by requests and bounded, and only where a second run does no harm. */
 final class Retries {
--- a/src/main/java/cobaltrack/decide/ServerList.java
+++ b/src/main/java/whinlead/decide/ServerList.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cobaltrack/decide/Strain.java
+++ b/src/main/java/whinlead/decide/Strain.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /** This sidecar's own percentage, for too little processor or room, drawn first: servers' must not move. */
 final class Strain {
--- a/src/main/java/cobaltrack/decide/Subset.java
+++ b/src/main/java/whinlead/decide/Subset.java
@@ -1,4 +1,4 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import java.util.Arrays;
 import java.util.Collection;
--- a/src/main/java/cobaltrack/decide/Unreachable.java
+++ b/src/main/java/whinlead/decide/Unreachable.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /** A server that can't be connected to is left alone, for a time that doubles; then one attempt tries it. */
 final class Unreachable {
--- a/src/main/java/cobaltrack/decide/Worth.java
+++ b/src/main/java/whinlead/decide/Worth.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
--- a/src/main/java/cobaltrack/engine/Ask.java
+++ b/src/main/java/whinlead/engine/Ask.java
@@ -1,4 +1,4 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
 /**
  * What the engine needs to know of a request, whatever the protocol that it came by.
--- a/src/main/java/cobaltrack/engine/Caller.java
+++ b/src/main/java/whinlead/engine/Caller.java
@@ -1,4 +1,4 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
 /**
  * Where the one end of a request goes. Of these methods exactly one is called, once, on the engine's thread,
--- a/src/main/java/cobaltrack/engine/Carrier.java
+++ b/src/main/java/whinlead/engine/Carrier.java
@@ -1,6 +1,6 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /**
  * How the attempts of one request reach the endpoints that the module chose: a transport of our own, or
--- a/src/main/java/cobaltrack/engine/Clock.java
+++ b/src/main/java/whinlead/engine/Clock.java
@@ -1,4 +1,4 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
 /**
  * The module's clock: milliseconds that begin at Unix time and from then on follow the monotonic clock.
--- a/src/main/java/cobaltrack/engine/Engine.java
+++ b/src/main/java/whinlead/engine/Engine.java
@@ -1,9 +1,9 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
-import cobaltrack.Contract;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.membership.Membership;
-import cobaltrack.membership.Source;
+import whinlead.Contract;
+import whinlead.membership.EndpointList;
+import whinlead.membership.Membership;
+import whinlead.membership.Source;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/cobaltrack/engine/Journal.java
+++ b/src/main/java/whinlead/engine/Journal.java
@@ -1,4 +1,4 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
 /** Is told of every request once, when it is over; on the engine's thread, which it must not hold up. */
 public interface Journal {
--- a/src/main/java/cobaltrack/engine/Timers.java
+++ b/src/main/java/whinlead/engine/Timers.java
@@ -1,4 +1,4 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
 /**
  * The engine's time and timers, so that it runs by a real loop or by a driven clock. Tasks run on the one
--- a/src/main/java/cobaltrack/front/consult/ConsultConnection.java
+++ b/src/main/java/whinlead/front/consult/ConsultConnection.java
@@ -1,9 +1,9 @@
-package cobaltrack.front.consult;
+package whinlead.front.consult;
 
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Directive;
-import cobaltrack.consult.Peer;
-import cobaltrack.http.Decimals;
+import whinlead.consult.Consultations;
+import whinlead.consult.Directive;
+import whinlead.consult.Peer;
+import whinlead.http.Decimals;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/cobaltrack/front/consult/ConsultRequest.java
+++ b/src/main/java/whinlead/front/consult/ConsultRequest.java
@@ -1,9 +1,9 @@
-package cobaltrack.front.consult;
+package whinlead.front.consult;
 
-import cobaltrack.Contract;
-import cobaltrack.engine.Ask;
-import cobaltrack.http.Decimals;
-import cobaltrack.http.LoadReport;
+import whinlead.Contract;
+import whinlead.engine.Ask;
+import whinlead.http.Decimals;
+import whinlead.http.LoadReport;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cobaltrack/front/consult/ConsultServer.java
+++ b/src/main/java/whinlead/front/consult/ConsultServer.java
@@ -1,8 +1,8 @@
-package cobaltrack.front.consult;
+package whinlead.front.consult;
 
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Peer;
-import cobaltrack.consult.Peers;
+import whinlead.consult.Consultations;
+import whinlead.consult.Peer;
+import whinlead.consult.Peers;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/cobaltrack/front/consult/HeaderNames.java
+++ b/src/main/java/whinlead/front/consult/HeaderNames.java
@@ -1,6 +1,6 @@
-package cobaltrack.front.consult;
+package whinlead.front.consult;
 
-import cobaltrack.front.consult.ConsultRequest.Field;
+import whinlead.front.consult.ConsultRequest.Field;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/cobaltrack/front/extproc/EnvoyHeaders.java
+++ b/src/main/java/whinlead/front/extproc/EnvoyHeaders.java
@@ -1,4 +1,4 @@
-package cobaltrack.front.extproc;
+package whinlead.front.extproc;
 
 import com.google.protobuf.ByteString;
 import io.envoyproxy.envoy.config.core.v3.HeaderMap;
--- a/src/main/java/cobaltrack/front/extproc/ExtProcAnswers.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcAnswers.java
@@ -1,7 +1,7 @@
-package cobaltrack.front.extproc;
+package whinlead.front.extproc;
 
-import cobaltrack.consult.Directive;
-import cobaltrack.http.Decimals;
+import whinlead.consult.Directive;
+import whinlead.http.Decimals;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.Struct;
 import com.google.protobuf.Value;
--- a/src/main/java/cobaltrack/front/extproc/ExtProcServer.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcServer.java
@@ -1,13 +1,13 @@
-package cobaltrack.front.extproc;
+package whinlead.front.extproc;
 
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Peer;
-import cobaltrack.consult.Peers;
-import cobaltrack.engine.Timers;
-import cobaltrack.front.consult.ConsultRequest;
-import cobaltrack.front.consult.ConsultRequest.Field;
-import cobaltrack.front.consult.HeaderNames;
-import cobaltrack.loop.BoundedListener;
+import whinlead.consult.Consultations;
+import whinlead.consult.Peer;
+import whinlead.consult.Peers;
+import whinlead.engine.Timers;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.front.consult.ConsultRequest.Field;
+import whinlead.front.consult.HeaderNames;
+import whinlead.loop.BoundedListener;
 import io.envoyproxy.envoy.service.ext_proc.v3.ExternalProcessorGrpc;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
--- a/src/main/java/cobaltrack/front/extproc/ExtProcStream.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcStream.java
@@ -1,13 +1,13 @@
-package cobaltrack.front.extproc;
-
-import cobaltrack.Contract;
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Directive;
-import cobaltrack.consult.Peer;
-import cobaltrack.engine.Timers;
-import cobaltrack.front.consult.ConsultRequest;
-import cobaltrack.front.consult.ConsultRequest.Field;
-import cobaltrack.front.consult.HeaderNames;
+package whinlead.front.extproc;
+
+import whinlead.Contract;
+import whinlead.consult.Consultations;
+import whinlead.consult.Directive;
+import whinlead.consult.Peer;
+import whinlead.engine.Timers;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.front.consult.ConsultRequest.Field;
+import whinlead.front.consult.HeaderNames;
 import io.envoyproxy.envoy.config.core.v3.HeaderMap;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
--- a/src/main/java/cobaltrack/front/extproc/ResponseDetails.java
+++ b/src/main/java/whinlead/front/extproc/ResponseDetails.java
@@ -1,4 +1,4 @@
-package cobaltrack.front.extproc;
+package whinlead.front.extproc;
 
 import com.google.protobuf.Struct;
 import com.google.protobuf.Value;
--- a/src/main/java/cobaltrack/front/http1/ClientConnection.java
+++ b/src/main/java/whinlead/front/http1/ClientConnection.java
@@ -1,11 +1,11 @@
-package cobaltrack.front.http1;
-
-import cobaltrack.engine.Caller;
-import cobaltrack.engine.Clock;
-import cobaltrack.engine.Engine;
-import cobaltrack.http.Decimals;
-import cobaltrack.http.HttpAnswer;
-import cobaltrack.http.HttpAsk;
+package whinlead.front.http1;
+
+import whinlead.engine.Caller;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.http.Decimals;
+import whinlead.http.HttpAnswer;
+import whinlead.http.HttpAsk;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/cobaltrack/front/http1/DrainTimes.java
+++ b/src/main/java/whinlead/front/http1/DrainTimes.java
@@ -1,4 +1,4 @@
-package cobaltrack.front.http1;
+package whinlead.front.http1;
 
 /**
  * When what is done at a planned end, in milliseconds after the signal. A stopped process is killed no sooner
--- a/src/main/java/cobaltrack/front/http1/NoDescriptor.java
+++ b/src/main/java/whinlead/front/http1/NoDescriptor.java
@@ -1,7 +1,7 @@
-package cobaltrack.front.http1;
+package whinlead.front.http1;
 
-import cobaltrack.admit.Gate;
-import cobaltrack.engine.Clock;
+import whinlead.admit.Gate;
+import whinlead.engine.Clock;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.io.IOException;
--- a/src/main/java/cobaltrack/front/http1/RequestCheck.java
+++ b/src/main/java/whinlead/front/http1/RequestCheck.java
@@ -1,9 +1,9 @@
-package cobaltrack.front.http1;
+package whinlead.front.http1;
 
-import cobaltrack.Contract;
-import cobaltrack.engine.Ask;
-import cobaltrack.http.Decimals;
-import cobaltrack.http.HttpAsk;
+import whinlead.Contract;
+import whinlead.engine.Ask;
+import whinlead.http.Decimals;
+import whinlead.http.HttpAsk;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
--- a/src/main/java/cobaltrack/front/spop/SpopConnection.java
+++ b/src/main/java/whinlead/front/spop/SpopConnection.java
@@ -1,11 +1,11 @@
-package cobaltrack.front.spop;
+package whinlead.front.spop;
 
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Directive;
-import cobaltrack.consult.Peer;
-import cobaltrack.front.consult.ConsultRequest;
-import cobaltrack.front.consult.HeaderNames;
-import cobaltrack.http.Decimals;
+import whinlead.consult.Consultations;
+import whinlead.consult.Directive;
+import whinlead.consult.Peer;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.front.consult.HeaderNames;
+import whinlead.http.Decimals;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/cobaltrack/front/spop/SpopFrame.java
+++ b/src/main/java/whinlead/front/spop/SpopFrame.java
@@ -1,4 +1,4 @@
-package cobaltrack.front.spop;
+package whinlead.front.spop;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/cobaltrack/front/spop/SpopServer.java
+++ b/src/main/java/whinlead/front/spop/SpopServer.java
@@ -1,9 +1,9 @@
-package cobaltrack.front.spop;
+package whinlead.front.spop;
 
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Peer;
-import cobaltrack.consult.Peers;
-import cobaltrack.front.consult.ConsultRequest;
+import whinlead.consult.Consultations;
+import whinlead.consult.Peer;
+import whinlead.consult.Peers;
+import whinlead.front.consult.ConsultRequest;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/cobaltrack/http/Decimals.java
+++ b/src/main/java/whinlead/http/Decimals.java
@@ -1,4 +1,4 @@
-package cobaltrack.http;
+package whinlead.http;
 
 /**
  * Numbers as peers write them and as they are written to peers: plain decimals only, for Java alone would
--- a/src/main/java/cobaltrack/http/HttpAnswer.java
+++ b/src/main/java/whinlead/http/HttpAnswer.java
@@ -1,4 +1,4 @@
-package cobaltrack.http;
+package whinlead.http;
 
 /**
  * An endpoint's answer to an attempt that was served.
--- a/src/main/java/cobaltrack/http/HttpAsk.java
+++ b/src/main/java/whinlead/http/HttpAsk.java
@@ -1,4 +1,4 @@
-package cobaltrack.http;
+package whinlead.http;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
--- a/src/main/java/cobaltrack/http/LoadReport.java
+++ b/src/main/java/whinlead/http/LoadReport.java
@@ -1,6 +1,6 @@
-package cobaltrack.http;
+package whinlead.http;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 
 /** Reads the load report that an endpoint's answer may carry, such as {@code util=0.61,qps=44}. */
--- a/src/main/java/cobaltrack/loop/BoundedListener.java
+++ b/src/main/java/whinlead/loop/BoundedListener.java
@@ -1,4 +1,4 @@
-package cobaltrack.loop;
+package whinlead.loop;
 
 import io.netty.channel.Channel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
--- a/src/main/java/cobaltrack/loop/LoopTimers.java
+++ b/src/main/java/whinlead/loop/LoopTimers.java
@@ -1,7 +1,7 @@
-package cobaltrack.loop;
+package whinlead.loop;
 
-import cobaltrack.engine.Clock;
-import cobaltrack.engine.Timers;
+import whinlead.engine.Clock;
+import whinlead.engine.Timers;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cobaltrack/membership/Discovery.java
+++ b/src/main/java/whinlead/membership/Discovery.java
@@ -1,6 +1,6 @@
-package cobaltrack.membership;
+package whinlead.membership;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.Bootstrap;
--- a/src/main/java/cobaltrack/membership/EndpointList.java
+++ b/src/main/java/whinlead/membership/EndpointList.java
@@ -1,6 +1,6 @@
-package cobaltrack.membership;
+package whinlead.membership;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/cobaltrack/membership/Membership.java
+++ b/src/main/java/whinlead/membership/Membership.java
@@ -1,6 +1,6 @@
-package cobaltrack.membership;
+package whinlead.membership;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /** What a source of the list feeds; called on the loop that owns the engine. */
 public interface Membership {
--- a/src/main/java/cobaltrack/membership/Roster.java
+++ b/src/main/java/whinlead/membership/Roster.java
@@ -1,6 +1,6 @@
-package cobaltrack.membership;
+package whinlead.membership;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.HashSet;
 import java.util.Set;
 
--- a/src/main/java/cobaltrack/membership/Source.java
+++ b/src/main/java/whinlead/membership/Source.java
@@ -1,4 +1,4 @@
-package cobaltrack.membership;
+package whinlead.membership;
 
 /** A source of the list of endpoints, which feeds a {@link Membership}. */
 @FunctionalInterface
--- a/src/main/java/cobaltrack/post/tariff/Routing.java
+++ b/src/main/java/whinlead/mesh/config/Routing.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.tariff;
+package whinlead.mesh.config;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/cobaltrack/post/tariff/Tariff.java
+++ b/src/main/java/whinlead/mesh/config/Tariff.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.tariff;
+package whinlead.mesh.config;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import jakarta.validation.Valid;
--- a/src/main/java/cobaltrack/post/tariff/TariffCheck.java
+++ b/src/main/java/whinlead/mesh/config/TariffCheck.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.tariff;
+package whinlead.mesh.config;
 
 import jakarta.validation.ConstraintViolation;
 import jakarta.validation.Validation;
--- a/src/main/java/cobaltrack/post/tariff/TariffException.java
+++ b/src/main/java/whinlead/mesh/config/TariffException.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.tariff;
+package whinlead.mesh.config;
 
 /** A configuration that can't be taken; the message is one line and names the field. */
 public final class TariffException extends Exception {
--- a/src/main/java/cobaltrack/post/tariff/TariffReader.java
+++ b/src/main/java/whinlead/mesh/config/TariffReader.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.tariff;
+package whinlead.mesh.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/src/main/java/cobaltrack/post/ballot/Acceptor.java
+++ b/src/main/java/whinlead/mesh/consensus/Acceptor.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ballot;
+package whinlead.mesh.consensus;
 
 /**
  * One office's vote, as Lamport's single-decree Paxos has it, slot after slot: it promises, votes, and keeps
--- a/src/main/java/cobaltrack/post/ballot/MembershipTurn.java
+++ b/src/main/java/whinlead/mesh/consensus/MembershipTurn.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ballot;
+package whinlead.mesh.consensus;
 
 /**
  * Shares the ballots of an office between the operations that wait and the changes of voters that are due: no
--- a/src/main/java/cobaltrack/post/ballot/OrderRuling.java
+++ b/src/main/java/whinlead/mesh/consensus/OrderRuling.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ballot;
+package whinlead.mesh.consensus;
 
 /**
  * What the newest decision says of an operator's order, that is of a configuration and the version that it
--- a/src/main/java/cobaltrack/post/ballot/PendingOperation.java
+++ b/src/main/java/whinlead/mesh/consensus/PendingOperation.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ballot;
+package whinlead.mesh.consensus;
 
 /** An operation that waits at this office until the one before it has ended. */
 sealed interface PendingOperation {
--- a/src/main/java/cobaltrack/post/ballot/RetryTimer.java
+++ b/src/main/java/whinlead/mesh/consensus/RetryTimer.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ballot;
+package whinlead.mesh.consensus;
 
 /** When a message that was not answered is due again. Times in milliseconds. */
 final class RetryTimer {
--- a/src/main/java/cobaltrack/post/ballot/VoterChange.java
+++ b/src/main/java/whinlead/mesh/consensus/VoterChange.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ballot;
+package whinlead.mesh.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cobaltrack/post/office/Bodies.java
+++ b/src/main/java/whinlead/mesh/control/Bodies.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.office;
+package whinlead.mesh.control;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/cobaltrack/post/office/ConsensusTicker.java
+++ b/src/main/java/whinlead/mesh/control/ConsensusTicker.java
@@ -1,7 +1,7 @@
-package cobaltrack.post.office;
+package whinlead.mesh.control;
 
-import cobaltrack.engine.Timers;
-import cobaltrack.post.wire.TimerGrid;
+import whinlead.engine.Timers;
+import whinlead.mesh.wire.TimerGrid;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
--- a/src/main/java/cobaltrack/post/office/Scribe.java
+++ b/src/main/java/whinlead/mesh/control/Scribe.java
@@ -1,8 +1,8 @@
-package cobaltrack.post.office;
+package whinlead.mesh.control;
 
-import cobaltrack.post.ledger.Ledger;
-import cobaltrack.post.ledger.LedgerException;
-import cobaltrack.post.log.Event;
+import whinlead.mesh.storage.Ledger;
+import whinlead.mesh.storage.LedgerException;
+import whinlead.mesh.log.Event;
 import java.util.ArrayDeque;
 import java.util.Queue;
 import java.util.concurrent.Executor;
--- a/src/main/java/cobaltrack/post/office/SidecarContact.java
+++ b/src/main/java/whinlead/mesh/control/SidecarContact.java
@@ -1,7 +1,7 @@
-package cobaltrack.post.office;
+package whinlead.mesh.control;
 
-import cobaltrack.post.directory.Directory;
-import cobaltrack.post.directory.Listing;
+import whinlead.mesh.registry.Directory;
+import whinlead.mesh.registry.Listing;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cobaltrack/post/log/Event.java
+++ b/src/main/java/whinlead/mesh/log/Event.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.log;
+package whinlead.mesh.log;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.logging.Level;
--- a/src/main/java/cobaltrack/post/log/Logs.java
+++ b/src/main/java/whinlead/mesh/log/Logs.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.log;
+package whinlead.mesh.log;
 
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
--- a/src/main/java/cobaltrack/post/allowance/Allowance.java
+++ b/src/main/java/whinlead/mesh/quota/Allowance.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.allowance;
+package whinlead.mesh.quota;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/cobaltrack/post/allowance/Use.java
+++ b/src/main/java/whinlead/mesh/quota/Use.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.allowance;
+package whinlead.mesh.quota;
 
 /**
  * What one sidecar, or all of them, are asked for in a tenant's name.
--- a/src/main/java/cobaltrack/post/directory/Listing.java
+++ b/src/main/java/whinlead/mesh/registry/Listing.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.directory;
+package whinlead.mesh.registry;
 
 import java.util.Objects;
 
--- a/src/main/java/cobaltrack/post/rpc/Answer.java
+++ b/src/main/java/whinlead/mesh/rpc/Answer.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.rpc;
+package whinlead.mesh.rpc;
 
 import java.nio.charset.StandardCharsets;
 
--- a/src/main/java/cobaltrack/post/rpc/Order.java
+++ b/src/main/java/whinlead/mesh/rpc/Order.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.rpc;
+package whinlead.mesh.rpc;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
--- a/src/main/java/cobaltrack/post/rpc/RpcConnection.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcConnection.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.rpc;
+package whinlead.mesh.rpc;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/cobaltrack/post/rpc/RpcServer.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcServer.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.rpc;
+package whinlead.mesh.rpc;
 
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/cobaltrack/post/run/Post.java
+++ b/src/main/java/whinlead/mesh/run/Post.java
@@ -1,14 +1,14 @@
-package cobaltrack.post.run;
+package whinlead.mesh.run;
 
-import cobaltrack.post.card.Card;
-import cobaltrack.post.card.CardException;
-import cobaltrack.post.card.CardReader;
-import cobaltrack.post.carrier.Sidecar;
-import cobaltrack.post.ledger.LedgerException;
-import cobaltrack.post.log.Event;
-import cobaltrack.post.log.Logs;
-import cobaltrack.post.office.Office;
-import cobaltrack.signals.Hangup;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.settings.CardException;
+import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.mesh.storage.LedgerException;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.log.Logs;
+import whinlead.mesh.control.Office;
+import whinlead.signals.Hangup;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/cobaltrack/post/run/Settings.java
+++ b/src/main/java/whinlead/mesh/run/Settings.java
@@ -1,10 +1,10 @@
-package cobaltrack.post.run;
+package whinlead.mesh.run;
 
-import cobaltrack.post.card.Card;
-import cobaltrack.post.card.CardException;
-import cobaltrack.post.card.CardReader;
-import cobaltrack.post.log.Event;
-import cobaltrack.signals.Hangup;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.settings.CardException;
+import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.log.Event;
+import whinlead.signals.Hangup;
 import io.netty.channel.EventLoop;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/main/java/cobaltrack/post/card/Card.java
+++ b/src/main/java/whinlead/mesh/settings/Card.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.card;
+package whinlead.mesh.settings;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
--- a/src/main/java/cobaltrack/post/card/CardException.java
+++ b/src/main/java/whinlead/mesh/settings/CardException.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.card;
+package whinlead.mesh.settings;
 
 /** A settings file that can't be used; the message is one line and names the field. */
 public final class CardException extends RuntimeException {
--- a/src/main/java/cobaltrack/post/card/CardReader.java
+++ b/src/main/java/whinlead/mesh/settings/CardReader.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.card;
+package whinlead.mesh.settings;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
--- a/src/main/java/cobaltrack/post/carrier/AnswerCheck.java
+++ b/src/main/java/whinlead/mesh/sidecar/AnswerCheck.java
@@ -1,6 +1,6 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.post.wire.Letter;
+import whinlead.mesh.wire.Letter;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpResponse;
--- a/src/main/java/cobaltrack/post/carrier/Beat.java
+++ b/src/main/java/whinlead/mesh/sidecar/Beat.java
@@ -1,6 +1,6 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.engine.Timers;
+import whinlead.engine.Timers;
 
 /**
  * Timers of which those of about one period fall together: each service has modules of its own, and a
--- a/src/main/java/cobaltrack/post/carrier/Beginning.java
+++ b/src/main/java/whinlead/mesh/sidecar/Beginning.java
@@ -1,6 +1,6 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.post.ballot.Decision;
+import whinlead.mesh.consensus.Decision;
 
 /**
  * What a sidecar that has no configuration yet begins with. An office that is cut off may know an old one
--- a/src/main/java/cobaltrack/post/carrier/ClientSide.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientSide.java
@@ -1,10 +1,10 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.engine.Timers;
-import cobaltrack.post.allowance.Allowance;
-import cobaltrack.post.card.Card;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.tariff.Routing;
+import whinlead.engine.Timers;
+import whinlead.mesh.quota.Allowance;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.config.Routing;
 import io.netty.channel.Channel;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cobaltrack/post/carrier/DemandReports.java
+++ b/src/main/java/whinlead/mesh/sidecar/DemandReports.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 /**
  * Which control nodes a sidecar's report of its tenants' demand goes to, round by round. With demand, the
--- a/src/main/java/cobaltrack/post/carrier/Depot.java
+++ b/src/main/java/whinlead/mesh/sidecar/Depot.java
@@ -1,17 +1,17 @@
-package cobaltrack.post.carrier;
-
-import cobaltrack.Contract;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Caller;
-import cobaltrack.engine.Carrier;
-import cobaltrack.engine.Engine;
-import cobaltrack.engine.Timers;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.post.card.Card;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.log.Event;
-import cobaltrack.post.wire.Letter;
+package whinlead.mesh.sidecar;
+
+import whinlead.Contract;
+import whinlead.decide.Decide;
+import whinlead.engine.Ask;
+import whinlead.engine.Caller;
+import whinlead.engine.Carrier;
+import whinlead.engine.Engine;
+import whinlead.engine.Timers;
+import whinlead.membership.EndpointList;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.wire.Letter;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cobaltrack/post/carrier/Desk.java
+++ b/src/main/java/whinlead/mesh/sidecar/Desk.java
@@ -1,19 +1,19 @@
-package cobaltrack.post.carrier;
-
-import cobaltrack.membership.EndpointList;
-import cobaltrack.post.allowance.Use;
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.card.Card;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.log.Event;
-import cobaltrack.post.office.Bodies;
-import cobaltrack.post.tariff.Routing;
-import cobaltrack.post.tariff.Tariff;
-import cobaltrack.post.tariff.TariffException;
-import cobaltrack.post.tariff.TariffReader;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Tie;
+package whinlead.mesh.sidecar;
+
+import whinlead.membership.EndpointList;
+import whinlead.mesh.quota.Use;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.control.Bodies;
+import whinlead.mesh.config.Routing;
+import whinlead.mesh.config.Tariff;
+import whinlead.mesh.config.TariffException;
+import whinlead.mesh.config.TariffReader;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Tie;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/cobaltrack/post/carrier/Egress.java
+++ b/src/main/java/whinlead/mesh/sidecar/Egress.java
@@ -1,12 +1,12 @@
-package cobaltrack.post.carrier;
-
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Caller;
-import cobaltrack.engine.Timers;
-import cobaltrack.post.allowance.Allowance;
-import cobaltrack.post.tariff.Routing;
-import cobaltrack.post.tariff.Tariff;
-import cobaltrack.post.wire.Letter;
+package whinlead.mesh.sidecar;
+
+import whinlead.engine.Ask;
+import whinlead.engine.Caller;
+import whinlead.engine.Timers;
+import whinlead.mesh.quota.Allowance;
+import whinlead.mesh.config.Routing;
+import whinlead.mesh.config.Tariff;
+import whinlead.mesh.wire.Letter;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/cobaltrack/post/carrier/EndpointAttempts.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
@@ -1,6 +1,6 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.post.wire.Letter;
+import whinlead.mesh.wire.Letter;
 
 /**
  * Counts the attempts of one request of a client: at how many endpoints it may have arrived, which its route
--- a/src/main/java/cobaltrack/post/carrier/EndpointLine.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointLine.java
@@ -1,9 +1,9 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.engine.Clock;
-import cobaltrack.engine.Timers;
-import cobaltrack.loop.LoopTimers;
-import cobaltrack.post.wire.Letter;
+import whinlead.engine.Clock;
+import whinlead.engine.Timers;
+import whinlead.loop.LoopTimers;
+import whinlead.mesh.wire.Letter;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/cobaltrack/post/carrier/EndpointRequests.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
@@ -1,6 +1,6 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.post.wire.Letter;
+import whinlead.mesh.wire.Letter;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/cobaltrack/post/carrier/ForwardedTime.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
@@ -1,7 +1,7 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.TransitClock;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.TransitClock;
 
 /**
  * What is left of the time of a request that another sidecar forwarded. What it waited on its way is taken
--- a/src/main/java/cobaltrack/post/carrier/Hatch.java
+++ b/src/main/java/whinlead/mesh/sidecar/Hatch.java
@@ -1,7 +1,7 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.rpc.Order;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.rpc.Order;
 
 /**
  * What the sidecar knows first hand of the endpoint beside it, and whether a request may go to it now. Pure;
--- a/src/main/java/cobaltrack/post/carrier/Headers.java
+++ b/src/main/java/whinlead/mesh/sidecar/Headers.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.ArrayList;
--- a/src/main/java/cobaltrack/post/carrier/OutdatedLists.java
+++ b/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
@@ -1,7 +1,7 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.post.directory.Directory;
-import cobaltrack.post.directory.Listing;
+import whinlead.mesh.registry.Directory;
+import whinlead.mesh.registry.Listing;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
--- a/src/main/java/cobaltrack/post/carrier/Postage.java
+++ b/src/main/java/whinlead/mesh/sidecar/Postage.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 /**
  * This sidecar's part of the budget of further arrivals at one service: each request pays in a part of what
--- a/src/main/java/cobaltrack/post/carrier/Readiness.java
+++ b/src/main/java/whinlead/mesh/sidecar/Readiness.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cobaltrack/post/carrier/Round.java
+++ b/src/main/java/whinlead/mesh/sidecar/Round.java
@@ -1,15 +1,15 @@
-package cobaltrack.post.carrier;
-
-import cobaltrack.Contract;
-import cobaltrack.engine.Carrier;
-import cobaltrack.engine.Clock;
-import cobaltrack.engine.Timers;
-import cobaltrack.loop.LoopTimers;
-import cobaltrack.post.directory.Directory;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.log.Event;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Tie;
+package whinlead.mesh.sidecar;
+
+import whinlead.Contract;
+import whinlead.engine.Carrier;
+import whinlead.engine.Clock;
+import whinlead.engine.Timers;
+import whinlead.loop.LoopTimers;
+import whinlead.mesh.registry.Directory;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Tie;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/cobaltrack/post/carrier/Shutdown.java
+++ b/src/main/java/whinlead/mesh/sidecar/Shutdown.java
@@ -1,6 +1,6 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.engine.Timers;
+import whinlead.engine.Timers;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.IntSupplier;
 
--- a/src/main/java/cobaltrack/post/carrier/TicklessModule.java
+++ b/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
@@ -1,6 +1,6 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 import java.util.function.Function;
 
--- a/src/main/java/cobaltrack/post/carrier/Window.java
+++ b/src/main/java/whinlead/mesh/sidecar/Window.java
@@ -1,8 +1,8 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
-import cobaltrack.engine.Timers;
-import cobaltrack.post.log.Event;
-import cobaltrack.post.tariff.Tariff;
+import whinlead.engine.Timers;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.config.Tariff;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cobaltrack/post/ledger/Layout.java
+++ b/src/main/java/whinlead/mesh/storage/Layout.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ledger;
+package whinlead.mesh.storage;
 
 import java.nio.charset.StandardCharsets;
 import java.sql.Connection;
--- a/src/main/java/cobaltrack/post/ledger/Ledger.java
+++ b/src/main/java/whinlead/mesh/storage/Ledger.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ledger;
+package whinlead.mesh.storage;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/cobaltrack/post/ledger/LedgerException.java
+++ b/src/main/java/whinlead/mesh/storage/LedgerException.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ledger;
+package whinlead.mesh.storage;
 
 /** The disk, or what is on it, can't be used. */
 public final class LedgerException extends Exception {
--- a/src/main/java/cobaltrack/post/wire/AcceptorRecord.java
+++ b/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
@@ -1,8 +1,8 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
-import cobaltrack.post.ballot.Acceptor;
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Decision;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
 import java.io.IOException;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
--- a/src/main/java/cobaltrack/post/wire/Fields.java
+++ b/src/main/java/whinlead/mesh/wire/Fields.java
@@ -1,7 +1,7 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
-import cobaltrack.post.allowance.Use;
-import cobaltrack.post.directory.Listing;
+import whinlead.mesh.quota.Use;
+import whinlead.mesh.registry.Listing;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cobaltrack/post/wire/Letter.java
+++ b/src/main/java/whinlead/mesh/wire/Letter.java
@@ -1,9 +1,9 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
-import cobaltrack.post.allowance.Use;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Message;
-import cobaltrack.post.directory.Listing;
+import whinlead.mesh.quota.Use;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.registry.Listing;
 import java.util.List;
 
 /** What the system's own processes say to each other. */
--- a/src/main/java/cobaltrack/post/wire/LetterKind.java
+++ b/src/main/java/whinlead/mesh/wire/LetterKind.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 /** The kinds of letters, by the tag that stands first in the bytes of each. */
 public enum LetterKind {
--- a/src/main/java/cobaltrack/post/wire/Letters.java
+++ b/src/main/java/whinlead/mesh/wire/Letters.java
@@ -1,15 +1,15 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
-import static cobaltrack.post.wire.Fields.bytes;
-import static cobaltrack.post.wire.Fields.listing;
-import static cobaltrack.post.wire.Fields.size;
-import static cobaltrack.post.wire.Fields.strings;
-import static cobaltrack.post.wire.Fields.uses;
+import static whinlead.mesh.wire.Fields.bytes;
+import static whinlead.mesh.wire.Fields.listing;
+import static whinlead.mesh.wire.Fields.size;
+import static whinlead.mesh.wire.Fields.strings;
+import static whinlead.mesh.wire.Fields.uses;
 
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Message;
-import cobaltrack.post.directory.Listing;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.registry.Listing;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cobaltrack/post/wire/Link.java
+++ b/src/main/java/whinlead/mesh/wire/Link.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/cobaltrack/post/wire/MalformedLetterException.java
+++ b/src/main/java/whinlead/mesh/wire/MalformedLetterException.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 import java.io.IOException;
 
--- a/src/main/java/cobaltrack/post/wire/ProtocolVersion.java
+++ b/src/main/java/whinlead/mesh/wire/ProtocolVersion.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 /**
  * The versions of the peer protocol that one program speaks. Both sides of a connection say theirs in
--- a/src/main/java/cobaltrack/post/wire/Tie.java
+++ b/src/main/java/whinlead/mesh/wire/Tie.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
--- a/src/main/java/cobaltrack/post/wire/TimerGrid.java
+++ b/src/main/java/whinlead/mesh/wire/TimerGrid.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cobaltrack/post/wire/TransitClock.java
+++ b/src/main/java/whinlead/mesh/wire/TransitClock.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 /**
  * Tells how long the messages of one connection waited on their way: in the sender's buffers, in the network
--- a/src/main/java/cobaltrack/post/wire/VersionEvents.java
+++ b/src/main/java/whinlead/mesh/wire/VersionEvents.java
@@ -1,6 +1,6 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
-import cobaltrack.post.log.Event;
+import whinlead.mesh.log.Event;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
--- a/src/main/java/cobaltrack/plan/Arrival.java
+++ b/src/main/java/whinlead/plan/Arrival.java
@@ -1,4 +1,4 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 /**
  * A request as it came to a sidecar.
--- a/src/main/java/cobaltrack/plan/Calendar.java
+++ b/src/main/java/whinlead/plan/Calendar.java
@@ -1,6 +1,6 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
-import cobaltrack.engine.Timers;
+import whinlead.engine.Timers;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
--- a/src/main/java/cobaltrack/plan/ClientTry.java
+++ b/src/main/java/whinlead/plan/ClientTry.java
@@ -1,7 +1,7 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
-import cobaltrack.Contract;
-import cobaltrack.engine.Caller;
+import whinlead.Contract;
+import whinlead.engine.Caller;
 
 /** One try of a client, who may try again after a refusal or a failure. For one thread. */
 final class ClientTry implements Caller<SimulatedFront> {
--- a/src/main/java/cobaltrack/plan/Fleet.java
+++ b/src/main/java/whinlead/plan/Fleet.java
@@ -1,6 +1,6 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 import java.util.Objects;
 
--- a/src/main/java/cobaltrack/plan/Interval.java
+++ b/src/main/java/whinlead/plan/Interval.java
@@ -1,4 +1,4 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 /**
  * A mean over independent runs and the half width of its interval at 95% (Student's).
--- a/src/main/java/cobaltrack/plan/Law.java
+++ b/src/main/java/whinlead/plan/Law.java
@@ -1,4 +1,4 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 import java.util.Random;
 
--- a/src/main/java/cobaltrack/plan/Outcome.java
+++ b/src/main/java/whinlead/plan/Outcome.java
@@ -1,4 +1,4 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 /**
  * What became of a load, over all tries of its clients, and how far each limit was used.
--- a/src/main/java/cobaltrack/plan/Recovery.java
+++ b/src/main/java/whinlead/plan/Recovery.java
@@ -1,4 +1,4 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 /**
  * Whether service came back after something that befell it, and how long that took.
--- a/src/main/java/cobaltrack/plan/SimulatedAttempt.java
+++ b/src/main/java/whinlead/plan/SimulatedAttempt.java
@@ -1,7 +1,7 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
-import cobaltrack.Contract;
-import cobaltrack.engine.Carrier;
+import whinlead.Contract;
+import whinlead.engine.Carrier;
 
 /** One attempt on its way from a sidecar to a front and back, on a connection. For one thread. */
 final class SimulatedAttempt implements Carrier.Sending {
--- a/src/main/java/cobaltrack/plan/SimulatedFront.java
+++ b/src/main/java/whinlead/plan/SimulatedFront.java
@@ -1,6 +1,6 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /**
  * A front under simulated time: its cores, the speed of its machine, how many connections it has, and
--- a/src/main/java/cobaltrack/plan/SimulatedSidecar.java
+++ b/src/main/java/whinlead/plan/SimulatedSidecar.java
@@ -1,12 +1,12 @@
-package cobaltrack.plan;
-
-import cobaltrack.Contract;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Carrier;
-import cobaltrack.engine.Engine;
-import cobaltrack.engine.Timers;
-import cobaltrack.membership.EndpointList;
+package whinlead.plan;
+
+import whinlead.Contract;
+import whinlead.decide.Decide;
+import whinlead.engine.Ask;
+import whinlead.engine.Carrier;
+import whinlead.engine.Engine;
+import whinlead.engine.Timers;
+import whinlead.membership.EndpointList;
 import java.util.Collection;
 import java.util.Map;
 
--- a/src/main/java/cobaltrack/plan/tool/Answer.java
+++ b/src/main/java/whinlead/plan/tool/Answer.java
@@ -1,6 +1,6 @@
-package cobaltrack.plan.tool;
+package whinlead.plan.tool;
 
-import cobaltrack.plan.Interval;
+import whinlead.plan.Interval;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/src/main/java/cobaltrack/plan/tool/CaptureCommand.java
+++ b/src/main/java/whinlead/plan/tool/CaptureCommand.java
@@ -1,12 +1,12 @@
-package cobaltrack.plan.tool;
+package whinlead.plan.tool;
 
-import cobaltrack.Contract;
-import cobaltrack.capture.CaptureInput;
-import cobaltrack.capture.CaptureOutput;
-import cobaltrack.capture.Entry;
-import cobaltrack.capture.Summary;
-import cobaltrack.engine.Journal;
-import cobaltrack.plan.Arrival;
+import whinlead.Contract;
+import whinlead.capture.CaptureInput;
+import whinlead.capture.CaptureOutput;
+import whinlead.capture.Entry;
+import whinlead.capture.Summary;
+import whinlead.engine.Journal;
+import whinlead.plan.Arrival;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/cobaltrack/plan/tool/CaptureLoad.java
+++ b/src/main/java/whinlead/plan/tool/CaptureLoad.java
@@ -1,12 +1,12 @@
-package cobaltrack.plan.tool;
+package whinlead.plan.tool;
 
-import cobaltrack.Contract;
-import cobaltrack.capture.CaptureInput;
-import cobaltrack.capture.Entry;
-import cobaltrack.capture.Summary;
-import cobaltrack.plan.Arrival;
-import cobaltrack.plan.Arrivals;
-import cobaltrack.plan.Fleet;
+import whinlead.Contract;
+import whinlead.capture.CaptureInput;
+import whinlead.capture.Entry;
+import whinlead.capture.Summary;
+import whinlead.plan.Arrival;
+import whinlead.plan.Arrivals;
+import whinlead.plan.Fleet;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
--- a/src/main/java/cobaltrack/plan/tool/Description.java
+++ b/src/main/java/whinlead/plan/tool/Description.java
@@ -1,9 +1,9 @@
-package cobaltrack.plan.tool;
+package whinlead.plan.tool;
 
-import cobaltrack.Contract;
-import cobaltrack.plan.Fleet;
-import cobaltrack.plan.Law;
-import cobaltrack.plan.Load;
+import whinlead.Contract;
+import whinlead.plan.Fleet;
+import whinlead.plan.Law;
+import whinlead.plan.Load;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -24,7 +24,7 @@
  * and then for what a schema can't see.
  */
 public record Description(Fleet fleet, Load load) {
-    private static final String SCHEMA = "/cobaltrack/plan/fleet.schema.json";
+    private static final String SCHEMA = "/whinlead/plan/fleet.schema.json";
     /** How far shares may be from a sum of 1. */
     private static final double SUM_SLACK = 1e-6;
     private static final double SECOND = 1000;
--- a/src/main/java/cobaltrack/plan/tool/PlanCommand.java
+++ b/src/main/java/whinlead/plan/tool/PlanCommand.java
@@ -1,13 +1,13 @@
-package cobaltrack.plan.tool;
+package whinlead.plan.tool;
 
-import cobaltrack.plan.Bounds;
-import cobaltrack.plan.Fleet;
-import cobaltrack.plan.Interval;
-import cobaltrack.plan.Limit;
-import cobaltrack.plan.Load;
-import cobaltrack.plan.Outcome;
-import cobaltrack.plan.Recovery;
-import cobaltrack.plan.Solver;
+import whinlead.plan.Bounds;
+import whinlead.plan.Fleet;
+import whinlead.plan.Interval;
+import whinlead.plan.Limit;
+import whinlead.plan.Load;
+import whinlead.plan.Outcome;
+import whinlead.plan.Recovery;
+import whinlead.plan.Solver;
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
--- a/src/main/java/cobaltrack/plan/tool/Runner.java
+++ b/src/main/java/whinlead/plan/tool/Runner.java
@@ -1,9 +1,9 @@
-package cobaltrack.plan.tool;
+package whinlead.plan.tool;
 
-import cobaltrack.plan.Arrival;
-import cobaltrack.plan.Fleet;
-import cobaltrack.plan.Outcome;
-import cobaltrack.plan.Simulation;
+import whinlead.plan.Arrival;
+import whinlead.plan.Fleet;
+import whinlead.plan.Outcome;
+import whinlead.plan.Simulation;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
--- a/src/main/java/cobaltrack/copies/Book.java
+++ b/src/main/java/whinlead/replication/Book.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/cobaltrack/copies/Desk.java
+++ b/src/main/java/whinlead/replication/Desk.java
@@ -1,8 +1,8 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
-import cobaltrack.consult.Directive;
-import cobaltrack.consult.Keeper;
-import cobaltrack.engine.Timers;
+import whinlead.consult.Directive;
+import whinlead.consult.Keeper;
+import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/cobaltrack/copies/Pace.java
+++ b/src/main/java/whinlead/replication/Pace.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 /**
  * The group's time between its commands, as one member holds it: the last stamp, and what has passed by the
--- a/src/main/java/cobaltrack/copies/Placement.java
+++ b/src/main/java/whinlead/replication/Placement.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 import java.util.Collection;
 import java.util.Comparator;
--- a/src/main/java/cobaltrack/copies/Reply.java
+++ b/src/main/java/whinlead/replication/Reply.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 /** What a group has agreed on as the answer to a {@link Command}. */
 public sealed interface Reply {
--- a/src/main/java/cobaltrack/copies/Trace.java
+++ b/src/main/java/whinlead/replication/Trace.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 /**
  * Hears each step that this process takes with a request, so that one request can be followed over all
--- a/src/main/java/cobaltrack/copies/Way.java
+++ b/src/main/java/whinlead/replication/Way.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/cobaltrack/copies/codec/Commands.java
+++ b/src/main/java/whinlead/replication/codec/Commands.java
@@ -1,10 +1,10 @@
-package cobaltrack.copies.codec;
+package whinlead.replication.codec;
 
-import cobaltrack.copies.Book;
-import cobaltrack.copies.Command;
-import cobaltrack.copies.Reply;
-import cobaltrack.copies.raft.Member;
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.Book;
+import whinlead.replication.Command;
+import whinlead.replication.Reply;
+import whinlead.replication.raft.Member;
+import whinlead.replication.wire.Wire;
 import java.util.List;
 
 /**
--- a/src/main/java/cobaltrack/copies/codec/Messages.java
+++ b/src/main/java/whinlead/replication/codec/Messages.java
@@ -1,8 +1,8 @@
-package cobaltrack.copies.codec;
+package whinlead.replication.codec;
 
-import cobaltrack.copies.raft.Member;
-import cobaltrack.copies.raft.MemberId;
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.raft.Member;
+import whinlead.replication.raft.MemberId;
+import whinlead.replication.wire.Wire;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
--- a/src/main/java/cobaltrack/copies/disk/DiskLog.java
+++ b/src/main/java/whinlead/replication/disk/DiskLog.java
@@ -1,9 +1,9 @@
-package cobaltrack.copies.disk;
+package whinlead.replication.disk;
 
-import cobaltrack.copies.codec.Messages;
-import cobaltrack.copies.raft.LogMirror;
-import cobaltrack.copies.raft.MemberDisk;
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.codec.Messages;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.MemberDisk;
+import whinlead.replication.wire.Wire;
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
--- a/src/main/java/cobaltrack/copies/disk/RecordWriter.java
+++ b/src/main/java/whinlead/replication/disk/RecordWriter.java
@@ -1,9 +1,9 @@
-package cobaltrack.copies.disk;
+package whinlead.replication.disk;
 
-import cobaltrack.copies.codec.Messages;
-import cobaltrack.copies.raft.LogMirror;
-import cobaltrack.copies.raft.MemberDisk;
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.codec.Messages;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.MemberDisk;
+import whinlead.replication.wire.Wire;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
--- a/src/main/java/cobaltrack/copies/net/Frames.java
+++ b/src/main/java/whinlead/replication/net/Frames.java
@@ -1,12 +1,12 @@
-package cobaltrack.copies.net;
+package whinlead.replication.net;
 
-import cobaltrack.copies.codec.Commands;
-import cobaltrack.copies.codec.Messages;
-import cobaltrack.copies.raft.Envelope;
-import cobaltrack.copies.raft.Member;
-import cobaltrack.copies.raft.MemberId;
-import cobaltrack.copies.raft.Parcel;
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.codec.Commands;
+import whinlead.replication.codec.Messages;
+import whinlead.replication.raft.Envelope;
+import whinlead.replication.raft.Member;
+import whinlead.replication.raft.MemberId;
+import whinlead.replication.raft.Parcel;
+import whinlead.replication.wire.Wire;
 import java.util.Collection;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/cobaltrack/copies/net/GroupLink.java
+++ b/src/main/java/whinlead/replication/net/GroupLink.java
@@ -1,14 +1,14 @@
-package cobaltrack.copies.net;
-
-import cobaltrack.copies.codec.Commands;
-import cobaltrack.copies.codec.Messages;
-import cobaltrack.copies.raft.GroupHost;
-import cobaltrack.copies.raft.Parcel;
-import cobaltrack.copies.raft.Seat;
-import cobaltrack.copies.wire.CopiesGrpc;
-import cobaltrack.copies.wire.Wire;
-import cobaltrack.engine.Timers;
-import cobaltrack.loop.BoundedListener;
+package whinlead.replication.net;
+
+import whinlead.replication.codec.Commands;
+import whinlead.replication.codec.Messages;
+import whinlead.replication.raft.GroupHost;
+import whinlead.replication.raft.Parcel;
+import whinlead.replication.raft.Seat;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
+import whinlead.engine.Timers;
+import whinlead.loop.BoundedListener;
 import io.grpc.Server;
 import io.grpc.netty.NettyChannelBuilder;
 import io.grpc.netty.NettyServerBuilder;
--- a/src/main/java/cobaltrack/copies/net/Line.java
+++ b/src/main/java/whinlead/replication/net/Line.java
@@ -1,8 +1,8 @@
-package cobaltrack.copies.net;
+package whinlead.replication.net;
 
-import cobaltrack.copies.wire.CopiesGrpc;
-import cobaltrack.copies.wire.Wire;
-import cobaltrack.engine.Timers;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
+import whinlead.engine.Timers;
 import io.grpc.ManagedChannel;
 import io.grpc.stub.ClientCallStreamObserver;
 import io.grpc.stub.ClientResponseObserver;
--- a/src/main/java/cobaltrack/copies/raft/CommandBatcher.java
+++ b/src/main/java/whinlead/replication/raft/CommandBatcher.java
@@ -1,9 +1,9 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.copies.Command;
-import cobaltrack.copies.Pace;
-import cobaltrack.copies.Reply;
-import cobaltrack.engine.Timers;
+import whinlead.replication.Command;
+import whinlead.replication.Pace;
+import whinlead.replication.Reply;
+import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
--- a/src/main/java/cobaltrack/copies/raft/ConsensusNode.java
+++ b/src/main/java/whinlead/replication/raft/ConsensusNode.java
@@ -1,6 +1,6 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.engine.Timers;
+import whinlead.engine.Timers;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
--- a/src/main/java/cobaltrack/copies/raft/Envelope.java
+++ b/src/main/java/whinlead/replication/raft/Envelope.java
@@ -1,7 +1,7 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.copies.Command;
-import cobaltrack.copies.Reply;
+import whinlead.replication.Command;
+import whinlead.replication.Reply;
 import io.microraft.model.message.RaftMessage;
 import java.util.Set;
 
--- a/src/main/java/cobaltrack/copies/raft/ForwardedCommands.java
+++ b/src/main/java/whinlead/replication/raft/ForwardedCommands.java
@@ -1,6 +1,6 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.copies.Reply;
+import whinlead.replication.Reply;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
--- a/src/main/java/cobaltrack/copies/raft/GroupFormation.java
+++ b/src/main/java/whinlead/replication/raft/GroupFormation.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
 import java.util.Collection;
 import java.util.Collections;
--- a/src/main/java/cobaltrack/copies/raft/GroupHost.java
+++ b/src/main/java/whinlead/replication/raft/GroupHost.java
@@ -1,14 +1,14 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.copies.Book;
-import cobaltrack.copies.Command;
-import cobaltrack.copies.Desk;
-import cobaltrack.copies.Pace;
-import cobaltrack.copies.Placement;
-import cobaltrack.copies.Reply;
-import cobaltrack.copies.Trace;
-import cobaltrack.copies.Way;
-import cobaltrack.engine.Timers;
+import whinlead.replication.Book;
+import whinlead.replication.Command;
+import whinlead.replication.Desk;
+import whinlead.replication.Pace;
+import whinlead.replication.Placement;
+import whinlead.replication.Reply;
+import whinlead.replication.Trace;
+import whinlead.replication.Way;
+import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/cobaltrack/copies/raft/LeaderMonitor.java
+++ b/src/main/java/whinlead/replication/raft/LeaderMonitor.java
@@ -1,6 +1,6 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.engine.Timers;
+import whinlead.engine.Timers;
 
 /**
  * Guards against a fault of MicroRaft 0.7: a message of the leader's that comes in the midst of a pre-vote
--- a/src/main/java/cobaltrack/copies/raft/LogMirror.java
+++ b/src/main/java/whinlead/replication/raft/LogMirror.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
--- a/src/main/java/cobaltrack/copies/raft/Member.java
+++ b/src/main/java/whinlead/replication/raft/Member.java
@@ -1,10 +1,10 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.copies.Book;
-import cobaltrack.copies.Command;
-import cobaltrack.copies.Pace;
-import cobaltrack.copies.Reply;
-import cobaltrack.engine.Timers;
+import whinlead.replication.Book;
+import whinlead.replication.Command;
+import whinlead.replication.Pace;
+import whinlead.replication.Reply;
+import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.message.AppendEntriesRequest;
--- a/src/main/java/cobaltrack/copies/raft/MemberDisk.java
+++ b/src/main/java/whinlead/replication/raft/MemberDisk.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
 import io.microraft.persistence.RaftStore;
 import java.io.IOException;
--- a/src/main/java/cobaltrack/copies/raft/Parcel.java
+++ b/src/main/java/whinlead/replication/raft/Parcel.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
 /**
  * What one process says to another of its group, by the members' names, which outlive processes.
--- a/src/main/java/cobaltrack/copies/raft/Replacement.java
+++ b/src/main/java/whinlead/replication/raft/Replacement.java
@@ -1,6 +1,6 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.copies.Placement;
+import whinlead.replication.Placement;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cobaltrack/copies/raft/TimersClock.java
+++ b/src/main/java/whinlead/replication/raft/TimersClock.java
@@ -1,6 +1,6 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
-import cobaltrack.engine.Timers;
+import whinlead.engine.Timers;
 import java.time.Clock;
 import java.time.Instant;
 import java.time.ZoneId;
--- a/src/main/java/cobaltrack/run/AdmissionConfig.java
+++ b/src/main/java/whinlead/run/AdmissionConfig.java
@@ -1,7 +1,7 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.admit.Client;
-import cobaltrack.admit.Gate;
+import whinlead.admit.Client;
+import whinlead.admit.Gate;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.Set;
--- a/src/main/java/cobaltrack/run/CaptureConfig.java
+++ b/src/main/java/whinlead/run/CaptureConfig.java
@@ -1,7 +1,7 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.Contract;
-import cobaltrack.capture.Recorder;
+import whinlead.Contract;
+import whinlead.capture.Recorder;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
--- a/src/main/java/cobaltrack/run/Config.java
+++ b/src/main/java/whinlead/run/Config.java
@@ -1,8 +1,8 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.Contract;
-import cobaltrack.SettingsReader;
-import cobaltrack.membership.EndpointList;
+import whinlead.Contract;
+import whinlead.SettingsReader;
+import whinlead.membership.EndpointList;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/cobaltrack/run/Copies.java
+++ b/src/main/java/whinlead/run/Copies.java
@@ -1,14 +1,14 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.consult.Keeper;
-import cobaltrack.copies.Desk;
-import cobaltrack.copies.Trace;
-import cobaltrack.copies.disk.DiskLog;
-import cobaltrack.copies.net.GroupLink;
-import cobaltrack.copies.raft.GroupHost;
-import cobaltrack.copies.raft.LogMirror;
-import cobaltrack.copies.raft.Parcel;
-import cobaltrack.engine.Timers;
+import whinlead.consult.Keeper;
+import whinlead.replication.Desk;
+import whinlead.replication.Trace;
+import whinlead.replication.disk.DiskLog;
+import whinlead.replication.net.GroupLink;
+import whinlead.replication.raft.GroupHost;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.Parcel;
+import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
--- a/src/main/java/cobaltrack/run/CopiesCommand.java
+++ b/src/main/java/whinlead/run/CopiesCommand.java
@@ -1,7 +1,7 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.copies.wire.CopiesGrpc;
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -131,7 +131,7 @@
             return switch (known.getKind()) {
                 case FREE -> "not known";
                 case OUT -> "out, and may have run";
-                default -> "over: " + cobaltrack.copies.Command.Ending.values()[known.getNumber()].name()
+                default -> "over: " + whinlead.replication.Command.Ending.values()[known.getNumber()].name()
                         .toLowerCase(Locale.ROOT);
             };
         }
@@ -188,7 +188,7 @@
                     }
                 }
                 if (!refused.isEmpty()) {
-                    System.err.println("cobaltrack: " + refused);
+                    System.err.println("whinlead: " + refused);
                     return BAD;
                 }
                 return done(channels.values(), c.groups().get(group).size()) ? 0 : BAD;
@@ -211,7 +211,7 @@
                 }
                 TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
             }
-            System.err.println("cobaltrack: not done within " + DONE_MOST_MS / 1000
+            System.err.println("whinlead: not done within " + DONE_MOST_MS / 1000
                     + " s; see copies status");
             return false;
         }
--- a/src/main/java/cobaltrack/run/CopiesConfig.java
+++ b/src/main/java/whinlead/run/CopiesConfig.java
@@ -1,7 +1,7 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.copies.Book;
-import cobaltrack.membership.EndpointList;
+import whinlead.replication.Book;
+import whinlead.membership.EndpointList;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.networknt.schema.JsonSchemaFactory;
@@ -35,7 +35,7 @@
 record CopiesConfig(String name, SortedMap<String, InetSocketAddress> processes,
         SortedMap<String, SortedSet<String>> groups, double replaceAfterMs, Path disk, Path trace,
         Book.Limits limits) {
-    private static final String SCHEMA = "/cobaltrack/run/copies.schema.json";
+    private static final String SCHEMA = "/whinlead/run/copies.schema.json";
     /**
      * Some 600 bytes each with what the consensus keeps of them: 12 MB of the heap ({@code docs/copies.md}).
      */
--- a/src/main/java/cobaltrack/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -1,20 +1,20 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.Contract;
-import cobaltrack.admit.Budget;
-import cobaltrack.capture.Recorder;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Clock;
-import cobaltrack.engine.Engine;
-import cobaltrack.engine.Timers;
-import cobaltrack.front.http1.ClientServer;
-import cobaltrack.loop.LoopTimers;
-import cobaltrack.membership.Discovery;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.post.run.Post;
-import cobaltrack.signals.Hangup;
-import cobaltrack.standin.post.Walk;
-import cobaltrack.transport.EndpointPool;
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.capture.Recorder;
+import whinlead.decide.Decide;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.engine.Timers;
+import whinlead.front.http1.ClientServer;
+import whinlead.loop.LoopTimers;
+import whinlead.membership.Discovery;
+import whinlead.membership.EndpointList;
+import whinlead.mesh.run.Post;
+import whinlead.signals.Hangup;
+import whinlead.testbed.mesh.Walk;
+import whinlead.transport.EndpointPool;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -75,7 +75,7 @@
             return;
         }
         switch (args.length == 1 ? args[0] : "") {
-            case "benchlink" -> cobaltrack.benchlink.Main.main(args);
+            case "benchlink" -> whinlead.benchlink.Main.main(args);
             case "serve" -> start(false);
             case "check" -> start(true);
             case "walk" -> walk();
@@ -251,7 +251,7 @@
     }
 
     private static void quit(String why) {
-        System.err.println("cobaltrack: " + why);
+        System.err.println("whinlead: " + why);
         System.exit(1);
     }
 }
--- a/src/main/java/cobaltrack/run/OperatorFile.java
+++ b/src/main/java/whinlead/run/OperatorFile.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/cobaltrack/run/Processor.java
+++ b/src/main/java/whinlead/run/Processor.java
@@ -1,15 +1,15 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.Contract;
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Keeper;
-import cobaltrack.engine.Engine;
-import cobaltrack.engine.Timers;
-import cobaltrack.front.consult.ConsultRequest;
-import cobaltrack.front.consult.ConsultServer;
-import cobaltrack.front.consult.HeaderNames;
-import cobaltrack.front.extproc.ExtProcServer;
-import cobaltrack.front.spop.SpopServer;
+import whinlead.Contract;
+import whinlead.consult.Consultations;
+import whinlead.consult.Keeper;
+import whinlead.engine.Engine;
+import whinlead.engine.Timers;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.front.consult.ConsultServer;
+import whinlead.front.consult.HeaderNames;
+import whinlead.front.extproc.ExtProcServer;
+import whinlead.front.spop.SpopServer;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
--- a/src/main/java/cobaltrack/run/ProcessorConfig.java
+++ b/src/main/java/whinlead/run/ProcessorConfig.java
@@ -1,8 +1,8 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.consult.Bounds;
-import cobaltrack.front.consult.ConsultRequest.Field;
-import cobaltrack.membership.EndpointList;
+import whinlead.consult.Bounds;
+import whinlead.front.consult.ConsultRequest.Field;
+import whinlead.membership.EndpointList;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetSocketAddress;
--- a/src/main/java/cobaltrack/run/Reload.java
+++ b/src/main/java/whinlead/run/Reload.java
@@ -1,6 +1,6 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.membership.Discovery;
+import whinlead.membership.Discovery;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.function.Consumer;
 
--- a/src/main/java/cobaltrack/run/Tools.java
+++ b/src/main/java/whinlead/run/Tools.java
@@ -1,10 +1,10 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.plan.tool.CaptureCommand;
-import cobaltrack.plan.tool.PlanCommand;
-import cobaltrack.standin.Demo;
-import cobaltrack.standin.Rehearse;
-import cobaltrack.standin.ReplayCommand;
+import whinlead.plan.tool.CaptureCommand;
+import whinlead.plan.tool.PlanCommand;
+import whinlead.testbed.Demo;
+import whinlead.testbed.Rehearse;
+import whinlead.testbed.ReplayCommand;
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -18,7 +18,7 @@
  * Exit codes: 0; 1 for what is bad, a promise that is broken or a goal that is not met, in one line; 2 for
  * bad usage. Some add their own.
  */
-@Command(name = "cobaltrack", mixinStandardHelpOptions = true,
+@Command(name = "whinlead", mixinStandardHelpOptions = true,
         description = "Beside serve, check and benchlink, which take no options:",
         subcommands = {Tools.DemoCommand.class, Rehearse.class, PlanCommand.class, CaptureCommand.class,
             ReplayCommand.class, CopiesCommand.class})
--- a/src/main/java/cobaltrack/run/TraceFile.java
+++ b/src/main/java/whinlead/run/TraceFile.java
@@ -1,6 +1,6 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.copies.Trace;
+import whinlead.replication.Trace;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/cobaltrack/run/Warmup.java
+++ b/src/main/java/whinlead/run/Warmup.java
@@ -1,16 +1,16 @@
-package cobaltrack.run;
-
-import cobaltrack.Contract;
-import cobaltrack.admit.Budget;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Clock;
-import cobaltrack.engine.Engine;
-import cobaltrack.front.http1.ClientServer;
-import cobaltrack.http.HttpAsk;
-import cobaltrack.http.LoadReport;
-import cobaltrack.loop.LoopTimers;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.transport.EndpointPool;
+package whinlead.run;
+
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.decide.Decide;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.front.http1.ClientServer;
+import whinlead.http.HttpAsk;
+import whinlead.http.LoadReport;
+import whinlead.loop.LoopTimers;
+import whinlead.membership.EndpointList;
+import whinlead.transport.EndpointPool;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cobaltrack/signals/Hangup.java
+++ b/src/main/java/whinlead/signals/Hangup.java
@@ -1,4 +1,4 @@
-package cobaltrack.signals;
+package whinlead.signals;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
--- a/src/main/java/cobaltrack/signals/IgnoredHangup.java
+++ b/src/main/java/whinlead/signals/IgnoredHangup.java
@@ -1,4 +1,4 @@
-package cobaltrack.signals;
+package whinlead.signals;
 
 import com.kenai.jffi.CallContext;
 import com.kenai.jffi.CallingConvention;
--- a/src/main/java/cobaltrack/standin/AlikeDay.java
+++ b/src/main/java/whinlead/testbed/AlikeDay.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
-import cobaltrack.consult.Bounds;
-import cobaltrack.decide.Decide;
-import cobaltrack.membership.EndpointList;
+import whinlead.Contract;
+import whinlead.consult.Bounds;
+import whinlead.decide.Decide;
+import whinlead.membership.EndpointList;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/cobaltrack/standin/ConsultWire.java
+++ b/src/main/java/whinlead/testbed/ConsultWire.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.type.TypeReference;
--- a/src/main/java/cobaltrack/standin/CopiesCostRehearsal.java
+++ b/src/main/java/whinlead/testbed/CopiesCostRehearsal.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.standin.fleet.CopiesCost;
+import whinlead.testbed.fleet.CopiesCost;
 import java.io.IOException;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/cobaltrack/standin/CopiesRehearsal.java
+++ b/src/main/java/whinlead/testbed/CopiesRehearsal.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.standin.copies.Bug;
-import cobaltrack.standin.copies.CopiesDay;
-import cobaltrack.standin.fleet.CopiesFleet;
+import whinlead.testbed.replication.Bug;
+import whinlead.testbed.replication.CopiesDay;
+import whinlead.testbed.fleet.CopiesFleet;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cobaltrack/standin/DrivenClock.java
+++ b/src/main/java/whinlead/testbed/DrivenClock.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 
 /** Simulated time, in milliseconds from 0, by which an engine runs as by a loop. For one thread. */
 public final class DrivenClock implements Workshop.Timer, Timers {
--- a/src/main/java/cobaltrack/standin/DrivenEndpoint.java
+++ b/src/main/java/whinlead/testbed/DrivenEndpoint.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 /** A stand-in endpoint under a driven clock. */
 final class DrivenEndpoint {
--- a/src/main/java/cobaltrack/standin/EndpointScript.java
+++ b/src/main/java/whinlead/testbed/EndpointScript.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/EnvoyWire.java
+++ b/src/main/java/whinlead/testbed/EnvoyWire.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.Struct;
--- a/src/main/java/cobaltrack/standin/FastEndpoint.java
+++ b/src/main/java/whinlead/testbed/FastEndpoint.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cobaltrack/standin/HardeningRehearsal.java
+++ b/src/main/java/whinlead/testbed/HardeningRehearsal.java
@@ -1,14 +1,14 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.standin.post.hardening.AnswerBug;
-import cobaltrack.standin.post.hardening.AnswerPlay;
-import cobaltrack.standin.post.hardening.Bug;
-import cobaltrack.standin.post.hardening.Hunt;
-import cobaltrack.standin.post.hardening.MembershipPlay;
-import cobaltrack.standin.post.hardening.Outcome;
-import cobaltrack.standin.post.hardening.Point;
-import cobaltrack.standin.post.hardening.RelayPlay;
-import cobaltrack.standin.post.hardening.Trace;
+import whinlead.testbed.mesh.hardening.AnswerBug;
+import whinlead.testbed.mesh.hardening.AnswerPlay;
+import whinlead.testbed.mesh.hardening.Bug;
+import whinlead.testbed.mesh.hardening.Hunt;
+import whinlead.testbed.mesh.hardening.MembershipPlay;
+import whinlead.testbed.mesh.hardening.Outcome;
+import whinlead.testbed.mesh.hardening.Point;
+import whinlead.testbed.mesh.hardening.RelayPlay;
+import whinlead.testbed.mesh.hardening.Trace;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/cobaltrack/standin/Load.java
+++ b/src/main/java/whinlead/testbed/Load.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 /**
  * Open-loop arrivals of one class: their times are drawn ahead and wait for no answer.
--- a/src/main/java/cobaltrack/standin/OwnLoop.java
+++ b/src/main/java/whinlead/testbed/OwnLoop.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/cobaltrack/standin/PlanDay.java
+++ b/src/main/java/whinlead/testbed/PlanDay.java
@@ -1,13 +1,13 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
-import cobaltrack.plan.Arrival;
-import cobaltrack.plan.Fleet;
-import cobaltrack.plan.Law;
-import cobaltrack.plan.Load;
-import cobaltrack.plan.Machines;
-import cobaltrack.plan.Outcome;
-import cobaltrack.plan.Simulation;
+import whinlead.Contract;
+import whinlead.plan.Arrival;
+import whinlead.plan.Fleet;
+import whinlead.plan.Law;
+import whinlead.plan.Load;
+import whinlead.plan.Machines;
+import whinlead.plan.Outcome;
+import whinlead.plan.Simulation;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -65,10 +65,10 @@
         double most = load.bursts().stream().mapToDouble(b -> Math.max(1, b.times())).reduce(1, (a,
                 b) -> a * b);
         for (double share : fleet.shares()) {
-            List<cobaltrack.standin.Load> mine = new ArrayList<>();
+            List<whinlead.testbed.Load> mine = new ArrayList<>();
             for (int k = 0; k < load.mix().size(); k++) {
                 double part = share * load.mix().get(k);
-                mine.add(new cobaltrack.standin.Load(k, now -> load.rate(now) * part,
+                mine.add(new whinlead.testbed.Load(k, now -> load.rate(now) * part,
                         load.perSecond() * part * most,
                         habit));
             }
--- a/src/main/java/cobaltrack/standin/PlanRehearsal.java
+++ b/src/main/java/whinlead/testbed/PlanRehearsal.java
@@ -1,11 +1,11 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.plan.Bounds;
-import cobaltrack.plan.Fleet;
-import cobaltrack.plan.Interval;
-import cobaltrack.plan.Load;
-import cobaltrack.plan.Solver;
-import cobaltrack.plan.tool.Description;
+import whinlead.plan.Bounds;
+import whinlead.plan.Fleet;
+import whinlead.plan.Interval;
+import whinlead.plan.Load;
+import whinlead.plan.Solver;
+import whinlead.plan.tool.Description;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,7 +31,7 @@
     private static final int FRONTS_MOST = 20;
     private static final int SEEDS = 6;
     private static final int RUNS_MOST = 500;
-    private static final String DESCRIPTION = "/cobaltrack/plan/rehearsal.json";
+    private static final String DESCRIPTION = "/whinlead/plan/rehearsal.json";
 
     @Option(names = "--scenario", description = "Only those whose name holds this.")
     private String only = "";
--- a/src/main/java/cobaltrack/standin/Policies.java
+++ b/src/main/java/whinlead/testbed/Policies.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/ProcessorDay.java
+++ b/src/main/java/whinlead/testbed/ProcessorDay.java
@@ -1,10 +1,10 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
-import cobaltrack.consult.Bounds;
-import cobaltrack.consult.Tally;
-import cobaltrack.decide.Decide;
-import cobaltrack.membership.EndpointList;
+import whinlead.Contract;
+import whinlead.consult.Bounds;
+import whinlead.consult.Tally;
+import whinlead.decide.Decide;
+import whinlead.membership.EndpointList;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.SocketAddress;
--- a/src/main/java/cobaltrack/standin/Promises.java
+++ b/src/main/java/whinlead/testbed/Promises.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import java.io.PrintStream;
 import java.util.Locale;
--- a/src/main/java/cobaltrack/standin/Rehearse.java
+++ b/src/main/java/whinlead/testbed/Rehearse.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.decide.Decide;
-import cobaltrack.standin.post.scale.ScaleRehearsal;
+import whinlead.decide.Decide;
+import whinlead.testbed.mesh.scale.ScaleRehearsal;
 import java.io.IOException;
 import java.util.LinkedHashMap;
 import java.util.Locale;
--- a/src/main/java/cobaltrack/standin/ReplayCommand.java
+++ b/src/main/java/whinlead/testbed/ReplayCommand.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.plan.Load;
-import cobaltrack.plan.tool.CaptureLoad;
-import cobaltrack.plan.tool.Description;
+import whinlead.plan.Load;
+import whinlead.plan.tool.CaptureLoad;
+import whinlead.plan.tool.Description;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/Settings.java
+++ b/src/main/java/whinlead/testbed/Settings.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 
 /** Settings of the stand-ins' days: an aim of 500 ms, a deadline of 2 s, no reports, one sidecar. */
--- a/src/main/java/cobaltrack/standin/SidecarProcess.java
+++ b/src/main/java/whinlead/testbed/SidecarProcess.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -28,7 +28,7 @@
     static final List<String> LIMITS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
             "-Xms48m", "-Xmx48m", "-XX:MaxDirectMemorySize=32m", "-Dio.netty.jfr.enabled=false",
             "-Dio.netty.leakDetection.level=disabled");
-    static final String MAIN = "cobaltrack.run.Main";
+    static final String MAIN = "whinlead.run.Main";
 
     private final Process process;
     private final Path folder;
--- a/src/main/java/cobaltrack/standin/SignalRehearsal.java
+++ b/src/main/java/whinlead/testbed/SignalRehearsal.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
--- a/src/main/java/cobaltrack/standin/SocketDay.java
+++ b/src/main/java/whinlead/testbed/SocketDay.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
-import cobaltrack.plan.Arrival;
+import whinlead.Contract;
+import whinlead.plan.Arrival;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/cobaltrack/standin/SocketEndpoint.java
+++ b/src/main/java/whinlead/testbed/SocketEndpoint.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/cobaltrack/standin/Speed.java
+++ b/src/main/java/whinlead/testbed/Speed.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/cobaltrack/standin/SpopWire.java
+++ b/src/main/java/whinlead/testbed/SpopWire.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.front.spop.SpopFrame;
+import whinlead.front.spop.SpopFrame;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/cobaltrack/standin/StandInProxy.java
+++ b/src/main/java/whinlead/testbed/StandInProxy.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.net.SocketAddress;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/cobaltrack/standin/UpgradeRehearsal.java
+++ b/src/main/java/whinlead/testbed/UpgradeRehearsal.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
-import cobaltrack.standin.post.upgrade.Figures;
-import cobaltrack.standin.post.upgrade.Program;
-import cobaltrack.standin.post.upgrade.Rollout;
+import whinlead.testbed.mesh.upgrade.Figures;
+import whinlead.testbed.mesh.upgrade.Program;
+import whinlead.testbed.mesh.upgrade.Rollout;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
--- a/src/main/java/cobaltrack/standin/Workshop.java
+++ b/src/main/java/whinlead/testbed/Workshop.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/cobaltrack/standin/fleet/ClientTraffic.java
+++ b/src/main/java/whinlead/testbed/fleet/ClientTraffic.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
-import cobaltrack.copies.Placement;
+import whinlead.replication.Placement;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cobaltrack/standin/fleet/ConsultClient.java
+++ b/src/main/java/whinlead/testbed/fleet/ConsultClient.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
--- a/src/main/java/cobaltrack/standin/fleet/CopiesCost.java
+++ b/src/main/java/whinlead/testbed/fleet/CopiesCost.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
-import cobaltrack.copies.wire.CopiesGrpc;
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/cobaltrack/standin/fleet/FleetContext.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetContext.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
--- a/src/main/java/cobaltrack/standin/fleet/FleetFiles.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetFiles.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -71,7 +71,7 @@
     Map<String, String> write(int group, int member, Path folder, String seed) throws IOException {
         String address = address(group, member);
         ObjectNode config = (ObjectNode) mapper.readTree(CopiesFleet.class
-                .getResource("/cobaltrack/standin/fleet.json"));
+                .getResource("/whinlead/testbed/fleet.json"));
         config.put("listen", address + ":" + FRONT).put("seed", seed);
         var hosts = config.putObject("known").put("seq", 1).put("whole", true).putArray("hosts");
         for (int i = 0; i < ENDPOINTS; i++) {
--- a/src/main/java/cobaltrack/standin/fleet/FleetGroup.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetGroup.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.wire.Wire;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/fleet/FleetNode.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetNode.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.wire.Wire;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/cobaltrack/standin/fleet/FleetProcess.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetProcess.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,7 +19,7 @@
             "-Xshare:auto",
             "-Xms48m", "-Xmx48m", "-Xss512k", "-XX:MaxDirectMemorySize=32m", "-Dio.netty.jfr.enabled=false",
             "-Dio.netty.leakDetection.level=disabled");
-    private static final String MAIN = "cobaltrack.run.Main";
+    private static final String MAIN = "whinlead.run.Main";
     private static final int END_MOST_S = 10;
     private static final double MILLIS = 1000;
     private static final int BLOCK = 512;
--- a/src/main/java/cobaltrack/standin/fleet/ProxyRequest.java
+++ b/src/main/java/whinlead/testbed/fleet/ProxyRequest.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
 import java.util.Random;
 
--- a/src/main/java/cobaltrack/standin/fleet/Relay.java
+++ b/src/main/java/whinlead/testbed/fleet/Relay.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/cobaltrack/standin/fleet/ServedCounter.java
+++ b/src/main/java/whinlead/testbed/fleet/ServedCounter.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
 /** How many requests clients sent, and how many of them were served. For the event loop. */
 final class ServedCounter {
--- a/src/main/java/cobaltrack/standin/fleet/StatusClient.java
+++ b/src/main/java/whinlead/testbed/fleet/StatusClient.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
-import cobaltrack.copies.wire.CopiesGrpc;
-import cobaltrack.copies.wire.Wire;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
 import io.grpc.ManagedChannel;
 import io.grpc.StatusRuntimeException;
 import io.grpc.netty.NettyChannelBuilder;
--- a/src/main/java/cobaltrack/standin/post/CouncilPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/CouncilPlay.java
@@ -1,10 +1,10 @@
-package cobaltrack.standin.post;
+package whinlead.testbed.mesh;
 
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Acceptor;
-import cobaltrack.post.ballot.Message;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Message;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/cobaltrack/standin/post/Relay.java
+++ b/src/main/java/whinlead/testbed/mesh/Relay.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post;
+package whinlead.testbed.mesh;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/cobaltrack/standin/post/RelayedRole.java
+++ b/src/main/java/whinlead/testbed/mesh/RelayedRole.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.post;
+package whinlead.testbed.mesh;
 
-import cobaltrack.post.run.Post;
+import whinlead.mesh.run.Post;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/cobaltrack/standin/post/StandInApp.java
+++ b/src/main/java/whinlead/testbed/mesh/StandInApp.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post;
+package whinlead.testbed.mesh;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/cobaltrack/standin/post/Talk.java
+++ b/src/main/java/whinlead/testbed/mesh/Talk.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post;
+package whinlead.testbed.mesh;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/cobaltrack/standin/post/Walk.java
+++ b/src/main/java/whinlead/testbed/mesh/Walk.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin.post;
+package whinlead.testbed.mesh;
 
-import cobaltrack.post.card.CardReader;
-import cobaltrack.post.carrier.Sidecar;
-import cobaltrack.post.log.Logs;
-import cobaltrack.post.office.Office;
+import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.mesh.log.Logs;
+import whinlead.mesh.control.Office;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/cobaltrack/standin/post/hardening/Agenda.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Agenda.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
--- a/src/main/java/cobaltrack/standin/post/hardening/AnswerBug.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerBug.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 /** A fault that is planted in {@link AnswerPlay}, to see that it is found. */
 public enum AnswerBug {
--- a/src/main/java/cobaltrack/standin/post/hardening/AnswerClient.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerClient.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cobaltrack/standin/post/hardening/AnswerEndpoint.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerEndpoint.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.plan.Calendar;
+import whinlead.plan.Calendar;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/cobaltrack/standin/post/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -1,11 +1,11 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.carrier.EndpointLine;
-import cobaltrack.post.carrier.Round;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
-import cobaltrack.post.wire.Tie;
+import whinlead.plan.Calendar;
+import whinlead.mesh.sidecar.EndpointLine;
+import whinlead.mesh.sidecar.Round;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
+import whinlead.mesh.wire.Tie;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.HashMap;
--- a/src/main/java/cobaltrack/standin/post/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -1,12 +1,12 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.card.Card;
-import cobaltrack.post.carrier.ClientSide;
-import cobaltrack.post.carrier.Round;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.tariff.Routing;
-import cobaltrack.post.tariff.Tariff;
+import whinlead.plan.Calendar;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.sidecar.ClientSide;
+import whinlead.mesh.sidecar.Round;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.config.Routing;
+import whinlead.mesh.config.Tariff;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/post/hardening/Bug.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Bug.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 /** A fault that is planted in the driver around the councils, to see that schedules find it. */
 public enum Bug {
--- a/src/main/java/cobaltrack/standin/post/hardening/CatchUpPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.office.Bodies;
-import cobaltrack.standin.post.hardening.Operation.Change;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.control.Bodies;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.nio.charset.StandardCharsets;
 
 /**
--- a/src/main/java/cobaltrack/standin/post/hardening/Checker.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.standin.post.hardening.Operation.Change;
-import cobaltrack.standin.post.hardening.Operation.Value;
+import whinlead.mesh.consensus.Decision;
+import whinlead.testbed.mesh.hardening.Operation.Change;
+import whinlead.testbed.mesh.hardening.Operation.Value;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/cobaltrack/standin/post/hardening/Core.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Core.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Acceptor;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/cobaltrack/standin/post/hardening/CutDisk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ledger.Syncer;
+import whinlead.mesh.storage.Syncer;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
--- a/src/main/java/cobaltrack/standin/post/hardening/CutPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutPlay.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.standin.post.hardening.Operation.Change;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/cobaltrack/standin/post/hardening/Disk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Disk.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ballot.Acceptor;
-import cobaltrack.post.wire.AcceptorRecord;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.wire.AcceptorRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/post/hardening/Faults.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ballot.Decision;
+import whinlead.mesh.consensus.Decision;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cobaltrack/standin/post/hardening/HistoryPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ballot.Council;
-import cobaltrack.standin.post.hardening.Operation.Change;
+import whinlead.mesh.consensus.Council;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/post/hardening/LedgerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ledger.Ledger;
-import cobaltrack.post.ledger.LedgerException;
+import whinlead.mesh.storage.Ledger;
+import whinlead.mesh.storage.LedgerException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/cobaltrack/standin/post/hardening/Linearizability.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Linearizability.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.standin.post.hardening.Operation.Change;
-import cobaltrack.standin.post.hardening.Operation.Value;
+import whinlead.testbed.mesh.hardening.Operation.Change;
+import whinlead.testbed.mesh.hardening.Operation.Value;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/cobaltrack/standin/post/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -1,13 +1,13 @@
-package cobaltrack.standin.post.hardening;
-
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Acceptor;
-import cobaltrack.post.ballot.Message;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
-import cobaltrack.standin.post.hardening.Operation.Change;
+package whinlead.testbed.mesh.hardening;
+
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/cobaltrack/standin/post/hardening/Operation.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operation.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 /**
  * An operator's call at one office: invoked, and answered or not.
--- a/src/main/java/cobaltrack/standin/post/hardening/Operators.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.standin.post.hardening.Operation.Change;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.Decision;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.function.Consumer;
--- a/src/main/java/cobaltrack/standin/post/hardening/RelayCalls.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.rpc.Answer;
-import cobaltrack.post.rpc.Order;
-import cobaltrack.post.rpc.RpcServer;
+import whinlead.plan.Calendar;
+import whinlead.mesh.rpc.Answer;
+import whinlead.mesh.rpc.Order;
+import whinlead.mesh.rpc.RpcServer;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cobaltrack/standin/post/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -1,11 +1,11 @@
-package cobaltrack.standin.post.hardening;
-
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.carrier.Round;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
-import cobaltrack.post.wire.Tie;
-import cobaltrack.post.wire.TransitClock;
+package whinlead.testbed.mesh.hardening;
+
+import whinlead.plan.Calendar;
+import whinlead.mesh.sidecar.Round;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
+import whinlead.mesh.wire.Tie;
+import whinlead.mesh.wire.TransitClock;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
--- a/src/main/java/cobaltrack/standin/post/hardening/RelayProcess.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayProcess.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import java.util.concurrent.Executor;
--- a/src/main/java/cobaltrack/standin/post/hardening/Sidecar.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.ballot.Decision;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.Decision;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/cobaltrack/standin/post/hardening/SteadyOrders.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/SteadyOrders.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 /**
  * A client that sends one order on top of the other, and reads now and then, until it is stopped; and the
--- a/src/main/java/cobaltrack/standin/post/scale/Fleet.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Fleet.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
-import cobaltrack.post.log.Event;
-import cobaltrack.standin.post.Talk;
+import whinlead.mesh.log.Event;
+import whinlead.testbed.mesh.Talk;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/cobaltrack/standin/post/scale/Ghosts.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Ghosts.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Link;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Link;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioSocketChannel;
--- a/src/main/java/cobaltrack/standin/post/scale/Hollow.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
-import cobaltrack.post.card.CardReader;
-import cobaltrack.post.carrier.Sidecar;
-import cobaltrack.post.log.Event;
-import cobaltrack.standin.post.Talk;
+import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.mesh.log.Event;
+import whinlead.testbed.mesh.Talk;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/cobaltrack/standin/post/scale/Places.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Places.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/cobaltrack/standin/post/scale/Point.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Point.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
-import cobaltrack.post.log.Event;
+import whinlead.mesh.log.Event;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/cobaltrack/standin/post/scale/Relay.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Relay.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
-import cobaltrack.post.wire.Link;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
+import whinlead.mesh.wire.Link;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cobaltrack/standin/post/scale/Tethered.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Tethered.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
-import cobaltrack.post.run.Post;
+import whinlead.mesh.run.Post;
 import java.io.IOException;
 
 /**
--- a/src/main/java/cobaltrack/standin/post/scale/Weights.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Weights.java
@@ -1,11 +1,11 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Message;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.office.Bodies;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.control.Bodies;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/cobaltrack/standin/post/upgrade/Changes.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Changes.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.upgrade;
+package whinlead.testbed.mesh.upgrade;
 
-import cobaltrack.standin.post.Talk;
-import cobaltrack.standin.post.Walk;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.Walk;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/post/upgrade/Clients.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Clients.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.post.upgrade;
+package whinlead.testbed.mesh.upgrade;
 
-import cobaltrack.standin.post.StandInApp;
-import cobaltrack.standin.post.Talk;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cobaltrack/standin/post/upgrade/Figures.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Figures.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.upgrade;
+package whinlead.testbed.mesh.upgrade;
 
 /** Takes in what a run has measured. */
 public interface Figures {
--- a/src/main/java/cobaltrack/standin/post/upgrade/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Machine.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.post.upgrade;
+package whinlead.testbed.mesh.upgrade;
 
-import cobaltrack.standin.post.Talk;
+import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/cobaltrack/standin/post/upgrade/Rollout.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Rollout.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin.post.upgrade;
+package whinlead.testbed.mesh.upgrade;
 
-import cobaltrack.standin.post.Cards;
-import cobaltrack.standin.post.StandInApp;
-import cobaltrack.standin.post.Talk;
+import whinlead.testbed.mesh.Cards;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/cobaltrack/standin/copies/Bug.java
+++ b/src/main/java/whinlead/testbed/replication/Bug.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
 /** Faults that are planted, for a checker that finds nothing is worth nothing. */
 public enum Bug {
--- a/src/main/java/cobaltrack/standin/copies/CopiesDay.java
+++ b/src/main/java/whinlead/testbed/replication/CopiesDay.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.plan.Calendar;
+import whinlead.plan.Calendar;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cobaltrack/standin/copies/FinalStateCheck.java
+++ b/src/main/java/whinlead/testbed/replication/FinalStateCheck.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.copies.Book;
-import cobaltrack.copies.raft.Member;
+import whinlead.replication.Book;
+import whinlead.replication.raft.Member;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/cobaltrack/standin/copies/LossLimit.java
+++ b/src/main/java/whinlead/testbed/replication/LossLimit.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.copies.raft.Member;
-import cobaltrack.copies.raft.MemberId;
+import whinlead.replication.raft.Member;
+import whinlead.replication.raft.MemberId;
 import java.util.Comparator;
 import java.util.Set;
 import java.util.stream.Collectors;
--- a/src/main/java/cobaltrack/standin/copies/Point.java
+++ b/src/main/java/whinlead/testbed/replication/Point.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
 /**
  * A step in the life of a request at the member that was asked, right after which its process may be killed.
--- a/src/main/java/cobaltrack/standin/copies/SimCluster.java
+++ b/src/main/java/whinlead/testbed/replication/SimCluster.java
@@ -1,12 +1,12 @@
-package cobaltrack.standin.copies;
-
-import cobaltrack.Contract;
-import cobaltrack.copies.net.Frames;
-import cobaltrack.copies.raft.Member;
-import cobaltrack.copies.raft.Parcel;
-import cobaltrack.copies.wire.Wire;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.plan.Calendar;
+package whinlead.testbed.replication;
+
+import whinlead.Contract;
+import whinlead.replication.net.Frames;
+import whinlead.replication.raft.Member;
+import whinlead.replication.raft.Parcel;
+import whinlead.replication.wire.Wire;
+import whinlead.membership.EndpointList;
+import whinlead.plan.Calendar;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/cobaltrack/standin/copies/SimDisk.java
+++ b/src/main/java/whinlead/testbed/replication/SimDisk.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.copies.raft.LogMirror;
-import cobaltrack.copies.raft.MemberDisk;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.MemberDisk;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
--- a/src/main/java/cobaltrack/standin/copies/SimNet.java
+++ b/src/main/java/whinlead/testbed/replication/SimNet.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.plan.Calendar;
+import whinlead.plan.Calendar;
 import java.util.HashSet;
 import java.util.Random;
 import java.util.Set;
--- a/src/main/java/cobaltrack/standin/copies/SimProcess.java
+++ b/src/main/java/whinlead/testbed/replication/SimProcess.java
@@ -1,7 +1,7 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 
 /**
  * The time of one simulated process: its clock is apart from the others' by a fixed time, and while it is frozen
--- a/src/main/java/cobaltrack/standin/copies/SimProxy.java
+++ b/src/main/java/whinlead/testbed/replication/SimProxy.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.consult.Peer;
+import whinlead.consult.Peer;
 
 /** A simulated proxy, by its name in the network and as processes see it. */
 record SimProxy(String name, Peer peer) {
--- a/src/main/java/cobaltrack/standin/copies/SimRequest.java
+++ b/src/main/java/whinlead/testbed/replication/SimRequest.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.Contract;
-import cobaltrack.consult.Directive;
-import cobaltrack.engine.Ask;
-import cobaltrack.plan.Calendar;
+import whinlead.Contract;
+import whinlead.consult.Directive;
+import whinlead.engine.Ask;
+import whinlead.plan.Calendar;
 import java.util.List;
 import java.util.Random;
 
--- a/src/main/java/cobaltrack/standin/copies/SimRequestKind.java
+++ b/src/main/java/whinlead/testbed/replication/SimRequestKind.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
--- a/src/main/java/cobaltrack/standin/copies/Truth.java
+++ b/src/main/java/whinlead/testbed/replication/Truth.java
@@ -1,6 +1,6 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
-import cobaltrack.copies.Command;
+import whinlead.replication.Command;
 import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/cobaltrack/transport/EndpointPool.java
+++ b/src/main/java/whinlead/transport/EndpointPool.java
@@ -1,13 +1,13 @@
-package cobaltrack.transport;
-
-import cobaltrack.Contract;
-import cobaltrack.admit.Budget;
-import cobaltrack.engine.Carrier;
-import cobaltrack.engine.Clock;
-import cobaltrack.http.HttpAnswer;
-import cobaltrack.http.HttpAsk;
-import cobaltrack.http.LoadReport;
-import cobaltrack.membership.EndpointList;
+package whinlead.transport;
+
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.engine.Carrier;
+import whinlead.engine.Clock;
+import whinlead.http.HttpAnswer;
+import whinlead.http.HttpAsk;
+import whinlead.http.LoadReport;
+import whinlead.membership.EndpointList;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/test/java/cobaltrack/admit/AdmissionTest.java
+++ b/src/test/java/whinlead/admit/AdmissionTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.admit;
+package whinlead.admit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.admit.Admission.Limits;
-import cobaltrack.admit.Admission.Phase;
+import whinlead.admit.Admission.Limits;
+import whinlead.admit.Admission.Phase;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/cobaltrack/admit/BudgetTest.java
+++ b/src/test/java/whinlead/admit/BudgetTest.java
@@ -1,12 +1,12 @@
-package cobaltrack.admit;
+package whinlead.admit;
 
-import static cobaltrack.admit.Budget.Purpose.CLIENTS;
-import static cobaltrack.admit.Budget.Purpose.ENDPOINTS;
+import static whinlead.admit.Budget.Purpose.CLIENTS;
+import static whinlead.admit.Budget.Purpose.ENDPOINTS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.admit.Budget.Purpose;
-import cobaltrack.admit.Budget.Share;
+import whinlead.admit.Budget.Purpose;
+import whinlead.admit.Budget.Share;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.Random;
--- a/src/test/java/cobaltrack/admit/ClientTest.java
+++ b/src/test/java/whinlead/admit/ClientTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.admit;
+package whinlead.admit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import cobaltrack.admit.Client.Prefixes;
+import whinlead.admit.Client.Prefixes;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cobaltrack/admit/GateTest.java
+++ b/src/test/java/whinlead/admit/GateTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.admit;
+package whinlead.admit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -7,9 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.admit.Admission.Phase;
-import cobaltrack.admit.Gate.Limits;
-import cobaltrack.admit.Gate.Why;
+import whinlead.admit.Admission.Phase;
+import whinlead.admit.Gate.Limits;
+import whinlead.admit.Gate.Why;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/cobaltrack/bench/DecideBenchmark.java
+++ b/src/test/java/whinlead/bench/DecideBenchmark.java
@@ -1,8 +1,8 @@
-package cobaltrack.bench;
+package whinlead.bench;
 
-import cobaltrack.Contract;
-import cobaltrack.decide.Decide;
-import cobaltrack.decide.NoActions;
+import whinlead.Contract;
+import whinlead.decide.Decide;
+import whinlead.decide.NoActions;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/cobaltrack/bench/EngineBenchmark.java
+++ b/src/test/java/whinlead/bench/EngineBenchmark.java
@@ -1,14 +1,14 @@
-package cobaltrack.bench;
+package whinlead.bench;
 
-import cobaltrack.Contract;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Caller;
-import cobaltrack.engine.Carrier;
-import cobaltrack.engine.Engine;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.standin.DrivenClock;
-import cobaltrack.standin.Settings;
+import whinlead.Contract;
+import whinlead.decide.Decide;
+import whinlead.engine.Ask;
+import whinlead.engine.Caller;
+import whinlead.engine.Carrier;
+import whinlead.engine.Engine;
+import whinlead.membership.EndpointList;
+import whinlead.testbed.DrivenClock;
+import whinlead.testbed.Settings;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/cobaltrack/benchlink/LinkTest.java
+++ b/src/test/java/whinlead/benchlink/LinkTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package whinlead.benchlink;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/cobaltrack/capture/CaptureTest.java
+++ b/src/test/java/whinlead/capture/CaptureTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.capture;
+package whinlead.capture;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.engine.Journal;
+import whinlead.engine.Journal;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/cobaltrack/capture/RecorderTest.java
+++ b/src/test/java/whinlead/capture/RecorderTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.capture;
+package whinlead.capture;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Journal;
+import whinlead.engine.Ask;
+import whinlead.engine.Journal;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/cobaltrack/consult/ConsultationsTest.java
+++ b/src/test/java/whinlead/consult/ConsultationsTest.java
@@ -1,18 +1,18 @@
-package cobaltrack.consult;
+package whinlead.consult;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.Contract.Outcome;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Engine;
-import cobaltrack.engine.ScriptedModule;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.standin.DrivenClock;
-import cobaltrack.standin.Settings;
+import whinlead.Contract;
+import whinlead.Contract.Outcome;
+import whinlead.decide.Decide;
+import whinlead.engine.Ask;
+import whinlead.engine.Engine;
+import whinlead.engine.ScriptedModule;
+import whinlead.membership.EndpointList;
+import whinlead.testbed.DrivenClock;
+import whinlead.testbed.Settings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
--- a/src/test/java/cobaltrack/decide/ConnectedTest.java
+++ b/src/test/java/whinlead/decide/ConnectedTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cobaltrack/decide/ControllerTest.java
+++ b/src/test/java/whinlead/decide/ControllerTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/cobaltrack/decide/EmbeddingExampleTest.java
+++ b/src/test/java/whinlead/decide/EmbeddingExampleTest.java
@@ -1,8 +1,8 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cobaltrack/decide/ListHerdTest.java
+++ b/src/test/java/whinlead/decide/ListHerdTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.standin.DrivenClock;
+import whinlead.Contract;
+import whinlead.testbed.DrivenClock;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/cobaltrack/decide/ModuleSizeTest.java
+++ b/src/test/java/whinlead/decide/ModuleSizeTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,7 +11,7 @@
 
 /** The module is audited by the page: its size and width are kept, and the deploy file names all of it. */
 class ModuleSizeTest {
-    private static final Path MODULE = Path.of("src/main/java/cobaltrack/decide");
+    private static final Path MODULE = Path.of("src/main/java/whinlead/decide");
 
     @Test
     void theModuleIsShortAndNarrow() throws IOException {
--- a/src/test/java/cobaltrack/decide/NoActions.java
+++ b/src/test/java/whinlead/decide/NoActions.java
@@ -1,6 +1,6 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 
 /** Carries nothing out; tests override what they look at. */
 public abstract class NoActions implements Contract.Actions {
--- a/src/test/java/cobaltrack/decide/RecordedRunTest.java
+++ b/src/test/java/whinlead/decide/RecordedRunTest.java
@@ -1,8 +1,8 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
--- a/src/test/java/cobaltrack/decide/RulesTest.java
+++ b/src/test/java/whinlead/decide/RulesTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/cobaltrack/decide/UnreachableTest.java
+++ b/src/test/java/whinlead/decide/UnreachableTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.decide;
+package whinlead.decide;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import org.junit.jupiter.api.Test;
 
 /** After a restart with an old list a sidecar tried 2,500 connections in a second to servers that were gone. */
--- a/src/test/java/cobaltrack/engine/EngineTest.java
+++ b/src/test/java/whinlead/engine/EngineTest.java
@@ -1,14 +1,14 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.Contract.Outcome;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.standin.DrivenClock;
-import cobaltrack.standin.Settings;
+import whinlead.Contract;
+import whinlead.Contract.Outcome;
+import whinlead.membership.EndpointList;
+import whinlead.testbed.DrivenClock;
+import whinlead.testbed.Settings;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cobaltrack/engine/ScriptedCarrier.java
+++ b/src/test/java/whinlead/engine/ScriptedCarrier.java
@@ -1,6 +1,6 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/test/java/cobaltrack/engine/ScriptedFront.java
+++ b/src/test/java/whinlead/engine/ScriptedFront.java
@@ -1,4 +1,4 @@
-package cobaltrack.engine;
+package whinlead.engine;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/cobaltrack/front/extproc/ExtProcStreamTest.java
+++ b/src/test/java/whinlead/front/extproc/ExtProcStreamTest.java
@@ -1,22 +1,22 @@
-package cobaltrack.front.extproc;
+package whinlead.front.extproc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.consult.Bounds;
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Directive;
-import cobaltrack.consult.Peer;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Engine;
-import cobaltrack.engine.ScriptedModule;
-import cobaltrack.front.consult.ConsultRequest;
-import cobaltrack.front.consult.HeaderNames;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.standin.DrivenClock;
-import cobaltrack.standin.Settings;
+import whinlead.Contract;
+import whinlead.consult.Bounds;
+import whinlead.consult.Consultations;
+import whinlead.consult.Directive;
+import whinlead.consult.Peer;
+import whinlead.decide.Decide;
+import whinlead.engine.Engine;
+import whinlead.engine.ScriptedModule;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.front.consult.HeaderNames;
+import whinlead.membership.EndpointList;
+import whinlead.testbed.DrivenClock;
+import whinlead.testbed.Settings;
 import io.envoyproxy.envoy.config.core.v3.HeaderMap;
 import io.envoyproxy.envoy.config.core.v3.HeaderValue;
 import io.envoyproxy.envoy.service.ext_proc.v3.HttpBody;
--- a/src/test/java/cobaltrack/front/http1/DrainTimesTest.java
+++ b/src/test/java/whinlead/front/http1/DrainTimesTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.front.http1;
+package whinlead.front.http1;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/cobaltrack/front/spop/SpopConnectionTest.java
+++ b/src/test/java/whinlead/front/spop/SpopConnectionTest.java
@@ -1,20 +1,20 @@
-package cobaltrack.front.spop;
+package whinlead.front.spop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.consult.Bounds;
-import cobaltrack.consult.Consultations;
-import cobaltrack.consult.Peer;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Engine;
-import cobaltrack.front.consult.ConsultRequest;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.standin.DrivenClock;
-import cobaltrack.standin.Settings;
+import whinlead.Contract;
+import whinlead.consult.Bounds;
+import whinlead.consult.Consultations;
+import whinlead.consult.Peer;
+import whinlead.decide.Decide;
+import whinlead.engine.Engine;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.membership.EndpointList;
+import whinlead.testbed.DrivenClock;
+import whinlead.testbed.Settings;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
--- a/src/test/java/cobaltrack/front/spop/SpopFrameTest.java
+++ b/src/test/java/whinlead/front/spop/SpopFrameTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.front.spop;
+package whinlead.front.spop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/cobaltrack/http/DecimalsTest.java
+++ b/src/test/java/whinlead/http/DecimalsTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.http;
+package whinlead.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/cobaltrack/membership/RosterTest.java
+++ b/src/test/java/whinlead/membership/RosterTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.membership;
+package whinlead.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/cobaltrack/post/AllowanceTest.java
+++ b/src/test/java/whinlead/mesh/AllowanceTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.allowance.Allowance;
-import cobaltrack.post.allowance.Sum;
-import cobaltrack.post.allowance.Use;
+import whinlead.mesh.quota.Allowance;
+import whinlead.mesh.quota.Sum;
+import whinlead.mesh.quota.Use;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/cobaltrack/post/AtMostOnceTest.java
+++ b/src/test/java/whinlead/mesh/AtMostOnceTest.java
@@ -1,13 +1,13 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.standin.post.Relay;
-import cobaltrack.standin.post.Relay.Mode;
-import cobaltrack.standin.post.StandInApp;
-import cobaltrack.standin.post.Talk;
+import whinlead.testbed.mesh.Relay;
+import whinlead.testbed.mesh.Relay.Mode;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.SocketTimeoutException;
--- a/src/test/java/cobaltrack/post/ConfigurationTest.java
+++ b/src/test/java/whinlead/mesh/ConfigurationTest.java
@@ -1,19 +1,19 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cobaltrack.post.card.Card;
-import cobaltrack.post.card.CardException;
-import cobaltrack.post.card.CardReader;
-import cobaltrack.post.tariff.Routing;
-import cobaltrack.post.tariff.TariffCheck;
-import cobaltrack.post.tariff.TariffException;
-import cobaltrack.post.tariff.TariffReader;
-import cobaltrack.standin.post.Cards;
-import cobaltrack.standin.post.Walk;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.settings.CardException;
+import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.config.Routing;
+import whinlead.mesh.config.TariffCheck;
+import whinlead.mesh.config.TariffException;
+import whinlead.mesh.config.TariffReader;
+import whinlead.testbed.mesh.Cards;
+import whinlead.testbed.mesh.Walk;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/test/java/cobaltrack/post/CouncilSeatTest.java
+++ b/src/test/java/whinlead/mesh/CouncilSeatTest.java
@@ -1,12 +1,12 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Message;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/src/test/java/cobaltrack/post/CouncilTest.java
+++ b/src/test/java/whinlead/mesh/CouncilTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.standin.post.CouncilPlay;
+import whinlead.testbed.mesh.CouncilPlay;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/src/test/java/cobaltrack/post/Councils.java
+++ b/src/test/java/whinlead/mesh/Councils.java
@@ -1,10 +1,10 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Council;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Acceptor;
-import cobaltrack.post.ballot.Message;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Message;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/cobaltrack/post/CutOffOfficeTest.java
+++ b/src/test/java/whinlead/mesh/CutOffOfficeTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.standin.post.Relay.Mode;
-import cobaltrack.standin.post.Talk;
+import whinlead.testbed.mesh.Relay.Mode;
+import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Arrays;
--- a/src/test/java/cobaltrack/post/DataPlaneTest.java
+++ b/src/test/java/whinlead/mesh/DataPlaneTest.java
@@ -1,16 +1,16 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.allowance.Allowance;
-import cobaltrack.post.allowance.Sum;
-import cobaltrack.post.carrier.Hatch;
-import cobaltrack.post.carrier.Postage;
-import cobaltrack.post.directory.Directory;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.rpc.Order;
+import whinlead.mesh.quota.Allowance;
+import whinlead.mesh.quota.Sum;
+import whinlead.mesh.sidecar.Hatch;
+import whinlead.mesh.sidecar.Postage;
+import whinlead.mesh.registry.Directory;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.rpc.Order;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
--- a/src/test/java/cobaltrack/post/HangupTest.java
+++ b/src/test/java/whinlead/mesh/HangupTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.standin.post.StandInApp;
-import cobaltrack.standin.post.Talk;
-import cobaltrack.standin.post.Walk;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.Walk;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.concurrent.CompletableFuture;
--- a/src/test/java/cobaltrack/post/LedgerCutTest.java
+++ b/src/test/java/whinlead/mesh/LedgerCutTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.standin.post.hardening.LedgerPlay;
+import whinlead.testbed.mesh.hardening.LedgerPlay;
 import java.util.List;
 import java.util.stream.LongStream;
 import org.testng.annotations.DataProvider;
--- a/src/test/java/cobaltrack/post/LettersTest.java
+++ b/src/test/java/whinlead/mesh/LettersTest.java
@@ -1,18 +1,18 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.allowance.Use;
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Acceptor;
-import cobaltrack.post.ballot.Message;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.log.Event;
-import cobaltrack.post.wire.AcceptorRecord;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
+import whinlead.mesh.quota.Use;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.wire.AcceptorRecord;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/cobaltrack/post/LocalMesh.java
+++ b/src/test/java/whinlead/mesh/LocalMesh.java
@@ -1,13 +1,13 @@
-package cobaltrack.post;
-
-import cobaltrack.post.card.CardReader;
-import cobaltrack.post.carrier.Sidecar;
-import cobaltrack.post.log.Logs;
-import cobaltrack.post.office.Office;
-import cobaltrack.standin.post.Cards;
-import cobaltrack.standin.post.StandInApp;
-import cobaltrack.standin.post.Talk;
-import cobaltrack.standin.post.Walk;
+package whinlead.mesh;
+
+import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.mesh.log.Logs;
+import whinlead.mesh.control.Office;
+import whinlead.testbed.mesh.Cards;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.Walk;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
--- a/src/test/java/cobaltrack/post/MeshRig.java
+++ b/src/test/java/whinlead/mesh/MeshRig.java
@@ -1,8 +1,8 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
-import cobaltrack.standin.post.Cards;
-import cobaltrack.standin.post.StandInApp;
-import cobaltrack.standin.post.Talk;
+import whinlead.testbed.mesh.Cards;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 import java.io.File;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -48,7 +48,7 @@
         Path settings = Files.write(folder.resolve(name + ".conf"), lines);
         ProcessBuilder b = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx96m", "-cp",
-                System.getProperty("java.class.path"), "cobaltrack.run.Main", role);
+                System.getProperty("java.class.path"), "whinlead.run.Main", role);
         b.environment().put("WHINLEAD_NODE_FILE", settings.toString());
         File log = folder.resolve(name + ".log").toFile();
         return b.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log)).start();
--- a/src/test/java/cobaltrack/post/NewsProbe.java
+++ b/src/test/java/whinlead/mesh/NewsProbe.java
@@ -1,8 +1,8 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
-import cobaltrack.standin.post.Cards;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
+import whinlead.testbed.mesh.Cards;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.EOFException;
--- a/src/test/java/cobaltrack/post/OlderPeer.java
+++ b/src/test/java/whinlead/mesh/OlderPeer.java
@@ -1,4 +1,4 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertTrue;
 
--- a/src/test/java/cobaltrack/post/OlderPeersTest.java
+++ b/src/test/java/whinlead/mesh/OlderPeersTest.java
@@ -1,16 +1,16 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.card.CardReader;
-import cobaltrack.post.carrier.Sidecar;
-import cobaltrack.post.office.Bodies;
-import cobaltrack.post.office.Office;
-import cobaltrack.standin.post.Cards;
-import cobaltrack.standin.post.StandInApp;
-import cobaltrack.standin.post.Talk;
-import cobaltrack.standin.post.Walk;
+import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.mesh.control.Bodies;
+import whinlead.mesh.control.Office;
+import whinlead.testbed.mesh.Cards;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.Walk;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
--- a/src/test/java/cobaltrack/post/OrderRulingTest.java
+++ b/src/test/java/whinlead/mesh/OrderRulingTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.OrderRuling;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.OrderRuling;
 import java.util.EnumSet;
 import java.util.Set;
 import org.testng.annotations.Test;
--- a/src/test/java/cobaltrack/post/PlannedWorkTest.java
+++ b/src/test/java/whinlead/mesh/PlannedWorkTest.java
@@ -1,12 +1,12 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.standin.post.StandInApp;
-import cobaltrack.standin.post.Talk;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/cobaltrack/post/RelayTest.java
+++ b/src/test/java/whinlead/mesh/RelayTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 
-import cobaltrack.standin.post.Relay;
+import whinlead.testbed.mesh.Relay;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
--- a/src/test/java/cobaltrack/post/RelayedRig.java
+++ b/src/test/java/whinlead/mesh/RelayedRig.java
@@ -1,10 +1,10 @@
-package cobaltrack.post;
+package whinlead.mesh;
 
-import cobaltrack.standin.post.Cards;
-import cobaltrack.standin.post.Relay;
-import cobaltrack.standin.post.RelayedRole;
-import cobaltrack.standin.post.Talk;
-import cobaltrack.standin.post.Walk;
+import whinlead.testbed.mesh.Cards;
+import whinlead.testbed.mesh.Relay;
+import whinlead.testbed.mesh.RelayedRole;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.Walk;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.File;
--- a/src/test/java/cobaltrack/post/ballot/SuspicionTrackerTest.java
+++ b/src/test/java/whinlead/mesh/consensus/SuspicionTrackerTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ballot;
+package whinlead.mesh.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -6,8 +6,8 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.ballot.Message.Opinion;
-import cobaltrack.post.ballot.Message.Reachability;
+import whinlead.mesh.consensus.Message.Opinion;
+import whinlead.mesh.consensus.Message.Reachability;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/src/test/java/cobaltrack/post/office/ConsensusTickerTest.java
+++ b/src/test/java/whinlead/mesh/control/ConsensusTickerTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.post.office;
+package whinlead.mesh.control;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.engine.Timers;
+import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
--- a/src/test/java/cobaltrack/post/office/ScribeHandOverTest.java
+++ b/src/test/java/whinlead/mesh/control/ScribeHandOverTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.post.office;
+package whinlead.mesh.control;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.ledger.LedgerException;
+import whinlead.mesh.storage.LedgerException;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/test/java/cobaltrack/post/office/SidecarContactTest.java
+++ b/src/test/java/whinlead/mesh/control/SidecarContactTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.post.office;
+package whinlead.mesh.control;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.directory.Directory;
-import cobaltrack.post.directory.Listing;
+import whinlead.mesh.registry.Directory;
+import whinlead.mesh.registry.Listing;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/src/test/java/cobaltrack/post/directory/DirectoryTest.java
+++ b/src/test/java/whinlead/mesh/registry/DirectoryTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.directory;
+package whinlead.mesh.registry;
 
 import static org.testng.Assert.assertEquals;
 
--- a/src/test/java/cobaltrack/post/rpc/RpcConnectionTest.java
+++ b/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.rpc;
+package whinlead.mesh.rpc;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
--- a/src/test/java/cobaltrack/post/rpc/RpcServerTest.java
+++ b/src/test/java/whinlead/mesh/rpc/RpcServerTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.post.rpc;
+package whinlead.mesh.rpc;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.standin.post.Talk;
+import whinlead.testbed.mesh.Talk;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
--- a/src/test/java/cobaltrack/post/carrier/BeatTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/BeatTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.engine.Timers;
+import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/cobaltrack/post/carrier/BeginningTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/BeginningTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 
-import cobaltrack.post.ballot.Decision;
+import whinlead.mesh.consensus.Decision;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/src/test/java/cobaltrack/post/carrier/DemandReportsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DemandReportsTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.allowance.Sum;
-import cobaltrack.post.allowance.Use;
-import cobaltrack.post.carrier.DemandReports.Audience;
+import whinlead.mesh.quota.Sum;
+import whinlead.mesh.quota.Use;
+import whinlead.mesh.sidecar.DemandReports.Audience;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/src/test/java/cobaltrack/post/carrier/DepotTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DepotTest.java
@@ -1,13 +1,13 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.card.Card;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Tie;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Tie;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/src/test/java/cobaltrack/post/carrier/DesignTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DesignTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.decide.Decide;
-import cobaltrack.decide.NoActions;
+import whinlead.Contract;
+import whinlead.decide.Decide;
+import whinlead.decide.NoActions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/cobaltrack/post/carrier/EndpointLineTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointLineTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.wire.Letter;
+import whinlead.plan.Calendar;
+import whinlead.mesh.wire.Letter;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandler;
--- a/src/test/java/cobaltrack/post/carrier/EndpointSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.wire.Letter;
-import cobaltrack.standin.post.Talk;
+import whinlead.mesh.wire.Letter;
+import whinlead.testbed.mesh.Talk;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/cobaltrack/post/carrier/ForwardedTimeTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.TransitClock;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.TransitClock;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
--- a/src/test/java/cobaltrack/post/carrier/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
@@ -1,17 +1,17 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.card.Card;
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.rpc.Order;
-import cobaltrack.post.tariff.Routing;
-import cobaltrack.post.tariff.Tariff;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Tie;
+import whinlead.plan.Calendar;
+import whinlead.mesh.settings.Card;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.rpc.Order;
+import whinlead.mesh.config.Routing;
+import whinlead.mesh.config.Tariff;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Tie;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/test/java/cobaltrack/post/carrier/OutdatedListsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/OutdatedListsTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.directory.Directory;
-import cobaltrack.post.directory.Listing;
+import whinlead.mesh.registry.Directory;
+import whinlead.mesh.registry.Listing;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/cobaltrack/post/carrier/RoundSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RoundSocketTest.java
@@ -1,12 +1,12 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/cobaltrack/post/carrier/RoundTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RoundTest.java
@@ -1,13 +1,13 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.engine.Carrier;
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Tie;
+import whinlead.engine.Carrier;
+import whinlead.plan.Calendar;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Tie;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/cobaltrack/post/carrier/TicklessModuleTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/TicklessModuleTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.decide.Decide;
+import whinlead.Contract;
+import whinlead.decide.Decide;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/test/java/cobaltrack/post/carrier/WindowTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/WindowTest.java
@@ -1,12 +1,12 @@
-package cobaltrack.post.carrier;
+package whinlead.mesh.sidecar;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
-import cobaltrack.post.tariff.Tariff;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
+import whinlead.mesh.config.Tariff;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/test/java/cobaltrack/post/ledger/OtherFormatTest.java
+++ b/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.ledger;
+package whinlead.mesh.storage;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
--- a/src/test/java/cobaltrack/post/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -6,11 +6,11 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cobaltrack.post.ballot.Acceptor;
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Message;
-import cobaltrack.post.directory.Listing;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.registry.Listing;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
--- a/src/test/java/cobaltrack/post/wire/TimerGridTest.java
+++ b/src/test/java/whinlead/mesh/wire/TimerGridTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.post.wire;
+package whinlead.mesh.wire;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/src/test/java/cobaltrack/plan/Formulas.java
+++ b/src/test/java/whinlead/plan/Formulas.java
@@ -1,4 +1,4 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 /**
  * Closed forms of queueing theory, as a cross-check on the simulation: Kleinrock, Queueing Systems I (1975),
--- a/src/test/java/cobaltrack/plan/FrontModelTest.java
+++ b/src/test/java/whinlead/plan/FrontModelTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/cobaltrack/plan/LimitTest.java
+++ b/src/test/java/whinlead/plan/LimitTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/cobaltrack/plan/SimulationTest.java
+++ b/src/test/java/whinlead/plan/SimulationTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/cobaltrack/plan/SolverTest.java
+++ b/src/test/java/whinlead/plan/SolverTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.plan;
+package whinlead.plan;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.Random;
 import java.util.function.IntToDoubleFunction;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cobaltrack/plan/tool/PlanCommandTest.java
+++ b/src/test/java/whinlead/plan/tool/PlanCommandTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.plan.tool;
+package whinlead.plan.tool;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.plan.Bounds;
+import whinlead.plan.Bounds;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Files;
--- a/src/test/java/cobaltrack/copies/BookTest.java
+++ b/src/test/java/whinlead/replication/BookTest.java
@@ -1,12 +1,12 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.copies.Command.Attempt;
-import cobaltrack.copies.Command.Ending;
-import cobaltrack.copies.Command.Guard;
-import cobaltrack.copies.Command.How;
+import whinlead.replication.Command.Attempt;
+import whinlead.replication.Command.Ending;
+import whinlead.replication.Command.Guard;
+import whinlead.replication.Command.How;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/cobaltrack/copies/DeskTest.java
+++ b/src/test/java/whinlead/replication/DeskTest.java
@@ -1,12 +1,12 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.consult.Directive;
-import cobaltrack.consult.Keeper;
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
+import whinlead.consult.Directive;
+import whinlead.consult.Keeper;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
--- a/src/test/java/cobaltrack/copies/PaceTest.java
+++ b/src/test/java/whinlead/replication/PaceTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies;
+package whinlead.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/cobaltrack/copies/disk/DiskLogTest.java
+++ b/src/test/java/whinlead/replication/disk/DiskLogTest.java
@@ -1,14 +1,14 @@
-package cobaltrack.copies.disk;
+package whinlead.replication.disk;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.copies.Command;
-import cobaltrack.copies.raft.LogMirror;
-import cobaltrack.copies.raft.Member;
-import cobaltrack.copies.raft.MemberId;
+import whinlead.replication.Command;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.Member;
+import whinlead.replication.raft.MemberId;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
 import io.microraft.model.impl.DefaultRaftModelFactory;
--- a/src/test/java/cobaltrack/copies/raft/GroupHostTest.java
+++ b/src/test/java/whinlead/replication/raft/GroupHostTest.java
@@ -1,18 +1,18 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.copies.Book;
-import cobaltrack.copies.Command;
-import cobaltrack.copies.Placement;
-import cobaltrack.copies.Reply;
-import cobaltrack.copies.net.Frames;
-import cobaltrack.copies.wire.Wire;
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
+import whinlead.replication.Book;
+import whinlead.replication.Command;
+import whinlead.replication.Placement;
+import whinlead.replication.Reply;
+import whinlead.replication.net.Frames;
+import whinlead.replication.wire.Wire;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/cobaltrack/copies/raft/MemberTest.java
+++ b/src/test/java/whinlead/replication/raft/MemberTest.java
@@ -1,13 +1,13 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cobaltrack.copies.Book;
-import cobaltrack.copies.Command;
-import cobaltrack.copies.Pace;
-import cobaltrack.copies.Reply;
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
+import whinlead.replication.Book;
+import whinlead.replication.Command;
+import whinlead.replication.Pace;
+import whinlead.replication.Reply;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 import io.microraft.RaftConfig;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.util.ArrayList;
--- a/src/test/java/cobaltrack/copies/raft/ReplacementTest.java
+++ b/src/test/java/whinlead/replication/raft/ReplacementTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/cobaltrack/copies/raft/SeatTest.java
+++ b/src/test/java/whinlead/replication/raft/SeatTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.copies.raft;
+package whinlead.replication.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.copies.Book;
-import cobaltrack.copies.Pace;
-import cobaltrack.engine.Timers;
-import cobaltrack.plan.Calendar;
+import whinlead.replication.Book;
+import whinlead.replication.Pace;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/cobaltrack/run/BadInputTest.java
+++ b/src/test/java/whinlead/run/BadInputTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.http.LoadReport;
+import whinlead.Contract;
+import whinlead.http.LoadReport;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/cobaltrack/run/CaptureConfigTest.java
+++ b/src/test/java/whinlead/run/CaptureConfigTest.java
@@ -1,14 +1,14 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.capture.CaptureInput;
-import cobaltrack.capture.Entry;
-import cobaltrack.capture.Recorder;
-import cobaltrack.engine.Journal;
+import whinlead.capture.CaptureInput;
+import whinlead.capture.Entry;
+import whinlead.capture.Recorder;
+import whinlead.engine.Journal;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/cobaltrack/run/ConsultApiTest.java
+++ b/src/test/java/whinlead/run/ConsultApiTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.consult.Tally;
+import whinlead.consult.Tally;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.Socket;
--- a/src/test/java/cobaltrack/run/CopiesConfigTest.java
+++ b/src/test/java/whinlead/run/CopiesConfigTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.copies.Book;
+import whinlead.replication.Book;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetSocketAddress;
 import java.util.Set;
--- a/src/test/java/cobaltrack/run/DescriptorsTest.java
+++ b/src/test/java/whinlead/run/DescriptorsTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -24,7 +24,7 @@
     private Process start(Path config) throws IOException {
         List<String> line = new ArrayList<>(List.of("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$@\"", "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "cobaltrack.run.Main", "serve"));
+                System.getProperty("java.class.path"), "whinlead.run.Main", "serve"));
         ProcessBuilder b = new ProcessBuilder(line);
         b.environment().put("PROXY_CONFIG", config.toString());
         return b.redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile()).start();
--- a/src/test/java/cobaltrack/run/EndpointPoolTest.java
+++ b/src/test/java/whinlead/run/EndpointPoolTest.java
@@ -1,15 +1,15 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.admit.Budget;
-import cobaltrack.engine.Clock;
-import cobaltrack.http.HttpAsk;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.transport.EndpointPool;
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.engine.Clock;
+import whinlead.http.HttpAsk;
+import whinlead.membership.EndpointList;
+import whinlead.transport.EndpointPool;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/cobaltrack/run/ExampleProxyTest.java
+++ b/src/test/java/whinlead/run/ExampleProxyTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.consult.Tally;
+import whinlead.consult.Tally;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/cobaltrack/run/ExtProcTest.java
+++ b/src/test/java/whinlead/run/ExtProcTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.consult.Tally;
+import whinlead.consult.Tally;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.Struct;
--- a/src/test/java/cobaltrack/run/FakeServer.java
+++ b/src/test/java/whinlead/run/FakeServer.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
--- a/src/test/java/cobaltrack/run/FaultTest.java
+++ b/src/test/java/whinlead/run/FaultTest.java
@@ -1,20 +1,20 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.admit.Budget;
-import cobaltrack.decide.Decide;
-import cobaltrack.engine.Ask;
-import cobaltrack.engine.Caller;
-import cobaltrack.engine.Clock;
-import cobaltrack.engine.Engine;
-import cobaltrack.http.HttpAnswer;
-import cobaltrack.http.HttpAsk;
-import cobaltrack.loop.LoopTimers;
-import cobaltrack.membership.EndpointList;
-import cobaltrack.transport.EndpointPool;
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.decide.Decide;
+import whinlead.engine.Ask;
+import whinlead.engine.Caller;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.http.HttpAnswer;
+import whinlead.http.HttpAsk;
+import whinlead.loop.LoopTimers;
+import whinlead.membership.EndpointList;
+import whinlead.transport.EndpointPool;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/cobaltrack/run/ProcessTest.java
+++ b/src/test/java/whinlead/run/ProcessTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -37,7 +37,7 @@
         // As in the jar: with what the planner's libraries log by, and nowhere for it to go.
         String path = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(entry -> !entry.contains("slf4j-jdk14")).collect(Collectors.joining(File.pathSeparator));
-        line.addAll(List.of("-cp", path, "cobaltrack.run.Main", command));
+        line.addAll(List.of("-cp", path, "whinlead.run.Main", command));
         ProcessBuilder b = new ProcessBuilder(line);
         b.environment().remove("PROXY_CONFIG");
         if (config != null) {
--- a/src/test/java/cobaltrack/run/SignalsTest.java
+++ b/src/test/java/whinlead/run/SignalsTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -34,7 +34,7 @@
     private Process start(String first, Path config) throws IOException {
         ProcessBuilder b = new ProcessBuilder("sh", "-c", first + "echo; exec \"$@\"", "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "cobaltrack.run.Main", "serve");
+                System.getProperty("java.class.path"), "whinlead.run.Main", "serve");
         b.environment().put("PROXY_CONFIG", config.toString());
         return b.redirectError(dir.resolve("err").toFile()).start();
     }
--- a/src/test/java/cobaltrack/run/SpoeProxy.java
+++ b/src/test/java/whinlead/run/SpoeProxy.java
@@ -1,9 +1,9 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.front.spop.SpopFrame;
+import whinlead.front.spop.SpopFrame;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.DataInputStream;
--- a/src/test/java/cobaltrack/run/TestNode.java
+++ b/src/test/java/whinlead/run/TestNode.java
@@ -1,10 +1,10 @@
-package cobaltrack.run;
+package whinlead.run;
 
-import cobaltrack.Contract;
-import cobaltrack.consult.Consultations;
-import cobaltrack.engine.Engine;
-import cobaltrack.front.http1.ClientServer;
-import cobaltrack.membership.Discovery;
+import whinlead.Contract;
+import whinlead.consult.Consultations;
+import whinlead.engine.Engine;
+import whinlead.front.http1.ClientServer;
+import whinlead.membership.Discovery;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
