--- a/src/test/java/cobaltrack/run/ToolsTest.java
+++ b/src/test/java/whinlead/run/ToolsTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/cobaltrack/run/TraceFileTest.java
+++ b/src/test/java/whinlead/run/TraceFileTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.copies.Trace;
+import whinlead.replication.Trace;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/test/java/cobaltrack/run/WarmupTest.java
+++ b/src/test/java/whinlead/run/WarmupTest.java
@@ -1,8 +1,8 @@
-package cobaltrack.run;
+package whinlead.run;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.engine.Clock;
+import whinlead.engine.Clock;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/cobaltrack/standin/DrivenDayTest.java
+++ b/src/test/java/whinlead/testbed/DrivenDayTest.java
@@ -1,10 +1,10 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
-import cobaltrack.decide.Decide;
+import whinlead.Contract;
+import whinlead.decide.Decide;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cobaltrack/standin/LedgerTest.java
+++ b/src/test/java/whinlead/testbed/LedgerTest.java
@@ -1,8 +1,8 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cobaltrack/standin/PlanDayTest.java
+++ b/src/test/java/whinlead/testbed/PlanDayTest.java
@@ -1,12 +1,12 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
-import cobaltrack.plan.Bounds;
-import cobaltrack.plan.Fleet;
-import cobaltrack.plan.Load;
-import cobaltrack.plan.tool.Description;
+import whinlead.plan.Bounds;
+import whinlead.plan.Fleet;
+import whinlead.plan.Load;
+import whinlead.plan.tool.Description;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -37,7 +37,7 @@
 
     @Test
     void givenArrivalsAreAskedOnceEachByOneOfTheSidecars() throws Exception {
-        Description d = Description.of("/cobaltrack/plan/rehearsal.json");
+        Description d = Description.of("/whinlead/plan/rehearsal.json");
         Load load = new Load(200, d.load().mix(), List.of(), 2000);
         PlanDay day = new PlanDay(d.fleet(), load, Habit.NONE);
         PlanDay.Result said = day.predict(1, load.arrivals(1));
@@ -46,7 +46,7 @@
 
     @Test
     void anOverloadIsServedAsFarAsThePlannerSays() throws Exception {
-        Description d = Description.of("/cobaltrack/plan/rehearsal.json");
+        Description d = Description.of("/whinlead/plan/rehearsal.json");
         Fleet small = new Fleet(d.fleet().settings(), d.fleet().models(), d.fleet().zones(), 4,
                 d.fleet().work(),
                 d.fleet().front(), d.fleet().sidecar(), d.fleet().shares(), d.fleet().clients(), List.of());
--- a/src/test/java/cobaltrack/standin/ProcessorDayTest.java
+++ b/src/test/java/whinlead/testbed/ProcessorDayTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.consult.Tally;
+import whinlead.consult.Tally;
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/cobaltrack/standin/RoomTest.java
+++ b/src/test/java/whinlead/testbed/RoomTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.decide.Decide;
+import whinlead.decide.Decide;
 import java.util.Map;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -30,7 +30,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("cobaltrack.standin.RoomDay#all")
+    @MethodSource("whinlead.testbed.RoomDay#all")
     void withRoomNearlyNothingIsRefused(RoomDay day) {
         Ledger ledger = day.play(Decide::new, JITTER, 7);
         assertEquals(Map.of(), ledger.broken(), day.name());
--- a/src/test/java/cobaltrack/standin/SocketDayTest.java
+++ b/src/test/java/whinlead/testbed/SocketDayTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.standin;
+package whinlead.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
+import whinlead.Contract;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.util.List;
--- a/src/test/java/cobaltrack/standin/fleet/CopiesFleetTest.java
+++ b/src/test/java/whinlead/testbed/fleet/CopiesFleetTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.fleet;
+package whinlead.testbed.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/cobaltrack/standin/post/hardening/AnswerPlayTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/AnswerPlayTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/src/test/java/cobaltrack/standin/post/hardening/DiskTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/DiskTest.java
@@ -1,13 +1,13 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cobaltrack.post.ballot.Ballot;
-import cobaltrack.post.ballot.Decision;
-import cobaltrack.post.ballot.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Acceptor;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/cobaltrack/standin/post/hardening/LinearizabilityTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/LinearizabilityTest.java
@@ -1,11 +1,11 @@
-package cobaltrack.standin.post.hardening;
+package whinlead.testbed.mesh.hardening;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 
-import cobaltrack.standin.post.hardening.Operation.Change;
-import cobaltrack.standin.post.hardening.Operation.End;
-import cobaltrack.standin.post.hardening.Operation.Value;
+import whinlead.testbed.mesh.hardening.Operation.Change;
+import whinlead.testbed.mesh.hardening.Operation.End;
+import whinlead.testbed.mesh.hardening.Operation.Value;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
--- a/src/test/java/cobaltrack/standin/post/scale/ScaleTest.java
+++ b/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
@@ -1,17 +1,17 @@
-package cobaltrack.standin.post.scale;
+package whinlead.testbed.mesh.scale;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import cobaltrack.post.directory.Listing;
-import cobaltrack.post.tariff.Routing;
-import cobaltrack.post.tariff.Tariff;
-import cobaltrack.post.tariff.TariffCheck;
-import cobaltrack.post.tariff.TariffReader;
-import cobaltrack.post.wire.Letter;
-import cobaltrack.post.wire.Letters;
+import whinlead.mesh.registry.Listing;
+import whinlead.mesh.config.Routing;
+import whinlead.mesh.config.Tariff;
+import whinlead.mesh.config.TariffCheck;
+import whinlead.mesh.config.TariffReader;
+import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.Letters;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -111,7 +111,7 @@
         Heard read = new Heard();
         out.toString(StandardCharsets.UTF_8).lines().forEach(read::parse);
         assertEquals(read.inForce(31), List.of(20L, 30L));
-        assertEquals(read.count(cobaltrack.post.log.Event.OFFICE_UP), 1);
+        assertEquals(read.count(whinlead.mesh.log.Event.OFFICE_UP), 1);
         assertEquals(read.silent(), 1);
         assertEquals(heard.heap(), 12345.0);
     }
--- a/src/test/java/cobaltrack/standin/copies/PointsDayTest.java
+++ b/src/test/java/whinlead/testbed/replication/PointsDayTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.standin.copies;
+package whinlead.testbed.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
