--- a/src/main/java/whinlead/mesh/config/TariffReader.java
+++ b/src/main/java/whinlead/mesh/config/ConfigReader.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 
 /** Reads a configuration's JSON; it is known to be whole then, but not yet to be valid. For any thread. */
-public final class TariffReader {
+public final class ConfigReader {
     private final ObjectMapper mapper = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -21,22 +21,22 @@
     /**
      * Reads it.
      *
-     * @throws TariffException if it can't be read whole, naming where
+     * @throws InvalidConfigException if it can't be read whole, naming where
      */
-    public Tariff read(byte[] json) throws TariffException {
+    public MeshConfig read(byte[] json) throws InvalidConfigException {
         try {
-            Tariff tariff = mapper.readValue(json, Tariff.class);
+            MeshConfig tariff = mapper.readValue(json, MeshConfig.class);
             if (tariff == null) {
-                throw new TariffException("the configuration is empty");
+                throw new InvalidConfigException("the configuration is empty");
             }
             return tariff;
         } catch (JsonMappingException e) {
-            throw new TariffException(e.getPath().stream().map(JsonMappingException.Reference::getFieldName)
+            throw new InvalidConfigException(e.getPath().stream().map(JsonMappingException.Reference::getFieldName)
                     .collect(Collectors.joining(".")) + " can't be read", e);
         } catch (JsonProcessingException e) {
-            throw new TariffException("the configuration can't be read whole", e);
+            throw new InvalidConfigException("the configuration can't be read whole", e);
         } catch (IOException e) {
-            throw new TariffException("the configuration can't be read", e);
+            throw new InvalidConfigException("the configuration can't be read", e);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/config/TariffCheck.java
+++ b/src/main/java/whinlead/mesh/config/ConfigValidator.java
@@ -15,13 +15,13 @@
  * Whether a configuration may be taken: each field by its constraints, then what fields say of each other.
  * For any thread; making one loads the validator, some hundred milliseconds on a small core.
  */
-public final class TariffCheck {
+public final class ConfigValidator {
     /** A target this much beyond its route's deadline, in seconds, is an error of the operator's. */
     private static final double TARGET_OVER = 60;
     private final Validator validator;
 
     /** A check. */
-    public TariffCheck() {
+    public ConfigValidator() {
         validator = Validation.byDefaultProvider().configure()
                 .messageInterpolator(new ParameterMessageInterpolator()).buildValidatorFactory()
                 .getValidator();
@@ -30,25 +30,25 @@
     /**
      * Checks it.
      *
-     * @throws TariffException naming the first field that is wrong
+     * @throws InvalidConfigException naming the first field that is wrong
      */
-    public void check(Tariff tariff) throws TariffException {
-        Set<ConstraintViolation<Tariff>> wrong = validator.validate(tariff);
+    public void check(MeshConfig tariff) throws InvalidConfigException {
+        Set<ConstraintViolation<MeshConfig>> wrong = validator.validate(tariff);
         if (!wrong.isEmpty()) {
-            ConstraintViolation<Tariff> first = wrong.stream()
+            ConstraintViolation<MeshConfig> first = wrong.stream()
                     .min(Comparator.comparing(v -> v.getPropertyPath().toString())).orElseThrow();
-            throw new TariffException(first.getPropertyPath() + " " + first.getMessage());
+            throw new InvalidConfigException(first.getPropertyPath() + " " + first.getMessage());
         }
         Map<String, String> places = new HashMap<>();
-        for (Map.Entry<String, Tariff.Route> e : tariff.routes().entrySet()) {
+        for (Map.Entry<String, MeshConfig.Route> e : tariff.routes().entrySet()) {
             route(tariff, e.getKey(), e.getValue(), places);
         }
         Set<String> keys = new HashSet<>();
         if (tariff.tenants() != null) {
-            for (Map.Entry<String, Tariff.Tenant> e : tariff.tenants().entrySet()) {
+            for (Map.Entry<String, MeshConfig.Tenant> e : tariff.tenants().entrySet()) {
                 for (String key : Set.copyOf(e.getValue().credentials())) {
                     if (!keys.add(key)) {
-                        throw new TariffException("Tenants." + e.getKey()
+                        throw new InvalidConfigException("Tenants." + e.getKey()
                                 + ".Credentials holds a key of another tenant");
                     }
                 }
@@ -56,28 +56,28 @@
         }
     }
 
-    private static void route(Tariff tariff, String name, Tariff.Route route, Map<String, String> places)
-            throws TariffException {
+    private static void route(MeshConfig tariff, String name, MeshConfig.Route route, Map<String, String> places)
+            throws InvalidConfigException {
         String at = "Routes." + name;
-        String other = places.put(Routing.host(route.authority()) + " " + route.pathPrefix(), name);
+        String other = places.put(RoutingTable.host(route.authority()) + " " + route.pathPrefix(), name);
         if (other != null) {
-            throw new TariffException(at + ".PathPrefix is that of Routes." + other + " at the same host");
+            throw new InvalidConfigException(at + ".PathPrefix is that of Routes." + other + " at the same host");
         }
         if (route.targetS() >= route.deadlineS() + TARGET_OVER) {
-            throw new TariffException(at + ".TargetS exceeds DeadlineS by a minute or more");
+            throw new InvalidConfigException(at + ".TargetS exceeds DeadlineS by a minute or more");
         }
         boolean shared = route.shares() != null && !route.shares().isEmpty();
         if (shared == (route.target() != null)) {
-            throw new TariffException(at + " needs either Target or Shares");
+            throw new InvalidConfigException(at + " needs either Target or Shares");
         }
-        List<Tariff.Share> shares = shared ? route.shares() : List.of(new Tariff.Share(route.target(), 1));
-        for (Tariff.Share share : shares) {
+        List<MeshConfig.Share> shares = shared ? route.shares() : List.of(new MeshConfig.Share(route.target(), 1));
+        for (MeshConfig.Share share : shares) {
             if (!tariff.services().containsKey(share.target())) {
-                throw new TariffException(at + ".Target names no service: " + share.target());
+                throw new InvalidConfigException(at + ".Target names no service: " + share.target());
             }
         }
-        if (shares.stream().mapToDouble(Tariff.Share::weight).sum() <= 0) {
-            throw new TariffException(at + ".Shares have no weight");
+        if (shares.stream().mapToDouble(MeshConfig.Share::weight).sum() <= 0) {
+            throw new InvalidConfigException(at + ".Shares have no weight");
         }
     }
 }
--- a/src/main/java/whinlead/mesh/config/TariffException.java
+++ b/src/main/java/whinlead/mesh/config/InvalidConfigException.java
@@ -1,16 +1,16 @@
 package whinlead.mesh.config;
 
 /** A configuration that can't be taken; the message is one line and names the field. */
-public final class TariffException extends Exception {
+public final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** What is wrong with which field. */
-    public TariffException(String message) {
+    public InvalidConfigException(String message) {
         super(message);
     }
 
     /** The same, for the reason that a layer below gave. */
-    public TariffException(String message, Throwable cause) {
+    public InvalidConfigException(String message, Throwable cause) {
         super(message, cause);
     }
 }
--- a/src/main/java/whinlead/mesh/config/Tariff.java
+++ b/src/main/java/whinlead/mesh/config/MeshConfig.java
@@ -12,12 +12,12 @@
 
 /**
  * A whole configuration as the operator sends it: which places requests may go to and at what terms. Tables
- * are keyed by name; times are in seconds. The constraints are checked at the offices ({@link TariffCheck}).
+ * are keyed by name; times are in seconds. The constraints are checked at the offices ({@link ConfigValidator}).
  *
  * @param epoch its version, eight hexadecimal digits
  * @param tenants null or empty where no key is asked for
  */
-public record Tariff(
+public record MeshConfig(
         @JsonProperty("Epoch") @NotNull @Pattern(regexp = "[0-9a-fA-F]{8}") String epoch,
         @JsonProperty("Routes") @NotNull Map<String, @NotNull @Valid Route> routes,
         @JsonProperty("Services") @NotNull Map<String, @NotNull @Valid Service> services,
--- a/src/main/java/whinlead/mesh/config/Routing.java
+++ b/src/main/java/whinlead/mesh/config/RoutingTable.java
@@ -10,15 +10,15 @@
 /**
  * A configuration made ready for requests: finds a request's route, its service and its tenant. Immutable.
  */
-public final class Routing {
+public final class RoutingTable {
     /** Before the first configuration. */
     public static final long NONE = 0;
 
     /** A route by its name. */
-    public record Way(String name, Tariff.Route route) {
+    public record Way(String name, MeshConfig.Route route) {
         /** Whether a request may run more than once. */
         public boolean repeatable() {
-            return Tariff.IDEMPOTENT.equals(route.kind());
+            return MeshConfig.IDEMPOTENT.equals(route.kind());
         }
 
         /**
@@ -30,9 +30,9 @@
             if (route.target() != null) {
                 return route.target();
             }
-            double left = draw * route.shares().stream().mapToDouble(Tariff.Share::weight).sum();
+            double left = draw * route.shares().stream().mapToDouble(MeshConfig.Share::weight).sum();
             String last = null;
-            for (Tariff.Share share : route.shares()) {
+            for (MeshConfig.Share share : route.shares()) {
                 if (share.weight() > 0) {
                     last = share.target();
                     left -= share.weight();
@@ -46,15 +46,15 @@
     }
 
     /** A tenant by its name. */
-    public record Payer(String name, Tariff.Tenant tenant) { }
+    public record Payer(String name, MeshConfig.Tenant tenant) { }
 
-    private final Tariff tariff;
+    private final MeshConfig tariff;
     private final long slot;
     private final Map<String, List<Way>> hosts = new HashMap<>();
     private final Map<String, Payer> keys = new HashMap<>();
 
     /** Of a configuration that was agreed on in this slot. */
-    public Routing(long slot, Tariff tariff) {
+    public RoutingTable(long slot, MeshConfig tariff) {
         this.slot = slot;
         this.tariff = tariff;
         tariff.routes().forEach((name, r) -> hosts.computeIfAbsent(host(r.authority()),
@@ -73,7 +73,7 @@
     }
 
     /** What it was made from. */
-    public Tariff tariff() {
+    public MeshConfig tariff() {
         return tariff;
     }
 
--- a/src/main/java/whinlead/mesh/consensus/Council.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -9,7 +9,7 @@
  * its place among the voters ({@link Membership}). No office leads. Pure: events with the time in, actions
  * out; one thread; times in milliseconds on this office's steady clock.
  */
-public final class Council {
+public final class ConsensusNode {
     /** How a call of an operator ended. */
     public enum Verdict { TAKEN, MISMATCH, OLD_VERSION, UNCLEAR }
 
@@ -46,7 +46,7 @@
     private final Acceptor acceptor;
     private final SplittableRandom random;
     private final Actions actions;
-    private final Contact contact = new Contact();
+    private final ContactTracker contact = new ContactTracker();
     private final FailureDetector failures;
     private final OperationQueue queue = new OperationQueue();
     private final QuorumRead quorumRead = new QuorumRead();
@@ -71,7 +71,7 @@
      * @param self its id, drawn anew with each new disk
      * @param seed of all that it draws; another in each life, or it would call an old ballot anew
      */
-    public Council(String self, Acceptor.Memory memory, long seed, Actions actions) {
+    public ConsensusNode(String self, Acceptor.Memory memory, long seed, Actions actions) {
         this.self = self;
         this.acceptor = new Acceptor(memory);
         this.random = new SplittableRandom(seed);
--- a/src/main/java/whinlead/mesh/consensus/Contact.java
+++ b/src/main/java/whinlead/mesh/consensus/ContactTracker.java
@@ -12,7 +12,7 @@
  * Silence leaves out the time in which this office itself stood still; contact does not. Pure; one thread;
  * times in milliseconds on this office's own steady clock.
  */
-final class Contact {
+final class ContactTracker {
     /** A pause between two signs of this office's own life from which on it slept, in milliseconds. */
     private static final double SLEPT = 400;
 
--- a/src/main/java/whinlead/mesh/consensus/FailureDetector.java
+++ b/src/main/java/whinlead/mesh/consensus/FailureDetector.java
@@ -18,7 +18,7 @@
     private static final double CONTACT_LIMIT = 1000;
 
     private final String self;
-    private final Contact contact;
+    private final ContactTracker contact;
     private final SuspicionTracker suspicions;
 
     /**
@@ -27,7 +27,7 @@
      * @param self the id of this office, which is never silent
      * @param contact whose questions were answered when
      */
-    FailureDetector(String self, Contact contact) {
+    FailureDetector(String self, ContactTracker contact) {
         this.self = self;
         this.contact = contact;
         this.suspicions = new SuspicionTracker(self);
--- a/src/main/java/whinlead/mesh/consensus/Membership.java
+++ b/src/main/java/whinlead/mesh/consensus/Membership.java
@@ -15,7 +15,7 @@
     private static final double CONTACT_LIMIT = 1000;
 
     private final String self;
-    private final Contact contact;
+    private final ContactTracker contact;
     private final FailureDetector failures;
     private final Learners learners = new Learners();
     private boolean leaving;
@@ -23,7 +23,7 @@
     private long departureSlot = -1;
     private boolean votes;
 
-    Membership(String self, Contact contact, FailureDetector failures) {
+    Membership(String self, ContactTracker contact, FailureDetector failures) {
         this.self = self;
         this.contact = contact;
         this.failures = failures;
--- a/src/main/java/whinlead/mesh/control/Bodies.java
+++ b/src/main/java/whinlead/mesh/control/ConfigCodec.java
@@ -11,13 +11,13 @@
 import java.util.zip.InflaterInputStream;
 
 /** Configurations as they are kept and sent: deflated, for links are narrow and routes alike. For any thread. */
-public final class Bodies {
+public final class ConfigCodec {
     /** The largest configuration, in bytes. */
     private static final int MOST = 16 << 20;
     /** Of a digest, what is kept. */
     private static final int DIGEST_BYTES = 16;
 
-    private Bodies() { }
+    private ConfigCodec() { }
 
     /** Deflates. */
     public static byte[] deflate(byte[] body) {
--- a/src/main/java/whinlead/mesh/control/Office.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -5,29 +5,29 @@
 import whinlead.membership.EndpointList;
 import whinlead.mesh.quota.Sum;
 import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Acceptor;
 import whinlead.mesh.consensus.Message;
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.registry.Directory;
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.storage.Ledger;
-import whinlead.mesh.storage.LedgerException;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.storage.StateStore;
+import whinlead.mesh.storage.StateStoreException;
 import whinlead.mesh.log.Event;
-import whinlead.mesh.rpc.Answer;
-import whinlead.mesh.rpc.Order;
+import whinlead.mesh.rpc.RpcResponse;
+import whinlead.mesh.rpc.RpcCall;
 import whinlead.mesh.rpc.RpcServer;
-import whinlead.mesh.config.TariffCheck;
-import whinlead.mesh.config.TariffException;
-import whinlead.mesh.config.TariffReader;
+import whinlead.mesh.config.ConfigValidator;
+import whinlead.mesh.config.InvalidConfigException;
+import whinlead.mesh.config.ConfigReader;
 import whinlead.mesh.wire.AcceptorRecord;
 import whinlead.mesh.wire.LaterFormatException;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
-import whinlead.mesh.wire.Link;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.mesh.wire.PeerConnection;
 import whinlead.mesh.wire.ProtocolVersion;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.wire.ReconnectingConnection;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.EventLoop;
@@ -55,8 +55,8 @@
  * their endpoints, and tells them of newer configurations. All state is the loop's; disk and checks have
  * threads of their own.
  */
-public final class Office implements Council.Actions, Link.Ear {
-    private static final Tie.Pace PACE = new Tie.Pace(300, 900, 1500, 150);
+public final class ControlNode implements ConsensusNode.Actions, PeerConnection.Ear {
+    private static final ReconnectingConnection.Pace PACE = new ReconnectingConnection.Pace(300, 900, 1500, 150);
     private static final long LEAVE_POLL_MS = 25;
     /** What sidecars begin with is confirmed by a majority that answered what left within this. */
     private static final double CONFIRMED_MS = 1000;
@@ -70,7 +70,7 @@
     private static final int BAD = 400;
     private static final int NONE = 404;
 
-    private final Card card;
+    private final NodeSettings card;
     private final EventLoop loop;
     private final ObjectMapper mapper;
     private final UnaryOperator<InetSocketAddress> dials;
@@ -79,32 +79,32 @@
         t.setDaemon(true);
         return t;
     });
-    private final TariffReader reader = new TariffReader();
-    private final Directory directory = new Directory();
+    private final ConfigReader reader = new ConfigReader();
+    private final EndpointRegistry directory = new EndpointRegistry();
     private final SidecarContact contact = new SidecarContact();
     /** By address. */
-    private final Map<String, Tie> offices = new LinkedHashMap<>();
+    private final Map<String, ReconnectingConnection> offices = new LinkedHashMap<>();
     /** Links that sidecars and other offices made, and for sidecars the slot that each has. */
-    private final Map<Link, Long> guests = new LinkedHashMap<>();
+    private final Map<PeerConnection, Long> guests = new LinkedHashMap<>();
     /** Of these, who was told what no quorum has confirmed. */
-    private final Set<Link> unconfirmed = new HashSet<>();
-    private final Map<Long, Consumer<Answer>> open = new HashMap<>();
+    private final Set<PeerConnection> unconfirmed = new HashSet<>();
+    private final Map<Long, Consumer<RpcResponse>> open = new HashMap<>();
     private final Sum sum = new Sum();
     private final ConsensusTicker ticker;
-    private TariffCheck check;
-    private Council council;
-    private Scribe scribe;
+    private ConfigValidator check;
+    private ConsensusNode council;
+    private StateWriter scribe;
     private String id;
     private long calls;
     private boolean seated;
 
     /** An office that has not begun. */
-    public Office(Card card, EventLoop loop, ObjectMapper mapper) {
+    public ControlNode(NodeSettings card, EventLoop loop, ObjectMapper mapper) {
         this(card, loop, mapper, UnaryOperator.identity());
     }
 
     /** One that dials what this makes of another office's address. */
-    public Office(Card card, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
+    public ControlNode(NodeSettings card, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
         this.card = card;
         this.loop = loop;
         this.mapper = mapper;
@@ -116,46 +116,46 @@
     /**
      * Opens the ledger and listens.
      *
-     * @throws LedgerException if the disk can't be used
+     * @throws StateStoreException if the disk can't be used
      * @throws InterruptedException if interrupted
      */
-    public void start() throws LedgerException, InterruptedException {
-        String folder = Card.present(card.self().dataDir(), "Self.DataDir");
-        String control = Card.present(card.network().bind().control(), "Network.Bind.Control");
-        Ledger ledger = Ledger.open(Path.of(folder));
+    public void start() throws StateStoreException, InterruptedException {
+        String folder = NodeSettings.present(card.self().dataDir(), "Self.DataDir");
+        String control = NodeSettings.present(card.network().bind().control(), "Network.Bind.Control");
+        StateStore ledger = StateStore.open(Path.of(folder));
         Acceptor.Memory memory = recall(ledger);
-        scribe = new Scribe(ledger, id, loop);
-        council = new Council(id, memory, new SecureRandom().nextLong(), this);
+        scribe = new StateWriter(ledger, id, loop);
+        council = new ConsensusNode(id, memory, new SecureRandom().nextLong(), this);
         // Ahead of the first call: loading the validator takes longer than checking with it.
-        clerks.execute(() -> check = new TariffCheck());
+        clerks.execute(() -> check = new ConfigValidator());
         scribe.start();
         seated = council.seated();
         Event.STARTED.log("office " + id + ", slot " + (council.decided() == null ? "none"
                 : council.decided().slot()));
         loop.submit(this::begin).sync();
         new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .childHandler(Link.handlers(this))
+                .childHandler(PeerConnection.handlers(this))
                 .bind(new InetSocketAddress(card.self().ip(), card.network().talkPort())).sync();
         new RpcServer(loop, mapper, this::run).listen(EndpointList.address(control)).sync();
         Event.READY.log(id);
     }
 
     // A new disk is a new elector: what the old one may have promised, this one can't know.
-    private Acceptor.Memory recall(Ledger ledger) throws LedgerException {
-        Ledger.Entry entry = ledger.read();
+    private Acceptor.Memory recall(StateStore ledger) throws StateStoreException {
+        StateStore.Entry entry = ledger.read();
         if (entry != null) {
             id = entry.id();
             try {
                 return AcceptorRecord.read(entry.memory());
             } catch (LaterFormatException e) {
-                throw new LedgerException(e.getMessage() + "; it is left as it was", e);
+                throw new StateStoreException(e.getMessage() + "; it is left as it was", e);
             } catch (IOException e) {
-                throw new LedgerException("the ledger's entry is damaged; remove it to join as a new office",
+                throw new StateStoreException("the ledger's entry is damaged; remove it to join as a new office",
                         e);
             }
         }
         String ip = card.self().ip();
-        List<String> seeds = card.network().seeds().stream().map(Office::host).toList();
+        List<String> seeds = card.network().seeds().stream().map(ControlNode::host).toList();
         boolean founds = card.self().bootstrap() && seeds.contains(ip);
         id = ip + "#" + (founds ? "0" : Long.toHexString(new SecureRandom().nextLong() | 1));
         Acceptor.Memory memory = new Acceptor.Memory(founds
@@ -200,7 +200,7 @@
     private void begin() {
         seeds(card.network().seeds());
         if (council.decided() != null) {
-            council.decided().electors().forEach(e -> know(Council.address(e)));
+            council.decided().electors().forEach(e -> know(ConsensusNode.address(e)));
         }
         ticker.activity();
         loop.scheduleAtFixedRate(() -> guard(this::share), SidecarContact.REPEAT_MS,
@@ -218,20 +218,20 @@
         }
         council.tick(now());
         if (!unconfirmed.isEmpty() && council.inTouch(now(), CONFIRMED_MS)) {
-            List<Link> wait = List.copyOf(unconfirmed);
+            List<PeerConnection> wait = List.copyOf(unconfirmed);
             unconfirmed.clear();
             wait.forEach(this::news);
         }
     }
 
     // A sidecar that begins waits for what is confirmed: it is told again as soon as that is so.
-    private void news(Link link) {
+    private void news(PeerConnection link) {
         boolean confirmed = council.inTouch(now(), CONFIRMED_MS);
         if (!confirmed) {
             unconfirmed.add(link);
             ticker.activity();
         }
-        link.send(new Letter.News(council.decided().forSidecars(), confirmed));
+        link.send(new PeerMessage.News(council.decided().forSidecars(), confirmed));
     }
 
     private void guard(Runnable task) {
@@ -260,24 +260,24 @@
                 return;
             }
         }
-        Tie tie = new Tie(loop, dials.apply(new InetSocketAddress(ip, card.network().talkPort())),
-                new Letter.Hello(id, true), PACE, new Tie.Owner() {
+        ReconnectingConnection tie = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, card.network().talkPort())),
+                new PeerMessage.Hello(id, true), PACE, new ReconnectingConnection.Owner() {
                     @Override
-                    public void changed(Tie t, Tie.State before) {
+                    public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
                         ticker.activity();
-                        if (t.state() == Tie.State.UP && before == Tie.State.DIALLING) {
-                            t.send(new Letter.Paper(new Message.Query(0, slot())));
-                            t.send(new Letter.Post(List.copyOf(directory.all())));
+                        if (t.state() == ReconnectingConnection.State.UP && before == ReconnectingConnection.State.DIALLING) {
+                            t.send(new PeerMessage.Paper(new Message.Query(0, slot())));
+                            t.send(new PeerMessage.Post(List.copyOf(directory.all())));
                         }
                     }
 
                     @Override
-                    public void letter(Tie t, Letter letter) {
+                    public void letter(ReconnectingConnection t, PeerMessage letter) {
                         // The other office answers on its own tie to this one; here only its pongs come.
                     }
 
                     @Override
-                    public void echoed(double sentAt, Letter.Pong pong) {
+                    public void echoed(double sentAt, PeerMessage.Pong pong) {
                         guard(() -> council.echoed(sentAt, pong.id(), pong.slot()));
                     }
 
@@ -297,74 +297,74 @@
     // --- what other processes say
 
     @Override
-    public void up(Link link) {
+    public void up(PeerConnection link) {
         guests.put(link, null);
     }
 
     @Override
-    public void down(Link link) {
+    public void down(PeerConnection link) {
         guests.remove(link);
         unconfirmed.remove(link);
     }
 
     @Override
-    public void letter(Link link, Letter letter) {
+    public void letter(PeerConnection link, PeerMessage letter) {
         guard(() -> take(link, letter));
     }
 
-    private void take(Link link, Letter letter) {
-        if (letter instanceof Letter.Hello hello) {
+    private void take(PeerConnection link, PeerMessage letter) {
+        if (letter instanceof PeerMessage.Hello hello) {
             link.peer(hello.id());
             greetBack(link);
             if (hello.office()) {
-                know(Council.address(hello.id()));
+                know(ConsensusNode.address(hello.id()));
                 // It listens from now on: no need to wait for the next dial.
-                Tie back = offices.get(Council.address(hello.id()));
+                ReconnectingConnection back = offices.get(ConsensusNode.address(hello.id()));
                 if (back != null) {
                     back.dial();
                 }
             } else {
-                link.send(new Letter.Post(List.copyOf(directory.all())));
+                link.send(new PeerMessage.Post(List.copyOf(directory.all())));
             }
         } else if (link.peer() == null) {
             link.close();
-        } else if (letter instanceof Letter.Ping ping) {
-            link.send(new Letter.Pong(ping.number(), id, council.storedSlot()));
-        } else if (letter instanceof Letter.Ask ask) {
+        } else if (letter instanceof PeerMessage.Ping ping) {
+            link.send(new PeerMessage.Pong(ping.number(), id, council.storedSlot()));
+        } else if (letter instanceof PeerMessage.Ask ask) {
             guests.put(link, ask.slot());
             notice(link, ask.slot());
-        } else if (letter instanceof Letter.Fetch && council.decided() != null) {
+        } else if (letter instanceof PeerMessage.Fetch && council.decided() != null) {
             news(link);
-        } else if (letter instanceof Letter.Post post) {
+        } else if (letter instanceof PeerMessage.Post post) {
             posted(link, post.listings());
-        } else if (letter instanceof Letter.Paper paper) {
+        } else if (letter instanceof PeerMessage.Paper paper) {
             ticker.activity();
             council.received(now(), link.peer(), paper.message());
-        } else if (letter instanceof Letter.Uses uses) {
+        } else if (letter instanceof PeerMessage.Uses uses) {
             sum.say(now(), link.peer(), uses.uses());
             if (uses.wanted()) {
-                link.send(new Letter.Sums(sum.nodes(), sum.of(link.peer())));
+                link.send(new PeerMessage.Sums(sum.nodes(), sum.of(link.peer())));
             }
         }
     }
 
     // A program without versions would not know what a greeting on a connection of its own means.
-    private void greetBack(Link link) {
+    private void greetBack(PeerConnection link) {
         if (link.version() > ProtocolVersion.UNVERSIONED) {
-            link.send(new Letter.Hello(id, true));
+            link.send(new PeerMessage.Hello(id, true));
         }
     }
 
-    private void notice(Link link, Long has) {
+    private void notice(PeerConnection link, Long has) {
         if (has != null && council.decided() != null && council.decided().version() > 0
                 && council.decided().slot() > has) {
-            link.send(new Letter.Notice(council.decided().slot()));
+            link.send(new PeerMessage.Notice(council.decided().slot()));
         }
     }
 
-    private void posted(Link from, List<Listing> listings) {
-        List<Listing> news = new ArrayList<>();
-        for (Listing listing : listings) {
+    private void posted(PeerConnection from, List<EndpointRecord> listings) {
+        List<EndpointRecord> news = new ArrayList<>();
+        for (EndpointRecord listing : listings) {
             if (directory.merge(listing)) {
                 news.add(listing);
             }
@@ -372,19 +372,19 @@
             if (directory.of(listing.node()) == null) {
                 continue;
             }
-            if (listing.phase() != Listing.Phase.GONE) {
+            if (listing.phase() != EndpointRecord.Phase.GONE) {
                 contact.heard(now(), listing.node(), from.peer().indexOf('#') < 0);
             }
         }
         spread(from, news);
     }
 
-    private void spread(Link from, List<Listing> news) {
+    private void spread(PeerConnection from, List<EndpointRecord> news) {
         if (news.isEmpty()) {
             return;
         }
-        Letter.Post post = new Letter.Post(news);
-        byte[] written = Letters.write(post);
+        PeerMessage.Post post = new PeerMessage.Post(news);
+        byte[] written = PeerMessageCodec.write(post);
         guests.forEach((link, slot) -> {
             if (link != from && slot != null) {
                 link.send(written);
@@ -395,12 +395,12 @@
 
     // Offices tell each other of whom they hear, so that one that no sidecar is tied to counts nobody out.
     private void share() {
-        List<Listing> lost = contact.lost(now(), directory);
+        List<EndpointRecord> lost = contact.lost(now(), directory);
         lost.forEach(directory::merge);
         spread(null, lost);
-        List<Listing> fresh = contact.fresh(now(), directory);
+        List<EndpointRecord> fresh = contact.fresh(now(), directory);
         if (!fresh.isEmpty()) {
-            Letter.Post post = new Letter.Post(fresh);
+            PeerMessage.Post post = new PeerMessage.Post(fresh);
             offices.values().forEach(tie -> tie.send(post));
         }
     }
@@ -411,15 +411,15 @@
     public void send(String to, Message message) {
         ticker.activity();
         if (to == null) {
-            offices.values().forEach(tie -> tie.send(new Letter.Paper(message)));
+            offices.values().forEach(tie -> tie.send(new PeerMessage.Paper(message)));
         } else if (to.equals(id)) {
             loop.execute(() -> guard(() -> council.received(now(), id, message)));
         } else {
-            String address = Council.address(to);
+            String address = ConsensusNode.address(to);
             know(address);
-            Tie tie = offices.get(address);
+            ReconnectingConnection tie = offices.get(address);
             if (tie != null) {
-                tie.send(new Letter.Paper(message));
+                tie.send(new PeerMessage.Paper(message));
             }
         }
     }
@@ -434,7 +434,7 @@
     public void decided(Decision decision) {
         scribe.write(AcceptorRecord.write(new Acceptor.Memory(decision, Ballot.NONE, null)),
                 () -> guard(() -> council.stored(now(), decision.slot())));
-        decision.electors().forEach(e -> know(Council.address(e)));
+        decision.electors().forEach(e -> know(ConsensusNode.address(e)));
         Event.DECIDED.log("slot " + decision.slot() + " version " + Long.toHexString(decision.version())
                 + " electors " + decision.electors());
         guests.forEach(this::notice);
@@ -445,71 +445,71 @@
     }
 
     @Override
-    public void replaced(long call, Council.Verdict verdict) {
-        Consumer<Answer> answer = open.remove(call);
+    public void replaced(long call, ConsensusNode.Verdict verdict) {
+        Consumer<RpcResponse> answer = open.remove(call);
         if (answer != null) {
             answer.accept(switch (verdict) {
-                case TAKEN -> Answer.done();
-                case MISMATCH -> Answer.not(CONFLICT, "If-Match is not the version in force");
-                case OLD_VERSION -> Answer.not(BAD, "Epoch does not exceed the one in force");
-                case UNCLEAR -> Answer.not(LATER, "no majority of offices answered in time");
+                case TAKEN -> RpcResponse.done();
+                case MISMATCH -> RpcResponse.not(CONFLICT, "If-Match is not the version in force");
+                case OLD_VERSION -> RpcResponse.not(BAD, "Epoch does not exceed the one in force");
+                case UNCLEAR -> RpcResponse.not(LATER, "no majority of offices answered in time");
             });
         }
     }
 
     @Override
     public void read(long call, Decision newest) {
-        Consumer<Answer> answer = open.remove(call);
+        Consumer<RpcResponse> answer = open.remove(call);
         if (answer == null) {
             return;
         }
         try {
             if (newest == null) {
-                answer.accept(Answer.not(LATER, "no majority of offices answered in time"));
+                answer.accept(RpcResponse.not(LATER, "no majority of offices answered in time"));
             } else if (newest.version() == 0) {
-                answer.accept(Answer.not(NONE, "no configuration was taken yet"));
+                answer.accept(RpcResponse.not(NONE, "no configuration was taken yet"));
             } else {
-                answer.accept(new Answer(200, Bodies.inflate(newest.body())));
+                answer.accept(new RpcResponse(200, ConfigCodec.inflate(newest.body())));
             }
         } catch (IOException e) {
             Event.FAULT.log("the configuration agreed on can't be inflated: " + e.getMessage());
-            answer.accept(Answer.not(LATER, "the configuration can't be read here"));
+            answer.accept(RpcResponse.not(LATER, "the configuration can't be read here"));
         }
     }
 
     // --- what operators order
 
-    private void run(Order order, Consumer<Answer> answer) {
+    private void run(RpcCall order, Consumer<RpcResponse> answer) {
         ticker.activity();
-        if (order instanceof Order.Replace replace) {
+        if (order instanceof RpcCall.Replace replace) {
             clerks.execute(() -> checked(replace, answer));
-        } else if (order instanceof Order.Read) {
+        } else if (order instanceof RpcCall.Read) {
             long call = ++calls;
             open.put(call, answer);
             council.read(now(), call);
         } else {
-            answer.accept(Answer.not(NONE, "endpoints call the sidecar beside them"));
+            answer.accept(RpcResponse.not(NONE, "endpoints call the sidecar beside them"));
         }
     }
 
     // On the clerk's thread.
-    private void checked(Order.Replace replace, Consumer<Answer> answer) {
+    private void checked(RpcCall.Replace replace, Consumer<RpcResponse> answer) {
         try {
             var tariff = reader.read(replace.body());
             check.check(tariff);
-            String digest = Bodies.digest(replace.body());
-            byte[] body = Bodies.deflate(replace.body());
+            String digest = ConfigCodec.digest(replace.body());
+            byte[] body = ConfigCodec.deflate(replace.body());
             loop.execute(() -> guard(() -> {
                 long call = ++calls;
                 open.put(call, answer);
                 council.replace(now(), call, tariff.version(), replace.builtOn(), digest, body);
             }));
-        } catch (TariffException e) {
+        } catch (InvalidConfigException e) {
             Event.REFUSED_CALL.log(e.getMessage());
-            answer.accept(Answer.not(BAD, e.getMessage()));
+            answer.accept(RpcResponse.not(BAD, e.getMessage()));
         } catch (RuntimeException e) {
             Event.FAULT.log("checking a configuration: " + e);
-            answer.accept(Answer.not(LATER, "the configuration could not be checked"));
+            answer.accept(RpcResponse.not(LATER, "the configuration could not be checked"));
         }
     }
 }
--- a/src/main/java/whinlead/mesh/control/SidecarContact.java
+++ b/src/main/java/whinlead/mesh/control/SidecarContact.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.control;
 
-import whinlead.mesh.registry.Directory;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.registry.EndpointRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -34,20 +34,20 @@
     }
 
     /** The listings of sidecars that have fallen silent, as gone. */
-    List<Listing> lost(double now, Directory directory) {
-        List<Listing> lost = new ArrayList<>();
-        for (Listing l : directory.all()) {
+    List<EndpointRecord> lost(double now, EndpointRegistry directory) {
+        List<EndpointRecord> lost = new ArrayList<>();
+        for (EndpointRecord l : directory.all()) {
             double silent = now - heard.getOrDefault(l.node(), now);
-            if (l.phase() != Listing.Phase.GONE && silent > SILENT_MS) {
-                lost.add(new Listing(l.node(), l.life(), l.seq() + 1, l.zone(), l.endpoint(), l.target(),
-                        Listing.Phase.GONE, l.capacity(), 0));
+            if (l.phase() != EndpointRecord.Phase.GONE && silent > SILENT_MS) {
+                lost.add(new EndpointRecord(l.node(), l.life(), l.seq() + 1, l.zone(), l.endpoint(), l.target(),
+                        EndpointRecord.Phase.GONE, l.capacity(), 0));
             }
         }
         return lost;
     }
 
     /** The listings of sidecars that were heard from themselves since the last repetition. */
-    List<Listing> fresh(double now, Directory directory) {
+    List<EndpointRecord> fresh(double now, EndpointRegistry directory) {
         return directory.all().stream().filter(l -> now - heardDirect.getOrDefault(l.node(),
                 Double.NEGATIVE_INFINITY) < REPEAT_MS).toList();
     }
--- a/src/main/java/whinlead/mesh/control/Scribe.java
+++ b/src/main/java/whinlead/mesh/control/StateWriter.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.control;
 
-import whinlead.mesh.storage.Ledger;
-import whinlead.mesh.storage.LedgerException;
+import whinlead.mesh.storage.StateStore;
+import whinlead.mesh.storage.StateStoreException;
 import whinlead.mesh.log.Event;
 import java.util.ArrayDeque;
 import java.util.Queue;
@@ -14,7 +14,7 @@
  * tried again until it, or a later one, is written; what waited for it is never run, as if lost on the
  * way. Called from the office's loop.
  */
-final class Scribe {
+final class StateWriter {
     /** Between two tries of a disk that refuses, unless there is a later memory, in milliseconds. */
     static final long PAUSE_MS = 250;
     /** What may wait for a disk that stalls; the oldest beyond are dropped, as messages lost on the way. */
@@ -26,9 +26,9 @@
         /**
          * Writes and syncs; it is on disk when this returns.
          *
-         * @throws LedgerException if it may not be
+         * @throws StateStoreException if it may not be
          */
-        void write(byte[] memory) throws LedgerException;
+        void write(byte[] memory) throws StateStoreException;
     }
 
     private final Disk disk;
@@ -48,7 +48,7 @@
      *
      * @param loop runs what waited for the disk
      */
-    Scribe(Ledger ledger, String id, Executor loop) {
+    StateWriter(StateStore ledger, String id, Executor loop) {
         this(memory -> ledger.write(id, memory), loop, () -> System.nanoTime() / NANOS);
     }
 
@@ -57,7 +57,7 @@
      *
      * @param clock steady, in milliseconds
      */
-    Scribe(Disk disk, Executor loop, DoubleSupplier clock) {
+    StateWriter(Disk disk, Executor loop, DoubleSupplier clock) {
         this.disk = disk;
         this.loop = loop;
         this.clock = clock;
@@ -171,7 +171,7 @@
         try {
             disk.write(memory);
             return null;
-        } catch (LedgerException e) {
+        } catch (StateStoreException e) {
             return e.getMessage();
         } catch (RuntimeException e) {
             return e.toString();
--- a/src/main/java/whinlead/mesh/registry/Listing.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRecord.java
@@ -14,7 +14,7 @@
  * @param capacity requests that the endpoint works on at a time
  * @param warmMs how long the endpoint stays slow from when this was said, in milliseconds
  */
-public record Listing(String node, long life, long seq, String zone, String endpoint, String target,
+public record EndpointRecord(String node, long life, long seq, String zone, String endpoint, String target,
         Phase phase, int capacity, int warmMs) {
     /** What may be sent to it. */
     public enum Phase {
@@ -27,7 +27,7 @@
     }
 
     /** Checks that nothing is missing. */
-    public Listing {
+    public EndpointRecord {
         Objects.requireNonNull(node);
         Objects.requireNonNull(zone);
         Objects.requireNonNull(endpoint);
@@ -36,7 +36,7 @@
     }
 
     /** Whether this holds against the other. */
-    public boolean newerThan(Listing other) {
+    public boolean newerThan(EndpointRecord other) {
         return other == null || life > other.life || life == other.life && seq > other.seq;
     }
 
--- a/src/main/java/whinlead/mesh/registry/Directory.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
@@ -11,17 +11,17 @@
  * All listings known here, with the counts and the lists by service that requests ask for, which are kept as
  * listings change. Mergeable state: any order of merges gives the same. Pure; one thread.
  */
-public final class Directory {
+public final class EndpointRegistry {
     /** Beyond so many nodes newcomers are left out: a peer's fault must not fill the memory. */
     public static final int MOST = 4096;
-    private final Map<String, Listing> listings = new LinkedHashMap<>();
+    private final Map<String, EndpointRecord> listings = new LinkedHashMap<>();
     /** By service and then by node: listings of sidecars that have not gone and that have an endpoint. */
-    private final Map<String, Map<String, Listing>> endpoints = new HashMap<>();
+    private final Map<String, Map<String, EndpointRecord>> endpoints = new HashMap<>();
     private int present;
 
     /** Takes a listing in; true if it is news. */
-    public boolean merge(Listing listing) {
-        Listing known = listings.get(listing.node());
+    public boolean merge(EndpointRecord listing) {
+        EndpointRecord known = listings.get(listing.node());
         if (known == null && listings.size() >= MOST || !listing.newerThan(known)) {
             return false;
         }
@@ -33,8 +33,8 @@
         return true;
     }
 
-    private void add(Listing listing) {
-        if (listing.phase() == Listing.Phase.GONE) {
+    private void add(EndpointRecord listing) {
+        if (listing.phase() == EndpointRecord.Phase.GONE) {
             return;
         }
         present++;
@@ -44,12 +44,12 @@
         }
     }
 
-    private void remove(Listing listing) {
-        if (listing.phase() == Listing.Phase.GONE) {
+    private void remove(EndpointRecord listing) {
+        if (listing.phase() == EndpointRecord.Phase.GONE) {
             return;
         }
         present--;
-        Map<String, Listing> service = endpoints.getOrDefault(listing.target(), Map.of());
+        Map<String, EndpointRecord> service = endpoints.getOrDefault(listing.target(), Map.of());
         if (!listing.endpoint().isEmpty()) {
             service.remove(listing.node());
         }
@@ -59,17 +59,17 @@
     }
 
     /** The newest of a node, or null. */
-    public Listing of(String node) {
+    public EndpointRecord of(String node) {
         return listings.get(node);
     }
 
     /** All. */
-    public Collection<Listing> all() {
+    public Collection<EndpointRecord> all() {
         return Collections.unmodifiableCollection(listings.values());
     }
 
     /** The listings of a service's endpoints, without those of sidecars that have gone. */
-    public List<Listing> endpoints(String service) {
+    public List<EndpointRecord> endpoints(String service) {
         return List.copyOf(endpoints.getOrDefault(service, Map.of()).values());
     }
 
--- a/src/main/java/whinlead/mesh/rpc/Order.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcCall.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /** A call of an endpoint or an operator, decoded; whoever runs it answers it. */
-public sealed interface Order {
+public sealed interface RpcCall {
     /** An endpoint beats. */
-    record Beat(String endpoint, Card card) implements Order { }
+    record Beat(String endpoint, Card card) implements RpcCall { }
 
     /** What a beat says. */
     record Card(@JsonProperty("Target") String target, @JsonProperty("Zone") String zone,
@@ -13,11 +13,11 @@
             @JsonProperty("WarmupS") double warmupS, @JsonProperty("CallSeq") long callSeq) { }
 
     /** An endpoint leaves. */
-    record Depart(String endpoint) implements Order { }
+    record Depart(String endpoint) implements RpcCall { }
 
     /** An operator sends a configuration; {@code builtOn} is the version that it builds on. */
-    record Replace(long builtOn, byte[] body) implements Order { }
+    record Replace(long builtOn, byte[] body) implements RpcCall { }
 
     /** Someone reads the configuration. */
-    record Read() implements Order { }
+    record Read() implements RpcCall { }
 }
--- a/src/main/java/whinlead/mesh/rpc/RpcConnection.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcConnection.java
@@ -39,14 +39,14 @@
     /** Runs whole calls. */
     interface Calls {
         /** Runs one; it may be answered at once or later, on any thread. */
-        void run(HttpRequest head, byte[] body, Consumer<Answer> answer);
+        void run(HttpRequest head, byte[] body, Consumer<RpcResponse> answer);
     }
 
     /** One call's place in the order of answers. */
-    private final class Turn implements Consumer<Answer> {
+    private final class Turn implements Consumer<RpcResponse> {
         private final boolean keep;
         private final int bytes;
-        private Answer answer;
+        private RpcResponse answer;
 
         private Turn(boolean keep, int bytes) {
             this.keep = keep;
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public void accept(Answer a) {
+        public void accept(RpcResponse a) {
             if (channel.eventLoop().inEventLoop()) {
                 answered(this, a);
             } else {
@@ -136,7 +136,7 @@
             body = null;
             Turn turn = begun(new Turn(HttpUtil.isKeepAlive(whole), bytes.length));
             if (tooLarge) {
-                turn.accept(Answer.not(TOO_LARGE, "the body is too large"));
+                turn.accept(RpcResponse.not(TOO_LARGE, "the body is too large"));
             } else {
                 calls.run(whole, bytes, turn);
             }
@@ -155,10 +155,10 @@
     private void refuse(int status, String why) {
         head = null;
         body = null;
-        begun(new Turn(false, 0)).accept(Answer.not(status, why));
+        begun(new Turn(false, 0)).accept(RpcResponse.not(status, why));
     }
 
-    private void answered(Turn turn, Answer a) {
+    private void answered(Turn turn, RpcResponse a) {
         if (turn.answer != null || !channel.isActive()) {
             return;
         }
--- a/src/main/java/whinlead/mesh/rpc/RpcServer.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcServer.java
@@ -20,8 +20,8 @@
 import java.util.function.Consumer;
 
 /**
- * Takes the calls of endpoints and operators: decodes each into an {@link Order}, which is run elsewhere, and
- * sends the {@link Answer}, from whichever thread it comes, in the order of the calls of each connection. One
+ * Takes the calls of endpoints and operators: decodes each into an {@link RpcCall}, which is run elsewhere, and
+ * sends the {@link RpcResponse}, from whichever thread it comes, in the order of the calls of each connection. One
  * loop.
  */
 public final class RpcServer {
@@ -32,7 +32,7 @@
     /** Runs orders. */
     public interface Clerk {
         /** Runs one and answers it once. */
-        void run(Order order, Consumer<Answer> answer);
+        void run(RpcCall order, Consumer<RpcResponse> answer);
     }
 
     private final EventLoop loop;
@@ -63,27 +63,27 @@
         };
     }
 
-    private void run(HttpRequest head, byte[] body, Consumer<Answer> answer) {
+    private void run(HttpRequest head, byte[] body, Consumer<RpcResponse> answer) {
         try {
             clerk.run(decode(head, body), answer);
         } catch (BadCall e) {
-            answer.accept(Answer.not(e.status, e.getMessage()));
+            answer.accept(RpcResponse.not(e.status, e.getMessage()));
         } catch (IOException e) {
-            answer.accept(Answer.not(BAD, "the body can't be read"));
+            answer.accept(RpcResponse.not(BAD, "the body can't be read"));
         }
     }
 
-    private Order decode(HttpRequest request, byte[] body) throws IOException, BadCall {
+    private RpcCall decode(HttpRequest request, byte[] body) throws IOException, BadCall {
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
         if (!PATH.equals(query.path()) || !HttpMethod.POST.equals(request.method())) {
             throw new BadCall(NOT_FOUND, "nothing is at " + query.path());
         }
         String call = first(query, "call");
         return switch (call) {
-            case "members.heartbeat" -> new Order.Beat(id(query), mapper.readValue(body, Order.Card.class));
-            case "members.depart" -> new Order.Depart(id(query));
-            case "config.replace" -> new Order.Replace(version(request), body);
-            case "config.read" -> new Order.Read();
+            case "members.heartbeat" -> new RpcCall.Beat(id(query), mapper.readValue(body, RpcCall.Card.class));
+            case "members.depart" -> new RpcCall.Depart(id(query));
+            case "config.replace" -> new RpcCall.Replace(version(request), body);
+            case "config.read" -> new RpcCall.Read();
             default -> throw new BadCall(NOT_FOUND, "call names nothing: " + call);
         };
     }
--- a/src/main/java/whinlead/mesh/run/Post.java
+++ b/src/main/java/whinlead/mesh/run/MeshCommand.java
@@ -1,13 +1,13 @@
 package whinlead.mesh.run;
 
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.settings.CardException;
-import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.settings.NodeSettingsException;
+import whinlead.mesh.settings.NodeSettingsReader;
 import whinlead.mesh.sidecar.Sidecar;
-import whinlead.mesh.storage.LedgerException;
+import whinlead.mesh.storage.StateStoreException;
 import whinlead.mesh.log.Event;
 import whinlead.mesh.log.Logs;
-import whinlead.mesh.control.Office;
+import whinlead.mesh.control.ControlNode;
 import whinlead.signals.Hangup;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
@@ -23,12 +23,12 @@
 import org.apache.commons.cli.ParseException;
 
 /** The mesh's roles on the command line: {@code carrier} and {@code office}. */
-public final class Post {
+public final class MeshCommand {
     /** Names the settings file. */
     public static final String SETTINGS = "WHINLEAD_NODE_FILE";
     private static final int USAGE = 2;
 
-    private Post() { }
+    private MeshCommand() { }
 
     /** Whether this names a role of the mesh. */
     public static boolean knows(String role) {
@@ -64,18 +64,18 @@
             ObjectMapper mapper = new ObjectMapper();
             String path = line.getOptionValue("settings", System.getenv(SETTINGS));
             if (path == null) {
-                throw new CardException(SETTINGS + " is not set");
+                throw new NodeSettingsException(SETTINGS + " is not set");
             }
-            Card card = new CardReader(mapper).read(Path.of(path));
+            NodeSettings card = new NodeSettingsReader(mapper).read(Path.of(path));
             if (!line.hasOption("check")) {
-                start(line.getArgList().get(0), card, new Settings(Path.of(path), card, new CardReader(mapper)),
+                start(line.getArgList().get(0), card, new SettingsWatcher(Path.of(path), card, new NodeSettingsReader(mapper)),
                         hangup, mapper, dials);
             }
         } catch (ParseException e) {
             quit(e.getMessage(), USAGE);
-        } catch (CardException | IllegalArgumentException e) {
+        } catch (NodeSettingsException | IllegalArgumentException e) {
             quit("settings: " + e.getMessage(), 1);
-        } catch (LedgerException e) {
+        } catch (StateStoreException e) {
             quit("ledger: " + e.getMessage(), 1);
         } catch (Exception e) {
             // What the future throws of a failed bind is a checked exception that it does not declare.
@@ -92,11 +92,11 @@
         }
     }
 
-    private static void start(String role, Card card, Settings settings, Hangup hangup, ObjectMapper mapper,
+    private static void start(String role, NodeSettings card, SettingsWatcher settings, Hangup hangup, ObjectMapper mapper,
             UnaryOperator<InetSocketAddress> dials) throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         if ("office".equals(role)) {
-            Office office = new Office(card, loop, mapper, dials);
+            ControlNode office = new ControlNode(card, loop, mapper, dials);
             office.start();
             Runtime.getRuntime().addShutdownHook(new Thread(office::leave, "leave"));
             settings.watch(hangup, loop, office::seeds);
--- a/src/main/java/whinlead/mesh/run/Settings.java
+++ b/src/main/java/whinlead/mesh/run/SettingsWatcher.java
@@ -1,8 +1,8 @@
 package whinlead.mesh.run;
 
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.settings.CardException;
-import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.settings.NodeSettingsException;
+import whinlead.mesh.settings.NodeSettingsReader;
 import whinlead.mesh.log.Event;
 import whinlead.signals.Hangup;
 import io.netty.channel.EventLoop;
@@ -15,15 +15,15 @@
  * The settings file while a process runs: read again on SIGHUP and now and then, for it may change without
  * one. Only the seeds are taken over; addresses and figures of a running process stay. On the loop's thread.
  */
-final class Settings {
+final class SettingsWatcher {
     private static final long EVERY_MS = 2000;
 
     private final Path path;
-    private final CardReader reader;
+    private final NodeSettingsReader reader;
     private List<String> seeds;
     private String wrong = "";
 
-    Settings(Path path, Card card, CardReader reader) {
+    SettingsWatcher(Path path, NodeSettings card, NodeSettingsReader reader) {
         this.path = path;
         this.reader = reader;
         this.seeds = card.network().seeds();
@@ -44,7 +44,7 @@
                 changed.accept(now);
             }
             wrong = "";
-        } catch (CardException e) {
+        } catch (NodeSettingsException e) {
             // What was read last stands; the same fault is told once.
             if (!e.getMessage().equals(wrong)) {
                 wrong = e.getMessage();
--- a/src/main/java/whinlead/mesh/settings/Card.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettings.java
@@ -12,11 +12,11 @@
  * @param substrate how often endpoints beat
  * @param clauses the figures of the rules
  */
-public record Card(@JsonProperty("Self") Self self, @JsonProperty("Network") Network network,
+public record NodeSettings(@JsonProperty("Self") Self self, @JsonProperty("Network") Network network,
         @JsonProperty("Substrate") Substrate substrate, @JsonProperty("Clauses") Clauses clauses) {
 
     /** Checks that every table is there. */
-    public Card {
+    public NodeSettings {
         present(self, "Self");
         present(network, "Network");
         present(substrate, "Substrate");
@@ -59,7 +59,7 @@
             present(seeds, "Network.Seeds");
             if (portRange == null || portRange.size() != 2 || portRange.get(0) < 1
                     || portRange.get(1) < portRange.get(0) || portRange.get(1) > PORT_MOST) {
-                throw new CardException("Network.PortRange is not FIRST,LAST within 1 to " + PORT_MOST);
+                throw new NodeSettingsException("Network.PortRange is not FIRST,LAST within 1 to " + PORT_MOST);
             }
         }
 
@@ -109,24 +109,24 @@
     /**
      * A field that this role can't do without.
      *
-     * @throws CardException if it is null
+     * @throws NodeSettingsException if it is null
      */
     public static <T> T present(T value, String field) {
         if (value == null) {
-            throw new CardException(field + " is missing");
+            throw new NodeSettingsException(field + " is missing");
         }
         return value;
     }
 
     private static void positive(double value, String field) {
         if (!(value > 0 && value < Double.POSITIVE_INFINITY)) {
-            throw new CardException(field + " is missing or not a number over 0");
+            throw new NodeSettingsException(field + " is missing or not a number over 0");
         }
     }
 
     private static void notNegative(double value, String field) {
         if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-            throw new CardException(field + " is not a number of 0 or more");
+            throw new NodeSettingsException(field + " is not a number of 0 or more");
         }
     }
 }
--- a/src/main/java/whinlead/mesh/settings/CardReader.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettingsReader.java
@@ -14,35 +14,35 @@
 import java.util.stream.Collectors;
 
 /** Reads a settings file of lines {@code a.b=value}, lists joined by commas. Fields not known are left. */
-public final class CardReader {
+public final class NodeSettingsReader {
     private static final Set<String> LISTS = Set.of("Network.Seeds", "Network.PortRange",
             "Clauses.Invariants");
     private final ObjectMapper mapper;
 
     /** A reader; the mapper is copied, not changed. */
-    public CardReader(ObjectMapper mapper) {
+    public NodeSettingsReader(ObjectMapper mapper) {
         this.mapper = mapper.copy().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
 
     /**
      * Reads a file.
      *
-     * @throws CardException naming the file or the field that is wrong
+     * @throws NodeSettingsException naming the file or the field that is wrong
      */
-    public Card read(Path file) {
+    public NodeSettings read(Path file) {
         try {
             return parse(Files.readAllLines(file));
         } catch (IOException e) {
-            throw new CardException("settings file " + file + " can't be read", e);
+            throw new NodeSettingsException("settings file " + file + " can't be read", e);
         }
     }
 
     /**
      * Reads its lines.
      *
-     * @throws CardException naming the field that is wrong
+     * @throws NodeSettingsException naming the field that is wrong
      */
-    public Card parse(List<String> lines) {
+    public NodeSettings parse(List<String> lines) {
         ObjectNode root = mapper.createObjectNode();
         for (String line : lines) {
             int equals = line.indexOf('=');
@@ -50,22 +50,22 @@
                 continue;
             }
             if (equals <= 0) {
-                throw new CardException("'" + line + "' is not FIELD=VALUE");
+                throw new NodeSettingsException("'" + line + "' is not FIELD=VALUE");
             }
             put(root, line.substring(0, equals).trim(), line.substring(equals + 1).trim());
         }
         try {
-            return mapper.treeToValue(root, Card.class);
+            return mapper.treeToValue(root, NodeSettings.class);
         } catch (JsonMappingException e) {
             for (Throwable cause = e; cause != null; cause = cause.getCause()) {
-                if (cause instanceof CardException wrong) {
+                if (cause instanceof NodeSettingsException wrong) {
                     throw wrong;
                 }
             }
-            throw new CardException(e.getPath().stream().map(JsonMappingException.Reference::getFieldName)
+            throw new NodeSettingsException(e.getPath().stream().map(JsonMappingException.Reference::getFieldName)
                     .collect(Collectors.joining(".")) + " is malformed", e);
         } catch (JsonProcessingException e) {
-            throw new CardException("settings are malformed", e);
+            throw new NodeSettingsException("settings are malformed", e);
         }
     }
 
@@ -74,7 +74,7 @@
         String[] parts = field.split("\\.");
         for (int i = 0; i < parts.length - 1; i++) {
             if (table.has(parts[i]) && !table.get(parts[i]).isObject()) {
-                throw new CardException(field + " is below a field that holds a value");
+                throw new NodeSettingsException(field + " is below a field that holds a value");
             }
             table = table.withObject("/" + parts[i].replace("~", "~0").replace("/", "~1"));
         }
--- a/src/main/java/whinlead/mesh/sidecar/AnswerCheck.java
+++ b/src/main/java/whinlead/mesh/sidecar/AnswerCheck.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpResponse;
@@ -33,22 +33,22 @@
     }
 
     /** Why a whole answer is not for the client, or null if it is. */
-    static Letter.Why reject(HttpResponse answer) {
+    static PeerMessage.Why reject(HttpResponse answer) {
         int status = answer.status().code();
         if (status == MISDIRECTED) {
-            return Letter.Why.MOVED;
+            return PeerMessage.Why.MOVED;
         }
         if (answer.headers().contains(Headers.NOT_EXECUTED)) {
-            return Letter.Why.TURNED_AWAY;
+            return PeerMessage.Why.TURNED_AWAY;
         }
         boolean success = answer.status().codeClass() == HttpStatusClass.SUCCESS;
         if (success && (!answer.headers().contains(Headers.SEAL)
                 || answer.headers().contains(HttpHeaderNames.CONTENT_ENCODING))) {
-            return Letter.Why.BROKEN;
+            return PeerMessage.Why.BROKEN;
         }
         // Without a word of the endpoint's, these would promise that the request has not run.
         boolean promises = status == TOO_MANY || status == UNAVAILABLE || status == TIMED_OUT;
-        return promises ? Letter.Why.BROKEN : null;
+        return promises ? PeerMessage.Why.BROKEN : null;
     }
 
     /**
--- a/src/main/java/whinlead/mesh/sidecar/ClientSide.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientSide.java
@@ -2,9 +2,9 @@
 
 import whinlead.engine.Timers;
 import whinlead.mesh.quota.Allowance;
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.config.Routing;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.config.RoutingTable;
 import io.netty.channel.Channel;
 import java.util.HashMap;
 import java.util.List;
@@ -19,7 +19,7 @@
     private static final int SIDECARS = 4;
 
     private final Timers timers;
-    private final Card card;
+    private final NodeSettings card;
     private final long seed;
     private final Round round;
     private final Classes classes = new Classes();
@@ -33,12 +33,12 @@
      * @param routing the configuration in force, or null
      * @param seed of what its modules draw
      */
-    public ClientSide(Timers timers, Card card, Round round, Supplier<Routing> routing, long seed) {
+    public ClientSide(Timers timers, NodeSettings card, Round round, Supplier<RoutingTable> routing, long seed) {
         this.timers = timers;
         this.card = card;
         this.round = round;
         this.seed = seed;
-        Card.Bounds bounds = card.clauses().bounds();
+        NodeSettings.Bounds bounds = card.clauses().bounds();
         Allowance allowance = new Allowance(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
                 bounds.quotaWindowS(), seed);
         this.egress = new Egress(null, timers, routing, (target, large) -> depot(target), () -> "",
@@ -47,13 +47,13 @@
     }
 
     private Depot depot(String target) {
-        Card.Bounds bounds = card.clauses().bounds();
+        NodeSettings.Bounds bounds = card.clauses().bounds();
         return depots.computeIfAbsent(target, t -> new Depot(timers, classes, card, SIDECARS, seed, round,
                 null, new Postage(bounds.retryRatio(), bounds.retrySlack())));
     }
 
     /** The endpoints of a service. */
-    public void endpoints(String target, List<Listing> listings) {
+    public void endpoints(String target, List<EndpointRecord> listings) {
         depot(target).update(listings);
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/Depot.java
+++ b/src/main/java/whinlead/mesh/sidecar/Depot.java
@@ -8,10 +8,10 @@
 import whinlead.engine.Engine;
 import whinlead.engine.Timers;
 import whinlead.membership.EndpointList;
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.log.Event;
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -47,7 +47,7 @@
      * @param near the zone whose endpoints come first in the walk, or null where all are alike
      * @param postage the service's budget of further tries
      */
-    Depot(Timers timers, Classes classes, Card card, int sidecars, long seed, Round round, String near,
+    Depot(Timers timers, Classes classes, NodeSettings card, int sidecars, long seed, Round round, String near,
             Postage postage) {
         this.timers = timers;
         this.round = round;
@@ -68,11 +68,11 @@
     }
 
     /** The endpoints as listed now. */
-    void update(List<Listing> listings) {
+    void update(List<EndpointRecord> listings) {
         nodes.clear();
         List<EndpointList.Entry> entries = new ArrayList<>();
         Map<String, Double> times = new HashMap<>();
-        for (Listing l : listings) {
+        for (EndpointRecord l : listings) {
             boolean up = l.open() && round.reaches(l.node());
             double now = timers.now();
             double start = started.getOrDefault(l.endpoint(),
@@ -91,7 +91,7 @@
     /** A request of a client's, as it is to be sent on. */
     interface Shipment {
         /** What is sent, with what is left of its time. */
-        Letter.Parcel parcel(String endpoint);
+        PeerMessage.Parcel parcel(String endpoint);
 
         /** Its attempts so far. */
         EndpointAttempts attempts();
@@ -100,7 +100,7 @@
         boolean repeatable();
 
         /** An endpoint answered, whatever the answer. */
-        void answered(Letter.Delivered answer);
+        void answered(PeerMessage.Delivered answer);
     }
 
     /** A request that was taken. */
@@ -110,22 +110,22 @@
     }
 
     /** Takes a request; the caller is told its end once, unless it is abandoned. */
-    Taken take(Ask ask, int sidecars, Shipment shipment, Caller<Letter.Delivered> caller) {
+    Taken take(Ask ask, int sidecars, Shipment shipment, Caller<PeerMessage.Delivered> caller) {
         postage.asked(sidecars);
         Delivery delivery = new Delivery(shipment);
-        Engine.Held<Letter.Delivered> held = engine.take(ask, delivery, caller);
+        Engine.Held<PeerMessage.Delivered> held = engine.take(ask, delivery, caller);
         return () -> {
             held.abandon();
             delivery.cancel();
         };
     }
 
-    private final class Delivery implements Carrier<Letter.Delivered> {
+    private final class Delivery implements Carrier<PeerMessage.Delivered> {
         private final Shipment shipment;
         private final EndpointAttempts attempts;
         /** The attempt that is out, of which there is one at most; and who hears of its end. */
         private Round.Sent out;
-        private Outcomes<Letter.Delivered> outcomes;
+        private Outcomes<PeerMessage.Delivered> outcomes;
 
         private Delivery(Shipment shipment) {
             this.shipment = shipment;
@@ -133,7 +133,7 @@
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double within, Outcomes<Letter.Delivered> told) {
+        public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.Delivered> told) {
             String node = nodes.get(endpoint);
             if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && postage.spend())) {
                 told.ended(Contract.Outcome.NEVER_SENT, null, null);
@@ -162,17 +162,17 @@
             }
         }
 
-        private void came(Letter letter, Outcomes<Letter.Delivered> told) {
+        private void came(PeerMessage letter, Outcomes<PeerMessage.Delivered> told) {
             out = null;
             Contract.Report report = null;
-            if (letter instanceof Letter.Delivered d) {
+            if (letter instanceof PeerMessage.Delivered d) {
                 shipment.answered(d);
                 report = report(d.util(), d.perSecond());
-            } else if (letter instanceof Letter.Returned r) {
+            } else if (letter instanceof PeerMessage.Returned r) {
                 attempts.returned(r.why());
                 report = report(r.util(), r.perSecond());
             }
-            told.ended(Round.outcome(letter), letter instanceof Letter.Delivered d ? d : null, report);
+            told.ended(Round.outcome(letter), letter instanceof PeerMessage.Delivered d ? d : null, report);
         }
 
         private Contract.Report report(double util, double perSecond) {
--- a/src/main/java/whinlead/mesh/sidecar/Desk.java
+++ b/src/main/java/whinlead/mesh/sidecar/Desk.java
@@ -2,18 +2,18 @@
 
 import whinlead.membership.EndpointList;
 import whinlead.mesh.quota.Use;
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.log.Event;
-import whinlead.mesh.control.Bodies;
-import whinlead.mesh.config.Routing;
-import whinlead.mesh.config.Tariff;
-import whinlead.mesh.config.TariffException;
-import whinlead.mesh.config.TariffReader;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.control.ConfigCodec;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.config.InvalidConfigException;
+import whinlead.mesh.config.ConfigReader;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -32,7 +32,7 @@
  */
 final class Desk {
     /** Longer until it is given up than an idle tie goes without a ping. */
-    private static final Tie.Pace PACE = new Tie.Pace(300, 900, 3000, 150);
+    private static final ReconnectingConnection.Pace PACE = new ReconnectingConnection.Pace(300, 900, 3000, 150);
     /** Until another office is asked for what one has not sent, in milliseconds. */
     private static final double FETCH_MS = 500;
     private static final int OFFICES_MOST = 16;
@@ -43,30 +43,30 @@
     private static final double NANOS = 1e6;
 
     private final EventLoop loop;
-    private final Card card;
-    private final Letter.Hello hello;
+    private final NodeSettings card;
+    private final PeerMessage.Hello hello;
     private final UnaryOperator<InetSocketAddress> dials;
     private final Owner owner;
-    private final TariffReader reader = new TariffReader();
+    private final ConfigReader reader = new ConfigReader();
     private final ExecutorService reading = Executors.newSingleThreadExecutor(r -> {
         Thread t = new Thread(r, "reader");
         t.setDaemon(true);
         return t;
     });
-    private final Map<String, Tie> offices = new LinkedHashMap<>();
-    private final Map<Tie, Long> noticed = new HashMap<>();
-    private Routing routing;
+    private final Map<String, ReconnectingConnection> offices = new LinkedHashMap<>();
+    private final Map<ReconnectingConnection, Long> noticed = new HashMap<>();
+    private RoutingTable routing;
     private Decision newest;
     private Beginning beginning = new Beginning();
     private double fetchAt = Double.NEGATIVE_INFINITY;
     private double seekAt;
     private final DemandReports reports = new DemandReports();
-    private Tie seeking;
+    private ReconnectingConnection seeking;
 
     /** Hears what the offices say. */
     interface Owner {
         /** Listings, old and new. */
-        void posted(List<Listing> listings);
+        void posted(List<EndpointRecord> listings);
 
         /** Where other sidecars are. */
         List<String> others();
@@ -75,14 +75,14 @@
         void officeUp();
 
         /** A newer configuration is in force. */
-        void inForce(Routing routing);
+        void inForce(RoutingTable routing);
 
         /** What all sidecars are asked for. */
         void sums(int nodes, List<Use> totals);
     }
 
     /** A desk that dials what {@code dials} makes of an address. */
-    Desk(EventLoop loop, Card card, Letter.Hello hello, UnaryOperator<InetSocketAddress> dials, Owner owner) {
+    Desk(EventLoop loop, NodeSettings card, PeerMessage.Hello hello, UnaryOperator<InetSocketAddress> dials, Owner owner) {
         this.loop = loop;
         this.card = card;
         this.hello = hello;
@@ -101,13 +101,13 @@
     }
 
     /** The configuration in force, or null. */
-    Routing routing() {
+    RoutingTable routing() {
         return routing;
     }
 
     /** Says listings to all offices in reach. */
-    void post(List<Listing> listings) {
-        Letter.Post post = new Letter.Post(listings);
+    void post(List<EndpointRecord> listings) {
+        PeerMessage.Post post = new PeerMessage.Post(listings);
         offices.values().forEach(t -> t.send(post));
     }
 
@@ -118,9 +118,9 @@
             return;
         }
         boolean wanted = true;
-        for (Tie tie : offices.values()) {
+        for (ReconnectingConnection tie : offices.values()) {
             if (tie.up() && (wanted || audience == DemandReports.Audience.ALL)) {
-                tie.send(new Letter.Uses(uses, wanted));
+                tie.send(new PeerMessage.Uses(uses, wanted));
                 wanted = false;
             }
         }
@@ -150,22 +150,22 @@
         if (offices.size() >= OFFICES_MOST) {
             return;
         }
-        Tie tie = new Tie(loop, dials.apply(new InetSocketAddress(ip, card.network().talkPort())), hello,
-                PACE, new Tie.Owner() {
+        ReconnectingConnection tie = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, card.network().talkPort())), hello,
+                PACE, new ReconnectingConnection.Owner() {
                     @Override
-                    public void changed(Tie t, Tie.State before) {
-                        if (t.state() == Tie.State.UP && before == Tie.State.DIALLING) {
+                    public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
+                        if (t.state() == ReconnectingConnection.State.UP && before == ReconnectingConnection.State.DIALLING) {
                             Event.OFFICE_UP.log(ip);
                             owner.officeUp();
-                            t.send(new Letter.Ask(slot()));
-                        } else if (t.state() == Tie.State.DOWN && before != Tie.State.DIALLING) {
+                            t.send(new PeerMessage.Ask(slot()));
+                        } else if (t.state() == ReconnectingConnection.State.DOWN && before != ReconnectingConnection.State.DIALLING) {
                             Event.OFFICE_DOWN.log(ip);
                             noticed.remove(t);
                         }
                     }
 
                     @Override
-                    public void letter(Tie t, Letter letter) {
+                    public void letter(ReconnectingConnection t, PeerMessage letter) {
                         came(t, letter);
                     }
 
@@ -178,15 +178,15 @@
         tie.dial();
     }
 
-    private void came(Tie tie, Letter letter) {
-        if (letter instanceof Letter.Post post) {
+    private void came(ReconnectingConnection tie, PeerMessage letter) {
+        if (letter instanceof PeerMessage.Post post) {
             owner.posted(post.listings());
-        } else if (letter instanceof Letter.Notice notice) {
+        } else if (letter instanceof PeerMessage.Notice notice) {
             noticed.put(tie, notice.slot());
             fetch();
-        } else if (letter instanceof Letter.News news) {
+        } else if (letter instanceof PeerMessage.News news) {
             offered(news);
-        } else if (letter instanceof Letter.Sums sums) {
+        } else if (letter instanceof PeerMessage.Sums sums) {
             owner.sums(sums.nodes(), sums.totals());
         }
     }
@@ -201,13 +201,13 @@
 
     // What is in force here never goes back, and a decision is one whoever tells it; but where nothing is in
     // force yet, an office that is cut off must not be the one to begin with while a better one can be reached.
-    private void offered(Letter.News news) {
+    private void offered(PeerMessage.News news) {
         if (newest != null) {
             take(news.decision());
             return;
         }
         fetchAt = now() - FETCH_MS + CONFIRM_MS;
-        news.decision().electors().forEach(e -> know(Council.address(e)));
+        news.decision().electors().forEach(e -> know(ConsensusNode.address(e)));
         begin(beginning.offered(now(), news.decision(), news.confirmed()));
     }
 
@@ -219,7 +219,7 @@
 
     // Offices beyond those known: other sidecars may know them where all have changed since.
     private void seek() {
-        boolean reached = offices.values().stream().anyMatch(Tie::up)
+        boolean reached = offices.values().stream().anyMatch(ReconnectingConnection::up)
                 && !(newest == null && beginning.unconfirmed());
         if (reached) {
             seekAt = now();
@@ -236,17 +236,17 @@
         if (seeking != null) {
             seeking.close();
         }
-        seeking = new Tie(loop, dials.apply(EndpointList.address(node)), hello, PACE, new Tie.Owner() {
+        seeking = new ReconnectingConnection(loop, dials.apply(EndpointList.address(node)), hello, PACE, new ReconnectingConnection.Owner() {
             @Override
-            public void changed(Tie t, Tie.State before) {
-                if (t.state() == Tie.State.UP) {
-                    t.send(new Letter.Seek());
+            public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
+                if (t.state() == ReconnectingConnection.State.UP) {
+                    t.send(new PeerMessage.Seek());
                 }
             }
 
             @Override
-            public void letter(Tie t, Letter letter) {
-                if (letter instanceof Letter.Offices told) {
+            public void letter(ReconnectingConnection t, PeerMessage letter) {
+                if (letter instanceof PeerMessage.Offices told) {
                     told.addresses().forEach(Desk.this::know);
                     t.close();
                 }
@@ -259,7 +259,7 @@
         if (now() - fetchAt < FETCH_MS) {
             return;
         }
-        List<Tie> have = new ArrayList<>();
+        List<ReconnectingConnection> have = new ArrayList<>();
         noticed.forEach((tie, slot) -> {
             if (slot > slot() && tie.up()) {
                 have.add(tie);
@@ -267,7 +267,7 @@
         });
         if (!have.isEmpty()) {
             fetchAt = now();
-            have.get((int) (Math.random() * have.size())).send(new Letter.Fetch());
+            have.get((int) (Math.random() * have.size())).send(new PeerMessage.Fetch());
         }
     }
 
@@ -278,9 +278,9 @@
         }
         boolean same = newest != null && newest.version() == decision.version();
         newest = decision;
-        Letter.Ask ask = new Letter.Ask(decision.slot());
+        PeerMessage.Ask ask = new PeerMessage.Ask(decision.slot());
         offices.values().forEach(t -> t.send(ask));
-        decision.electors().forEach(e -> know(Council.address(e)));
+        decision.electors().forEach(e -> know(ConsensusNode.address(e)));
         forget(decision);
         if (same && routing != null) {
             return;
@@ -290,7 +290,7 @@
 
     // Offices that are no longer among the electors go, unless they are heard of.
     private void forget(Decision decision) {
-        List<String> electors = decision.electors().stream().map(Council::address).toList();
+        List<String> electors = decision.electors().stream().map(ConsensusNode::address).toList();
         for (String ip : List.copyOf(offices.keySet())) {
             if (!electors.contains(ip) && !offices.get(ip).up()) {
                 drop(ip);
@@ -299,15 +299,15 @@
     }
 
     private void drop(String ip) {
-        Tie tie = offices.remove(ip);
+        ReconnectingConnection tie = offices.remove(ip);
         noticed.remove(tie);
         tie.close();
     }
 
     private void read(Decision decision) {
         try {
-            Tariff tariff = reader.read(Bodies.inflate(decision.body()));
-            Routing made = new Routing(decision.slot(), tariff);
+            MeshConfig tariff = reader.read(ConfigCodec.inflate(decision.body()));
+            RoutingTable made = new RoutingTable(decision.slot(), tariff);
             loop.execute(() -> {
                 if (routing == null || made.slot() > routing.slot()) {
                     routing = made;
@@ -315,7 +315,7 @@
                     owner.inForce(made);
                 }
             });
-        } catch (IOException | TariffException e) {
+        } catch (IOException | InvalidConfigException e) {
             Event.UNREADABLE.log(e.getMessage());
         }
     }
--- a/src/main/java/whinlead/mesh/sidecar/Egress.java
+++ b/src/main/java/whinlead/mesh/sidecar/Egress.java
@@ -4,9 +4,9 @@
 import whinlead.engine.Caller;
 import whinlead.engine.Timers;
 import whinlead.mesh.quota.Allowance;
-import whinlead.mesh.config.Routing;
-import whinlead.mesh.config.Tariff;
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.wire.PeerMessage;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -33,7 +33,7 @@
 final class Egress implements Window.Taker {
     /** Bodies that are held at a time, in bytes; beyond, clients are told to come back. */
     private static final long HOLD_MOST = 40L << 20;
-    private static final Tariff.Limits FIRST = new Tariff.Limits(16384, 64 << 20, 3, 15);
+    private static final MeshConfig.Limits FIRST = new MeshConfig.Limits(16384, 64 << 20, 3, 15);
     private static final int UNKNOWN_KEY = 401;
     private static final int NO_ROUTE = 404;
     private static final int BAD = 400;
@@ -55,7 +55,7 @@
 
     private final EventLoop loop;
     private final Timers timers;
-    private final Supplier<Routing> routing;
+    private final Supplier<RoutingTable> routing;
     private final Depots depots;
     private final Supplier<String> service;
     private final IntSupplier sidecars;
@@ -68,7 +68,7 @@
     private boolean leaving;
     private boolean refusing;
 
-    Egress(EventLoop loop, Timers timers, Supplier<Routing> routing,
+    Egress(EventLoop loop, Timers timers, Supplier<RoutingTable> routing,
             Depots depots, Supplier<String> service, IntSupplier sidecars,
             Allowance allowance, Classes classes) {
         this.loop = loop;
@@ -131,8 +131,8 @@
     }
 
     @Override
-    public Tariff.Limits limits() {
-        Routing now = routing.get();
+    public MeshConfig.Limits limits() {
+        RoutingTable now = routing.get();
         return now == null ? FIRST : now.tariff().limits();
     }
 
@@ -162,12 +162,12 @@
 
     @Override
     public void take(HttpRequest head, byte[] body, Window.Turn turn) {
-        Routing now = routing.get();
+        RoutingTable now = routing.get();
         if (now == null || refusing) {
             later(turn, NOT_NOW, NO_ROUTES_MS);
             return;
         }
-        Routing.Way way = now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
+        RoutingTable.Way way = now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
         if (way == null) {
             plain(turn, NO_ROUTE);
             return;
@@ -178,7 +178,7 @@
             plain(turn, BAD);
             return;
         }
-        Routing.Payer payer = now.payer(head.headers().get(Headers.KEY));
+        RoutingTable.Payer payer = now.payer(head.headers().get(Headers.KEY));
         if (payer == null && !way.route().open() && now.keyed()) {
             plain(turn, UNKNOWN_KEY);
             return;
@@ -192,7 +192,7 @@
             }
         }
         String target = way.service(random.nextDouble());
-        Depot depot = depots.of(target, Tariff.INGEST.equals(way.route().kind()));
+        Depot depot = depots.of(target, MeshConfig.INGEST.equals(way.route().kind()));
         double timeout = Math.max(1, timeout(way, deadline) - turn.readingMs());
         Integer rank = payer == null ? null : payer.tenant().rank();
         new Exchange(head, body, turn, way, payer, target, timeout,
@@ -201,15 +201,15 @@
 
     @Override
     public double mostMs(HttpRequest head) {
-        Routing now = routing.get();
-        Routing.Way way = now == null ? null
+        RoutingTable now = routing.get();
+        RoutingTable.Way way = now == null ? null
                 : now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
         double deadline = deadline(head);
         return way == null || Double.isNaN(deadline) ? Double.POSITIVE_INFINITY : timeout(way, deadline);
     }
 
     // How long the request may be held, from when its head was read, in milliseconds.
-    private static double timeout(Routing.Way way, double deadline) {
+    private static double timeout(RoutingTable.Way way, double deadline) {
         return Math.min(deadline, way.route().deadlineS() * 1000);
     }
 
@@ -236,23 +236,23 @@
     }
 
     /** One request of a client's. */
-    private final class Exchange implements Depot.Shipment, Caller<Letter.Delivered> {
+    private final class Exchange implements Depot.Shipment, Caller<PeerMessage.Delivered> {
         private final String method;
         private final String uri;
         private final List<String> headers;
         private final byte[] body;
         private final Window.Turn turn;
-        private final Routing.Way way;
+        private final RoutingTable.Way way;
         private final String target;
         private final int rank;
         private final double timeout;
         private final double endAt;
         private final EndpointAttempts attempts;
         private Depot.Taken taken = () -> { };
-        private Letter.Delivered last;
+        private PeerMessage.Delivered last;
 
-        private Exchange(HttpRequest head, byte[] body, Window.Turn turn, Routing.Way way,
-                Routing.Payer payer, String target, double timeout, int rank) {
+        private Exchange(HttpRequest head, byte[] body, Window.Turn turn, RoutingTable.Way way,
+                RoutingTable.Payer payer, String target, double timeout, int rank) {
             this.method = head.method().name();
             this.uri = head.uri();
             this.headers = Headers.onward(head.headers(), true);
@@ -291,8 +291,8 @@
         }
 
         @Override
-        public Letter.Parcel parcel(String endpoint) {
-            return new Letter.Parcel(0, method, uri, headers, body,
+        public PeerMessage.Parcel parcel(String endpoint) {
+            return new PeerMessage.Parcel(0, method, uri, headers, body,
                     (int) Math.max(1, endAt - timers.now()), target, endpoint, rank);
         }
 
@@ -307,12 +307,12 @@
         }
 
         @Override
-        public void answered(Letter.Delivered answer) {
+        public void answered(PeerMessage.Delivered answer) {
             last = answer;
         }
 
         @Override
-        public void served(Letter.Delivered answer) {
+        public void served(PeerMessage.Delivered answer) {
             exchanges.remove(this);
             turn.answer(answer.status(), answer.headers(), answer.body());
         }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 
 /**
  * Counts the attempts of one request of a client: at how many endpoints it may have arrived, which its route
@@ -45,11 +45,11 @@
     }
 
     /** An attempt came back without an answer. */
-    public void returned(Letter.Why why) {
+    public void returned(PeerMessage.Why why) {
         if (why.neverRan) {
             mayHaveRun--;
         }
-        if (why.neverRan && why != Letter.Why.TURNED_AWAY) {
+        if (why.neverRan && why != PeerMessage.Why.TURNED_AWAY) {
             arrived--;
         }
     }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointLine.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointLine.java
@@ -3,7 +3,7 @@
 import whinlead.engine.Clock;
 import whinlead.engine.Timers;
 import whinlead.loop.LoopTimers;
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -93,12 +93,12 @@
     }
 
     /**
-     * Sends a request, at most once; {@code done} gets the answer, a {@link Letter.Delivered} or
-     * {@link Letter.Returned} with no figures of load, once, also if it is cancelled.
+     * Sends a request, at most once; {@code done} gets the answer, a {@link PeerMessage.Delivered} or
+     * {@link PeerMessage.Returned} with no figures of load, once, also if it is cancelled.
      *
      * @param instance the endpoint's id, which every other endpoint turns away; empty where none is known
      */
-    public Sent send(Letter.Parcel parcel, String instance, Consumer<Letter> done) {
+    public Sent send(PeerMessage.Parcel parcel, String instance, Consumer<PeerMessage> done) {
         double until = timers.now() + parcel.leftMs();
         String attempt = attempt(parcel);
         Wire wire = idle(attempt);
@@ -117,7 +117,7 @@
             if (f.isSuccess()) {
                 made.ask(parcel, attempt, made.parcel == null ? 0 : until, instance, done);
             } else {
-                done.accept(new Letter.Returned(parcel.stream(), Letter.Why.UNREACHED, 0, 0));
+                done.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.UNREACHED, 0, 0));
             }
         });
         return whileRunning -> made.cancel(parcel, whileRunning);
@@ -144,7 +144,7 @@
         return found;
     }
 
-    private static String attempt(Letter.Parcel parcel) {
+    private static String attempt(PeerMessage.Parcel parcel) {
         String attempt = null;
         List<String> headers = parcel.headers();
         for (int i = 0; i + 1 < headers.size(); i += 2) {
@@ -169,9 +169,9 @@
 
     private final class Wire extends ChannelInboundHandlerAdapter {
         private Channel channel;
-        private Letter.Parcel parcel;
+        private PeerMessage.Parcel parcel;
         private String attempt;
-        private Consumer<Letter> done;
+        private Consumer<PeerMessage> done;
         private Timers.Timer timer;
         private HttpResponse head;
         private boolean ours;
@@ -196,15 +196,15 @@
         }
 
         // While it connects it has no one to tell yet, and does without its request from then on.
-        void cancel(Letter.Parcel sent, boolean whileRunning) {
+        void cancel(PeerMessage.Parcel sent, boolean whileRunning) {
             if (parcel == sent && done == null) {
                 parcel = null;
             } else if (parcel == sent && whileRunning) {
-                spoilt(Letter.Why.BROKEN);
+                spoilt(PeerMessage.Why.BROKEN);
             }
         }
 
-        void ask(Letter.Parcel sent, String id, double until, String instance, Consumer<Letter> whenDone) {
+        void ask(PeerMessage.Parcel sent, String id, double until, String instance, Consumer<PeerMessage> whenDone) {
             parcel = sent;
             attempt = id;
             done = whenDone;
@@ -212,7 +212,7 @@
             if (channel == null || !channel.isActive() || left < 1) {
                 // Nothing was written. Its time may have gone by while this connection was being made.
                 boolean sound = channel != null && channel.isActive();
-                end(Letter.Why.UNREACHED);
+                end(PeerMessage.Why.UNREACHED);
                 if (sound) {
                     reusable();
                 }
@@ -224,11 +224,11 @@
                 request = written(sent, left, instance);
             } catch (IllegalArgumentException e) {
                 // Nothing goes out of what is no request; it must not end the tie that it came by, either.
-                end(Letter.Why.UNREACHED);
+                end(PeerMessage.Why.UNREACHED);
                 channel.close();
                 return;
             }
-            timer = timers.after(left + SLACK_MS, () -> spoilt(Letter.Why.LATE));
+            timer = timers.after(left + SLACK_MS, () -> spoilt(PeerMessage.Why.LATE));
             writing = true;
             channel.writeAndFlush(request).addListener(f -> written(f.isSuccess()));
         }
@@ -237,14 +237,14 @@
         private void written(boolean whole) {
             writing = false;
             if (!whole) {
-                spoilt(Letter.Why.BROKEN);
+                spoilt(PeerMessage.Why.BROKEN);
             } else if (parcel == null && channel.isActive()) {
                 timer.cancel();
                 reusable();
             }
         }
 
-        private FullHttpRequest written(Letter.Parcel sent, double left, String instance) {
+        private FullHttpRequest written(PeerMessage.Parcel sent, double left, String instance) {
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                     HttpMethod.valueOf(sent.method()), sent.uri(), Unpooled.wrappedBuffer(sent.body()));
             List<String> headers = sent.headers();
@@ -273,7 +273,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
                 if (message instanceof HttpObject o && o.decoderResult().isFailure()) {
-                    spoilt(Letter.Why.BROKEN);
+                    spoilt(PeerMessage.Why.BROKEN);
                     return;
                 }
                 if (message instanceof HttpResponse r) {
@@ -297,13 +297,13 @@
             body = Unpooled.buffer(256);
             if (!AnswerCheck.isFramed(r)) {
                 // Its end could not be told, or its body is not the endpoint's.
-                spoilt(Letter.Why.BROKEN);
+                spoilt(PeerMessage.Why.BROKEN);
             }
         }
 
         private void more(HttpContent c) {
             if (body.readableBytes() + c.content().readableBytes() > ANSWER_MOST) {
-                spoilt(Letter.Why.BROKEN);
+                spoilt(PeerMessage.Why.BROKEN);
                 return;
             }
             body.writeBytes(c.content());
@@ -325,14 +325,14 @@
             }
             boolean keep = HttpUtil.isKeepAlive(answer) && !HttpMethod.CONNECT.name().equals(parcel.method());
             idleMs = AnswerCheck.idleMs(answer, idleMs, IDLE_MS);
-            Letter.Why why = AnswerCheck.reject(answer);
-            Consumer<Letter> tell = done;
-            Letter.Parcel told = parcel;
+            PeerMessage.Why why = AnswerCheck.reject(answer);
+            Consumer<PeerMessage> tell = done;
+            PeerMessage.Parcel told = parcel;
             rest(keep);
             if (why != null) {
-                tell.accept(new Letter.Returned(told.stream(), why, 0, 0));
+                tell.accept(new PeerMessage.Returned(told.stream(), why, 0, 0));
             } else {
-                tell.accept(new Letter.Delivered(told.stream(), answer.status().code(),
+                tell.accept(new PeerMessage.Delivered(told.stream(), answer.status().code(),
                         Headers.onward(answer.headers(), false), bytes, 0, 0));
             }
         }
@@ -358,7 +358,7 @@
             idle.addLast(this);
         }
 
-        private void spoilt(Letter.Why why) {
+        private void spoilt(PeerMessage.Why why) {
             // What still comes in the same breath belongs to nothing.
             head = null;
             body = null;
@@ -367,27 +367,27 @@
             channel.close();
         }
 
-        private void end(Letter.Why why) {
+        private void end(PeerMessage.Why why) {
             if (timer != null) {
                 timer.cancel();
             }
             idle.remove(this);
-            Consumer<Letter> tell = done;
+            Consumer<PeerMessage> tell = done;
             done = null;
             if (tell != null) {
-                tell.accept(new Letter.Returned(parcel.stream(), why, 0, 0));
+                tell.accept(new PeerMessage.Returned(parcel.stream(), why, 0, 0));
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end(Letter.Why.BROKEN);
+            end(PeerMessage.Why.BROKEN);
         }
 
         // Before the connection is told to be closed: after a reset no answer ends with its connection.
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            spoilt(Letter.Why.BROKEN);
+            spoilt(PeerMessage.Why.BROKEN);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -30,7 +30,7 @@
     }
 
     /** Its client has left. */
-    public void cancel(Object sender, Letter.Cancel cancel) {
+    public void cancel(Object sender, PeerMessage.Cancel cancel) {
         EndpointLine.Sent sent = requests.get(new Key(sender, cancel.stream()));
         if (sent != null) {
             sent.cancel(cancel.whileRunning());
--- a/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.TransitClock;
 
 /**
@@ -31,7 +31,7 @@
      *
      * @param transit of the connection by which it came
      */
-    public int left(double now, TransitClock transit, Letter.Parcel parcel) {
+    public int left(double now, TransitClock transit, PeerMessage.Parcel parcel) {
         running(now);
         int left = transit.left(now, parcel.sentAt(), parcel.leftMs());
         boolean backlog = now - resumedAt < BACKLOG_MS;
--- a/src/main/java/whinlead/mesh/sidecar/Hatch.java
+++ b/src/main/java/whinlead/mesh/sidecar/Hatch.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.rpc.Order;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.rpc.RpcCall;
 
 /**
  * What the sidecar knows first hand of the endpoint beside it, and whether a request may go to it now. Pure;
@@ -60,7 +60,7 @@
     }
 
     /** An endpoint beats; true if that changes what others need to know. */
-    public boolean beat(double now, String id, Order.Card card) {
+    public boolean beat(double now, String id, RpcCall.Card card) {
         if (id.equals(endpoint) && (card.callSeq() <= callSeq || state == State.GONE && callSeq < 0)) {
             return false;
         }
@@ -123,8 +123,8 @@
     }
 
     /** What it may be sent, as others are told. */
-    public Listing.Phase phase() {
-        return state == State.SERVING ? Listing.Phase.SERVING : Listing.Phase.DRAINING;
+    public EndpointRecord.Phase phase() {
+        return state == State.SERVING ? EndpointRecord.Phase.SERVING : EndpointRecord.Phase.DRAINING;
     }
 
     /** Requests that it works on at a time. */
--- a/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
+++ b/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.registry.Directory;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.registry.EndpointRecord;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
@@ -15,7 +15,7 @@
  */
 final class OutdatedLists {
     private final Executor loop;
-    private final Directory directory;
+    private final EndpointRegistry directory;
     private final Consumer<Set<String>> refresh;
     private final Set<String> services = new LinkedHashSet<>();
     private boolean scheduled;
@@ -27,15 +27,15 @@
      * @param directory takes the listings in
      * @param refresh makes the lists of these services anew
      */
-    OutdatedLists(Executor loop, Directory directory, Consumer<Set<String>> refresh) {
+    OutdatedLists(Executor loop, EndpointRegistry directory, Consumer<Set<String>> refresh) {
         this.loop = loop;
         this.directory = directory;
         this.refresh = refresh;
     }
 
     /** Takes a listing in; if it is news, the lists that it concerns are made anew. */
-    void merge(Listing listing) {
-        Listing before = directory.of(listing.node());
+    void merge(EndpointRecord listing) {
+        EndpointRecord before = directory.of(listing.node());
         if (!directory.merge(listing)) {
             return;
         }
--- a/src/main/java/whinlead/mesh/sidecar/Round.java
+++ b/src/main/java/whinlead/mesh/sidecar/Round.java
@@ -5,11 +5,11 @@
 import whinlead.engine.Clock;
 import whinlead.engine.Timers;
 import whinlead.loop.LoopTimers;
-import whinlead.mesh.registry.Directory;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.log.Event;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -29,16 +29,16 @@
  * comes back counts for the request of that number and no other. On its loop's thread.
  */
 public final class Round {
-    private static final Tie.Pace PACE = new Tie.Pace(250, 700, 5000, 250);
+    private static final ReconnectingConnection.Pace PACE = new ReconnectingConnection.Pace(250, 700, 5000, 250);
     private static final double MICROS = 1000;
 
     /** Takes requests for the endpoint beside this sidecar. */
     public interface Local {
         /** Delivers it, and tells what became of it once. */
-        void deliver(Letter.Parcel parcel, Consumer<Letter> done);
+        void deliver(PeerMessage.Parcel parcel, Consumer<PeerMessage> done);
 
         /** The client of a request that was delivered has left. */
-        default void cancel(Letter.Cancel cancel) { }
+        default void cancel(PeerMessage.Cancel cancel) { }
     }
 
     /** A request that was sent. */
@@ -56,10 +56,10 @@
         void dial();
 
         /** Where it stands. */
-        Tie.State state();
+        ReconnectingConnection.State state();
 
         /** Sends a letter; false if nothing of it was sent. */
-        boolean send(Letter letter);
+        boolean send(PeerMessage letter);
 
         /** Ends it for good. */
         void close();
@@ -68,10 +68,10 @@
     /** Hears of a path. */
     public interface Ear {
         /** It stands otherwise than before. */
-        void changed(Tie.State now, Tie.State before);
+        void changed(ReconnectingConnection.State now, ReconnectingConnection.State before);
 
         /** A letter came. */
-        void letter(Letter letter);
+        void letter(PeerMessage letter);
 
         /** Whether something is waited for. */
         boolean waits();
@@ -94,7 +94,7 @@
      *
      * @param changed told when a node has come into reach or gone out of it
      */
-    Round(EventLoop loop, String self, Local local, Letter hello,
+    Round(EventLoop loop, String self, Local local, PeerMessage hello,
             Function<String, SocketAddress> addresses, Runnable changed) {
         this(new LoopTimers(loop, new Clock()), loop, self, local,
                 (node, ear) -> new Tied(loop, node, addresses.apply(node), hello, ear), changed);
@@ -116,15 +116,15 @@
     }
 
     /** A path that is a tie. */
-    private static final class Tied implements Path, Tie.Owner {
+    private static final class Tied implements Path, ReconnectingConnection.Owner {
         private final String node;
         private final Ear ear;
-        private final Tie tie;
+        private final ReconnectingConnection tie;
 
-        private Tied(EventLoop loop, String node, SocketAddress address, Letter hello, Ear ear) {
+        private Tied(EventLoop loop, String node, SocketAddress address, PeerMessage hello, Ear ear) {
             this.node = node;
             this.ear = ear;
-            this.tie = new Tie(loop, address, hello, PACE, this);
+            this.tie = new ReconnectingConnection(loop, address, hello, PACE, this);
         }
 
         @Override
@@ -133,12 +133,12 @@
         }
 
         @Override
-        public Tie.State state() {
+        public ReconnectingConnection.State state() {
             return tie.state();
         }
 
         @Override
-        public boolean send(Letter letter) {
+        public boolean send(PeerMessage letter) {
             return tie.send(letter);
         }
 
@@ -148,15 +148,15 @@
         }
 
         @Override
-        public void changed(Tie t, Tie.State before) {
-            if (before == Tie.State.UP && t.state() != Tie.State.CLOSED) {
+        public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
+            if (before == ReconnectingConnection.State.UP && t.state() != ReconnectingConnection.State.CLOSED) {
                 Event.PEER_DOWN.log(node + " " + t.state());
             }
             ear.changed(t.state(), before);
         }
 
         @Override
-        public void letter(Tie t, Letter letter) {
+        public void letter(ReconnectingConnection t, PeerMessage letter) {
             ear.letter(letter);
         }
 
@@ -173,7 +173,7 @@
 
     /** One request's way out. */
     static final class Out implements Sent {
-        private final Consumer<Letter> done;
+        private final Consumer<PeerMessage> done;
         private final boolean repeatable;
         private final BooleanSupplier elsewhere;
         private Runnable forget = () -> { };
@@ -182,13 +182,13 @@
         private boolean written;
         private boolean over;
 
-        private Out(Consumer<Letter> done, boolean repeatable, BooleanSupplier elsewhere) {
+        private Out(Consumer<PeerMessage> done, boolean repeatable, BooleanSupplier elsewhere) {
             this.done = done;
             this.repeatable = repeatable;
             this.elsewhere = elsewhere;
         }
 
-        private void end(Letter letter) {
+        private void end(PeerMessage letter) {
             if (!over) {
                 over = true;
                 done.accept(letter);
@@ -219,7 +219,7 @@
     }
 
     /** A request that waits for its path, and until when its answer is of use. */
-    private record Waiting(Letter.Parcel parcel, double until) { }
+    private record Waiting(PeerMessage.Parcel parcel, double until) { }
 
     private final class Way implements Ear {
         private final Path path;
@@ -232,29 +232,29 @@
         }
 
         @Override
-        public void changed(Tie.State now, Tie.State before) {
-            if (now == Tie.State.UP) {
+        public void changed(ReconnectingConnection.State now, ReconnectingConnection.State before) {
+            if (now == ReconnectingConnection.State.UP) {
                 List<Waiting> parcels = new ArrayList<>(waiting.values());
                 waiting.clear();
                 parcels.forEach(this::write);
-            } else if (now == Tie.State.SUSPECT) {
+            } else if (now == ReconnectingConnection.State.SUSPECT) {
                 // The answers may still come; but what may run again had better be served elsewhere.
-                fail(Letter.Why.BROKEN, true);
-            } else if (now == Tie.State.DOWN || now == Tie.State.CLOSED) {
-                fail(Letter.Why.BROKEN, false);
+                fail(PeerMessage.Why.BROKEN, true);
+            } else if (now == ReconnectingConnection.State.DOWN || now == ReconnectingConnection.State.CLOSED) {
+                fail(PeerMessage.Why.BROKEN, false);
             }
-            if (now != Tie.State.DIALLING && now != Tie.State.CLOSED) {
+            if (now != ReconnectingConnection.State.DIALLING && now != ReconnectingConnection.State.CLOSED) {
                 changed.run();
             }
         }
 
-        private void fail(Letter.Why why, boolean silent) {
+        private void fail(PeerMessage.Why why, boolean silent) {
             for (Map.Entry<Long, Out> e : new ArrayList<>(out.entrySet())) {
                 Out o = e.getValue();
                 if (!silent || o.leavesSilence()) {
                     out.remove(e.getKey());
                     waiting.remove(e.getKey());
-                    o.end(new Letter.Returned(e.getKey(), o.written ? why : Letter.Why.UNREACHED, 0, 0));
+                    o.end(new PeerMessage.Returned(e.getKey(), o.written ? why : PeerMessage.Why.UNREACHED, 0, 0));
                 }
             }
         }
@@ -272,7 +272,7 @@
             if (!o.written || !path.send(numbered(stream, w.parcel, (int) Math.round(left), stamp()))) {
                 o.written = false;
                 out.remove(stream);
-                o.end(new Letter.Returned(stream, Letter.Why.UNREACHED, 0, 0));
+                o.end(new PeerMessage.Returned(stream, PeerMessage.Why.UNREACHED, 0, 0));
             }
         }
 
@@ -287,9 +287,9 @@
         }
 
         @Override
-        public void letter(Letter letter) {
-            long stream = letter instanceof Letter.Delivered d ? d.stream()
-                    : letter instanceof Letter.Returned r ? r.stream() : -1;
+        public void letter(PeerMessage letter) {
+            long stream = letter instanceof PeerMessage.Delivered d ? d.stream()
+                    : letter instanceof PeerMessage.Returned r ? r.stream() : -1;
             Out o = out.remove(stream);
             if (o != null) {
                 o.end(letter);
@@ -300,14 +300,14 @@
     /** Whether a request for this node can be sent now, or at least is worth a try. */
     boolean reaches(String node) {
         Way way = ways.get(node);
-        return node.equals(self) || way == null || way.path.state() == Tie.State.UP
-                || way.path.state() == Tie.State.DIALLING && !way.waiting.isEmpty();
+        return node.equals(self) || way == null || way.path.state() == ReconnectingConnection.State.UP
+                || way.path.state() == ReconnectingConnection.State.DIALLING && !way.waiting.isEmpty();
     }
 
     /** Whether it would go out without waiting for a connection. */
     boolean connected(String node) {
         Way way = ways.get(node);
-        return node.equals(self) || way != null && way.path.state() == Tie.State.UP;
+        return node.equals(self) || way != null && way.path.state() == ReconnectingConnection.State.UP;
     }
 
     private Way way(String node) {
@@ -320,17 +320,17 @@
     }
 
     /** Ends the ways to nodes that have gone. */
-    void keep(Directory directory) {
+    void keep(EndpointRegistry directory) {
         for (String node : List.copyOf(ways.keySet())) {
-            Listing l = directory.of(node);
-            if ((l == null || l.phase() == Listing.Phase.GONE) && ways.get(node).out.isEmpty()) {
+            EndpointRecord l = directory.of(node);
+            if ((l == null || l.phase() == EndpointRecord.Phase.GONE) && ways.get(node).out.isEmpty()) {
                 ways.remove(node).path.close();
             }
         }
     }
 
     /** Sends a request that may go elsewhere whenever it may run again. */
-    public Sent send(String node, Letter.Parcel draft, boolean repeatable, Consumer<Letter> done) {
+    public Sent send(String node, PeerMessage.Parcel draft, boolean repeatable, Consumer<PeerMessage> done) {
         return send(node, draft, repeatable, () -> true, done);
     }
 
@@ -342,15 +342,15 @@
      * @param elsewhere whether another endpoint may be asked, so that it needn't wait for a path that is
      *     silent; asked once the path is
      */
-    public Sent send(String node, Letter.Parcel draft, boolean repeatable, BooleanSupplier elsewhere,
-            Consumer<Letter> done) {
+    public Sent send(String node, PeerMessage.Parcel draft, boolean repeatable, BooleanSupplier elsewhere,
+            Consumer<PeerMessage> done) {
         Out o = new Out(done, repeatable, elsewhere);
         long stream = ++streams;
-        Letter.Cancel cancel = new Letter.Cancel(stream, repeatable);
+        PeerMessage.Cancel cancel = new PeerMessage.Cancel(stream, repeatable);
         if (node.equals(self)) {
             o.written = true;
             o.tellCancelled = () -> local.cancel(cancel);
-            local.deliver(numbered(stream, draft, draft.leftMs(), Letter.UNSTAMPED), o::end);
+            local.deliver(numbered(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), o::end);
             return o;
         }
         Way way = way(node);
@@ -360,30 +360,30 @@
             way.waiting.remove(stream);
         };
         o.tellCancelled = () -> way.path.send(cancel);
-        Waiting w = new Waiting(numbered(stream, draft, draft.leftMs(), Letter.UNSTAMPED),
+        Waiting w = new Waiting(numbered(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED),
                 timers.now() + draft.leftMs());
-        if (way.path.state() == Tie.State.UP) {
+        if (way.path.state() == ReconnectingConnection.State.UP) {
             way.write(w);
-        } else if (way.path.state() == Tie.State.SUSPECT) {
+        } else if (way.path.state() == ReconnectingConnection.State.SUSPECT) {
             way.out.remove(stream);
-            soon.execute(() -> o.end(new Letter.Returned(stream, Letter.Why.UNREACHED, 0, 0)));
+            soon.execute(() -> o.end(new PeerMessage.Returned(stream, PeerMessage.Why.UNREACHED, 0, 0)));
         } else {
             way.waiting.put(stream, w);
         }
         return o;
     }
 
-    private static Letter.Parcel numbered(long stream, Letter.Parcel p, int leftMs, long sentAt) {
-        return new Letter.Parcel(stream, p.method(), p.uri(), p.headers(), p.body(), leftMs, p.target(),
+    private static PeerMessage.Parcel numbered(long stream, PeerMessage.Parcel p, int leftMs, long sentAt) {
+        return new PeerMessage.Parcel(stream, p.method(), p.uri(), p.headers(), p.body(), leftMs, p.target(),
                 p.endpoint(), p.rank(), sentAt);
     }
 
     /** What the module is told of a letter. */
-    public static Contract.Outcome outcome(Letter letter) {
-        if (letter instanceof Letter.Delivered d) {
+    public static Contract.Outcome outcome(PeerMessage letter) {
+        if (letter instanceof PeerMessage.Delivered d) {
             return d.status() >= 500 ? Contract.Outcome.ERROR : Contract.Outcome.SERVED;
         }
-        return switch (((Letter.Returned) letter).why()) {
+        return switch (((PeerMessage.Returned) letter).why()) {
             case FULL, TURNED_AWAY -> Contract.Outcome.FULL;
             case MOVED, UNREACHED -> Contract.Outcome.CONNECT_FAILED;
             case BROKEN -> Contract.Outcome.RESET;
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -6,16 +6,16 @@
 import whinlead.membership.EndpointList;
 import whinlead.mesh.quota.Allowance;
 import whinlead.mesh.quota.Use;
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.registry.Directory;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.log.Event;
-import whinlead.mesh.rpc.Answer;
-import whinlead.mesh.rpc.Order;
+import whinlead.mesh.rpc.RpcResponse;
+import whinlead.mesh.rpc.RpcCall;
 import whinlead.mesh.rpc.RpcServer;
-import whinlead.mesh.config.Routing;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Link;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerConnection;
 import whinlead.mesh.wire.ProtocolVersion;
 import whinlead.mesh.wire.TimerGrid;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -39,7 +39,7 @@
  * A carrier: the sidecar of one auxiliary machine. It takes the requests that begin there, carries them to
  * the sidecar beside the endpoint that the module chose, and hands in those that are for its own endpoint.
  */
-public final class Sidecar implements Link.Ear {
+public final class Sidecar implements PeerConnection.Ear {
     private static final long TICK_MS = 100;
     /** How often an unchanged listing is said again, in milliseconds. */
     private static final double SAY_MS = 3000;
@@ -51,19 +51,19 @@
     private static final int NONE = 404;
     private static final double NANOS_IN_MILLI = 1e6;
 
-    private final Card card;
+    private final NodeSettings card;
     private final EventLoop loop;
     private final ObjectMapper mapper;
     private final Timers timers;
     /** On which the services' modules act together. */
     private final Timers beat;
     private final String node;
-    private final Letter.Hello greeting;
+    private final PeerMessage.Hello greeting;
     private final Hatch hatch;
     private final EndpointLine line;
     private final EndpointRequests requests = new EndpointRequests();
     private final ForwardedTime forwardedTime = new ForwardedTime();
-    private final Directory directory = new Directory();
+    private final EndpointRegistry directory = new EndpointRegistry();
     private final Map<String, Depot> depots = new HashMap<>();
     private final Map<String, Depot> largeDepots = new HashMap<>();
     private final Map<String, Postage> postage = new HashMap<>();
@@ -81,48 +81,48 @@
     private boolean leaving;
 
     /** A sidecar that has not begun. */
-    public Sidecar(Card card, EventLoop loop, ObjectMapper mapper) {
+    public Sidecar(NodeSettings card, EventLoop loop, ObjectMapper mapper) {
         this(card, loop, mapper, UnaryOperator.identity());
     }
 
     /** One that dials what this makes of an office's or another sidecar's address. */
-    public Sidecar(Card card, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
+    public Sidecar(NodeSettings card, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
         this.card = card;
         this.loop = loop;
         this.mapper = mapper;
         this.timers = new LoopTimers(loop, new Clock());
         this.beat = new Beat(timers, Classes.period(), timers.now()
                 + untilNext((long) Classes.period()) / NANOS_IN_MILLI);
-        this.node = Card.present(card.network().bind().ingress(), "Network.Bind.Ingress");
+        this.node = NodeSettings.present(card.network().bind().ingress(), "Network.Bind.Ingress");
         this.hatch = new Hatch(card.substrate().heartbeatS() * 1000);
-        this.line = new EndpointLine(loop, EndpointList.address(Card.present(card.self().appAddr(),
+        this.line = new EndpointLine(loop, EndpointList.address(NodeSettings.present(card.self().appAddr(),
                 "Self.AppAddr")));
-        this.greeting = new Letter.Hello(node, false);
+        this.greeting = new PeerMessage.Hello(node, false);
         this.round = new Round(loop, node, new Round.Local() {
             @Override
-            public void deliver(Letter.Parcel parcel, Consumer<Letter> done) {
+            public void deliver(PeerMessage.Parcel parcel, Consumer<PeerMessage> done) {
                 Sidecar.this.deliver(node, parcel, done);
             }
 
             @Override
-            public void cancel(Letter.Cancel cancel) {
+            public void cancel(PeerMessage.Cancel cancel) {
                 requests.cancel(node, cancel);
             }
         }, greeting, address -> dials.apply(EndpointList.address(address)), this::reachChanged);
         this.outdated = new OutdatedLists(loop, directory, this::refresh);
-        Card.Bounds bounds = card.clauses().bounds();
+        NodeSettings.Bounds bounds = card.clauses().bounds();
         this.allowance = new Allowance(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
                 bounds.quotaWindowS(), new SecureRandom().nextLong());
         this.desk = new Desk(loop, card, greeting, dials, new Desk.Owner() {
             @Override
-            public void posted(List<Listing> listings) {
+            public void posted(List<EndpointRecord> listings) {
                 Sidecar.this.posted(listings);
             }
 
             @Override
             public List<String> others() {
-                return directory.all().stream().filter(l -> l.phase() != Listing.Phase.GONE
-                        && !l.node().equals(node)).map(Listing::node).toList();
+                return directory.all().stream().filter(l -> l.phase() != EndpointRecord.Phase.GONE
+                        && !l.node().equals(node)).map(EndpointRecord::node).toList();
             }
 
             @Override
@@ -131,7 +131,7 @@
             }
 
             @Override
-            public void inForce(Routing routing) {
+            public void inForce(RoutingTable routing) {
                 Sidecar.this.inForce(routing);
             }
 
@@ -150,15 +150,15 @@
      * @throws InterruptedException if interrupted
      */
     public void start() throws InterruptedException {
-        Card.Bind bind = card.network().bind();
+        NodeSettings.Bind bind = card.network().bind();
         new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).childHandler(Link.handlers(this))
+                .option(ChannelOption.SO_BACKLOG, BACKLOG).childHandler(PeerConnection.handlers(this))
                 .bind(EndpointList.address(node)).sync();
         new RpcServer(loop, mapper, this::run).listen(EndpointList.address(
-                Card.present(bind.control(), "Network.Bind.Control"))).sync();
+                NodeSettings.present(bind.control(), "Network.Bind.Control"))).sync();
         new Readiness(loop, () -> ready && !leaving).listen(EndpointList.address(
-                Card.present(bind.readiness(), "Network.Bind.Readiness"))).sync();
-        egress.listen(EndpointList.address(Card.present(bind.egress(), "Network.Bind.Egress"))).sync();
+                NodeSettings.present(bind.readiness(), "Network.Bind.Readiness"))).sync();
+        egress.listen(EndpointList.address(NodeSettings.present(bind.egress(), "Network.Bind.Egress"))).sync();
         Event.STARTED.log("sidecar " + node + " of " + card.self().node());
         loop.execute(() -> {
             say(true);
@@ -209,7 +209,7 @@
             if (kind.size() >= DEPOTS_MOST) {
                 throw new IllegalStateException("over " + DEPOTS_MOST + " services");
             }
-            Card.Bounds bounds = card.clauses().bounds();
+            NodeSettings.Bounds bounds = card.clauses().bounds();
             Postage paid = postage.computeIfAbsent(target,
                     t -> new Postage(bounds.retryRatio(), bounds.retrySlack()));
             known = new Depot(beat, classes, card, directory.present(), new SecureRandom().nextLong(),
@@ -229,7 +229,7 @@
     private void refresh(Set<String> services) {
         round.keep(directory);
         for (String service : services) {
-            List<Listing> endpoints = directory.endpoints(service);
+            List<EndpointRecord> endpoints = directory.endpoints(service);
             Stream.of(depots, largeDepots).map(kind -> kind.get(service)).filter(Objects::nonNull)
                     .forEach(depot -> depot.update(endpoints));
         }
@@ -254,8 +254,8 @@
 
     // --- what others say
 
-    private void posted(List<Listing> listings) {
-        for (Listing listing : listings) {
+    private void posted(List<EndpointRecord> listings) {
+        for (EndpointRecord listing : listings) {
             if (listing.node().equals(node)) {
                 if (listing.life() > life || listing.life() == life && listing.seq() > seq) {
                     // Someone holds an older life's word, or a rumour, for newer than this one's own.
@@ -273,7 +273,7 @@
         return desk;
     }
 
-    private void inForce(Routing routing) {
+    private void inForce(RoutingTable routing) {
         if (!ready) {
             ready = true;
             Event.READY.log(node);
@@ -285,8 +285,8 @@
     private void say(boolean changed) {
         if (changed) {
             seq++;
-            Listing mine = new Listing(node, life, seq, card.self().zone(), hatch.endpoint(), service(),
-                    leaving ? Listing.Phase.DRAINING : hatch.phase(), hatch.capacity(),
+            EndpointRecord mine = new EndpointRecord(node, life, seq, card.self().zone(), hatch.endpoint(), service(),
+                    leaving ? EndpointRecord.Phase.DRAINING : hatch.phase(), hatch.capacity(),
                     hatch.warmMs(timers.now()));
             outdated.merge(mine);
         }
@@ -298,10 +298,10 @@
 
     // --- the endpoint beside
 
-    private void run(Order order, Consumer<Answer> answer) {
-        if (order instanceof Order.Beat beat) {
+    private void run(RpcCall order, Consumer<RpcResponse> answer) {
+        if (order instanceof RpcCall.Beat beat) {
             if (beat.card() == null || beat.card().target() == null) {
-                answer.accept(Answer.not(400, "Target is missing"));
+                answer.accept(RpcResponse.not(400, "Target is missing"));
                 return;
             }
             String before = hatch.endpoint();
@@ -312,24 +312,24 @@
                 Event.ENDPOINT.log(beat.endpoint() + " of " + hatch.target() + " " + hatch.state());
                 say(true);
             }
-            answer.accept(Answer.done());
-        } else if (order instanceof Order.Depart depart) {
+            answer.accept(RpcResponse.done());
+        } else if (order instanceof RpcCall.Depart depart) {
             if (hatch.depart(depart.endpoint())) {
                 Event.ENDPOINT.log(depart.endpoint() + " has left");
                 line.clear();
                 say(true);
             }
-            answer.accept(Answer.done());
+            answer.accept(RpcResponse.done());
         } else {
-            answer.accept(Answer.not(NONE, "operators call the offices"));
+            answer.accept(RpcResponse.not(NONE, "operators call the offices"));
         }
     }
 
-    private void deliver(Object sender, Letter.Parcel parcel, Consumer<Letter> done) {
+    private void deliver(Object sender, PeerMessage.Parcel parcel, Consumer<PeerMessage> done) {
         Hatch.Entry entry = hatch.enter(timers.now(), parcel.target(), parcel.rank());
         if (entry != Hatch.Entry.OPEN) {
-            Letter no = new Letter.Returned(parcel.stream(), entry == Hatch.Entry.FULL ? Letter.Why.FULL
-                    : Letter.Why.MOVED, hatch.util(), hatch.perSecond());
+            PeerMessage no = new PeerMessage.Returned(parcel.stream(), entry == Hatch.Entry.FULL ? PeerMessage.Why.FULL
+                    : PeerMessage.Why.MOVED, hatch.util(), hatch.perSecond());
             // Not in the caller's own call: it has not noted yet that it sent.
             loop.execute(() -> done.accept(no));
             return;
@@ -338,10 +338,10 @@
         requests.begin(sender, parcel.stream());
         EndpointLine.Sent sent = line.send(parcel, hatch.endpoint(), letter -> {
             requests.ended(sender, parcel.stream());
-            hatch.ended(timers.now(), letter instanceof Letter.Delivered);
-            done.accept(letter instanceof Letter.Delivered d ? new Letter.Delivered(d.stream(), d.status(),
+            hatch.ended(timers.now(), letter instanceof PeerMessage.Delivered);
+            done.accept(letter instanceof PeerMessage.Delivered d ? new PeerMessage.Delivered(d.stream(), d.status(),
                     d.headers(), d.body(), hatch.util(), hatch.perSecond())
-                    : new Letter.Returned(parcel.stream(), ((Letter.Returned) letter).why(), hatch.util(),
+                    : new PeerMessage.Returned(parcel.stream(), ((PeerMessage.Returned) letter).why(), hatch.util(),
                             hatch.perSecond()));
         });
         requests.sent(sender, parcel.stream(), sent);
@@ -350,24 +350,24 @@
     // --- other sidecars' links to this one
 
     @Override
-    public void up(Link link) { }
+    public void up(PeerConnection link) { }
 
     @Override
-    public void down(Link link) { }
+    public void down(PeerConnection link) { }
 
     @Override
-    public void letter(Link link, Letter letter) {
-        if (letter instanceof Letter.Ping ping) {
+    public void letter(PeerConnection link, PeerMessage letter) {
+        if (letter instanceof PeerMessage.Ping ping) {
             forwardedTime.running(timers.now());
             link.transit().waited(timers.now(), ping.sentAt());
-            link.send(new Letter.Pong(ping.number(), node, -1));
-        } else if (letter instanceof Letter.Parcel parcel) {
+            link.send(new PeerMessage.Pong(ping.number(), node, -1));
+        } else if (letter instanceof PeerMessage.Parcel parcel) {
             forwarded(link, parcel);
-        } else if (letter instanceof Letter.Cancel cancel) {
+        } else if (letter instanceof PeerMessage.Cancel cancel) {
             requests.cancel(link, cancel);
-        } else if (letter instanceof Letter.Seek) {
-            link.send(new Letter.Offices(desk.addresses()));
-        } else if (letter instanceof Letter.Hello hello) {
+        } else if (letter instanceof PeerMessage.Seek) {
+            link.send(new PeerMessage.Offices(desk.addresses()));
+        } else if (letter instanceof PeerMessage.Hello hello) {
             link.peer(hello.id());
             // A program without versions would not know what a greeting on a connection of its own means.
             if (link.version() > ProtocolVersion.UNVERSIONED) {
@@ -377,10 +377,10 @@
     }
 
     // What waited on its way until its time was up is not begun: its caller has been answered.
-    private void forwarded(Link link, Letter.Parcel parcel) {
+    private void forwarded(PeerConnection link, PeerMessage.Parcel parcel) {
         int left = forwardedTime.left(timers.now(), link.transit(), parcel);
         if (left == 0) {
-            link.send(new Letter.Returned(parcel.stream(), Letter.Why.UNREACHED, hatch.util(),
+            link.send(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.UNREACHED, hatch.util(),
                     hatch.perSecond()));
             return;
         }
--- a/src/main/java/whinlead/mesh/sidecar/Window.java
+++ b/src/main/java/whinlead/mesh/sidecar/Window.java
@@ -2,7 +2,7 @@
 
 import whinlead.engine.Timers;
 import whinlead.mesh.log.Event;
-import whinlead.mesh.config.Tariff;
+import whinlead.mesh.config.MeshConfig;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -52,7 +52,7 @@
         void take(HttpRequest head, byte[] body, Turn turn);
 
         /** The limits in force; never null. */
-        Tariff.Limits limits();
+        MeshConfig.Limits limits();
 
         /** Whether so many more bytes may be held; if so, they are until {@link #letGo}. */
         boolean hold(int bytes);
--- a/src/main/java/whinlead/mesh/storage/Layout.java
+++ b/src/main/java/whinlead/mesh/storage/StateSchema.java
@@ -13,7 +13,7 @@
  * and written as the program that made it does; a file is never changed so that this program's predecessor
  * can't write it. So a fleet may hold several versions, and any of them may be set back.
  */
-enum Layout {
+enum StateSchema {
     /**
      * Format 0, of programs without checksums. The checksum stands in a table of its own, which these
      * programs don't know. Triggers clear it when they write, so that their rows are told from damaged ones.
@@ -43,7 +43,7 @@
         }
 
         @Override
-        void write(Connection c, Ledger.Entry entry) throws SQLException {
+        void write(Connection c, StateStore.Entry entry) throws SQLException {
             c.setAutoCommit(false);
             try {
                 // Column by column: columns that a later program has added keep what they hold.
@@ -71,7 +71,7 @@
         }
 
         @Override
-        void write(Connection c, Ledger.Entry entry) throws SQLException {
+        void write(Connection c, StateStore.Entry entry) throws SQLException {
             execute(c, "INSERT INTO office (one, id, memory, crc) VALUES (1, ?, ?, ?) ON CONFLICT (one)"
                     + " DO UPDATE SET id = excluded.id, memory = excluded.memory, crc = excluded.crc",
                     entry.id(), entry.memory(), checksum(entry));
@@ -79,20 +79,20 @@
     };
 
     /** A row as it stands: whole by its checksum, or of a program that wrote none, or neither. */
-    record Stored(Ledger.Entry entry, boolean whole, boolean withoutChecksum) { }
+    record Stored(StateStore.Entry entry, boolean whole, boolean withoutChecksum) { }
 
     /** The newest format that this program knows. */
-    static final Layout NEWEST = CHECKSUM_COLUMN;
+    static final StateSchema NEWEST = CHECKSUM_COLUMN;
 
     private final int format;
 
-    Layout(int format) {
+    StateSchema(int format) {
         this.format = format;
     }
 
     /** The layout of this format, or null if this program knows none. */
-    static Layout of(long format) {
-        for (Layout layout : values()) {
+    static StateSchema of(long format) {
+        for (StateSchema layout : values()) {
             if (layout.format == format) {
                 return layout;
             }
@@ -121,7 +121,7 @@
     abstract Stored read(Connection c) throws SQLException;
 
     /** Replaces the row; it is on disk when this returns. */
-    abstract void write(Connection c, Ledger.Entry entry) throws SQLException;
+    abstract void write(Connection c, StateStore.Entry entry) throws SQLException;
 
     private static boolean hasTable(Statement s, String name) throws SQLException {
         try (ResultSet r = s.executeQuery("SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = '"
@@ -135,7 +135,7 @@
             if (!r.next()) {
                 return null;
             }
-            Ledger.Entry entry = new Ledger.Entry(r.getString(2), r.getBytes(3));
+            StateStore.Entry entry = new StateStore.Entry(r.getString(2), r.getBytes(3));
             boolean complete = r.getLong(1) == 1 && entry.id() != null && entry.memory() != null;
             boolean without = complete && r.getBoolean(5);
             boolean matches = complete && r.getString(4) != null && r.getLong(4) == checksum(entry);
@@ -154,7 +154,7 @@
         }
     }
 
-    private static long checksum(Ledger.Entry entry) {
+    private static long checksum(StateStore.Entry entry) {
         CRC32C crc = new CRC32C();
         crc.update(entry.id().getBytes(StandardCharsets.UTF_8));
         crc.update(0);
--- a/src/main/java/whinlead/mesh/storage/Ledger.java
+++ b/src/main/java/whinlead/mesh/storage/StateStore.java
@@ -19,7 +19,7 @@
  * damaged is refused, never mended: an office that has forgotten what it promised must not vote under its
  * old name.
  */
-public final class Ledger implements AutoCloseable {
+public final class StateStore implements AutoCloseable {
     private static final String FILE = "office.db";
     private static final String LOG = FILE + "-wal";
     /** Pages in the log after which it is folded into the file; keeps it at some hundred kilobytes. */
@@ -29,9 +29,9 @@
     public record Entry(String id, byte[] memory) { }
 
     private final Connection connection;
-    private final Layout layout;
+    private final StateSchema layout;
 
-    private Ledger(Connection connection, Layout layout) {
+    private StateStore(Connection connection, StateSchema layout) {
         this.connection = connection;
         this.layout = layout;
     }
@@ -39,25 +39,25 @@
     /**
      * Opens the ledger in this folder, or founds one.
      *
-     * @throws LedgerException if that can't be done, or what is there is damaged
+     * @throws StateStoreException if that can't be done, or what is there is damaged
      */
-    public static Ledger open(Path folder) throws LedgerException {
+    public static StateStore open(Path folder) throws StateStoreException {
         return open(folder, Syncer.DISK);
     }
 
     /**
      * Opens the ledger in this folder, or founds one, with these syncs besides SQLite's own.
      *
-     * @throws LedgerException if that can't be done, or what is there is damaged
+     * @throws StateStoreException if that can't be done, or what is there is damaged
      */
-    public static Ledger open(Path folder, Syncer syncer) throws LedgerException {
+    public static StateStore open(Path folder, Syncer syncer) throws StateStoreException {
         Connection c = null;
         try {
             make(folder, syncer);
             boolean log = size(folder.resolve(LOG)) > 0;
             if (log && size(folder.resolve(FILE)) == 0) {
                 // SQLite would remove the log and begin anew.
-                throw new LedgerException("the ledger in " + folder + " has a log, but no " + FILE
+                throw new StateStoreException("the ledger in " + folder + " has a log, but no " + FILE
                         + "; remove both to join as a new office");
             }
             if (log) {
@@ -65,11 +65,11 @@
                 syncer.file(folder.resolve(LOG));
             }
             c = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(FILE));
-            return new Ledger(c, prepare(c, folder, syncer));
+            return new StateStore(c, prepare(c, folder, syncer));
         } catch (SQLException | IOException e) {
             close(c);
-            throw new LedgerException("the ledger in " + folder + " can't be opened: " + e.getMessage(), e);
-        } catch (LedgerException e) {
+            throw new StateStoreException("the ledger in " + folder + " can't be opened: " + e.getMessage(), e);
+        } catch (StateStoreException e) {
             close(c);
             throw e;
         }
@@ -101,8 +101,8 @@
         return Files.exists(file) ? Files.size(file) : 0;
     }
 
-    private static Layout prepare(Connection c, Path folder, Syncer syncer) throws SQLException, IOException,
-            LedgerException {
+    private static StateSchema prepare(Connection c, Path folder, Syncer syncer) throws SQLException, IOException,
+            StateStoreException {
         try (Statement s = c.createStatement()) {
             // The locking mode first: then the log's index needs no mapped file. And before the switch to the
             // log that removed names are synced: a journal that comes back would undo the founding.
@@ -112,14 +112,14 @@
             s.execute("PRAGMA wal_autocheckpoint=" + CHECKPOINT_PAGES);
             long format = number(s, "PRAGMA user_version");
             if (number(s, "SELECT count(*) FROM sqlite_schema") == 0) {
-                Layout.found(s);
+                StateSchema.found(s);
                 syncer.folder(folder);
-                return Layout.NEWEST;
+                return StateSchema.NEWEST;
             }
-            Layout layout = Layout.of(format);
+            StateSchema layout = StateSchema.of(format);
             if (layout == null) {
-                throw new LedgerException("the ledger in " + folder + " is damaged, or of a later version: "
-                        + "its format is " + format + ", this program knows 0 to " + Layout.NEWEST.format()
+                throw new StateStoreException("the ledger in " + folder + " is damaged, or of a later version: "
+                        + "its format is " + format + ", this program knows 0 to " + StateSchema.NEWEST.format()
                         + "; it is left as it was");
             }
             layout.prepare(c, s);
@@ -136,11 +136,11 @@
     /**
      * What was written last, or null in a new ledger. It lasts: no loss of power after this takes it.
      *
-     * @throws LedgerException if it can't be read, or is damaged
+     * @throws StateStoreException if it can't be read, or is damaged
      */
-    public Entry read() throws LedgerException {
+    public Entry read() throws StateStoreException {
         try {
-            Layout.Stored stored = layout.read(connection);
+            StateSchema.Stored stored = layout.read(connection);
             if (stored == null) {
                 check();
                 return null;
@@ -149,20 +149,20 @@
                 check();
                 layout.write(connection, stored.entry());
             } else if (!stored.whole()) {
-                throw new LedgerException("the ledger's entry is damaged; remove it to join as a new office");
+                throw new StateStoreException("the ledger's entry is damaged; remove it to join as a new office");
             }
             return stored.entry();
         } catch (SQLException e) {
-            throw new LedgerException("the ledger can't be read: " + e.getMessage(), e);
+            throw new StateStoreException("the ledger can't be read: " + e.getMessage(), e);
         }
     }
 
     // Where no checksum tells: a damaged page may hide a row, or hold one of a program without checksums.
-    private void check() throws SQLException, LedgerException {
+    private void check() throws SQLException, StateStoreException {
         try (Statement s = connection.createStatement();
                 ResultSet r = s.executeQuery("PRAGMA quick_check")) {
             if (!"ok".equals(r.getString(1))) {
-                throw new LedgerException("the ledger is damaged: " + r.getString(1)
+                throw new StateStoreException("the ledger is damaged: " + r.getString(1)
                         + "; remove it to join as a new office");
             }
         }
@@ -171,22 +171,22 @@
     /**
      * Writes and syncs; it is on disk when this returns.
      *
-     * @throws LedgerException if it may not be
+     * @throws StateStoreException if it may not be
      */
-    public void write(String id, byte[] memory) throws LedgerException {
+    public void write(String id, byte[] memory) throws StateStoreException {
         try {
             layout.write(connection, new Entry(id, memory));
         } catch (SQLException e) {
-            throw new LedgerException("the ledger can't be written: " + e.getMessage(), e);
+            throw new StateStoreException("the ledger can't be written: " + e.getMessage(), e);
         }
     }
 
     @Override
-    public void close() throws LedgerException {
+    public void close() throws StateStoreException {
         try {
             connection.close();
         } catch (SQLException e) {
-            throw new LedgerException("the ledger can't be closed: " + e.getMessage(), e);
+            throw new StateStoreException("the ledger can't be closed: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
+++ b/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
@@ -28,10 +28,10 @@
             if (memory.decided() == null) {
                 p.packNil();
             } else {
-                Letters.decision(p, memory.decided());
+                PeerMessageCodec.decision(p, memory.decided());
             }
-            Letters.ballot(p, memory.promised());
-            Letters.vote(p, memory.vote());
+            PeerMessageCodec.ballot(p, memory.promised());
+            PeerMessageCodec.vote(p, memory.vote());
             p.packInt(FORMAT).packInt(READABLE_FROM);
             return p.toByteArray();
         } catch (IOException e) {
@@ -47,9 +47,9 @@
      */
     public static Acceptor.Memory read(byte[] bytes) throws IOException {
         try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
-            Decision decided = u.tryUnpackNil() ? null : Letters.decision(u);
-            Ballot promised = Letters.ballot(u);
-            Acceptor.Memory memory = new Acceptor.Memory(decided, promised, Letters.vote(u));
+            Decision decided = u.tryUnpackNil() ? null : PeerMessageCodec.decision(u);
+            Ballot promised = PeerMessageCodec.ballot(u);
+            Acceptor.Memory memory = new Acceptor.Memory(decided, promised, PeerMessageCodec.vote(u));
             checkFormat(u);
             return memory;
         } catch (RuntimeException e) {
--- a/src/main/java/whinlead/mesh/wire/Fields.java
+++ b/src/main/java/whinlead/mesh/wire/FieldCodec.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.wire;
 
 import whinlead.mesh.quota.Use;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,12 +10,12 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** How the values are written and read that letters of several kinds hold. For any thread. */
-final class Fields {
+final class FieldCodec {
     /** Lists longer than this are no letter of ours. */
     private static final int LIST_MOST = 1 << 16;
-    private static final Listing.Phase[] PHASES = Listing.Phase.values();
+    private static final EndpointRecord.Phase[] PHASES = EndpointRecord.Phase.values();
 
-    private Fields() { }
+    private FieldCodec() { }
 
     static void uses(MessageBufferPacker p, List<Use> uses) throws IOException {
         p.packInt(uses.size());
@@ -33,14 +33,14 @@
         return uses;
     }
 
-    static void listing(MessageBufferPacker p, Listing x) throws IOException {
+    static void listing(MessageBufferPacker p, EndpointRecord x) throws IOException {
         p.packString(x.node()).packLong(x.life()).packLong(x.seq()).packString(x.zone());
         p.packString(x.endpoint()).packString(x.target()).packInt(x.phase().ordinal());
         p.packInt(x.capacity()).packInt(x.warmMs());
     }
 
     // One in a phase that this version does not know is passed over: what was known of its node stands.
-    static Optional<Listing> listing(MessageUnpacker u) throws IOException {
+    static Optional<EndpointRecord> listing(MessageUnpacker u) throws IOException {
         String node = u.unpackString();
         long life = u.unpackLong();
         long seq = u.unpackLong();
@@ -54,7 +54,7 @@
             VersionEvents.PROCESS.passedOver("a listing in phase " + phase);
             return Optional.empty();
         }
-        return Optional.of(new Listing(node, life, seq, zone, endpoint, target, PHASES[phase], capacity,
+        return Optional.of(new EndpointRecord(node, life, seq, zone, endpoint, target, PHASES[phase], capacity,
                 warmMs));
     }
 
--- a/src/main/java/whinlead/mesh/wire/MalformedLetterException.java
+++ b/src/main/java/whinlead/mesh/wire/MalformedMessageException.java
@@ -3,17 +3,17 @@
 import java.io.IOException;
 
 /** Bytes that are no letter of the kind that they name. */
-public final class MalformedLetterException extends IOException {
+public final class MalformedMessageException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    private final LetterKind kind;
+    private final PeerMessageKind kind;
 
     /**
      * What is wrong with it.
      *
      * @param kind the kind that the bytes name, or null if they name none
      */
-    MalformedLetterException(LetterKind kind, Throwable cause) {
+    MalformedMessageException(PeerMessageKind kind, Throwable cause) {
         super("malformed " + (kind == null ? "letter" : kind) + ": " + cause.getMessage(), cause);
         this.kind = kind;
     }
--- a/src/main/java/whinlead/mesh/wire/Link.java
+++ b/src/main/java/whinlead/mesh/wire/PeerConnection.java
@@ -16,7 +16,7 @@
  * connection if nobody would say it again, for the new connection says all anew. One that is too long ends
  * it.
  */
-public final class Link {
+public final class PeerConnection {
     /** The longest letter: a request's body at most, and what goes around it. */
     public static final int LETTER_MOST = 24 << 20;
     private static final int LENGTH_BYTES = 4;
@@ -24,13 +24,13 @@
     /** Hears what comes. */
     public interface Ear {
         /** The link is up. */
-        void up(Link link);
+        void up(PeerConnection link);
 
         /** A letter came. */
-        void letter(Link link, Letter letter);
+        void letter(PeerConnection link, PeerMessage letter);
 
         /** The link is down; told once if it was up. */
-        void down(Link link);
+        void down(PeerConnection link);
     }
 
     private final Channel channel;
@@ -39,7 +39,7 @@
     /** What both sides speak; the least until the other side has said more. */
     private int version = ProtocolVersion.UNVERSIONED;
 
-    private Link(Channel channel) {
+    private PeerConnection(Channel channel) {
         this.channel = channel;
     }
 
@@ -56,9 +56,9 @@
     }
 
     /** Sends a letter; it is lost if the link goes down, or the other side does not know its kind yet. */
-    public void send(Letter letter) {
-        if (Letters.since(letter) <= version) {
-            send(Letters.write(letter));
+    public void send(PeerMessage letter) {
+        if (PeerMessageCodec.since(letter) <= version) {
+            send(PeerMessageCodec.write(letter));
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** Takes in the other side's versions; false, and the link is ended, if none is shared. */
-    private boolean agree(Letter.Hello hello) {
+    private boolean agree(PeerMessage.Hello hello) {
         boolean shared = ProtocolVersion.OURS.sharesOneWith(hello.versions());
         if (shared) {
             version = ProtocolVersion.OURS.agreedWith(hello.versions());
@@ -119,7 +119,7 @@
 
     private static final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
         private final Ear ear;
-        private Link link;
+        private PeerConnection link;
 
         private Reader(Ear ear) {
             this.ear = ear;
@@ -127,15 +127,15 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            link = new Link(ctx.channel());
+            link = new PeerConnection(ctx.channel());
             ear.up(link);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
             try {
-                read(Letters.read(ByteBufUtil.getBytes(frame)));
-            } catch (MalformedLetterException e) {
+                read(PeerMessageCodec.read(ByteBufUtil.getBytes(frame)));
+            } catch (MalformedMessageException e) {
                 VersionEvents.PROCESS.refused(link.peer, e.getMessage());
                 if (!e.repairedByRepetition()) {
                     ctx.close();
@@ -143,10 +143,10 @@
             }
         }
 
-        private void read(Letter letter) {
-            if (letter instanceof Letter.Unknown unknown) {
+        private void read(PeerMessage letter) {
+            if (letter instanceof PeerMessage.Unknown unknown) {
                 VersionEvents.PROCESS.passedOver(unknown.kind());
-            } else if (!(letter instanceof Letter.Hello hello) || link.agree(hello)) {
+            } else if (!(letter instanceof PeerMessage.Hello hello) || link.agree(hello)) {
                 ear.letter(link, letter);
             }
         }
--- a/src/main/java/whinlead/mesh/wire/Letter.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessage.java
@@ -3,11 +3,11 @@
 import whinlead.mesh.quota.Use;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Message;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRecord;
 import java.util.List;
 
 /** What the system's own processes say to each other. */
-public sealed interface Letter {
+public sealed interface PeerMessage {
     /** In place of a time of sending: the sender tells none. */
     long UNSTAMPED = Long.MIN_VALUE;
 
@@ -15,7 +15,7 @@
      * The first on every link: who it is, and whether an office. Whoever is greeted by one that names its
      * versions greets back.
      */
-    record Hello(String id, boolean office, ProtocolVersion versions) implements Letter {
+    record Hello(String id, boolean office, ProtocolVersion versions) implements PeerMessage {
         /** This program's greeting. */
         public Hello(String id, boolean office) {
             this(id, office, ProtocolVersion.OURS);
@@ -23,29 +23,29 @@
     }
 
     /** A letter of a later version, of which only the name of its kind is known. It is never written. */
-    record Unknown(String kind) implements Letter { }
+    record Unknown(String kind) implements PeerMessage { }
 
     /** Listings, one's own or passed on. */
-    record Post(List<Listing> listings) implements Letter { }
+    record Post(List<EndpointRecord> listings) implements PeerMessage { }
 
     /** A sidecar has this slot's configuration and wants to be told of a newer one. */
-    record Ask(long slot) implements Letter { }
+    record Ask(long slot) implements PeerMessage { }
 
     /** An office has this one. */
-    record Notice(long slot) implements Letter { }
+    record Notice(long slot) implements PeerMessage { }
 
     /** Asks for the newest. */
-    record Fetch() implements Letter { }
+    record Fetch() implements PeerMessage { }
 
     /** The newest known there, whole; {@code confirmed} tells that its office reaches a quorum. */
-    record News(Decision decision, boolean confirmed) implements Letter { }
+    record News(Decision decision, boolean confirmed) implements PeerMessage { }
 
     /**
      * Asks for a sign of life.
      *
      * @param sentAt when it was written, by the sender's steady clock in microseconds, or {@link #UNSTAMPED}
      */
-    record Ping(long number, long sentAt) implements Letter {
+    record Ping(long number, long sentAt) implements PeerMessage {
         /** One without a time of sending. */
         public Ping(long number) {
             this(number, UNSTAMPED);
@@ -59,22 +59,22 @@
      * @param id who answers
      * @param slot the newest decision that it has on disk, or -1
      */
-    record Pong(long number, String id, long slot) implements Letter { }
+    record Pong(long number, String id, long slot) implements PeerMessage { }
 
     /** A sidecar that reaches no office asks another sidecar which ones there are. */
-    record Seek() implements Letter { }
+    record Seek() implements PeerMessage { }
 
     /** The addresses of offices that are known here. */
-    record Offices(List<String> addresses) implements Letter { }
+    record Offices(List<String> addresses) implements PeerMessage { }
 
     /** About a ballot. */
-    record Paper(Message message) implements Letter { }
+    record Paper(Message message) implements PeerMessage { }
 
     /** A sidecar tells what it is asked for, and may ask for the sums. */
-    record Uses(List<Use> uses, boolean wanted) implements Letter { }
+    record Uses(List<Use> uses, boolean wanted) implements PeerMessage { }
 
     /** The sums over so many sidecars of the tenants that the one who asked has named. */
-    record Sums(int nodes, List<Use> totals) implements Letter { }
+    record Sums(int nodes, List<Use> totals) implements PeerMessage { }
 
     /**
      * A request on its way to an endpoint.
@@ -86,7 +86,7 @@
      * @param sentAt when it was written, by the sender's steady clock in microseconds, or {@link #UNSTAMPED}
      */
     record Parcel(long stream, String method, String uri, List<String> headers, byte[] body, int leftMs,
-            String target, String endpoint, int rank, long sentAt) implements Letter {
+            String target, String endpoint, int rank, long sentAt) implements PeerMessage {
         /** One without a time of sending. */
         public Parcel(long stream, String method, String uri, List<String> headers, byte[] body, int leftMs,
                 String target, String endpoint, int rank) {
@@ -107,14 +107,14 @@
      * @param stream the request's
      * @param whileRunning whether it is also to be ended where the endpoint is at work on it
      */
-    record Cancel(long stream, boolean whileRunning) implements Letter { }
+    record Cancel(long stream, boolean whileRunning) implements PeerMessage { }
 
     /** The endpoint's answer, whole, and how busy it is. */
     record Delivered(long stream, int status, List<String> headers, byte[] body, double util,
-            double perSecond) implements Letter { }
+            double perSecond) implements PeerMessage { }
 
     /** No answer, and how busy the endpoint is. */
-    record Returned(long stream, Why why, double util, double perSecond) implements Letter { }
+    record Returned(long stream, Why why, double util, double perSecond) implements PeerMessage { }
 
     /** Why there is no answer. */
     enum Why {
--- a/src/main/java/whinlead/mesh/wire/Letters.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
@@ -1,15 +1,15 @@
 package whinlead.mesh.wire;
 
-import static whinlead.mesh.wire.Fields.bytes;
-import static whinlead.mesh.wire.Fields.listing;
-import static whinlead.mesh.wire.Fields.size;
-import static whinlead.mesh.wire.Fields.strings;
-import static whinlead.mesh.wire.Fields.uses;
+import static whinlead.mesh.wire.FieldCodec.bytes;
+import static whinlead.mesh.wire.FieldCodec.listing;
+import static whinlead.mesh.wire.FieldCodec.size;
+import static whinlead.mesh.wire.FieldCodec.strings;
+import static whinlead.mesh.wire.FieldCodec.uses;
 
 import whinlead.mesh.consensus.Ballot;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Message;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,15 +19,15 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Letters as MessagePack: a tag, then the fields in their order. For any thread.
+ * PeerMessageCodec as MessagePack: a tag, then the fields in their order. For any thread.
  *
  * <p>Versions: a letter grows by fields at its end only, each with a default that stands where an older
  * program has not sent it; an older reader passes over what it does not know. A field may be left out only
  * while it is the last one. What stands inside a list or another value can't grow: new fields of a listing go
  * into a list of their own at the letter's end. A new kind is sent only where {@link #since} allows it.
  */
-public final class Letters {
-    private static final Letter.Why[] REASONS = Letter.Why.values();
+public final class PeerMessageCodec {
+    private static final PeerMessage.Why[] REASONS = PeerMessage.Why.values();
 
     /** Names a kind of letter or ballot message that this version does not know. */
     private static final class UnknownKindException extends IOException {
@@ -38,23 +38,23 @@
         }
     }
 
-    private Letters() { }
+    private PeerMessageCodec() { }
 
     /** Writes a letter. */
-    public static byte[] write(Letter letter) {
+    public static byte[] write(PeerMessage letter) {
         try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-            if (letter instanceof Letter.Parcel l) {
+            if (letter instanceof PeerMessage.Parcel l) {
                 p.packByte((byte) 10).packLong(l.stream()).packString(l.method()).packString(l.uri());
                 strings(p, l.headers());
                 bytes(p, l.body());
                 p.packInt(l.leftMs()).packString(l.target()).packString(l.endpoint()).packInt(l.rank());
                 stamp(p, l.sentAt());
-            } else if (letter instanceof Letter.Delivered l) {
+            } else if (letter instanceof PeerMessage.Delivered l) {
                 p.packByte((byte) 11).packLong(l.stream()).packInt(l.status());
                 strings(p, l.headers());
                 bytes(p, l.body());
                 p.packDouble(l.util()).packDouble(l.perSecond());
-            } else if (letter instanceof Letter.Returned l) {
+            } else if (letter instanceof PeerMessage.Returned l) {
                 p.packByte((byte) 12).packLong(l.stream()).packInt(l.why().ordinal());
                 p.packDouble(l.util()).packDouble(l.perSecond());
             } else {
@@ -66,119 +66,119 @@
         }
     }
 
-    private static void rest(MessageBufferPacker p, Letter letter) throws IOException {
-        if (letter instanceof Letter.Hello l) {
+    private static void rest(MessageBufferPacker p, PeerMessage letter) throws IOException {
+        if (letter instanceof PeerMessage.Hello l) {
             p.packByte((byte) 1).packString(l.id()).packBoolean(l.office());
             p.packInt(l.versions().newest()).packInt(l.versions().oldest());
-        } else if (letter instanceof Letter.Post l) {
+        } else if (letter instanceof PeerMessage.Post l) {
             p.packByte((byte) 2).packInt(l.listings().size());
-            for (Listing x : l.listings()) {
+            for (EndpointRecord x : l.listings()) {
                 listing(p, x);
             }
-        } else if (letter instanceof Letter.Ask l) {
+        } else if (letter instanceof PeerMessage.Ask l) {
             p.packByte((byte) 3).packLong(l.slot());
-        } else if (letter instanceof Letter.Notice l) {
+        } else if (letter instanceof PeerMessage.Notice l) {
             p.packByte((byte) 4).packLong(l.slot());
-        } else if (letter instanceof Letter.Fetch) {
+        } else if (letter instanceof PeerMessage.Fetch) {
             p.packByte((byte) 5);
-        } else if (letter instanceof Letter.News l) {
+        } else if (letter instanceof PeerMessage.News l) {
             p.packByte((byte) 6);
             decision(p, l.decision());
             p.packBoolean(l.confirmed());
-        } else if (letter instanceof Letter.Ping l) {
+        } else if (letter instanceof PeerMessage.Ping l) {
             p.packByte((byte) 7).packLong(l.number());
             stamp(p, l.sentAt());
-        } else if (letter instanceof Letter.Pong l) {
+        } else if (letter instanceof PeerMessage.Pong l) {
             p.packByte((byte) 8).packLong(l.number()).packString(l.id()).packLong(l.slot());
-        } else if (letter instanceof Letter.Paper l) {
+        } else if (letter instanceof PeerMessage.Paper l) {
             p.packByte((byte) 9);
             message(p, l.message());
-        } else if (letter instanceof Letter.Uses l) {
+        } else if (letter instanceof PeerMessage.Uses l) {
             p.packByte((byte) 13);
             uses(p, l.uses());
             p.packBoolean(l.wanted());
-        } else if (letter instanceof Letter.Sums l) {
+        } else if (letter instanceof PeerMessage.Sums l) {
             p.packByte((byte) 14).packInt(l.nodes());
             uses(p, l.totals());
-        } else if (letter instanceof Letter.Seek) {
+        } else if (letter instanceof PeerMessage.Seek) {
             p.packByte((byte) 15);
-        } else if (letter instanceof Letter.Offices l) {
+        } else if (letter instanceof PeerMessage.Offices l) {
             p.packByte((byte) 16);
             strings(p, l.addresses());
-        } else if (letter instanceof Letter.Cancel l) {
+        } else if (letter instanceof PeerMessage.Cancel l) {
             p.packByte((byte) 17).packLong(l.stream()).packBoolean(l.whileRunning());
         }
     }
 
     // A last field that older versions neither write nor read.
     private static void stamp(MessageBufferPacker p, long sentAt) throws IOException {
-        if (sentAt != Letter.UNSTAMPED) {
+        if (sentAt != PeerMessage.UNSTAMPED) {
             p.packLong(sentAt);
         }
     }
 
     private static long stamp(MessageUnpacker u) throws IOException {
-        return u.hasNext() ? u.unpackLong() : Letter.UNSTAMPED;
+        return u.hasNext() ? u.unpackLong() : PeerMessage.UNSTAMPED;
     }
 
     /** The first protocol version whose readers know this letter's kind. */
-    static int since(Letter letter) {
-        return letter instanceof Letter.Cancel ? ProtocolVersion.TOLERANT : ProtocolVersion.UNVERSIONED;
+    static int since(PeerMessage letter) {
+        return letter instanceof PeerMessage.Cancel ? ProtocolVersion.TOLERANT : ProtocolVersion.UNVERSIONED;
     }
 
     /**
-     * Reads a letter. One of a kind that this version does not know is {@link Letter.Unknown}; fields that it
+     * Reads a letter. One of a kind that this version does not know is {@link PeerMessage.Unknown}; fields that it
      * does not know are passed over.
      *
-     * @throws MalformedLetterException if these bytes are none
+     * @throws MalformedMessageException if these bytes are none
      */
-    public static Letter read(byte[] bytes) throws MalformedLetterException {
-        LetterKind kind = null;
+    public static PeerMessage read(byte[] bytes) throws MalformedMessageException {
+        PeerMessageKind kind = null;
         try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
             byte tag = u.unpackByte();
-            kind = LetterKind.of(tag);
-            Letter letter = read(tag, u);
-            if (!(letter instanceof Letter.Unknown) && u.hasNext()) {
+            kind = PeerMessageKind.of(tag);
+            PeerMessage letter = read(tag, u);
+            if (!(letter instanceof PeerMessage.Unknown) && u.hasNext()) {
                 VersionEvents.PROCESS.passedOver("a field of " + kind);
             }
             return letter;
         } catch (UnknownKindException e) {
-            return new Letter.Unknown(e.getMessage());
+            return new PeerMessage.Unknown(e.getMessage());
         } catch (IOException | RuntimeException e) {
             // The library's own errors, and numbers that name nothing.
-            throw new MalformedLetterException(kind, e);
+            throw new MalformedMessageException(kind, e);
         }
     }
 
-    private static Letter read(byte tag, MessageUnpacker u) throws IOException {
+    private static PeerMessage read(byte tag, MessageUnpacker u) throws IOException {
         return switch (tag) {
-            case 1 -> new Letter.Hello(u.unpackString(), u.unpackBoolean(), versions(u));
+            case 1 -> new PeerMessage.Hello(u.unpackString(), u.unpackBoolean(), versions(u));
             case 2 -> {
                 int n = size(u.unpackInt());
-                List<Listing> list = new ArrayList<>();
+                List<EndpointRecord> list = new ArrayList<>();
                 for (int i = 0; i < n; i++) {
                     listing(u).ifPresent(list::add);
                 }
-                yield new Letter.Post(list);
+                yield new PeerMessage.Post(list);
             }
-            case 3 -> new Letter.Ask(u.unpackLong());
-            case 4 -> new Letter.Notice(u.unpackLong());
-            case 5 -> new Letter.Fetch();
-            case 6 -> new Letter.News(decision(u), u.unpackBoolean());
-            case 7 -> new Letter.Ping(u.unpackLong(), stamp(u));
-            case 8 -> new Letter.Pong(u.unpackLong(), u.unpackString(), u.unpackLong());
-            case 9 -> new Letter.Paper(message(u));
-            case 10 -> new Letter.Parcel(u.unpackLong(), u.unpackString(), u.unpackString(), strings(u),
+            case 3 -> new PeerMessage.Ask(u.unpackLong());
+            case 4 -> new PeerMessage.Notice(u.unpackLong());
+            case 5 -> new PeerMessage.Fetch();
+            case 6 -> new PeerMessage.News(decision(u), u.unpackBoolean());
+            case 7 -> new PeerMessage.Ping(u.unpackLong(), stamp(u));
+            case 8 -> new PeerMessage.Pong(u.unpackLong(), u.unpackString(), u.unpackLong());
+            case 9 -> new PeerMessage.Paper(message(u));
+            case 10 -> new PeerMessage.Parcel(u.unpackLong(), u.unpackString(), u.unpackString(), strings(u),
                     bytes(u), u.unpackInt(), u.unpackString(), u.unpackString(), u.unpackInt(), stamp(u));
-            case 11 -> new Letter.Delivered(u.unpackLong(), u.unpackInt(), strings(u), bytes(u),
+            case 11 -> new PeerMessage.Delivered(u.unpackLong(), u.unpackInt(), strings(u), bytes(u),
                     u.unpackDouble(), u.unpackDouble());
-            case 12 -> new Letter.Returned(u.unpackLong(), why(u.unpackInt()),
+            case 12 -> new PeerMessage.Returned(u.unpackLong(), why(u.unpackInt()),
                     u.unpackDouble(), u.unpackDouble());
-            case 13 -> new Letter.Uses(uses(u), u.unpackBoolean());
-            case 14 -> new Letter.Sums(u.unpackInt(), uses(u));
-            case 15 -> new Letter.Seek();
-            case 16 -> new Letter.Offices(strings(u));
-            case 17 -> new Letter.Cancel(u.unpackLong(), u.unpackBoolean());
+            case 13 -> new PeerMessage.Uses(uses(u), u.unpackBoolean());
+            case 14 -> new PeerMessage.Sums(u.unpackInt(), uses(u));
+            case 15 -> new PeerMessage.Seek();
+            case 16 -> new PeerMessage.Offices(strings(u));
+            case 17 -> new PeerMessage.Cancel(u.unpackLong(), u.unpackBoolean());
             default -> throw new UnknownKindException("letter " + tag);
         };
     }
@@ -189,10 +189,10 @@
     }
 
     // A reason that this version does not know promises nothing: the request may have run.
-    private static Letter.Why why(int number) {
+    private static PeerMessage.Why why(int number) {
         if (number < 0 || number >= REASONS.length) {
             VersionEvents.PROCESS.passedOver("reason " + number + " of RETURNED");
-            return Letter.Why.BROKEN;
+            return PeerMessage.Why.BROKEN;
         }
         return REASONS[number];
     }
--- a/src/main/java/whinlead/mesh/wire/LetterKind.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessageKind.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.wire;
 
 /** The kinds of letters, by the tag that stands first in the bytes of each. */
-public enum LetterKind {
+public enum PeerMessageKind {
     HELLO(1, false),
     POST(2, false),
     ASK(3, false),
@@ -23,14 +23,14 @@
     private final int tag;
     private final boolean repeated;
 
-    LetterKind(int tag, boolean repeated) {
+    PeerMessageKind(int tag, boolean repeated) {
         this.tag = tag;
         this.repeated = repeated;
     }
 
     /** The kind with this tag, or null if this version knows none. */
-    static LetterKind of(int tag) {
-        for (LetterKind kind : values()) {
+    static PeerMessageKind of(int tag) {
+        for (PeerMessageKind kind : values()) {
             if (kind.tag == tag) {
                 return kind;
             }
--- a/src/main/java/whinlead/mesh/wire/ProtocolVersion.java
+++ b/src/main/java/whinlead/mesh/wire/ProtocolVersion.java
@@ -2,7 +2,7 @@
 
 /**
  * The versions of the peer protocol that one program speaks. Both sides of a connection say theirs in
- * {@link Letter.Hello}; the connection speaks the lower of both newest ones.
+ * {@link PeerMessage.Hello}; the connection speaks the lower of both newest ones.
  *
  * @param newest the newest one that it speaks
  * @param oldest the oldest one that it still speaks
--- a/src/main/java/whinlead/mesh/wire/Tie.java
+++ b/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
@@ -13,7 +13,7 @@
  * A link that is kept: dialled again when it is down, and watched by pings, for a machine without power and
  * one behind a cut say nothing. On its loop's thread.
  */
-public final class Tie {
+public final class ReconnectingConnection {
     /** Where it stands. */
     public enum State {
         /** Not connected. */
@@ -41,13 +41,13 @@
     /** Hears of it. */
     public interface Owner {
         /** It stands differently. */
-        void changed(Tie tie, State before);
+        void changed(ReconnectingConnection tie, State before);
 
         /** A letter came. */
-        void letter(Tie tie, Letter letter);
+        void letter(ReconnectingConnection tie, PeerMessage letter);
 
         /** A ping that left at this time, by the loop's steady clock in milliseconds, was answered. */
-        default void echoed(double sentAt, Letter.Pong pong) { }
+        default void echoed(double sentAt, PeerMessage.Pong pong) { }
 
         /** Whether a sign of life is asked for whatever else comes: only its answer tells of contact. */
         default boolean steady() {
@@ -56,7 +56,7 @@
 
         /** What is put on a ping as its time of sending, in microseconds of a steady clock. */
         default long stamp() {
-            return Letter.UNSTAMPED;
+            return PeerMessage.UNSTAMPED;
         }
 
         /** Whether something is waited for; if not, a sign of life is asked for less often. */
@@ -74,11 +74,11 @@
 
     private final EventLoop loop;
     private final SocketAddress address;
-    private final Letter hello;
+    private final PeerMessage hello;
     private final Pace pace;
     private final Owner owner;
     private State state = State.DOWN;
-    private Link link;
+    private PeerConnection link;
     private Future<?> timer;
     private long heardAt;
     /** When the last pings left, by their number. */
@@ -87,7 +87,7 @@
     private boolean pinged;
 
     /** A tie that is not yet dialled. */
-    public Tie(EventLoop loop, SocketAddress address, Letter hello, Pace pace, Owner owner) {
+    public ReconnectingConnection(EventLoop loop, SocketAddress address, PeerMessage hello, Pace pace, Owner owner) {
         this.loop = loop;
         this.address = address;
         this.hello = hello;
@@ -103,7 +103,7 @@
         to(State.DIALLING);
         new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(Link.handlers(new Ear())).connect(address).addListener(f -> {
+                .handler(PeerConnection.handlers(new Ear())).connect(address).addListener(f -> {
                     if (!f.isSuccess()) {
                         lost();
                     }
@@ -121,7 +121,7 @@
     }
 
     /** Sends a letter; false if the link is down. */
-    public boolean send(Letter letter) {
+    public boolean send(PeerMessage letter) {
         boolean can = link != null && link.open();
         if (can) {
             link.send(letter);
@@ -185,12 +185,12 @@
     private void ping() {
         pinged = true;
         sentAt[(int) (++pings % PINGS_OUT)] = System.nanoTime() / NANOS;
-        link.send(new Letter.Ping(pings, owner.stamp()));
+        link.send(new PeerMessage.Ping(pings, owner.stamp()));
     }
 
-    private final class Ear implements Link.Ear {
+    private final class Ear implements PeerConnection.Ear {
         @Override
-        public void up(Link up) {
+        public void up(PeerConnection up) {
             if (state == State.CLOSED) {
                 up.close();
                 return;
@@ -199,7 +199,7 @@
             heardAt = System.nanoTime();
             pinged = false;
             up.send(hello);
-            if (owner.stamp() != Letter.UNSTAMPED) {
+            if (owner.stamp() != PeerMessage.UNSTAMPED) {
                 // Ahead of all else: what comes later is compared with how long this was on its way.
                 ping();
             }
@@ -208,23 +208,23 @@
         }
 
         @Override
-        public void letter(Link from, Letter letter) {
+        public void letter(PeerConnection from, PeerMessage letter) {
             heardAt = System.nanoTime();
             pinged = false;
-            if (letter instanceof Letter.Pong pong && pong.number() <= pings
+            if (letter instanceof PeerMessage.Pong pong && pong.number() <= pings
                     && pong.number() > pings - PINGS_OUT && pong.number() > 0) {
                 owner.echoed(sentAt[(int) (pong.number() % PINGS_OUT)], pong);
             }
             if (state == State.SUSPECT) {
                 to(State.UP);
             }
-            if (!(letter instanceof Letter.Hello)) {
-                owner.letter(Tie.this, letter);
+            if (!(letter instanceof PeerMessage.Hello)) {
+                owner.letter(ReconnectingConnection.this, letter);
             }
         }
 
         @Override
-        public void down(Link down) {
+        public void down(PeerConnection down) {
             if (link == down) {
                 lost();
             }
--- a/src/main/java/whinlead/mesh/wire/TransitClock.java
+++ b/src/main/java/whinlead/mesh/wire/TransitClock.java
@@ -35,7 +35,7 @@
      * @param sentAt the message's stamp in microseconds; one without a stamp is not known to have waited
      */
     public double waited(double now, long sentAt) {
-        if (sentAt == Letter.UNSTAMPED) {
+        if (sentAt == PeerMessage.UNSTAMPED) {
             return 0;
         }
         turnWindow(now);
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -11,7 +11,7 @@
 import whinlead.loop.LoopTimers;
 import whinlead.membership.Discovery;
 import whinlead.membership.EndpointList;
-import whinlead.mesh.run.Post;
+import whinlead.mesh.run.MeshCommand;
 import whinlead.signals.Hangup;
 import whinlead.testbed.mesh.Walk;
 import whinlead.transport.EndpointPool;
@@ -70,8 +70,8 @@
         // Guards against what the planner's libraries log by: Netty would find it, and a sidecar load it and
         // be told on standard error that it logs nowhere.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        if (args.length > 0 && Post.knows(args[0])) {
-            Post.main(args);
+        if (args.length > 0 && MeshCommand.knows(args[0])) {
+            MeshCommand.main(args);
             return;
         }
         switch (args.length == 1 ? args[0] : "") {
--- a/src/main/java/whinlead/testbed/mesh/CouncilPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/CouncilPlay.java
@@ -1,7 +1,7 @@
 package whinlead.testbed.mesh;
 
 import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Acceptor;
 import whinlead.mesh.consensus.Message;
@@ -42,10 +42,10 @@
     private record Due(double at, long order, Runnable task) { }
 
     /** An office's machine. */
-    private final class Machine implements Council.Actions {
+    private final class Machine implements ConsensusNode.Actions {
         private final String address;
         private String id;
-        private Council council;
+        private ConsensusNode council;
         private Acceptor.Memory disk;
         private int life;
         private boolean up = true;
@@ -62,7 +62,7 @@
         private void boot() {
             up = true;
             life++;
-            council = new Council(id, disk, random.nextLong(), this);
+            council = new ConsensusNode(id, disk, random.nextLong(), this);
             int mine = life;
             ticks = -1;
             tick(mine);
@@ -126,7 +126,7 @@
                     }
                 });
             } else {
-                Machine m = machines.get(Council.address(to));
+                Machine m = machines.get(ConsensusNode.address(to));
                 if (m != null) {
                     message(this, m, to, message);
                 }
@@ -172,7 +172,7 @@
         }
 
         @Override
-        public void replaced(long call, Council.Verdict verdict) {
+        public void replaced(long call, ConsensusNode.Verdict verdict) {
             ended(call, verdict);
         }
 
@@ -224,7 +224,7 @@
 
     private Outcome play() {
         for (String id : founders) {
-            machines.put(Council.address(id), new Machine(Council.address(id), id,
+            machines.put(ConsensusNode.address(id), new Machine(ConsensusNode.address(id), id,
                     new Acceptor.Memory(Decision.founding(founders), Ballot.NONE, null)));
         }
         double step = CALM / CALLS;
@@ -299,8 +299,8 @@
         });
     }
 
-    private void ended(long call, Council.Verdict verdict) {
-        if (verdict != Council.Verdict.TAKEN) {
+    private void ended(long call, ConsensusNode.Verdict verdict) {
+        if (verdict != ConsensusNode.Verdict.TAKEN) {
             return;
         }
         Sent s = sent.get(call);
--- a/src/main/java/whinlead/testbed/mesh/RelayedRole.java
+++ b/src/main/java/whinlead/testbed/mesh/RelayedRole.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.mesh;
 
-import whinlead.mesh.run.Post;
+import whinlead.mesh.run.MeshCommand;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -24,7 +24,7 @@
     public static void main(String... args) throws IOException {
         Map<InetSocketAddress, InetSocketAddress> relays = read(Files.readAllLines(Path.of(
                 System.getProperty(RELAYS))));
-        Post.run(address -> relays.getOrDefault(address, address), args);
+        MeshCommand.run(address -> relays.getOrDefault(address, address), args);
     }
 
     private static Map<InetSocketAddress, InetSocketAddress> read(List<String> lines) {
--- a/src/main/java/whinlead/testbed/mesh/Walk.java
+++ b/src/main/java/whinlead/testbed/mesh/Walk.java
@@ -1,9 +1,9 @@
 package whinlead.testbed.mesh;
 
-import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.settings.NodeSettingsReader;
 import whinlead.mesh.sidecar.Sidecar;
 import whinlead.mesh.log.Logs;
-import whinlead.mesh.control.Office;
+import whinlead.mesh.control.ControlNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -45,10 +45,10 @@
     public static int run() throws Exception {
         Logs.start();
         Cards cards = new Cards(1);
-        CardReader reader = new CardReader(new ObjectMapper());
+        NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         Path data = Files.createTempDirectory("walk");
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        new Office(reader.parse(cards.office(0, data.toString(), true)), loop, new ObjectMapper()).start();
+        new ControlNode(reader.parse(cards.office(0, data.toString(), true)), loop, new ObjectMapper()).start();
         int served = 0;
         try (StandInApp a = new StandInApp("i-a", "svc", cards.app(0), cards.beats(0));
                 StandInApp b = new StandInApp("i-b", "svc", cards.app(1), cards.beats(1))) {
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -3,9 +3,9 @@
 import whinlead.plan.Calendar;
 import whinlead.mesh.sidecar.EndpointLine;
 import whinlead.mesh.sidecar.Round;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.mesh.wire.ReconnectingConnection;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.HashMap;
@@ -30,7 +30,7 @@
     private final AnswerBug bug;
     private final EndpointLine line;
     private final Map<Long, EndpointLine.Sent> sent = new HashMap<>();
-    private Tie.State state = Tie.State.DOWN;
+    private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
     private int connection;
     private double thereAt;
     private double backAt;
@@ -44,56 +44,56 @@
         this.line = new EndpointLine(calendar, endpoint::connect);
     }
 
-    private void to(Tie.State next) {
-        Tie.State before = state;
+    private void to(ReconnectingConnection.State next) {
+        ReconnectingConnection.State before = state;
         state = next;
         ear.changed(next, before);
     }
 
     /** Ends the connection and makes another: a planted fault. */
     void reconnect() {
-        if (state == Tie.State.UP) {
+        if (state == ReconnectingConnection.State.UP) {
             connection++;
-            to(Tie.State.DOWN);
+            to(ReconnectingConnection.State.DOWN);
             calendar.after(REDIAL_MS, this::dial);
         }
     }
 
     @Override
     public void dial() {
-        to(Tie.State.DIALLING);
-        calendar.after(DIAL_MS, () -> to(Tie.State.UP));
+        to(ReconnectingConnection.State.DIALLING);
+        calendar.after(DIAL_MS, () -> to(ReconnectingConnection.State.UP));
     }
 
     @Override
-    public Tie.State state() {
+    public ReconnectingConnection.State state() {
         return state;
     }
 
     @Override
     public void close() {
         connection++;
-        to(Tie.State.CLOSED);
+        to(ReconnectingConnection.State.CLOSED);
     }
 
     @Override
-    public boolean send(Letter letter) {
-        byte[] written = Letters.write(letter);
+    public boolean send(PeerMessage letter) {
+        byte[] written = PeerMessageCodec.write(letter);
         int mine = connection;
         thereAt = Math.max(thereAt, calendar.now() + random.nextInt(3));
         calendar.at(thereAt, () -> {
-            Letter read = read(written);
-            if (read instanceof Letter.Parcel parcel) {
+            PeerMessage read = read(written);
+            if (read instanceof PeerMessage.Parcel parcel) {
                 take(parcel, answer -> answer(mine, answer));
-            } else if (read instanceof Letter.Cancel cancel && sent.containsKey(cancel.stream())) {
+            } else if (read instanceof PeerMessage.Cancel cancel && sent.containsKey(cancel.stream())) {
                 sent.get(cancel.stream()).cancel(cancel.whileRunning());
             }
         });
         return true;
     }
 
-    private void answer(int mine, Letter letter) {
-        byte[] written = Letters.write(letter);
+    private void answer(int mine, PeerMessage letter) {
+        byte[] written = PeerMessageCodec.write(letter);
         backAt = Math.max(backAt, calendar.now() + random.nextInt(3));
         calendar.at(backAt, () -> {
             if (mine == connection) {
@@ -102,17 +102,17 @@
         });
     }
 
-    private static Letter read(byte[] written) {
+    private static PeerMessage read(byte[] written) {
         try {
-            return Letters.read(written);
+            return PeerMessageCodec.read(written);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void take(Letter.Parcel parcel, Consumer<Letter> answer) {
+    private void take(PeerMessage.Parcel parcel, Consumer<PeerMessage> answer) {
         if (random.nextInt(FULL_ONE_OF) == 0) {
-            answer.accept(new Letter.Returned(parcel.stream(), Letter.Why.FULL, 0, 0));
+            answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.FULL, 0, 0));
             return;
         }
         boolean[] told = {false};
@@ -127,19 +127,19 @@
             calendar.after(SILENCE_MS, () -> {
                 if (!told[0]) {
                     told[0] = true;
-                    answer.accept(new Letter.Returned(parcel.stream(), Letter.Why.BROKEN, 0, 0));
+                    answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.BROKEN, 0, 0));
                 }
             });
         }
     }
 
-    private Letter passedOn(Letter.Parcel parcel, Letter letter) {
-        boolean spoilt = letter instanceof Letter.Returned r && r.why() == Letter.Why.BROKEN;
+    private PeerMessage passedOn(PeerMessage.Parcel parcel, PeerMessage letter) {
+        boolean spoilt = letter instanceof PeerMessage.Returned r && r.why() == PeerMessage.Why.BROKEN;
         if (bug != AnswerBug.PASSES_HEADERS_OF_SPOILT_ANSWERS || !spoilt) {
             return letter;
         }
         String id = parcel.headers().get(parcel.headers().indexOf("Attempt-Id") + 1);
-        return new Letter.Delivered(parcel.stream(), 502, List.of("Attempt-Id", id, "Server-Seal",
+        return new PeerMessage.Delivered(parcel.stream(), 502, List.of("Attempt-Id", id, "Server-Seal",
                 AnswerEndpoint.seal(id, 200)), new byte[0], 0, 0);
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -1,12 +1,12 @@
 package whinlead.testbed.mesh.hardening;
 
 import whinlead.plan.Calendar;
-import whinlead.mesh.settings.Card;
+import whinlead.mesh.settings.NodeSettings;
 import whinlead.mesh.sidecar.ClientSide;
 import whinlead.mesh.sidecar.Round;
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.config.Routing;
-import whinlead.mesh.config.Tariff;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.config.MeshConfig;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -36,7 +36,7 @@
     private static final double TICK = 100;
     private static final String SERVICE = "svc";
     private static final List<String> PREFIXES = List.of("/read/", "/sign/", "/load/");
-    private static final List<String> KINDS = List.of(Tariff.IDEMPOTENT, Tariff.MUTATING, Tariff.INGEST);
+    private static final List<String> KINDS = List.of(MeshConfig.IDEMPOTENT, MeshConfig.MUTATING, MeshConfig.INGEST);
 
     private final Calendar calendar = new Calendar();
     private final SplittableRandom random;
@@ -48,22 +48,22 @@
     private final Map<String, Long> figures = new TreeMap<>();
     private final double[] deadlines = {2, 2, 3};
     private final ClientSide sidecar;
-    private Routing routing;
+    private RoutingTable routing;
     private double termAt = Double.POSITIVE_INFINITY;
     private boolean ended;
 
     private AnswerPlay(long seed, AnswerBug bug) {
         this.random = new SplittableRandom(seed);
         this.bug = bug;
-        Card card = new Card(new Card.Self("near", "127.0.0.1", "z", false, null, null, null, null),
-                new Card.Network(new Card.Bind(null, null, null, null), List.of(1, 1), List.of()),
-                new Card.Substrate(1),
-                new Card.Clauses(new Card.Bounds(2.5, GRACE_S, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
-        List<Listing> listings = new ArrayList<>();
+        NodeSettings card = new NodeSettings(new NodeSettings.Self("near", "127.0.0.1", "z", false, null, null, null, null),
+                new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(1, 1), List.of()),
+                new NodeSettings.Substrate(1),
+                new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, GRACE_S, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
+        List<EndpointRecord> listings = new ArrayList<>();
         for (int i = 0; i < FARS; i++) {
             endpoints.add(new AnswerEndpoint(calendar, random.split(), new Work(),
                     bug == AnswerBug.TAKES_RESET_FOR_END));
-            listings.add(new Listing(Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, Listing.Phase.SERVING,
+            listings.add(new EndpointRecord(Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, EndpointRecord.Phase.SERVING,
                     CAPACITY, 0));
         }
         Round round = new Round(calendar, task -> calendar.after(0, task), "near", (parcel, done) -> { },
@@ -80,14 +80,14 @@
         return path;
     }
 
-    private Routing routing(long slot, List<String> prefixes, String service) {
-        Map<String, Tariff.Route> routes = new LinkedHashMap<>();
+    private RoutingTable routing(long slot, List<String> prefixes, String service) {
+        Map<String, MeshConfig.Route> routes = new LinkedHashMap<>();
         for (int i = 0; i < prefixes.size(); i++) {
-            routes.put("r-" + i, new Tariff.Route("h", prefixes.get(i), KINDS.get(i), deadlines[i], 0.5, 1,
+            routes.put("r-" + i, new MeshConfig.Route("h", prefixes.get(i), KINDS.get(i), deadlines[i], 0.5, 1,
                     null, service, 2, true));
         }
-        return new Routing(slot, new Tariff("00000001", routes,
-                Map.of(service, new Tariff.Service("/health", 100)), new Tariff.Limits(16384, 1000, 3, 15),
+        return new RoutingTable(slot, new MeshConfig("00000001", routes,
+                Map.of(service, new MeshConfig.Service("/health", 100)), new MeshConfig.Limits(16384, 1000, 3, 15),
                 null));
     }
 
@@ -219,7 +219,7 @@
 
         private Request(String id, int route) {
             this.id = id;
-            this.repeatable = KINDS.get(route).equals(Tariff.IDEMPOTENT);
+            this.repeatable = KINDS.get(route).equals(MeshConfig.IDEMPOTENT);
             int deadline = 300 + random.nextInt(4000);
             this.endAt = sentAt + Math.min(deadline, deadlines[route] * MS);
             requests.put(id, this);
