--- a/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
@@ -1,7 +1,7 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Council;
-import whinlead.mesh.control.Bodies;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.control.ConfigCodec;
 import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.nio.charset.StandardCharsets;
 
@@ -30,7 +30,7 @@
     private static final double PATIENCE = 8000;
     private static final double MOST = 120_000;
     private static final int ROUTES = 350;
-    private static final byte[] LARGE = Bodies.deflate(routes().getBytes(StandardCharsets.UTF_8));
+    private static final byte[] LARGE = ConfigCodec.deflate(routes().getBytes(StandardCharsets.UTF_8));
 
     private final Core core;
     private final Operators operators;
@@ -202,7 +202,7 @@
         Change c = operators.change(behind);
         core.checker().count("orders put to a member at its return");
         member.loop(() -> member.replace(c, operators.body(c), verdict -> {
-            if (verdict == Council.Verdict.TAKEN) {
+            if (verdict == ConsensusNode.Verdict.TAKEN) {
                 // It was not behind.
                 base = Math.max(base, c.version());
             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Core.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Core.java
@@ -1,7 +1,7 @@
 package whinlead.testbed.mesh.hardening;
 
 import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Acceptor;
 import java.util.ArrayList;
@@ -53,7 +53,7 @@
         for (int i = 0; i < size; i++) {
             founders.add((char) ('a' + i) + "#0");
         }
-        founders.forEach(id -> add(Council.address(id), new Disk.Entry(id,
+        founders.forEach(id -> add(ConsensusNode.address(id), new Disk.Entry(id,
                 new Acceptor.Memory(Decision.founding(founders), Ballot.NONE, null))));
     }
 
@@ -123,7 +123,7 @@
      */
     List<String> seeds(String self) {
         if (now() == 0) {
-            return founders.stream().map(Council::address).limit(SEEDS).toList();
+            return founders.stream().map(ConsensusNode::address).limit(SEEDS).toList();
         }
         List<String> left = new ArrayList<>(listed);
         List<String> seeds = new ArrayList<>();
--- a/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -134,7 +134,7 @@
     private void again(Operators.Order o, String at) {
         operators.repeat(o, at, verdict -> {
             core.checker().count("calls of a change that was taken, again: " + verdict);
-            if (verdict != Council.Verdict.TAKEN && verdict != Council.Verdict.UNCLEAR) {
+            if (verdict != ConsensusNode.Verdict.TAKEN && verdict != ConsensusNode.Verdict.UNCLEAR) {
                 core.checker().broke("a change that was taken was sent again to " + at + " and was refused: "
                         + o.change());
             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
@@ -1,7 +1,7 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.storage.Ledger;
-import whinlead.mesh.storage.LedgerException;
+import whinlead.mesh.storage.StateStore;
+import whinlead.mesh.storage.StateStoreException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -85,7 +85,7 @@
         for (int life = 0; life < LIVES && broken.isEmpty(); life++) {
             try {
                 live();
-            } catch (LedgerException e) {
+            } catch (StateStoreException e) {
                 broken.add("life " + life + ": " + e.getMessage());
             }
         }
@@ -103,11 +103,11 @@
     }
 
     // From an opening of what the last life left to its own end.
-    private void live() throws IOException, LedgerException {
+    private void live() throws IOException, StateStoreException {
         Path folder = Files.createDirectory(base.resolve("life-" + ++folders));
         disk.store(folder);
         disk.begin();
-        try (Ledger ledger = Ledger.open(folder, disk)) {
+        try (StateStore ledger = StateStore.open(folder, disk)) {
             check(ledger.read(), "opened");
             disk.opened(folder);
             count("lives");
@@ -140,7 +140,7 @@
         }
     }
 
-    private void endOfWriting(Path folder, Ledger ledger) throws IOException, LedgerException {
+    private void endOfWriting(Path folder, StateStore ledger) throws IOException, StateStoreException {
         int how = random.nextInt(10);
         if (bug == Bug.SAID_BEFORE_SYNC) {
             said = writing;
@@ -172,7 +172,7 @@
     }
 
     // States that a loss of power here may leave: some are looked at, and the next life begins with the last.
-    private void end(String how) throws IOException, LedgerException {
+    private void end(String how) throws IOException, StateStoreException {
         count(how);
         for (int i = 0; i < VARIANTS; i++) {
             Map<String, byte[]> state = disk.cut(how);
@@ -180,7 +180,7 @@
             Path folder = Files.createDirectory(base.resolve("state-" + ++folders));
             CutDisk.store(state, folder);
             byte[] found;
-            try (Ledger ledger = Ledger.open(folder)) {
+            try (StateStore ledger = StateStore.open(folder)) {
                 found = check(ledger.read(), how + ", " + disk.phase());
                 writable(ledger, how);
             } finally {
@@ -196,7 +196,7 @@
     }
 
     // At times: each write waits for the real disk.
-    private void writable(Ledger ledger, String how) throws LedgerException {
+    private void writable(StateStore ledger, String how) throws StateStoreException {
         if (random.nextInt(4) == 0) {
             byte[] next = memory();
             ledger.write(ID, next);
@@ -206,7 +206,7 @@
         }
     }
 
-    private byte[] check(Ledger.Entry entry, String when) {
+    private byte[] check(StateStore.Entry entry, String when) {
         byte[] found = entry == null ? null : entry.memory();
         boolean old = Arrays.equals(found, said);
         boolean fresh = writing != null && Arrays.equals(found, writing);
@@ -221,10 +221,10 @@
     }
 
     // What a new process reads of the files as they are, looked at in a copy.
-    private byte[] peek() throws IOException, LedgerException {
+    private byte[] peek() throws IOException, StateStoreException {
         Path folder = Files.createDirectory(base.resolve("peek-" + ++folders));
         CutDisk.store(disk.files(), folder);
-        try (Ledger ledger = Ledger.open(folder)) {
+        try (StateStore ledger = StateStore.open(folder)) {
             return check(ledger.read(), "killed");
         } finally {
             CutDisk.remove(folder);
@@ -236,12 +236,12 @@
         Path folder = Files.createDirectory(base.resolve("rot-" + ++folders));
         CutDisk.store(disk.rotten(), folder);
         count("rot");
-        try (Ledger ledger = Ledger.open(folder)) {
-            Ledger.Entry entry = ledger.read();
+        try (StateStore ledger = StateStore.open(folder)) {
+            StateStore.Entry entry = ledger.read();
             if (entry == null || !Arrays.equals(entry.memory(), said)) {
                 broken.add("damaged: " + (entry == null ? "nothing" : "another memory") + " was read");
             }
-        } catch (LedgerException e) {
+        } catch (StateStoreException e) {
             count("rot refused");
         } finally {
             CutDisk.remove(folder);
--- a/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -1,12 +1,12 @@
 package whinlead.testbed.mesh.hardening;
 
 import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Acceptor;
 import whinlead.mesh.consensus.Message;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -22,7 +22,7 @@
  * of its own. It is up, down, or frozen: then what arrives waits, and comes all at once as it thaws. Keeps,
  * beside the council, the truth of whom it has exchanged question and answer with. One thread.
  */
-final class Machine implements Council.Actions {
+final class Machine implements ConsensusNode.Actions {
     /** An office that was in touch so lately says that it is, in milliseconds; as the office has it. */
     static final double IN_TOUCH = 1000;
     private static final double TICK = 25;
@@ -42,10 +42,10 @@
     private final Set<String> known = new LinkedHashSet<>();
     private final Map<String, Sight> seen = new HashMap<>();
     private final Map<String, Double> contact = new HashMap<>();
-    private final Map<Long, Consumer<Council.Verdict>> replaces = new HashMap<>();
+    private final Map<Long, Consumer<ConsensusNode.Verdict>> replaces = new HashMap<>();
     private final Map<Long, Consumer<Decision>> reads = new HashMap<>();
     private String id;
-    private Council council;
+    private ConsensusNode council;
     private int life;
     private boolean up;
     private boolean frozen;
@@ -88,7 +88,7 @@
     }
 
     /** The council of its present life. */
-    Council council() {
+    ConsensusNode council() {
         return council;
     }
 
@@ -126,7 +126,7 @@
         id = entry.id();
         onDisk = slot(entry.memory().decided());
         diskVersion = version(entry.memory().decided());
-        council = new Council(id, entry.memory(), core.random().nextLong(), this);
+        council = new ConsensusNode(id, entry.memory(), core.random().nextLong(), this);
         core.tell(address + " starts as " + id + ", slot " + onDisk);
         core.seeds(address).forEach(this::know);
         knowElectors();
@@ -332,7 +332,7 @@
 
     private void knowElectors() {
         if (council.decided() != null) {
-            council.decided().electors().forEach(e -> know(Council.address(e)));
+            council.decided().electors().forEach(e -> know(ConsensusNode.address(e)));
         }
     }
 
@@ -382,8 +382,8 @@
             int mine = life;
             core.agenda().in(0, () -> loop(mine, () -> council.received(local(), id, message)));
         } else {
-            know(Council.address(to));
-            message(Council.address(to), message);
+            know(ConsensusNode.address(to));
+            message(ConsensusNode.address(to), message);
         }
         if (core.bug() == Bug.ACKNOWLEDGES_ON_PROMISE && message instanceof Message.Accept p) {
             int mine = life;
@@ -402,12 +402,12 @@
             core.tell(address + " gets from " + from + " " + shortly(message));
         }
         if (metered >= 0) {
-            metered += Letters.write(new Letter.Paper(message)).length;
+            metered += PeerMessageCodec.write(new PeerMessage.Paper(message)).length;
         }
         if (message instanceof Message.Decided d && core.bug() == Bug.LEARNS_OLDER
                 && council.decided() != null
                 && d.decision().slot() < council.decided().slot()) {
-            council = new Council(id, new Acceptor.Memory(d.decision(), Ballot.NONE, null),
+            council = new ConsensusNode(id, new Acceptor.Memory(d.decision(), Ballot.NONE, null),
                     core.random().nextLong(), this);
         }
         if (message instanceof Message.Decided d && core.bug() == Bug.FORGETS_TAKEN) {
@@ -460,7 +460,7 @@
         core.checker().decided(decision);
         write(new Acceptor.Memory(decision, Ballot.NONE, null),
                 () -> council.stored(local(), decision.slot()));
-        decision.electors().forEach(e -> know(Council.address(e)));
+        decision.electors().forEach(e -> know(ConsensusNode.address(e)));
     }
 
     private void write(Acceptor.Memory memory, Runnable then) {
@@ -475,18 +475,18 @@
     // --- what operators order
 
     /** Puts a change to the council; its end is told once, or never if the process ends. */
-    void replace(Change change, byte[] body, Consumer<Council.Verdict> then) {
+    void replace(Change change, byte[] body, Consumer<ConsensusNode.Verdict> then) {
         int call = core.checker().invoked(change);
         // One that knows no electors yet has no majority to be out of contact with.
         boolean alone = council.decided() != null && !contactWithin(Core.CONTACT);
-        BiConsumer<Integer, Council.Verdict> end = (c, verdict) -> {
+        BiConsumer<Integer, ConsensusNode.Verdict> end = (c, verdict) -> {
             ended(c, verdict, alone);
             then.accept(verdict);
         };
         Decision d = council.decided();
         if (core.bug() == Bug.REFUSES_BY_LOCAL && d != null && d.version() != change.builtOn()
                 && !d.has(change.version(), change.digest())) {
-            end.accept(call, Council.Verdict.MISMATCH);
+            end.accept(call, ConsensusNode.Verdict.MISMATCH);
             return;
         }
         long mine = ++calls;
@@ -494,7 +494,7 @@
         council.replace(local(), mine, change.version(), change.builtOn(), change.digest(), body);
     }
 
-    private void ended(int call, Council.Verdict verdict, boolean alone) {
+    private void ended(int call, ConsensusNode.Verdict verdict, boolean alone) {
         core.checker().ended(call, switch (verdict) {
             case TAKEN -> Operation.End.TAKEN;
             case MISMATCH -> Operation.End.MISMATCH;
@@ -506,7 +506,7 @@
             // It stood still meanwhile.
             return;
         }
-        if (alone && !contactWithin(Core.CONTACT) && verdict == Council.Verdict.UNCLEAR) {
+        if (alone && !contactWithin(Core.CONTACT) && verdict == ConsensusNode.Verdict.UNCLEAR) {
             core.checker().sample("a call where there was no majority for 3 s, ms to unclear", took);
         } else {
             core.checker().sample("a call, ms to " + verdict, took);
@@ -525,8 +525,8 @@
     }
 
     @Override
-    public void replaced(long call, Council.Verdict verdict) {
-        Consumer<Council.Verdict> then = replaces.remove(call);
+    public void replaced(long call, ConsensusNode.Verdict verdict) {
+        Consumer<ConsensusNode.Verdict> then = replaces.remove(call);
         if (then != null) {
             then.accept(verdict);
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.nio.charset.StandardCharsets;
@@ -26,7 +26,7 @@
         private final double begunAt;
         private final double until;
         private final Consumer<Order> then;
-        private Council.Verdict end;
+        private ConsensusNode.Verdict end;
         private int tries;
         private double pause = PAUSE;
         private double reachedAt = Double.NaN;
@@ -52,7 +52,7 @@
         }
 
         /** How it ended; null if no clear answer came in all its time. */
-        Council.Verdict end() {
+        ConsensusNode.Verdict end() {
             return end;
         }
 
@@ -62,7 +62,7 @@
         }
 
         boolean taken() {
-            return end == Council.Verdict.TAKEN;
+            return end == ConsensusNode.Verdict.TAKEN;
         }
     }
 
@@ -117,7 +117,7 @@
     }
 
     /** Sends it once more, to one office, and tells how that ended; never, if no answer comes. */
-    void repeat(Order order, String at, Consumer<Council.Verdict> then) {
+    void repeat(Order order, String at, Consumer<ConsensusNode.Verdict> then) {
         ask(at, order, then, () -> { });
     }
 
@@ -136,7 +136,7 @@
         };
         core.agenda().in(SILENCE, next);
         ask(at, o, verdict -> {
-            if (verdict == Council.Verdict.UNCLEAR) {
+            if (verdict == ConsensusNode.Verdict.UNCLEAR) {
                 next.run();
             } else if (o.end == null && o.tries == mine) {
                 o.end = verdict;
@@ -157,7 +157,7 @@
         return at;
     }
 
-    private void ask(String at, Order o, Consumer<Council.Verdict> then, Runnable closed) {
+    private void ask(String at, Order o, Consumer<ConsensusNode.Verdict> then, Runnable closed) {
         core.agenda().in(way(), () -> {
             Machine m = core.at(at);
             if (m == null || !m.up() && !m.waits()) {
@@ -173,7 +173,7 @@
         });
     }
 
-    private void ended(String at, Order o, Council.Verdict verdict, Consumer<Council.Verdict> then) {
+    private void ended(String at, Order o, ConsensusNode.Verdict verdict, Consumer<ConsensusNode.Verdict> then) {
         if (core.traced()) {
             core.tell(at + " ends a call of " + o.change + " " + verdict);
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/PairCutPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/PairCutPlay.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import java.util.ArrayList;
 import java.util.List;
@@ -100,8 +100,8 @@
             return;
         }
         Cut cut = cuts.get(0);
-        String one = Council.address(voters.get(cut.first() % voters.size()));
-        String other = Council.address(voters.get(cut.second() % voters.size()));
+        String one = ConsensusNode.address(voters.get(cut.first() % voters.size()));
+        String other = ConsensusNode.address(voters.get(cut.second() % voters.size()));
         boolean room = faults.losses() < budget && core.at(one) != null && core.at(other) != null
                 && !one.equals(other);
         if (!room) {
@@ -172,7 +172,7 @@
     }
 
     private void judgeRemoval(String voter) {
-        Machine m = core.at(Council.address(voter));
+        Machine m = core.at(ConsensusNode.address(voter));
         boolean same = m != null && m.id().equals(voter);
         if (same && m.up() && !m.leaving() && core.calm(m.address()) && m.contactWithin(Core.CONTACT)) {
             core.checker().broke(voter + " reaches a quorum and lost its seat");
@@ -181,7 +181,7 @@
 
     // One voter at least reaches a quorum, both ways.
     private void judgeQuorum() {
-        List<Machine> there = voters.stream().map(v -> core.at(Council.address(v)))
+        List<Machine> there = voters.stream().map(v -> core.at(ConsensusNode.address(v)))
                 .filter(Objects::nonNull).filter(m -> m.up() && voters.contains(m.id())).toList();
         long most = there.stream().mapToLong(m -> there.stream().filter(o -> o == m || reach(m, o)).count())
                 .max().orElse(0);
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
@@ -1,8 +1,8 @@
 package whinlead.testbed.mesh.hardening;
 
 import whinlead.plan.Calendar;
-import whinlead.mesh.rpc.Answer;
-import whinlead.mesh.rpc.Order;
+import whinlead.mesh.rpc.RpcResponse;
+import whinlead.mesh.rpc.RpcCall;
 import whinlead.mesh.rpc.RpcServer;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.buffer.ByteBuf;
@@ -69,10 +69,10 @@
         hear();
     }
 
-    private void run(Order order, Consumer<Answer> answer) {
-        String n = ((Order.Depart) order).endpoint();
+    private void run(RpcCall order, Consumer<RpcResponse> answer) {
+        String n = ((RpcCall.Depart) order).endpoint();
         calendar.after(random.nextInt(40), () -> {
-            answer.accept(new Answer(200, n.getBytes(StandardCharsets.US_ASCII)));
+            answer.accept(new RpcResponse(200, n.getBytes(StandardCharsets.US_ASCII)));
             channel.runPendingTasks();
             hear();
         });
@@ -112,7 +112,7 @@
 
     // The server of before: an answer goes out when it comes.
     private ChannelInitializer<Channel> naive() {
-        BiConsumer<ChannelHandlerContext, Answer> say = (ctx, a) -> {
+        BiConsumer<ChannelHandlerContext, RpcResponse> say = (ctx, a) -> {
             DefaultFullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(a.status()), Unpooled.wrappedBuffer(a.body()));
             r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, a.body().length);
@@ -127,10 +127,10 @@
                             protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
                                 int of = request.uri().indexOf("&of=");
                                 if (of < 0) {
-                                    say.accept(ctx, Answer.not(404, "call names nothing: "
+                                    say.accept(ctx, RpcResponse.not(404, "call names nothing: "
                                             + request.uri().replaceFirst(".*call=", "")));
                                 } else {
-                                    run(new Order.Depart(request.uri().substring(of + 4)),
+                                    run(new RpcCall.Depart(request.uri().substring(of + 4)),
                                             a -> say.accept(ctx, a));
                                 }
                             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -2,9 +2,9 @@
 
 import whinlead.plan.Calendar;
 import whinlead.mesh.sidecar.Round;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.mesh.wire.ReconnectingConnection;
 import whinlead.mesh.wire.TransitClock;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -31,7 +31,7 @@
          *
          * @param firstWaited how long the connection's first message waited on its way, in milliseconds
          */
-        void take(TransitClock transit, double firstWaited, Letter letter, Consumer<Letter> answer);
+        void take(TransitClock transit, double firstWaited, PeerMessage letter, Consumer<PeerMessage> answer);
     }
 
     private final Calendar calendar;
@@ -41,15 +41,15 @@
     private final Round.Ear ear;
     private final FarEnd farEnd;
     /** Hears of what was written. */
-    private final Consumer<Letter> wrote;
+    private final Consumer<PeerMessage> wrote;
     /** Whether what was sent is sent once more on the next connection: a planted fault. */
     private final boolean again;
-    private final List<Letter> sent = new ArrayList<>();
-    private Tie.State state = Tie.State.DOWN;
+    private final List<PeerMessage> sent = new ArrayList<>();
+    private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
     private Connection connection;
 
     RelayPath(Calendar calendar, SplittableRandom random, RelayProcess near, RelayProcess far, Round.Ear ear,
-            FarEnd farEnd, Consumer<Letter> wrote, boolean again) {
+            FarEnd farEnd, Consumer<PeerMessage> wrote, boolean again) {
         this.calendar = calendar;
         this.random = random;
         this.near = near;
@@ -69,7 +69,7 @@
         private boolean nearOpen = true;
         private boolean farOpen = true;
         /** One for all that comes by this connection, so that the far end can tell it from others. */
-        private final Consumer<Letter> answers = this::answer;
+        private final Consumer<PeerMessage> answers = this::answer;
 
         private void toFar(Runnable task) {
             farAt = Math.max(Math.max(farAt, heldUntil), calendar.now() + 0.2 + random.nextInt(3));
@@ -96,15 +96,15 @@
             if (nearOpen) {
                 boolean due = ear.waits() || periods >= IDLE_TIMES;
                 if (due) {
-                    send(Letters.write(new Letter.Ping(1, ear.stamp())));
+                    send(PeerMessageCodec.write(new PeerMessage.Ping(1, ear.stamp())));
                 }
                 near.after(PING, () -> ping(due ? 1 : periods + 1));
             }
         }
 
-        private void answer(Letter letter) {
+        private void answer(PeerMessage letter) {
             if (farOpen) {
-                byte[] written = Letters.write(letter);
+                byte[] written = PeerMessageCodec.write(letter);
                 toNear(() -> {
                     if (nearOpen) {
                         ear.letter(read(written));
@@ -120,9 +120,9 @@
         }
     }
 
-    private static Letter read(byte[] written) {
+    private static PeerMessage read(byte[] written) {
         try {
-            return Letters.read(written);
+            return PeerMessageCodec.read(written);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -130,39 +130,39 @@
 
     @Override
     public void dial() {
-        if (state != Tie.State.DOWN) {
+        if (state != ReconnectingConnection.State.DOWN) {
             return;
         }
-        to(Tie.State.DIALLING);
+        to(ReconnectingConnection.State.DIALLING);
         boolean fails = random.nextInt(8) == 0;
         double wait = random.nextInt(5) == 0 ? 100 + random.nextInt(700) : 1 + random.nextInt(4);
         calendar.after(wait, () -> near.execute(() -> {
             if (fails) {
                 lost();
-            } else if (state == Tie.State.DIALLING) {
+            } else if (state == ReconnectingConnection.State.DIALLING) {
                 connection = new Connection();
                 connection.ping(IDLE_TIMES);
                 if (again) {
-                    sent.forEach(l -> connection.send(Letters.write(l)));
+                    sent.forEach(l -> connection.send(PeerMessageCodec.write(l)));
                 }
-                to(Tie.State.UP);
+                to(ReconnectingConnection.State.UP);
             }
         }));
     }
 
     @Override
-    public Tie.State state() {
+    public ReconnectingConnection.State state() {
         return state;
     }
 
     @Override
-    public boolean send(Letter letter) {
+    public boolean send(PeerMessage letter) {
         boolean can = connection != null && connection.nearOpen;
         if (can) {
             if (again) {
                 sent.add(letter);
             }
-            connection.send(Letters.write(letter));
+            connection.send(PeerMessageCodec.write(letter));
             wrote.accept(letter);
         }
         return can;
@@ -170,7 +170,7 @@
 
     @Override
     public void close() {
-        to(Tie.State.CLOSED);
+        to(ReconnectingConnection.State.CLOSED);
         drop();
     }
 
@@ -181,9 +181,9 @@
         }
     }
 
-    private void to(Tie.State next) {
-        if (state != next && state != Tie.State.CLOSED) {
-            Tie.State before = state;
+    private void to(ReconnectingConnection.State next) {
+        if (state != next && state != ReconnectingConnection.State.CLOSED) {
+            ReconnectingConnection.State before = state;
             state = next;
             ear.changed(next, before);
         }
@@ -191,7 +191,7 @@
 
     private void lost() {
         drop();
-        to(Tie.State.DOWN);
+        to(ReconnectingConnection.State.DOWN);
         near.after(REDIAL + random.nextInt((int) REDIAL), this::dial);
     }
 
@@ -238,16 +238,16 @@
             return;
         }
         near.after(SUSPECT, () -> {
-            if (connection == silent && state == Tie.State.UP) {
-                to(Tie.State.SUSPECT);
+            if (connection == silent && state == ReconnectingConnection.State.UP) {
+                to(ReconnectingConnection.State.SUSPECT);
             }
         });
         near.after(Math.min(millis, DEAD), () -> {
-            if (connection == silent && state == Tie.State.SUSPECT) {
+            if (connection == silent && state == ReconnectingConnection.State.SUSPECT) {
                 if (millis > DEAD) {
                     lost();
                 } else {
-                    to(Tie.State.UP);
+                    to(ReconnectingConnection.State.UP);
                 }
             }
         });
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -15,7 +15,7 @@
 import whinlead.mesh.sidecar.EndpointRequests;
 import whinlead.mesh.sidecar.ForwardedTime;
 import whinlead.mesh.sidecar.Round;
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.TransitClock;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -225,8 +225,8 @@
 
     // --- the near sidecar
 
-    private void wrote(Letter letter) {
-        if (!(letter instanceof Letter.Parcel parcel)) {
+    private void wrote(PeerMessage letter) {
+        if (!(letter instanceof PeerMessage.Parcel parcel)) {
             count("cancellations");
             return;
         }
@@ -240,7 +240,7 @@
         }
     }
 
-    private static String id(Letter.Parcel parcel) {
+    private static String id(PeerMessage.Parcel parcel) {
         return parcel.headers().get(1);
     }
 
@@ -284,7 +284,7 @@
         }
     }
 
-    private final class Request implements Caller<Letter.Delivered>, Carrier<Letter.Delivered> {
+    private final class Request implements Caller<PeerMessage.Delivered>, Carrier<PeerMessage.Delivered> {
         private final String id;
         private final int life = RelayPlay.this.life;
         private final boolean mutating = random.nextInt(3) > 0;
@@ -302,7 +302,7 @@
         private boolean promised;
         /** The attempt that was sent last, and who hears of its end. */
         private Round.Sent sent;
-        private Outcomes<Letter.Delivered> outcomes;
+        private Outcomes<PeerMessage.Delivered> outcomes;
 
         private Request(String id) {
             this.id = id;
@@ -310,14 +310,14 @@
         }
 
         private void go() {
-            Engine.Held<Letter.Delivered> held = engine.take(new Ask(CLASSES.of(!mutating, 1, 500), -1,
+            Engine.Held<PeerMessage.Delivered> held = engine.take(new Ask(CLASSES.of(!mutating, 1, 500), -1,
                     timeout, false, 1, 0), this, this);
             if (requests.size() % LEAVES == 0) {
                 near.after(random.nextDouble() * timeout, () -> leave(held));
             }
         }
 
-        private void leave(Engine.Held<Letter.Delivered> held) {
+        private void leave(Engine.Held<PeerMessage.Delivered> held) {
             if (answered) {
                 return;
             }
@@ -330,14 +330,14 @@
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double within, Outcomes<Letter.Delivered> told) {
+        public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.Delivered> told) {
             if (!attempts.mayBeSent()) {
                 told.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
             attempts.sent();
             double left = bug == Bug.HANDS_OUT_WHOLE_TIME ? timeout : endAt - calendar.now();
-            Letter.Parcel draft = new Letter.Parcel(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
+            PeerMessage.Parcel draft = new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
                     (int) Math.max(1, left), "svc", endpoint, 1);
             outcomes = told;
             Round.Sent attempted = round.send(endpoint, draft, !mutating, letter -> came(letter, told));
@@ -354,11 +354,11 @@
             };
         }
 
-        private void came(Letter letter, Outcomes<Letter.Delivered> told) {
-            if (letter instanceof Letter.Returned r) {
-                attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? Letter.Why.UNREACHED : r.why());
+        private void came(PeerMessage letter, Outcomes<PeerMessage.Delivered> told) {
+            if (letter instanceof PeerMessage.Returned r) {
+                attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.Why.UNREACHED : r.why());
             }
-            told.ended(Round.outcome(letter), letter instanceof Letter.Delivered d ? d : null, null);
+            told.ended(Round.outcome(letter), letter instanceof PeerMessage.Delivered d ? d : null, null);
         }
 
         private void answered(String how) {
@@ -371,7 +371,7 @@
         }
 
         @Override
-        public void served(Letter.Delivered answer) {
+        public void served(PeerMessage.Delivered answer) {
             answered("served");
             String body = new String(answer.body(), StandardCharsets.US_ASCII);
             int at = answer.headers().indexOf("Attempt-Id");
@@ -421,14 +421,14 @@
             process.after(TICK, this::tick);
         }
 
-        private void take(TransitClock transit, double firstWaited, Letter letter,
-                Consumer<Letter> answer) {
-            if (letter instanceof Letter.Ping ping) {
+        private void take(TransitClock transit, double firstWaited, PeerMessage letter,
+                Consumer<PeerMessage> answer) {
+            if (letter instanceof PeerMessage.Ping ping) {
                 time.running(process.now());
                 transit.waited(process.now(), ping.sentAt());
-            } else if (letter instanceof Letter.Cancel cancel) {
+            } else if (letter instanceof PeerMessage.Cancel cancel) {
                 underWay.cancel(answer, cancel);
-            } else if (letter instanceof Letter.Parcel parcel) {
+            } else if (letter instanceof PeerMessage.Parcel parcel) {
                 int left = time.left(process.now(), transit, parcel);
                 requests.get(parcel.headers().get(1)).comparable = firstWaited < LATE_MOST;
                 if (bug == Bug.COUNTS_FROM_ARRIVAL) {
@@ -437,22 +437,22 @@
                     run(parcel.withLeft(left), answer);
                 } else {
                     count("requests whose time was up when they arrived");
-                    answer.accept(new Letter.Returned(parcel.stream(), Letter.Why.UNREACHED, 0, 0));
+                    answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.UNREACHED, 0, 0));
                 }
             }
         }
 
-        private void run(Letter.Parcel parcel, Consumer<Letter> answer) {
+        private void run(PeerMessage.Parcel parcel, Consumer<PeerMessage> answer) {
             if (random.nextInt(15) == 0) {
-                answer.accept(new Letter.Returned(parcel.stream(), Letter.Why.FULL, 0, 0));
+                answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.FULL, 0, 0));
                 return;
             }
             underWay.begin(answer, parcel.stream());
             EndpointLine.Sent atEndpoint = line.send(parcel, parcel.endpoint(), l -> {
                 underWay.ended(answer, parcel.stream());
-                boolean reset = l instanceof Letter.Returned r && r.why() == Letter.Why.BROKEN;
+                boolean reset = l instanceof PeerMessage.Returned r && r.why() == PeerMessage.Why.BROKEN;
                 if (reset && bug == Bug.RESET_NEVER_RAN) {
-                    answer.accept(new Letter.Returned(parcel.stream(), Letter.Why.UNREACHED, 0, 0));
+                    answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.UNREACHED, 0, 0));
                 } else if (reset && bug == Bug.PASSES_ON_AFTER_RESET && !requests.get(id(parcel)).mutating) {
                     Far next = fars.get((fars.indexOf(this) + 1) % FARS);
                     next.line.send(parcel, parcel.endpoint(), answer);
--- a/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -91,7 +91,7 @@
         if (began) {
             return;
         }
-        d.electors().forEach(e -> offices.add(Council.address(e)));
+        d.electors().forEach(e -> offices.add(ConsensusNode.address(e)));
         answeredAt = Double.isNaN(answeredAt) ? core.now() : answeredAt;
         if (candidate == null || d.slot() > candidate.slot()) {
             candidate = d;
--- a/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.mesh.scale;
 
-import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.settings.NodeSettingsReader;
 import whinlead.mesh.sidecar.Sidecar;
 import whinlead.mesh.log.Event;
 import whinlead.testbed.mesh.Talk;
@@ -68,7 +68,7 @@
 
     private void start() throws InterruptedException {
         heard.listen();
-        CardReader reader = new CardReader(new ObjectMapper());
+        NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
         for (int i = 1; i < sizes.carriers(); i++) {
             new Sidecar(reader.parse(places.carrier(i, target(i))), loops.next(), new ObjectMapper()).start();
--- a/src/main/java/whinlead/testbed/mesh/scale/Relay.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Relay.java
@@ -1,8 +1,8 @@
 package whinlead.testbed.mesh.scale;
 
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
-import whinlead.mesh.wire.Link;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.mesh.wire.PeerConnection;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -93,7 +93,7 @@
 
     private static void handlers(Channel from, Channel to, Map<String, Count> counts) {
         from.config().setOption(ChannelOption.TCP_NODELAY, true);
-        from.pipeline().addLast(new LengthFieldBasedFrameDecoder(Link.LETTER_MOST, 0, LENGTH_BYTES, 0, 0),
+        from.pipeline().addLast(new LengthFieldBasedFrameDecoder(PeerConnection.LETTER_MOST, 0, LENGTH_BYTES, 0, 0),
                 new Way(to, counts));
     }
 
@@ -112,7 +112,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
-            Letter letter = Letters.read(ByteBufUtil.getBytes(frame, frame.readerIndex() + LENGTH_BYTES,
+            PeerMessage letter = PeerMessageCodec.read(ByteBufUtil.getBytes(frame, frame.readerIndex() + LENGTH_BYTES,
                     frame.readableBytes() - LENGTH_BYTES));
             counts.merge(letter.getClass().getSimpleName(), new Count(1, frame.readableBytes()),
                     (had, one) -> had.plus(one.bytes()));
--- a/src/main/java/whinlead/testbed/mesh/scale/Tethered.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Tethered.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.mesh.scale;
 
-import whinlead.mesh.run.Post;
+import whinlead.mesh.run.MeshCommand;
 import java.io.IOException;
 
 /**
@@ -16,7 +16,7 @@
     /** Runs a role; arguments as on the command line. */
     public static void main(String... args) {
         hold();
-        Post.main(args);
+        MeshCommand.main(args);
     }
 
     /** Ends this process once its input has. */
--- a/src/main/java/whinlead/testbed/mesh/scale/Weights.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Weights.java
@@ -2,10 +2,10 @@
 
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Message;
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.control.Bodies;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.control.ConfigCodec;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -23,36 +23,36 @@
     /** Of a size's configuration, and of what goes with it. */
     static Map<String, Double> of(Sizes sizes) {
         byte[] json = sizes.tariff(1).getBytes(StandardCharsets.UTF_8);
-        byte[] body = Bodies.deflate(json);
+        byte[] body = ConfigCodec.deflate(json);
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("configuration, bytes", (double) json.length);
         figures.put("configuration deflated, bytes", (double) body.length);
-        figures.put("news of it to a sidecar, bytes", letter(new Letter.News(decision(body, 0), true)));
+        figures.put("news of it to a sidecar, bytes", letter(new PeerMessage.News(decision(body, 0), true)));
         figures.put("decision between offices, bytes, nothing remembered", told(body, 0));
         figures.put("decision between offices, bytes, all that is remembered", told(body, Decision.TAKEN_MOST));
-        Listing listing = new Listing("10.123.45.67:8366", 1_790_000_000_000L, 12, "hall-a",
-                "endpoint-1234-17", Sizes.service(0), Listing.Phase.SERVING, 6, 0);
-        figures.put("one listing, bytes", letter(new Letter.Post(List.of(listing))));
-        figures.put("one listing more, bytes", letter(new Letter.Post(List.of(listing, listing)))
-                - letter(new Letter.Post(List.of(listing))));
-        figures.put("ping, bytes", letter(new Letter.Ping(MANY)));
-        figures.put("pong, bytes", letter(new Letter.Pong(MANY, ELECTORS.get(0), MANY)));
+        EndpointRecord listing = new EndpointRecord("10.123.45.67:8366", 1_790_000_000_000L, 12, "hall-a",
+                "endpoint-1234-17", Sizes.service(0), EndpointRecord.Phase.SERVING, 6, 0);
+        figures.put("one listing, bytes", letter(new PeerMessage.Post(List.of(listing))));
+        figures.put("one listing more, bytes", letter(new PeerMessage.Post(List.of(listing, listing)))
+                - letter(new PeerMessage.Post(List.of(listing))));
+        figures.put("ping, bytes", letter(new PeerMessage.Ping(MANY)));
+        figures.put("pong, bytes", letter(new PeerMessage.Pong(MANY, ELECTORS.get(0), MANY)));
         return figures;
     }
 
     private static double told(byte[] body, int remembered) {
-        return letter(new Letter.Paper(new Message.Decided(decision(body, remembered))));
+        return letter(new PeerMessage.Paper(new Message.Decided(decision(body, remembered))));
     }
 
     private static Decision decision(byte[] body, int remembered) {
         List<Decision.Taken> taken = new ArrayList<>();
         for (int i = 0; i < remembered; i++) {
-            taken.add(new Decision.Taken(MANY + i, Bodies.digest(new byte[] {(byte) i})));
+            taken.add(new Decision.Taken(MANY + i, ConfigCodec.digest(new byte[] {(byte) i})));
         }
         return new Decision(MANY, MANY, body, taken, ELECTORS);
     }
 
-    private static double letter(Letter letter) {
-        return LENGTH_BYTES + Letters.write(letter).length;
+    private static double letter(PeerMessage letter) {
+        return LENGTH_BYTES + PeerMessageCodec.write(letter).length;
     }
 }
--- a/src/test/java/whinlead/mesh/ConfigurationTest.java
+++ b/src/test/java/whinlead/mesh/ConfigurationTest.java
@@ -5,13 +5,13 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.settings.CardException;
-import whinlead.mesh.settings.CardReader;
-import whinlead.mesh.config.Routing;
-import whinlead.mesh.config.TariffCheck;
-import whinlead.mesh.config.TariffException;
-import whinlead.mesh.config.TariffReader;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.settings.NodeSettingsException;
+import whinlead.mesh.settings.NodeSettingsReader;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.config.ConfigValidator;
+import whinlead.mesh.config.InvalidConfigException;
+import whinlead.mesh.config.ConfigReader;
 import whinlead.testbed.mesh.Cards;
 import whinlead.testbed.mesh.Walk;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -22,10 +22,10 @@
 
 /** Bad input gets a line that names the field; good input finds its route, service and tenant. */
 public class ConfigurationTest {
-    private static final TariffCheck CHECK = new TariffCheck();
+    private static final ConfigValidator CHECK = new ConfigValidator();
 
-    private static void take(String json) throws TariffException {
-        CHECK.check(new TariffReader().read(json.getBytes(StandardCharsets.UTF_8)));
+    private static void take(String json) throws InvalidConfigException {
+        CHECK.check(new ConfigReader().read(json.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** What is changed of a good configuration, into what, and what the answer names. */
@@ -48,16 +48,16 @@
     @Test(dataProvider = "bad")
     public void aBadConfigurationIsRefusedByItsField(String part, String instead, String named) {
         String json = Walk.tariff("00000001", "svc").replace(part, instead);
-        TariffException e = expectThrows(TariffException.class, () -> take(json));
+        InvalidConfigException e = expectThrows(InvalidConfigException.class, () -> take(json));
         assertTrue(e.getMessage().contains(named), e.getMessage());
         assertTrue(e.getMessage().lines().count() == 1, e.getMessage());
     }
 
     @Test
-    public void theLongestPrefixOfTheHostWins() throws TariffException {
+    public void theLongestPrefixOfTheHostWins() throws InvalidConfigException {
         String json = Walk.tariff("00000001", "svc").replace("\"/b/\"", "\"/a/b/\"");
         take(json);
-        Routing r = new Routing(1, new TariffReader().read(json.getBytes(StandardCharsets.UTF_8)));
+        RoutingTable r = new RoutingTable(1, new ConfigReader().read(json.getBytes(StandardCharsets.UTF_8)));
         assertEquals(r.route("POST.example:80", "/a/b/c?q=/").name(), "r-2");
         assertEquals(r.route("post.example", "/a/bc").name(), "r-1");
         assertNull(r.route("post.example", "/ab/"));
@@ -68,12 +68,12 @@
     }
 
     @Test
-    public void sharesAreDrawnByWeight() throws TariffException {
+    public void sharesAreDrawnByWeight() throws InvalidConfigException {
         String json = Walk.tariff("00000001", "svc").replace("\"Target\":\"svc\",\"Tries\":2,\"Public\":false},",
                 "\"Shares\":[{\"Target\":\"svc\",\"Weight\":90},{\"Target\":\"two\",\"Weight\":10}],"
                 + "\"Tries\":2,\"Public\":false},").replace("\"Services\":{", "\"Services\":{\"two\":{},");
         take(json);
-        Routing.Way way = new Routing(1, new TariffReader().read(json.getBytes(StandardCharsets.UTF_8)))
+        RoutingTable.Way way = new RoutingTable(1, new ConfigReader().read(json.getBytes(StandardCharsets.UTF_8)))
                 .route("post.example", "/a/");
         assertEquals(way.service(0), "svc");
         assertEquals(way.service(0.899), "svc");
@@ -99,8 +99,8 @@
     public void badSettingsAreNamedByTheirField(String line, String instead, String named) throws Exception {
         List<String> lines = new Cards(1).carrier(0, "svc").stream()
                 .map(l -> l.startsWith(line) ? instead : l).toList();
-        CardException e = expectThrows(CardException.class,
-                () -> new CardReader(new ObjectMapper()).parse(lines));
+        NodeSettingsException e = expectThrows(NodeSettingsException.class,
+                () -> new NodeSettingsReader(new ObjectMapper()).parse(lines));
         assertTrue(e.getMessage().toLowerCase().contains(named.toLowerCase()), e.getMessage());
     }
 
@@ -109,7 +109,7 @@
         List<String> lines = new Cards(3).carrier(0, "svc");
         lines.add("Self.Later.Added=1");
         lines.add("Clauses.Bounds.NewS=2");
-        Card card = new CardReader(new ObjectMapper()).parse(lines);
+        NodeSettings card = new NodeSettingsReader(new ObjectMapper()).parse(lines);
         assertEquals(card.network().seeds().size(), 3);
     }
 }
--- a/src/test/java/whinlead/mesh/CouncilContactTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusContactTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Acceptor;
 import whinlead.mesh.consensus.Message;
@@ -14,13 +14,13 @@
 import org.testng.annotations.Test;
 
 /** Contact with a majority, and what an office without it says; calls that are sent again. */
-public class CouncilContactTest {
+public class ConsensusContactTest {
     private static final double WITHIN = 1000;
 
     @Test
     public void whatArrivesLateIsNoContact() {
-        Councils c = new Councils();
-        Council a = c.all.get("a#0");
+        ConsensusNodes c = new ConsensusNodes();
+        ConsensusNode a = c.all.get("a#0");
         assertTrue(a.inTouch(c.now, WITHIN));
         double cutAt = c.now;
         c.cutOff.add("a#0");
@@ -37,32 +37,32 @@
 
     @Test
     public void contactWithOneThatKnowsMoreConfirmsNothing() {
-        Councils c = new Councils();
-        Council a = c.all.get("a#0");
+        ConsensusNodes c = new ConsensusNodes();
+        ConsensusNode a = c.all.get("a#0");
         a.echoed(c.now, "b#0", 1);
         assertFalse(a.inTouch(c.now, WITHIN));
     }
 
     @Test
     public void anOfficeThatIsCutOffSaysAtOnceThatItCannotTell() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.cutOff.add("a#0");
         c.pass(2000);
         c.verdicts.clear();
         c.all.get("a#0").replace(c.now, 1, 5, 0, "digest", new byte[] {1});
         c.all.get("a#0").read(c.now, 2);
         assertEquals(c.verdicts.size(), 2, "told in the same moment");
-        assertTrue(c.verdicts.stream().allMatch(v -> v == Council.Verdict.UNCLEAR));
-        assertEquals(c.replace("b#0", 5, 0, "digest"), Council.Verdict.TAKEN, "any other takes it");
+        assertTrue(c.verdicts.stream().allMatch(v -> v == ConsensusNode.Verdict.UNCLEAR));
+        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN, "any other takes it");
         c.cutOff.clear();
         c.pass(1000);
         assertEquals(c.all.get("a#0").decided().version(), 5L);
-        assertEquals(c.replace("a#0", 5, 0, "digest"), Council.Verdict.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN);
     }
 
     @Test
     public void eightOrdersUnderWayAtACutOfficeAreAllToldSoon() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.cutOff.add("a#0");
         for (int i = 0; i < 8; i++) {
             c.all.get("a#0").replace(c.now, i, 5 + i, 0, "digest" + i, new byte[] {1});
@@ -76,12 +76,12 @@
 
     @Test
     public void ofTwoChangesUnderOneNumberOneIsTakenAndItsRepeatsAtAnyOffice() {
-        Councils c = new Councils();
-        assertEquals(c.replace("a#0", 5, 0, "mine"), Council.Verdict.TAKEN);
-        assertEquals(c.replace("b#0", 5, 0, "yours"), Council.Verdict.MISMATCH);
-        for (String office : Councils.FOUNDERS) {
-            assertEquals(c.replace(office, 5, 0, "mine"), Council.Verdict.TAKEN);
-            assertEquals(c.replace(office, 5, 0, "yours"), Council.Verdict.MISMATCH);
+        ConsensusNodes c = new ConsensusNodes();
+        assertEquals(c.replace("a#0", 5, 0, "mine"), ConsensusNode.Verdict.TAKEN);
+        assertEquals(c.replace("b#0", 5, 0, "yours"), ConsensusNode.Verdict.MISMATCH);
+        for (String office : ConsensusNodes.FOUNDERS) {
+            assertEquals(c.replace(office, 5, 0, "mine"), ConsensusNode.Verdict.TAKEN);
+            assertEquals(c.replace(office, 5, 0, "yours"), ConsensusNode.Verdict.MISMATCH);
         }
     }
 
@@ -90,9 +90,9 @@
         // Its own promise was not on disk when it went; what it had called may still be on its way.
         Set<Ballot> ballots = new HashSet<>();
         for (int life = 0; life < 3; life++) {
-            Acceptor.Memory founding = new Acceptor.Memory(Decision.founding(Councils.FOUNDERS), Ballot.NONE,
+            Acceptor.Memory founding = new Acceptor.Memory(Decision.founding(ConsensusNodes.FOUNDERS), Ballot.NONE,
                     null);
-            Council c = new Council("a#0", founding, life, new Council.Actions() {
+            ConsensusNode c = new ConsensusNode("a#0", founding, life, new ConsensusNode.Actions() {
                         @Override
                         public void send(String to, Message message) {
                             if (message instanceof Message.Prepare p) {
@@ -104,7 +104,7 @@
                         public void sync(Acceptor.Memory memory, String to, Message message) { }
 
                         @Override
-                        public void replaced(long call, Council.Verdict verdict) { }
+                        public void replaced(long call, ConsensusNode.Verdict verdict) { }
 
                         @Override
                         public void read(long call, Decision newest) { }
@@ -112,7 +112,7 @@
                         @Override
                         public void decided(Decision decision) { }
                     });
-            Councils.FOUNDERS.forEach(other -> c.echoed(0, other, 0));
+            ConsensusNodes.FOUNDERS.forEach(other -> c.echoed(0, other, 0));
             c.replace(0, 1, 5, 0, "digest", new byte[] {1});
         }
         assertEquals(ballots.size(), 3);
@@ -120,15 +120,15 @@
 
     @Test
     public void aRepeatAfterHundredsOfChangesIsTakenOrUnclearNeverRefused() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         for (int v = 1; v <= 300; v++) {
-            assertEquals(c.replace("a#0", v, v - 1, "d" + v), Council.Verdict.TAKEN);
+            assertEquals(c.replace("a#0", v, v - 1, "d" + v), ConsensusNode.Verdict.TAKEN);
         }
         for (int v = 1; v <= 300; v++) {
-            Council.Verdict verdict = c.replace("b#0", v, v - 1, "d" + v);
-            assertEquals(verdict, v > 300 - Decision.TAKEN_MOST ? Council.Verdict.TAKEN
-                    : Council.Verdict.UNCLEAR, "version " + v);
+            ConsensusNode.Verdict verdict = c.replace("b#0", v, v - 1, "d" + v);
+            assertEquals(verdict, v > 300 - Decision.TAKEN_MOST ? ConsensusNode.Verdict.TAKEN
+                    : ConsensusNode.Verdict.UNCLEAR, "version " + v);
         }
-        assertEquals(c.replace("b#0", 299, 298, "other"), Council.Verdict.MISMATCH);
+        assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.Verdict.MISMATCH);
     }
 }
--- a/src/test/java/whinlead/mesh/CouncilSeatTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
@@ -4,29 +4,29 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Message;
 import java.util.List;
 import org.testng.annotations.Test;
 
 /** Who gets a seat, and when; how one goes out. */
-public class CouncilSeatTest {
+public class ConsensusMembershipTest {
     @Test
     public void aNewcomerWaitsWhileOneIsQuietAndTakesTheSeatOfOneThatIsSilent() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.all.remove("c#0");
         c.pass(1200);
         c.start("d#1", null);
         c.pass(800);
-        assertEquals(c.electors(), Councils.FOUNDERS, "a seat beside a dead one leaves no room for a loss");
+        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "a seat beside a dead one leaves no room for a loss");
         c.pass(1200);
         assertEquals(c.electors(), List.of("a#0", "b#0", "d#1"));
     }
 
     @Test
     public void aNewDiskAtAnOldAddressTakesThatSeatAtOnce() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.all.remove("b#0");
         c.start("b#9", null);
         c.pass(600);
@@ -35,7 +35,7 @@
 
     @Test
     public void oneMoreIsAddedWhereAllAreThereAndAnEvenNumberDropsOneThatIsSilent() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(600);
         assertEquals(c.electors(), List.of("a#0", "b#0", "c#0", "d#1"));
@@ -46,56 +46,56 @@
 
     @Test
     public void aBallotWaitsForNoTimerBetweenItsPhases() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.all.get("b#0").replace(c.now, 1, 5, 0, "digest", new byte[] {1});
         c.deliver();
-        assertEquals(c.verdicts, List.of(Council.Verdict.TAKEN));
+        assertEquals(c.verdicts, List.of(ConsensusNode.Verdict.TAKEN));
         assertEquals(c.all.get("c#0").decided().version(), 5L);
     }
 
     @Test
     public void aNewDiskNeverVotesBeforeItHasASeat() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.all.remove("b#0");
         c.all.remove("c#0");
         c.start("b#9", null);
         c.start("c#9", null);
         c.pass(5000);
-        assertEquals(c.electors(), Councils.FOUNDERS, "one of three decides nothing with two that are new");
+        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "one of three decides nothing with two that are new");
     }
 
     @Test
     public void oneThatDiedBeforeThisOfficeBeganFallsSilentTooAndLosesItsSeat() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         Decision known = c.all.get("a#0").decided();
         c.all.clear();
         c.start("a#0", known);
         c.start("b#0", known);
         c.start("d#1", null);
         c.pass(2000);
-        assertEquals(c.electors(), Councils.FOUNDERS, "no seat beside one that may be dead");
+        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "no seat beside one that may be dead");
         c.pass(2000);
         assertEquals(c.electors(), List.of("a#0", "b#0", "d#1"));
     }
 
     @Test
     public void aNewcomerIsALearnerUntilItHasTheNewestOnDisk() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.replace("a#0", 5, 0, "digest");
         c.start("d#1", null);
         c.stall("d#1");
         c.pass(3000);
         assertEquals(c.all.get("d#1").decided().version(), 5L, "it learns");
-        assertEquals(c.electors(), Councils.FOUNDERS, "but nothing is on its disk");
+        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "but nothing is on its disk");
     }
 
     @Test
     public void whoLeavesMoreThanThreeGoesOutByAgreementBeforeItEnds() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(1500);
         assertEquals(c.electors().size(), 4);
-        Council b = c.all.get("b#0");
+        ConsensusNode b = c.all.get("b#0");
         double from = c.now;
         b.leave(c.now);
         assertFalse(b.left(c.now));
@@ -107,16 +107,16 @@
         assertEquals(c.electors(), List.of("a#0", "c#0", "d#1"));
         // The next loss comes at once, and is borne.
         c.all.remove("c#0");
-        assertEquals(c.replace("a#0", 7, 0, "next"), Council.Verdict.TAKEN);
+        assertEquals(c.replace("a#0", 7, 0, "next"), ConsensusNode.Verdict.TAKEN);
     }
 
     @Test
     public void whoLeavesWaitsUntilAllThatRemainHaveTheNewestOnDisk() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(1500);
         c.stall("c#0");
-        Council b = c.all.get("b#0");
+        ConsensusNode b = c.all.get("b#0");
         b.leave(c.now);
         c.pass(2000);
         assertEquals(c.electors(), List.of("a#0", "c#0", "d#1"));
@@ -125,7 +125,7 @@
 
     @Test
     public void aRemovalWaitsForOneOrderAtMostHoweverManyWait() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(1500);
         long before = c.all.get("b#0").decided().slot();
@@ -142,31 +142,31 @@
 
     @Test
     public void whoLeavesEndsWhileDecisionsFollowEachOther() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(1500);
-        Council b = c.all.get("b#0");
+        ConsensusNode b = c.all.get("b#0");
         b.leave(c.now);
         c.deliver();
         int version = 0;
         do {
             c.pass(25);
             version++;
-            assertEquals(c.replace("a#0", version, version - 1, "d" + version), Council.Verdict.TAKEN);
+            assertEquals(c.replace("a#0", version, version - 1, "d" + version), ConsensusNode.Verdict.TAKEN);
             // It knows of this before any of the others has told it what is on its disk.
             b.received(c.now, "a#0", new Message.Decided(c.decisions.lastEntry().getValue()));
         } while (!b.left(c.now) && version < 20);
         assertTrue(b.left(c.now), "it waits for slots that are decided without it");
-        assertEquals(c.replace("b#0", version + 1, version, "next"), Council.Verdict.UNCLEAR,
+        assertEquals(c.replace("b#0", version + 1, version, "next"), ConsensusNode.Verdict.UNCLEAR,
                 "one that may end takes on nothing new");
     }
 
     @Test
     public void whoIsRemovedWaitsUntilAQuorumHasThatOnDisk() {
-        Councils c = new Councils(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
+        ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
         c.stall("c#0");
         c.stall("d#0");
-        Council b = c.all.get("b#0");
+        ConsensusNode b = c.all.get("b#0");
         b.leave(c.now);
         c.pass(100);
         assertEquals(c.electors(), List.of("a#0", "c#0", "d#0", "e#0"));
@@ -178,17 +178,17 @@
 
     @Test
     public void oneOfThreeKeepsItsSeatWhenItEnds() {
-        Councils c = new Councils();
-        Council b = c.all.get("b#0");
+        ConsensusNodes c = new ConsensusNodes();
+        ConsensusNode b = c.all.get("b#0");
         b.leave(c.now);
         c.pass(100);
         assertTrue(b.left(c.now));
-        assertEquals(c.electors(), Councils.FOUNDERS, "it may come back, and two would bear no loss");
+        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "it may come back, and two would bear no loss");
     }
 
     @Test
     public void oneOfThreeThatLeavesGivesItsSeatToANewcomer() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.all.get("b#0").leave(c.now);
         c.pass(1500);
@@ -200,14 +200,14 @@
     @Test
     public void twoOfFiveReplacedAsPlannedLeaveRoomForTwoMoreLossesAtOnce() {
         // Schedule 33 of the rig: seven seats, of which two that left were held by nobody.
-        Councils c = new Councils(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
+        ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
         c.start("n#1", null);
         c.pass(1000);
         c.start("m#2", null);
         c.pass(1000);
         assertEquals(c.electors().size(), 7);
         for (String leaver : List.of("c#0", "a#0")) {
-            Council council = c.all.get(leaver);
+            ConsensusNode council = c.all.get(leaver);
             council.leave(c.now);
             c.pass(400);
             assertTrue(council.left(c.now), leaver);
@@ -216,12 +216,12 @@
         assertEquals(c.electors().size(), 5);
         c.all.remove("d#0");
         c.all.remove("e#0");
-        assertEquals(c.replace("b#0", 5, 0, "digest"), Council.Verdict.TAKEN);
+        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN);
     }
 
     @Test
     public void twoThatAreSilentInAnOddNumberLoseTheirSeats() {
-        Councils c = new Councils(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
+        ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
         c.all.remove("d#0");
         c.pass(4000);
         assertEquals(c.electors().size(), 5, "one that is away may come back");
@@ -229,13 +229,13 @@
         c.pass(4000);
         assertEquals(c.electors(), List.of("a#0", "b#0", "c#0"));
         c.all.remove("c#0");
-        assertEquals(c.replace("a#0", 5, 0, "digest"), Council.Verdict.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN);
     }
 
     @Test
     public void oneThatNothingReachesIsSilentWhateverItSays() {
         // Schedule 5355 of the rig: no newcomer got a seat for as long as a one-way cut lasted.
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.deaf.add("c#0");
         c.pass(1000);
         c.start("d#1", null);
@@ -246,7 +246,7 @@
     @Test
     public void oneThatLeavesGivesItsSeatToANewcomerThatHasAsked() {
         // Of the same schedule: it went out, and left four with one lost and a newcomer that got no seat.
-        Councils c = new Councils(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
+        ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
         c.deaf.add("e#0");
         c.pass(1200);
         c.start("n#1", null);
@@ -259,21 +259,21 @@
 
     @Test
     public void twoThatCantReachEachOtherKeepTheirSeatsWhileTheThirdReachesBoth() {
-        Councils c = new Councils();
-        c.cutPairs.add(Councils.pair("a#0", "b#0"));
+        ConsensusNodes c = new ConsensusNodes();
+        c.cutPairs.add(ConsensusNodes.pair("a#0", "b#0"));
         c.pass(4000);
         c.start("d#1", null);
         for (int i = 0; i < 40; i++) {
             c.pass(250);
-            assertTrue(c.electors().containsAll(Councils.FOUNDERS), "" + c.electors());
+            assertTrue(c.electors().containsAll(ConsensusNodes.FOUNDERS), "" + c.electors());
         }
         assertEquals(c.electors(), List.of("a#0", "b#0", "c#0", "d#1"), "c, which reaches all, seats it");
     }
 
     @Test
     public void aDeadOneLosesItsSeatBesideTwoThatCantReachEachOther() {
-        Councils c = new Councils(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
-        c.cutPairs.add(Councils.pair("a#0", "b#0"));
+        ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
+        c.cutPairs.add(ConsensusNodes.pair("a#0", "b#0"));
         c.all.remove("e#0");
         c.pass(1000);
         c.start("n#1", null);
@@ -284,9 +284,9 @@
     @Test
     public void oneThatNoMajorityHasGivenUpKeepsItsSeatThoughAnotherIsAway() {
         // Of five with one dead: c is cut from a and from b, d reaches all that live.
-        Councils c = new Councils(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
-        c.cutPairs.add(Councils.pair("a#0", "c#0"));
-        c.cutPairs.add(Councils.pair("b#0", "c#0"));
+        ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
+        c.cutPairs.add(ConsensusNodes.pair("a#0", "c#0"));
+        c.cutPairs.add(ConsensusNodes.pair("b#0", "c#0"));
         c.all.remove("e#0");
         c.start("n#1", null);
         c.pass(6000);
@@ -295,10 +295,10 @@
 
     @Test
     public void anOfficeThatSleptTakesNobodyForSilent() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(1500);
-        Council a = c.all.remove("a#0");
+        ConsensusNode a = c.all.remove("a#0");
         c.pass(2000);
         // Past the time of silence it thaws; nothing has arrived here meanwhile, or is only now to be read.
         c.now += 2000;
@@ -310,9 +310,9 @@
 
     @Test
     public void whoIsBehindAsksUntilItHasTheNewest() {
-        Councils c = new Councils();
+        ConsensusNodes c = new ConsensusNodes();
         c.lost = message -> message instanceof Message.Decided;
-        assertEquals(c.replace("a#0", 5, 0, "digest"), Council.Verdict.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN);
         c.lost = message -> message instanceof Message.Prepare;
         c.pass(1000);
         assertEquals(c.all.get("b#0").decided().version(), 5L);
--- a/src/test/java/whinlead/mesh/CouncilTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodeTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 /** What offices agree on outlasts the losses that are borne, on the real councils under a driven clock. */
-public class CouncilTest {
+public class ConsensusNodeTest {
     private static final int SCHEDULES = 500;
     private static final int FOUND_WITHIN = 1000;
 
--- a/src/test/java/whinlead/mesh/Councils.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodes.java
@@ -1,7 +1,7 @@
 package whinlead.mesh;
 
 import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Council;
+import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Acceptor;
 import whinlead.mesh.consensus.Message;
@@ -17,12 +17,12 @@
 import java.util.function.Predicate;
 
 /** Real councils that hear and answer each other at once, but for those that a test cuts off. */
-final class Councils {
+final class ConsensusNodes {
     static final List<String> FOUNDERS = List.of("a#0", "b#0", "c#0");
     private static final double TICK = 25;
 
-    final List<Council.Verdict> verdicts = new ArrayList<>();
-    final Map<String, Council> all = new LinkedHashMap<>();
+    final List<ConsensusNode.Verdict> verdicts = new ArrayList<>();
+    final Map<String, ConsensusNode> all = new LinkedHashMap<>();
     /** By slot, what any of them has learned. */
     final TreeMap<Long, Decision> decisions = new TreeMap<>();
     /** Messages that are lost. */
@@ -37,17 +37,17 @@
     private final ArrayDeque<Runnable> mail = new ArrayDeque<>();
     private final Map<String, Boolean> stalled = new HashMap<>();
 
-    Councils() {
+    ConsensusNodes() {
         this(FOUNDERS);
     }
 
-    Councils(List<String> founders) {
+    ConsensusNodes(List<String> founders) {
         founders.forEach(id -> start(id, Decision.founding(founders)));
         pass(1000);
     }
 
-    Council start(String id, Decision known) {
-        Council council = new Council(id, new Acceptor.Memory(known, Ballot.NONE, null), id.hashCode(),
+    ConsensusNode start(String id, Decision known) {
+        ConsensusNode council = new ConsensusNode(id, new Acceptor.Memory(known, Ballot.NONE, null), id.hashCode(),
                 new Driver(id));
         all.put(id, council);
         return council;
@@ -63,7 +63,7 @@
         stalled.put(id, true);
     }
 
-    private final class Driver implements Council.Actions {
+    private final class Driver implements ConsensusNode.Actions {
         private final String id;
 
         private Driver(String id) {
@@ -89,13 +89,13 @@
         }
 
         @Override
-        public void replaced(long call, Council.Verdict verdict) {
+        public void replaced(long call, ConsensusNode.Verdict verdict) {
             verdicts.add(verdict);
         }
 
         @Override
         public void read(long call, Decision newest) {
-            verdicts.add(newest == null ? Council.Verdict.UNCLEAR : Council.Verdict.TAKEN);
+            verdicts.add(newest == null ? ConsensusNode.Verdict.UNCLEAR : ConsensusNode.Verdict.TAKEN);
         }
 
         @Override
@@ -136,7 +136,7 @@
     }
 
     /** The verdict on a change that one office is sent. */
-    Council.Verdict replace(String office, long version, long builtOn, String digest) {
+    ConsensusNode.Verdict replace(String office, long version, long builtOn, String digest) {
         verdicts.clear();
         all.get(office).replace(now, 1, version, builtOn, digest, new byte[] {1});
         deliver();
--- a/src/test/java/whinlead/mesh/CutOffOfficeTest.java
+++ b/src/test/java/whinlead/mesh/CutOffControlNodeTest.java
@@ -23,7 +23,7 @@
  * confirmed, takes and confirms no order, and lets no sidecar begin with what is old while something newer
  * can be reached.
  */
-public class CutOffOfficeTest {
+public class CutOffControlNodeTest {
     /** How long it is cut off, in milliseconds. */
     private static final double CUT_MS = Double.parseDouble(System.getProperty("whinlead.cut-ms", "3000"));
     private static final double CONVERGE_MS = 2500;
--- a/src/test/java/whinlead/mesh/DataPlaneTest.java
+++ b/src/test/java/whinlead/mesh/DataPlaneTest.java
@@ -8,9 +8,9 @@
 import whinlead.mesh.quota.Sum;
 import whinlead.mesh.sidecar.Hatch;
 import whinlead.mesh.sidecar.Postage;
-import whinlead.mesh.registry.Directory;
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.rpc.Order;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.rpc.RpcCall;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
@@ -20,8 +20,8 @@
 
 /** The carriers' own decisions: who may go in, what a tenant gets, what may be sent again, whose word holds. */
 public class DataPlaneTest {
-    private static Order.Card card(String phase, long seq) {
-        return new Order.Card("svc", "hall-a", 4, phase, 0, seq);
+    private static RpcCall.Card card(String phase, long seq) {
+        return new RpcCall.Card("svc", "hall-a", 4, phase, 0, seq);
     }
 
     @Test
@@ -187,17 +187,17 @@
     @Test
     public void listingsMergeToTheSameInAnyOrder() {
         Random random = new Random(3);
-        List<Listing> said = new ArrayList<>();
+        List<EndpointRecord> said = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             int life = random.nextInt(3);
             int seq = random.nextInt(6);
-            said.add(new Listing("n" + random.nextInt(3), life, seq, "z", "i-" + life + seq, "svc",
-                    Listing.Phase.values()[(life + seq) % 3], 6, 0));
+            said.add(new EndpointRecord("n" + random.nextInt(3), life, seq, "z", "i-" + life + seq, "svc",
+                    EndpointRecord.Phase.values()[(life + seq) % 3], 6, 0));
         }
-        HashSet<List<Listing>> ends = new HashSet<>();
+        HashSet<List<EndpointRecord>> ends = new HashSet<>();
         for (int i = 0; i < 50; i++) {
             Collections.shuffle(said, random);
-            Directory d = new Directory();
+            EndpointRegistry d = new EndpointRegistry();
             said.forEach(d::merge);
             ends.add(List.of(d.of("n0"), d.of("n1"), d.of("n2")));
         }
@@ -206,11 +206,11 @@
 
     @Test
     public void aDirectoryIsBounded() {
-        Directory d = new Directory();
-        for (int i = 0; i < Directory.MOST + 10; i++) {
-            d.merge(new Listing("n" + i, 1, 1, "z", "", "", Listing.Phase.SERVING, 1, 0));
+        EndpointRegistry d = new EndpointRegistry();
+        for (int i = 0; i < EndpointRegistry.MOST + 10; i++) {
+            d.merge(new EndpointRecord("n" + i, 1, 1, "z", "", "", EndpointRecord.Phase.SERVING, 1, 0));
         }
-        assertEquals(d.all().size(), Directory.MOST);
-        assertTrue(d.merge(new Listing("n0", 1, 2, "z", "", "", Listing.Phase.GONE, 1, 0)));
+        assertEquals(d.all().size(), EndpointRegistry.MOST);
+        assertTrue(d.merge(new EndpointRecord("n0", 1, 2, "z", "", "", EndpointRecord.Phase.GONE, 1, 0)));
     }
 }
--- a/src/test/java/whinlead/mesh/LocalMesh.java
+++ b/src/test/java/whinlead/mesh/LocalMesh.java
@@ -1,9 +1,9 @@
 package whinlead.mesh;
 
-import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.settings.NodeSettingsReader;
 import whinlead.mesh.sidecar.Sidecar;
 import whinlead.mesh.log.Logs;
-import whinlead.mesh.control.Office;
+import whinlead.mesh.control.ControlNode;
 import whinlead.testbed.mesh.Cards;
 import whinlead.testbed.mesh.StandInApp;
 import whinlead.testbed.mesh.Talk;
@@ -66,9 +66,9 @@
     private LocalMesh(int graceS, StandInApp.Script script) throws Exception {
         Logs.start();
         cards = new Cards(1);
-        CardReader reader = new CardReader(new ObjectMapper());
+        NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         EventLoop others = otherLoops.next();
-        new Office(reader.parse(cards.office(0, Files.createTempDirectory("mesh").toString(), true)), others,
+        new ControlNode(reader.parse(cards.office(0, Files.createTempDirectory("mesh").toString(), true)), others,
                 new ObjectMapper()).start();
         near = new Sidecar(reader.parse(grace(cards.carrier(0, "client"), graceS)), nearLoop.next(),
                 new ObjectMapper());
--- a/src/test/java/whinlead/mesh/NewsProbe.java
+++ b/src/test/java/whinlead/mesh/NewsProbe.java
@@ -1,7 +1,7 @@
 package whinlead.mesh;
 
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 import whinlead.testbed.mesh.Cards;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -30,19 +30,19 @@
         int colon = at.lastIndexOf(':');
         socket = new Socket(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1)));
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-        say(out, new Letter.Hello("probe", false));
+        say(out, new PeerMessage.Hello("probe", false));
         threads.execute(this::hear);
         threads.scheduleAtFixedRate(() -> {
             try {
-                say(out, new Letter.Fetch());
+                say(out, new PeerMessage.Fetch());
             } catch (IOException e) {
                 throw new IllegalStateException("the office closed the probe's link", e);
             }
         }, 0, EVERY_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static void say(DataOutputStream out, Letter letter) throws IOException {
-        byte[] written = Letters.write(letter);
+    private static void say(DataOutputStream out, PeerMessage letter) throws IOException {
+        byte[] written = PeerMessageCodec.write(letter);
         out.writeInt(written.length);
         out.write(written);
         out.flush();
@@ -52,7 +52,7 @@
         try {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             while (true) {
-                if (Letters.read(in.readNBytes(in.readInt())) instanceof Letter.News news) {
+                if (PeerMessageCodec.read(in.readNBytes(in.readInt())) instanceof PeerMessage.News news) {
                     seen.add(new Seen(RelayedRig.now(), news.decision().version(), news.confirmed()));
                 }
             }
--- a/src/test/java/whinlead/mesh/OlderPeersTest.java
+++ b/src/test/java/whinlead/mesh/OlderPeersTest.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.settings.CardReader;
+import whinlead.mesh.settings.NodeSettingsReader;
 import whinlead.mesh.sidecar.Sidecar;
-import whinlead.mesh.control.Bodies;
-import whinlead.mesh.control.Office;
+import whinlead.mesh.control.ConfigCodec;
+import whinlead.mesh.control.ControlNode;
 import whinlead.testbed.mesh.Cards;
 import whinlead.testbed.mesh.StandInApp;
 import whinlead.testbed.mesh.Talk;
@@ -62,7 +62,7 @@
 
     private void office(Cards cards) throws Exception {
         String disk = Files.createTempDirectory("office").toString();
-        new Office(new CardReader(new ObjectMapper()).parse(cards.office(0, disk, true)), loop,
+        new ControlNode(new NodeSettingsReader(new ObjectMapper()).parse(cards.office(0, disk, true)), loop,
                 new ObjectMapper()).start();
     }
 
@@ -109,7 +109,7 @@
             fields.unpackString();
         }
         assertTrue(OlderPeer.strings(fields).length > 0, "electors");
-        return new String(Bodies.inflate(body), StandardCharsets.UTF_8);
+        return new String(ConfigCodec.inflate(body), StandardCharsets.UTF_8);
     }
 
     @Test
@@ -183,7 +183,7 @@
         try (ServerSocket officeServer = OlderPeer.listen(cards.talk(0));
                 ServerSocket sidecarServer = OlderPeer.listen(cards.ingress(1));
                 StandInApp endpoint = new StandInApp("i-0", "svc", cards.app(0), cards.beats(0))) {
-            new Sidecar(new CardReader(new ObjectMapper()).parse(cards.carrier(0, "svc")), loop,
+            new Sidecar(new NodeSettingsReader(new ObjectMapper()).parse(cards.carrier(0, "svc")), loop,
                     new ObjectMapper()).start();
             OlderPeer office = OlderPeer.accept(officeServer, "127.0.0.1#0");
             configure(office, cards);
@@ -201,7 +201,7 @@
         office.say(OlderPeer.POST, p -> listing(p, cards.ingress(1), "i-1"));
         office.say(OlderPeer.NOTICE, p -> p.packLong(1));
         office.hear(OlderPeer.FETCH);
-        byte[] body = Bodies.deflate(TARIFF.getBytes(StandardCharsets.UTF_8));
+        byte[] body = ConfigCodec.deflate(TARIFF.getBytes(StandardCharsets.UTF_8));
         office.say(OlderPeer.NEWS, p -> {
             p.packLong(1).packLong(1).packBinaryHeader(body.length).writePayload(body);
             p.packInt(0).packInt(1).packString("127.0.0.1#0").packBoolean(true);
--- a/src/test/java/whinlead/mesh/OrderRulingTest.java
+++ b/src/test/java/whinlead/mesh/OrderRulingTest.java
@@ -15,7 +15,7 @@
     private static final Set<OrderRuling> REFUSED = EnumSet.of(OrderRuling.MISMATCH, OrderRuling.OLD_VERSION);
 
     private static Decision newest() {
-        Decision decision = Decision.founding(Councils.FOUNDERS);
+        Decision decision = Decision.founding(ConsensusNodes.FOUNDERS);
         for (int version = 1; version <= CURRENT; version++) {
             decision = decision.with(version, "taken " + version, new byte[] {1});
         }
--- a/src/test/java/whinlead/mesh/LettersTest.java
+++ b/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
@@ -8,11 +8,11 @@
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Acceptor;
 import whinlead.mesh.consensus.Message;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.log.Event;
 import whinlead.mesh.wire.AcceptorRecord;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -21,49 +21,49 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Letters come back as they were written; bytes that are none are told so and do no other harm. */
-public class LettersTest {
+/** PeerMessageCodec come back as they were written; bytes that are none are told so and do no other harm. */
+public class PeerMessageCodecTest {
     private static final Decision DECISION = new Decision(7, 12, new byte[] {1, 2, 3},
             List.of(new Decision.Taken(12, "d")), List.of("10.0.0.1#0", "10.0.0.2#a"));
     private static final Ballot BALLOT = new Ballot(3, "10.0.0.1#0");
 
-    private static List<Letter> letters() {
-        return List.of(new Letter.Hello("n", true),
-                new Letter.Post(List.of(new Listing("n", 1, 2, "z", "i", "s", Listing.Phase.DRAINING, 6, 5))),
-                new Letter.Ask(-1), new Letter.Notice(8), new Letter.Fetch(), new Letter.News(DECISION, true),
-                new Letter.Ping(1), new Letter.Ping(1, -5), new Letter.Pong(1, "10.0.0.1#0", 7),
-                new Letter.Seek(), new Letter.Offices(List.of("10.0.0.1")),
-                new Letter.Paper(new Message.Prepare(8, BALLOT)),
-                new Letter.Paper(new Message.Promise(8, BALLOT, null)),
-                new Letter.Paper(new Message.Promise(8, BALLOT, new Message.Vote(BALLOT, DECISION))),
-                new Letter.Paper(new Message.Accept(BALLOT, DECISION)),
-                new Letter.Paper(new Message.Accepted(8, BALLOT)),
-                new Letter.Paper(new Message.Nack(8, BALLOT, BALLOT)),
-                new Letter.Paper(new Message.Lagging(8, -1)), new Letter.Paper(new Message.Decided(DECISION)),
-                new Letter.Paper(new Message.Query(5, 3)), new Letter.Paper(new Message.State(5, 3, true)),
-                new Letter.Paper(new Message.Query(5, 3, List.of("10.0.0.1#0", "10.0.0.2#a"))),
-                new Letter.Paper(new Message.State(5, 3, true, List.of(
+    private static List<PeerMessage> letters() {
+        return List.of(new PeerMessage.Hello("n", true),
+                new PeerMessage.Post(List.of(new EndpointRecord("n", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))),
+                new PeerMessage.Ask(-1), new PeerMessage.Notice(8), new PeerMessage.Fetch(), new PeerMessage.News(DECISION, true),
+                new PeerMessage.Ping(1), new PeerMessage.Ping(1, -5), new PeerMessage.Pong(1, "10.0.0.1#0", 7),
+                new PeerMessage.Seek(), new PeerMessage.Offices(List.of("10.0.0.1")),
+                new PeerMessage.Paper(new Message.Prepare(8, BALLOT)),
+                new PeerMessage.Paper(new Message.Promise(8, BALLOT, null)),
+                new PeerMessage.Paper(new Message.Promise(8, BALLOT, new Message.Vote(BALLOT, DECISION))),
+                new PeerMessage.Paper(new Message.Accept(BALLOT, DECISION)),
+                new PeerMessage.Paper(new Message.Accepted(8, BALLOT)),
+                new PeerMessage.Paper(new Message.Nack(8, BALLOT, BALLOT)),
+                new PeerMessage.Paper(new Message.Lagging(8, -1)), new PeerMessage.Paper(new Message.Decided(DECISION)),
+                new PeerMessage.Paper(new Message.Query(5, 3)), new PeerMessage.Paper(new Message.State(5, 3, true)),
+                new PeerMessage.Paper(new Message.Query(5, 3, List.of("10.0.0.1#0", "10.0.0.2#a"))),
+                new PeerMessage.Paper(new Message.State(5, 3, true, List.of(
                         new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT),
                         new Message.Opinion("10.0.0.2#a", Message.Reachability.REACHED)))),
-                new Letter.Paper(new Message.Join(6)), new Letter.Uses(List.of(new Use("t", 0.5)), true),
-                new Letter.Sums(3, List.of(new Use("t", 0.5))),
-                new Letter.Returned(4, Letter.Why.MOVED, 0.5, 2), new Letter.Cancel(4, true));
+                new PeerMessage.Paper(new Message.Join(6)), new PeerMessage.Uses(List.of(new Use("t", 0.5)), true),
+                new PeerMessage.Sums(3, List.of(new Use("t", 0.5))),
+                new PeerMessage.Returned(4, PeerMessage.Why.MOVED, 0.5, 2), new PeerMessage.Cancel(4, true));
     }
 
     @Test
     public void lettersComeBackAsTheyWere() throws IOException {
-        for (Letter letter : letters()) {
-            assertEquals(Letters.read(Letters.write(letter)), letter);
+        for (PeerMessage letter : letters()) {
+            assertEquals(PeerMessageCodec.read(PeerMessageCodec.write(letter)), letter);
         }
-        Letter.Parcel p = (Letter.Parcel) Letters.read(Letters.write(new Letter.Parcel(1, "GET", "/a", List.of(
+        PeerMessage.Parcel p = (PeerMessage.Parcel) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.Parcel(1, "GET", "/a", List.of(
                 "A", "b"), new byte[] {9}, 100, "s", "i", 2)));
         assertEquals(p.headers(), List.of("A", "b"));
         assertTrue(Arrays.equals(p.body(), new byte[] {9}));
-        assertEquals(p.sentAt(), Letter.UNSTAMPED);
-        Letter.Parcel stamped = (Letter.Parcel) Letters.read(Letters.write(new Letter.Parcel(1, "GET", "/a",
+        assertEquals(p.sentAt(), PeerMessage.UNSTAMPED);
+        PeerMessage.Parcel stamped = (PeerMessage.Parcel) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.Parcel(1, "GET", "/a",
                 List.of(), new byte[0], 100, "s", "i", 2, Long.MAX_VALUE)));
         assertEquals(stamped.sentAt(), Long.MAX_VALUE);
-        Letter.Delivered d = (Letter.Delivered) Letters.read(Letters.write(new Letter.Delivered(1, 200,
+        PeerMessage.Delivered d = (PeerMessage.Delivered) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.Delivered(1, 200,
                 List.of("A", "b"), new byte[] {9}, 0.5, 2)));
         assertEquals(d.status(), 200);
         Acceptor.Memory m = new Acceptor.Memory(DECISION, BALLOT, new Message.Vote(BALLOT, DECISION));
@@ -79,42 +79,42 @@
         startsAs(new Message.State(5, 3, true, List.of(new Message.Opinion("10.0.0.1#0",
                 Message.Reachability.SILENT))), new Message.State(5, 3, true));
         // A word that only a newer program knows says nothing: the last byte is its number.
-        byte[] newer = Letters.write(new Letter.Paper(new Message.State(5, 3, true, List.of(
+        byte[] newer = PeerMessageCodec.write(new PeerMessage.Paper(new Message.State(5, 3, true, List.of(
                 new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT)))));
         newer[newer.length - 1] = 100;
-        assertEquals(Letters.read(newer), new Letter.Paper(new Message.State(5, 3, true, List.of(
+        assertEquals(PeerMessageCodec.read(newer), new PeerMessage.Paper(new Message.State(5, 3, true, List.of(
                 new Message.Opinion("10.0.0.1#0", Message.Reachability.UNSURE)))));
     }
 
     private static void startsAs(Message longer, Message older) {
-        byte[] known = Letters.write(new Letter.Paper(older));
-        byte[] written = Letters.write(new Letter.Paper(longer));
+        byte[] known = PeerMessageCodec.write(new PeerMessage.Paper(older));
+        byte[] written = PeerMessageCodec.write(new PeerMessage.Paper(longer));
         assertTrue(written.length > known.length);
         assertEquals(Arrays.copyOf(written, known.length), known);
     }
 
     @Test
     public void fieldsBehindATimeOfSendingArePassedOver() throws IOException {
-        Letter ping = new Letter.Ping(4, 7);
-        byte[] written = Letters.write(ping);
+        PeerMessage ping = new PeerMessage.Ping(4, 7);
+        byte[] written = PeerMessageCodec.write(ping);
         byte[] later = Arrays.copyOf(written, written.length + 1);
         later[written.length] = 1;
-        assertEquals(Letters.read(later), ping);
+        assertEquals(PeerMessageCodec.read(later), ping);
     }
 
     @Test
     public void bytesThatAreNoLetterAreOnlyThat() {
         Random random = new Random(11);
-        List<Letter> letters = letters();
+        List<PeerMessage> letters = letters();
         int read = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = Letters.write(letters.get(random.nextInt(letters.size())));
+            byte[] bytes = PeerMessageCodec.write(letters.get(random.nextInt(letters.size())));
             for (int k = 0; k <= random.nextInt(3); k++) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
             bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length) + 1);
             try {
-                Letters.read(bytes);
+                PeerMessageCodec.read(bytes);
                 read++;
             } catch (IOException e) {
                 // The one error that a link knows what to do with.
--- a/src/test/java/whinlead/mesh/ReplacedOfficeTest.java
+++ b/src/test/java/whinlead/mesh/ReplacedControlNodeTest.java
@@ -11,7 +11,7 @@
  * Point 3 on processes: an office is replaced, planned and not, and the next loss comes at once; the others
  * go on taking changes.
  */
-public class ReplacedOfficeTest {
+public class ReplacedControlNodeTest {
     private static final double ACK_MS = 5000;
     private static final double START_MS = 30_000;
     private static final long GRACE_S = 6;
--- a/src/test/java/whinlead/mesh/control/SidecarContactTest.java
+++ b/src/test/java/whinlead/mesh/control/SidecarContactTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.registry.Directory;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.registry.EndpointRecord;
 import java.util.List;
 import org.testng.annotations.Test;
 
@@ -14,13 +14,13 @@
     private static final double SAY_MS = 3100;
     private static final String NODE = "10.0.0.1:80";
 
-    private static Listing listing(long seq, Listing.Phase phase) {
-        return new Listing(NODE, 1, seq, "zone", "endpoint", "service", phase, 6, 0);
+    private static EndpointRecord listing(long seq, EndpointRecord.Phase phase) {
+        return new EndpointRecord(NODE, 1, seq, "zone", "endpoint", "service", phase, 6, 0);
     }
 
-    private static Directory directory() {
-        Directory directory = new Directory();
-        directory.merge(listing(1, Listing.Phase.SERVING));
+    private static EndpointRegistry directory() {
+        EndpointRegistry directory = new EndpointRegistry();
+        directory.merge(listing(1, EndpointRecord.Phase.SERVING));
         return directory;
     }
 
@@ -28,7 +28,7 @@
     // second repetition.
     @Test
     public void aSidecarThatOneControlNodeReachesIsNotSilentAtTheOthers() {
-        Directory directory = directory();
+        EndpointRegistry directory = directory();
         SidecarContact near = new SidecarContact();
         SidecarContact far = new SidecarContact();
         far.heard(0, NODE, false);
@@ -40,7 +40,7 @@
                 said = Math.max(0, said + SAY_MS);
                 near.heard(said, NODE, true);
             }
-            List<Listing> fresh = near.fresh(now, directory);
+            List<EndpointRecord> fresh = near.fresh(now, directory);
             assertEquals(fresh.size(), 1, "repeated at " + now);
             if (i % 2 == 0) {
                 repeated++;
@@ -54,15 +54,15 @@
 
     @Test
     public void aSilentSidecarIsGoneByANumberThatItCanRefute() {
-        Directory directory = directory();
+        EndpointRegistry directory = directory();
         SidecarContact contact = new SidecarContact();
         contact.heard(1000, NODE, true);
         assertEquals(contact.lost(1000 + SidecarContact.SILENT_MS, directory), List.of());
-        List<Listing> lost = contact.lost(1001 + SidecarContact.SILENT_MS, directory);
-        assertEquals(lost, List.of(listing(2, Listing.Phase.GONE)));
+        List<EndpointRecord> lost = contact.lost(1001 + SidecarContact.SILENT_MS, directory);
+        assertEquals(lost, List.of(listing(2, EndpointRecord.Phase.GONE)));
         assertTrue(directory.merge(lost.get(0)));
         assertEquals(contact.lost(99_000, directory), List.of(), "it is said once");
-        assertTrue(directory.merge(listing(3, Listing.Phase.SERVING)));
+        assertTrue(directory.merge(listing(3, EndpointRecord.Phase.SERVING)));
     }
 
     @Test
--- a/src/test/java/whinlead/mesh/control/ScribeHandOverTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.storage.LedgerException;
+import whinlead.mesh.storage.StateStoreException;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
  * The two threads that share an office's memory, its loop and the one that writes to the disk, switched at
  * every point where one hands over to the other, in a seeded order; and as real threads that give way there.
  */
-public class ScribeHandOverTest {
+public class StateWriterHandOverTest {
     private static final int SCHEDULES = 5000;
     private static final int STEPS = 60;
     private static final int RUNS = 50;
@@ -58,7 +58,7 @@
         private final Record record = new Record();
         private final Queue<Runnable> loop = new ArrayDeque<>();
         private final List<String> faults = new ArrayList<>();
-        private final Scribe scribe = new Scribe(this::write, this::queue, () -> 0);
+        private final StateWriter scribe = new StateWriter(this::write, this::queue, () -> 0);
         private int newest = -1;
         private boolean refuses;
 
@@ -66,10 +66,10 @@
             random = new SplittableRandom(seed);
         }
 
-        private void write(byte[] bytes) throws LedgerException {
+        private void write(byte[] bytes) throws StateStoreException {
             switchToLoop();
             if (refuses && random.nextBoolean()) {
-                throw new LedgerException("refused");
+                throw new StateStoreException("refused");
             }
             record.written(memory(bytes));
             switchToLoop();
@@ -143,7 +143,7 @@
             BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
             SplittableRandom disk = new SplittableRandom(run);
             SplittableRandom own = disk.split();
-            Scribe scribe = new Scribe(bytes -> {
+            StateWriter scribe = new StateWriter(bytes -> {
                 giveWay(disk);
                 record.written(memory(bytes));
                 giveWay(disk);
--- a/src/test/java/whinlead/mesh/control/ScribeTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.storage.LedgerException;
+import whinlead.mesh.storage.StateStoreException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** What is said only once it is on disk, on disks that stall, are slow, are full or fail. */
-public class ScribeTest {
+public class StateWriterTest {
     private static final long WAIT_S = 20;
 
     private final List<Integer> onDisk = new ArrayList<>();
@@ -25,7 +25,7 @@
     private double now;
     /** Happens while the disk is at work. */
     private Runnable meanwhile;
-    private Scribe scribe;
+    private StateWriter scribe;
 
     @BeforeMethod
     public void make() {
@@ -35,15 +35,15 @@
         full = false;
         now = 0;
         meanwhile = () -> { };
-        scribe = new Scribe(this::write, loop::add, () -> now);
+        scribe = new StateWriter(this::write, loop::add, () -> now);
     }
 
-    private void write(byte[] memory) throws LedgerException {
+    private void write(byte[] memory) throws StateStoreException {
         Runnable task = meanwhile;
         meanwhile = () -> { };
         task.run();
         if (full) {
-            throw new LedgerException("the ledger can't be written: disk is full");
+            throw new StateStoreException("the ledger can't be written: disk is full");
         }
         onDisk.add((int) memory[0]);
     }
@@ -96,11 +96,11 @@
 
     @Test
     public void whatAStalledDiskHoldsUpIsBounded() {
-        for (int i = 0; i < Scribe.WAITING_MOST + 2; i++) {
+        for (int i = 0; i < StateWriter.WAITING_MOST + 2; i++) {
             hand(1, "" + i);
         }
         step();
-        assertEquals(said.size(), Scribe.WAITING_MOST);
+        assertEquals(said.size(), StateWriter.WAITING_MOST);
         assertEquals(said.get(0), "2", "the oldest are as if lost on the way");
     }
 
@@ -163,9 +163,9 @@
     public void theThreadTriesAgainByItself() throws InterruptedException {
         CountDownLatch written = new CountDownLatch(1);
         int[] tries = new int[1];
-        Scribe alone = new Scribe(memory -> {
+        StateWriter alone = new StateWriter(memory -> {
             if (++tries[0] < 3) {
-                throw new LedgerException("the ledger can't be written: disk is full");
+                throw new StateStoreException("the ledger can't be written: disk is full");
             }
             written.countDown();
         }, Runnable::run, () -> 0);
--- a/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
+++ b/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
@@ -20,7 +20,7 @@
     private static final String HEAD = "POST /whinlead/rpc?call=config.read HTTP/1.1\r\n";
     private static final String READ = HEAD + "Content-Length: 0\r\n\r\n";
 
-    private List<Consumer<Answer>> open;
+    private List<Consumer<RpcResponse>> open;
     private EmbeddedChannel channel;
 
     @BeforeMethod
@@ -48,13 +48,13 @@
     public void noMoreAreUnderWayThanTheBound() {
         say(READ.repeat(RpcConnection.UNDER_WAY * 3));
         assertEquals(open.size(), RpcConnection.UNDER_WAY);
-        open.get(1).accept(Answer.done());
+        open.get(1).accept(RpcResponse.done());
         assertEquals(open.size(), RpcConnection.UNDER_WAY, "the first is still unanswered");
-        open.get(0).accept(Answer.done());
+        open.get(0).accept(RpcResponse.done());
         channel.runPendingTasks();
         assertEquals(open.size(), RpcConnection.UNDER_WAY + 2);
         for (int i = 2; i < open.size(); i++) {
-            open.get(i).accept(Answer.done());
+            open.get(i).accept(RpcResponse.done());
             channel.runPendingTasks();
         }
         assertEquals(open.size(), RpcConnection.UNDER_WAY * 3);
@@ -65,7 +65,7 @@
     public void aGoAheadWaitsForTheAnswersBefore() {
         say(READ + HEAD + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\n");
         assertEquals(heard(), "");
-        open.get(0).accept(Answer.done());
+        open.get(0).accept(RpcResponse.done());
         String heard = heard();
         assertTrue(heard.startsWith("HTTP/1.1 200") && heard.contains("HTTP/1.1 100"), heard);
         say("{}");
@@ -82,8 +82,8 @@
         say(READ);
         assertEquals(heard(), "");
         assertEquals(open.size(), 2, "the one before and the one behind");
-        open.get(1).accept(Answer.done());
-        open.get(0).accept(Answer.done());
+        open.get(1).accept(RpcResponse.done());
+        open.get(0).accept(RpcResponse.done());
         String heard = heard();
         assertTrue(heard.matches("(?s)HTTP/1.1 200 .*HTTP/1.1 413 .*HTTP/1.1 200 .*"), heard);
         assertTrue(channel.isActive());
@@ -94,7 +94,7 @@
         say(READ);
         channel.close();
         assertFalse(channel.isActive());
-        open.get(0).accept(Answer.done());
+        open.get(0).accept(RpcResponse.done());
         assertEquals(heard(), "");
         channel.checkException();
     }
--- a/src/test/java/whinlead/mesh/rpc/RpcServerTest.java
+++ b/src/test/java/whinlead/mesh/rpc/RpcServerTest.java
@@ -31,7 +31,7 @@
     private static final String NO_CALL = READ.replace("config.read", "config.none");
     private static final long WAIT_S = 10;
 
-    private final BlockingQueue<Consumer<Answer>> open = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Consumer<RpcResponse>> open = new LinkedBlockingQueue<>();
     private EventLoopGroup loops;
     private Channel listener;
 
@@ -55,20 +55,20 @@
         return talk;
     }
 
-    private Consumer<Answer> next() throws InterruptedException {
-        Consumer<Answer> answer = open.poll(WAIT_S, TimeUnit.SECONDS);
+    private Consumer<RpcResponse> next() throws InterruptedException {
+        Consumer<RpcResponse> answer = open.poll(WAIT_S, TimeUnit.SECONDS);
         assertNotNull(answer, "a call was run");
         return answer;
     }
 
-    private static Answer answer(String text) {
-        return new Answer(200, text.getBytes(StandardCharsets.US_ASCII));
+    private static RpcResponse answer(String text) {
+        return new RpcResponse(200, text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Test
     public void answersGoOutInTheOrderOfTheCalls() throws Exception {
         try (Talk talk = talk(READ + NO_CALL + READ)) {
-            Consumer<Answer> first = next();
+            Consumer<RpcResponse> first = next();
             next().accept(answer("third"));
             first.accept(answer("first"));
             assertEquals(talk.hear().text(), "first");
@@ -80,8 +80,8 @@
     @Test
     public void anAnswerIsSaidOnceAndFromWhicheverThread() throws Exception {
         try (Talk talk = talk(READ + READ)) {
-            Consumer<Answer> first = next();
-            Consumer<Answer> second = next();
+            Consumer<RpcResponse> first = next();
+            Consumer<RpcResponse> second = next();
             first.accept(answer("first"));
             first.accept(answer("again"));
             loops.next().execute(() -> second.accept(answer("second")));
@@ -96,7 +96,7 @@
     public void oneThatIsTheLastEndsItAfterTheAnswersBefore() throws Exception {
         String last = READ.replace("Content-Length", "Connection: close\r\nContent-Length");
         try (Talk talk = talk(READ + last + READ)) {
-            Consumer<Answer> first = next();
+            Consumer<RpcResponse> first = next();
             next().accept(answer("last"));
             first.accept(answer("first"));
             assertEquals(talk.hear().text(), "first");
@@ -123,12 +123,12 @@
 
     @Test
     public void aConnectionThatBreaksDropsItsAnswersWithoutHarm() throws Exception {
-        Consumer<Answer> lost;
+        Consumer<RpcResponse> lost;
         try (Talk talk = talk(READ)) {
             lost = next();
         }
         try (Talk talk = talk(READ)) {
-            Consumer<Answer> here = next();
+            Consumer<RpcResponse> here = next();
             lost.accept(answer("lost"));
             here.accept(answer("here"));
             assertEquals(talk.hear().text(), "here");
--- a/src/test/java/whinlead/mesh/sidecar/DepotTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DepotTest.java
@@ -4,10 +4,10 @@
 
 import whinlead.engine.Timers;
 import whinlead.plan.Calendar;
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
 import java.util.List;
 import org.testng.annotations.Test;
 
@@ -40,12 +40,12 @@
         public void dial() { }
 
         @Override
-        public Tie.State state() {
-            return Tie.State.DOWN;
+        public ReconnectingConnection.State state() {
+            return ReconnectingConnection.State.DOWN;
         }
 
         @Override
-        public boolean send(Letter letter) {
+        public boolean send(PeerMessage letter) {
             return false;
         }
 
@@ -53,11 +53,11 @@
         public void close() { }
     }
 
-    private static Card card() {
-        return new Card(new Card.Self("here", "127.0.0.1", "z", false, null, null, null, null),
-                new Card.Network(new Card.Bind(null, null, null, null), List.of(7000, 7001), List.of()),
-                new Card.Substrate(1),
-                new Card.Clauses(new Card.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
+    private static NodeSettings card() {
+        return new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
+                new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(7000, 7001), List.of()),
+                new NodeSettings.Substrate(1),
+                new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
     }
 
     @Test
@@ -69,8 +69,8 @@
         int services = 64;
         for (int i = 0; i < services; i++) {
             Depot depot = new Depot(beat, new Classes(), card(), 3, i, round, null, new Postage(0.2, 60));
-            depot.update(List.of(new Listing("node", 1, 1, "z", "endpoint", "service-" + i,
-                    Listing.Phase.SERVING, 6, 0)));
+            depot.update(List.of(new EndpointRecord("node", 1, 1, "z", "endpoint", "service-" + i,
+                    EndpointRecord.Phase.SERVING, 6, 0)));
         }
         timers.calendar.runTo(SPAN_MS);
         double periods = services * SPAN_MS / Classes.period();
--- a/src/test/java/whinlead/mesh/sidecar/EgressTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressTest.java
@@ -5,12 +5,12 @@
 
 import whinlead.plan.Calendar;
 import whinlead.mesh.quota.Allowance;
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.config.Routing;
-import whinlead.mesh.config.Tariff;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -38,40 +38,40 @@
     private static final String END = "\r\n\r\n";
 
     /** What was written to another sidecar, and when. */
-    private record Written(Path path, double at, Letter.Parcel parcel) { }
+    private record Written(Path path, double at, PeerMessage.Parcel parcel) { }
 
     /** A path to another sidecar that connects after a time and reacts to requests as the test says. */
     private final class Path implements Round.Path {
         private final Round.Ear ear;
-        private Tie.State state = Tie.State.DOWN;
+        private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
 
         private Path(Round.Ear ear) {
             this.ear = ear;
         }
 
-        private void to(Tie.State next) {
-            Tie.State before = state;
+        private void to(ReconnectingConnection.State next) {
+            ReconnectingConnection.State before = state;
             state = next;
             ear.changed(next, before);
         }
 
         @Override
         public void dial() {
-            to(Tie.State.DIALLING);
-            calendar.after(connectMs, () -> to(Tie.State.UP));
+            to(ReconnectingConnection.State.DIALLING);
+            calendar.after(connectMs, () -> to(ReconnectingConnection.State.UP));
         }
 
         @Override
-        public Tie.State state() {
+        public ReconnectingConnection.State state() {
             return state;
         }
 
         @Override
-        public boolean send(Letter letter) {
-            if (letter instanceof Letter.Parcel parcel) {
+        public boolean send(PeerMessage letter) {
+            if (letter instanceof PeerMessage.Parcel parcel) {
                 written.add(new Written(this, calendar.now(), parcel));
                 reaction.accept(this, parcel);
-            } else if (letter instanceof Letter.Cancel cancel) {
+            } else if (letter instanceof PeerMessage.Cancel cancel) {
                 cancels.add(cancel);
             }
             return true;
@@ -79,16 +79,16 @@
 
         @Override
         public void close() {
-            to(Tie.State.CLOSED);
+            to(ReconnectingConnection.State.CLOSED);
         }
     }
 
     private Calendar calendar;
-    private Routing routing;
+    private RoutingTable routing;
     private double connectMs;
-    private BiConsumer<Path, Letter.Parcel> reaction;
+    private BiConsumer<Path, PeerMessage.Parcel> reaction;
     private List<Written> written;
-    private List<Letter.Cancel> cancels;
+    private List<PeerMessage.Cancel> cancels;
     private EmbeddedChannel channel;
     private StringBuilder heard;
 
@@ -104,17 +104,17 @@
         Round round = new Round(calendar, task -> calendar.after(0, task), "here", (parcel, done) -> { },
                 (node, ear) -> new Path(ear), () -> { });
         Depot depot = new Depot(calendar, classes, card(), NODES, 1, round, null, new Postage(10, 1000));
-        List<Listing> listings = new ArrayList<>();
+        List<EndpointRecord> listings = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            listings.add(new Listing("n" + i, 1, 1, "z", "i-" + i, "svc", Listing.Phase.SERVING, 4, 0));
+            listings.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 4, 0));
         }
         depot.update(listings);
-        routing = new Routing(1, new Tariff("00000001", Map.of(
-                "once", route("/once/", Tariff.IDEMPOTENT, 1),
-                "twice", route("/twice/", Tariff.IDEMPOTENT, 2),
-                "thrice", route("/thrice/", Tariff.IDEMPOTENT, 3),
-                "sign", route("/sign/", Tariff.MUTATING, 2)),
-                Map.of("svc", new Tariff.Service("/health", 100)), new Tariff.Limits(16384, 1000, 3, 15),
+        routing = new RoutingTable(1, new MeshConfig("00000001", Map.of(
+                "once", route("/once/", MeshConfig.IDEMPOTENT, 1),
+                "twice", route("/twice/", MeshConfig.IDEMPOTENT, 2),
+                "thrice", route("/thrice/", MeshConfig.IDEMPOTENT, 3),
+                "sign", route("/sign/", MeshConfig.MUTATING, 2)),
+                Map.of("svc", new MeshConfig.Service("/health", 100)), new MeshConfig.Limits(16384, 1000, 3, 15),
                 null));
         Egress egress = new Egress(null, calendar, () -> routing, (target, large) -> depot, () -> "own",
                 () -> NODES, new Allowance(0, 20, 0.1, 5, 1), classes);
@@ -126,15 +126,15 @@
         });
     }
 
-    private static Tariff.Route route(String prefix, String kind, int tries) {
-        return new Tariff.Route("h", prefix, kind, DEADLINE_MS / 1000, 0.5, 1, null, "svc", tries, true);
+    private static MeshConfig.Route route(String prefix, String kind, int tries) {
+        return new MeshConfig.Route("h", prefix, kind, DEADLINE_MS / 1000, 0.5, 1, null, "svc", tries, true);
     }
 
-    private static Card card() {
-        return new Card(new Card.Self("here", "127.0.0.1", "z", false, null, null, null, null),
-                new Card.Network(new Card.Bind(null, null, null, null), List.of(7000, 7001), List.of()),
-                new Card.Substrate(1),
-                new Card.Clauses(new Card.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
+    private static NodeSettings card() {
+        return new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
+                new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(7000, 7001), List.of()),
+                new NodeSettings.Substrate(1),
+                new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
     }
 
     private void say(String text) {
@@ -173,16 +173,16 @@
     }
 
     private void resetsAfter(double millis) {
-        reaction = (path, parcel) -> calendar.after(millis, () -> path.to(Tie.State.DOWN));
+        reaction = (path, parcel) -> calendar.after(millis, () -> path.to(ReconnectingConnection.State.DOWN));
     }
 
     @DataProvider
     public Object[][] losses() {
-        return new Object[][] {{Tie.State.DOWN, 5.0}, {Tie.State.SUSPECT, 300.0}, {Tie.State.DOWN, 300.0}};
+        return new Object[][] {{ReconnectingConnection.State.DOWN, 5.0}, {ReconnectingConnection.State.SUSPECT, 300.0}, {ReconnectingConnection.State.DOWN, 300.0}};
     }
 
     @Test(dataProvider = "losses")
-    public void aRequestIsSentToNoMoreEndpointsThanItsRouteAllows(Tie.State to, double after) {
+    public void aRequestIsSentToNoMoreEndpointsThanItsRouteAllows(ReconnectingConnection.State to, double after) {
         List<String> paths = List.of("/once/", "/twice/", "/thrice/");
         for (int tries = 1; tries <= paths.size(); tries++) {
             start();
@@ -193,7 +193,7 @@
             assertEquals(written.size(), tries);
             assertEquals(written.stream().map(Written::path).distinct().count(), tries);
             // Silence ends nothing that may be asked of nobody else; its endpoint has until the deadline.
-            assertTrue(heard.toString().startsWith(to == Tie.State.SUSPECT ? "HTTP/1.1 504" : "HTTP/1.1 502"),
+            assertTrue(heard.toString().startsWith(to == ReconnectingConnection.State.SUSPECT ? "HTTP/1.1 504" : "HTTP/1.1 502"),
                     heard.toString());
         }
     }
@@ -201,9 +201,9 @@
     @Test
     public void anAnswerAfterASilenceIsTakenWhereNobodyElseMayBeAsked() {
         reaction = (path, parcel) -> {
-            calendar.after(300, () -> path.to(Tie.State.SUSPECT));
-            calendar.after(900, () -> path.to(Tie.State.UP));
-            calendar.after(1800, () -> path.ear.letter(new Letter.Delivered(parcel.stream(), 200,
+            calendar.after(300, () -> path.to(ReconnectingConnection.State.SUSPECT));
+            calendar.after(900, () -> path.to(ReconnectingConnection.State.UP));
+            calendar.after(1800, () -> path.ear.letter(new PeerMessage.Delivered(parcel.stream(), 200,
                     List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         };
         say(whole("/once/", ""));
@@ -216,9 +216,9 @@
     public void whatWasTurnedAwayBesideAnEndpointDoesNotCountAsSentToIt() {
         reaction = (path, parcel) -> calendar.after(1, () -> {
             if (written.size() == 1) {
-                path.ear.letter(new Letter.Returned(parcel.stream(), Letter.Why.FULL, 0, 0));
+                path.ear.letter(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.FULL, 0, 0));
             } else {
-                path.to(Tie.State.DOWN);
+                path.to(ReconnectingConnection.State.DOWN);
             }
         });
         say(whole("/twice/", ""));
@@ -346,7 +346,7 @@
             runTo(100);
             assertEquals(cancels, List.of());
             channel.close();
-            assertEquals(cancels, List.of(new Letter.Cancel(written.get(0).parcel.stream(),
+            assertEquals(cancels, List.of(new PeerMessage.Cancel(written.get(0).parcel.stream(),
                     !path.equals("/sign/"))));
             runTo(2 * DEADLINE_MS);
             assertEquals(cancels.size(), 1);
@@ -355,7 +355,7 @@
 
     @Test
     public void nothingIsCancelledOnceItIsAnswered() {
-        reaction = (path, parcel) -> calendar.after(5, () -> path.ear.letter(new Letter.Delivered(
+        reaction = (path, parcel) -> calendar.after(5, () -> path.ear.letter(new PeerMessage.Delivered(
                 parcel.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         say(whole("/thrice/", ""));
         answered(100);
--- a/src/test/java/whinlead/mesh/sidecar/EndpointLineTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointLineTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import whinlead.plan.Calendar;
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandler;
@@ -59,11 +59,11 @@
     }
 
     private EndpointLine.Sent ask(String id, String method) {
-        Letter.Parcel parcel = new Letter.Parcel(1, method, "/x", List.of("Host", "h", "Attempt-Id", id),
+        PeerMessage.Parcel parcel = new PeerMessage.Parcel(1, method, "/x", List.of("Host", "h", "Attempt-Id", id),
                 new byte[0], LEFT_MS, "svc", "i-1", 0);
-        return line.send(parcel, "i-1", letter -> told.add(id + " " + (letter instanceof Letter.Delivered d
+        return line.send(parcel, "i-1", letter -> told.add(id + " " + (letter instanceof PeerMessage.Delivered d
                 ? d.status() + " " + new String(d.body(), StandardCharsets.US_ASCII)
-                : ((Letter.Returned) letter).why())));
+                : ((PeerMessage.Returned) letter).why())));
     }
 
     private void say(int connection, String text) {
@@ -150,8 +150,8 @@
         ask("a");
         say(0, served("a"));
         told.clear();
-        line.send(new Letter.Parcel(2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], LEFT_MS, "svc", "i-1",
-                0), "i-1", letter -> told.add("b " + ((Letter.Returned) letter).why()));
+        line.send(new PeerMessage.Parcel(2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], LEFT_MS, "svc", "i-1",
+                0), "i-1", letter -> told.add("b " + ((PeerMessage.Returned) letter).why()));
         assertEquals(told, List.of("b UNREACHED"));
         ask("c");
         say(1, served("c"));
--- a/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import whinlead.testbed.mesh.Talk;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -52,11 +52,11 @@
     }
 
     private void ask(String id, byte[] body) {
-        Letter.Parcel parcel = new Letter.Parcel(1, "POST", "/" + id, List.of("Attempt-Id", id), body,
+        PeerMessage.Parcel parcel = new PeerMessage.Parcel(1, "POST", "/" + id, List.of("Attempt-Id", id), body,
                 WAIT_MS, "svc", "i-1", 0);
         loop.execute(() -> line.send(parcel, "i-1", letter -> told.add(id + " "
-                + (letter instanceof Letter.Delivered d ? d.status() + " " + d.body().length
-                        : ((Letter.Returned) letter).why()))));
+                + (letter instanceof PeerMessage.Delivered d ? d.status() + " " + d.body().length
+                        : ((PeerMessage.Returned) letter).why()))));
     }
 
     private String told() throws InterruptedException {
--- a/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import whinlead.mesh.wire.Letter;
+import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.TransitClock;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
@@ -21,8 +21,8 @@
         time.running(0);
     }
 
-    private static Letter.Parcel written(double at) {
-        return new Letter.Parcel(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0,
+    private static PeerMessage.Parcel written(double at) {
+        return new PeerMessage.Parcel(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0,
                 (long) (at * 1000));
     }
 
@@ -61,7 +61,7 @@
 
     @Test
     public void aPeerThatStampsNothingIsTakenAtItsWord() {
-        Letter.Parcel unstamped = new Letter.Parcel(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc",
+        PeerMessage.Parcel unstamped = new PeerMessage.Parcel(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc",
                 "i-1", 0);
         assertEquals(time.left(FROZEN_MS, new TransitClock(), unstamped), LEFT_MS);
     }
--- a/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
@@ -5,13 +5,13 @@
 import static org.testng.Assert.assertTrue;
 
 import whinlead.plan.Calendar;
-import whinlead.mesh.settings.Card;
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.rpc.Order;
-import whinlead.mesh.config.Routing;
-import whinlead.mesh.config.Tariff;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.rpc.RpcCall;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -38,49 +38,49 @@
     /** A way to another sidecar whose endpoint answers at once. */
     private final class Answering implements Round.Path {
         private final Round.Ear ear;
-        private Tie.State state = Tie.State.DOWN;
+        private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
 
         private Answering(Round.Ear ear) {
             this.ear = ear;
         }
 
-        private void to(Tie.State next) {
-            Tie.State before = state;
+        private void to(ReconnectingConnection.State next) {
+            ReconnectingConnection.State before = state;
             state = next;
             ear.changed(next, before);
         }
 
         @Override
         public void dial() {
-            to(Tie.State.DIALLING);
-            calendar.after(1, () -> to(Tie.State.UP));
+            to(ReconnectingConnection.State.DIALLING);
+            calendar.after(1, () -> to(ReconnectingConnection.State.UP));
         }
 
         @Override
-        public Tie.State state() {
+        public ReconnectingConnection.State state() {
             return state;
         }
 
         @Override
-        public boolean send(Letter letter) {
-            Letter.Parcel parcel = (Letter.Parcel) letter;
+        public boolean send(PeerMessage letter) {
+            PeerMessage.Parcel parcel = (PeerMessage.Parcel) letter;
             sent.add(parcel);
-            calendar.after(1, () -> ear.letter(new Letter.Delivered(parcel.stream(), 200,
+            calendar.after(1, () -> ear.letter(new PeerMessage.Delivered(parcel.stream(), 200,
                     List.of("Server-Seal", "s"), new byte[0], 0, 0)));
             return true;
         }
 
         @Override
         public void close() {
-            to(Tie.State.CLOSED);
+            to(ReconnectingConnection.State.CLOSED);
         }
     }
 
     private Calendar calendar;
-    private List<Letter.Parcel> sent;
-    private Map<String, Tariff.Route> routes;
+    private List<PeerMessage.Parcel> sent;
+    private Map<String, MeshConfig.Route> routes;
     private double ratePerS;
-    private Routing routing;
+    private RoutingTable routing;
     private ClientSide sidecar;
 
     @BeforeMethod
@@ -89,31 +89,31 @@
         sent = new ArrayList<>();
         Round round = new Round(calendar, task -> calendar.after(0, task), "here", (parcel, done) -> { },
                 (node, ear) -> new Answering(ear), () -> { });
-        Card card = new Card(new Card.Self("here", "127.0.0.1", "z", false, null, null, null, null),
-                new Card.Network(new Card.Bind(null, null, null, null), List.of(1, 1), List.of()),
-                new Card.Substrate(1),
-                new Card.Clauses(new Card.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
+        NodeSettings card = new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
+                new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(1, 1), List.of()),
+                new NodeSettings.Substrate(1),
+                new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
         routes = new LinkedHashMap<>();
         ratePerS = 0;
         routes.put("first", route("/first/", 1, false));
         routes.put("call", route("/call/", 0, true));
         inForce(1);
         sidecar = new ClientSide(calendar, card, round, () -> routing, 1);
-        List<Listing> listings = new ArrayList<>();
+        List<EndpointRecord> listings = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            listings.add(new Listing("n" + i, 1, 1, "z", "i-" + i, "svc", Listing.Phase.SERVING, 10, 0));
+            listings.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 10, 0));
         }
         sidecar.endpoints("svc", listings);
     }
 
-    private static Tariff.Route route(String prefix, int rank, boolean open) {
-        return new Tariff.Route("h", prefix, Tariff.IDEMPOTENT, 2.0, 0.5, rank, null, "svc", 2, open);
+    private static MeshConfig.Route route(String prefix, int rank, boolean open) {
+        return new MeshConfig.Route("h", prefix, MeshConfig.IDEMPOTENT, 2.0, 0.5, rank, null, "svc", 2, open);
     }
 
     private void inForce(long slot) {
-        routing = new Routing(slot, new Tariff("%08x".formatted(slot), new LinkedHashMap<>(routes),
-                Map.of("svc", new Tariff.Service("/health", 100)), new Tariff.Limits(16384, 1000, 3, 15),
-                Map.of("t-1", new Tariff.Tenant(List.of("key-1"), 1, ratePerS, ratePerS))));
+        routing = new RoutingTable(slot, new MeshConfig("%08x".formatted(slot), new LinkedHashMap<>(routes),
+                Map.of("svc", new MeshConfig.Service("/health", 100)), new MeshConfig.Limits(16384, 1000, 3, 15),
+                Map.of("t-1", new MeshConfig.Tenant(List.of("key-1"), 1, ratePerS, ratePerS))));
     }
 
     private int status(String path, String headers) {
@@ -151,7 +151,7 @@
         assertEquals(served, ADDED, "served as the first one");
         assertEquals(status("/first/", KEY), 200);
         // The module tells requests apart by class alone, and these are of one class.
-        assertEquals(sent.stream().map(Letter.Parcel::rank).distinct().count(), 1);
+        assertEquals(sent.stream().map(PeerMessage.Parcel::rank).distinct().count(), 1);
     }
 
     @Test
@@ -175,7 +175,7 @@
     @Test
     public void nobodyTakesThePlacesOfTheHighestRankAtAnEndpoint() {
         Hatch hatch = new Hatch(1500);
-        hatch.beat(0, "i-1", new Order.Card("svc", "z", 4, "serving", 0, 1));
+        hatch.beat(0, "i-1", new RpcCall.Card("svc", "z", 4, "serving", 0, 1));
         for (int ms = 0; ms < 3000; ms += 50) {
             hatch.enter(ms, "svc", 0);
         }
--- a/src/test/java/whinlead/mesh/sidecar/OutdatedListsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/OutdatedListsTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.registry.Directory;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.registry.EndpointRecord;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,11 +23,11 @@
     public void begin() {
         turn = new ArrayDeque<>();
         refreshed = new ArrayList<>();
-        lists = new OutdatedLists(turn::add, new Directory(), refreshed::add);
+        lists = new OutdatedLists(turn::add, new EndpointRegistry(), refreshed::add);
     }
 
-    private static Listing listing(String node, long seq, String service, Listing.Phase phase) {
-        return new Listing(node, 1, seq, "zone", "endpoint-" + node, service, phase, 6, 0);
+    private static EndpointRecord listing(String node, long seq, String service, EndpointRecord.Phase phase) {
+        return new EndpointRecord(node, 1, seq, "zone", "endpoint-" + node, service, phase, 6, 0);
     }
 
     private void endTurn() {
@@ -38,20 +38,20 @@
 
     @Test
     public void aChangedListingConcernsItsOwnServiceOnly() {
-        lists.merge(listing("a", 1, "one", Listing.Phase.SERVING));
-        lists.merge(listing("b", 1, "two", Listing.Phase.SERVING));
+        lists.merge(listing("a", 1, "one", EndpointRecord.Phase.SERVING));
+        lists.merge(listing("b", 1, "two", EndpointRecord.Phase.SERVING));
         endTurn();
         assertEquals(refreshed, List.of(Set.of("one", "two")));
-        lists.merge(listing("a", 2, "one", Listing.Phase.GONE));
+        lists.merge(listing("a", 2, "one", EndpointRecord.Phase.GONE));
         endTurn();
         assertEquals(refreshed.get(1), Set.of("one"));
     }
 
     @Test
     public void anEndpointOfAnotherServiceConcernsBoth() {
-        lists.merge(listing("a", 1, "one", Listing.Phase.SERVING));
+        lists.merge(listing("a", 1, "one", EndpointRecord.Phase.SERVING));
         endTurn();
-        lists.merge(listing("a", 2, "two", Listing.Phase.SERVING));
+        lists.merge(listing("a", 2, "two", EndpointRecord.Phase.SERVING));
         endTurn();
         assertEquals(refreshed.get(1), Set.of("one", "two"));
     }
@@ -59,7 +59,7 @@
     @Test
     public void manyChangesOfOneTurnMakeAListAnewOnce() {
         for (int i = 0; i < 100; i++) {
-            lists.merge(listing("node-" + i, 1, "one", Listing.Phase.SERVING));
+            lists.merge(listing("node-" + i, 1, "one", EndpointRecord.Phase.SERVING));
         }
         endTurn();
         assertEquals(refreshed, List.of(Set.of("one")));
@@ -67,10 +67,10 @@
 
     @Test
     public void whatIsNoNewsMakesNothingAnew() {
-        lists.merge(listing("a", 2, "one", Listing.Phase.SERVING));
+        lists.merge(listing("a", 2, "one", EndpointRecord.Phase.SERVING));
         endTurn();
-        lists.merge(listing("a", 2, "one", Listing.Phase.SERVING));
-        lists.merge(listing("a", 1, "two", Listing.Phase.SERVING));
+        lists.merge(listing("a", 2, "one", EndpointRecord.Phase.SERVING));
+        lists.merge(listing("a", 1, "two", EndpointRecord.Phase.SERVING));
         assertTrue(turn.isEmpty());
     }
 
--- a/src/test/java/whinlead/mesh/sidecar/RoundSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RoundSocketTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -46,7 +46,7 @@
     }
 
     private Round round() {
-        return new Round(loop, "here", (parcel, done) -> { }, new Letter.Hello("here", false),
+        return new Round(loop, "here", (parcel, done) -> { }, new PeerMessage.Hello("here", false),
                 node -> server.getLocalSocketAddress(), () -> { });
     }
 
@@ -65,20 +65,20 @@
             socket.setSoTimeout(WAIT_MS);
         }
 
-        private Letter.Parcel parcel() throws IOException {
+        private PeerMessage.Parcel parcel() throws IOException {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             while (true) {
-                Letter letter = Letters.read(in.readNBytes(in.readInt()));
-                if (letter instanceof Letter.Parcel parcel) {
+                PeerMessage letter = PeerMessageCodec.read(in.readNBytes(in.readInt()));
+                if (letter instanceof PeerMessage.Parcel parcel) {
                     return parcel;
-                } else if (letter instanceof Letter.Ping ping) {
-                    say(new Letter.Pong(ping.number(), "far", -1));
+                } else if (letter instanceof PeerMessage.Ping ping) {
+                    say(new PeerMessage.Pong(ping.number(), "far", -1));
                 }
             }
         }
 
-        private void say(Letter letter) throws IOException {
-            byte[] written = Letters.write(letter);
+        private void say(PeerMessage letter) throws IOException {
+            byte[] written = PeerMessageCodec.write(letter);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(written.length);
             out.write(written);
@@ -86,7 +86,7 @@
         }
 
         private void answer(long stream, int status) throws IOException {
-            say(new Letter.Delivered(stream, status, List.of(), new byte[0], 0, 0));
+            say(new PeerMessage.Delivered(stream, status, List.of(), new byte[0], 0, 0));
         }
 
         @Override
@@ -97,13 +97,13 @@
 
     private void send(String id) {
         Round from = round;
-        loop.execute(() -> from.send("there", new Letter.Parcel(0, "POST", "/x", List.of("Attempt-Id", id),
+        loop.execute(() -> from.send("there", new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id),
                 new byte[0], WAIT_MS, "svc", "i-1", 0), false, letter -> told.add(id + " " + what(letter))));
     }
 
-    private static String what(Letter letter) {
-        return letter instanceof Letter.Delivered d ? Integer.toString(d.status())
-                : ((Letter.Returned) letter).why().toString();
+    private static String what(PeerMessage letter) {
+        return letter instanceof PeerMessage.Delivered d ? Integer.toString(d.status())
+                : ((PeerMessage.Returned) letter).why().toString();
     }
 
     private String next() throws InterruptedException {
@@ -122,7 +122,7 @@
         assertEquals(next(), "a BROKEN");
         send("b");
         try (Peer second = new Peer(server)) {
-            Letter.Parcel b = second.parcel();
+            PeerMessage.Parcel b = second.parcel();
             assertEquals(b.headers().get(1), "b", "nothing of the lost tie comes before it");
             second.answer(lost, 201);
             second.answer(b.stream(), 200);
@@ -138,11 +138,11 @@
     public void livesThatGiveTheSameNumbersGetTheirOwnAnswers() throws Exception {
         send("a");
         try (Peer former = new Peer(server)) {
-            Letter.Parcel a = former.parcel();
+            PeerMessage.Parcel a = former.parcel();
             round = round();
             send("b");
             try (Peer latter = new Peer(server)) {
-                Letter.Parcel b = latter.parcel();
+                PeerMessage.Parcel b = latter.parcel();
                 assertEquals(b.stream(), a.stream());
                 former.answer(a.stream(), 201);
                 assertEquals(next(), "a 201");
@@ -157,10 +157,10 @@
         send("a");
         try (Peer peer = new Peer(server)) {
             DataInputStream in = new DataInputStream(peer.socket.getInputStream());
-            assertEquals(Letters.read(in.readNBytes(in.readInt())), new Letter.Hello("here", false));
-            Letter.Ping ping = (Letter.Ping) Letters.read(in.readNBytes(in.readInt()));
-            Letter.Parcel a = (Letter.Parcel) Letters.read(in.readNBytes(in.readInt()));
-            assertNotEquals(ping.sentAt(), Letter.UNSTAMPED);
+            assertEquals(PeerMessageCodec.read(in.readNBytes(in.readInt())), new PeerMessage.Hello("here", false));
+            PeerMessage.Ping ping = (PeerMessage.Ping) PeerMessageCodec.read(in.readNBytes(in.readInt()));
+            PeerMessage.Parcel a = (PeerMessage.Parcel) PeerMessageCodec.read(in.readNBytes(in.readInt()));
+            assertNotEquals(ping.sentAt(), PeerMessage.UNSTAMPED);
             long apart = a.sentAt() - ping.sentAt();
             assertTrue(apart >= 0 && apart < WAIT_MS * 1000L, "by one clock: " + apart);
         }
@@ -171,8 +171,8 @@
         send("a");
         send("b");
         try (Peer peer = new Peer(server)) {
-            Letter.Parcel a = peer.parcel();
-            Letter.Parcel b = peer.parcel();
+            PeerMessage.Parcel a = peer.parcel();
+            PeerMessage.Parcel b = peer.parcel();
             peer.answer(b.stream(), 202);
             peer.answer(a.stream(), 201);
             assertEquals(next(), "b 202");
--- a/src/test/java/whinlead/mesh/sidecar/RoundTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RoundTest.java
@@ -6,8 +6,8 @@
 
 import whinlead.engine.Carrier;
 import whinlead.plan.Calendar;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Tie;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,8 +21,8 @@
     /** A path that stands as it is told to. */
     private static final class Script implements Round.Path {
         private final Round.Ear ear;
-        private final List<Letter.Parcel> sent = new ArrayList<>();
-        private Tie.State state = Tie.State.DOWN;
+        private final List<PeerMessage.Parcel> sent = new ArrayList<>();
+        private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
         private boolean open = true;
         private boolean breaks;
 
@@ -30,30 +30,30 @@
             this.ear = ear;
         }
 
-        private void to(Tie.State next) {
-            Tie.State before = state;
+        private void to(ReconnectingConnection.State next) {
+            ReconnectingConnection.State before = state;
             state = next;
             ear.changed(next, before);
         }
 
         @Override
         public void dial() {
-            to(Tie.State.DIALLING);
+            to(ReconnectingConnection.State.DIALLING);
         }
 
         @Override
-        public Tie.State state() {
+        public ReconnectingConnection.State state() {
             return state;
         }
 
         @Override
-        public boolean send(Letter letter) {
+        public boolean send(PeerMessage letter) {
             if (open) {
-                sent.add((Letter.Parcel) letter);
+                sent.add((PeerMessage.Parcel) letter);
             }
             if (breaks) {
                 open = false;
-                to(Tie.State.DOWN);
+                to(ReconnectingConnection.State.DOWN);
                 return true;
             }
             return open;
@@ -61,7 +61,7 @@
 
         @Override
         public void close() {
-            to(Tie.State.CLOSED);
+            to(ReconnectingConnection.State.CLOSED);
         }
     }
 
@@ -91,10 +91,10 @@
     }
 
     private Carrier.Sending send(String id, boolean repeatable) {
-        Letter.Parcel draft = new Letter.Parcel(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
+        PeerMessage.Parcel draft = new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
                 LEFT_MS, "svc", "i-1", 0);
         Carrier.Sending sending = round.send("there", draft, repeatable, letter -> told.add(id + " "
-                + (letter instanceof Letter.Delivered d ? d.status() : ((Letter.Returned) letter).why())));
+                + (letter instanceof PeerMessage.Delivered d ? d.status() : ((PeerMessage.Returned) letter).why())));
         soon();
         return sending;
     }
@@ -102,20 +102,20 @@
     private Script up() {
         if (paths.isEmpty()) {
             send("first", true);
-            paths.get(0).to(Tie.State.UP);
+            paths.get(0).to(ReconnectingConnection.State.UP);
             paths.get(0).ear.letter(answer(paths.get(0).sent.remove(0)));
             told.clear();
         } else {
-            paths.get(0).to(Tie.State.UP);
+            paths.get(0).to(ReconnectingConnection.State.UP);
         }
         return paths.get(0);
     }
 
-    private static Letter answer(Letter.Parcel parcel) {
-        return new Letter.Delivered(parcel.stream(), 200, List.of(), new byte[0], 0, 0);
+    private static PeerMessage answer(PeerMessage.Parcel parcel) {
+        return new PeerMessage.Delivered(parcel.stream(), 200, List.of(), new byte[0], 0, 0);
     }
 
-    private static String id(Letter.Parcel parcel) {
+    private static String id(PeerMessage.Parcel parcel) {
         return parcel.headers().get(1);
     }
 
@@ -125,7 +125,7 @@
         calendar.runTo(400);
         send("b", false);
         calendar.runTo(LEFT_MS);
-        paths.get(0).to(Tie.State.UP);
+        paths.get(0).to(ReconnectingConnection.State.UP);
         assertEquals(told, List.of("a UNREACHED"), "its time is up: it is never sent");
         assertEquals(paths.get(0).sent.size(), 1);
         assertEquals(id(paths.get(0).sent.get(0)), "b");
@@ -136,7 +136,7 @@
     public void whatWasGivenUpWhileItWaitedNeverGoesOut() {
         Carrier.Sending a = send("a", false);
         assertFalse(a.giveUp(), "nothing of it was written");
-        paths.get(0).to(Tie.State.UP);
+        paths.get(0).to(ReconnectingConnection.State.UP);
         assertEquals(paths.get(0).sent.size(), 0);
         assertEquals(told, List.of());
     }
@@ -159,10 +159,10 @@
         Script path = up();
         send("a", false);
         send("b", true);
-        path.to(Tie.State.DOWN);
+        path.to(ReconnectingConnection.State.DOWN);
         assertEquals(told, List.of("a BROKEN", "b BROKEN"));
         path.dial();
-        path.to(Tie.State.UP);
+        path.to(ReconnectingConnection.State.UP);
         assertEquals(path.sent.size(), 2);
         send("c", false);
         // The numbers of before are not given again: what still comes of them is nobody's.
@@ -178,11 +178,11 @@
         Script path = up();
         send("a", false);
         send("b", true);
-        path.to(Tie.State.SUSPECT);
+        path.to(ReconnectingConnection.State.SUSPECT);
         assertEquals(told, List.of("b BROKEN"));
         send("c", false);
         assertEquals(told, List.of("b BROKEN", "c UNREACHED"));
-        path.to(Tie.State.UP);
+        path.to(ReconnectingConnection.State.UP);
         path.ear.letter(answer(path.sent.get(1)));
         path.ear.letter(answer(path.sent.get(0)));
         assertEquals(told, List.of("b BROKEN", "c UNREACHED", "a 200"));
@@ -192,10 +192,10 @@
     @Test
     public void whatWaitsForADialThatFailsNeverRan() {
         send("a", false);
-        paths.get(0).to(Tie.State.DOWN);
+        paths.get(0).to(ReconnectingConnection.State.DOWN);
         assertEquals(told, List.of("a UNREACHED"));
         paths.get(0).dial();
-        paths.get(0).to(Tie.State.UP);
+        paths.get(0).to(ReconnectingConnection.State.UP);
         assertEquals(paths.get(0).sent.size(), 0);
     }
 
@@ -205,7 +205,7 @@
         path.open = false;
         send("a", false);
         assertEquals(told, List.of("a UNREACHED"));
-        path.to(Tie.State.DOWN);
+        path.to(ReconnectingConnection.State.DOWN);
         assertEquals(told, List.of("a UNREACHED"));
     }
 
@@ -214,7 +214,7 @@
         send("a", false);
         send("b", false);
         paths.get(0).breaks = true;
-        paths.get(0).to(Tie.State.UP);
+        paths.get(0).to(ReconnectingConnection.State.UP);
         assertEquals(told, List.of("a BROKEN", "b UNREACHED"));
         assertEquals(paths.get(0).sent.size(), 1);
     }
--- a/src/test/java/whinlead/mesh/sidecar/WindowTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/WindowTest.java
@@ -6,7 +6,7 @@
 
 import whinlead.engine.Timers;
 import whinlead.plan.Calendar;
-import whinlead.mesh.config.Tariff;
+import whinlead.mesh.config.MeshConfig;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -35,8 +35,8 @@
         }
 
         @Override
-        public Tariff.Limits limits() {
-            return new Tariff.Limits(16384, 100, 3, 15);
+        public MeshConfig.Limits limits() {
+            return new MeshConfig.Limits(16384, 100, 3, 15);
         }
 
         @Override
--- a/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
+++ b/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
@@ -130,8 +130,8 @@
     }
 
     private String refused() {
-        return expectThrows(LedgerException.class, () -> {
-            try (Ledger l = Ledger.open(folder)) {
+        return expectThrows(StateStoreException.class, () -> {
+            try (StateStore l = StateStore.open(folder)) {
                 l.read();
             }
         }).getMessage();
@@ -143,7 +143,7 @@
             int fill = 1;
             p.write(folder, memory(fill));
             for (int turn = 0; turn < 3; turn++) {
-                try (Ledger l = Ledger.open(folder)) {
+                try (StateStore l = StateStore.open(folder)) {
                     assertEquals(l.read().memory(), memory(fill), p + " wrote it");
                     assertEquals(l.read().id(), ID);
                     l.write(ID, memory(++fill));
@@ -161,12 +161,12 @@
 
     @Test
     public void whatThisProgramFoundsTheLastOneReadsAndWrites() throws Exception {
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             l.write(ID, memory(1));
         }
         assertEquals(Predecessor.WITH_COLUMN.read(folder), memory(1));
         Predecessor.WITH_COLUMN.write(folder, memory(2));
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             assertEquals(l.read().memory(), memory(2));
         }
     }
@@ -175,13 +175,13 @@
     @Test
     public void theUpgradeByTheLastProgramIsReadAfterThisOne() throws Exception {
         Predecessor.WITHOUT_CHECKSUM.write(folder, memory(1));
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             l.write(ID, memory(2));
         }
         execute("ALTER TABLE office ADD COLUMN crc INTEGER");
         execute("UPDATE office SET crc = " + checksum(memory(2)));
         Predecessor.WITH_COLUMN.write(folder, memory(3));
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             assertEquals(l.read().memory(), memory(3));
             l.write(ID, memory(4));
         }
@@ -194,7 +194,7 @@
             p.write(folder, memory(1));
             execute("ALTER TABLE office ADD COLUMN later TEXT DEFAULT 'kept'");
             execute("CREATE TABLE later (x)");
-            try (Ledger l = Ledger.open(folder)) {
+            try (StateStore l = StateStore.open(folder)) {
                 assertEquals(l.read().memory(), memory(1));
                 l.write(ID, memory(2));
                 assertEquals(l.read().memory(), memory(2));
@@ -212,7 +212,7 @@
     @Test
     public void aDamagedMemoryIsRefusedInTheOldFormatToo() throws Exception {
         Predecessor.WITHOUT_CHECKSUM.write(folder, memory(1));
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             l.write(ID, memory(9));
         }
         Path file = folder.resolve("office.db");
@@ -229,7 +229,7 @@
     @Test
     public void aChecksumThatIsGoneIsDamage() throws Exception {
         Predecessor.WITHOUT_CHECKSUM.write(folder, memory(1));
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             l.write(ID, memory(2));
         }
         execute("DELETE FROM checksum");
@@ -240,14 +240,14 @@
     @Test
     public void aWriteThatIsRefusedLeavesTheOldFormatWhole() throws Exception {
         Predecessor.WITHOUT_CHECKSUM.write(folder, memory(1));
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             l.write(ID, memory(2));
         }
         // Stands for a disk that is full for a while: an error that is no broken constraint.
         execute("CREATE TRIGGER refuse BEFORE UPDATE OF crc ON checksum WHEN new.crc IS NOT NULL"
                 + " AND (SELECT id FROM office) = 'full' BEGIN SELECT abs(-9223372036854775807 - 1); END");
-        try (Ledger l = Ledger.open(folder)) {
-            expectThrows(LedgerException.class, () -> l.write("full", memory(3)));
+        try (StateStore l = StateStore.open(folder)) {
+            expectThrows(StateStoreException.class, () -> l.write("full", memory(3)));
             assertEquals(l.read().memory(), memory(2));
             l.write(ID, memory(4));
             assertEquals(l.read().memory(), memory(4));
@@ -256,7 +256,7 @@
 
     @Test
     public void aLaterFormatIsRefusedByItsNumberAndLeftAsItWas() throws Exception {
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             l.write(ID, memory(1));
         }
         execute("PRAGMA user_version=7");
--- a/src/test/java/whinlead/mesh/storage/LedgerTest.java
+++ b/src/test/java/whinlead/mesh/storage/StateStoreTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.Test;
 
 /** What the ledger gives back, and what it refuses. */
-public class LedgerTest {
+public class StateStoreTest {
     private static final int PAGE = 4096;
 
     private Path base;
@@ -51,15 +51,15 @@
         return m;
     }
 
-    private void written(String id, byte[] memory) throws LedgerException {
-        try (Ledger l = Ledger.open(folder)) {
+    private void written(String id, byte[] memory) throws StateStoreException {
+        try (StateStore l = StateStore.open(folder)) {
             l.write(id, memory);
         }
     }
 
     private String refused() {
-        return expectThrows(LedgerException.class, () -> {
-            try (Ledger l = Ledger.open(folder)) {
+        return expectThrows(StateStoreException.class, () -> {
+            try (StateStore l = StateStore.open(folder)) {
                 l.read();
             }
         }).getMessage();
@@ -77,14 +77,14 @@
     }
 
     @Test
-    public void givesWhatWasWrittenLast() throws LedgerException {
-        try (Ledger l = Ledger.open(folder)) {
+    public void givesWhatWasWrittenLast() throws StateStoreException {
+        try (StateStore l = StateStore.open(folder)) {
             assertNull(l.read());
             l.write("a#0", memory(1));
             l.write("a#0", memory(2));
             assertEquals(l.read().memory(), memory(2));
         }
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             assertEquals(l.read().id(), "a#0");
             assertEquals(l.read().memory(), memory(2));
         }
@@ -92,14 +92,14 @@
 
     @Test
     public void writesAgainOnceAFullDiskHasRoom() throws Exception {
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             l.write("a#0", memory(1));
-            java.lang.reflect.Field field = Ledger.class.getDeclaredField("connection");
+            java.lang.reflect.Field field = StateStore.class.getDeclaredField("connection");
             field.setAccessible(true);
             try (Statement s = ((Connection) field.get(l)).createStatement()) {
                 s.execute("PRAGMA max_page_count=2");
                 for (int i = 0; i < 3; i++) {
-                    assertThrows(LedgerException.class, () -> l.write("a#0", new byte[50_000]));
+                    assertThrows(StateStoreException.class, () -> l.write("a#0", new byte[50_000]));
                 }
                 s.execute("PRAGMA max_page_count=1000000");
             }
@@ -110,10 +110,10 @@
     }
 
     @Test
-    public void anEmptyFileIsANewLedger() throws LedgerException, IOException {
+    public void anEmptyFileIsANewLedger() throws StateStoreException, IOException {
         Files.createDirectories(folder);
         Files.createFile(file);
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             assertNull(l.read());
             l.write("a#0", memory(1));
             assertEquals(l.read().memory(), memory(1));
@@ -130,7 +130,7 @@
                     + " (one INTEGER PRIMARY KEY CHECK (one = 1), id TEXT NOT NULL, memory BLOB NOT NULL)");
             s.execute("INSERT INTO office VALUES (1, 'a#0', x'" + "07".repeat(1500) + "')");
         }
-        try (Ledger l = Ledger.open(folder)) {
+        try (StateStore l = StateStore.open(folder)) {
             assertEquals(l.read().memory(), memory(7));
         }
         spoil(7);
@@ -149,14 +149,14 @@
     }
 
     @Test
-    public void aDamagedMemoryIsRefused() throws LedgerException, IOException {
+    public void aDamagedMemoryIsRefused() throws StateStoreException, IOException {
         written("a#0", memory(9));
         spoil(9);
         assertEquals(refused(), "the ledger's entry is damaged; remove it to join as a new office");
     }
 
     @Test
-    public void aRowHiddenByADamagedPageIsNoNewLedger() throws LedgerException, IOException {
+    public void aRowHiddenByADamagedPageIsNoNewLedger() throws StateStoreException, IOException {
         written("a#0", memory(9));
         byte[] all = Files.readAllBytes(file);
         // The number of cells on the table's only page.
@@ -167,8 +167,8 @@
     }
 
     @Test
-    public void aLogWithoutItsFileIsNoNewLedger() throws LedgerException, IOException {
-        try (Ledger l = Ledger.open(folder)) {
+    public void aLogWithoutItsFileIsNoNewLedger() throws StateStoreException, IOException {
+        try (StateStore l = StateStore.open(folder)) {
             l.write("a#0", memory(1));
             folder = copy();
         }
@@ -196,8 +196,8 @@
             s.execute("CREATE TRIGGER refuse BEFORE INSERT ON office WHEN new.id = 'full'"
                     + " BEGIN SELECT abs(-9223372036854775807 - 1); END");
         }
-        try (Ledger l = Ledger.open(folder)) {
-            assertThrows(LedgerException.class, () -> l.write("full", memory(2)));
+        try (StateStore l = StateStore.open(folder)) {
+            assertThrows(StateStoreException.class, () -> l.write("full", memory(2)));
             assertEquals(l.read().memory(), memory(1));
             l.write("a#0", memory(3));
             assertEquals(l.read().memory(), memory(3));
@@ -205,29 +205,29 @@
     }
 
     @Test
-    public void theNamesOfANewLedgerAreSynced() throws LedgerException {
+    public void theNamesOfANewLedgerAreSynced() throws StateStoreException {
         Recorder r = new Recorder();
-        Ledger.open(folder, r).close();
+        StateStore.open(folder, r).close();
         assertEquals(r.asked, List.of("folder " + base, "folder " + folder.getParent(), "folder " + folder));
     }
 
     @Test
-    public void theLogOfAKilledProcessIsSyncedBeforeItIsRead() throws LedgerException, IOException {
-        try (Ledger l = Ledger.open(folder)) {
+    public void theLogOfAKilledProcessIsSyncedBeforeItIsRead() throws StateStoreException, IOException {
+        try (StateStore l = StateStore.open(folder)) {
             l.write("a#0", memory(1));
             folder = copy();
         }
         Recorder r = new Recorder();
-        try (Ledger l = Ledger.open(folder, r)) {
+        try (StateStore l = StateStore.open(folder, r)) {
             assertEquals(r.asked, List.of("file " + folder.resolve("office.db-wal")));
             assertEquals(l.read().memory(), memory(1));
         }
     }
 
     @Test
-    public void aSyncThatFailsRefusesTheLedger() throws LedgerException {
+    public void aSyncThatFailsRefusesTheLedger() throws StateStoreException {
         written("a#0", memory(1));
-        assertThrows(LedgerException.class, () -> Ledger.open(base.resolve("other"), new Syncer() {
+        assertThrows(StateStoreException.class, () -> StateStore.open(base.resolve("other"), new Syncer() {
             @Override
             public void file(Path synced) { }
 
--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -10,7 +10,7 @@
 import whinlead.mesh.consensus.Ballot;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Message;
-import whinlead.mesh.registry.Listing;
+import whinlead.mesh.registry.EndpointRecord;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
@@ -35,7 +35,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Letters of the protocol before versions, and of a later one, beside this program's; both ways. */
+/** PeerMessageCodec of the protocol before versions, and of a later one, beside this program's; both ways. */
 public class OtherVersionTest {
     private static final int WAIT_MS = 10_000;
     private static final byte HELLO = 1;
@@ -51,11 +51,11 @@
     private Channel server;
 
     /** Writes the fields of a letter, as a program of another version does. */
-    private interface Fields {
+    private interface FieldCodec {
         void write(MessageBufferPacker packer) throws IOException;
     }
 
-    private static byte[] bytes(byte tag, Fields fields) throws IOException {
+    private static byte[] bytes(byte tag, FieldCodec fields) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packByte(tag);
             fields.write(packer);
@@ -78,10 +78,10 @@
 
     @Test
     public void aGreetingWithoutVersionsIsReadAndOursIsReadByItsSender() throws IOException {
-        assertEquals(Letters.read(unversionedHello()),
-                new Letter.Hello("n", false, ProtocolVersion.NONE_NAMED));
+        assertEquals(PeerMessageCodec.read(unversionedHello()),
+                new PeerMessage.Hello("n", false, ProtocolVersion.NONE_NAMED));
         // The reader of the program before versions: it takes these fields and looks no further.
-        try (MessageUnpacker u = MessagePack.newDefaultUnpacker(Letters.write(new Letter.Hello("n", true)))) {
+        try (MessageUnpacker u = MessagePack.newDefaultUnpacker(PeerMessageCodec.write(new PeerMessage.Hello("n", true)))) {
             assertEquals(u.unpackByte(), HELLO);
             assertEquals(u.unpackString(), "n");
             assertTrue(u.unpackBoolean());
@@ -102,28 +102,28 @@
 
     @Test
     public void kindsOfALaterVersionAreNamedAndNoError() throws IOException {
-        assertEquals(Letters.read(bytes(LATER_KIND, p -> p.packString("x"))),
-                new Letter.Unknown("letter 99"));
-        assertEquals(Letters.read(bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1))),
-                new Letter.Unknown("ballot message 99"));
+        assertEquals(PeerMessageCodec.read(bytes(LATER_KIND, p -> p.packString("x"))),
+                new PeerMessage.Unknown("letter 99"));
+        assertEquals(PeerMessageCodec.read(bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1))),
+                new PeerMessage.Unknown("ballot message 99"));
     }
 
     @Test
     public void fieldsOfALaterVersionArePassedOver() throws IOException {
         // Each with all the fields that this version knows; what follows them is unknown.
-        for (Letter letter : List.of(new Letter.Hello("n", true), new Letter.Ask(3), new Letter.Fetch(),
-                new Letter.Ping(4, 5), new Letter.Pong(4, "n", 5), new Letter.Cancel(6, true),
-                new Letter.Paper(new Message.Query(1, 2, List.of("n"))),
-                new Letter.Returned(7, Letter.Why.LATE, 0.5, 2))) {
-            assertEquals(Letters.read(followedBy(Letters.write(letter), "later")), letter);
+        for (PeerMessage letter : List.of(new PeerMessage.Hello("n", true), new PeerMessage.Ask(3), new PeerMessage.Fetch(),
+                new PeerMessage.Ping(4, 5), new PeerMessage.Pong(4, "n", 5), new PeerMessage.Cancel(6, true),
+                new PeerMessage.Paper(new Message.Query(1, 2, List.of("n"))),
+                new PeerMessage.Returned(7, PeerMessage.Why.LATE, 0.5, 2))) {
+            assertEquals(PeerMessageCodec.read(followedBy(PeerMessageCodec.write(letter), "later")), letter);
         }
     }
 
     @Test
     public void fieldsThatAFormerVersionDoesNotSendHaveTheirDefaults() throws IOException {
-        assertEquals(Letters.read(bytes(PING, p -> p.packLong(4))), new Letter.Ping(4, Letter.UNSTAMPED));
-        assertEquals(Letters.read(bytes(PAPER, p -> p.packByte(QUERY).packLong(1).packLong(2))),
-                new Letter.Paper(new Message.Query(1, 2, List.of())));
+        assertEquals(PeerMessageCodec.read(bytes(PING, p -> p.packLong(4))), new PeerMessage.Ping(4, PeerMessage.UNSTAMPED));
+        assertEquals(PeerMessageCodec.read(bytes(PAPER, p -> p.packByte(QUERY).packLong(1).packLong(2))),
+                new PeerMessage.Paper(new Message.Query(1, 2, List.of())));
     }
 
     private static byte[] followedBy(byte[] letter, String field) throws IOException {
@@ -139,22 +139,22 @@
         byte[] post = bytes(POST, p -> {
             p.packInt(2);
             listing(p, "a", 7);
-            listing(p, "b", Listing.Phase.DRAINING.ordinal());
+            listing(p, "b", EndpointRecord.Phase.DRAINING.ordinal());
         });
-        assertEquals(Letters.read(post), new Letter.Post(List.of(
-                new Listing("b", 1, 2, "z", "i", "s", Listing.Phase.DRAINING, 6, 5))), "a's is passed over");
+        assertEquals(PeerMessageCodec.read(post), new PeerMessage.Post(List.of(
+                new EndpointRecord("b", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))), "a's is passed over");
         byte[] returned = bytes(RETURNED, p -> p.packLong(3).packInt(77).packDouble(0).packDouble(0));
-        Letter.Returned read = (Letter.Returned) Letters.read(returned);
+        PeerMessage.Returned read = (PeerMessage.Returned) PeerMessageCodec.read(returned);
         assertFalse(read.why().neverRan, "a reason that is not known promises nothing");
     }
 
     @Test
     public void whatIsMalformedIsRefusedByTheNameOfItsKind() throws IOException {
         byte[] parcel = bytes(PARCEL, p -> p.packString("no number"));
-        MalformedLetterException refused = expectThrows(MalformedLetterException.class,
-                () -> Letters.read(parcel));
+        MalformedMessageException refused = expectThrows(MalformedMessageException.class,
+                () -> PeerMessageCodec.read(parcel));
         assertTrue(refused.getMessage().contains("PARCEL"), refused.getMessage());
-        assertThrows(MalformedLetterException.class, () -> Letters.read(hello(1, 2)));
+        assertThrows(MalformedMessageException.class, () -> PeerMessageCodec.read(hello(1, 2)));
     }
 
     // What the program before formats writes, as it stands in its file.
@@ -188,28 +188,28 @@
     }
 
     /** Answers to greetings and pings, as offices and sidecars do. */
-    private static final class Responder implements Link.Ear {
+    private static final class Responder implements PeerConnection.Ear {
         @Override
-        public void up(Link link) { }
+        public void up(PeerConnection link) { }
 
         @Override
-        public void letter(Link link, Letter letter) {
-            if (letter instanceof Letter.Hello hello) {
+        public void letter(PeerConnection link, PeerMessage letter) {
+            if (letter instanceof PeerMessage.Hello hello) {
                 link.peer(hello.id());
-            } else if (letter instanceof Letter.Ping ping) {
-                link.send(new Letter.Pong(ping.number(), "version " + link.version(), -1));
+            } else if (letter instanceof PeerMessage.Ping ping) {
+                link.send(new PeerMessage.Pong(ping.number(), "version " + link.version(), -1));
             }
         }
 
         @Override
-        public void down(Link link) { }
+        public void down(PeerConnection link) { }
     }
 
     @BeforeClass
     public void listen() throws InterruptedException {
         loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         server = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
-                .childHandler(Link.handlers(new Responder())).bind(InetAddress.getLoopbackAddress(), 0).sync()
+                .childHandler(PeerConnection.handlers(new Responder())).bind(InetAddress.getLoopbackAddress(), 0).sync()
                 .channel();
     }
 
@@ -219,7 +219,7 @@
     }
 
     /** A peer of another version: it says these letters, then asks for a sign of life. */
-    private Letter answerAfter(byte[]... letters) throws IOException {
+    private PeerMessage answerAfter(byte[]... letters) throws IOException {
         InetSocketAddress address = (InetSocketAddress) server.localAddress();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(WAIT_MS);
@@ -227,9 +227,9 @@
             for (byte[] letter : letters) {
                 say(out, letter);
             }
-            say(out, Letters.write(new Letter.Ping(4)));
+            say(out, PeerMessageCodec.write(new PeerMessage.Ping(4)));
             DataInputStream in = new DataInputStream(socket.getInputStream());
-            return Letters.read(in.readNBytes(in.readInt()));
+            return PeerMessageCodec.read(in.readNBytes(in.readInt()));
         }
     }
 
@@ -252,9 +252,9 @@
         byte[] laterPaper = bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1));
         byte[] malformedPing = bytes(PING, p -> p.packString("no number"));
         assertEquals(answerAfter(unversionedHello(), laterKind, laterPaper, malformedPing),
-                new Letter.Pong(4, "version 1", -1));
+                new PeerMessage.Pong(4, "version 1", -1));
         assertEquals(answerAfter(hello(9, 1), laterKind),
-                new Letter.Pong(4, "version " + ProtocolVersion.OURS.newest(), -1));
+                new PeerMessage.Pong(4, "version " + ProtocolVersion.OURS.newest(), -1));
     }
 
     @Test
--- a/src/test/java/whinlead/mesh/wire/TransitClockTest.java
+++ b/src/test/java/whinlead/mesh/wire/TransitClockTest.java
@@ -60,8 +60,8 @@
     public void withoutAStampNothingIsKnown() {
         TransitClock c = new TransitClock();
         arrives(c, 0, 0);
-        assertEquals(c.waited(1e9, Letter.UNSTAMPED), 0, EXACT);
-        assertEquals(c.left(1e9, Letter.UNSTAMPED, 40), 40);
+        assertEquals(c.waited(1e9, PeerMessage.UNSTAMPED), 0, EXACT);
+        assertEquals(c.left(1e9, PeerMessage.UNSTAMPED, 40), 40);
     }
 
     @Test
--- a/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
+++ b/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
@@ -5,13 +5,13 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import whinlead.mesh.registry.Listing;
-import whinlead.mesh.config.Routing;
-import whinlead.mesh.config.Tariff;
-import whinlead.mesh.config.TariffCheck;
-import whinlead.mesh.config.TariffReader;
-import whinlead.mesh.wire.Letter;
-import whinlead.mesh.wire.Letters;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.config.ConfigValidator;
+import whinlead.mesh.config.ConfigReader;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -66,15 +66,15 @@
     public void theConfigurationIsValidAndOfItsSizeAndChangesWithItsVersion() throws Exception {
         Sizes sizes = new Sizes(4, 3, 10, 5, 0, 0, 60, 60);
         byte[] first = sizes.tariff(7).getBytes(StandardCharsets.UTF_8);
-        Tariff tariff = new TariffReader().read(first);
-        new TariffCheck().check(tariff);
+        MeshConfig tariff = new ConfigReader().read(first);
+        new ConfigValidator().check(tariff);
         assertEquals(tariff.version(), 7);
         assertEquals(List.of(tariff.routes().size(), tariff.services().size(), tariff.tenants().size()),
                 List.of(10, 3, 5));
-        Routing routing = new Routing(1, tariff);
+        RoutingTable routing = new RoutingTable(1, tariff);
         assertEquals(routing.route(Sizes.service(0) + ".mesh.example", sizes.path()).name(), "route-00000");
         assertEquals(routing.payer(Sizes.key(4)).name(), "tenant-00004");
-        Tariff next = new TariffReader().read(sizes.tariff(8).getBytes(StandardCharsets.UTF_8));
+        MeshConfig next = new ConfigReader().read(sizes.tariff(8).getBytes(StandardCharsets.UTF_8));
         long changed = tariff.routes().entrySet().stream()
                 .filter(e -> !e.getValue().equals(next.routes().get(e.getKey()))).count();
         assertEquals(changed, 2, "the route of either version");
@@ -84,7 +84,7 @@
     public void lettersWeighWhatIsSent() {
         Map<String, Double> small = Weights.of(new Sizes(2, 2, 8, 20, 0, 0, 0, 0));
         Map<String, Double> large = Weights.of(new Sizes(2, 2, 1008, 20, 0, 0, 0, 0));
-        assertEquals(small.get("ping, bytes"), 4.0 + Letters.write(new Letter.Ping(100_000)).length);
+        assertEquals(small.get("ping, bytes"), 4.0 + PeerMessageCodec.write(new PeerMessage.Ping(100_000)).length);
         double more = large.get("configuration deflated, bytes") - small.get("configuration deflated, bytes");
         assertTrue(more > 5_000 && more < 100_000, "a thousand routes more: " + more);
         assertEquals(large.get("news of it to a sidecar, bytes") - small.get("news of it to a sidecar, bytes"),
@@ -123,8 +123,8 @@
             Relay relay = new Relay(loop);
             InetSocketAddress here = (InetSocketAddress) relay.listen(new InetSocketAddress("127.0.0.1", 0),
                     office.getLocalSocketAddress()).localAddress();
-            byte[] ping = Letters.write(new Letter.Ping(5));
-            byte[] pong = Letters.write(new Letter.Pong(5, "10.0.0.1#0", 5));
+            byte[] ping = PeerMessageCodec.write(new PeerMessage.Ping(5));
+            byte[] pong = PeerMessageCodec.write(new PeerMessage.Pong(5, "10.0.0.1#0", 5));
             try (Socket near = new Socket(here.getAddress(), here.getPort()); Socket far = office.accept()) {
                 say(near, ping);
                 say(near, ping);
@@ -149,11 +149,11 @@
         try (ServerSocket office = new ServerSocket(places.talk(), 4, here)) {
             new Ghosts(loop, new Sizes(2, 3, 3, 0, 0, 700, 0, 0)).say(places, 0);
             try (Socket socket = office.accept()) {
-                assertEquals(Letters.read(hear(socket)), new Letter.Hello("ghosts", false));
-                Letter.Post post = (Letter.Post) Letters.read(hear(socket));
-                assertEquals(post.listings().stream().map(Listing::node).distinct().count(), 700);
-                assertEquals(post.listings().stream().map(Listing::target).distinct().count(), 3);
-                assertTrue(post.listings().stream().allMatch(Listing::open));
+                assertEquals(PeerMessageCodec.read(hear(socket)), new PeerMessage.Hello("ghosts", false));
+                PeerMessage.Post post = (PeerMessage.Post) PeerMessageCodec.read(hear(socket));
+                assertEquals(post.listings().stream().map(EndpointRecord::node).distinct().count(), 700);
+                assertEquals(post.listings().stream().map(EndpointRecord::target).distinct().count(), 3);
+                assertTrue(post.listings().stream().allMatch(EndpointRecord::open));
             }
         } finally {
             loop.parent().shutdownGracefully();
