--- a/src/main/java/whinlead/capture/CaptureInput.java
+++ b/src/main/java/whinlead/capture/CaptureInput.java
@@ -1,6 +1,6 @@
 package whinlead.capture;
 
-import whinlead.engine.Journal;
+import whinlead.engine.RequestListener;
 import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.DataInputStream;
@@ -17,7 +17,7 @@
  * time is before the last one's counts as a jump of the clock and gets that one's. For one thread.
  */
 public final class CaptureInput implements Closeable {
-    private static final Journal.End[] ENDS = Journal.End.values();
+    private static final RequestListener.End[] ENDS = RequestListener.End.values();
 
     private final DataInputStream in;
     private final List<String> classes = new ArrayList<>();
--- a/src/main/java/whinlead/capture/Entry.java
+++ b/src/main/java/whinlead/capture/Entry.java
@@ -1,6 +1,6 @@
 package whinlead.capture;
 
-import whinlead.engine.Journal;
+import whinlead.engine.RequestListener;
 
 /**
  * A request as a capture has it: no body, id or key.
@@ -14,4 +14,4 @@
  * @param end what its client was told
  */
 public record Entry(long at, int kind, int tenant, int timeout, int size, boolean repeat,
-        Journal.End end) { }
+        RequestListener.End end) { }
--- a/src/main/java/whinlead/capture/Recorder.java
+++ b/src/main/java/whinlead/capture/Recorder.java
@@ -1,7 +1,7 @@
 package whinlead.capture;
 
-import whinlead.engine.Ask;
-import whinlead.engine.Journal;
+import whinlead.engine.Request;
+import whinlead.engine.RequestListener;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -18,7 +18,7 @@
  * writer lags, entries are lost and counted. A thread of its own puts them in the order of their arrival,
  * for they come as they end, and writes them to files of which the oldest goes.
  */
-public final class Recorder implements Journal, AutoCloseable {
+public final class Recorder implements RequestListener, AutoCloseable {
     /** Opens the next file; the writer closes it. */
     @FunctionalInterface
     public interface Files {
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void over(Ask ask, double at, End end) {
+    public void over(Request ask, double at, End end) {
         if (Double.isNaN(began)) {
             began = at;
         }
--- a/src/main/java/whinlead/capture/Summary.java
+++ b/src/main/java/whinlead/capture/Summary.java
@@ -1,6 +1,6 @@
 package whinlead.capture;
 
-import whinlead.engine.Journal;
+import whinlead.engine.RequestListener;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +14,7 @@
  * @param seconds from its first entry to its last
  * @param peak entries in its fullest second
  * @param repeats entries that were repeats
- * @param ends how many ended in each way, in the order of {@link Journal.End}
+ * @param ends how many ended in each way, in the order of {@link RequestListener.End}
  * @param lost entries that were lost as it was written
  * @param jumps how often its clock went back
  * @param torn whether its last entry was torn
@@ -27,7 +27,7 @@
     /** Reads a capture to its end. */
     public static Summary of(CaptureInput in) throws IOException {
         long[] counts = new long[in.classes().size()];
-        long[] ends = new long[Journal.End.values().length];
+        long[] ends = new long[RequestListener.End.values().length];
         long requests = 0;
         long repeats = 0;
         long first = 0;
--- a/src/main/java/whinlead/consult/Consultation.java
+++ b/src/main/java/whinlead/consult/Consultation.java
@@ -1,16 +1,16 @@
 package whinlead.consult;
 
 import whinlead.Contract;
-import whinlead.engine.Caller;
-import whinlead.engine.Carrier;
+import whinlead.engine.ResponseSink;
+import whinlead.engine.Transport;
 import whinlead.engine.Engine;
 import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * One request that a caller asks about, sends itself and reports on: its {@link Caller} and its {@link
- * Carrier} at once. At most one attempt of it is out. Its states:
+ * One request that a caller asks about, sends itself and reports on: its {@link ResponseSink} and its {@link
+ * Transport} at once. At most one attempt of it is out. Its states:
  *
  * <pre>
  * asked ---> told to send ---> reported ---> told to send again, or waiting for the caller to come for it
@@ -18,7 +18,7 @@
  *   +-------------+---------------+-------------+--> ended, with or without an attempt still out
  * </pre>
  */
-final class Consultation implements Caller<Void>, Carrier<Void> {
+final class Consultation implements ResponseSink<Void>, Transport<Void> {
     /** Of the time that an attempt has: one that nobody came for ends before its time does. */
     private static final double PICK_UP_SHARE = 0.9;
 
--- a/src/main/java/whinlead/consult/Consultations.java
+++ b/src/main/java/whinlead/consult/Consultations.java
@@ -1,7 +1,7 @@
 package whinlead.consult;
 
 import whinlead.Contract;
-import whinlead.engine.Ask;
+import whinlead.engine.Request;
 import whinlead.engine.Engine;
 import whinlead.engine.Timers;
 import whinlead.membership.EndpointList;
@@ -84,7 +84,7 @@
      *
      * @param id by which the request is known to all callers; fronts bound its length
      */
-    public void ask(Peer peer, String id, Ask ask, Reply reply) {
+    public void ask(Peer peer, String id, Request ask, Reply reply) {
         Directive ended = ends.of(id, timers.now());
         Consultation known = open.get(id);
         if (known != null) {
--- a/src/main/java/whinlead/engine/Engine.java
+++ b/src/main/java/whinlead/engine/Engine.java
@@ -15,7 +15,7 @@
 /**
  * Drives the module and carries out what it decides. It owns the requests taken, their attempts and timers,
  * and sees to it that each request ends exactly once and nothing is sent for it afterwards. It knows no
- * protocol: fronts bring requests with a {@link Caller} for the end and a {@link Carrier} for the attempts.
+ * protocol: fronts bring requests with a {@link ResponseSink} for the end and a {@link Transport} for the attempts.
  * Everything here runs on the one thread that owns it, which is that of its timers.
  */
 public final class Engine implements Contract.Actions, Membership {
@@ -33,7 +33,7 @@
     private final Contract.Events module;
     private final Map<Long, Held<?>> open = new HashMap<>();
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-    private Journal journal = Journal.NONE;
+    private RequestListener journal = RequestListener.NONE;
     private Source source;
     private boolean telling;
     private long nextId;
@@ -55,7 +55,7 @@
     }
 
     /** Has every request that is taken from now on noted when it is over. */
-    public void journal(Journal keeper) {
+    public void journal(RequestListener keeper) {
         journal = keeper;
     }
 
@@ -90,7 +90,7 @@
      *
      * @param carrier sends its attempts
      */
-    public <A> Held<A> take(Ask ask, Carrier<A> carrier, Caller<A> caller) {
+    public <A> Held<A> take(Request ask, Transport<A> carrier, ResponseSink<A> caller) {
         double left = Math.max(0, ask.timeout() - ANSWER_MARGIN);
         Held<A> h = new Held<>(new Contract.Request(nextId++, ask.classIndex(), ask.tenantIndex(), left,
                 ask.repeat(), ask.room()), carrier, caller, ask);
@@ -168,7 +168,7 @@
     public void refuse(Contract.Request r, double retryAfter) {
         Held<?> h = open.get(r.id);
         if (h != null && !h.over) {
-            h.over(h.mayRefuse() ? Journal.End.REFUSED : Journal.End.FAILED);
+            h.over(h.mayRefuse() ? RequestListener.End.REFUSED : RequestListener.End.FAILED);
             if (h.mayRefuse()) {
                 h.caller.refused(settings.limits().retryAfter() ? retryAfter : 0);
             } else {
@@ -181,7 +181,7 @@
     public void fail(Contract.Request r) {
         Held<?> h = open.get(r.id);
         if (h != null && !h.over) {
-            h.over(Journal.End.FAILED);
+            h.over(RequestListener.End.FAILED);
             h.caller.failed();
         }
     }
@@ -214,15 +214,15 @@
     /** A request taken. It is kept until it is over and all its attempts have ended. */
     public final class Held<A> {
         private final Contract.Request request;
-        private final Carrier<A> carrier;
-        private final Caller<A> caller;
+        private final Transport<A> carrier;
+        private final ResponseSink<A> caller;
         private final List<Attempt<A>> attempts = new ArrayList<>(1);
-        private final Ask ask;
+        private final Request ask;
         private double endAt;
         private boolean over;
         private Timers.Timer deadline;
 
-        private Held(Contract.Request request, Carrier<A> carrier, Caller<A> caller, Ask ask) {
+        private Held(Contract.Request request, Transport<A> carrier, ResponseSink<A> caller, Request ask) {
             this.ask = ask;
             this.request = request;
             this.carrier = carrier;
@@ -232,7 +232,7 @@
         /** The client went away: nothing is owed any more. */
         public void abandon() {
             if (!over) {
-                over(Journal.End.LEFT);
+                over(RequestListener.End.LEFT);
                 tell(() -> module.abandoned(timers.now(), request));
             }
         }
@@ -245,12 +245,12 @@
          */
         public void streaming(int attempt) {
             if (!over) {
-                over(Journal.End.SERVED);
+                over(RequestListener.End.SERVED);
                 tell(() -> module.streaming(timers.now(), request, attempt));
             }
         }
 
-        private void over(Journal.End end) {
+        private void over(RequestListener.End end) {
             over = true;
             journal.over(ask, endAt - request.timeLeft, end);
             if (deadline != null) {
@@ -295,7 +295,7 @@
         // kill.
         private void endUnserved() {
             if (!over) {
-                over(Journal.End.FAILED);
+                over(RequestListener.End.FAILED);
                 caller.failed();
                 tell(() -> module.abandoned(timers.now(), request));
             }
@@ -324,11 +324,11 @@
     }
 
     /** One attempt, whose outcome is told to the module exactly once. */
-    private final class Attempt<A> implements Carrier.Outcomes<A> {
+    private final class Attempt<A> implements Transport.Outcomes<A> {
         private final Held<A> held;
         private final int index;
         private final double sentAt;
-        private Carrier.Sending sending;
+        private Transport.Sending sending;
         private Timers.Timer timer;
         private Contract.Outcome outcome;
 
@@ -364,7 +364,7 @@
             tell(() -> {
                 double now = timers.now();
                 if (how == Contract.Outcome.SERVED && !held.over) {
-                    held.over(Journal.End.SERVED);
+                    held.over(RequestListener.End.SERVED);
                     held.caller.served(answer);
                 }
                 boolean finished = held.over;
--- a/src/main/java/whinlead/engine/Ask.java
+++ b/src/main/java/whinlead/engine/Request.java
@@ -11,14 +11,14 @@
  *     bounds them
  * @param size bytes of its body, 0 where the front has none of it
  */
-public record Ask(int classIndex, int tenantIndex, double timeout, boolean repeat, double room, int size) {
+public record Request(int classIndex, int tenantIndex, double timeout, boolean repeat, double room, int size) {
     /** A request at a front that takes any number. */
-    public Ask(int classIndex, int tenantIndex, double timeout, boolean repeat) {
+    public Request(int classIndex, int tenantIndex, double timeout, boolean repeat) {
         this(classIndex, tenantIndex, timeout, repeat, 1, 0);
     }
 
     /** The same, with a body of so many bytes, at a front with so much room. */
-    public Ask at(double left, int bytes) {
-        return new Ask(classIndex, tenantIndex, timeout, repeat, left, bytes);
+    public Request at(double left, int bytes) {
+        return new Request(classIndex, tenantIndex, timeout, repeat, left, bytes);
     }
 }
--- a/src/main/java/whinlead/engine/Caller.java
+++ b/src/main/java/whinlead/engine/ResponseSink.java
@@ -6,7 +6,7 @@
  *
  * @param <A> what an endpoint's answer is to this front
  */
-public interface Caller<A> {
+public interface ResponseSink<A> {
     /** An endpoint served it. */
     void served(A answer);
 
--- a/src/main/java/whinlead/engine/Carrier.java
+++ b/src/main/java/whinlead/engine/Transport.java
@@ -9,7 +9,7 @@
  * @param <A> what an endpoint's answer is to the front
  */
 @FunctionalInterface
-public interface Carrier<A> {
+public interface Transport<A> {
     /**
      * Sends an attempt, or tells at once why it can't.
      *
--- a/src/main/java/whinlead/front/consult/ConsultRequest.java
+++ b/src/main/java/whinlead/front/consult/ConsultRequest.java
@@ -1,7 +1,7 @@
 package whinlead.front.consult;
 
 import whinlead.Contract;
-import whinlead.engine.Ask;
+import whinlead.engine.Request;
 import whinlead.http.Decimals;
 import whinlead.http.LoadReport;
 import java.util.HashMap;
@@ -113,7 +113,7 @@
     }
 
     /** What the engine needs to know of the request. */
-    public Ask ask(Names names) throws Bad {
+    public Request ask(Names names) throws Bad {
         String type = text(Field.CLASS).isEmpty() ? names.usual : text(Field.CLASS);
         Integer k = names.classes.get(type);
         if (k == null) {
@@ -129,7 +129,7 @@
                 throw new Bad(name(Field.TIMEOUT) + " is malformed");
             }
         }
-        return new Ask(k, names.tenants.getOrDefault(text(Field.TENANT), -1), wait, yes(Field.REPEAT));
+        return new Request(k, names.tenants.getOrDefault(text(Field.TENANT), -1), wait, yes(Field.REPEAT));
     }
 
     /** Whether it tells how an attempt ended. */
--- a/src/main/java/whinlead/front/http1/ClientConnection.java
+++ b/src/main/java/whinlead/front/http1/ClientConnection.java
@@ -1,6 +1,6 @@
 package whinlead.front.http1;
 
-import whinlead.engine.Caller;
+import whinlead.engine.ResponseSink;
 import whinlead.engine.Clock;
 import whinlead.engine.Engine;
 import whinlead.http.Decimals;
@@ -39,7 +39,7 @@
  * answered as soon as its head shows that, and ends the connection: nobody knows where the next one would
  * begin.
  */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Caller<HttpAnswer> {
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseSink<HttpAnswer> {
     /** What the connection is about; {@link #since} tells for how long. */
     enum Phase {
         /** It has sent nothing yet. */
--- a/src/main/java/whinlead/front/http1/ClientServer.java
+++ b/src/main/java/whinlead/front/http1/ClientServer.java
@@ -4,9 +4,9 @@
 import whinlead.admit.Admission;
 import whinlead.admit.Budget;
 import whinlead.admit.Gate;
-import whinlead.engine.Ask;
-import whinlead.engine.Caller;
-import whinlead.engine.Carrier;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
+import whinlead.engine.Transport;
 import whinlead.engine.Clock;
 import whinlead.engine.Engine;
 import whinlead.http.HttpAnswer;
@@ -51,7 +51,7 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Engine engine;
-    private final Function<HttpAsk, Carrier<HttpAnswer>> transport;
+    private final Function<HttpAsk, Transport<HttpAnswer>> transport;
     private final RequestCheck check;
     private final double longestDeadline;
     private final int most;
@@ -74,7 +74,7 @@
      * @param most connections from the application at once; beyond that, room is made
      */
     public ClientServer(EventLoop loop, Clock clock, Engine engine,
-            Function<HttpAsk, Carrier<HttpAnswer>> transport, Contract.Settings settings, int most) {
+            Function<HttpAsk, Transport<HttpAnswer>> transport, Contract.Settings settings, int most) {
         this(loop, clock, engine, transport, settings, Gate.Limits.none(),
                 Budget.fixed(Budget.Purpose.CLIENTS, most), 0);
     }
@@ -87,7 +87,7 @@
      *     nothing is known of it
      */
     public ClientServer(EventLoop loop, Clock clock, Engine engine,
-            Function<HttpAsk, Carrier<HttpAnswer>> transport, Contract.Settings settings,
+            Function<HttpAsk, Transport<HttpAnswer>> transport, Contract.Settings settings,
             Gate.Limits clients, Budget budget, int places) {
         this.loop = loop;
         this.clock = clock;
@@ -150,7 +150,7 @@
     }
 
     /** Has the engine take a request. */
-    Engine.Held<HttpAnswer> take(Ask ask, HttpAsk http, Caller<HttpAnswer> caller) {
+    Engine.Held<HttpAnswer> take(Request ask, HttpAsk http, ResponseSink<HttpAnswer> caller) {
         double room = places == 0 ? 1 : Math.max(0, 1 - (double) openIds.size() / places);
         return engine.take(ask.at(room, http.body().length),
                 transport.apply(http), caller);
--- a/src/main/java/whinlead/front/http1/RequestCheck.java
+++ b/src/main/java/whinlead/front/http1/RequestCheck.java
@@ -1,7 +1,7 @@
 package whinlead.front.http1;
 
 import whinlead.Contract;
-import whinlead.engine.Ask;
+import whinlead.engine.Request;
 import whinlead.http.Decimals;
 import whinlead.http.HttpAsk;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -28,7 +28,7 @@
      *
      * @param headers what an endpoint is told, but for the time and the length
      */
-    record Checked(String id, Ask ask, HttpMethod method, String uri, HttpHeaders headers) { }
+    record Checked(String id, Request ask, HttpMethod method, String uri, HttpHeaders headers) { }
 
     /** The answer that a bad request gets. */
     static final class Rejected extends Exception {
@@ -119,7 +119,7 @@
         String timeout = headers.get(HttpAsk.TIMEOUT);
         double wait = timeout == null ? type.deadline() : Decimals.parse(timeout, TIMEOUT_MOST_S) * MILLIS;
         require(wait > 0);
-        Ask ask = new Ask(k, tenantIndex.getOrDefault(headers.get(TENANT, ""), -1), wait,
+        Request ask = new Request(k, tenantIndex.getOrDefault(headers.get(TENANT, ""), -1), wait,
                 "1".equals(headers.get(REPEAT)));
         return new Checked(id, ask, method, request.uri(), onward(headers, id, key));
     }
--- a/src/main/java/whinlead/mesh/control/ControlNode.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -3,7 +3,7 @@
 import whinlead.engine.Clock;
 import whinlead.loop.LoopTimers;
 import whinlead.membership.EndpointList;
-import whinlead.mesh.quota.Sum;
+import whinlead.mesh.quota.DemandTotals;
 import whinlead.mesh.consensus.Ballot;
 import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
@@ -89,7 +89,7 @@
     /** Of these, who was told what no quorum has confirmed. */
     private final Set<PeerConnection> unconfirmed = new HashSet<>();
     private final Map<Long, Consumer<RpcResponse>> open = new HashMap<>();
-    private final Sum sum = new Sum();
+    private final DemandTotals sum = new DemandTotals();
     private final ConsensusTicker ticker;
     private ConfigValidator check;
     private ConsensusNode council;
--- a/src/main/java/whinlead/mesh/quota/Sum.java
+++ b/src/main/java/whinlead/mesh/quota/DemandTotals.java
@@ -14,7 +14,7 @@
  * many sidecars, adding it up anew for each that asks would be most of an office's work. Pure; one thread;
  * times in milliseconds.
  */
-public final class Sum {
+public final class DemandTotals {
     /** What a sidecar said counts for so long. */
     private static final double STANDS = 3000;
     /** Sidecars and, of each, tenants that are kept at most. */
@@ -23,7 +23,7 @@
     /** Up to so many tenants, all are told: one that is asked for elsewhere must not be taken for idle. */
     private static final int ALL_MOST = 256;
 
-    private record Said(double at, List<Use> uses) { }
+    private record Said(double at, List<TenantDemand> uses) { }
 
     private static final class Total {
         private double perSecond;
@@ -34,7 +34,7 @@
     private final Map<String, Total> totals = new HashMap<>();
 
     /** A sidecar says what it is asked for, in place of what it said before. */
-    public void say(double now, String node, List<Use> uses) {
+    public void say(double now, String node, List<TenantDemand> uses) {
         for (Iterator<Said> i = said.values().iterator(); i.hasNext();) {
             Said s = i.next();
             if (now - s.at() > STANDS) {
@@ -54,7 +54,7 @@
 
     // A total goes with its last teller, so that what rounding leaves does not pile up.
     private void count(Said s, int sign) {
-        for (Use u : s.uses()) {
+        for (TenantDemand u : s.uses()) {
             Total t = totals.computeIfAbsent(u.tenant(), name -> new Total());
             t.perSecond += sign * u.perSecond();
             t.tellers += sign;
@@ -70,17 +70,17 @@
     }
 
     /** The totals of all tenants; where these are many, of those that this sidecar named. */
-    public List<Use> of(String node) {
+    public List<TenantDemand> of(String node) {
         Said own = said.get(node);
         if (own == null) {
             return List.of();
         }
         Set<String> named = new HashSet<>();
         own.uses().forEach(u -> named.add(u.tenant()));
-        List<Use> list = new ArrayList<>();
+        List<TenantDemand> list = new ArrayList<>();
         totals.forEach((tenant, t) -> {
             if (totals.size() <= ALL_MOST || named.contains(tenant)) {
-                list.add(new Use(tenant, Math.max(0, t.perSecond)));
+                list.add(new TenantDemand(tenant, Math.max(0, t.perSecond)));
             }
         });
         return list;
--- a/src/main/java/whinlead/mesh/quota/Allowance.java
+++ b/src/main/java/whinlead/mesh/quota/TenantQuota.java
@@ -20,7 +20,7 @@
  *
  * <p>Pure, but for draws from its seed; one thread; times in milliseconds.
  */
-public final class Allowance {
+public final class TenantQuota {
     /** Of the rules' slack and excess, what is given out; the rest is for sums that differ. */
     private static final double SLACK_PART = 0.7;
     private static final double EXCESS_PART = 0.3;
@@ -89,7 +89,7 @@
      * @param excess as a part of the limit
      * @param seed of its draws
      */
-    public Allowance(double now, double slack, double excess, double windowS, long seed) {
+    public TenantQuota(double now, double slack, double excess, double windowS, long seed) {
         this.random = new SplittableRandom(seed);
         this.born = now;
         this.slack = slack * SLACK_PART;
@@ -98,13 +98,13 @@
     }
 
     /** What this sidecar is asked for, to be told to the offices. */
-    public List<Use> uses(double now) {
-        List<Use> uses = new ArrayList<>();
+    public List<TenantDemand> uses(double now) {
+        List<TenantDemand> uses = new ArrayList<>();
         Map<String, Double> now1 = new HashMap<>();
         buckets.forEach((tenant, b) -> {
             double asked = b.asked(now);
             if (asked > TOLD_LEAST) {
-                uses.add(new Use(tenant, asked));
+                uses.add(new TenantDemand(tenant, asked));
                 now1.put(tenant, asked);
             }
         });
@@ -113,9 +113,9 @@
     }
 
     /** The sums that an office made with what this sidecar told last, of so many sidecars. */
-    public void sums(double now, int nodes, List<Use> totals) {
+    public void sums(double now, int nodes, List<TenantDemand> totals) {
         Map<String, Part> made = new HashMap<>();
-        for (Use u : totals) {
+        for (TenantDemand u : totals) {
             made.put(u.tenant(), new Part(told.getOrDefault(u.tenant(), 0.0), u.perSecond()));
         }
         parts = made;
--- a/src/main/java/whinlead/mesh/sidecar/Beat.java
+++ b/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
@@ -7,7 +7,7 @@
  * sidecar would wake for each of them apart. Spans of a period, a tenth more or less, end on its moments;
  * all others end when they were to. On the thread of its timers.
  */
-final class Beat implements Timers {
+final class AlignedTimers implements Timers {
     private static final double ABOUT = 0.11;
 
     private final Timers timers;
@@ -15,7 +15,7 @@
     private final double phase;
 
     /** A beat of so many milliseconds. */
-    Beat(Timers timers, double period) {
+    AlignedTimers(Timers timers, double period) {
         this(timers, period, 0);
     }
 
@@ -24,7 +24,7 @@
      *
      * @param firstAt one of the beat's moments, in milliseconds on the clock of the timers
      */
-    Beat(Timers timers, double period, double firstAt) {
+    AlignedTimers(Timers timers, double period, double firstAt) {
         this.timers = timers;
         this.period = period;
         this.phase = firstAt % period;
--- a/src/main/java/whinlead/mesh/sidecar/Window.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
@@ -34,7 +34,7 @@
  * One client's connection: reads whole requests, hands them in, and returns the answers in the same order. On
  * its loop's thread.
  */
-final class Window extends ChannelInboundHandlerAdapter {
+final class ClientConnection extends ChannelInboundHandlerAdapter {
     /** Requests of one connection that are under way at a time; reading stops at so many. */
     private static final int UNDER_WAY = 16;
     private static final int BAD = 400;
@@ -99,7 +99,7 @@
 
         /** Answers it; names and values in turn. */
         void answer(int status, List<String> headers, byte[] body) {
-            if (answer != null || Window.this.gone) {
+            if (answer != null || ClientConnection.this.gone) {
                 return;
             }
             FullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
@@ -131,7 +131,7 @@
     /** Ends a request whose body is not whole in time; null while none is awaited. */
     private Timers.Timer bodyTimer;
 
-    Window(Taker taker) {
+    ClientConnection(Taker taker) {
         this.taker = taker;
         this.since = now();
     }
--- a/src/main/java/whinlead/mesh/sidecar/ClientSide.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientSide.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.sidecar;
 
 import whinlead.engine.Timers;
-import whinlead.mesh.quota.Allowance;
+import whinlead.mesh.quota.TenantQuota;
 import whinlead.mesh.settings.NodeSettings;
 import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.config.RoutingTable;
@@ -21,10 +21,10 @@
     private final Timers timers;
     private final NodeSettings card;
     private final long seed;
-    private final Round round;
-    private final Classes classes = new Classes();
-    private final Map<String, Depot> depots = new HashMap<>();
-    private final Egress egress;
+    private final RequestForwarder round;
+    private final RequestClasses classes = new RequestClasses();
+    private final Map<String, ServiceBalancer> depots = new HashMap<>();
+    private final EgressListener egress;
     private final Shutdown shutdown;
 
     /**
@@ -33,23 +33,23 @@
      * @param routing the configuration in force, or null
      * @param seed of what its modules draw
      */
-    public ClientSide(Timers timers, NodeSettings card, Round round, Supplier<RoutingTable> routing, long seed) {
+    public ClientSide(Timers timers, NodeSettings card, RequestForwarder round, Supplier<RoutingTable> routing, long seed) {
         this.timers = timers;
         this.card = card;
         this.round = round;
         this.seed = seed;
         NodeSettings.Bounds bounds = card.clauses().bounds();
-        Allowance allowance = new Allowance(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
+        TenantQuota allowance = new TenantQuota(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
                 bounds.quotaWindowS(), seed);
-        this.egress = new Egress(null, timers, routing, (target, large) -> depot(target), () -> "",
+        this.egress = new EgressListener(null, timers, routing, (target, large) -> depot(target), () -> "",
                 () -> SIDECARS, allowance, classes);
         this.shutdown = new Shutdown(timers, bounds.graceS(), egress, () -> 0);
     }
 
-    private Depot depot(String target) {
+    private ServiceBalancer depot(String target) {
         NodeSettings.Bounds bounds = card.clauses().bounds();
-        return depots.computeIfAbsent(target, t -> new Depot(timers, classes, card, SIDECARS, seed, round,
-                null, new Postage(bounds.retryRatio(), bounds.retrySlack())));
+        return depots.computeIfAbsent(target, t -> new ServiceBalancer(timers, classes, card, SIDECARS, seed, round,
+                null, new RetryBudget(bounds.retryRatio(), bounds.retrySlack())));
     }
 
     /** The endpoints of a service. */
--- a/src/main/java/whinlead/mesh/sidecar/Desk.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.sidecar;
 
 import whinlead.membership.EndpointList;
-import whinlead.mesh.quota.Use;
+import whinlead.mesh.quota.TenantDemand;
 import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.settings.NodeSettings;
@@ -30,7 +30,7 @@
  * A sidecar's ties to the offices: says what it lists, asks with the configuration that it has, and takes a
  * newer one. It never goes back. On its loop's thread; configurations are read on another.
  */
-final class Desk {
+final class ControlClient {
     /** Longer until it is given up than an idle tie goes without a ping. */
     private static final ReconnectingConnection.Pace PACE = new ReconnectingConnection.Pace(300, 900, 3000, 150);
     /** Until another office is asked for what one has not sent, in milliseconds. */
@@ -57,7 +57,7 @@
     private final Map<ReconnectingConnection, Long> noticed = new HashMap<>();
     private RoutingTable routing;
     private Decision newest;
-    private Beginning beginning = new Beginning();
+    private StartupConfig beginning = new StartupConfig();
     private double fetchAt = Double.NEGATIVE_INFINITY;
     private double seekAt;
     private final DemandReports reports = new DemandReports();
@@ -78,11 +78,11 @@
         void inForce(RoutingTable routing);
 
         /** What all sidecars are asked for. */
-        void sums(int nodes, List<Use> totals);
+        void sums(int nodes, List<TenantDemand> totals);
     }
 
     /** A desk that dials what {@code dials} makes of an address. */
-    Desk(EventLoop loop, NodeSettings card, PeerMessage.Hello hello, UnaryOperator<InetSocketAddress> dials, Owner owner) {
+    ControlClient(EventLoop loop, NodeSettings card, PeerMessage.Hello hello, UnaryOperator<InetSocketAddress> dials, Owner owner) {
         this.loop = loop;
         this.card = card;
         this.hello = hello;
@@ -112,7 +112,7 @@
     }
 
     /** Tells offices in reach what is asked for here, where it is due, and asks the first for the sums. */
-    void uses(List<Use> uses) {
+    void uses(List<TenantDemand> uses) {
         DemandReports.Audience audience = reports.next(!uses.isEmpty());
         if (audience == DemandReports.Audience.NONE) {
             return;
@@ -247,7 +247,7 @@
             @Override
             public void letter(ReconnectingConnection t, PeerMessage letter) {
                 if (letter instanceof PeerMessage.Offices told) {
-                    told.addresses().forEach(Desk.this::know);
+                    told.addresses().forEach(ControlClient.this::know);
                     t.close();
                 }
             }
--- a/src/main/java/whinlead/mesh/sidecar/Egress.java
+++ b/src/main/java/whinlead/mesh/sidecar/EgressListener.java
@@ -1,9 +1,9 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.engine.Ask;
-import whinlead.engine.Caller;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
 import whinlead.engine.Timers;
-import whinlead.mesh.quota.Allowance;
+import whinlead.mesh.quota.TenantQuota;
 import whinlead.mesh.config.RoutingTable;
 import whinlead.mesh.config.MeshConfig;
 import whinlead.mesh.wire.PeerMessage;
@@ -30,7 +30,7 @@
  * Where the clients and the endpoint of this machine send their requests: finds route, tenant and allowance,
  * and has the service's module decide the rest. On its loop's thread.
  */
-final class Egress implements Window.Taker {
+final class EgressListener implements ClientConnection.Taker {
     /** Bodies that are held at a time, in bytes; beyond, clients are told to come back. */
     private static final long HOLD_MOST = 40L << 20;
     private static final MeshConfig.Limits FIRST = new MeshConfig.Limits(16384, 64 << 20, 3, 15);
@@ -50,7 +50,7 @@
     /** Finds a service's depot. */
     interface Depots {
         /** For requests with large bodies, or for the others. */
-        Depot of(String target, boolean large);
+        ServiceBalancer of(String target, boolean large);
     }
 
     private final EventLoop loop;
@@ -59,18 +59,18 @@
     private final Depots depots;
     private final Supplier<String> service;
     private final IntSupplier sidecars;
-    private final Allowance allowance;
-    private final Classes classes;
+    private final TenantQuota allowance;
+    private final RequestClasses classes;
     private final SplittableRandom random = new SplittableRandom();
-    private final Set<Window> windows = new HashSet<>();
+    private final Set<ClientConnection> windows = new HashSet<>();
     private long held;
     private final Set<Exchange> exchanges = new LinkedHashSet<>();
     private boolean leaving;
     private boolean refusing;
 
-    Egress(EventLoop loop, Timers timers, Supplier<RoutingTable> routing,
+    EgressListener(EventLoop loop, Timers timers, Supplier<RoutingTable> routing,
             Depots depots, Supplier<String> service, IntSupplier sidecars,
-            Allowance allowance, Classes classes) {
+            TenantQuota allowance, RequestClasses classes) {
         this.loop = loop;
         this.timers = timers;
         this.routing = routing;
@@ -94,14 +94,14 @@
 
     /** A client has connected. */
     void accept(Channel connection) {
-        Window window = new Window(this);
+        ClientConnection window = new ClientConnection(this);
         windows.add(window);
         connection.closeFuture().addListener(f -> windows.remove(window));
         window.on(connection);
     }
 
     void tick() {
-        List.copyOf(windows).forEach(Window::tick);
+        List.copyOf(windows).forEach(ClientConnection::tick);
     }
 
     /** From now on connections end after the answer under way. */
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void take(HttpRequest head, byte[] body, Window.Turn turn) {
+    public void take(HttpRequest head, byte[] body, ClientConnection.Turn turn) {
         RoutingTable now = routing.get();
         if (now == null || refusing) {
             later(turn, NOT_NOW, NO_ROUTES_MS);
@@ -172,13 +172,13 @@
             plain(turn, NO_ROUTE);
             return;
         }
-        String attempt = head.headers().get(Headers.ATTEMPT);
+        String attempt = head.headers().get(ForwardedHeaders.ATTEMPT);
         double deadline = deadline(head);
         if (attempt == null || attempt.isEmpty() || Double.isNaN(deadline)) {
             plain(turn, BAD);
             return;
         }
-        RoutingTable.Payer payer = now.payer(head.headers().get(Headers.KEY));
+        RoutingTable.Payer payer = now.payer(head.headers().get(ForwardedHeaders.KEY));
         if (payer == null && !way.route().open() && now.keyed()) {
             plain(turn, UNKNOWN_KEY);
             return;
@@ -192,7 +192,7 @@
             }
         }
         String target = way.service(random.nextDouble());
-        Depot depot = depots.of(target, MeshConfig.INGEST.equals(way.route().kind()));
+        ServiceBalancer depot = depots.of(target, MeshConfig.INGEST.equals(way.route().kind()));
         double timeout = Math.max(1, timeout(way, deadline) - turn.readingMs());
         Integer rank = payer == null ? null : payer.tenant().rank();
         new Exchange(head, body, turn, way, payer, target, timeout,
@@ -214,7 +214,7 @@
     }
 
     private static double deadline(HttpRequest head) {
-        String text = head.headers().get(Headers.DEADLINE);
+        String text = head.headers().get(ForwardedHeaders.DEADLINE);
         if (text == null) {
             return Double.MAX_VALUE;
         }
@@ -226,36 +226,36 @@
         }
     }
 
-    private static void plain(Window.Turn turn, int status) {
+    private static void plain(ClientConnection.Turn turn, int status) {
         turn.answer(status, List.of(), new byte[0]);
     }
 
-    private static void later(Window.Turn turn, int status, double waitMs) {
+    private static void later(ClientConnection.Turn turn, int status, double waitMs) {
         turn.answer(status, List.of("Retry-After", String.format(Locale.ROOT, "%.3f",
                 Math.max(1, waitMs) / 1000)), new byte[0]);
     }
 
     /** One request of a client's. */
-    private final class Exchange implements Depot.Shipment, Caller<PeerMessage.Delivered> {
+    private final class Exchange implements ServiceBalancer.Shipment, ResponseSink<PeerMessage.Delivered> {
         private final String method;
         private final String uri;
         private final List<String> headers;
         private final byte[] body;
-        private final Window.Turn turn;
+        private final ClientConnection.Turn turn;
         private final RoutingTable.Way way;
         private final String target;
         private final int rank;
         private final double timeout;
         private final double endAt;
         private final EndpointAttempts attempts;
-        private Depot.Taken taken = () -> { };
+        private ServiceBalancer.Taken taken = () -> { };
         private PeerMessage.Delivered last;
 
-        private Exchange(HttpRequest head, byte[] body, Window.Turn turn, RoutingTable.Way way,
+        private Exchange(HttpRequest head, byte[] body, ClientConnection.Turn turn, RoutingTable.Way way,
                 RoutingTable.Payer payer, String target, double timeout, int rank) {
             this.method = head.method().name();
             this.uri = head.uri();
-            this.headers = Headers.onward(head.headers(), true);
+            this.headers = ForwardedHeaders.onward(head.headers(), true);
             this.body = body;
             this.turn = turn;
             this.way = way;
@@ -265,18 +265,18 @@
             this.endAt = timers.now() + timeout;
             this.attempts = new EndpointAttempts(way.route().tries());
             if (payer != null) {
-                headers.add(Headers.TENANT);
+                headers.add(ForwardedHeaders.TENANT);
                 headers.add(payer.name());
             }
             if (!service.get().isEmpty()) {
-                headers.add(Headers.CALLER);
+                headers.add(ForwardedHeaders.CALLER);
                 headers.add(service.get());
             }
         }
 
-        private void go(Depot depot) {
+        private void go(ServiceBalancer depot) {
             exchanges.add(this);
-            Ask ask = new Ask(classes.of(way.repeatable(), rank, way.route().targetS() * 1000), -1, timeout,
+            Request ask = new Request(classes.of(way.repeatable(), rank, way.route().targetS() * 1000), -1, timeout,
                     false, 1, body.length);
             taken = depot.take(ask, Math.max(1, sidecars.getAsInt()), this, this);
             turn.onGone(() -> {
--- a/src/main/java/whinlead/mesh/sidecar/EndpointLine.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
@@ -42,7 +42,7 @@
  * Connections to the endpoint beside this sidecar, and what became of a request there: has run, may have run,
  * has not. An answer is passed on only when it is whole and this request's own. On its loop's thread.
  */
-public final class EndpointLine {
+public final class EndpointConnections {
     /** The largest answer that is held, in bytes. */
     private static final int ANSWER_MOST = 16 << 20;
     private static final int CONNECT_MS = 800;
@@ -68,14 +68,14 @@
     private final ArrayDeque<Wire> idle = new ArrayDeque<>();
     private double idleMs = IDLE_MS;
 
-    EndpointLine(EventLoop loop, SocketAddress address) {
+    EndpointConnections(EventLoop loop, SocketAddress address) {
         this(new LoopTimers(loop, new Clock()), handlers -> new Bootstrap().group(loop)
                 .channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS).handler(handlers).connect(address));
     }
 
     /** A line by these timers, whose thread is its own too. */
-    public EndpointLine(Timers timers, Connector connector) {
+    public EndpointConnections(Timers timers, Connector connector) {
         this.timers = timers;
         this.connector = connector;
     }
@@ -148,7 +148,7 @@
         String attempt = null;
         List<String> headers = parcel.headers();
         for (int i = 0; i + 1 < headers.size(); i += 2) {
-            attempt = headers.get(i).equalsIgnoreCase(Headers.ATTEMPT) ? headers.get(i + 1) : attempt;
+            attempt = headers.get(i).equalsIgnoreCase(ForwardedHeaders.ATTEMPT) ? headers.get(i + 1) : attempt;
         }
         return attempt;
     }
@@ -251,9 +251,9 @@
             for (int i = 0; i + 1 < headers.size(); i += 2) {
                 request.headers().add(headers.get(i), headers.get(i + 1));
             }
-            request.headers().set(Headers.DEADLINE, Integer.toString((int) Math.max(1, left - BACK_MS)));
+            request.headers().set(ForwardedHeaders.DEADLINE, Integer.toString((int) Math.max(1, left - BACK_MS)));
             if (!instance.isEmpty()) {
-                request.headers().set(Headers.INSTANCE, instance);
+                request.headers().set(ForwardedHeaders.INSTANCE, instance);
             }
             boolean bodied = sent.body().length > 0 || !HttpMethod.GET.name().equals(sent.method())
                     && !HttpMethod.HEAD.name().equals(sent.method());
@@ -293,9 +293,9 @@
         // An answer to an earlier request may come late, in the place of the next: its id tells it.
         private void begin(HttpResponse r) {
             head = r;
-            ours = done != null && attempt != null && attempt.equals(r.headers().get(Headers.ATTEMPT));
+            ours = done != null && attempt != null && attempt.equals(r.headers().get(ForwardedHeaders.ATTEMPT));
             body = Unpooled.buffer(256);
-            if (!AnswerCheck.isFramed(r)) {
+            if (!ResponseValidator.isFramed(r)) {
                 // Its end could not be told, or its body is not the endpoint's.
                 spoilt(PeerMessage.Why.BROKEN);
             }
@@ -318,14 +318,14 @@
             head = null;
             body = null;
             if (!ours) {
-                if (done == null && answer.headers().get(Headers.ATTEMPT) == null) {
+                if (done == null && answer.headers().get(ForwardedHeaders.ATTEMPT) == null) {
                     channel.close();
                 }
                 return;
             }
             boolean keep = HttpUtil.isKeepAlive(answer) && !HttpMethod.CONNECT.name().equals(parcel.method());
-            idleMs = AnswerCheck.idleMs(answer, idleMs, IDLE_MS);
-            PeerMessage.Why why = AnswerCheck.reject(answer);
+            idleMs = ResponseValidator.idleMs(answer, idleMs, IDLE_MS);
+            PeerMessage.Why why = ResponseValidator.reject(answer);
             Consumer<PeerMessage> tell = done;
             PeerMessage.Parcel told = parcel;
             rest(keep);
@@ -333,7 +333,7 @@
                 tell.accept(new PeerMessage.Returned(told.stream(), why, 0, 0));
             } else {
                 tell.accept(new PeerMessage.Delivered(told.stream(), answer.status().code(),
-                        Headers.onward(answer.headers(), false), bytes, 0, 0));
+                        ForwardedHeaders.onward(answer.headers(), false), bytes, 0, 0));
             }
         }
 
--- a/src/main/java/whinlead/mesh/sidecar/Hatch.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
@@ -7,7 +7,7 @@
  * What the sidecar knows first hand of the endpoint beside it, and whether a request may go to it now. Pure;
  * one thread; times in milliseconds on one clock.
  */
-public final class Hatch {
+public final class EndpointGate {
     /** Where the endpoint stands. */
     public enum State {
         /** None has beaten yet. */
@@ -55,7 +55,7 @@
     private double highestAt;
 
     /** A hatch whose endpoint beats so often, in milliseconds. */
-    public Hatch(double beatMs) {
+    public EndpointGate(double beatMs) {
         this.beatMs = beatMs;
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
@@ -12,7 +12,7 @@
     /** A request's sender, which is a link or this sidecar itself, and its number there. */
     private record Key(Object sender, long stream) { }
 
-    private final Map<Key, EndpointLine.Sent> requests = new HashMap<>();
+    private final Map<Key, EndpointConnections.Sent> requests = new HashMap<>();
 
     /** A request is about to be sent; it may end before {@link #sent}. */
     public void begin(Object sender, long stream) {
@@ -20,7 +20,7 @@
     }
 
     /** It was sent. */
-    public void sent(Object sender, long stream, EndpointLine.Sent sent) {
+    public void sent(Object sender, long stream, EndpointConnections.Sent sent) {
         requests.replace(new Key(sender, stream), sent);
     }
 
@@ -31,7 +31,7 @@
 
     /** Its client has left. */
     public void cancel(Object sender, PeerMessage.Cancel cancel) {
-        EndpointLine.Sent sent = requests.get(new Key(sender, cancel.stream()));
+        EndpointConnections.Sent sent = requests.get(new Key(sender, cancel.stream()));
         if (sent != null) {
             sent.cancel(cancel.whileRunning());
         }
--- a/src/main/java/whinlead/mesh/sidecar/Headers.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedHeaders.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** Which headers go on. For any thread. */
-final class Headers {
+final class ForwardedHeaders {
     static final String ATTEMPT = "Attempt-Id";
     static final String DEADLINE = "Deadline-Ms";
     static final String KEY = "Api-Key";
@@ -30,7 +30,7 @@
     /** End to end, whatever a connection says of them: what an answer is known by and proved by. */
     private static final Set<String> END_TO_END = Set.of("attempt-id", "server-seal");
 
-    private Headers() { }
+    private ForwardedHeaders() { }
 
     /** Names and values in turn, without those of one connection and, of requests, the system's. */
     static List<String> onward(HttpHeaders headers, boolean request) {
--- a/src/main/java/whinlead/mesh/sidecar/Classes.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestClasses.java
@@ -8,7 +8,7 @@
  * Requests in the module's classes, by what may be repeated, by rank and by target: a grid, so that a new
  * configuration never makes the module forget what it has learned. Immutable.
  */
-public final class Classes {
+public final class RequestClasses {
     /** Ranks told apart; beyond the last, all are alike. */
     static final int RANKS = 4;
     /**
@@ -26,7 +26,7 @@
     private final List<Contract.RequestClass> classes = new ArrayList<>();
 
     /** The grid. */
-    public Classes() {
+    public RequestClasses() {
         for (int effect = 0; effect < 2; effect++) {
             for (int rank = 0; rank < RANKS; rank++) {
                 for (int t = 0; t < TARGETS; t++) {
--- a/src/main/java/whinlead/mesh/sidecar/Round.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.sidecar;
 
 import whinlead.Contract;
-import whinlead.engine.Carrier;
+import whinlead.engine.Transport;
 import whinlead.engine.Clock;
 import whinlead.engine.Timers;
 import whinlead.loop.LoopTimers;
@@ -28,7 +28,7 @@
  * Each request is written once at most, on one connection, under a number that this process gives once; what
  * comes back counts for the request of that number and no other. On its loop's thread.
  */
-public final class Round {
+public final class RequestForwarder {
     private static final ReconnectingConnection.Pace PACE = new ReconnectingConnection.Pace(250, 700, 5000, 250);
     private static final double MICROS = 1000;
 
@@ -42,7 +42,7 @@
     }
 
     /** A request that was sent. */
-    public interface Sent extends Carrier.Sending {
+    public interface Sent extends Transport.Sending {
         /**
          * Gives it up because its client has left: what has not been written never is, and the other sidecar
          * is told of what was. One that may be repeated is then ended at its endpoint.
@@ -94,7 +94,7 @@
      *
      * @param changed told when a node has come into reach or gone out of it
      */
-    Round(EventLoop loop, String self, Local local, PeerMessage hello,
+    RequestForwarder(EventLoop loop, String self, Local local, PeerMessage hello,
             Function<String, SocketAddress> addresses, Runnable changed) {
         this(new LoopTimers(loop, new Clock()), loop, self, local,
                 (node, ear) -> new Tied(loop, node, addresses.apply(node), hello, ear), changed);
@@ -105,7 +105,7 @@
      *
      * @param soon runs a task on this thread, after the one that runs
      */
-    public Round(Timers timers, Executor soon, String self, Local local, BiFunction<String, Ear, Path> paths,
+    public RequestForwarder(Timers timers, Executor soon, String self, Local local, BiFunction<String, Ear, Path> paths,
             Runnable changed) {
         this.timers = timers;
         this.soon = soon;
--- a/src/main/java/whinlead/mesh/sidecar/AnswerCheck.java
+++ b/src/main/java/whinlead/mesh/sidecar/ResponseValidator.java
@@ -12,7 +12,7 @@
  * Whether an endpoint's answer may be passed on, by its head. What may not is never passed on in part: the
  * client gets an answer of this system's own, with none of the endpoint's headers. For any thread.
  */
-final class AnswerCheck {
+final class ResponseValidator {
     private static final String KEEP_ALIVE = "Keep-Alive";
     private static final String TIMEOUT = "timeout=";
     private static final int TIMED_OUT = 408;
@@ -20,7 +20,7 @@
     private static final int TOO_MANY = 429;
     private static final int UNAVAILABLE = 503;
 
-    private AnswerCheck() { }
+    private ResponseValidator() { }
 
     /**
      * Whether the end of its body can be told, and the body is the endpoint's own: by a length, by chunks
@@ -38,11 +38,11 @@
         if (status == MISDIRECTED) {
             return PeerMessage.Why.MOVED;
         }
-        if (answer.headers().contains(Headers.NOT_EXECUTED)) {
+        if (answer.headers().contains(ForwardedHeaders.NOT_EXECUTED)) {
             return PeerMessage.Why.TURNED_AWAY;
         }
         boolean success = answer.status().codeClass() == HttpStatusClass.SUCCESS;
-        if (success && (!answer.headers().contains(Headers.SEAL)
+        if (success && (!answer.headers().contains(ForwardedHeaders.SEAL)
                 || answer.headers().contains(HttpHeaderNames.CONTENT_ENCODING))) {
             return PeerMessage.Why.BROKEN;
         }
--- a/src/main/java/whinlead/mesh/sidecar/Postage.java
+++ b/src/main/java/whinlead/mesh/sidecar/RetryBudget.java
@@ -4,7 +4,7 @@
  * This sidecar's part of the budget of further arrivals at one service: each request pays in a part of what
  * the rules allow, and an even share of the rules' slack may be saved up. Pure; one thread.
  */
-public final class Postage {
+public final class RetryBudget {
     /** Of what the rules allow, what is spent: calls of a repeated run count too, and nobody counts them here. */
     private static final double PART = 0.6;
 
@@ -13,7 +13,7 @@
     private double tokens = 1;
 
     /** A budget by the rules' ratio and slack. */
-    public Postage(double ratio, double slack) {
+    public RetryBudget(double ratio, double slack) {
         this.earn = ratio * PART;
         this.slack = slack * PART;
     }
--- a/src/main/java/whinlead/mesh/sidecar/Depot.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -2,9 +2,9 @@
 
 import whinlead.Contract;
 import whinlead.decide.Decide;
-import whinlead.engine.Ask;
-import whinlead.engine.Caller;
-import whinlead.engine.Carrier;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
+import whinlead.engine.Transport;
 import whinlead.engine.Engine;
 import whinlead.engine.Timers;
 import whinlead.membership.EndpointList;
@@ -21,7 +21,7 @@
  * One service as this sidecar sees it: an engine with a module of its own, fed with the endpoints that are
  * listed and in reach. On its loop's thread.
  */
-public final class Depot {
+public final class ServiceBalancer {
     /** The module may try so many endpoints; what truly arrives is bounded by the route and the budget. */
     private static final int ATTEMPTS = 4;
     private static final double RETRY_AFTER_MOST = 2000;
@@ -33,8 +33,8 @@
     private static final double FAR = 0.05;
 
     private final Engine engine;
-    private final Round round;
-    private final Postage postage;
+    private final RequestForwarder round;
+    private final RetryBudget postage;
     private final String near;
     private final Timers timers;
     private final Map<String, String> nodes = new HashMap<>();
@@ -47,8 +47,8 @@
      * @param near the zone whose endpoints come first in the walk, or null where all are alike
      * @param postage the service's budget of further tries
      */
-    Depot(Timers timers, Classes classes, NodeSettings card, int sidecars, long seed, Round round, String near,
-            Postage postage) {
+    ServiceBalancer(Timers timers, RequestClasses classes, NodeSettings card, int sidecars, long seed, RequestForwarder round, String near,
+            RetryBudget postage) {
         this.timers = timers;
         this.round = round;
         this.near = near;
@@ -60,7 +60,7 @@
     }
 
     /** What the module of a service starts from, at one of so many sidecars. */
-    public static Contract.Settings settings(Classes classes, double drainS, int sidecars) {
+    public static Contract.Settings settings(RequestClasses classes, double drainS, int sidecars) {
         return new Contract.Settings(classes.all(), List.of(), 1,
                 new Contract.Limits(ATTEMPTS, false, false, false, false, true, RETRY_AFTER_MOST, 1),
                 new Contract.Obligations(drainS * 1000, FALL_MULTIPLE, COLD_MS, COLD_SHARE, COLD_MS, COLD_MS),
@@ -110,7 +110,7 @@
     }
 
     /** Takes a request; the caller is told its end once, unless it is abandoned. */
-    Taken take(Ask ask, int sidecars, Shipment shipment, Caller<PeerMessage.Delivered> caller) {
+    Taken take(Request ask, int sidecars, Shipment shipment, ResponseSink<PeerMessage.Delivered> caller) {
         postage.asked(sidecars);
         Delivery delivery = new Delivery(shipment);
         Engine.Held<PeerMessage.Delivered> held = engine.take(ask, delivery, caller);
@@ -120,11 +120,11 @@
         };
     }
 
-    private final class Delivery implements Carrier<PeerMessage.Delivered> {
+    private final class Delivery implements Transport<PeerMessage.Delivered> {
         private final Shipment shipment;
         private final EndpointAttempts attempts;
         /** The attempt that is out, of which there is one at most; and who hears of its end. */
-        private Round.Sent out;
+        private RequestForwarder.Sent out;
         private Outcomes<PeerMessage.Delivered> outcomes;
 
         private Delivery(Shipment shipment) {
@@ -141,7 +141,7 @@
             }
             attempts.sent();
             outcomes = told;
-            Round.Sent sent = round.send(node, shipment.parcel(endpoint), shipment.repeatable(),
+            RequestForwarder.Sent sent = round.send(node, shipment.parcel(endpoint), shipment.repeatable(),
                     () -> attempts.mayBeSent() && postage.affords(), letter -> came(letter, told));
             out = sent;
             return () -> {
@@ -172,7 +172,7 @@
                 attempts.returned(r.why());
                 report = report(r.util(), r.perSecond());
             }
-            told.ended(Round.outcome(letter), letter instanceof PeerMessage.Delivered d ? d : null, report);
+            told.ended(RequestForwarder.outcome(letter), letter instanceof PeerMessage.Delivered d ? d : null, report);
         }
 
         private Contract.Report report(double util, double perSecond) {
--- a/src/main/java/whinlead/mesh/sidecar/Shutdown.java
+++ b/src/main/java/whinlead/mesh/sidecar/Shutdown.java
@@ -23,7 +23,7 @@
 
     private final Timers timers;
     private final double graceS;
-    private final Egress egress;
+    private final EgressListener egress;
     private final IntSupplier atEndpoint;
     private final CountDownLatch ended = new CountDownLatch(1);
 
@@ -33,7 +33,7 @@
      * @param graceS from SIGTERM to the kill, in seconds
      * @param atEndpoint how many requests the endpoint beside it works on
      */
-    Shutdown(Timers timers, double graceS, Egress egress, IntSupplier atEndpoint) {
+    Shutdown(Timers timers, double graceS, EgressListener egress, IntSupplier atEndpoint) {
         this.timers = timers;
         this.graceS = graceS;
         this.egress = egress;
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -4,8 +4,8 @@
 import whinlead.engine.Timers;
 import whinlead.loop.LoopTimers;
 import whinlead.membership.EndpointList;
-import whinlead.mesh.quota.Allowance;
-import whinlead.mesh.quota.Use;
+import whinlead.mesh.quota.TenantQuota;
+import whinlead.mesh.quota.TenantDemand;
 import whinlead.mesh.settings.NodeSettings;
 import whinlead.mesh.registry.EndpointRegistry;
 import whinlead.mesh.registry.EndpointRecord;
@@ -59,20 +59,20 @@
     private final Timers beat;
     private final String node;
     private final PeerMessage.Hello greeting;
-    private final Hatch hatch;
-    private final EndpointLine line;
+    private final EndpointGate hatch;
+    private final EndpointConnections line;
     private final EndpointRequests requests = new EndpointRequests();
     private final ForwardedTime forwardedTime = new ForwardedTime();
     private final EndpointRegistry directory = new EndpointRegistry();
-    private final Map<String, Depot> depots = new HashMap<>();
-    private final Map<String, Depot> largeDepots = new HashMap<>();
-    private final Map<String, Postage> postage = new HashMap<>();
-    private final Classes classes = new Classes();
-    private final Round round;
-    private final Egress egress;
+    private final Map<String, ServiceBalancer> depots = new HashMap<>();
+    private final Map<String, ServiceBalancer> largeDepots = new HashMap<>();
+    private final Map<String, RetryBudget> postage = new HashMap<>();
+    private final RequestClasses classes = new RequestClasses();
+    private final RequestForwarder round;
+    private final EgressListener egress;
     private final OutdatedLists outdated;
-    private final Desk desk;
-    private final Allowance allowance;
+    private final ControlClient desk;
+    private final TenantQuota allowance;
     private long life = System.currentTimeMillis();
     private long seq;
     private double saidAt;
@@ -91,14 +91,14 @@
         this.loop = loop;
         this.mapper = mapper;
         this.timers = new LoopTimers(loop, new Clock());
-        this.beat = new Beat(timers, Classes.period(), timers.now()
-                + untilNext((long) Classes.period()) / NANOS_IN_MILLI);
+        this.beat = new AlignedTimers(timers, RequestClasses.period(), timers.now()
+                + untilNext((long) RequestClasses.period()) / NANOS_IN_MILLI);
         this.node = NodeSettings.present(card.network().bind().ingress(), "Network.Bind.Ingress");
-        this.hatch = new Hatch(card.substrate().heartbeatS() * 1000);
-        this.line = new EndpointLine(loop, EndpointList.address(NodeSettings.present(card.self().appAddr(),
+        this.hatch = new EndpointGate(card.substrate().heartbeatS() * 1000);
+        this.line = new EndpointConnections(loop, EndpointList.address(NodeSettings.present(card.self().appAddr(),
                 "Self.AppAddr")));
         this.greeting = new PeerMessage.Hello(node, false);
-        this.round = new Round(loop, node, new Round.Local() {
+        this.round = new RequestForwarder(loop, node, new RequestForwarder.Local() {
             @Override
             public void deliver(PeerMessage.Parcel parcel, Consumer<PeerMessage> done) {
                 Sidecar.this.deliver(node, parcel, done);
@@ -111,9 +111,9 @@
         }, greeting, address -> dials.apply(EndpointList.address(address)), this::reachChanged);
         this.outdated = new OutdatedLists(loop, directory, this::refresh);
         NodeSettings.Bounds bounds = card.clauses().bounds();
-        this.allowance = new Allowance(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
+        this.allowance = new TenantQuota(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
                 bounds.quotaWindowS(), new SecureRandom().nextLong());
-        this.desk = new Desk(loop, card, greeting, dials, new Desk.Owner() {
+        this.desk = new ControlClient(loop, card, greeting, dials, new ControlClient.Owner() {
             @Override
             public void posted(List<EndpointRecord> listings) {
                 Sidecar.this.posted(listings);
@@ -136,11 +136,11 @@
             }
 
             @Override
-            public void sums(int nodes, List<Use> totals) {
+            public void sums(int nodes, List<TenantDemand> totals) {
                 allowance.sums(timers.now(), nodes, totals);
             }
         });
-        this.egress = new Egress(loop, timers, desk::routing, this::depot, this::service,
+        this.egress = new EgressListener(loop, timers, desk::routing, this::depot, this::service,
                 directory::present, allowance, classes);
     }
 
@@ -202,17 +202,17 @@
 
     // Requests with large bodies have a depot of their own, which looks in this zone first: they are most of
     // the bytes between zones.
-    private Depot depot(String target, boolean large) {
-        Map<String, Depot> kind = large ? largeDepots : depots;
-        Depot known = kind.get(target);
+    private ServiceBalancer depot(String target, boolean large) {
+        Map<String, ServiceBalancer> kind = large ? largeDepots : depots;
+        ServiceBalancer known = kind.get(target);
         if (known == null) {
             if (kind.size() >= DEPOTS_MOST) {
                 throw new IllegalStateException("over " + DEPOTS_MOST + " services");
             }
             NodeSettings.Bounds bounds = card.clauses().bounds();
-            Postage paid = postage.computeIfAbsent(target,
-                    t -> new Postage(bounds.retryRatio(), bounds.retrySlack()));
-            known = new Depot(beat, classes, card, directory.present(), new SecureRandom().nextLong(),
+            RetryBudget paid = postage.computeIfAbsent(target,
+                    t -> new RetryBudget(bounds.retryRatio(), bounds.retrySlack()));
+            known = new ServiceBalancer(beat, classes, card, directory.present(), new SecureRandom().nextLong(),
                     round, large ? card.self().zone() : null, paid);
             kind.put(target, known);
             known.update(directory.endpoints(target));
@@ -269,7 +269,7 @@
         }
     }
 
-    private Desk desk() {
+    private ControlClient desk() {
         return desk;
     }
 
@@ -326,9 +326,9 @@
     }
 
     private void deliver(Object sender, PeerMessage.Parcel parcel, Consumer<PeerMessage> done) {
-        Hatch.Entry entry = hatch.enter(timers.now(), parcel.target(), parcel.rank());
-        if (entry != Hatch.Entry.OPEN) {
-            PeerMessage no = new PeerMessage.Returned(parcel.stream(), entry == Hatch.Entry.FULL ? PeerMessage.Why.FULL
+        EndpointGate.Entry entry = hatch.enter(timers.now(), parcel.target(), parcel.rank());
+        if (entry != EndpointGate.Entry.OPEN) {
+            PeerMessage no = new PeerMessage.Returned(parcel.stream(), entry == EndpointGate.Entry.FULL ? PeerMessage.Why.FULL
                     : PeerMessage.Why.MOVED, hatch.util(), hatch.perSecond());
             // Not in the caller's own call: it has not noted yet that it sent.
             loop.execute(() -> done.accept(no));
@@ -336,7 +336,7 @@
         }
         hatch.began(timers.now());
         requests.begin(sender, parcel.stream());
-        EndpointLine.Sent sent = line.send(parcel, hatch.endpoint(), letter -> {
+        EndpointConnections.Sent sent = line.send(parcel, hatch.endpoint(), letter -> {
             requests.ended(sender, parcel.stream());
             hatch.ended(timers.now(), letter instanceof PeerMessage.Delivered);
             done.accept(letter instanceof PeerMessage.Delivered d ? new PeerMessage.Delivered(d.stream(), d.status(),
--- a/src/main/java/whinlead/mesh/sidecar/Beginning.java
+++ b/src/main/java/whinlead/mesh/sidecar/StartupConfig.java
@@ -8,7 +8,7 @@
  * while in which none such answered: better served by the newest in reach than not at all. Pure; one thread;
  * times in milliseconds.
  */
-final class Beginning {
+final class StartupConfig {
     /** How long an office in contact with a majority is waited for, from the first answer of any. */
     static final double WAIT = 2000;
 
--- a/src/main/java/whinlead/mesh/wire/FieldCodec.java
+++ b/src/main/java/whinlead/mesh/wire/FieldCodec.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.wire;
 
-import whinlead.mesh.quota.Use;
+import whinlead.mesh.quota.TenantDemand;
 import whinlead.mesh.registry.EndpointRecord;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -17,18 +17,18 @@
 
     private FieldCodec() { }
 
-    static void uses(MessageBufferPacker p, List<Use> uses) throws IOException {
+    static void uses(MessageBufferPacker p, List<TenantDemand> uses) throws IOException {
         p.packInt(uses.size());
-        for (Use u : uses) {
+        for (TenantDemand u : uses) {
             p.packString(u.tenant()).packFloat((float) u.perSecond());
         }
     }
 
-    static List<Use> uses(MessageUnpacker u) throws IOException {
+    static List<TenantDemand> uses(MessageUnpacker u) throws IOException {
         int n = size(u.unpackInt());
-        List<Use> uses = new ArrayList<>();
+        List<TenantDemand> uses = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            uses.add(new Use(u.unpackString(), u.unpackFloat()));
+            uses.add(new TenantDemand(u.unpackString(), u.unpackFloat()));
         }
         return uses;
     }
--- a/src/main/java/whinlead/mesh/wire/PeerMessage.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessage.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.wire;
 
-import whinlead.mesh.quota.Use;
+import whinlead.mesh.quota.TenantDemand;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Message;
 import whinlead.mesh.registry.EndpointRecord;
@@ -71,10 +71,10 @@
     record Paper(Message message) implements PeerMessage { }
 
     /** A sidecar tells what it is asked for, and may ask for the sums. */
-    record Uses(List<Use> uses, boolean wanted) implements PeerMessage { }
+    record Uses(List<TenantDemand> uses, boolean wanted) implements PeerMessage { }
 
     /** The sums over so many sidecars of the tenants that the one who asked has named. */
-    record Sums(int nodes, List<Use> totals) implements PeerMessage { }
+    record Sums(int nodes, List<TenantDemand> totals) implements PeerMessage { }
 
     /**
      * A request on its way to an endpoint.
--- a/src/main/java/whinlead/plan/ClientTry.java
+++ b/src/main/java/whinlead/plan/ClientTry.java
@@ -1,10 +1,10 @@
 package whinlead.plan;
 
 import whinlead.Contract;
-import whinlead.engine.Caller;
+import whinlead.engine.ResponseSink;
 
 /** One try of a client, who may try again after a refusal or a failure. For one thread. */
-final class ClientTry implements Caller<SimulatedFront> {
+final class ClientTry implements ResponseSink<SimulatedFront> {
     private final SimulationContext context;
     private final SimulatedSidecar sidecar;
     private final Arrival arrival;
--- a/src/main/java/whinlead/plan/SimulatedAttempt.java
+++ b/src/main/java/whinlead/plan/SimulatedAttempt.java
@@ -1,14 +1,14 @@
 package whinlead.plan;
 
 import whinlead.Contract;
-import whinlead.engine.Carrier;
+import whinlead.engine.Transport;
 
 /** One attempt on its way from a sidecar to a front and back, on a connection. For one thread. */
-final class SimulatedAttempt implements Carrier.Sending {
+final class SimulatedAttempt implements Transport.Sending {
     private final SimulationContext context;
     private final ConnectionPool connections;
     private final SimulatedFront front;
-    private final Carrier.Outcomes<SimulatedFront> listener;
+    private final Transport.Outcomes<SimulatedFront> listener;
     /** Of the front, when this attempt set out. */
     private final int incarnation;
     private FrontModel.Visit visit;
@@ -18,7 +18,7 @@
 
     /** One that is yet to be sent. */
     SimulatedAttempt(SimulationContext context, ConnectionPool connections, SimulatedFront front,
-            Carrier.Outcomes<SimulatedFront> listener) {
+            Transport.Outcomes<SimulatedFront> listener) {
         this.context = context;
         this.connections = connections;
         this.front = front;
--- a/src/main/java/whinlead/plan/SimulatedSidecar.java
+++ b/src/main/java/whinlead/plan/SimulatedSidecar.java
@@ -2,8 +2,8 @@
 
 import whinlead.Contract;
 import whinlead.decide.Decide;
-import whinlead.engine.Ask;
-import whinlead.engine.Carrier;
+import whinlead.engine.Request;
+import whinlead.engine.Transport;
 import whinlead.engine.Engine;
 import whinlead.engine.Timers;
 import whinlead.membership.EndpointList;
@@ -99,8 +99,8 @@
         }
         double freeShare = 1 - (double) held / limits.places();
         Arrival arrival = received.arrival();
-        engine.take(new Ask(arrival.kind(), arrival.tenant(), remaining, received.repeat(), freeShare, 0),
-                new Transport(arrival.kind()), received);
+        engine.take(new Request(arrival.kind(), arrival.tenant(), remaining, received.repeat(), freeShare, 0),
+                new AttemptTransport(arrival.kind()), received);
     }
 
     /** A try has ended, and its place is free. */
@@ -119,10 +119,10 @@
     }
 
     /** Sends the attempts of one try. */
-    private final class Transport implements Carrier<SimulatedFront> {
+    private final class AttemptTransport implements Transport<SimulatedFront> {
         private final int requestClass;
 
-        private Transport(int requestClass) {
+        private AttemptTransport(int requestClass) {
             this.requestClass = requestClass;
         }
 
@@ -138,7 +138,7 @@
     }
 
     private SimulatedAttempt send(int requestClass, SimulatedFront front,
-            Carrier.Outcomes<SimulatedFront> listener) {
+            Transport.Outcomes<SimulatedFront> listener) {
         SimulatedAttempt attempt = new SimulatedAttempt(context, connections, front, listener);
         context.tally().attempt();
         if (front.lost()) {
--- a/src/main/java/whinlead/plan/tool/CaptureCommand.java
+++ b/src/main/java/whinlead/plan/tool/CaptureCommand.java
@@ -5,7 +5,7 @@
 import whinlead.capture.CaptureOutput;
 import whinlead.capture.Entry;
 import whinlead.capture.Summary;
-import whinlead.engine.Journal;
+import whinlead.engine.RequestListener;
 import whinlead.plan.Arrival;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
@@ -57,7 +57,7 @@
                     for (Iterator<Arrival> load = d.load().arrivals(seed); load.hasNext();) {
                         Arrival a = load.next();
                         out.write(new Entry(Math.round(a.at() * MICROS), a.kind(), a.tenant(),
-                                (int) classes.get(a.kind()).deadline(), 0, a.repeat(), Journal.End.SERVED));
+                                (int) classes.get(a.kind()).deadline(), 0, a.repeat(), RequestListener.End.SERVED));
                     }
                 }
                 Files.move(half, to, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
@@ -86,7 +86,7 @@
             for (int k = 0; k < s.classes().size(); k++) {
                 System.out.println("of class " + s.classes().get(k) + ": " + s.counts().get(k));
             }
-            for (Journal.End e : Journal.End.values()) {
+            for (RequestListener.End e : RequestListener.End.values()) {
                 System.out.println(e.name().toLowerCase(Locale.ROOT) + ": " + s.ends().get(e.ordinal()));
             }
             System.out.println("repeats: " + s.repeats());
--- a/src/main/java/whinlead/replication/Command.java
+++ b/src/main/java/whinlead/replication/Command.java
@@ -4,7 +4,7 @@
 
 /**
  * What a member asks its group to agree on. All times are milliseconds; those called {@code until} are of the
- * group's own time ({@link Book#time}), never of a wall clock. An attempt is known by the member that decided
+ * group's own time ({@link ReplicatedState#time}), never of a wall clock. An attempt is known by the member that decided
  * it, in one life of its, and a number that this life uses once.
  */
 public sealed interface Command {
--- a/src/main/java/whinlead/replication/Pace.java
+++ b/src/main/java/whinlead/replication/GroupClock.java
@@ -10,12 +10,12 @@
  * counts from where it was, and what it promised for a time must not be over sooner because another, who lost
  * less, stamps after it. For one thread.
  */
-public final class Pace {
+public final class GroupClock {
     private long stamp;
     private double at;
 
     /** One that knows of no command yet; {@code now} in milliseconds by the monotonic clock. */
-    public Pace(double now) {
+    public GroupClock(double now) {
         at = now;
     }
 
--- a/src/main/java/whinlead/replication/Way.java
+++ b/src/main/java/whinlead/replication/GroupRoute.java
@@ -11,7 +11,7 @@
  * one where nothing comes back. A question may be lost: whoever asks it asks again. No clock and no I/O:
  * time comes with each call, and what is to be sent goes out by {@link Post}. On the engine's thread.
  */
-public final class Way {
+public final class GroupRoute {
     /** The way out. */
     @FunctionalInterface
     public interface Post {
@@ -41,7 +41,7 @@
     private int next;
     /** Since when the one that is asked owes an answer; NaN while it owes none. */
     private double owes = Double.NaN;
-    private Pace pace;
+    private GroupClock pace;
 
     /**
      * A way that has not been taken yet.
@@ -49,7 +49,7 @@
      * @param members in the order in which they are tried; at least one
      * @param firstToken drawn: answers to a process of the same name before this one must fit nothing here
      */
-    public Way(List<String> members, long firstToken, Post post) {
+    public GroupRoute(List<String> members, long firstToken, Post post) {
         this.members = List.copyOf(members);
         this.post = post;
         lastToken = firstToken;
@@ -100,7 +100,7 @@
         }
         if (time >= 0) {
             if (pace == null) {
-                pace = new Pace(now);
+                pace = new GroupClock(now);
             }
             // Answers come out of their order: the latest time is the nearest.
             if (time > pace.time(now)) {
--- a/src/main/java/whinlead/replication/Book.java
+++ b/src/main/java/whinlead/replication/ReplicatedState.java
@@ -19,7 +19,7 @@
  *
  * <p>Bounded: what has no room is turned away, and nothing is forgotten before its time to make some.
  */
-public final class Book {
+public final class ReplicatedState {
     /**
      * What a book may hold.
      *
@@ -153,7 +153,7 @@
     private long time;
 
     /** An empty one, at time 0. */
-    public Book(Limits limits) {
+    public ReplicatedState(Limits limits) {
         this.limits = limits;
     }
 
--- a/src/main/java/whinlead/replication/Desk.java
+++ b/src/main/java/whinlead/replication/ReplicationClient.java
@@ -16,7 +16,7 @@
  * takes back what it gave up on, so that nothing stands against the client's next try. It has no clock and no
  * I/O but the engine's timers and {@link Group}. On the engine's thread.
  */
-public final class Desk implements Keeper {
+public final class ReplicationClient implements Keeper {
     /** The way to the group, or to that of several which keeps the request that a command is about. */
     public interface Group {
         /** Has a command agreed on; the answer comes once, later, or never. */
@@ -74,7 +74,7 @@
      * @param owner the member and this process of it: one that is started again with what its disk holds is
      *     another owner, for it numbers its attempts anew
      */
-    public Desk(String owner, Timers timers, Waits waits, Group group, Witness witness, Trace trace) {
+    public ReplicationClient(String owner, Timers timers, Waits waits, Group group, Witness witness, Trace trace) {
         this.trace = trace;
         this.owner = owner;
         this.timers = timers;
--- a/src/main/java/whinlead/replication/codec/Commands.java
+++ b/src/main/java/whinlead/replication/codec/Commands.java
@@ -1,6 +1,6 @@
 package whinlead.replication.codec;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.Command;
 import whinlead.replication.Reply;
 import whinlead.replication.raft.Member;
@@ -135,7 +135,7 @@
         };
     }
 
-    static Wire.Request of(Book.Entry e) {
+    static Wire.Request of(ReplicatedState.Entry e) {
         Wire.Request.Builder b = Wire.Request.newBuilder().setId(e.id()).setCaller(e.caller())
                 .setKeyed(e.guard() == Command.Guard.KEYED).addAllNeverRan(e.neverRan())
                 .setEnded(e.ending() == null ? 0 : e.ending().ordinal() + 1).setDue(e.due());
@@ -143,11 +143,11 @@
         return b.build();
     }
 
-    static Book.Entry entry(Wire.Request r) {
+    static ReplicatedState.Entry entry(Wire.Request r) {
         if (r.getAttemptsCount() != r.getNeverRanCount()) {
             throw new IllegalArgumentException("attempts of which it isn't told whether they ran");
         }
-        return new Book.Entry(r.getId(), r.getCaller(), guard(r.getKeyed()),
+        return new ReplicatedState.Entry(r.getId(), r.getCaller(), guard(r.getKeyed()),
                 r.getAttemptsList().stream().map(Commands::attempt).toList(), List.copyOf(r
                         .getNeverRanList()),
                 r.getEnded() == 0 ? null : ending(r.getEnded() - 1), r.getDue());
--- a/src/main/java/whinlead/replication/net/Frames.java
+++ b/src/main/java/whinlead/replication/net/Frames.java
@@ -5,7 +5,7 @@
 import whinlead.replication.raft.Envelope;
 import whinlead.replication.raft.Member;
 import whinlead.replication.raft.MemberId;
-import whinlead.replication.raft.Parcel;
+import whinlead.replication.raft.GroupMessage;
 import whinlead.replication.wire.Wire;
 import java.util.Collection;
 import java.util.List;
@@ -19,7 +19,7 @@
     private Frames() { }
 
     /** A parcel as a frame of this group. */
-    public static Wire.Frame of(String group, Parcel parcel) {
+    public static Wire.Frame of(String group, GroupMessage parcel) {
         Wire.Frame.Builder b = Wire.Frame.newBuilder().setGroup(group).setSender(parcel.from())
                 .setSenderLife(parcel.fromLife()).setReceiverLife(parcel.toLife()).setSpeaks(parcel.speaks());
         Envelope what = parcel.what();
@@ -55,7 +55,7 @@
     }
 
     /** What a frame holds; null for a ping, and for what a later version has added. */
-    public static Parcel parcel(Wire.Frame f) {
+    public static GroupMessage parcel(Wire.Frame f) {
         MemberId from = new MemberId(f.getSender(), f.getSenderLife());
         Envelope what = switch (f.getWhatCase()) {
             case CONSENSUS -> new Envelope.Consensus(Messages.message(f.getConsensus(), Member.GROUP, from));
@@ -79,7 +79,7 @@
             case INVITE -> new Envelope.Invite(members(f.getInvite().getFirstList()));
             case PING, WHAT_NOT_SET -> null;
         };
-        return what == null ? null : new Parcel(f.getSender(), f.getSenderLife(), f.getReceiverLife(),
+        return what == null ? null : new GroupMessage(f.getSender(), f.getSenderLife(), f.getReceiverLife(),
                 f.getSpeaks(), what);
     }
 
--- a/src/main/java/whinlead/replication/net/GroupLink.java
+++ b/src/main/java/whinlead/replication/net/GroupLink.java
@@ -3,7 +3,7 @@
 import whinlead.replication.codec.Commands;
 import whinlead.replication.codec.Messages;
 import whinlead.replication.raft.GroupHost;
-import whinlead.replication.raft.Parcel;
+import whinlead.replication.raft.GroupMessage;
 import whinlead.replication.raft.Seat;
 import whinlead.replication.wire.CopiesGrpc;
 import whinlead.replication.wire.Wire;
@@ -108,11 +108,11 @@
     }
 
     private Wire.Frame.Builder frame() {
-        return Wire.Frame.newBuilder().setSender(name).setSpeaks(Parcel.SPEAKS);
+        return Wire.Frame.newBuilder().setSender(name).setSpeaks(GroupMessage.SPEAKS);
     }
 
     /** Sends to a process, or loses it. On the loop. */
-    public void send(String group, String to, Parcel parcel) {
+    public void send(String group, String to, GroupMessage parcel) {
         if (!to.equals(name) && processes.containsKey(to)) {
             line(to).send(counted(Frames.of(group, parcel)));
         }
@@ -129,11 +129,11 @@
         received(frame, parcel -> send(frame.getGroup(), frame.getSender(), parcel));
     }
 
-    private void received(Wire.Frame frame, Consumer<Parcel> back) {
+    private void received(Wire.Frame frame, Consumer<GroupMessage> back) {
         if (host == null) {
             return;
         }
-        Parcel parcel;
+        GroupMessage parcel;
         try {
             parcel = Frames.parcel(frame);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/whinlead/replication/raft/CommandBatcher.java
+++ b/src/main/java/whinlead/replication/raft/CommandBatcher.java
@@ -1,7 +1,7 @@
 package whinlead.replication.raft;
 
 import whinlead.replication.Command;
-import whinlead.replication.Pace;
+import whinlead.replication.GroupClock;
 import whinlead.replication.Reply;
 import whinlead.engine.Timers;
 import java.util.ArrayList;
@@ -15,12 +15,12 @@
 final class CommandBatcher {
     private final ConsensusNode node;
     private final Timers timers;
-    private final Pace pace;
+    private final GroupClock pace;
     private final List<Command> commands = new ArrayList<>();
     private final List<Consumer<Reply>> listeners = new ArrayList<>();
 
     /** One without commands. */
-    CommandBatcher(ConsensusNode node, Timers timers, Pace pace) {
+    CommandBatcher(ConsensusNode node, Timers timers, GroupClock pace) {
         this.node = node;
         this.timers = timers;
         this.pace = pace;
--- a/src/main/java/whinlead/replication/raft/ConsensusNode.java
+++ b/src/main/java/whinlead/replication/raft/ConsensusNode.java
@@ -33,7 +33,7 @@
     private final LogMirror log;
     private final Random random;
     private final Transport transport;
-    private final BookStateMachine stateMachine;
+    private final RequestStateMachine stateMachine;
     private RaftNode node;
     private NodeExecutor executor;
 
@@ -44,7 +44,7 @@
      * @param random for the times of elections
      */
     ConsensusNode(MemberId id, Set<MemberId> first, Timers timers, RaftConfig config, LogMirror log,
-            Random random, Transport transport, BookStateMachine stateMachine) {
+            Random random, Transport transport, RequestStateMachine stateMachine) {
         this.id = id;
         this.timers = timers;
         this.config = config;
--- a/src/main/java/whinlead/replication/raft/GroupFormation.java
+++ b/src/main/java/whinlead/replication/raft/GroupFormation.java
@@ -35,14 +35,14 @@
     GroupFormation(Seat.Setup setup, Random random) {
         this.setup = setup;
         this.random = random;
-        this.nonce = LifeNumbers.draw(random);
+        this.nonce = IncarnationNumbers.draw(random);
     }
 
     /** Begins anew, as another process would. */
     void reset() {
         promised = NOBODY;
         answers.clear();
-        nonce = LifeNumbers.draw(random);
+        nonce = IncarnationNumbers.draw(random);
     }
 
     /** What this process drew. */
@@ -52,17 +52,17 @@
 
     /** The life that it has if it is one of the group's first members. */
     MemberId firstLife() {
-        return new MemberId(setup.name(), LifeNumbers.first(nonce));
+        return new MemberId(setup.name(), IncarnationNumbers.first(nonce));
     }
 
     /** The life that it has if it joins a group of which it is told this. */
     MemberId nextLife(Envelope.Standing standing) {
         long count = Stream.concat(lives(standing.first(), setup.name()),
                         lives(standing.members(), setup.name()))
-                .mapToLong(life -> LifeNumbers.count(life.life()))
+                .mapToLong(life -> IncarnationNumbers.count(life.life()))
                 .max()
                 .orElse(0);
-        return new MemberId(setup.name(), LifeNumbers.of(count + 1, nonce));
+        return new MemberId(setup.name(), IncarnationNumbers.of(count + 1, nonce));
     }
 
     private static Stream<MemberId> lives(Collection<MemberId> all, String name) {
@@ -98,7 +98,7 @@
     Set<MemberId> founders() {
         Set<MemberId> founders = new HashSet<>(Set.of(firstLife()));
         answers.forEach((name, standing) ->
-                founders.add(new MemberId(name, LifeNumbers.first(standing.nonce()))));
+                founders.add(new MemberId(name, IncarnationNumbers.first(standing.nonce()))));
         return founders;
     }
 
@@ -116,6 +116,6 @@
 
     /** Whether the process that this one promised to follow is among these. */
     boolean promisedAmong(Set<MemberId> first) {
-        return first.contains(new MemberId(setup.coordinator(), LifeNumbers.first(promised)));
+        return first.contains(new MemberId(setup.coordinator(), IncarnationNumbers.first(promised)));
     }
 }
--- a/src/main/java/whinlead/replication/raft/GroupHost.java
+++ b/src/main/java/whinlead/replication/raft/GroupHost.java
@@ -1,13 +1,13 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.Command;
-import whinlead.replication.Desk;
-import whinlead.replication.Pace;
+import whinlead.replication.ReplicationClient;
+import whinlead.replication.GroupClock;
 import whinlead.replication.Placement;
 import whinlead.replication.Reply;
 import whinlead.replication.Trace;
-import whinlead.replication.Way;
+import whinlead.replication.GroupRoute;
 import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
@@ -29,11 +29,11 @@
  * to be agreed on to the group that keeps the request. Messages and time in, messages out; no I/O. On the
  * engine's thread.
  */
-public final class GroupHost implements Desk.Group {
+public final class GroupHost implements ReplicationClient.Group {
     /** What it needs of the process. */
     public interface Outside {
         /** Sends once, or loses it; never calls back before it returns. */
-        void send(String group, String to, Parcel parcel);
+        void send(String group, String to, GroupMessage parcel);
 
         /** What the disk holds of a seat in this group; empty if there is none, or no disk. */
         LogMirror found(String group);
@@ -60,7 +60,7 @@
      * @param replaceAfterMs of silence, until a member is replaced by a guest; 0 for never
      */
     public record Setup(String name, SortedSet<String> processes, SortedMap<String, SortedSet<String>> groups,
-            double replaceAfterMs, RaftConfig consensus, Book.Limits limits) {
+            double replaceAfterMs, RaftConfig consensus, ReplicatedState.Limits limits) {
         /** Keeps copies, and checks that its members are processes. */
         public Setup {
             processes = Collections.unmodifiableSortedSet(new TreeSet<>(processes));
@@ -92,7 +92,7 @@
     private final Placement placement;
     private final Trace trace;
     private final SortedMap<String, Seat> seats = new TreeMap<>();
-    private final Map<String, Way> ways = new HashMap<>();
+    private final Map<String, GroupRoute> ways = new HashMap<>();
 
     /**
      * A host that is yet to start.
@@ -115,9 +115,9 @@
     }
 
     private Seat seat(String group, LogMirror log) {
-        return new Seat(setup.seat(group), timers, new Pace(timers.now()), log, random, new Seat.Outside() {
+        return new Seat(setup.seat(group), timers, new GroupClock(timers.now()), log, random, new Seat.Outside() {
             @Override
-            public void send(String to, Parcel parcel) {
+            public void send(String to, GroupMessage parcel) {
                 outside.send(group, to, parcel);
             }
 
@@ -184,7 +184,7 @@
         if (seat != null && (seat.serves() || others(group).isEmpty())) {
             seat.submit(command, answer);
         } else {
-            Way way = way(group);
+            GroupRoute way = way(group);
             way.ask(command, answer, timers.now());
             trace.step(id, Trace.Step.PASSED_ON, way.target());
         }
@@ -205,9 +205,9 @@
         return Placement.ranked(setup.name(), others);
     }
 
-    private Way way(String group) {
-        return ways.computeIfAbsent(group, g -> new Way(others(g), random.nextLong(),
-                (to, token, command) -> outside.send(g, to, new Parcel(setup.name(), 0, 0,
+    private GroupRoute way(String group) {
+        return ways.computeIfAbsent(group, g -> new GroupRoute(others(g), random.nextLong(),
+                (to, token, command) -> outside.send(g, to, new GroupMessage(setup.name(), 0, 0,
                         new Envelope.Pass(token, command)))));
     }
 
@@ -216,7 +216,7 @@
      *
      * @param back to the very process that said it, whoever its name's address leads to
      */
-    public void received(String group, Parcel parcel, Consumer<Parcel> back) {
+    public void received(String group, GroupMessage parcel, Consumer<GroupMessage> back) {
         if (!setup.groups().containsKey(group) || !setup.processes().contains(parcel.from())) {
             return;
         }
@@ -224,7 +224,7 @@
         if (parcel.what() instanceof Envelope.Pass pass) {
             passed(seat, parcel.from(), pass, back);
         } else if (parcel.what() instanceof Envelope.Passed answer) {
-            Way way = ways.get(group);
+            GroupRoute way = ways.get(group);
             if (way != null) {
                 String leader = setup.processes().contains(answer.leader()) ? answer.leader() : "";
                 way.answered(answer.token(), answer.reply(), answer.time(), leader, timers.now());
@@ -240,9 +240,9 @@
         }
     }
 
-    private void passed(Seat seat, String from, Envelope.Pass pass, Consumer<Parcel> back) {
+    private void passed(Seat seat, String from, Envelope.Pass pass, Consumer<GroupMessage> back) {
         if (seat == null || !seat.serves()) {
-            back.accept(new Parcel(setup.name(), 0, 0, new Envelope.Passed(pass.token(), null, -1, "")));
+            back.accept(new GroupMessage(setup.name(), 0, 0, new Envelope.Passed(pass.token(), null, -1, "")));
         } else if (pass.command() == null) {
             back.accept(answer(seat, pass, null));
         } else {
@@ -251,8 +251,8 @@
         }
     }
 
-    private Parcel answer(Seat seat, Envelope.Pass pass, Reply reply) {
-        return new Parcel(setup.name(), 0, 0, new Envelope.Passed(pass.token(), reply, seat.time(),
+    private GroupMessage answer(Seat seat, Envelope.Pass pass, Reply reply) {
+        return new GroupMessage(setup.name(), 0, 0, new Envelope.Passed(pass.token(), reply, seat.time(),
                 seat.member() == null ? "" : seat.member().leader()));
     }
 }
--- a/src/main/java/whinlead/replication/raft/Parcel.java
+++ b/src/main/java/whinlead/replication/raft/GroupMessage.java
@@ -7,14 +7,14 @@
  * @param toLife the receiver's that it is meant for, 0 for whichever there is
  * @param speaks what the sender's program can take in
  */
-public record Parcel(String from, long fromLife, long toLife, int speaks, Envelope what) {
+public record GroupMessage(String from, long fromLife, long toLife, int speaks, Envelope what) {
     /** What this program can take in; counted up with each kind of message or command that is added. */
     public static final int SPEAKS = 2;
     /** From this on a member hears those that are none of the first members. */
     public static final int GUESTS = 2;
 
     /** From this program. */
-    public Parcel(String from, long fromLife, long toLife, Envelope what) {
+    public GroupMessage(String from, long fromLife, long toLife, Envelope what) {
         this(from, fromLife, toLife, SPEAKS, what);
     }
 }
--- a/src/main/java/whinlead/replication/raft/LifeNumbers.java
+++ b/src/main/java/whinlead/replication/raft/IncarnationNumbers.java
@@ -3,10 +3,10 @@
 import java.util.Random;
 
 /** The numbers of a member's lives: a count, which goes up under one name, and what the process drew. */
-final class LifeNumbers {
+final class IncarnationNumbers {
     private static final int DRAWN_BITS = 32;
 
-    private LifeNumbers() { }
+    private IncarnationNumbers() { }
 
     /** Draws what tells a process apart from all others; never 0. */
     static long draw(Random random) {
--- a/src/main/java/whinlead/replication/raft/Member.java
+++ b/src/main/java/whinlead/replication/raft/Member.java
@@ -1,8 +1,8 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.Command;
-import whinlead.replication.Pace;
+import whinlead.replication.GroupClock;
 import whinlead.replication.Reply;
 import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
@@ -27,7 +27,7 @@
 import java.util.function.Function;
 
 /**
- * One life of a member of a group: MicroRaft agrees on the order of the commands, the {@link Book} on what
+ * One life of a member of a group: MicroRaft agrees on the order of the commands, the {@link ReplicatedState} on what
  * they come to. It has no thread and no socket; time and turns come by {@link Timers}, messages by {@link
  * Wire} and {@link #received}. On the engine's thread.
  */
@@ -48,7 +48,7 @@
     }
 
     /** A piece of a snapshot: so many requests of the book's, and in the first one the rest. */
-    public record Chunk(long commands, long time, Map<String, Long> drains, List<Book.Entry> entries) { }
+    public record Chunk(long commands, long time, Map<String, Long> drains, List<ReplicatedState.Entry> entries) { }
 
     /** What the consensus calls its group: one group a member. */
     public static final String GROUP = "copies";
@@ -62,9 +62,9 @@
     private final Set<MemberId> first;
     private final Timers timers;
     private final Wire wire;
-    private final Book book;
+    private final ReplicatedState book;
     private final LogMirror log;
-    private final BookStateMachine stateMachine;
+    private final RequestStateMachine stateMachine;
     private final ConsensusNode node;
     private final SnapshotOverlap overlap;
     private final LeaderMonitor leaderMonitor;
@@ -89,7 +89,7 @@
      * @param random for the times of elections
      * @param claims which seat one that asks to be let in may take
      */
-    public Member(MemberId id, Collection<MemberId> first, Timers timers, Pace pace, Wire wire, Book book,
+    public Member(MemberId id, Collection<MemberId> first, Timers timers, GroupClock pace, Wire wire, ReplicatedState book,
             RaftConfig config, LogMirror log, Random random,
             Function<MemberId, Optional<Replacement.Claim>> claims) {
         this.id = id;
@@ -99,7 +99,7 @@
         this.book = book;
         this.log = log;
         forwarded = new ForwardedCommands(random.nextLong());
-        stateMachine = new BookStateMachine(book, pace, timers);
+        stateMachine = new RequestStateMachine(book, pace, timers);
         node = new ConsensusNode(id, this.first, timers, config, log, random, new NodeTransport(),
                 stateMachine);
         timeoutMs = SILENT_TIMEOUTS * TimeUnit.SECONDS.toMillis(config.getLeaderHeartbeatTimeoutSecs());
@@ -182,7 +182,7 @@
     }
 
     /** What this member knows, perhaps less than others do. */
-    public Book book() {
+    public ReplicatedState book() {
         return book;
     }
 
--- a/src/main/java/whinlead/replication/raft/MembershipChanges.java
+++ b/src/main/java/whinlead/replication/raft/MembershipChanges.java
@@ -35,13 +35,13 @@
         pendingUntil = NONE;
     }
 
-    /** Takes one step of {@link Steward} to let a newcomer in; the next follows when it asks again. */
+    /** Takes one step of {@link MembershipManager} to let a newcomer in; the next follows when it asks again. */
     void admit(MemberId newcomer) {
         if (pending()) {
             return;
         }
         Optional<Replacement.Claim> claim = claims.apply(newcomer);
-        Steward.next(newcomer, node.members(), node.voters(), claim).ifPresent(this::apply);
+        MembershipManager.next(newcomer, node.members(), node.voters(), claim).ifPresent(this::apply);
     }
 
     /** Has a learner be a member no more. */
@@ -55,12 +55,12 @@
         return timers.now() <= pendingUntil;
     }
 
-    private void apply(Steward.Step step) {
-        if (step instanceof Steward.Step.Learn learn) {
+    private void apply(MembershipManager.Step step) {
+        if (step instanceof MembershipManager.Step.Learn learn) {
             change(learn.who(), MembershipChangeMode.ADD_LEARNER);
-        } else if (step instanceof Steward.Step.Remove remove) {
+        } else if (step instanceof MembershipManager.Step.Remove remove) {
             change(remove.who(), MembershipChangeMode.REMOVE_MEMBER);
-        } else if (step instanceof Steward.Step.Promote promote) {
+        } else if (step instanceof MembershipManager.Step.Promote promote) {
             change(promote.who(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
         }
     }
--- a/src/main/java/whinlead/replication/raft/Steward.java
+++ b/src/main/java/whinlead/replication/raft/MembershipManager.java
@@ -10,7 +10,7 @@
  * takes the place. One that is not lost goes afterwards ({@link Replacement#tick}). One that may take no
  * seat ({@link Replacement}) is not let in. Pure.
  */
-public final class Steward {
+public final class MembershipManager {
     /** A change of the group's members. */
     public sealed interface Step {
         /** Has it learn; it does not vote yet. */
@@ -23,7 +23,7 @@
         record Promote(MemberId who) implements Step { }
     }
 
-    private Steward() { }
+    private MembershipManager() { }
 
     /**
      * The next step for one that asks to be let in; none once it votes, or if it may not.
--- a/src/main/java/whinlead/replication/raft/ReplacementDriver.java
+++ b/src/main/java/whinlead/replication/raft/ReplacementDriver.java
@@ -24,7 +24,7 @@
     }
 
     /** Something has come from another process. */
-    void received(Parcel parcel) {
+    void received(GroupMessage parcel) {
         heard(parcel.from());
         versions.put(parcel.from(), parcel.speaks());
     }
@@ -54,7 +54,7 @@
         } else if (act instanceof Replacement.Act.Invite invite && allHearGuests(member)) {
             outside.note("copies: " + member.id() + " of " + setup.group() + " asks " + invite.name()
                     + " in, for one that is silent");
-            outside.send(invite.name(), new Parcel(setup.name(), member.id().life(), 0,
+            outside.send(invite.name(), new GroupMessage(setup.name(), member.id().life(), 0,
                     new Envelope.Invite(member.first())));
         }
     }
@@ -64,7 +64,7 @@
         return member.members().stream()
                 .map(MemberId::name)
                 .filter(name -> !name.equals(setup.name()))
-                .allMatch(name -> versions.getOrDefault(name, Parcel.GUESTS) >= Parcel.GUESTS);
+                .allMatch(name -> versions.getOrDefault(name, GroupMessage.GUESTS) >= GroupMessage.GUESTS);
     }
 
     /**
--- a/src/main/java/whinlead/replication/raft/BookStateMachine.java
+++ b/src/main/java/whinlead/replication/raft/RequestStateMachine.java
@@ -1,8 +1,8 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.Command;
-import whinlead.replication.Pace;
+import whinlead.replication.GroupClock;
 import whinlead.replication.Reply;
 import whinlead.engine.Timers;
 import io.microraft.statemachine.StateMachine;
@@ -12,18 +12,18 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Applies to a {@link Book} the commands that a group agreed on. On the engine's thread. */
-final class BookStateMachine implements StateMachine {
+/** Applies to a {@link ReplicatedState} the commands that a group agreed on. On the engine's thread. */
+final class RequestStateMachine implements StateMachine {
     /** What a chunk holds at most, so that the loop is not held up by one message. */
     private static final int MAX_CHUNK_ENTRIES = 1000;
 
-    private final Book book;
-    private final Pace pace;
+    private final ReplicatedState book;
+    private final GroupClock pace;
     private final Timers timers;
     private long appliedIndex;
 
     /** Of a book, by the group's time as this process holds it. */
-    BookStateMachine(Book book, Pace pace, Timers timers) {
+    RequestStateMachine(ReplicatedState book, GroupClock pace, Timers timers) {
         this.book = book;
         this.pace = pace;
         this.timers = timers;
@@ -36,7 +36,7 @@
 
     /** Forgets all: the log is applied again from its snapshot on. */
     void reset() {
-        book.restore(new Book.Snapshot(0, 0, List.of(), Map.of()));
+        book.restore(new ReplicatedState.Snapshot(0, 0, List.of(), Map.of()));
         appliedIndex = 0;
     }
 
@@ -54,8 +54,8 @@
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
-        Book.Snapshot snapshot = book.snapshot();
-        List<Book.Entry> entries = snapshot.entries();
+        ReplicatedState.Snapshot snapshot = book.snapshot();
+        List<ReplicatedState.Entry> entries = snapshot.entries();
         int from = 0;
         do {
             int to = Math.min(entries.size(), from + MAX_CHUNK_ENTRIES);
@@ -68,7 +68,7 @@
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-        List<Book.Entry> entries = new ArrayList<>();
+        List<ReplicatedState.Entry> entries = new ArrayList<>();
         Map<String, Long> drains = new LinkedHashMap<>();
         long commands = 0;
         long time = 0;
@@ -79,7 +79,7 @@
             drains.putAll(chunk.drains());
             entries.addAll(chunk.entries());
         }
-        book.restore(new Book.Snapshot(commands, time, entries, drains));
+        book.restore(new ReplicatedState.Snapshot(commands, time, entries, drains));
         appliedIndex = index;
         pace.agreed(book.time(), timers.now());
     }
--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -1,8 +1,8 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.Command;
-import whinlead.replication.Pace;
+import whinlead.replication.GroupClock;
 import whinlead.replication.Reply;
 import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
@@ -27,7 +27,7 @@
     /** What it needs of the process. */
     public interface Outside {
         /** Sends once, or loses it; never calls back before it returns. */
-        void send(String to, Parcel parcel);
+        void send(String to, GroupMessage parcel);
 
         /** Forgets what the disk holds; what is held from now on goes to the log given back. */
         LogMirror wiped();
@@ -52,7 +52,7 @@
      * @param replaceAfterMs of silence, until a member is replaced by a guest; 0 for never
      */
     public record Setup(String name, String group, SortedSet<String> names, SortedSet<String> processes,
-            double replaceAfterMs, RaftConfig consensus, Book.Limits limits) {
+            double replaceAfterMs, RaftConfig consensus, ReplicatedState.Limits limits) {
         /** Checks that it is one of them. */
         public Setup {
             names = Collections.unmodifiableSortedSet(new TreeSet<>(names));
@@ -63,7 +63,7 @@
         }
 
         /** Of a group that only its first members ever belong to. */
-        public Setup(String name, SortedSet<String> names, RaftConfig consensus, Book.Limits limits) {
+        public Setup(String name, SortedSet<String> names, RaftConfig consensus, ReplicatedState.Limits limits) {
             this(name, Member.GROUP, names, names, 0, consensus, limits);
         }
 
@@ -94,7 +94,7 @@
 
     private final Setup setup;
     private final Timers timers;
-    private final Pace pace;
+    private final GroupClock pace;
     private final Random random;
     private final Outside outside;
     private final GroupFormation formation;
@@ -111,7 +111,7 @@
      * @param log what its disk holds; empty if it has none
      * @param random for what tells this process apart from all others: well seeded, or two could be one
      */
-    public Seat(Setup setup, Timers timers, Pace pace, LogMirror log, Random random, Outside outside) {
+    public Seat(Setup setup, Timers timers, GroupClock pace, LogMirror log, Random random, Outside outside) {
         this.setup = setup;
         this.timers = timers;
         this.pace = pace;
@@ -233,8 +233,8 @@
         return member == null ? 0 : member.id().life();
     }
 
-    private Parcel parcel(long toLife, Envelope what) {
-        return new Parcel(setup.name(), life(), toLife, what);
+    private GroupMessage parcel(long toLife, Envelope what) {
+        return new GroupMessage(setup.name(), life(), toLife, what);
     }
 
     // All must have no life: one that has one may hold what others were promised.
@@ -252,8 +252,8 @@
         outside.note("copies: " + me + " " + how);
         formation.clearAnswers();
         Member.Wire wire = (to, what) ->
-                outside.send(to.name(), new Parcel(me.name(), me.life(), to.life(), what));
-        member = new Member(me, first, timers, pace, wire, new Book(setup.limits()), setup.consensus(), log,
+                outside.send(to.name(), new GroupMessage(me.name(), me.life(), to.life(), what));
+        member = new Member(me, first, timers, pace, wire, new ReplicatedState(setup.limits()), setup.consensus(), log,
                 random, who -> replacements.claim(who, member));
         member.onRemoved(this::beginAnew);
         member.start(JOIN_EVERY_MS);
@@ -294,7 +294,7 @@
      *
      * @param back to the very process that said it, whoever its name's address leads to
      */
-    public void received(Parcel parcel, Consumer<Parcel> back) {
+    public void received(GroupMessage parcel, Consumer<GroupMessage> back) {
         if (stopped || !setup.processes().contains(parcel.from()) || parcel.from().equals(setup.name())) {
             return;
         }
@@ -314,7 +314,7 @@
         }
     }
 
-    private void nameTaken(Parcel parcel) {
+    private void nameTaken(GroupMessage parcel) {
         if (member != null && parcel.toLife() == life()) {
             beginAnew();
         } else if (member == null && parcel.toLife() == formation.nonce()) {
@@ -323,7 +323,7 @@
         }
     }
 
-    private void receivedByMember(Parcel parcel, Consumer<Parcel> back) {
+    private void receivedByMember(GroupMessage parcel, Consumer<GroupMessage> back) {
         if (member.knowsLaterLife(parcel.from(), parcel.fromLife())) {
             back.accept(parcel(parcel.fromLife(), new Envelope.Taken()));
             return;
@@ -334,7 +334,7 @@
         member.received(new MemberId(parcel.from(), parcel.fromLife()), parcel.what());
     }
 
-    private void asked(Parcel parcel, Envelope.Ask ask, Consumer<Parcel> back) {
+    private void asked(GroupMessage parcel, Envelope.Ask ask, Consumer<GroupMessage> back) {
         String from = parcel.from();
         if (member == null) {
             formation.promise(from, ask.nonce());
@@ -342,7 +342,7 @@
             return;
         }
         boolean hasLife = parcel.fromLife() != 0
-                || member.members().contains(new MemberId(from, LifeNumbers.first(ask.nonce())));
+                || member.members().contains(new MemberId(from, IncarnationNumbers.first(ask.nonce())));
         if (hasLife || !member.knowsName(from)) {
             answer(ask, back);
             return;
@@ -355,7 +355,7 @@
         }
     }
 
-    private void answer(Envelope.Ask ask, Consumer<Parcel> back) {
+    private void answer(Envelope.Ask ask, Consumer<GroupMessage> back) {
         Envelope.Standing standing = member == null
                 ? new Envelope.Standing(ask.nonce(), formation.nonce(), Set.of(), Set.of(), 0)
                 : new Envelope.Standing(ask.nonce(), formation.nonce(), member.first(), member.members(),
@@ -363,7 +363,7 @@
         back.accept(parcel(0, standing));
     }
 
-    private void told(Parcel parcel, Envelope.Standing standing) {
+    private void told(GroupMessage parcel, Envelope.Standing standing) {
         if (parcel.fromLife() != 0) {
             challenges.answered(parcel.from(), standing.asked());
         }
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -13,7 +13,7 @@
 import whinlead.membership.EndpointList;
 import whinlead.mesh.run.MeshCommand;
 import whinlead.signals.Hangup;
-import whinlead.testbed.mesh.Walk;
+import whinlead.testbed.mesh.LocalMeshRun;
 import whinlead.transport.EndpointPool;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
@@ -86,7 +86,7 @@
     // The mesh in one process; the build notes by it which classes a start of its roles needs.
     private static void walk() {
         try {
-            System.exit(Walk.run());
+            System.exit(LocalMeshRun.run());
         } catch (Exception e) {
             // What the future throws of a failed bind is a checked exception that it does not declare.
             quit("walk: " + e);
@@ -109,7 +109,7 @@
                     : AdmissionConfig.read(admissionPath, mapper);
             String capturePath = file(CAPTURE);
             CaptureConfig capture = capturePath == null ? null : CaptureConfig.read(capturePath, mapper);
-            CopiesConfig copies = copies(config, processor, mapper);
+            ReplicationConfig copies = copies(config, processor, mapper);
             EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
             // Guards against a loop that ends for want of a descriptor: a line of its log needs the file of
             // time zones, which the JVM opens for the first one.
@@ -165,7 +165,7 @@
         }
     }
 
-    private static CopiesConfig copies(Config config, ProcessorConfig processor, ObjectMapper mapper) {
+    private static ReplicationConfig copies(Config config, ProcessorConfig processor, ObjectMapper mapper) {
         String path = file(COPIES);
         if (path == null) {
             return null;
@@ -178,7 +178,7 @@
         }
         // Libraries' notes on their own logging are no lines for operators.
         System.setProperty("slf4j.internal.verbosity", "ERROR");
-        return CopiesConfig.read(path, mapper);
+        return ReplicationConfig.read(path, mapper);
     }
 
     private static String file(String variable) {
@@ -197,11 +197,11 @@
     /**
      * The parts, made but idle; {@code start} is run on the loop when the server listens, before it is ready.
      */
-    record Parts(ClientServer server, Discovery discovery, Processor processor, Copies copies, Engine engine,
+    record Parts(ClientServer server, Discovery discovery, Processor processor, ReplicationSetup copies, Engine engine,
             Runnable start) { }
 
     /** Makes the parts. Nothing is asked of discovery before a failed bind could still end the process. */
-    static Parts wire(Config config, AdmissionConfig admission, ProcessorConfig consulted, CopiesConfig kept,
+    static Parts wire(Config config, AdmissionConfig admission, ProcessorConfig consulted, ReplicationConfig kept,
             ObjectMapper mapper, EventLoop loop) throws IOException {
         Clock clock = new Clock();
         Budget budget = new Budget(Map.of(Budget.Purpose.CLIENTS, share(config, CLIENT_SHARE, admission),
@@ -216,7 +216,7 @@
         Engine engine = new Engine(timers, settings, actions -> new Decide(settings, config.seed(), actions),
                 list -> followers.forEach(f -> f.accept(list)), Main::log);
         Processor processor = null;
-        Copies copies = kept == null ? null : new Copies(kept, loop, timers, Main::log);
+        ReplicationSetup copies = kept == null ? null : new ReplicationSetup(kept, loop, timers, Main::log);
         if (consulted != null) {
             processor = new Processor(consulted, loop, timers, engine, settings,
                     copies == null ? null : copies.keeper(), mapper, Main::log);
--- a/src/main/java/whinlead/run/CopiesCommand.java
+++ b/src/main/java/whinlead/run/ReplicationCommand.java
@@ -37,15 +37,15 @@
  */
 @Command(name = "copies", description = "Sidecars that keep copies with each other.",
         mixinStandardHelpOptions = true,
-        subcommands = {CopiesCommand.Check.class, CopiesCommand.Status.class, CopiesCommand.Replace.class,
-        CopiesCommand.Follow.class})
-final class CopiesCommand {
+        subcommands = {ReplicationCommand.Check.class, ReplicationCommand.Status.class, ReplicationCommand.Replace.class,
+        ReplicationCommand.Follow.class})
+final class ReplicationCommand {
     private static final int BAD = 1;
     private static final int SHORT = 3;
     /** Of a group, before it is an exit code: worse than one that is a member short. */
     private static final int BROKEN = 4;
 
-    private CopiesCommand() { }
+    private ReplicationCommand() { }
 
     /** Whether a file is good. */
     @Command(name = "check", mixinStandardHelpOptions = true, description = "Whether a file is good.")
@@ -55,7 +55,7 @@
 
         @Override
         public Integer call() {
-            CopiesConfig c = CopiesConfig.read(file, new ObjectMapper());
+            ReplicationConfig c = ReplicationConfig.read(file, new ObjectMapper());
             c.groups().forEach((group, names) -> System.out.println((names.contains(c.name()) ? "member "
                     + c.name() + " of " : "no member of ") + group + ", " + names.size() + " in all: "
                     + (names.size() - 1) / 2 + " may be lost at a time"));
@@ -76,7 +76,7 @@
 
         @Override
         public Integer call() {
-            CopiesConfig c = CopiesConfig.read(file, new ObjectMapper());
+            ReplicationConfig c = ReplicationConfig.read(file, new ObjectMapper());
             Map<String, ManagedChannel> channels = new HashMap<>();
             try {
                 int worst = 0;
@@ -90,7 +90,7 @@
         }
 
         // Its first members by their own word, and guests by the members'. What is worse counts as more.
-        private int state(CopiesConfig c, String group, SortedSet<String> first, Map<String,
+        private int state(ReplicationConfig c, String group, SortedSet<String> first, Map<String,
         ManagedChannel> channels) {
             int voting = 0;
             int leaders = 0;
@@ -168,7 +168,7 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            CopiesConfig c = CopiesConfig.read(file, new ObjectMapper());
+            ReplicationConfig c = ReplicationConfig.read(file, new ObjectMapper());
             if (!c.groups().containsKey(group)) {
                 throw new IllegalArgumentException("copies has no group " + group);
             }
--- a/src/main/java/whinlead/run/CopiesConfig.java
+++ b/src/main/java/whinlead/run/ReplicationConfig.java
@@ -1,6 +1,6 @@
 package whinlead.run;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.membership.EndpointList;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -32,9 +32,9 @@
  * @param disk a folder of this process's own, or null where nothing lasts
  * @param trace a file that each step is written to, or null for none
  */
-record CopiesConfig(String name, SortedMap<String, InetSocketAddress> processes,
+record ReplicationConfig(String name, SortedMap<String, InetSocketAddress> processes,
         SortedMap<String, SortedSet<String>> groups, double replaceAfterMs, Path disk, Path trace,
-        Book.Limits limits) {
+        ReplicatedState.Limits limits) {
     private static final String SCHEMA = "/whinlead/run/copies.schema.json";
     /**
      * Some 600 bytes each with what the consensus keeps of them: 12 MB of the heap ({@code docs/copies.md}).
@@ -49,7 +49,7 @@
      *
      * @throws IllegalArgumentException with one line that says what is missing or malformed
      */
-    static CopiesConfig read(String path, ObjectMapper mapper) {
+    static ReplicationConfig read(String path, ObjectMapper mapper) {
         return parse(OperatorFile.text(path), mapper);
     }
 
@@ -58,7 +58,7 @@
      *
      * @throws IllegalArgumentException with one line that says what is missing or malformed
      */
-    static CopiesConfig parse(String text, ObjectMapper mapper) {
+    static ReplicationConfig parse(String text, ObjectMapper mapper) {
         JsonNode json = OperatorFile.json(text, mapper, "copies");
         fault(json).ifPresent(f -> {
             throw new IllegalArgumentException("copies" + f);
@@ -82,10 +82,10 @@
             groups.put(json.get("group").asText(), new TreeSet<>(processes.keySet()));
         }
         JsonNode bounds = json.path("bounds");
-        return new CopiesConfig(name, processes, groups, json.path("replace_after_ms").asDouble(0),
+        return new ReplicationConfig(name, processes, groups, json.path("replace_after_ms").asDouble(0),
                 path(json, "disk"),
                 path(json, "trace"),
-                new Book.Limits(bounds.path("requests").asInt(REQUESTS), bounds.path("open_per_caller")
+                new ReplicatedState.Limits(bounds.path("requests").asInt(REQUESTS), bounds.path("open_per_caller")
                         .asInt(OPEN_PER_CALLER),
                 DRAINS, bounds.path("remember_ms").asInt(REMEMBER_MS)));
     }
@@ -123,7 +123,7 @@
     }
 
     private static Optional<String> fault(JsonNode json) {
-        try (InputStream in = CopiesConfig.class.getResourceAsStream(SCHEMA)) {
+        try (InputStream in = ReplicationConfig.class.getResourceAsStream(SCHEMA)) {
             return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in).validate(json)
                     .stream().map(ValidationMessage::getMessage).min(Comparator.naturalOrder())
                     .map(m -> m.replaceFirst("^\\$", ""));
--- a/src/main/java/whinlead/run/Copies.java
+++ b/src/main/java/whinlead/run/ReplicationSetup.java
@@ -1,13 +1,13 @@
 package whinlead.run;
 
 import whinlead.consult.Keeper;
-import whinlead.replication.Desk;
+import whinlead.replication.ReplicationClient;
 import whinlead.replication.Trace;
 import whinlead.replication.disk.DiskLog;
 import whinlead.replication.net.GroupLink;
 import whinlead.replication.raft.GroupHost;
 import whinlead.replication.raft.LogMirror;
-import whinlead.replication.raft.Parcel;
+import whinlead.replication.raft.GroupMessage;
 import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import io.netty.channel.EventLoop;
@@ -25,7 +25,7 @@
  * This sidecar's place among those that keep copies with each other: link, seat, disk and desk. Nothing of it
  * is loaded unless an operator's file asks for it.
  */
-final class Copies {
+final class ReplicationSetup {
     /** How long a group asks for votes: longer than a loop on half a core is held up, most of the time. */
     private static final long ELECTION_MS = 400;
     /** The library counts in seconds; a link that goes down has votes asked for much sooner. */
@@ -48,12 +48,12 @@
     private static final long DRAIN_MS = 10_000;
     private static final int ENDED = 1;
 
-    private final CopiesConfig config;
+    private final ReplicationConfig config;
     private final EventLoop loop;
     private final Consumer<String> log;
     private final GroupLink link;
     private final GroupHost host;
-    private final Desk desk;
+    private final ReplicationClient desk;
     private final Map<String, DiskLog> disks = new HashMap<>();
 
     /**
@@ -61,7 +61,7 @@
      *
      * @throws IOException with one line, if its disk can't be used
      */
-    Copies(CopiesConfig config, EventLoop loop, Timers timers, Consumer<String> log) throws IOException {
+    ReplicationSetup(ReplicationConfig config, EventLoop loop, Timers timers, Consumer<String> log) throws IOException {
         this.config = config;
         this.loop = loop;
         this.log = log;
@@ -82,15 +82,15 @@
             throw e.getCause();
         }
         // A process that comes back numbers its attempts anew, so it is another owner.
-        desk = new Desk(config.name() + "/" + Long.toHexString(random.nextLong()), timers,
-                new Desk.Waits(ASK_AGAIN_MS, MARGIN_MS, REFUSE_MS, REPORT_MS, RETRY_AFTER_MS, DRAIN_MS), host,
+        desk = new ReplicationClient(config.name() + "/" + Long.toHexString(random.nextLong()), timers,
+                new ReplicationClient.Waits(ASK_AGAIN_MS, MARGIN_MS, REFUSE_MS, REPORT_MS, RETRY_AFTER_MS, DRAIN_MS), host,
                 (id, ending) -> { }, trace);
     }
 
     /** The way out of the groups: links, disks, and the operator's log. */
     private final class Outside implements GroupHost.Outside {
         @Override
-        public void send(String group, String to, Parcel parcel) {
+        public void send(String group, String to, GroupMessage parcel) {
             link.send(group, to, parcel);
         }
 
--- a/src/main/java/whinlead/run/Tools.java
+++ b/src/main/java/whinlead/run/Tools.java
@@ -21,7 +21,7 @@
 @Command(name = "whinlead", mixinStandardHelpOptions = true,
         description = "Beside serve, check and benchlink, which take no options:",
         subcommands = {Tools.DemoCommand.class, Rehearse.class, PlanCommand.class, CaptureCommand.class,
-            ReplayCommand.class, CopiesCommand.class})
+            ReplayCommand.class, ReplicationCommand.class})
 final class Tools implements Runnable {
     @Spec
     private CommandSpec spec;
--- a/src/main/java/whinlead/testbed/mesh/CouncilPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
@@ -20,7 +20,7 @@
  * values and that nothing acknowledged is forgotten or taken twice on one version. The same seed plays the
  * same. One thread.
  */
-public final class CouncilPlay {
+public final class ConsensusSimulation {
     /** A fault that is planted, to see that it is found. */
     public enum Bug {
         /** None. */
@@ -209,7 +209,7 @@
     private int reads;
     private double loss = 0.02;
 
-    private CouncilPlay(long seed, Bug bug) {
+    private ConsensusSimulation(long seed, Bug bug) {
         this.random = new SplittableRandom(seed);
         this.bug = bug;
     }
@@ -219,7 +219,7 @@
 
     /** Plays one schedule. */
     public static Outcome play(long seed, Bug bug) {
-        return new CouncilPlay(seed, bug).play();
+        return new ConsensusSimulation(seed, bug).play();
     }
 
     private Outcome play() {
--- a/src/main/java/whinlead/testbed/mesh/Walk.java
+++ b/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
@@ -19,14 +19,14 @@
  * A postman's walk: an office, two carriers and their endpoints in one process on loopback; a configuration is
  * taken and requests are served. The build runs it, for it notes which classes a start needs.
  */
-public final class Walk {
+public final class LocalMeshRun {
     private static final int REQUESTS = 600;
     private static final long WAIT_MS = 20_000;
     private static final int AGAIN = 50;
     private static final long BEAT_MS = 100;
     private static final long POLL_MS = 20;
 
-    private Walk() { }
+    private LocalMeshRun() { }
 
     /** A configuration with one service and one tenant, whose key is {@code key-1}. */
     public static String tariff(String epoch, String target) {
@@ -44,7 +44,7 @@
     /** Walks; 0 if all was served. */
     public static int run() throws Exception {
         Logs.start();
-        Cards cards = new Cards(1);
+        TestbedSettings cards = new TestbedSettings(1);
         NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         Path data = Files.createTempDirectory("walk");
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -71,7 +71,7 @@
         return served == REQUESTS ? 0 : 1;
     }
 
-    private static boolean ready(Cards cards, int carrier) throws IOException, InterruptedException {
+    private static boolean ready(TestbedSettings cards, int carrier) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (System.nanoTime() < end) {
             if (Talk.ask(cards.readiness(carrier), "GET /whinlead/readiness", Map.of(), new byte[0])
@@ -83,7 +83,7 @@
         return false;
     }
 
-    private static int requests(Cards cards) throws IOException {
+    private static int requests(TestbedSettings cards) throws IOException {
         int served = 0;
         try (Talk first = new Talk(cards.egress(0)); Talk second = new Talk(cards.egress(1))) {
             for (int i = 0; i < REQUESTS; i++) {
--- a/src/main/java/whinlead/testbed/mesh/Cards.java
+++ b/src/main/java/whinlead/testbed/mesh/TestbedSettings.java
@@ -10,7 +10,7 @@
  * Settings files as the platform writes them, for machines on loopback: 127.0.0.1 and on are offices, those
  * after them auxiliary machines. Ports are alike on all, and were free when this was made.
  */
-public final class Cards {
+public final class TestbedSettings {
     private final int offices;
     private final int talk;
     private final int control;
@@ -20,7 +20,7 @@
     private final int app;
 
     /** Settings of machines with so many offices. */
-    public Cards(int offices) throws IOException {
+    public TestbedSettings(int offices) throws IOException {
         this.offices = offices;
         List<ServerSocket> held = new ArrayList<>();
         int[] ports = new int[6];
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -1,8 +1,8 @@
 package whinlead.testbed.mesh.hardening;
 
 import whinlead.plan.Calendar;
-import whinlead.mesh.sidecar.EndpointLine;
-import whinlead.mesh.sidecar.Round;
+import whinlead.mesh.sidecar.EndpointConnections;
+import whinlead.mesh.sidecar.RequestForwarder;
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.PeerMessageCodec;
 import whinlead.mesh.wire.ReconnectingConnection;
@@ -18,7 +18,7 @@
  * A way to another sidecar that is sound, with the real line to the endpoint beside that one. One thread;
  * driven time.
  */
-final class AnswerPath implements Round.Path {
+final class AnswerPath implements RequestForwarder.Path {
     private static final double DIAL_MS = 1;
     private static final double REDIAL_MS = 250;
     private static final double SILENCE_MS = 400;
@@ -26,22 +26,22 @@
 
     private final Calendar calendar;
     private final SplittableRandom random;
-    private final Round.Ear ear;
+    private final RequestForwarder.Ear ear;
     private final AnswerBug bug;
-    private final EndpointLine line;
-    private final Map<Long, EndpointLine.Sent> sent = new HashMap<>();
+    private final EndpointConnections line;
+    private final Map<Long, EndpointConnections.Sent> sent = new HashMap<>();
     private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
     private int connection;
     private double thereAt;
     private double backAt;
 
-    AnswerPath(Calendar calendar, SplittableRandom random, Round.Ear ear, AnswerEndpoint endpoint,
+    AnswerPath(Calendar calendar, SplittableRandom random, RequestForwarder.Ear ear, AnswerEndpoint endpoint,
             AnswerBug bug) {
         this.calendar = calendar;
         this.random = random;
         this.ear = ear;
         this.bug = bug;
-        this.line = new EndpointLine(calendar, endpoint::connect);
+        this.line = new EndpointConnections(calendar, endpoint::connect);
     }
 
     private void to(ReconnectingConnection.State next) {
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -3,7 +3,7 @@
 import whinlead.plan.Calendar;
 import whinlead.mesh.settings.NodeSettings;
 import whinlead.mesh.sidecar.ClientSide;
-import whinlead.mesh.sidecar.Round;
+import whinlead.mesh.sidecar.RequestForwarder;
 import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.config.RoutingTable;
 import whinlead.mesh.config.MeshConfig;
@@ -66,14 +66,14 @@
             listings.add(new EndpointRecord(Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, EndpointRecord.Phase.SERVING,
                     CAPACITY, 0));
         }
-        Round round = new Round(calendar, task -> calendar.after(0, task), "near", (parcel, done) -> { },
+        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "near", (parcel, done) -> { },
                 this::path, () -> { });
         routing = routing(1, PREFIXES, SERVICE);
         sidecar = new ClientSide(calendar, card, round, () -> routing, seed);
         sidecar.endpoints(SERVICE, listings);
     }
 
-    private AnswerPath path(String node, Round.Ear ear) {
+    private AnswerPath path(String node, RequestForwarder.Ear ear) {
         AnswerEndpoint endpoint = endpoints.get(Integer.parseInt(node));
         AnswerPath path = new AnswerPath(calendar, random.split(), ear, endpoint, bug);
         paths.add(path);
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -1,7 +1,7 @@
 package whinlead.testbed.mesh.hardening;
 
 import whinlead.plan.Calendar;
-import whinlead.mesh.sidecar.Round;
+import whinlead.mesh.sidecar.RequestForwarder;
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.PeerMessageCodec;
 import whinlead.mesh.wire.ReconnectingConnection;
@@ -17,7 +17,7 @@
  * A modelled tie between two processes: connections in order, which break, are held back, and outlive at the
  * far end what the near one has closed. One thread; driven time.
  */
-final class RelayPath implements Round.Path {
+final class RelayPath implements RequestForwarder.Path {
     private static final double SUSPECT = 700;
     private static final double DEAD = 5000;
     private static final double REDIAL = 250;
@@ -38,7 +38,7 @@
     private final SplittableRandom random;
     private final RelayProcess near;
     private final RelayProcess far;
-    private final Round.Ear ear;
+    private final RequestForwarder.Ear ear;
     private final FarEnd farEnd;
     /** Hears of what was written. */
     private final Consumer<PeerMessage> wrote;
@@ -48,7 +48,7 @@
     private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
     private Connection connection;
 
-    RelayPath(Calendar calendar, SplittableRandom random, RelayProcess near, RelayProcess far, Round.Ear ear,
+    RelayPath(Calendar calendar, SplittableRandom random, RelayProcess near, RelayProcess far, RequestForwarder.Ear ear,
             FarEnd farEnd, Consumer<PeerMessage> wrote, boolean again) {
         this.calendar = calendar;
         this.random = random;
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -2,19 +2,19 @@
 
 import whinlead.Contract;
 import whinlead.decide.Decide;
-import whinlead.engine.Ask;
-import whinlead.engine.Caller;
-import whinlead.engine.Carrier;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
+import whinlead.engine.Transport;
 import whinlead.engine.Engine;
 import whinlead.membership.EndpointList;
 import whinlead.plan.Calendar;
-import whinlead.mesh.sidecar.Classes;
-import whinlead.mesh.sidecar.Depot;
+import whinlead.mesh.sidecar.RequestClasses;
+import whinlead.mesh.sidecar.ServiceBalancer;
 import whinlead.mesh.sidecar.EndpointAttempts;
-import whinlead.mesh.sidecar.EndpointLine;
+import whinlead.mesh.sidecar.EndpointConnections;
 import whinlead.mesh.sidecar.EndpointRequests;
 import whinlead.mesh.sidecar.ForwardedTime;
-import whinlead.mesh.sidecar.Round;
+import whinlead.mesh.sidecar.RequestForwarder;
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.TransitClock;
 import java.nio.charset.StandardCharsets;
@@ -93,14 +93,14 @@
     private static final String BODY = "of ";
     /** A failure in the last moments of a request's time is told as 504, before that as 502. */
     private static final double TIMED_OUT = 50;
-    private static final Classes CLASSES = new Classes();
+    private static final RequestClasses CLASSES = new RequestClasses();
 
     private final Calendar calendar = new Calendar();
     private final SplittableRandom random;
     private final Bug bug;
     private final RelayProcess near;
     private final List<Far> fars = new ArrayList<>();
-    private final Map<String, Request> requests = new HashMap<>();
+    private final Map<String, ClientRequest> requests = new HashMap<>();
     private final Map<String, RelayPath> paths = new HashMap<>();
     private final List<String> broken = new ArrayList<>();
     private final Map<String, Long> figures = new TreeMap<>();
@@ -108,7 +108,7 @@
     /** Where the processes' clocks begin. */
     private final SplittableRandom clocks;
     private Engine engine;
-    private Round round;
+    private RequestForwarder round;
     private int life;
 
     private RelayPlay(long seed, Bug bug) {
@@ -136,7 +136,7 @@
         calls.start(bug == Bug.ANSWERS_AS_THEY_COME);
         for (int i = 0; i < REQUESTS; i++) {
             String id = "a-" + i;
-            calendar.at(random.nextDouble() * LENGTH, () -> near.execute(() -> new Request(id).go()));
+            calendar.at(random.nextDouble() * LENGTH, () -> near.execute(() -> new ClientRequest(id).go()));
         }
         for (int i = 0; i < CALLS; i++) {
             calendar.at(random.nextDouble() * LENGTH / 4, calls::call);
@@ -148,7 +148,7 @@
             calendar.runTo(at);
             fars.forEach(f -> f.endpoint.hear());
         }
-        requests.values().forEach(Request::end);
+        requests.values().forEach(ClientRequest::end);
         calls.end();
         figures.merge("calls answered", (long) calls.heard(), Long::sum);
         return new Outcome(List.copyOf(broken), Map.copyOf(figures), Map.copyOf(longest));
@@ -165,7 +165,7 @@
     private void begin() {
         life++;
         paths.clear();
-        Contract.Settings settings = Depot.settings(CLASSES, 2.5, 1);
+        Contract.Settings settings = ServiceBalancer.settings(CLASSES, 2.5, 1);
         engine = new Engine(near, settings, out -> new Decide(settings, random.nextLong(), out), list -> { },
                 line -> {
                     if (line.startsWith("decision failed")) {
@@ -173,7 +173,7 @@
                     }
                 });
         engine.start(() -> { }, null);
-        round = new Round(near, task -> calendar.after(0, () -> near.execute(task)), "near",
+        round = new RequestForwarder(near, task -> calendar.after(0, () -> near.execute(task)), "near",
                 (parcel, done) -> { }, (node, ear) -> {
                     Far far = fars.get(Integer.parseInt(node));
                     RelayPath path = new RelayPath(calendar, random.split(), near, far.process, ear,
@@ -230,7 +230,7 @@
             count("cancellations");
             return;
         }
-        Request r = requests.get(id(parcel));
+        ClientRequest r = requests.get(id(parcel));
         if (r.answered && r.life == life) {
             broke(r.id + " was written after its caller had been answered");
         }
@@ -245,7 +245,7 @@
     }
 
     private void ran(String id, Far far) {
-        Request r = requests.get(id);
+        ClientRequest r = requests.get(id);
         r.runs++;
         r.endpoints.add(far);
         if (r.endpoints.size() > r.tries) {
@@ -264,7 +264,7 @@
         began(r);
     }
 
-    private void began(Request r) {
+    private void began(ClientRequest r) {
         double now = calendar.now();
         time("a start after its request's time was up" + (r.comparable ? ""
                 : ", by a connection whose first message had waited"), now - r.endAt);
@@ -284,7 +284,7 @@
         }
     }
 
-    private final class Request implements Caller<PeerMessage.Delivered>, Carrier<PeerMessage.Delivered> {
+    private final class ClientRequest implements ResponseSink<PeerMessage.Delivered>, Transport<PeerMessage.Delivered> {
         private final String id;
         private final int life = RelayPlay.this.life;
         private final boolean mutating = random.nextInt(3) > 0;
@@ -301,16 +301,16 @@
         private boolean comparable = true;
         private boolean promised;
         /** The attempt that was sent last, and who hears of its end. */
-        private Round.Sent sent;
+        private RequestForwarder.Sent sent;
         private Outcomes<PeerMessage.Delivered> outcomes;
 
-        private Request(String id) {
+        private ClientRequest(String id) {
             this.id = id;
             requests.put(id, this);
         }
 
         private void go() {
-            Engine.Held<PeerMessage.Delivered> held = engine.take(new Ask(CLASSES.of(!mutating, 1, 500), -1,
+            Engine.Held<PeerMessage.Delivered> held = engine.take(new Request(CLASSES.of(!mutating, 1, 500), -1,
                     timeout, false, 1, 0), this, this);
             if (requests.size() % LEAVES == 0) {
                 near.after(random.nextDouble() * timeout, () -> leave(held));
@@ -340,7 +340,7 @@
             PeerMessage.Parcel draft = new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
                     (int) Math.max(1, left), "svc", endpoint, 1);
             outcomes = told;
-            Round.Sent attempted = round.send(endpoint, draft, !mutating, letter -> came(letter, told));
+            RequestForwarder.Sent attempted = round.send(endpoint, draft, !mutating, letter -> came(letter, told));
             sent = attempted;
             return () -> {
                 boolean written = attempted.giveUp();
@@ -358,7 +358,7 @@
             if (letter instanceof PeerMessage.Returned r) {
                 attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.Why.UNREACHED : r.why());
             }
-            told.ended(Round.outcome(letter), letter instanceof PeerMessage.Delivered d ? d : null, null);
+            told.ended(RequestForwarder.outcome(letter), letter instanceof PeerMessage.Delivered d ? d : null, null);
         }
 
         private void answered(String how) {
@@ -408,7 +408,7 @@
         private final RelayProcess process = new RelayProcess(calendar, random.split(), clockBegan());
         private final RelayEndpoint endpoint = new RelayEndpoint(calendar, process, random.split(),
                 id -> ran(id, this), RelayPlay.this::count, bug == Bug.IGNORES_IDS);
-        private EndpointLine line = new EndpointLine(process, endpoint::connect);
+        private EndpointConnections line = new EndpointConnections(process, endpoint::connect);
         private EndpointRequests underWay = new EndpointRequests();
         private ForwardedTime time = new ForwardedTime();
 
@@ -448,7 +448,7 @@
                 return;
             }
             underWay.begin(answer, parcel.stream());
-            EndpointLine.Sent atEndpoint = line.send(parcel, parcel.endpoint(), l -> {
+            EndpointConnections.Sent atEndpoint = line.send(parcel, parcel.endpoint(), l -> {
                 underWay.ended(answer, parcel.stream());
                 boolean reset = l instanceof PeerMessage.Returned r && r.why() == PeerMessage.Why.BROKEN;
                 if (reset && bug == Bug.RESET_NEVER_RAN) {
@@ -468,7 +468,7 @@
             time = new ForwardedTime();
             tick();
             endpoint.reset();
-            line = new EndpointLine(process, endpoint::connect);
+            line = new EndpointConnections(process, endpoint::connect);
             underWay = new EndpointRequests();
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Changes.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Changes.java
@@ -1,7 +1,7 @@
 package whinlead.testbed.mesh.upgrade;
 
 import whinlead.testbed.mesh.Talk;
-import whinlead.testbed.mesh.Walk;
+import whinlead.testbed.mesh.LocalMeshRun;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -50,7 +50,7 @@
 
     /** This version, whole. */
     static String body(long version) {
-        return Walk.tariff(String.format("%08x", version), "svc")
+        return LocalMeshRun.tariff(String.format("%08x", version), "svc")
                 .replace("\"DeadlineS\":2", "\"DeadlineS\":5")
                 .replace("\"Routes\":{", String.format(ROUTE, path(version)));
     }
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Rollout.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Rollout.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.mesh.upgrade;
 
-import whinlead.testbed.mesh.Cards;
+import whinlead.testbed.mesh.TestbedSettings;
 import whinlead.testbed.mesh.StandInApp;
 import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
@@ -31,7 +31,7 @@
     private final Program old;
     private final Program current;
     private final long standMs;
-    private final Cards cards = new Cards(NODES);
+    private final TestbedSettings cards = new TestbedSettings(NODES);
     private final List<Machine> offices = new ArrayList<>();
     private final List<Machine> carriers = new ArrayList<>();
     private final List<StandInApp> endpoints = new ArrayList<>();
--- a/src/main/java/whinlead/testbed/replication/FinalStateCheck.java
+++ b/src/main/java/whinlead/testbed/replication/FinalStateCheck.java
@@ -1,6 +1,6 @@
 package whinlead.testbed.replication;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.raft.Member;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -36,7 +36,7 @@
     }
 
     private void checkGroup(String group, int size) {
-        Map<Long, Book.Snapshot> snapshots = new HashMap<>();
+        Map<Long, ReplicatedState.Snapshot> snapshots = new HashMap<>();
         Set<Long> commandCounts = new HashSet<>();
         for (SimMachine machine : cluster.machines()) {
             if (!running(machine) || machine.host().seat(group) == null) {
@@ -51,7 +51,7 @@
                 truth.seen("consensus begun again");
             }
             if (member.votes()) {
-                Book.Snapshot snapshot = member.book().snapshot();
+                ReplicatedState.Snapshot snapshot = member.book().snapshot();
                 commandCounts.add(snapshot.commands());
                 compare(snapshot, snapshots.putIfAbsent(member.known(), snapshot));
             }
@@ -65,7 +65,7 @@
         }
     }
 
-    private void compare(Book.Snapshot snapshot, Book.Snapshot sameIndex) {
+    private void compare(ReplicatedState.Snapshot snapshot, ReplicatedState.Snapshot sameIndex) {
         if (sameIndex != null && !snapshot.equals(sameIndex)) {
             truth.broken("books that differ");
         }
--- a/src/main/java/whinlead/testbed/replication/PointsDay.java
+++ b/src/main/java/whinlead/testbed/replication/PointsDay.java
@@ -5,9 +5,9 @@
 import whinlead.consult.Peer;
 import whinlead.replication.net.Frames;
 import whinlead.replication.raft.Member;
-import whinlead.replication.raft.Parcel;
+import whinlead.replication.raft.GroupMessage;
 import whinlead.replication.wire.Wire;
-import whinlead.engine.Ask;
+import whinlead.engine.Request;
 import whinlead.membership.EndpointList;
 import whinlead.plan.Calendar;
 import java.net.InetSocketAddress;
@@ -97,7 +97,7 @@
         m.start((group, to, parcel) -> post(m, machines.get(to), parcel), list());
     }
 
-    private void post(SimMachine from, SimMachine to, Parcel parcel) {
+    private void post(SimMachine from, SimMachine to, GroupMessage parcel) {
         Wire.Frame frame = Frames.of(GROUP, parcel);
         if (from.alive()) {
             net.send(from.name(), to.name(), () -> {
@@ -150,7 +150,7 @@
         }
         SimProcess there = m.process();
         net.send("p", m.name(), () -> there.run(() -> m.consultations().ask(peer, ID,
-                new Ask(plan.kind, -1, left, false), d -> told(there, m, () -> heard(mine, m, d)))));
+                new Request(plan.kind, -1, left, false), d -> told(there, m, () -> heard(mine, m, d)))));
         if (first) {
             return;
         }
@@ -207,7 +207,7 @@
         over = true;
         for (SimMachine m : machines.values()) {
             SimProcess there = m.process();
-            there.run(() -> m.consultations().ask(peer, ID, new Ask(plan.kind, -1, TIME_MS, false), d -> {
+            there.run(() -> m.consultations().ask(peer, ID, new Request(plan.kind, -1, TIME_MS, false), d -> {
                 ends.add(d.word());
                 if (d instanceof Directive.Send) {
                     truth.ran(ID, true, SimRequestKind.at(plan.kind).keyWindowMs(), world.now());
--- a/src/main/java/whinlead/testbed/replication/SimCluster.java
+++ b/src/main/java/whinlead/testbed/replication/SimCluster.java
@@ -3,7 +3,7 @@
 import whinlead.Contract;
 import whinlead.replication.net.Frames;
 import whinlead.replication.raft.Member;
-import whinlead.replication.raft.Parcel;
+import whinlead.replication.raft.GroupMessage;
 import whinlead.replication.wire.Wire;
 import whinlead.membership.EndpointList;
 import whinlead.plan.Calendar;
@@ -146,7 +146,7 @@
     }
 
     // As messages go between processes: by the frames of their service.
-    private void send(String group, SimMachine from, SimMachine to, Parcel parcel) {
+    private void send(String group, SimMachine from, SimMachine to, GroupMessage parcel) {
         Wire.Frame frame = Frames.of(group, parcel);
         network.send(from.name(), to.name(), () -> {
             if (to.alive()) {
--- a/src/main/java/whinlead/testbed/replication/SimMachine.java
+++ b/src/main/java/whinlead/testbed/replication/SimMachine.java
@@ -5,12 +5,12 @@
 import whinlead.consult.Consultations;
 import whinlead.consult.Directive;
 import whinlead.consult.Keeper;
-import whinlead.replication.Book;
-import whinlead.replication.Desk;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.ReplicationClient;
 import whinlead.replication.raft.GroupHost;
 import whinlead.replication.raft.LogMirror;
 import whinlead.replication.raft.Member;
-import whinlead.replication.raft.Parcel;
+import whinlead.replication.raft.GroupMessage;
 import whinlead.replication.raft.Seat;
 import whinlead.decide.Decide;
 import whinlead.engine.Engine;
@@ -29,9 +29,9 @@
  * which is killed, frozen and started again.
  */
 final class SimMachine {
-    private static final Book.Limits LIMITS = new Book.Limits(5000, 2000, 100, 60_000);
+    private static final ReplicatedState.Limits LIMITS = new ReplicatedState.Limits(5000, 2000, 100, 60_000);
     private static final Bounds BOUNDS = new Bounds(2000, 1000, 10_000, 60_000, 100);
-    private static final Desk.Waits WAITS = new Desk.Waits(60, 25, 200, 1000, 1000, 5000);
+    private static final ReplicationClient.Waits WAITS = new ReplicationClient.Waits(60, 25, 200, 1000, 1000, 5000);
     private static final RaftConfig CONFIG = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(300)
             .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(2)
             .setCommitCountToTakeSnapshot(50).setRaftNodeReportPublishPeriodSecs(60).build();
@@ -56,7 +56,7 @@
     /** The way to the other machines. */
     @FunctionalInterface
     interface Post {
-        void send(String group, String to, Parcel parcel);
+        void send(String group, String to, GroupMessage parcel);
     }
 
     /** {@code lasting} tells whether it has a disk at all. */
@@ -108,7 +108,7 @@
         SimProcess mine = process;
         host = new GroupHost(setup, process, new Random(dice.nextLong()), new GroupHost.Outside() {
             @Override
-            public void send(String group, String to, Parcel parcel) {
+            public void send(String group, String to, GroupMessage parcel) {
                 post.send(group, to, parcel);
             }
 
@@ -147,7 +147,7 @@
                 mine.kill();
             }
         }, (id, step, detail) -> { });
-        Desk desk = new Desk(name() + "/" + ++starts, bug == Bug.BLIND_TO_STANDING_STILL ? process.blind()
+        ReplicationClient desk = new ReplicationClient(name() + "/" + ++starts, bug == Bug.BLIND_TO_STANDING_STILL ? process.blind()
                 : process, WAITS, host, (id, ending) -> truth.promised(id, ending, world.now()),
                 (id, step, detail) -> { });
         long seed = dice.nextLong();
@@ -186,9 +186,9 @@
 
     /** Watches the keeper from outside, by true time; and plants a fault in it. */
     private final class Watched implements Keeper {
-        private final Desk desk;
+        private final ReplicationClient desk;
 
-        private Watched(Desk desk) {
+        private Watched(ReplicationClient desk) {
             this.desk = desk;
         }
 
--- a/src/main/java/whinlead/testbed/replication/SimRequest.java
+++ b/src/main/java/whinlead/testbed/replication/SimRequest.java
@@ -2,7 +2,7 @@
 
 import whinlead.Contract;
 import whinlead.consult.Directive;
-import whinlead.engine.Ask;
+import whinlead.engine.Request;
 import whinlead.plan.Calendar;
 import java.util.List;
 import java.util.Random;
@@ -85,7 +85,7 @@
     private void consult(SimMachine machine, SimProcess process, double remaining, int asked) {
         double askedAt = calendar.now();
         boolean[] answered = new boolean[1];
-        machine.consultations().ask(proxy.peer(), id, new Ask(kind.classIndex(), -1, remaining, false),
+        machine.consultations().ask(proxy.peer(), id, new Request(kind.classIndex(), -1, remaining, false),
                 directive -> {
                     if (answered[0]) {
                         truth.broken("answered twice");
--- a/src/main/java/whinlead/transport/EndpointPool.java
+++ b/src/main/java/whinlead/transport/EndpointPool.java
@@ -2,7 +2,7 @@
 
 import whinlead.Contract;
 import whinlead.admit.Budget;
-import whinlead.engine.Carrier;
+import whinlead.engine.Transport;
 import whinlead.engine.Clock;
 import whinlead.http.HttpAnswer;
 import whinlead.http.HttpAsk;
@@ -118,8 +118,8 @@
     }
 
     /** What sends the attempts of this request. */
-    public Carrier<HttpAnswer> carrier(HttpAsk ask) {
-        return new Carrier<>() {
+    public Transport<HttpAnswer> carrier(HttpAsk ask) {
+        return new Transport<>() {
             @Override
             public Sending send(String endpoint, int attempt, double within, Outcomes<HttpAnswer> told) {
                 return EndpointPool.this.send(endpoint, ask.attempt(attempt, within), told);
@@ -133,7 +133,7 @@
         };
     }
 
-    private Attempt send(String id, FullHttpRequest request, Carrier.Outcomes<HttpAnswer> listener) {
+    private Attempt send(String id, FullHttpRequest request, Transport.Outcomes<HttpAnswer> listener) {
         Attempt attempt = new Attempt(request, listener);
         Endpoint endpoint = endpoints.get(id);
         if (endpoint == null) {
@@ -264,13 +264,13 @@
     }
 
     /** One request under way to one endpoint. */
-    private final class Attempt implements Carrier.Sending {
+    private final class Attempt implements Transport.Sending {
         private final FullHttpRequest request;
-        private final Carrier.Outcomes<HttpAnswer> listener;
+        private final Transport.Outcomes<HttpAnswer> listener;
         private Connection connection;
         private boolean over;
 
-        private Attempt(FullHttpRequest request, Carrier.Outcomes<HttpAnswer> listener) {
+        private Attempt(FullHttpRequest request, Transport.Outcomes<HttpAnswer> listener) {
             this.request = request;
             this.listener = listener;
         }
