--- a/src/test/java/whinlead/mesh/sidecar/DemandReportsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DemandReportsTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.quota.Sum;
-import whinlead.mesh.quota.Use;
+import whinlead.mesh.quota.DemandTotals;
+import whinlead.mesh.quota.TenantDemand;
 import whinlead.mesh.sidecar.DemandReports.Audience;
 import java.util.List;
 import org.testng.annotations.Test;
@@ -57,8 +57,8 @@
 
     @Test
     public void everyControlNodeHasTheSumsOfSidecarsThatComeAndGo() {
-        Sum first = new Sum();
-        Sum other = new Sum();
+        DemandTotals first = new DemandTotals();
+        DemandTotals other = new DemandTotals();
         int sidecars = 9;
         DemandReports[] reports = new DemandReports[sidecars];
         for (int i = 0; i < sidecars; i++) {
@@ -70,7 +70,7 @@
             for (int i = 0; i < sidecars; i++) {
                 // Each has demand for some while, then none, each at other times.
                 boolean demand = (round / 20 + i) % 4 != 0;
-                List<Use> uses = demand ? List.of(new Use("tenant", 10)) : List.of();
+                List<TenantDemand> uses = demand ? List.of(new TenantDemand("tenant", 10)) : List.of();
                 asked += demand ? 10 : 0;
                 Audience audience = reports[i].next(demand);
                 if (audience != Audience.NONE) {
@@ -88,8 +88,8 @@
     }
 
     // What a sidecar that is asked for nothing is told.
-    private static double total(double now, Sum sum) {
+    private static double total(double now, DemandTotals sum) {
         sum.say(now, "observer", List.of());
-        return sum.of("observer").stream().mapToDouble(Use::perSecond).sum();
+        return sum.of("observer").stream().mapToDouble(TenantDemand::perSecond).sum();
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/DesignTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DesignTest.java
@@ -18,7 +18,7 @@
 public class DesignTest {
     private static final int SIDECARS = 4;
     private static final double TOOK = 20;
-    private final Classes classes = new Classes();
+    private final RequestClasses classes = new RequestClasses();
     private final int high = classes.of(true, 0, 400);
     private final int low = classes.of(true, 2, 400);
 
@@ -87,7 +87,7 @@
         acceptsEach = 0;
         due = new ArrayDeque<>();
         did = new ArrayList<>();
-        module = new Decide(Depot.settings(classes, 2.5, SIDECARS), 7, new Acts());
+        module = new Decide(ServiceBalancer.settings(classes, 2.5, SIDECARS), 7, new Acts());
         module.start(now);
         List<Contract.Server> servers = new ArrayList<>();
         for (String id : List.of("a", "b", "c")) {
--- a/src/test/java/whinlead/mesh/sidecar/EgressTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import whinlead.plan.Calendar;
-import whinlead.mesh.quota.Allowance;
+import whinlead.mesh.quota.TenantQuota;
 import whinlead.mesh.settings.NodeSettings;
 import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.config.RoutingTable;
@@ -30,7 +30,7 @@
  * to how many endpoints they are sent, with what time, when they are answered, and what a client that leaves
  * leaves behind.
  */
-public class EgressTest {
+public class EgressListenerTest {
     private static final int NODES = 5;
     private static final double DEADLINE_MS = 2000;
     private static final double SECOND_MS = 1000;
@@ -41,11 +41,11 @@
     private record Written(Path path, double at, PeerMessage.Parcel parcel) { }
 
     /** A path to another sidecar that connects after a time and reacts to requests as the test says. */
-    private final class Path implements Round.Path {
-        private final Round.Ear ear;
+    private final class Path implements RequestForwarder.Path {
+        private final RequestForwarder.Ear ear;
         private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
 
-        private Path(Round.Ear ear) {
+        private Path(RequestForwarder.Ear ear) {
             this.ear = ear;
         }
 
@@ -100,10 +100,10 @@
         written = new ArrayList<>();
         cancels = new ArrayList<>();
         heard = new StringBuilder();
-        Classes classes = new Classes();
-        Round round = new Round(calendar, task -> calendar.after(0, task), "here", (parcel, done) -> { },
+        RequestClasses classes = new RequestClasses();
+        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "here", (parcel, done) -> { },
                 (node, ear) -> new Path(ear), () -> { });
-        Depot depot = new Depot(calendar, classes, card(), NODES, 1, round, null, new Postage(10, 1000));
+        ServiceBalancer depot = new ServiceBalancer(calendar, classes, card(), NODES, 1, round, null, new RetryBudget(10, 1000));
         List<EndpointRecord> listings = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             listings.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 4, 0));
@@ -116,12 +116,12 @@
                 "sign", route("/sign/", MeshConfig.MUTATING, 2)),
                 Map.of("svc", new MeshConfig.Service("/health", 100)), new MeshConfig.Limits(16384, 1000, 3, 15),
                 null));
-        Egress egress = new Egress(null, calendar, () -> routing, (target, large) -> depot, () -> "own",
-                () -> NODES, new Allowance(0, 20, 0.1, 5, 1), classes);
+        EgressListener egress = new EgressListener(null, calendar, () -> routing, (target, large) -> depot, () -> "own",
+                () -> NODES, new TenantQuota(0, 20, 0.1, 5, 1), classes);
         channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
-                new Window(egress).on(ch);
+                new ClientConnection(egress).on(ch);
             }
         });
     }
--- a/src/test/java/whinlead/mesh/sidecar/EndpointLineTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -23,14 +23,14 @@
 import org.testng.annotations.Test;
 
 /** The way to the endpoint, byte by byte: whose answer it is, how often it was asked, what is said of it. */
-public class EndpointLineTest {
+public class EndpointConnectionsTest {
     private static final int LEFT_MS = 1000;
 
     private Calendar calendar;
     private List<EmbeddedChannel> connections;
     private List<ChannelPromise> dials;
     private boolean dialsAnswered;
-    private EndpointLine line;
+    private EndpointConnections line;
     private List<String> told;
 
     @BeforeMethod
@@ -40,7 +40,7 @@
         dials = new ArrayList<>();
         dialsAnswered = true;
         told = new ArrayList<>();
-        line = new EndpointLine(calendar, this::connect);
+        line = new EndpointConnections(calendar, this::connect);
     }
 
     private ChannelPromise connect(ChannelHandler handlers) {
@@ -54,11 +54,11 @@
         return dial;
     }
 
-    private EndpointLine.Sent ask(String id) {
+    private EndpointConnections.Sent ask(String id) {
         return ask(id, "POST");
     }
 
-    private EndpointLine.Sent ask(String id, String method) {
+    private EndpointConnections.Sent ask(String id, String method) {
         PeerMessage.Parcel parcel = new PeerMessage.Parcel(1, method, "/x", List.of("Host", "h", "Attempt-Id", id),
                 new byte[0], LEFT_MS, "svc", "i-1", 0);
         return line.send(parcel, "i-1", letter -> told.add(id + " " + (letter instanceof PeerMessage.Delivered d
@@ -262,7 +262,7 @@
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.add("Connection", "close, Server-Seal, Attempt-Id, X-Hop").add("Server-Seal", "s")
                 .add("Attempt-Id", "a").add("X-Hop", "1");
-        assertEquals(Headers.onward(headers, false), List.of("Server-Seal", "s", "Attempt-Id", "a"));
+        assertEquals(ForwardedHeaders.onward(headers, false), List.of("Server-Seal", "s", "Attempt-Id", "a"));
     }
 
     @Test
@@ -310,7 +310,7 @@
 
     @Test
     public void aCancelledRequestThatRunsIsEndedByAClose() {
-        EndpointLine.Sent a = ask("a");
+        EndpointConnections.Sent a = ask("a");
         a.cancel(true);
         assertFalse(connections.get(0).isActive());
         assertEquals(told, List.of("a BROKEN"));
@@ -320,7 +320,7 @@
 
     @Test
     public void aCancelledRequestThatMayNotBeBrokenOffRunsToItsEnd() {
-        EndpointLine.Sent a = ask("a");
+        EndpointConnections.Sent a = ask("a");
         a.cancel(false);
         say(0, served("a"));
         assertEquals(told, List.of("a 200 of a"));
@@ -331,7 +331,7 @@
         for (boolean whileRunning : new boolean[] {true, false}) {
             start();
             dialsAnswered = false;
-            EndpointLine.Sent a = ask("a");
+            EndpointConnections.Sent a = ask("a");
             a.cancel(whileRunning);
             dials.get(0).setSuccess();
             assertEquals(told, List.of("a UNREACHED"));
@@ -344,7 +344,7 @@
 
     @Test
     public void aCancellationThatComesAfterTheAnswerLeavesTheNextAlone() {
-        EndpointLine.Sent a = ask("a");
+        EndpointConnections.Sent a = ask("a");
         say(0, served("a"));
         a.cancel(true);
         ask("b");
--- a/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
@@ -33,7 +33,7 @@
     private EventLoopGroup loops;
     private EventLoop loop;
     private ServerSocket server;
-    private EndpointLine line;
+    private EndpointConnections line;
 
     @BeforeMethod
     public void start() throws IOException {
@@ -42,7 +42,7 @@
         loop = loops.next();
         server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         server.setSoTimeout(WAIT_MS);
-        line = new EndpointLine(loop, server.getLocalSocketAddress());
+        line = new EndpointConnections(loop, server.getLocalSocketAddress());
     }
 
     @AfterMethod(alwaysRun = true)
--- a/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
@@ -36,11 +36,11 @@
     private static final String KEY = "Api-Key: key-1\r\n";
 
     /** A way to another sidecar whose endpoint answers at once. */
-    private final class Answering implements Round.Path {
-        private final Round.Ear ear;
+    private final class Answering implements RequestForwarder.Path {
+        private final RequestForwarder.Ear ear;
         private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
 
-        private Answering(Round.Ear ear) {
+        private Answering(RequestForwarder.Ear ear) {
             this.ear = ear;
         }
 
@@ -87,7 +87,7 @@
     public void start() {
         calendar = new Calendar();
         sent = new ArrayList<>();
-        Round round = new Round(calendar, task -> calendar.after(0, task), "here", (parcel, done) -> { },
+        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "here", (parcel, done) -> { },
                 (node, ear) -> new Answering(ear), () -> { });
         NodeSettings card = new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
                 new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(1, 1), List.of()),
@@ -168,23 +168,23 @@
         assertEquals(calls, CALLS);
         sent.stream().filter(p -> p.uri().startsWith("/call/")).forEach(p -> {
             assertEquals(p.rank(), 0, "a call has its route's rank");
-            assertTrue(!p.headers().contains(Headers.TENANT), "and no tenant");
+            assertTrue(!p.headers().contains(ForwardedHeaders.TENANT), "and no tenant");
         });
     }
 
     @Test
     public void nobodyTakesThePlacesOfTheHighestRankAtAnEndpoint() {
-        Hatch hatch = new Hatch(1500);
+        EndpointGate hatch = new EndpointGate(1500);
         hatch.beat(0, "i-1", new RpcCall.Card("svc", "z", 4, "serving", 0, 1));
         for (int ms = 0; ms < 3000; ms += 50) {
             hatch.enter(ms, "svc", 0);
         }
         for (int rank = 3; rank > 0; rank--) {
-            while (hatch.enter(3000, "svc", rank) == Hatch.Entry.OPEN) {
+            while (hatch.enter(3000, "svc", rank) == EndpointGate.Entry.OPEN) {
                 hatch.began(3000);
             }
         }
-        assertEquals(hatch.enter(3000, "svc", 0), Hatch.Entry.OPEN);
-        assertNotEquals(hatch.enter(3000, "svc", 1), Hatch.Entry.OPEN);
+        assertEquals(hatch.enter(3000, "svc", 0), EndpointGate.Entry.OPEN);
+        assertNotEquals(hatch.enter(3000, "svc", 1), EndpointGate.Entry.OPEN);
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/RoundSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
@@ -26,14 +26,14 @@
 import org.testng.annotations.Test;
 
 /** Requests over real ties to a peer that plays the far sidecar. */
-public class RoundSocketTest {
+public class RequestForwarderSocketTest {
     private static final int WAIT_MS = 10_000;
 
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     private EventLoopGroup loops;
     private EventLoop loop;
     private ServerSocket server;
-    private Round round;
+    private RequestForwarder round;
 
     @BeforeMethod
     public void start() throws IOException {
@@ -45,8 +45,8 @@
         round = round();
     }
 
-    private Round round() {
-        return new Round(loop, "here", (parcel, done) -> { }, new PeerMessage.Hello("here", false),
+    private RequestForwarder round() {
+        return new RequestForwarder(loop, "here", (parcel, done) -> { }, new PeerMessage.Hello("here", false),
                 node -> server.getLocalSocketAddress(), () -> { });
     }
 
@@ -96,7 +96,7 @@
     }
 
     private void send(String id) {
-        Round from = round;
+        RequestForwarder from = round;
         loop.execute(() -> from.send("there", new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id),
                 new byte[0], WAIT_MS, "svc", "i-1", 0), false, letter -> told.add(id + " " + what(letter))));
     }
--- a/src/test/java/whinlead/mesh/sidecar/RoundTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.engine.Carrier;
+import whinlead.engine.Transport;
 import whinlead.plan.Calendar;
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.ReconnectingConnection;
@@ -15,18 +15,18 @@
 import org.testng.annotations.Test;
 
 /** Requests on their way to other sidecars, over paths that break, are silent, or are made anew. */
-public class RoundTest {
+public class RequestForwarderTest {
     private static final int LEFT_MS = 1000;
 
     /** A path that stands as it is told to. */
-    private static final class Script implements Round.Path {
-        private final Round.Ear ear;
+    private static final class Script implements RequestForwarder.Path {
+        private final RequestForwarder.Ear ear;
         private final List<PeerMessage.Parcel> sent = new ArrayList<>();
         private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
         private boolean open = true;
         private boolean breaks;
 
-        private Script(Round.Ear ear) {
+        private Script(RequestForwarder.Ear ear) {
             this.ear = ear;
         }
 
@@ -68,7 +68,7 @@
     private Calendar calendar;
     private ArrayDeque<Runnable> soon;
     private List<Script> paths;
-    private Round round;
+    private RequestForwarder round;
     private List<String> told;
 
     @BeforeMethod
@@ -77,7 +77,7 @@
         soon = new ArrayDeque<>();
         paths = new ArrayList<>();
         told = new ArrayList<>();
-        round = new Round(calendar, soon::add, "here", (parcel, done) -> { }, (node, ear) -> {
+        round = new RequestForwarder(calendar, soon::add, "here", (parcel, done) -> { }, (node, ear) -> {
             Script path = new Script(ear);
             paths.add(path);
             return path;
@@ -90,10 +90,10 @@
         }
     }
 
-    private Carrier.Sending send(String id, boolean repeatable) {
+    private Transport.Sending send(String id, boolean repeatable) {
         PeerMessage.Parcel draft = new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
                 LEFT_MS, "svc", "i-1", 0);
-        Carrier.Sending sending = round.send("there", draft, repeatable, letter -> told.add(id + " "
+        Transport.Sending sending = round.send("there", draft, repeatable, letter -> told.add(id + " "
                 + (letter instanceof PeerMessage.Delivered d ? d.status() : ((PeerMessage.Returned) letter).why())));
         soon();
         return sending;
@@ -134,7 +134,7 @@
 
     @Test
     public void whatWasGivenUpWhileItWaitedNeverGoesOut() {
-        Carrier.Sending a = send("a", false);
+        Transport.Sending a = send("a", false);
         assertFalse(a.giveUp(), "nothing of it was written");
         paths.get(0).to(ReconnectingConnection.State.UP);
         assertEquals(paths.get(0).sent.size(), 0);
@@ -144,7 +144,7 @@
     @Test
     public void whatWasGivenUpAfterItWasWrittenMayRunAndItsLateAnswerIsNobodys() {
         Script path = up();
-        Carrier.Sending a = send("a", false);
+        Transport.Sending a = send("a", false);
         assertTrue(a.giveUp(), "it may run");
         send("b", false);
         path.ear.letter(answer(path.sent.get(0)));
--- a/src/test/java/whinlead/mesh/sidecar/DepotTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** What a service without a request costs a sidecar. */
-public class DepotTest {
+public class ServiceBalancerTest {
     private static final double SPAN_MS = 60_000;
 
     /** Simulated time that counts how often a timer fires. */
@@ -35,7 +35,7 @@
     }
 
     /** A connection that is never used. */
-    private static final class Unused implements Round.Path {
+    private static final class Unused implements RequestForwarder.Path {
         @Override
         public void dial() { }
 
@@ -63,17 +63,17 @@
     @Test
     public void servicesWithoutRequestsWakeTheSidecarOnceInTwoSeconds() {
         Counted timers = new Counted();
-        Round round = new Round(timers, Runnable::run, "here", (parcel, done) -> { },
+        RequestForwarder round = new RequestForwarder(timers, Runnable::run, "here", (parcel, done) -> { },
                 (node, ear) -> new Unused(), () -> { });
-        Timers beat = new Beat(timers, Classes.period());
+        Timers beat = new AlignedTimers(timers, RequestClasses.period());
         int services = 64;
         for (int i = 0; i < services; i++) {
-            Depot depot = new Depot(beat, new Classes(), card(), 3, i, round, null, new Postage(0.2, 60));
+            ServiceBalancer depot = new ServiceBalancer(beat, new RequestClasses(), card(), 3, i, round, null, new RetryBudget(0.2, 60));
             depot.update(List.of(new EndpointRecord("node", 1, 1, "z", "endpoint", "service-" + i,
                     EndpointRecord.Phase.SERVING, 6, 0)));
         }
         timers.calendar.runTo(SPAN_MS);
-        double periods = services * SPAN_MS / Classes.period();
+        double periods = services * SPAN_MS / RequestClasses.period();
         assertTrue(timers.fired <= services * (SPAN_MS / TicklessModule.SLEEP_MS + 1),
                 timers.fired + " timers for " + periods + " periods");
     }
--- a/src/test/java/whinlead/mesh/sidecar/BeginningTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/StartupConfigTest.java
@@ -8,28 +8,28 @@
 import org.testng.annotations.Test;
 
 /** What a sidecar without a configuration begins with. */
-public class BeginningTest {
+public class StartupConfigTest {
     private static final Decision OLD = Decision.founding(List.of("a#0")).with(5, "d", new byte[] {1});
     private static final Decision NEW = OLD.with(6, "e", new byte[] {2});
 
     @Test
     public void whatAMajorityConfirmsIsTakenAtOnce() {
-        assertEquals(new Beginning().offered(0, OLD, true), OLD);
+        assertEquals(new StartupConfig().offered(0, OLD, true), OLD);
     }
 
     @Test
     public void anOfficeThatIsCutOffIsNotTheOneToBeginWith() {
-        Beginning b = new Beginning();
+        StartupConfig b = new StartupConfig();
         assertNull(b.offered(0, OLD, false));
-        assertNull(b.waited(Beginning.WAIT));
-        assertEquals(b.offered(Beginning.WAIT, NEW, true), NEW);
+        assertNull(b.waited(StartupConfig.WAIT));
+        assertEquals(b.offered(StartupConfig.WAIT, NEW, true), NEW);
     }
 
     @Test
     public void withNothingBetterInReachTheNewestThatIsKnownServes() {
-        Beginning b = new Beginning();
+        StartupConfig b = new StartupConfig();
         assertNull(b.offered(0, NEW, false));
         assertNull(b.offered(100, OLD, false));
-        assertEquals(b.waited(Beginning.WAIT + 1), NEW);
+        assertEquals(b.waited(StartupConfig.WAIT + 1), NEW);
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/TicklessModuleTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/TicklessModuleTest.java
@@ -29,7 +29,7 @@
                 Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
         private final List<String> decisions = new ArrayList<>();
         private final Map<Long, Integer> attempts = new HashMap<>();
-        private final Contract.Settings settings = Depot.settings(new Classes(), 2.5, 14);
+        private final Contract.Settings settings = ServiceBalancer.settings(new RequestClasses(), 2.5, 14);
         private Contract.Events events;
         private Decide balancer;
         private double now = BEGIN;
@@ -204,7 +204,7 @@
     public void aBalancerWithRequestsIsWokenEachPeriodAndSleepsAfterThem() {
         Driver d = driver(true);
         double end = BEGIN + 10_000;
-        double period = Classes.period();
+        double period = RequestClasses.period();
         for (double at = BEGIN; at < end; at += period / 2) {
             Contract.Request request = new Contract.Request((long) (at * 10), 0, -1, 800, false, 1);
             d.at(at, () -> d.events.request(d.now, request));
--- a/src/test/java/whinlead/replication/PaceTest.java
+++ b/src/test/java/whinlead/replication/GroupClockTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The group's time over members that come to lead after each other. */
-class PaceTest {
+class GroupClockTest {
     /** Schedule 129262: a refusal was forgotten 1.1 s early, for the next to lead had been away for less. */
     @Test
     void whatOneStampsAndAnotherForgetsIsNotOverSooner() {
-        Pace away = new Pace(0);
-        Pace there = new Pace(0);
+        GroupClock away = new GroupClock(0);
+        GroupClock there = new GroupClock(0);
         away.agreed(1000, 1000);
         there.agreed(1000, 1000);
         // It is gone for 3 s, comes back with its disk, and leads: its last stamp is all that it knows.
-        Pace back = new Pace(4000);
+        GroupClock back = new GroupClock(4000);
         back.agreed(1000, 4000);
         long promised = back.time(4100);
         there.agreed(promised, 4101);
@@ -32,9 +32,9 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void noMoreTimePassesThanReallyDid(long seed) {
         Random dice = new Random(seed);
-        List<Pace> members = new ArrayList<>();
+        List<GroupClock> members = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            members.add(new Pace(0));
+            members.add(new GroupClock(0));
         }
         double now = 0;
         long last = 0;
@@ -44,7 +44,7 @@
             int leads = dice.nextInt(5);
             if (dice.nextInt(50) == 0) {
                 // It was started again with what its disk holds.
-                Pace again = new Pace(now);
+                GroupClock again = new GroupClock(now);
                 again.agreed(last, now);
                 members.set(leads, again);
             }
@@ -55,7 +55,7 @@
             lastAt = now;
             // All know it before another may lead, each after some time.
             double known = now;
-            for (Pace p : members) {
+            for (GroupClock p : members) {
                 known = now + dice.nextInt(20);
                 p.agreed(stamp, known);
             }
--- a/src/test/java/whinlead/replication/WayTest.java
+++ b/src/test/java/whinlead/replication/GroupRouteTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Whom a process asks of a group that it is no member of. */
-class WayTest {
+class GroupRouteTest {
     private static final Command ANY = new Command.Report("r", 0, Command.How.SERVED);
 
     private record Sent(String to, long token, Command command) { }
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<Reply> heard = new ArrayList<>();
-    private final Way way = new Way(List.of("a", "b", "c"), 100, (to, token, command) -> sent.add(new Sent(to, token,
+    private final GroupRoute way = new GroupRoute(List.of("a", "b", "c"), 100, (to, token, command) -> sent.add(new Sent(to, token,
             command)));
 
     private Sent last() {
@@ -29,7 +29,7 @@
 
     @Test
     void timeIsUnknownUntilAMemberHasToldIt() {
-        assertEquals(Way.UNKNOWN, way.time(10));
+        assertEquals(GroupRoute.UNKNOWN, way.time(10));
         assertEquals(new Sent("a", 101, null), last());
         way.answered(101, null, 5000, "", 20);
         assertEquals(5080, way.time(100));
--- a/src/test/java/whinlead/replication/BookTest.java
+++ b/src/test/java/whinlead/replication/ReplicatedStateTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class BookTest {
+class ReplicatedStateTest {
     private static final long LEFT = 1000;
-    private static final Book.Limits LIMITS = new Book.Limits(8, 5, 2, 3000);
+    private static final ReplicatedState.Limits LIMITS = new ReplicatedState.Limits(8, 5, 2, 3000);
 
-    private final Book book = new Book(LIMITS);
+    private final ReplicatedState book = new ReplicatedState(LIMITS);
 
     private static Command.Allow allow(String id, Guard guard, String owner, long number, Long... neverRan) {
         return new Command.Allow(id, "proxy", guard, new Attempt(owner, number), List.of(neverRan), "e", LEFT,
@@ -86,7 +86,7 @@
             book.apply(0, new Command.Refuse("x" + i, "proxy", Guard.UNSAFE, "a", List.of(), LEFT));
         }
         assertEquals(LIMITS.requests() / 4, book.size());
-        Book copy = new Book(LIMITS);
+        ReplicatedState copy = new ReplicatedState(LIMITS);
         copy.restore(book.snapshot());
         assertEquals(new Reply.Full(), copy.apply(1, new Command.Refuse("y", "proxy", Guard.UNSAFE, "a",
                 List.of(), LEFT)));
@@ -213,15 +213,15 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void whateverComesTheInvariantsHoldAndACopyAgrees(long seed) {
         Random dice = new Random(seed);
-        Book copy = new Book(LIMITS);
-        Map<String, Book.Entry> ended = new HashMap<>();
+        ReplicatedState copy = new ReplicatedState(LIMITS);
+        Map<String, ReplicatedState.Entry> ended = new HashMap<>();
         long stamp = 0;
         long last = 0;
         for (int i = 0; i < 5000; i++) {
             stamp += dice.nextInt(10) == 0 ? -dice.nextInt(100) : dice.nextInt(30);
             Command command = any(dice);
             if (dice.nextInt(50) == 0) {
-                Book restored = new Book(LIMITS);
+                ReplicatedState restored = new ReplicatedState(LIMITS);
                 restored.restore(book.snapshot());
                 copy = restored;
             }
@@ -235,10 +235,10 @@
         }
     }
 
-    private static void check(Book.Snapshot all, Map<String, Book.Entry> ended) {
+    private static void check(ReplicatedState.Snapshot all, Map<String, ReplicatedState.Entry> ended) {
         Set<String> here = new HashSet<>();
         Map<String, Integer> open = new HashMap<>();
-        for (Book.Entry e : all.entries()) {
+        for (ReplicatedState.Entry e : all.entries()) {
             here.add(e.id());
             List<Attempt> standing = new ArrayList<>();
             for (int i = 0; i < e.attempts().size(); i++) {
@@ -251,7 +251,7 @@
             }
             assertTrue(standing.stream().map(Attempt::owner).distinct().count() <= 1,
                     () -> "two let it out: " + e);
-            assertTrue(e.attempts().size() <= Book.ATTEMPTS_MOST);
+            assertTrue(e.attempts().size() <= ReplicatedState.ATTEMPTS_MOST);
             if (e.ending() == Ending.REFUSED) {
                 assertTrue(standing.isEmpty(), () -> "refused, but it may have run: " + e);
             }
@@ -259,7 +259,7 @@
                 open.merge(e.caller(), 1, Integer::sum);
                 ended.remove(e.id());
             } else {
-                Book.Entry known = ended.get(e.id());
+                ReplicatedState.Entry known = ended.get(e.id());
                 if (known != null && all.time() < known.due()) {
                     assertEquals(known.ending(), e.ending());
                 }
--- a/src/test/java/whinlead/replication/DeskTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A member's side of its promises, before a group that answers, answers late or doesn't. */
-class DeskTest {
+class ReplicationClientTest {
     private static final double TIME = 1000;
     private static final double VALID = 200;
 
@@ -35,7 +35,7 @@
         }
     };
     private double time;
-    private final Desk.Group group = new Desk.Group() {
+    private final ReplicationClient.Group group = new ReplicationClient.Group() {
         @Override
         public void submit(Command command, Consumer<Reply> answer) {
             asked.add(command);
@@ -47,7 +47,7 @@
             return (long) time;
         }
     };
-    private final Desk desk = new Desk("a/1", timers, new Desk.Waits(60, 25, 150, 500, 1000, 5000), group,
+    private final ReplicationClient desk = new ReplicationClient("a/1", timers, new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000), group,
             (id, ending) -> { }, (id, step, detail) -> steps.add(id + " " + step + " " + detail));
     private final Keeper.Kept kept = desk.open("r", "proxy", false, false, TIME);
 
@@ -154,7 +154,7 @@
     void oneThatStoodStillTakesBackWhatItWasGranted() {
         // Its timers have not run yet when the answer is read.
         double[] jump = new double[1];
-        Desk slow = new Desk("b/1", new Timers() {
+        ReplicationClient slow = new ReplicationClient("b/1", new Timers() {
             @Override
             public double now() {
                 return jump[0];
@@ -164,7 +164,7 @@
             public Timer after(double millis, Runnable task) {
                 return () -> { };
             }
-        }, new Desk.Waits(60, 25, 150, 500, 1000, 5000), group, (id, ending) -> { },
+        }, new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000), group, (id, ending) -> { },
                 (id, step, detail) -> { });
         slow.open("s", "proxy", false, false, TIME).allow("e", VALID, told::add);
         jump[0] = VALID + 50;
--- a/src/test/java/whinlead/replication/raft/GroupHostTest.java
+++ b/src/test/java/whinlead/replication/raft/GroupHostTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.Command;
 import whinlead.replication.Placement;
 import whinlead.replication.Reply;
@@ -59,8 +59,8 @@
             this.disks = disks;
             this.speaks = speaks;
             host = new GroupHost(new GroupHost.Setup(name, ALL, GROUPS,
-                    speaks < Parcel.GUESTS ? 0 : REPLACE_AFTER, CONFIG,
-                    new Book.Limits(1000, 1000, 10, 60_000)), this, new Random(dice.nextLong()), this, (id,
+                    speaks < GroupMessage.GUESTS ? 0 : REPLACE_AFTER, CONFIG,
+                    new ReplicatedState.Limits(1000, 1000, 10, 60_000)), this, new Random(dice.nextLong()), this, (id,
                     step, detail) -> { });
         }
 
@@ -80,13 +80,13 @@
         }
 
         @Override
-        public void send(String group, String to, Parcel p) {
+        public void send(String group, String to, GroupMessage p) {
             deliver(group, all.get(to), p);
         }
 
-        private void deliver(String group, Process to, Parcel p) {
+        private void deliver(String group, Process to, GroupMessage p) {
             // As it goes between processes.
-            Wire.Frame frame = Frames.of(group, new Parcel(p.from(), p.fromLife(), p.toLife(), speaks,
+            Wire.Frame frame = Frames.of(group, new GroupMessage(p.from(), p.fromLife(), p.toLife(), speaks,
             p.what()));
             if (to != null && !dead) {
                 world.after(1, () -> {
@@ -144,7 +144,7 @@
     }
 
     private void site() {
-        ALL.forEach(name -> start(name, Parcel.SPEAKS));
+        ALL.forEach(name -> start(name, GroupMessage.SPEAKS));
         pass(3000);
     }
 
@@ -221,8 +221,8 @@
         // Another loss is borne: the guest knows what was promised.
         kill("c");
         assertEquals(new Reply.Out(), ask("f", id));
-        start("c", Parcel.SPEAKS);
-        start("b", Parcel.SPEAKS);
+        start("c", GroupMessage.SPEAKS);
+        start("b", GroupMessage.SPEAKS);
         pass(20_000);
         assertEquals(GROUPS.get("g"), voters("g"));
         assertNull(all.get(guest).host.seat("g"));
@@ -258,8 +258,8 @@
         kill("a");
         pass(12_000);
         kill("b");
-        start("a", Parcel.SPEAKS);
-        start("b", Parcel.SPEAKS);
+        start("a", GroupMessage.SPEAKS);
+        start("b", GroupMessage.SPEAKS);
         pass(20_000);
         assertEquals(GROUPS.get("g"), voters("g"),
                 () -> all.values().stream().filter(p -> p.host.seat("g") != null)
@@ -270,14 +270,14 @@
     /** An earlier version hears nobody that is no first member: it would be lost to the group. */
     @Test
     void nobodyIsAskedInWhileAMemberOfAnEarlierVersionVotes() {
-        ALL.forEach(name -> start(name, name.equals("a") ? Parcel.GUESTS - 1 : Parcel.SPEAKS));
+        ALL.forEach(name -> start(name, name.equals("a") ? GroupMessage.GUESTS - 1 : GroupMessage.SPEAKS));
         pass(3000);
         kill("b");
         pass(15_000);
         assertEquals(Set.of("a", "c"), voters("g"));
         Map<String, LogMirror> disks = all.get("a").disks;
         kill("a");
-        Process upgraded = new Process("a", disks, Parcel.SPEAKS);
+        Process upgraded = new Process("a", disks, GroupMessage.SPEAKS);
         all.put("a", upgraded);
         upgraded.host.start();
         pass(15_000);
@@ -289,8 +289,8 @@
     void aProcessThatIsNoMemberPassesNothingOnToItself() {
         site();
         assertFalse(all.get("x").host.groups().contains("g"));
-        List<Parcel> said = new ArrayList<>();
-        all.get("x").host.received("g", new Parcel("a", 0, 0, new Envelope.Pass(7, null)), said::add);
-        assertEquals(List.of(new Envelope.Passed(7, null, -1, "")), said.stream().map(Parcel::what).toList());
+        List<GroupMessage> said = new ArrayList<>();
+        all.get("x").host.received("g", new GroupMessage("a", 0, 0, new Envelope.Pass(7, null)), said::add);
+        assertEquals(List.of(new Envelope.Passed(7, null, -1, "")), said.stream().map(GroupMessage::what).toList());
     }
 }
--- a/src/test/java/whinlead/replication/raft/MemberTest.java
+++ b/src/test/java/whinlead/replication/raft/MemberTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.Command;
-import whinlead.replication.Pace;
+import whinlead.replication.GroupClock;
 import whinlead.replication.Reply;
 import whinlead.engine.Timers;
 import whinlead.plan.Calendar;
@@ -48,8 +48,8 @@
     void whatItHadNotYetWorkedOffIsWrittenAndAnsweredNoMore() {
         WorldTimers timers = new WorldTimers();
         LogMirror log = new LogMirror();
-        Member member = new Member(ME, List.of(ME, OTHER, new MemberId("c", 1)), timers, new Pace(0),
-                (to, what) -> sent.add(what), new Book(new Book.Limits(10, 10, 10, 1000)),
+        Member member = new Member(ME, List.of(ME, OTHER, new MemberId("c", 1)), timers, new GroupClock(0),
+                (to, what) -> sent.add(what), new ReplicatedState(new ReplicatedState.Limits(10, 10, 10, 1000)),
                 RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(300_000)
                         .setLeaderHeartbeatPeriodSecs(300)
                         .setLeaderHeartbeatTimeoutSecs(600).build(), log, new Random(1),
@@ -69,8 +69,8 @@
 
     private Member led(LogMirror log, long seed) {
         WorldTimers timers = new WorldTimers();
-        Member member = new Member(ME, List.of(ME, OTHER, new MemberId("c", 1)), timers, new Pace(0),
-                (to, what) -> sent.add(what), new Book(new Book.Limits(10, 10, 10, 1000)),
+        Member member = new Member(ME, List.of(ME, OTHER, new MemberId("c", 1)), timers, new GroupClock(0),
+                (to, what) -> sent.add(what), new ReplicatedState(new ReplicatedState.Limits(10, 10, 10, 1000)),
                 RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(300_000)
                         .setLeaderHeartbeatPeriodSecs(300)
                         .setLeaderHeartbeatTimeoutSecs(600).build(), log, new Random(seed),
--- a/src/test/java/whinlead/replication/raft/ReplacementTest.java
+++ b/src/test/java/whinlead/replication/raft/ReplacementTest.java
@@ -30,19 +30,19 @@
         return new Replacement.View(new TreeSet<>(members), new TreeSet<>(voters));
     }
 
-    private void take(Steward.Step step) {
-        if (step instanceof Steward.Step.Learn s) {
+    private void take(MembershipManager.Step step) {
+        if (step instanceof MembershipManager.Step.Learn s) {
             members.add(s.who());
-        } else if (step instanceof Steward.Step.Remove s) {
+        } else if (step instanceof MembershipManager.Step.Remove s) {
             members.remove(s.who());
             voters.remove(s.who());
-        } else if (step instanceof Steward.Step.Promote s) {
+        } else if (step instanceof MembershipManager.Step.Promote s) {
             voters.add(s.who());
         }
     }
 
     private void join(Replacement rule, MemberId who) {
-        Steward.next(who, members, voters, rule.claim(who.name(), view(), now)).ifPresent(this::take);
+        MembershipManager.next(who, members, voters, rule.claim(who.name(), view(), now)).ifPresent(this::take);
     }
 
     private static Set<String> names(Set<MemberId> all) {
--- a/src/test/java/whinlead/replication/raft/SeatTest.java
+++ b/src/test/java/whinlead/replication/raft/SeatTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.Book;
-import whinlead.replication.Pace;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.GroupClock;
 import whinlead.engine.Timers;
 import whinlead.plan.Calendar;
 import io.microraft.RaftConfig;
@@ -49,8 +49,8 @@
         private double frozenUntil;
 
         private Process(String name, LogMirror log) {
-            seat = new Seat(new Seat.Setup(name, NAMES, CONFIG, new Book.Limits(100, 100, 10, 1000)), this,
-                    new Pace(now()), log, new Random(dice.nextLong()), this);
+            seat = new Seat(new Seat.Setup(name, NAMES, CONFIG, new ReplicatedState.Limits(100, 100, 10, 1000)), this,
+                    new GroupClock(now()), log, new Random(dice.nextLong()), this);
         }
 
         @Override
@@ -76,11 +76,11 @@
         }
 
         @Override
-        public void send(String to, Parcel parcel) {
+        public void send(String to, GroupMessage parcel) {
             deliver(addresses.get(to), parcel);
         }
 
-        private void deliver(Process to, Parcel parcel) {
+        private void deliver(Process to, GroupMessage parcel) {
             if (to != null && !dead) {
                 world.after(1, () -> to.run(() -> to.seat.received(parcel, back -> to.deliver(this, back))));
             }
@@ -265,7 +265,7 @@
         old.dead = true;
         Process back = start("b");
         for (int i = 0; i < 20; i++) {
-            Parcel late = new Parcel("b", before.life(), all.get("a").seat.status().id().life(),
+            GroupMessage late = new GroupMessage("b", before.life(), all.get("a").seat.status().id().life(),
                     new Envelope.Standing(i, i, Set.of(), Set.of(), 0));
             world.after(i * 100, () -> all.get("a").seat.received(late, p -> { }));
         }
--- a/src/test/java/whinlead/run/CaptureConfigTest.java
+++ b/src/test/java/whinlead/run/CaptureConfigTest.java
@@ -8,7 +8,7 @@
 import whinlead.capture.CaptureInput;
 import whinlead.capture.Entry;
 import whinlead.capture.Recorder;
-import whinlead.engine.Journal;
+import whinlead.engine.RequestListener;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -56,7 +56,7 @@
                 assertEquals(List.of("status", "submit", "pay"), in.classes());
                 for (int i = 0; i < 5; i++) {
                     Entry entry = in.next();
-                    assertEquals(Journal.End.SERVED, entry.end());
+                    assertEquals(RequestListener.End.SERVED, entry.end());
                     assertEquals(1, entry.kind());
                     assertEquals(3, entry.size());
                     assertEquals(5000, entry.timeout());
--- a/src/test/java/whinlead/run/FaultTest.java
+++ b/src/test/java/whinlead/run/FaultTest.java
@@ -6,8 +6,8 @@
 import whinlead.Contract;
 import whinlead.admit.Budget;
 import whinlead.decide.Decide;
-import whinlead.engine.Ask;
-import whinlead.engine.Caller;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
 import whinlead.engine.Clock;
 import whinlead.engine.Engine;
 import whinlead.http.HttpAnswer;
@@ -46,7 +46,7 @@
             // To connect to no address throws.
             EndpointList list = new EndpointList(0, true, List.of(new EndpointList.Entry(
                     new Contract.Server("s0", Contract.Standing.UP, 1, "", 0, 0), null)));
-            Caller<HttpAnswer> caller = new Caller<>() {
+            ResponseSink<HttpAnswer> caller = new ResponseSink<>() {
                 @Override
                 public void served(HttpAnswer answer) {
                     ends.add("served");
@@ -65,7 +65,7 @@
             loop.submit(() -> {
                 engine.start(() -> { }, list);
                 HttpAsk http = new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
-                engine.take(new Ask(0, -1, 300, false), pool.carrier(http), caller);
+                engine.take(new Request(0, -1, 300, false), pool.carrier(http), caller);
             }).get();
             assertTrue(log.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS).startsWith("decision failed"));
             assertEquals("failed", ends.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
--- a/src/test/java/whinlead/run/CopiesConfigTest.java
+++ b/src/test/java/whinlead/run/ReplicationConfigTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.Book;
+import whinlead.replication.ReplicatedState;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetSocketAddress;
 import java.util.Set;
@@ -15,28 +15,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The operator's file of copies: what it means, and one line for each thing that is wrong with it. */
-class CopiesConfigTest {
+class ReplicationConfigTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     @Test
     void theExampleIsGood() {
-        CopiesConfig c = CopiesConfig.read("deploy/copies.json", MAPPER);
+        ReplicationConfig c = ReplicationConfig.read("deploy/copies.json", MAPPER);
         assertEquals("a", c.name());
         assertEquals(new InetSocketAddress("127.0.0.2", 9301), c.processes().get("b"));
-        assertEquals(new Book.Limits(20_000, 1000, 10_000, 60_000), c.limits());
+        assertEquals(new ReplicatedState.Limits(20_000, 1000, 10_000, 60_000), c.limits());
     }
 
     @Test
     void whatIsLeftOutHasItsUsualValue() {
-        CopiesConfig c = CopiesConfig.parse("{'group':'g','name':'a','members':{'a':'127.0.0.1:1'}}"
+        ReplicationConfig c = ReplicationConfig.parse("{'group':'g','name':'a','members':{'a':'127.0.0.1:1'}}"
                 .replace('\'', '"'), MAPPER);
         assertNull(c.disk());
-        assertEquals(new Book.Limits(20_000, 1000, 10_000, 60_000), c.limits());
+        assertEquals(new ReplicatedState.Limits(20_000, 1000, 10_000, 60_000), c.limits());
     }
 
     @Test
     void manyGroupsHaveSomeOfTheProcessesEach() {
-        CopiesConfig c = CopiesConfig.parse("{'name':'a','replace_after_ms':9000,".concat(
+        ReplicationConfig c = ReplicationConfig.parse("{'name':'a','replace_after_ms':9000,".concat(
                 "'groups':{'g':['a','b'],'h':['c']},'processes':{'a':'127.0.0.1:1','b':'127.0.0.1:2','c':'127.0.0.1:3'}}")
                 .replace('\'', '"'), MAPPER);
         assertEquals(Set.of("a", "b"), c.groups().get("g"));
@@ -64,7 +64,7 @@
         "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'disc':'x'} | disc"})
     void whatIsWrongIsToldInOneLine(String json, String says) {
         String told = assertThrows(IllegalArgumentException.class,
-                () -> CopiesConfig.parse(json.replace('\'', '"'), MAPPER)).getMessage();
+                () -> ReplicationConfig.parse(json.replace('\'', '"'), MAPPER)).getMessage();
         assertTrue(told.contains(says), told);
         assertFalse(told.contains("\n"), told);
     }
