--- a/src/main/java/whinlead/engine/Engine.java
+++ b/src/main/java/whinlead/engine/Engine.java
@@ -88,12 +88,12 @@
     /**
      * Takes a request; the caller is told its end exactly once, within its time.
      *
-     * @param carrier sends its attempts
+     * @param transport sends its attempts
      */
-    public <A> Held<A> take(Request ask, Transport<A> carrier, ResponseSink<A> caller) {
+    public <A> Held<A> take(Request ask, Transport<A> transport, ResponseSink<A> caller) {
         double left = Math.max(0, ask.timeout() - ANSWER_MARGIN);
         Held<A> h = new Held<>(new Contract.Request(nextId++, ask.classIndex(), ask.tenantIndex(), left,
-                ask.repeat(), ask.room()), carrier, caller, ask);
+                ask.repeat(), ask.room()), transport, caller, ask);
         open.put(h.request.id, h);
         tell(() -> {
             double now = timers.now();
@@ -153,7 +153,7 @@
     @Override
     public boolean connected(Contract.Request r, String server) {
         Held<?> h = open.get(r.id);
-        return h == null || h.carrier.connected(server);
+        return h == null || h.transport.connected(server);
     }
 
     @Override
@@ -214,7 +214,7 @@
     /** A request taken. It is kept until it is over and all its attempts have ended. */
     public final class Held<A> {
         private final Contract.Request request;
-        private final Transport<A> carrier;
+        private final Transport<A> transport;
         private final ResponseSink<A> caller;
         private final List<Attempt<A>> attempts = new ArrayList<>(1);
         private final Request ask;
@@ -222,10 +222,10 @@
         private boolean over;
         private Timers.Timer deadline;
 
-        private Held(Contract.Request request, Transport<A> carrier, ResponseSink<A> caller, Request ask) {
+        private Held(Contract.Request request, Transport<A> transport, ResponseSink<A> caller, Request ask) {
             this.ask = ask;
             this.request = request;
-            this.carrier = carrier;
+            this.transport = transport;
             this.caller = caller;
         }
 
@@ -241,7 +241,7 @@
          * The answer to an attempt has begun to reach the client by another way than the caller, which ends
          * what the request is owed; the outcome of the attempt is still to come.
          *
-         * @param attempt as the carrier was told it
+         * @param attempt as the transport was told it
          */
         public void streaming(int attempt) {
             if (!over) {
@@ -319,7 +319,7 @@
             }
             double wait = within > 0 ? Math.min(within, endAt - now) : endAt - now;
             a.timer = timers.after(wait, () -> a.giveUp(Contract.Outcome.TIMED_OUT));
-            a.sending = carrier.send(server, a.index, wait, a);
+            a.sending = transport.send(server, a.index, wait, a);
         }
     }
 
--- a/src/main/java/whinlead/mesh/config/ConfigReader.java
+++ b/src/main/java/whinlead/mesh/config/ConfigReader.java
@@ -25,11 +25,11 @@
      */
     public MeshConfig read(byte[] json) throws InvalidConfigException {
         try {
-            MeshConfig tariff = mapper.readValue(json, MeshConfig.class);
-            if (tariff == null) {
+            MeshConfig meshConfig = mapper.readValue(json, MeshConfig.class);
+            if (meshConfig == null) {
                 throw new InvalidConfigException("the configuration is empty");
             }
-            return tariff;
+            return meshConfig;
         } catch (JsonMappingException e) {
             throw new InvalidConfigException(e.getPath().stream().map(JsonMappingException.Reference::getFieldName)
                     .collect(Collectors.joining(".")) + " can't be read", e);
--- a/src/main/java/whinlead/mesh/config/ConfigValidator.java
+++ b/src/main/java/whinlead/mesh/config/ConfigValidator.java
@@ -32,20 +32,20 @@
      *
      * @throws InvalidConfigException naming the first field that is wrong
      */
-    public void check(MeshConfig tariff) throws InvalidConfigException {
-        Set<ConstraintViolation<MeshConfig>> wrong = validator.validate(tariff);
+    public void check(MeshConfig meshConfig) throws InvalidConfigException {
+        Set<ConstraintViolation<MeshConfig>> wrong = validator.validate(meshConfig);
         if (!wrong.isEmpty()) {
             ConstraintViolation<MeshConfig> first = wrong.stream()
                     .min(Comparator.comparing(v -> v.getPropertyPath().toString())).orElseThrow();
             throw new InvalidConfigException(first.getPropertyPath() + " " + first.getMessage());
         }
         Map<String, String> places = new HashMap<>();
-        for (Map.Entry<String, MeshConfig.Route> e : tariff.routes().entrySet()) {
-            route(tariff, e.getKey(), e.getValue(), places);
+        for (Map.Entry<String, MeshConfig.Route> e : meshConfig.routes().entrySet()) {
+            route(meshConfig, e.getKey(), e.getValue(), places);
         }
         Set<String> keys = new HashSet<>();
-        if (tariff.tenants() != null) {
-            for (Map.Entry<String, MeshConfig.Tenant> e : tariff.tenants().entrySet()) {
+        if (meshConfig.tenants() != null) {
+            for (Map.Entry<String, MeshConfig.Tenant> e : meshConfig.tenants().entrySet()) {
                 for (String key : Set.copyOf(e.getValue().credentials())) {
                     if (!keys.add(key)) {
                         throw new InvalidConfigException("Tenants." + e.getKey()
@@ -56,7 +56,7 @@
         }
     }
 
-    private static void route(MeshConfig tariff, String name, MeshConfig.Route route, Map<String, String> places)
+    private static void route(MeshConfig meshConfig, String name, MeshConfig.Route route, Map<String, String> places)
             throws InvalidConfigException {
         String at = "Routes." + name;
         String other = places.put(RoutingTable.host(route.authority()) + " " + route.pathPrefix(), name);
@@ -72,7 +72,7 @@
         }
         List<MeshConfig.Share> shares = shared ? route.shares() : List.of(new MeshConfig.Share(route.target(), 1));
         for (MeshConfig.Share share : shares) {
-            if (!tariff.services().containsKey(share.target())) {
+            if (!meshConfig.services().containsKey(share.target())) {
                 throw new InvalidConfigException(at + ".Target names no service: " + share.target());
             }
         }
--- a/src/main/java/whinlead/mesh/config/MeshConfig.java
+++ b/src/main/java/whinlead/mesh/config/MeshConfig.java
@@ -12,7 +12,7 @@
 
 /**
  * A whole configuration as the operator sends it: which places requests may go to and at what terms. Tables
- * are keyed by name; times are in seconds. The constraints are checked at the offices ({@link ConfigValidator}).
+ * are keyed by name; times are in seconds. The constraints are checked at the control nodes ({@link ConfigValidator}).
  *
  * @param epoch its version, eight hexadecimal digits
  * @param tenants null or empty where no key is asked for
--- a/src/main/java/whinlead/mesh/config/RoutingTable.java
+++ b/src/main/java/whinlead/mesh/config/RoutingTable.java
@@ -15,7 +15,7 @@
     public static final long NONE = 0;
 
     /** A route by its name. */
-    public record Way(String name, MeshConfig.Route route) {
+    public record NamedRoute(String name, MeshConfig.Route route) {
         /** Whether a request may run more than once. */
         public boolean repeatable() {
             return MeshConfig.IDEMPOTENT.equals(route.kind());
@@ -46,24 +46,24 @@
     }
 
     /** A tenant by its name. */
-    public record Payer(String name, MeshConfig.Tenant tenant) { }
+    public record NamedTenant(String name, MeshConfig.Tenant tenant) { }
 
-    private final MeshConfig tariff;
+    private final MeshConfig meshConfig;
     private final long slot;
-    private final Map<String, List<Way>> hosts = new HashMap<>();
-    private final Map<String, Payer> keys = new HashMap<>();
+    private final Map<String, List<NamedRoute>> hosts = new HashMap<>();
+    private final Map<String, NamedTenant> keys = new HashMap<>();
 
     /** Of a configuration that was agreed on in this slot. */
-    public RoutingTable(long slot, MeshConfig tariff) {
+    public RoutingTable(long slot, MeshConfig meshConfig) {
         this.slot = slot;
-        this.tariff = tariff;
-        tariff.routes().forEach((name, r) -> hosts.computeIfAbsent(host(r.authority()),
-                h -> new ArrayList<>()).add(new Way(name, r)));
-        Comparator<Way> longest = Comparator.comparingInt(w -> -w.route().pathPrefix().length());
+        this.meshConfig = meshConfig;
+        meshConfig.routes().forEach((name, r) -> hosts.computeIfAbsent(host(r.authority()),
+                h -> new ArrayList<>()).add(new NamedRoute(name, r)));
+        Comparator<NamedRoute> longest = Comparator.comparingInt(w -> -w.route().pathPrefix().length());
         hosts.values().forEach(ways -> ways.sort(longest));
-        if (tariff.tenants() != null) {
-            tariff.tenants().forEach((name, t) -> t.credentials().forEach(k -> keys.put(k,
-                    new Payer(name, t))));
+        if (meshConfig.tenants() != null) {
+            meshConfig.tenants().forEach((name, t) -> t.credentials().forEach(k -> keys.put(k,
+                    new NamedTenant(name, t))));
         }
     }
 
@@ -73,19 +73,19 @@
     }
 
     /** What it was made from. */
-    public MeshConfig tariff() {
-        return tariff;
+    public MeshConfig config() {
+        return meshConfig;
     }
 
     /** The route of a request, the one with the longest prefix; null if there is none. */
-    public Way route(String authority, String path) {
-        List<Way> ways = authority == null ? null : hosts.get(host(authority));
+    public NamedRoute route(String authority, String path) {
+        List<NamedRoute> ways = authority == null ? null : hosts.get(host(authority));
         if (ways == null) {
             return null;
         }
         int query = path.indexOf('?');
         String plain = query < 0 ? path : path.substring(0, query);
-        for (Way way : ways) {
+        for (NamedRoute way : ways) {
             if (plain.startsWith(way.route().pathPrefix())) {
                 return way;
             }
@@ -95,11 +95,11 @@
 
     /** Whether requests of routes that are not public need a key. */
     public boolean keyed() {
-        return tariff.tenants() != null && !tariff.tenants().isEmpty();
+        return meshConfig.tenants() != null && !meshConfig.tenants().isEmpty();
     }
 
     /** Whose key it is; null if nobody's. */
-    public Payer payer(String key) {
+    public NamedTenant payer(String key) {
         return key == null ? null : keys.get(key);
     }
 
--- a/src/main/java/whinlead/mesh/consensus/Acceptor.java
+++ b/src/main/java/whinlead/mesh/consensus/Acceptor.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.consensus;
 
 /**
- * One office's vote, as Lamport's single-decree Paxos has it, slot after slot: it promises, votes, and keeps
+ * One control node's vote, as Lamport's single-decree Paxos has it, slot after slot: it promises, votes, and keeps
  * its word. Pure; whoever drives it syncs {@link #memory} to disk before a reply that says so leaves.
  */
 public final class Acceptor {
@@ -12,20 +12,20 @@
      * @param promised in the slot after it
      * @param vote in the slot after it, or null
      */
-    public record Memory(Decision decided, Ballot promised, Message.Vote vote) { }
+    public record State(Decision decided, Ballot promised, Message.Vote vote) { }
 
     /** A reply, and whether the memory must be on disk before it leaves. */
     public record Reply(Message message, boolean synced) { }
 
-    private Memory memory;
+    private State memory;
 
-    /** An elector that remembers this. */
-    public Acceptor(Memory memory) {
+    /** A voter that remembers this. */
+    public Acceptor(State memory) {
         this.memory = memory;
     }
 
     /** What it remembers now. */
-    public Memory memory() {
+    public State memory() {
         return memory;
     }
 
@@ -39,7 +39,7 @@
         if (memory.decided() != null && decision.slot() <= memory.decided().slot()) {
             return false;
         }
-        memory = new Memory(decision, Ballot.NONE, null);
+        memory = new State(decision, Ballot.NONE, null);
         return true;
     }
 
@@ -49,7 +49,7 @@
         if (reply != null) {
             return reply;
         }
-        memory = new Memory(memory.decided(), call.ballot(), memory.vote());
+        memory = new State(memory.decided(), call.ballot(), memory.vote());
         return new Reply(new Message.Promise(call.slot(), call.ballot(), memory.vote()), true);
     }
 
@@ -59,7 +59,7 @@
         if (reply != null) {
             return reply;
         }
-        memory = new Memory(memory.decided(), call.ballot(), new Message.Vote(call.ballot(), call.value()));
+        memory = new State(memory.decided(), call.ballot(), new Message.Vote(call.ballot(), call.value()));
         return new Reply(new Message.Accepted(call.value().slot(), call.ballot()), true);
     }
 
--- a/src/main/java/whinlead/mesh/consensus/Ballot.java
+++ b/src/main/java/whinlead/mesh/consensus/Ballot.java
@@ -3,11 +3,11 @@
 import java.util.Comparator;
 
 /**
- * The number of a ballot, Paxos' term: no two lives of offices ever use the same one, and any two are in
+ * The number of a ballot, Paxos' term: no two lives of control nodes ever use the same one, and any two are in
  * order.
  *
  * @param round counts up; 0 is before the first
- * @param by names the office that calls it, and which life of it
+ * @param by names the control node that calls it, and which life of it
  */
 public record Ballot(long round, String by) implements Comparable<Ballot> {
     /** Before any ballot. */
--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -4,25 +4,25 @@
 import java.util.SplittableRandom;
 
 /**
- * One office's part in what the offices agree on: its vote ({@link Acceptor}), the operations that it puts
+ * One control node's part in what the control nodes agree on: its vote ({@link Acceptor}), the operations that it puts
  * to the ballot one after the other ({@link OperationQueue}, {@link ConsensusRound}, {@link QuorumRead}), and
- * its place among the voters ({@link Membership}). No office leads. Pure: events with the time in, actions
- * out; one thread; times in milliseconds on this office's steady clock.
+ * its place among the voters ({@link Membership}). No control node leads. Pure: events with the time in, actions
+ * out; one thread; times in milliseconds on this control node's steady clock.
  */
 public final class ConsensusNode {
     /** How a call of an operator ended. */
-    public enum Verdict { TAKEN, MISMATCH, OLD_VERSION, UNCLEAR }
+    public enum CallResult { TAKEN, MISMATCH, OLD_VERSION, UNCLEAR }
 
-    /** What the council has done for it. */
+    /** What the consensus node has done for it. */
     public interface Actions {
-        /** Sends a message to an office, this one included, now or never. */
+        /** Sends a message to a control node, this one included, now or never. */
         void send(String to, Message message);
 
         /** Syncs this memory, then sends the message; if that fails, it sends nothing. */
-        void sync(Acceptor.Memory memory, String to, Message message);
+        void sync(Acceptor.State memory, String to, Message message);
 
         /** Tells an operator's call its end. */
-        void replaced(long call, Verdict verdict);
+        void replaced(long call, CallResult verdict);
 
         /** Tells a reader the newest decision, or null where none could be made sure of. */
         void read(long call, Decision newest);
@@ -37,7 +37,7 @@
     private static final double WITHOUT_QUORUM_LIMIT = 500;
     /** A vote older than this that was never told decided is brought to its end, in milliseconds. */
     private static final double OPEN_VOTE_LIMIT = 400;
-    /** How often an office without a vote asks for one, in milliseconds. */
+    /** How often a control node without a vote asks for one, in milliseconds. */
     private static final double JOIN_INTERVAL = 250;
     /** How often it asks at most, as what it has on disk gets newer, in milliseconds. */
     private static final double JOIN_INTERVAL_LEAST = 100;
@@ -55,7 +55,7 @@
     private final MembershipTurn membershipTurn = new MembershipTurn();
     /** What the ballot under way is for; null for a change of voters. */
     private PendingOperation balloted;
-    /** Since when a vote of this office is open; NaN while none is. */
+    /** Since when a vote of this control node is open; NaN while none is. */
     private double votedAt;
     private double joinAt;
     private double joinedAt = Double.NEGATIVE_INFINITY;
@@ -66,12 +66,12 @@
     private long storedSlot;
 
     /**
-     * An office's council.
+     * A control node's consensus node.
      *
      * @param self its id, drawn anew with each new disk
      * @param seed of all that it draws; another in each life, or it would call an old ballot anew
      */
-    public ConsensusNode(String self, Acceptor.Memory memory, long seed, Actions actions) {
+    public ConsensusNode(String self, Acceptor.State memory, long seed, Actions actions) {
         this.self = self;
         this.acceptor = new Acceptor(memory);
         this.random = new SplittableRandom(seed);
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Where an id's office can be found: the address in it. */
+    /** Where an id's control node can be found: the address in it. */
     public static String address(String id) {
         return Membership.address(id);
     }
@@ -98,8 +98,8 @@
     }
 
     /** Whether it has a vote. */
-    public boolean seated() {
-        return decided() != null && decided().electors().contains(self);
+    public boolean isVoter() {
+        return decided() != null && decided().voters().contains(self);
     }
 
     /** The newest slot that is on disk here, or -1. */
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Whether it is in contact with a quorum: more than half of the electors, itself with them if it is one,
+     * Whether it is in contact with a quorum: more than half of the voters, itself with them if it is one,
      * have answered a question that left within so many milliseconds, and none of those knows a newer
      * decision.
      */
@@ -116,7 +116,7 @@
         if (decided() == null) {
             return false;
         }
-        List<String> reached = decided().electors().stream()
+        List<String> reached = decided().voters().stream()
                 .filter(voter -> voter.equals(self) || contact.reached(now, within, voter)).toList();
         return reached.size() >= decided().quorum()
                 && reached.stream().allMatch(voter -> contact.stored(voter) <= decided().slot());
@@ -127,7 +127,7 @@
         wake(now);
         if (slot > storedSlot) {
             storedSlot = slot;
-            if (!seated()) {
+            if (!isVoter()) {
                 // What it waited for to ask for a vote.
                 joinAt = Math.min(joinAt, Math.max(now, joinedAt + JOIN_INTERVAL_LEAST));
             }
@@ -135,13 +135,13 @@
     }
 
     /**
-     * Another office answered a question.
+     * Another control node answered a question.
      *
      * @param sentAt when the question left here
      * @param slot the newest decision that the other has on disk, or -1
      */
     public void echoed(double sentAt, String from, long slot) {
-        if (decided() != null && decided().electors().contains(from)) {
+        if (decided() != null && decided().voters().contains(from)) {
             contact.echoed(sentAt, from, slot);
         }
         // Whoever told it first may have gone, or the message was lost: who is behind asks until it has it.
@@ -151,8 +151,8 @@
     }
 
     /**
-     * This office is to end. Where there are more than three electors it goes out of them first, by
-     * agreement: a seat of one that is gone makes a quorum of the others no smaller, and two such make it
+     * This control node is to end. Where there are more than three voters it goes out of them first, by
+     * agreement: a vote of one that is gone makes a quorum of the others no smaller, and two such make it
      * larger. Three stay three, for two would keep what is agreed on no third disk; and this one may come
      * back.
      */
@@ -180,20 +180,20 @@
     private void submit(double now, PendingOperation operation) {
         wake(now);
         watchQuorum(now);
-        // One that may end takes on nothing new: whoever asks goes on to an office that stays.
+        // One that may end takes on nothing new: whoever asks goes on to a control node that stays.
         boolean ending = membership.isLeaving() && left(now);
         if (withoutQuorum || ending || !queue.offer(now, operation)) {
-            end(operation, Verdict.UNCLEAR);
+            end(operation, CallResult.UNCLEAR);
             return;
         }
         advance(now);
     }
 
-    // One that is dead since before this office began is silent from now on, not for ever unknown.
+    // One that is dead since before this control node began is silent from now on, not for ever unknown.
     private void wake(double now) {
         contact.wake(now);
         if (!awake && decided() != null) {
-            keep(now, decided().electors());
+            keep(now, decided().voters());
         }
         awake = true;
     }
@@ -208,7 +208,7 @@
         withoutQuorum = now - withoutQuorumSince > WITHOUT_QUORUM_LIMIT;
     }
 
-    /** A message came, from this office itself too. */
+    /** A message came, from this control node itself too. */
     public void received(double now, String from, Message message) {
         wake(now);
         if (message instanceof Message.Prepare prepare) {
@@ -217,8 +217,8 @@
             accept(now, from, accept);
         } else if (message instanceof Message.Query query) {
             answer(now, from, query);
-        } else if (message instanceof Message.Decided news) {
-            learn(now, news.decision());
+        } else if (message instanceof Message.Decided update) {
+            learn(now, update.decision());
         } else if (message instanceof Message.Join join) {
             join(now, from, join.slot());
         } else if (message instanceof Message.State state) {
@@ -241,11 +241,11 @@
         }
     }
 
-    // An office without a vote has promised nothing that it can be held to: it answers no ballot.
+    // A control node without a vote has promised nothing that it can be held to: it answers no ballot.
     private void reply(String to, Acceptor.Reply reply) {
         boolean binds = reply.message() instanceof Message.Promise
                 || reply.message() instanceof Message.Accepted;
-        if (binds && !seated()) {
+        if (binds && !isVoter()) {
             return;
         }
         if (reply.synced()) {
@@ -273,7 +273,7 @@
             round.cancel();
             quorumRead.reset();
             actions.decided(decision);
-            keep(now, decision.electors());
+            keep(now, decision.voters());
             membership.learned(now, decision);
         }
     }
@@ -284,7 +284,7 @@
     }
 
     private void join(double now, String from, long slot) {
-        if (decided() == null || decided().electors().contains(from)) {
+        if (decided() == null || decided().voters().contains(from)) {
             return;
         }
         membership.requested(now, from, slot);
@@ -298,7 +298,7 @@
         wake(now);
         watchQuorum(now);
         endOverdue(now);
-        if (!seated()) {
+        if (!isVoter()) {
             askForVote(now);
         } else if (!withoutQuorum) {
             askAboutSilent(now);
@@ -312,7 +312,7 @@
         List<PendingOperation> overdue = withoutQuorum ? queue.removeAll() : queue.removeExpired(now);
         overdue.forEach(operation -> {
             membershipTurn.operationEnded();
-            end(operation, Verdict.UNCLEAR);
+            end(operation, CallResult.UNCLEAR);
         });
         if (queue.head() != head) {
             quorumRead.reset();
@@ -332,7 +332,7 @@
 
     // A second opinion on whoever is silent here, from the voters that are not.
     private void askAboutSilent(double now) {
-        List<String> voters = decided().electors();
+        List<String> voters = decided().voters();
         SuspicionTracker.Question question = failures.question(now, voters, this::nextNonce);
         if (question != null) {
             Message.Query query = new Message.Query(question.nonce(), decided().slot(), question.suspects());
@@ -348,7 +348,7 @@
         joinAt = now + JOIN_INTERVAL * (0.75 + 0.5 * random.nextDouble());
         if (storedSlot >= 0 && !membership.isLeaving()) {
             joinedAt = now;
-            decided().electors().forEach(voter -> actions.send(voter, new Message.Join(storedSlot)));
+            decided().voters().forEach(voter -> actions.send(voter, new Message.Join(storedSlot)));
         }
         actions.send(null, new Message.Query(0, decidedSlot()));
     }
@@ -365,9 +365,9 @@
     private boolean beginNext(double now) {
         boolean betweenOperations = quorumRead.state() == QuorumRead.State.IDLE;
         if (betweenOperations && (queue.isEmpty() || membershipTurn.isNext())) {
-            VoterChange change = seated() && !withoutQuorum ? membership.due(now, decided()) : null;
+            VoterChange change = isVoter() && !withoutQuorum ? membership.due(now, decided()) : null;
             if (change != null) {
-                propose(now, null, decided().with(change.applyTo(decided().electors())));
+                propose(now, null, decided().with(change.applyTo(decided().voters())));
                 return true;
             }
         }
@@ -389,8 +389,8 @@
 
     private void advance(double now, PendingOperation.Replace replace) {
         switch (ruling(replace)) {
-            case TAKEN -> finishHead(Verdict.TAKEN);
-            case FORGOTTEN -> finishHead(Verdict.UNCLEAR);
+            case TAKEN -> finishHead(CallResult.TAKEN);
+            case FORGOTTEN -> finishHead(CallResult.UNCLEAR);
             case NEXT -> propose(now, replace,
                     decided().with(replace.version(), replace.digest(), replace.body()));
             case MISMATCH, OLD_VERSION -> quorumRead.begin(now, nextNonce());
@@ -418,10 +418,10 @@
         return true;
     }
 
-    private Verdict refusal(PendingOperation operation) {
+    private CallResult refusal(PendingOperation operation) {
         boolean isOld = operation instanceof PendingOperation.Replace replace
                 && ruling(replace) == OrderRuling.OLD_VERSION;
-        return isOld ? Verdict.OLD_VERSION : Verdict.MISMATCH;
+        return isOld ? CallResult.OLD_VERSION : CallResult.MISMATCH;
     }
 
     private OrderRuling ruling(PendingOperation.Replace replace) {
@@ -464,18 +464,18 @@
     }
 
     private void won(double now, Decision decision) {
-        if (!decision.electors().equals(decided().electors())) {
+        if (!decision.voters().equals(decided().voters())) {
             membershipTurn.changed();
         }
         learn(now, decision);
-        decision.electors().stream().filter(voter -> !voter.equals(self))
+        decision.voters().stream().filter(voter -> !voter.equals(self))
                 .forEach(voter -> actions.send(voter, new Message.Decided(decision)));
         if (balloted instanceof PendingOperation.FinishVote) {
             removeHead();
         }
     }
 
-    private void finishHead(Verdict verdict) {
+    private void finishHead(CallResult verdict) {
         PendingOperation operation = queue.head();
         removeHead();
         end(operation, verdict);
@@ -487,9 +487,9 @@
         quorumRead.reset();
     }
 
-    private void end(PendingOperation operation, Verdict verdict) {
+    private void end(PendingOperation operation, CallResult verdict) {
         if (operation instanceof PendingOperation.Read read) {
-            actions.read(read.call(), verdict == Verdict.UNCLEAR ? null : decided());
+            actions.read(read.call(), verdict == CallResult.UNCLEAR ? null : decided());
         } else if (operation instanceof PendingOperation.Replace replace) {
             actions.replaced(replace.call(), verdict);
         }
--- a/src/main/java/whinlead/mesh/consensus/ConsensusRound.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusRound.java
@@ -4,8 +4,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * This office's attempts to have decisions agreed on, one ballot at a time: sends to the voters, sends again,
- * and waits a random time after a ballot that another office outbid. Not safe for several threads; times in
+ * This control node's attempts to have decisions agreed on, one ballot at a time: sends to the voters, sends again,
+ * and waits a random time after a ballot that another control node outbid. Not safe for several threads; times in
  * milliseconds.
  */
 final class ConsensusRound {
@@ -26,9 +26,9 @@
     private double backoff = BACKOFF;
 
     /**
-     * Rounds of one life of an office.
+     * Rounds of one life of a control node.
      *
-     * @param proposerName names its ballots, and those of no other life of any office
+     * @param proposerName names its ballots, and those of no other life of any control node
      */
     ConsensusRound(String proposerName, SplittableRandom random) {
         this.proposerName = proposerName;
@@ -49,8 +49,8 @@
      * Begins a ballot.
      *
      * @param base the decision before
-     * @param wanted the decision to have agreed on, or null to only finish what another office began
-     * @param promised the highest ballot that this office has promised
+     * @param wanted the decision to have agreed on, or null to only finish what another control node began
+     * @param promised the highest ballot that this control node has promised
      */
     void begin(double now, Decision base, Decision wanted, Ballot promised) {
         number = Math.max(number, promised.round()) + 1;
--- a/src/main/java/whinlead/mesh/consensus/Decision.java
+++ b/src/main/java/whinlead/mesh/consensus/Decision.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What the offices agreed on in one slot, whole: whoever has the newest needs none before it.
+ * What the control nodes agreed on in one slot, whole: whoever has the newest needs none before it.
  *
- * @param slot counts decisions; 0 is what the first offices were founded with
+ * @param slot counts decisions; 0 is what the first control nodes were founded with
  * @param version of the configuration; 0 before the first one
  * @param body the configuration as it was sent, deflated
  * @param taken versions lately taken, newest last, so that a call repeated finds its own
- * @param electors ids of the offices that vote on the next slot
+ * @param voters ids of the control nodes that vote on the next slot
  */
-public record Decision(long slot, long version, byte[] body, List<Taken> taken, List<String> electors) {
+public record Decision(long slot, long version, byte[] body, List<Taken> taken, List<String> voters) {
     /** How many versions are remembered; of one before them nobody can tell any more whether it was taken. */
     public static final int TAKEN_MOST = 256;
 
@@ -22,12 +22,12 @@
     /** Copies the lists. */
     public Decision {
         taken = List.copyOf(taken);
-        electors = List.copyOf(electors);
+        voters = List.copyOf(voters);
     }
 
-    /** What the first offices start from. */
-    public static Decision founding(List<String> electors) {
-        return new Decision(0, 0, new byte[0], List.of(), electors);
+    /** What the first control nodes start from. */
+    public static Decision founding(List<String> voters) {
+        return new Decision(0, 0, new byte[0], List.of(), voters);
     }
 
     /** The next one, with another configuration. */
@@ -35,12 +35,12 @@
         List<Taken> list = new ArrayList<>(taken);
         list.add(new Taken(newVersion, digest));
         return new Decision(slot + 1, newVersion, newBody,
-                list.subList(Math.max(0, list.size() - TAKEN_MOST), list.size()), electors);
+                list.subList(Math.max(0, list.size() - TAKEN_MOST), list.size()), voters);
     }
 
-    /** The next one, with other electors. */
-    public Decision with(List<String> newElectors) {
-        return new Decision(slot + 1, version, body, taken, newElectors);
+    /** The next one, with other voters. */
+    public Decision with(List<String> newVoters) {
+        return new Decision(slot + 1, version, body, taken, newVoters);
     }
 
     /** Whether exactly this was taken under this version. */
@@ -55,18 +55,18 @@
 
     /** Without what only those that decide need. */
     public Decision forSidecars() {
-        return new Decision(slot, version, body, List.of(), electors);
+        return new Decision(slot, version, body, List.of(), voters);
     }
 
-    /** How many electors are a quorum: more than half. */
+    /** How many voters are a quorum: more than half. */
     public int quorum() {
-        return electors.size() / 2 + 1;
+        return voters.size() / 2 + 1;
     }
 
     @Override
     public boolean equals(Object o) {
         return o instanceof Decision d && d.slot == slot && d.version == version && d.taken.equals(taken)
-                && d.electors.equals(electors) && java.util.Arrays.equals(d.body, body);
+                && d.voters.equals(voters) && java.util.Arrays.equals(d.body, body);
     }
 
     @Override
--- a/src/main/java/whinlead/mesh/consensus/FailureDetector.java
+++ b/src/main/java/whinlead/mesh/consensus/FailureDetector.java
@@ -6,10 +6,10 @@
 
 /**
  * Decides which voters have failed: the only place that says who is silent and who may lose its vote for
- * it. A voter is silent once it has answered no question of this office for a time in which this office
+ * it. A voter is silent once it has answered no question of this control node for a time in which this control node
  * itself was running. It has failed once a majority of the voters says so too ({@link SuspicionTracker}):
  * silence for one observer may be a cut between these two. Not safe for several threads; times in
- * milliseconds on this office's steady clock.
+ * milliseconds on this control node's steady clock.
  */
 final class FailureDetector {
     /** A voter that has answered nothing for so many milliseconds may lose its vote. */
@@ -24,7 +24,7 @@
     /**
      * A detector.
      *
-     * @param self the id of this office, which is never silent
+     * @param self the id of this control node, which is never silent
      * @param contact whose questions were answered when
      */
     FailureDetector(String self, ContactTracker contact) {
@@ -38,7 +38,7 @@
         suspicions.keep(voters);
     }
 
-    /** Those of the voters that this office and a majority with it find silent, in the order given. */
+    /** Those of the voters that this control node and a majority with it find silent, in the order given. */
     List<String> failed(double now, Collection<String> voters) {
         return voters.stream()
                 .filter(voter -> isSilent(now, voter) && suspicions.removable(now, voter)).toList();
@@ -49,7 +49,7 @@
         return suspicions.due(now, silent(now, voters), nonces);
     }
 
-    /** The voters that can be asked for an opinion: not this office, nor any that is silent for it. */
+    /** The voters that can be asked for an opinion: not this control node, nor any that is silent for it. */
     List<String> witnesses(double now, Collection<String> voters) {
         return voters.stream().filter(voter -> !voter.equals(self) && !isSilent(now, voter)).toList();
     }
@@ -59,7 +59,7 @@
         suspicions.answered(now, voter, state.nonce(), state.opinions());
     }
 
-    /** What this office can tell another one of these suspects. */
+    /** What this control node can tell another one of these suspects. */
     List<Message.Opinion> opinions(double now, Collection<String> suspects) {
         return suspects.stream()
                 .map(suspect -> new Message.Opinion(suspect, reachability(now, suspect))).toList();
--- a/src/main/java/whinlead/mesh/consensus/Learners.java
+++ b/src/main/java/whinlead/mesh/consensus/Learners.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * Offices that asked for a vote, and whether each has caught up. One has, while its last word is of the last
+ * Control nodes that asked for a vote, and whether each has caught up. One has, while its last word is of the last
  * second and names a slot at least as new as the newest that was known here half a second ago. While
  * decisions follow each other fast no learner ever holds the newest, but one that follows this closely has a
  * working disk and a way to the others, and that is all that its slot can show: a decision is whole, nothing
  * is decided after a change of voters but by a quorum of the new ones that have it on disk
- * ({@link Acceptor}), and an office votes only once it has learned the decision that made it a voter. Where
+ * ({@link Acceptor}), and a control node votes only once it has learned the decision that made it a voter. Where
  * nothing is decided for half a second, a learner needs exactly the newest. Not safe for several threads;
- * times in milliseconds on this office's steady clock.
+ * times in milliseconds on this control node's steady clock.
  */
 final class Learners {
     /** A request is valid for so many milliseconds. */
@@ -30,10 +30,10 @@
     /** The newest slot that is older than the limit, and all after it; the oldest first. */
     private final Deque<Learned> recent = new ArrayDeque<>();
 
-    /** This office has learned a decision. */
+    /** This control node has learned a decision. */
     void learned(double now, long slot) {
         if (recent.isEmpty() || slot > recent.getLast().slot() + 1) {
-            // What this office itself has missed is no measure of how far a learner may be behind.
+            // What this control node itself has missed is no measure of how far a learner may be behind.
             recent.clear();
             recent.add(new Learned(slot, Double.NEGATIVE_INFINITY));
         } else {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** An office without a vote asks for one, and has this slot on disk. */
+    /** A control node without a vote asks for one, and has this slot on disk. */
     void requested(double now, String learner, long slot) {
         requests.values().removeIf(request -> now - request.at() >= REQUEST_LIMIT);
         requests.put(learner, new Request(slot, now));
--- a/src/main/java/whinlead/mesh/consensus/Membership.java
+++ b/src/main/java/whinlead/mesh/consensus/Membership.java
@@ -6,7 +6,7 @@
  * Which voters the next decision has: one voter more, less or exchanged for another at a time, so that the
  * quorums before and after share a member. What is due is told anew from the newest decision, the newest
  * words of learners and the failure detector each time it is asked for, and binds nobody until it is
- * proposed. Sends nothing. Not safe for several threads; times in milliseconds on this office's steady clock.
+ * proposed. Sends nothing. Not safe for several threads; times in milliseconds on this control node's steady clock.
  */
 final class Membership {
     /** So many voters are not made fewer: two would keep what is agreed on no third disk. */
@@ -19,7 +19,7 @@
     private final FailureDetector failures;
     private final Learners learners = new Learners();
     private boolean leaving;
-    /** The slot that must outlast this office's end. */
+    /** The slot that must outlast this control node's end. */
     private long departureSlot = -1;
     private boolean votes;
 
@@ -29,13 +29,13 @@
         this.failures = failures;
     }
 
-    /** Where an id's office can be found: the address in it. */
+    /** Where an id's control node can be found: the address in it. */
     static String address(String id) {
         int mark = id.indexOf('#');
         return mark < 0 ? id : id.substring(0, mark);
     }
 
-    /** This office is to give up its vote. */
+    /** This control node is to give up its vote. */
     void leave(Decision decided) {
         leaving = true;
         departureSlot = decided == null ? -1 : decided.slot();
@@ -46,29 +46,29 @@
         return leaving;
     }
 
-    /** This office has learned a decision. */
+    /** This control node has learned a decision. */
     void learned(double now, Decision decision) {
         learners.learned(now, decision.slot());
-        boolean stays = decision.electors().contains(self);
+        boolean stays = decision.voters().contains(self);
         if (votes && !stays) {
             departureSlot = decision.slot();
         }
         votes = stays;
     }
 
-    /** An office without a vote asks for one, and has this slot on disk. */
+    /** A control node without a vote asks for one, and has this slot on disk. */
     void requested(double now, String learner, long slot) {
         learners.requested(now, learner, slot);
     }
 
     /**
-     * Whether this office, told to leave, may end: it has no vote, or need not give it up, and what removed
+     * Whether this control node, told to leave, may end: it has no vote, or need not give it up, and what removed
      * it (or was the newest as it was told to leave) is on the disks of a quorum, and of all voters in
-     * contact. What is decided later is on a quorum's disks without this office's help, so in a stream of
+     * contact. What is decided later is on a quorum's disks without this control node's help, so in a stream of
      * decisions it waits for none that comes after.
      */
     boolean mayEnd(double now, Decision decided, long storedSlot) {
-        List<String> voters = decided.electors();
+        List<String> voters = decided.voters();
         boolean handsOver = voters.contains(self) && (mayShrink(decided) || learners.anyWaits(now, voters));
         long holders = voters.stream().filter(voter -> holdsDepartureSlot(voter, storedSlot)).count();
         return !handsOver && holders >= decided.quorum() && voters.stream().allMatch(voter ->
@@ -81,7 +81,7 @@
 
     /** The change that is due now, or null. */
     VoterChange due(double now, Decision decided) {
-        for (String learner : learners.caughtUp(now, decided.electors())) {
+        for (String learner : learners.caughtUp(now, decided.voters())) {
             VoterChange change = voteFor(now, decided, learner);
             if (change != null) {
                 return change;
@@ -93,7 +93,7 @@
     // One at the same address has lost its disk, and with it its vote: that needs no second opinion, nor does
     // one's own leaving. A vote beside one that may be dead would leave no room for the next loss.
     private VoterChange voteFor(double now, Decision decided, String learner) {
-        String replaced = decided.electors().stream()
+        String replaced = decided.voters().stream()
                 .filter(each -> address(each).equals(address(learner))).findFirst()
                 .orElseGet(() -> leavingOrFailed(now, decided));
         if (replaced != null) {
@@ -108,24 +108,24 @@
         if (!mayShrink(decided)) {
             return null;
         }
-        int failedLeast = decided.electors().size() % 2 == 0 ? 1 : 2;
-        boolean removes = leaving || failures.failed(now, decided.electors()).size() >= failedLeast;
+        int failedLeast = decided.voters().size() % 2 == 0 ? 1 : 2;
+        boolean removes = leaving || failures.failed(now, decided.voters()).size() >= failedLeast;
         return removes ? new VoterChange.Remove(leavingOrFailed(now, decided)) : null;
     }
 
     private String leavingOrFailed(double now, Decision decided) {
-        if (leaving && decided.electors().contains(self)) {
+        if (leaving && decided.voters().contains(self)) {
             return self;
         }
-        return failures.failed(now, decided.electors()).stream().findFirst().orElse(null);
+        return failures.failed(now, decided.voters()).stream().findFirst().orElse(null);
     }
 
     private boolean mayShrink(Decision decided) {
-        return decided.electors().size() > VOTERS_LEAST;
+        return decided.voters().size() > VOTERS_LEAST;
     }
 
     private boolean allReached(double now, Decision decided) {
-        return decided.electors().stream().allMatch(voter -> isReached(now, voter));
+        return decided.voters().stream().allMatch(voter -> isReached(now, voter));
     }
 
     private boolean isReached(double now, String voter) {
--- a/src/main/java/whinlead/mesh/consensus/Message.java
+++ b/src/main/java/whinlead/mesh/consensus/Message.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What offices say to each other about ballots. Each is about one slot; replies echo it and the ballot. */
+/** What control nodes say to each other about ballots. Each is about one slot; replies echo it and the ballot. */
 public sealed interface Message {
     /** A vote once given. */
     record Vote(Ballot ballot, Decision value) { }
@@ -78,6 +78,6 @@
         }
     }
 
-    /** An office that is no elector asks to be one; a learner that has this slot's decision on disk. */
+    /** A control node that is no voter asks to be one; a learner that has this slot's decision on disk. */
     record Join(long slot) implements Message { }
 }
--- a/src/main/java/whinlead/mesh/consensus/PendingOperation.java
+++ b/src/main/java/whinlead/mesh/consensus/PendingOperation.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.consensus;
 
-/** An operation that waits at this office until the one before it has ended. */
+/** An operation that waits at this control node until the one before it has ended. */
 sealed interface PendingOperation {
     /**
      * A configuration change that an operator ordered.
--- a/src/main/java/whinlead/mesh/consensus/Proposer.java
+++ b/src/main/java/whinlead/mesh/consensus/Proposer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** One office's attempt to have a value agreed on in one slot. Pure. */
+/** One control node's attempt to have a value agreed on in one slot. Pure. */
 final class Proposer {
     /** Where it stands. */
     enum State { PREPARING, PROPOSING, WON, NACKED, IDLE }
@@ -49,7 +49,7 @@
 
     /** Whom it asks. */
     List<String> voters() {
-        return base.electors();
+        return base.voters();
     }
 
     /** What it proposes: a vote that may have been the last needed binds it. */
@@ -57,18 +57,18 @@
         return highest == null ? wanted : highest.value();
     }
 
-    /** What to ask an elector now that has not answered; null if nothing. */
-    Message call(String elector) {
+    /** What to ask a voter now that has not answered; null if nothing. */
+    Message call(String voter) {
         return switch (state) {
-            case PREPARING -> promised.contains(elector) ? null : new Message.Prepare(slot(), ballot);
-            case PROPOSING -> voted.contains(elector) ? null : new Message.Accept(ballot, value());
+            case PREPARING -> promised.contains(voter) ? null : new Message.Prepare(slot(), ballot);
+            case PROPOSING -> voted.contains(voter) ? null : new Message.Accept(ballot, value());
             default -> null;
         };
     }
 
     /** A promise came. */
     void promise(String from, Message.Promise p) {
-        if (state != State.PREPARING || !p.ballot().equals(ballot) || !base.electors().contains(from)) {
+        if (state != State.PREPARING || !p.ballot().equals(ballot) || !base.voters().contains(from)) {
             return;
         }
         promised.add(from);
@@ -82,7 +82,7 @@
 
     /** A vote came. */
     void vote(String from, Message.Accepted v) {
-        if (state != State.PROPOSING || !v.ballot().equals(ballot) || !base.electors().contains(from)) {
+        if (state != State.PROPOSING || !v.ballot().equals(ballot) || !base.voters().contains(from)) {
             return;
         }
         voted.add(from);
--- a/src/main/java/whinlead/mesh/consensus/QuorumRead.java
+++ b/src/main/java/whinlead/mesh/consensus/QuorumRead.java
@@ -44,7 +44,7 @@
     /** A voter's answer; one that knows a newer decision counts once that decision is here. */
     void answered(String from, Message.State answer, Decision decided) {
         boolean current = decided != null && answer.slot() <= decided.slot();
-        if (answer.nonce() == nonce && current && decided.electors().contains(from)) {
+        if (answer.nonce() == nonce && current && decided.voters().contains(from)) {
             answered.add(from);
             voteOpen |= answer.voted() && answer.slot() >= decided.slot();
         }
@@ -62,7 +62,7 @@
     /** The voters to ask now, for the first time or again. */
     List<String> unanswered(double now, Decision decided) {
         return retry.isDue(now)
-                ? decided.electors().stream().filter(voter -> !answered.contains(voter)).toList() : List.of();
+                ? decided.voters().stream().filter(voter -> !answered.contains(voter)).toList() : List.of();
     }
 
     /** The question. */
--- a/src/main/java/whinlead/mesh/consensus/SuspicionTracker.java
+++ b/src/main/java/whinlead/mesh/consensus/SuspicionTracker.java
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Whether a suspect that is silent for this observer may lose its seat on the word of a majority. */
+    /** Whether a suspect that is silent for this observer may lose its vote on the word of a majority. */
     boolean removable(double now, String suspect) {
         if (!voters.contains(suspect) || !voters.contains(observer) || refuted(now, suspect)) {
             return false;
--- a/src/main/java/whinlead/mesh/control/ControlNode.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -51,40 +51,40 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A sorting office: one core machine's process. It votes on configurations, passes on what sidecars say of
+ * A control node: one core machine's process. It votes on configurations, passes on what sidecars say of
  * their endpoints, and tells them of newer configurations. All state is the loop's; disk and checks have
  * threads of their own.
  */
-public final class ControlNode implements ConsensusNode.Actions, PeerConnection.Ear {
-    private static final ReconnectingConnection.Pace PACE = new ReconnectingConnection.Pace(300, 900, 1500, 150);
+public final class ControlNode implements ConsensusNode.Actions, PeerConnection.MessageHandler {
+    private static final ReconnectingConnection.Timeouts PACE = new ReconnectingConnection.Timeouts(300, 900, 1500, 150);
     private static final long LEAVE_POLL_MS = 25;
     /** What sidecars begin with is confirmed by a majority that answered what left within this. */
     private static final double CONFIRMED_MS = 1000;
-    /** How long before the kill an office that can't leave in order ends all the same; seconds. */
+    /** How long before the kill a control node that can't leave in order ends all the same; seconds. */
     private static final double END_S = 0.8;
     private static final double NANOS = 1e6;
-    /** Offices that are known at most, present and past. */
-    private static final int OFFICES_MOST = 16;
+    /** Control nodes that are known at most, present and past. */
+    private static final int CONTROL_NODES_MOST = 16;
     private static final int LATER = 503;
     private static final int CONFLICT = 412;
     private static final int BAD = 400;
     private static final int NONE = 404;
 
-    private final NodeSettings card;
+    private final NodeSettings nodeSettings;
     private final EventLoop loop;
     private final ObjectMapper mapper;
     private final UnaryOperator<InetSocketAddress> dials;
-    private final ExecutorService clerks = Executors.newSingleThreadExecutor(r -> {
-        Thread t = new Thread(r, "clerk");
+    private final ExecutorService checkExecutor = Executors.newSingleThreadExecutor(r -> {
+        Thread t = new Thread(r, "config-check");
         t.setDaemon(true);
         return t;
     });
     private final ConfigReader reader = new ConfigReader();
-    private final EndpointRegistry directory = new EndpointRegistry();
+    private final EndpointRegistry endpointRegistry = new EndpointRegistry();
     private final SidecarContact contact = new SidecarContact();
     /** By address. */
-    private final Map<String, ReconnectingConnection> offices = new LinkedHashMap<>();
-    /** Links that sidecars and other offices made, and for sidecars the slot that each has. */
+    private final Map<String, ReconnectingConnection> controlNodes = new LinkedHashMap<>();
+    /** Links that sidecars and other control nodes made, and for sidecars the slot that each has. */
     private final Map<PeerConnection, Long> guests = new LinkedHashMap<>();
     /** Of these, who was told what no quorum has confirmed. */
     private final Set<PeerConnection> unconfirmed = new HashSet<>();
@@ -92,20 +92,20 @@
     private final DemandTotals sum = new DemandTotals();
     private final ConsensusTicker ticker;
     private ConfigValidator check;
-    private ConsensusNode council;
-    private StateWriter scribe;
+    private ConsensusNode consensusNode;
+    private StateWriter stateWriter;
     private String id;
     private long calls;
-    private boolean seated;
+    private boolean isVoter;
 
-    /** An office that has not begun. */
-    public ControlNode(NodeSettings card, EventLoop loop, ObjectMapper mapper) {
-        this(card, loop, mapper, UnaryOperator.identity());
+    /** A control node that has not begun. */
+    public ControlNode(NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper) {
+        this(nodeSettings, loop, mapper, UnaryOperator.identity());
     }
 
-    /** One that dials what this makes of another office's address. */
-    public ControlNode(NodeSettings card, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
-        this.card = card;
+    /** One that dials what this makes of another control node's address. */
+    public ControlNode(NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
+        this.nodeSettings = nodeSettings;
         this.loop = loop;
         this.mapper = mapper;
         this.dials = dials;
@@ -114,35 +114,35 @@
     }
 
     /**
-     * Opens the ledger and listens.
+     * Opens the state store and listens.
      *
      * @throws StateStoreException if the disk can't be used
      * @throws InterruptedException if interrupted
      */
     public void start() throws StateStoreException, InterruptedException {
-        String folder = NodeSettings.present(card.self().dataDir(), "Self.DataDir");
-        String control = NodeSettings.present(card.network().bind().control(), "Network.Bind.Control");
-        StateStore ledger = StateStore.open(Path.of(folder));
-        Acceptor.Memory memory = recall(ledger);
-        scribe = new StateWriter(ledger, id, loop);
-        council = new ConsensusNode(id, memory, new SecureRandom().nextLong(), this);
+        String folder = NodeSettings.present(nodeSettings.self().dataDir(), "Self.DataDir");
+        String control = NodeSettings.present(nodeSettings.network().bind().control(), "Network.Bind.Control");
+        StateStore store = StateStore.open(Path.of(folder));
+        Acceptor.State memory = recall(store);
+        stateWriter = new StateWriter(store, id, loop);
+        consensusNode = new ConsensusNode(id, memory, new SecureRandom().nextLong(), this);
         // Ahead of the first call: loading the validator takes longer than checking with it.
-        clerks.execute(() -> check = new ConfigValidator());
-        scribe.start();
-        seated = council.seated();
-        Event.STARTED.log("office " + id + ", slot " + (council.decided() == null ? "none"
-                : council.decided().slot()));
+        checkExecutor.execute(() -> check = new ConfigValidator());
+        stateWriter.start();
+        isVoter = consensusNode.isVoter();
+        Event.STARTED.log("control node " + id + ", slot " + (consensusNode.decided() == null ? "none"
+                : consensusNode.decided().slot()));
         loop.submit(this::begin).sync();
         new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .childHandler(PeerConnection.handlers(this))
-                .bind(new InetSocketAddress(card.self().ip(), card.network().talkPort())).sync();
+                .bind(new InetSocketAddress(nodeSettings.self().ip(), nodeSettings.network().talkPort())).sync();
         new RpcServer(loop, mapper, this::run).listen(EndpointList.address(control)).sync();
         Event.READY.log(id);
     }
 
-    // A new disk is a new elector: what the old one may have promised, this one can't know.
-    private Acceptor.Memory recall(StateStore ledger) throws StateStoreException {
-        StateStore.Entry entry = ledger.read();
+    // A new disk is a new voter: what the old one may have promised, this one can't know.
+    private Acceptor.State recall(StateStore store) throws StateStoreException {
+        StateStore.Entry entry = store.read();
         if (entry != null) {
             id = entry.id();
             try {
@@ -150,19 +150,19 @@
             } catch (LaterFormatException e) {
                 throw new StateStoreException(e.getMessage() + "; it is left as it was", e);
             } catch (IOException e) {
-                throw new StateStoreException("the ledger's entry is damaged; remove it to join as a new office",
+                throw new StateStoreException("the state store's entry is damaged; remove it to join as a new control node",
                         e);
             }
         }
-        String ip = card.self().ip();
-        List<String> seeds = card.network().seeds().stream().map(ControlNode::host).toList();
-        boolean founds = card.self().bootstrap() && seeds.contains(ip);
+        String ip = nodeSettings.self().ip();
+        List<String> seeds = nodeSettings.network().seeds().stream().map(ControlNode::host).toList();
+        boolean founds = nodeSettings.self().bootstrap() && seeds.contains(ip);
         id = ip + "#" + (founds ? "0" : Long.toHexString(new SecureRandom().nextLong() | 1));
-        Acceptor.Memory memory = new Acceptor.Memory(founds
+        Acceptor.State memory = new Acceptor.State(founds
                 ? Decision.founding(seeds.stream().map(s -> s + "#0").sorted().toList()) : null,
                 Ballot.NONE, null);
         // On disk before anything is said under this name.
-        ledger.write(id, AcceptorRecord.write(memory));
+        store.write(id, AcceptorRecord.write(memory));
         return memory;
     }
 
@@ -178,13 +178,13 @@
     /** Leaves: runs while the process ends on SIGTERM, on a thread of its own. */
     public void leave() {
         CountDownLatch ended = new CountDownLatch(1);
-        double end = now() + (card.clauses().bounds().graceS() - END_S) * 1000;
+        double end = now() + (nodeSettings.clauses().bounds().graceS() - END_S) * 1000;
         loop.execute(() -> guard(() -> {
             Event.LEAVING.log(open.size() + " calls under way");
             ticker.activity();
-            council.leave(now());
+            consensusNode.leave(now());
             loop.scheduleAtFixedRate(() -> guard(() -> {
-                if (now() > end || council.left(now()) && open.isEmpty()) {
+                if (now() > end || consensusNode.left(now()) && open.isEmpty()) {
                     ended.countDown();
                 }
             }), 0, LEAVE_POLL_MS, TimeUnit.MILLISECONDS);
@@ -198,9 +198,9 @@
     }
 
     private void begin() {
-        seeds(card.network().seeds());
-        if (council.decided() != null) {
-            council.decided().electors().forEach(e -> know(ConsensusNode.address(e)));
+        seeds(nodeSettings.network().seeds());
+        if (consensusNode.decided() != null) {
+            consensusNode.decided().voters().forEach(e -> know(ConsensusNode.address(e)));
         }
         ticker.activity();
         loop.scheduleAtFixedRate(() -> guard(this::share), SidecarContact.REPEAT_MS,
@@ -208,30 +208,30 @@
     }
 
     private boolean busy() {
-        return !open.isEmpty() || !unconfirmed.isEmpty() || !council.seated();
+        return !open.isEmpty() || !unconfirmed.isEmpty() || !consensusNode.isVoter();
     }
 
     private void tick() {
         // What was to be told of a write that the disk refused at first never is; that it is there now, is.
-        if (scribe.settled()) {
-            council.stored(now(), slot());
+        if (stateWriter.settled()) {
+            consensusNode.stored(now(), slot());
         }
-        council.tick(now());
-        if (!unconfirmed.isEmpty() && council.inTouch(now(), CONFIRMED_MS)) {
+        consensusNode.tick(now());
+        if (!unconfirmed.isEmpty() && consensusNode.inTouch(now(), CONFIRMED_MS)) {
             List<PeerConnection> wait = List.copyOf(unconfirmed);
             unconfirmed.clear();
-            wait.forEach(this::news);
+            wait.forEach(this::update);
         }
     }
 
     // A sidecar that begins waits for what is confirmed: it is told again as soon as that is so.
-    private void news(PeerConnection link) {
-        boolean confirmed = council.inTouch(now(), CONFIRMED_MS);
+    private void update(PeerConnection link) {
+        boolean confirmed = consensusNode.inTouch(now(), CONFIRMED_MS);
         if (!confirmed) {
             unconfirmed.add(link);
             ticker.activity();
         }
-        link.send(new PeerMessage.News(council.decided().forSidecars(), confirmed));
+        link.send(new PeerMessage.ConfigUpdate(consensusNode.decided().forSidecars(), confirmed));
     }
 
     private void guard(Runnable task) {
@@ -246,39 +246,39 @@
         return System.nanoTime() / NANOS;
     }
 
-    // Ties to another office, which may be new.
+    // Connections to another control node, which may be new.
     private void know(String ip) {
-        if (ip.isEmpty() || ip.equals(card.self().ip()) || offices.containsKey(ip)) {
+        if (ip.isEmpty() || ip.equals(nodeSettings.self().ip()) || controlNodes.containsKey(ip)) {
             return;
         }
-        if (offices.size() >= OFFICES_MOST) {
-            offices.entrySet().stream().filter(e -> !e.getValue().up()).findFirst().ifPresent(e -> {
-                offices.remove(e.getKey());
+        if (controlNodes.size() >= CONTROL_NODES_MOST) {
+            controlNodes.entrySet().stream().filter(e -> !e.getValue().up()).findFirst().ifPresent(e -> {
+                controlNodes.remove(e.getKey());
                 e.getValue().close();
             });
-            if (offices.size() >= OFFICES_MOST) {
+            if (controlNodes.size() >= CONTROL_NODES_MOST) {
                 return;
             }
         }
-        ReconnectingConnection tie = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, card.network().talkPort())),
-                new PeerMessage.Hello(id, true), PACE, new ReconnectingConnection.Owner() {
+        ReconnectingConnection connection = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, nodeSettings.network().talkPort())),
+                new PeerMessage.Hello(id, true), PACE, new ReconnectingConnection.Listener() {
                     @Override
                     public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
                         ticker.activity();
                         if (t.state() == ReconnectingConnection.State.UP && before == ReconnectingConnection.State.DIALLING) {
-                            t.send(new PeerMessage.Paper(new Message.Query(0, slot())));
-                            t.send(new PeerMessage.Post(List.copyOf(directory.all())));
+                            t.send(new PeerMessage.Consensus(new Message.Query(0, slot())));
+                            t.send(new PeerMessage.EndpointUpdate(List.copyOf(endpointRegistry.all())));
                         }
                     }
 
                     @Override
-                    public void letter(ReconnectingConnection t, PeerMessage letter) {
-                        // The other office answers on its own tie to this one; here only its pongs come.
+                    public void message(ReconnectingConnection t, PeerMessage peerMessage) {
+                        // The other control node answers on its own connection to this one; here only its pongs come.
                     }
 
                     @Override
                     public void echoed(double sentAt, PeerMessage.Pong pong) {
-                        guard(() -> council.echoed(sentAt, pong.id(), pong.slot()));
+                        guard(() -> consensusNode.echoed(sentAt, pong.id(), pong.slot()));
                     }
 
                     @Override
@@ -286,12 +286,12 @@
                         return true;
                     }
                 });
-        offices.put(ip, tie);
-        tie.dial();
+        controlNodes.put(ip, connection);
+        connection.dial();
     }
 
     private long slot() {
-        return council.decided() == null ? -1 : council.decided().slot();
+        return consensusNode.decided() == null ? -1 : consensusNode.decided().slot();
     }
 
     // --- what other processes say
@@ -308,42 +308,42 @@
     }
 
     @Override
-    public void letter(PeerConnection link, PeerMessage letter) {
-        guard(() -> take(link, letter));
+    public void message(PeerConnection link, PeerMessage peerMessage) {
+        guard(() -> take(link, peerMessage));
     }
 
-    private void take(PeerConnection link, PeerMessage letter) {
-        if (letter instanceof PeerMessage.Hello hello) {
+    private void take(PeerConnection link, PeerMessage peerMessage) {
+        if (peerMessage instanceof PeerMessage.Hello hello) {
             link.peer(hello.id());
             greetBack(link);
-            if (hello.office()) {
+            if (hello.controlNode()) {
                 know(ConsensusNode.address(hello.id()));
                 // It listens from now on: no need to wait for the next dial.
-                ReconnectingConnection back = offices.get(ConsensusNode.address(hello.id()));
+                ReconnectingConnection back = controlNodes.get(ConsensusNode.address(hello.id()));
                 if (back != null) {
                     back.dial();
                 }
             } else {
-                link.send(new PeerMessage.Post(List.copyOf(directory.all())));
+                link.send(new PeerMessage.EndpointUpdate(List.copyOf(endpointRegistry.all())));
             }
         } else if (link.peer() == null) {
             link.close();
-        } else if (letter instanceof PeerMessage.Ping ping) {
-            link.send(new PeerMessage.Pong(ping.number(), id, council.storedSlot()));
-        } else if (letter instanceof PeerMessage.Ask ask) {
+        } else if (peerMessage instanceof PeerMessage.Ping ping) {
+            link.send(new PeerMessage.Pong(ping.number(), id, consensusNode.storedSlot()));
+        } else if (peerMessage instanceof PeerMessage.Subscribe ask) {
             guests.put(link, ask.slot());
             notice(link, ask.slot());
-        } else if (letter instanceof PeerMessage.Fetch && council.decided() != null) {
-            news(link);
-        } else if (letter instanceof PeerMessage.Post post) {
-            posted(link, post.listings());
-        } else if (letter instanceof PeerMessage.Paper paper) {
+        } else if (peerMessage instanceof PeerMessage.FetchConfig && consensusNode.decided() != null) {
+            update(link);
+        } else if (peerMessage instanceof PeerMessage.EndpointUpdate post) {
+            posted(link, post.records());
+        } else if (peerMessage instanceof PeerMessage.Consensus paper) {
             ticker.activity();
-            council.received(now(), link.peer(), paper.message());
-        } else if (letter instanceof PeerMessage.Uses uses) {
+            consensusNode.received(now(), link.peer(), paper.message());
+        } else if (peerMessage instanceof PeerMessage.DemandReport uses) {
             sum.say(now(), link.peer(), uses.uses());
             if (uses.wanted()) {
-                link.send(new PeerMessage.Sums(sum.nodes(), sum.of(link.peer())));
+                link.send(new PeerMessage.DemandSums(sum.nodes(), sum.of(link.peer())));
             }
         }
     }
@@ -356,103 +356,103 @@
     }
 
     private void notice(PeerConnection link, Long has) {
-        if (has != null && council.decided() != null && council.decided().version() > 0
-                && council.decided().slot() > has) {
-            link.send(new PeerMessage.Notice(council.decided().slot()));
+        if (has != null && consensusNode.decided() != null && consensusNode.decided().version() > 0
+                && consensusNode.decided().slot() > has) {
+            link.send(new PeerMessage.ConfigAvailable(consensusNode.decided().slot()));
         }
     }
 
-    private void posted(PeerConnection from, List<EndpointRecord> listings) {
-        List<EndpointRecord> news = new ArrayList<>();
-        for (EndpointRecord listing : listings) {
-            if (directory.merge(listing)) {
-                news.add(listing);
+    private void posted(PeerConnection from, List<EndpointRecord> records) {
+        List<EndpointRecord> update = new ArrayList<>();
+        for (EndpointRecord record : records) {
+            if (endpointRegistry.merge(record)) {
+                update.add(record);
             }
             // Of those that there is room for only: these tables grow by what peers say.
-            if (directory.of(listing.node()) == null) {
+            if (endpointRegistry.of(record.node()) == null) {
                 continue;
             }
-            if (listing.phase() != EndpointRecord.Phase.GONE) {
-                contact.heard(now(), listing.node(), from.peer().indexOf('#') < 0);
+            if (record.phase() != EndpointRecord.Phase.GONE) {
+                contact.heard(now(), record.node(), from.peer().indexOf('#') < 0);
             }
         }
-        spread(from, news);
+        spread(from, update);
     }
 
-    private void spread(PeerConnection from, List<EndpointRecord> news) {
-        if (news.isEmpty()) {
+    private void spread(PeerConnection from, List<EndpointRecord> update) {
+        if (update.isEmpty()) {
             return;
         }
-        PeerMessage.Post post = new PeerMessage.Post(news);
+        PeerMessage.EndpointUpdate post = new PeerMessage.EndpointUpdate(update);
         byte[] written = PeerMessageCodec.write(post);
         guests.forEach((link, slot) -> {
             if (link != from && slot != null) {
                 link.send(written);
             }
         });
-        offices.values().forEach(tie -> tie.send(post));
+        controlNodes.values().forEach(connection -> connection.send(post));
     }
 
-    // Offices tell each other of whom they hear, so that one that no sidecar is tied to counts nobody out.
+    // Control nodes tell each other of whom they hear, so that one that no sidecar is tied to counts nobody out.
     private void share() {
-        List<EndpointRecord> lost = contact.lost(now(), directory);
-        lost.forEach(directory::merge);
+        List<EndpointRecord> lost = contact.lost(now(), endpointRegistry);
+        lost.forEach(endpointRegistry::merge);
         spread(null, lost);
-        List<EndpointRecord> fresh = contact.fresh(now(), directory);
+        List<EndpointRecord> fresh = contact.fresh(now(), endpointRegistry);
         if (!fresh.isEmpty()) {
-            PeerMessage.Post post = new PeerMessage.Post(fresh);
-            offices.values().forEach(tie -> tie.send(post));
+            PeerMessage.EndpointUpdate post = new PeerMessage.EndpointUpdate(fresh);
+            controlNodes.values().forEach(connection -> connection.send(post));
         }
     }
 
-    // --- what the council has done
+    // --- what the consensus node has done
 
     @Override
     public void send(String to, Message message) {
         ticker.activity();
         if (to == null) {
-            offices.values().forEach(tie -> tie.send(new PeerMessage.Paper(message)));
+            controlNodes.values().forEach(connection -> connection.send(new PeerMessage.Consensus(message)));
         } else if (to.equals(id)) {
-            loop.execute(() -> guard(() -> council.received(now(), id, message)));
+            loop.execute(() -> guard(() -> consensusNode.received(now(), id, message)));
         } else {
             String address = ConsensusNode.address(to);
             know(address);
-            ReconnectingConnection tie = offices.get(address);
-            if (tie != null) {
-                tie.send(new PeerMessage.Paper(message));
+            ReconnectingConnection connection = controlNodes.get(address);
+            if (connection != null) {
+                connection.send(new PeerMessage.Consensus(message));
             }
         }
     }
 
     @Override
-    public void sync(Acceptor.Memory memory, String to, Message message) {
+    public void sync(Acceptor.State memory, String to, Message message) {
         ticker.activity();
-        scribe.write(AcceptorRecord.write(memory), () -> send(to, message));
+        stateWriter.write(AcceptorRecord.write(memory), () -> send(to, message));
     }
 
     @Override
     public void decided(Decision decision) {
-        scribe.write(AcceptorRecord.write(new Acceptor.Memory(decision, Ballot.NONE, null)),
-                () -> guard(() -> council.stored(now(), decision.slot())));
-        decision.electors().forEach(e -> know(ConsensusNode.address(e)));
+        stateWriter.write(AcceptorRecord.write(new Acceptor.State(decision, Ballot.NONE, null)),
+                () -> guard(() -> consensusNode.stored(now(), decision.slot())));
+        decision.voters().forEach(e -> know(ConsensusNode.address(e)));
         Event.DECIDED.log("slot " + decision.slot() + " version " + Long.toHexString(decision.version())
-                + " electors " + decision.electors());
+                + " voters " + decision.voters());
         guests.forEach(this::notice);
-        if (seated != council.seated()) {
-            seated = council.seated();
-            Event.SEAT.log(seated ? "this office votes" : "this office does not vote");
+        if (isVoter != consensusNode.isVoter()) {
+            isVoter = consensusNode.isVoter();
+            Event.VOTER_STATUS.log(isVoter ? "this control node votes" : "this control node does not vote");
         }
     }
 
     @Override
-    public void replaced(long call, ConsensusNode.Verdict verdict) {
+    public void replaced(long call, ConsensusNode.CallResult verdict) {
         Consumer<RpcResponse> answer = open.remove(call);
         if (answer != null) {
             answer.accept(switch (verdict) {
                 case TAKEN -> RpcResponse.done();
                 case MISMATCH -> RpcResponse.not(CONFLICT, "If-Match is not the version in force");
                 case OLD_VERSION -> RpcResponse.not(BAD, "Epoch does not exceed the one in force");
-                case UNCLEAR -> RpcResponse.not(LATER, "no majority of offices answered in time");
+                case UNCLEAR -> RpcResponse.not(LATER, "no majority of control nodes answered in time");
             });
         }
     }
@@ -465,7 +465,7 @@
         }
         try {
             if (newest == null) {
-                answer.accept(RpcResponse.not(LATER, "no majority of offices answered in time"));
+                answer.accept(RpcResponse.not(LATER, "no majority of control nodes answered in time"));
             } else if (newest.version() == 0) {
                 answer.accept(RpcResponse.not(NONE, "no configuration was taken yet"));
             } else {
@@ -482,27 +482,27 @@
     private void run(RpcCall order, Consumer<RpcResponse> answer) {
         ticker.activity();
         if (order instanceof RpcCall.Replace replace) {
-            clerks.execute(() -> checked(replace, answer));
+            checkExecutor.execute(() -> checked(replace, answer));
         } else if (order instanceof RpcCall.Read) {
             long call = ++calls;
             open.put(call, answer);
-            council.read(now(), call);
+            consensusNode.read(now(), call);
         } else {
             answer.accept(RpcResponse.not(NONE, "endpoints call the sidecar beside them"));
         }
     }
 
-    // On the clerk's thread.
+    // On the worker's thread.
     private void checked(RpcCall.Replace replace, Consumer<RpcResponse> answer) {
         try {
-            var tariff = reader.read(replace.body());
-            check.check(tariff);
+            var meshConfig = reader.read(replace.body());
+            check.check(meshConfig);
             String digest = ConfigCodec.digest(replace.body());
             byte[] body = ConfigCodec.deflate(replace.body());
             loop.execute(() -> guard(() -> {
                 long call = ++calls;
                 open.put(call, answer);
-                council.replace(now(), call, tariff.version(), replace.builtOn(), digest, body);
+                consensusNode.replace(now(), call, meshConfig.version(), replace.builtOn(), digest, body);
             }));
         } catch (InvalidConfigException e) {
             Event.REFUSED_CALL.log(e.getMessage());
--- a/src/main/java/whinlead/mesh/control/SidecarContact.java
+++ b/src/main/java/whinlead/mesh/control/SidecarContact.java
@@ -9,7 +9,7 @@
 
 /**
  * When a control node last heard of each sidecar, from itself or from another control node, and what follows:
- * which listings it repeats to the other control nodes, and which sidecars it lists as gone. Pure; one
+ * which endpoint records it repeats to the other control nodes, and which sidecars it lists as gone. Pure; one
  * thread; times in milliseconds.
  */
 final class SidecarContact {
@@ -33,10 +33,10 @@
         }
     }
 
-    /** The listings of sidecars that have fallen silent, as gone. */
-    List<EndpointRecord> lost(double now, EndpointRegistry directory) {
+    /** The endpoint records of sidecars that have fallen silent, as gone. */
+    List<EndpointRecord> lost(double now, EndpointRegistry endpointRegistry) {
         List<EndpointRecord> lost = new ArrayList<>();
-        for (EndpointRecord l : directory.all()) {
+        for (EndpointRecord l : endpointRegistry.all()) {
             double silent = now - heard.getOrDefault(l.node(), now);
             if (l.phase() != EndpointRecord.Phase.GONE && silent > SILENT_MS) {
                 lost.add(new EndpointRecord(l.node(), l.life(), l.seq() + 1, l.zone(), l.endpoint(), l.target(),
@@ -46,9 +46,9 @@
         return lost;
     }
 
-    /** The listings of sidecars that were heard from themselves since the last repetition. */
-    List<EndpointRecord> fresh(double now, EndpointRegistry directory) {
-        return directory.all().stream().filter(l -> now - heardDirect.getOrDefault(l.node(),
+    /** The endpoint records of sidecars that were heard from themselves since the last repetition. */
+    List<EndpointRecord> fresh(double now, EndpointRegistry endpointRegistry) {
+        return endpointRegistry.all().stream().filter(l -> now - heardDirect.getOrDefault(l.node(),
                 Double.NEGATIVE_INFINITY) < REPEAT_MS).toList();
     }
 }
--- a/src/main/java/whinlead/mesh/control/StateWriter.java
+++ b/src/main/java/whinlead/mesh/control/StateWriter.java
@@ -9,10 +9,10 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Writes an office's memory on a thread of its own, for a disk may stall. What waits meanwhile is written
+ * Writes a control node's memory on a thread of its own, for a disk may stall. What waits meanwhile is written
  * once, as it is last: each memory holds all that was promised before. A memory that the disk refuses is
  * tried again until it, or a later one, is written; what waited for it is never run, as if lost on the
- * way. Called from the office's loop.
+ * way. Called from the control node's loop.
  */
 final class StateWriter {
     /** Between two tries of a disk that refuses, unless there is a later memory, in milliseconds. */
@@ -21,7 +21,7 @@
     static final int WAITING_MOST = 1000;
     private static final double NANOS = 1e6;
 
-    /** Where it writes: a ledger. */
+    /** Where it writes: a state store. */
     interface Disk {
         /**
          * Writes and syncs; it is on disk when this returns.
@@ -44,16 +44,16 @@
     private boolean refused;
 
     /**
-     * A scribe.
+     * A state writer.
      *
      * @param loop runs what waited for the disk
      */
-    StateWriter(StateStore ledger, String id, Executor loop) {
-        this(memory -> ledger.write(id, memory), loop, () -> System.nanoTime() / NANOS);
+    StateWriter(StateStore store, String id, Executor loop) {
+        this(memory -> store.write(id, memory), loop, () -> System.nanoTime() / NANOS);
     }
 
     /**
-     * A scribe of this disk.
+     * A state writer of this disk.
      *
      * @param clock steady, in milliseconds
      */
@@ -65,7 +65,7 @@
 
     /** Begins to write. */
     void start() {
-        Thread thread = new Thread(this::run, "scribe");
+        Thread thread = new Thread(this::run, "state-writer");
         thread.setDaemon(true);
         thread.start();
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Writes what is newest, if anything is, once. On the scribe's thread. */
+    /** Writes what is newest, if anything is, once. On the state writer's thread. */
     void step() {
         byte[] memory;
         Queue<Runnable> then;
@@ -166,7 +166,7 @@
         }
     }
 
-    // What failed, or null. Whatever is thrown: an ended scribe would keep the office from voting for good.
+    // What failed, or null. Whatever is thrown: an ended state writer would keep the control node from voting for good.
     private String attempt(byte[] memory) {
         try {
             disk.write(memory);
--- a/src/main/java/whinlead/mesh/log/Event.java
+++ b/src/main/java/whinlead/mesh/log/Event.java
@@ -13,15 +13,15 @@
     SETTINGS_REREAD(105, Level.INFO, "settings read again"),
     SETTINGS_BAD(106, Level.WARNING, "settings can't be used"),
     FAULT(107, Level.WARNING, "a fault of the program"),
-    /** 2xx: what the offices agree on. */
+    /** 2xx: what the control nodes agree on. */
     DECIDED(201, Level.INFO, "decided"),
     REFUSED_CALL(202, Level.INFO, "operator's call refused"),
     DISK_FAILED(203, Level.WARNING, "disk failed, not voting"),
-    SEAT(204, Level.INFO, "seat"),
+    VOTER_STATUS(204, Level.INFO, "vote"),
     DISK_AGAIN(205, Level.INFO, "disk writes again"),
-    /** 3xx: links and listings. */
-    OFFICE_UP(301, Level.INFO, "office in reach"),
-    OFFICE_DOWN(302, Level.INFO, "office out of reach"),
+    /** 3xx: links and endpoint records. */
+    CONTROL_NODE_UP(301, Level.INFO, "control node in reach"),
+    CONTROL_NODE_DOWN(302, Level.INFO, "control node out of reach"),
     PEER_DOWN(303, Level.INFO, "sidecar out of reach"),
     ENDPOINT(304, Level.INFO, "endpoint"),
     PASSED_OVER(305, Level.INFO, "passed over, of a later version"),
--- a/src/main/java/whinlead/mesh/quota/TenantQuota.java
+++ b/src/main/java/whinlead/mesh/quota/TenantQuota.java
@@ -97,7 +97,7 @@
         this.windowS = windowS;
     }
 
-    /** What this sidecar is asked for, to be told to the offices. */
+    /** What this sidecar is asked for, to be told to the control nodes. */
     public List<TenantDemand> uses(double now) {
         List<TenantDemand> uses = new ArrayList<>();
         Map<String, Double> now1 = new HashMap<>();
@@ -112,7 +112,7 @@
         return uses;
     }
 
-    /** The sums that an office made with what this sidecar told last, of so many sidecars. */
+    /** The sums that a control node made with what this sidecar told last, of so many sidecars. */
     public void sums(double now, int nodes, List<TenantDemand> totals) {
         Map<String, Part> made = new HashMap<>();
         for (TenantDemand u : totals) {
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Takes one request's allowance.
+     * Takes one request's quota.
      *
      * @param ratePerS the tenant's limit; 0 is none
      * @param listed how many sidecars are listed, 1 at least
--- a/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
@@ -8,67 +8,67 @@
 import java.util.Map;
 
 /**
- * All listings known here, with the counts and the lists by service that requests ask for, which are kept as
- * listings change. Mergeable state: any order of merges gives the same. Pure; one thread.
+ * All endpoint records known here, with the counts and the lists by service that requests ask for, which are kept as
+ * endpoint records change. Mergeable state: any order of merges gives the same. Pure; one thread.
  */
 public final class EndpointRegistry {
-    /** Beyond so many nodes newcomers are left out: a peer's fault must not fill the memory. */
+    /** Beyond so many nodes learners are left out: a peer's fault must not fill the memory. */
     public static final int MOST = 4096;
-    private final Map<String, EndpointRecord> listings = new LinkedHashMap<>();
-    /** By service and then by node: listings of sidecars that have not gone and that have an endpoint. */
+    private final Map<String, EndpointRecord> records = new LinkedHashMap<>();
+    /** By service and then by node: endpoint records of sidecars that have not gone and that have an endpoint. */
     private final Map<String, Map<String, EndpointRecord>> endpoints = new HashMap<>();
     private int present;
 
-    /** Takes a listing in; true if it is news. */
-    public boolean merge(EndpointRecord listing) {
-        EndpointRecord known = listings.get(listing.node());
-        if (known == null && listings.size() >= MOST || !listing.newerThan(known)) {
+    /** Takes an endpoint record in; true if it is news. */
+    public boolean merge(EndpointRecord record) {
+        EndpointRecord known = records.get(record.node());
+        if (known == null && records.size() >= MOST || !record.newerThan(known)) {
             return false;
         }
-        listings.put(listing.node(), listing);
+        records.put(record.node(), record);
         if (known != null) {
             remove(known);
         }
-        add(listing);
+        add(record);
         return true;
     }
 
-    private void add(EndpointRecord listing) {
-        if (listing.phase() == EndpointRecord.Phase.GONE) {
+    private void add(EndpointRecord record) {
+        if (record.phase() == EndpointRecord.Phase.GONE) {
             return;
         }
         present++;
-        if (!listing.endpoint().isEmpty()) {
-            endpoints.computeIfAbsent(listing.target(), service -> new LinkedHashMap<>())
-                    .put(listing.node(), listing);
+        if (!record.endpoint().isEmpty()) {
+            endpoints.computeIfAbsent(record.target(), service -> new LinkedHashMap<>())
+                    .put(record.node(), record);
         }
     }
 
-    private void remove(EndpointRecord listing) {
-        if (listing.phase() == EndpointRecord.Phase.GONE) {
+    private void remove(EndpointRecord record) {
+        if (record.phase() == EndpointRecord.Phase.GONE) {
             return;
         }
         present--;
-        Map<String, EndpointRecord> service = endpoints.getOrDefault(listing.target(), Map.of());
-        if (!listing.endpoint().isEmpty()) {
-            service.remove(listing.node());
+        Map<String, EndpointRecord> service = endpoints.getOrDefault(record.target(), Map.of());
+        if (!record.endpoint().isEmpty()) {
+            service.remove(record.node());
         }
         if (service.isEmpty()) {
-            endpoints.remove(listing.target());
+            endpoints.remove(record.target());
         }
     }
 
     /** The newest of a node, or null. */
     public EndpointRecord of(String node) {
-        return listings.get(node);
+        return records.get(node);
     }
 
     /** All. */
     public Collection<EndpointRecord> all() {
-        return Collections.unmodifiableCollection(listings.values());
+        return Collections.unmodifiableCollection(records.values());
     }
 
-    /** The listings of a service's endpoints, without those of sidecars that have gone. */
+    /** The endpoint records of a service's endpoints, without those of sidecars that have gone. */
     public List<EndpointRecord> endpoints(String service) {
         return List.copyOf(endpoints.getOrDefault(service, Map.of()).values());
     }
--- a/src/main/java/whinlead/mesh/rpc/RpcCall.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcCall.java
@@ -5,10 +5,10 @@
 /** A call of an endpoint or an operator, decoded; whoever runs it answers it. */
 public sealed interface RpcCall {
     /** An endpoint beats. */
-    record Beat(String endpoint, Card card) implements RpcCall { }
+    record Heartbeat(String endpoint, EndpointStatus status) implements RpcCall { }
 
     /** What a beat says. */
-    record Card(@JsonProperty("Target") String target, @JsonProperty("Zone") String zone,
+    record EndpointStatus(@JsonProperty("Target") String target, @JsonProperty("Zone") String zone,
             @JsonProperty("Capacity") int capacity, @JsonProperty("Phase") String phase,
             @JsonProperty("WarmupS") double warmupS, @JsonProperty("CallSeq") long callSeq) { }
 
--- a/src/main/java/whinlead/mesh/rpc/RpcServer.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcServer.java
@@ -30,20 +30,20 @@
     private static final int NOT_FOUND = 404;
 
     /** Runs orders. */
-    public interface Clerk {
+    public interface CallHandler {
         /** Runs one and answers it once. */
         void run(RpcCall order, Consumer<RpcResponse> answer);
     }
 
     private final EventLoop loop;
-    private final Clerk clerk;
+    private final CallHandler callHandler;
     private final ObjectMapper mapper;
 
-    /** A server whose orders this clerk runs, called on the loop. */
-    public RpcServer(EventLoop loop, ObjectMapper mapper, Clerk clerk) {
+    /** A server whose orders this worker runs, called on the loop. */
+    public RpcServer(EventLoop loop, ObjectMapper mapper, CallHandler callHandler) {
         this.loop = loop;
         this.mapper = mapper.copy().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
-        this.clerk = clerk;
+        this.callHandler = callHandler;
     }
 
     /** Listens. */
@@ -65,7 +65,7 @@
 
     private void run(HttpRequest head, byte[] body, Consumer<RpcResponse> answer) {
         try {
-            clerk.run(decode(head, body), answer);
+            callHandler.run(decode(head, body), answer);
         } catch (BadCall e) {
             answer.accept(RpcResponse.not(e.status, e.getMessage()));
         } catch (IOException e) {
@@ -80,7 +80,7 @@
         }
         String call = first(query, "call");
         return switch (call) {
-            case "members.heartbeat" -> new RpcCall.Beat(id(query), mapper.readValue(body, RpcCall.Card.class));
+            case "members.heartbeat" -> new RpcCall.Heartbeat(id(query), mapper.readValue(body, RpcCall.EndpointStatus.class));
             case "members.depart" -> new RpcCall.Depart(id(query));
             case "config.replace" -> new RpcCall.Replace(version(request), body);
             case "config.read" -> new RpcCall.Read();
--- a/src/main/java/whinlead/mesh/run/MeshCommand.java
+++ b/src/main/java/whinlead/mesh/run/MeshCommand.java
@@ -15,6 +15,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
+import java.util.Map;
 import java.util.function.UnaryOperator;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
@@ -22,17 +23,21 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The mesh's roles on the command line: {@code carrier} and {@code office}. */
+/** The mesh's roles on the command line: {@code sidecar} and {@code control}. */
 public final class MeshCommand {
     /** Names the settings file. */
     public static final String SETTINGS = "WHINLEAD_NODE_FILE";
     private static final int USAGE = 2;
+    private static final String SIDECAR = "sidecar";
+    private static final String CONTROL = "control";
+    /** Roles by their names of before, which are understood for one more version. */
+    private static final Map<String, String> FORMER_NAMES = Map.of("carrier", SIDECAR, "office", CONTROL);
 
     private MeshCommand() { }
 
     /** Whether this names a role of the mesh. */
     public static boolean knows(String role) {
-        return "carrier".equals(role) || "office".equals(role);
+        return SIDECAR.equals(role) || CONTROL.equals(role) || FORMER_NAMES.containsKey(role);
     }
 
     /** Runs a role until the process ends; exits with 2 on bad usage and 1 on settings that can't be used. */
@@ -52,7 +57,7 @@
         try {
             CommandLine line = new DefaultParser().parse(options, args);
             if (line.hasOption("help")) {
-                System.out.println("usage: carrier | office [-s FILE] [-c]");
+                System.out.println("usage: sidecar | control [-s FILE] [-c]");
                 options.getOptions().forEach(o -> System.out.println("  -" + o.getOpt() + ", --"
                         + o.getLongOpt() + (o.hasArg() ? " " + o.getArgName() : "") + "  "
                         + o.getDescription()));
@@ -66,9 +71,9 @@
             if (path == null) {
                 throw new NodeSettingsException(SETTINGS + " is not set");
             }
-            NodeSettings card = new NodeSettingsReader(mapper).read(Path.of(path));
+            NodeSettings nodeSettings = new NodeSettingsReader(mapper).read(Path.of(path));
             if (!line.hasOption("check")) {
-                start(line.getArgList().get(0), card, new SettingsWatcher(Path.of(path), card, new NodeSettingsReader(mapper)),
+                start(line.getArgList().get(0), nodeSettings, new SettingsWatcher(Path.of(path), nodeSettings, new NodeSettingsReader(mapper)),
                         hangup, mapper, dials);
             }
         } catch (ParseException e) {
@@ -76,7 +81,7 @@
         } catch (NodeSettingsException | IllegalArgumentException e) {
             quit("settings: " + e.getMessage(), 1);
         } catch (StateStoreException e) {
-            quit("ledger: " + e.getMessage(), 1);
+            quit("state store: " + e.getMessage(), 1);
         } catch (Exception e) {
             // What the future throws of a failed bind is a checked exception that it does not declare.
             quit("cannot start: " + e.getMessage(), 1);
@@ -92,16 +97,16 @@
         }
     }
 
-    private static void start(String role, NodeSettings card, SettingsWatcher settings, Hangup hangup, ObjectMapper mapper,
+    private static void start(String role, NodeSettings nodeSettings, SettingsWatcher settings, Hangup hangup, ObjectMapper mapper,
             UnaryOperator<InetSocketAddress> dials) throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        if ("office".equals(role)) {
-            ControlNode office = new ControlNode(card, loop, mapper, dials);
-            office.start();
-            Runtime.getRuntime().addShutdownHook(new Thread(office::leave, "leave"));
-            settings.watch(hangup, loop, office::seeds);
+        if (CONTROL.equals(FORMER_NAMES.getOrDefault(role, role))) {
+            ControlNode controlNode = new ControlNode(nodeSettings, loop, mapper, dials);
+            controlNode.start();
+            Runtime.getRuntime().addShutdownHook(new Thread(controlNode::leave, "leave"));
+            settings.watch(hangup, loop, controlNode::seeds);
         } else {
-            Sidecar sidecar = new Sidecar(card, loop, mapper, dials);
+            Sidecar sidecar = new Sidecar(nodeSettings, loop, mapper, dials);
             Runtime.getRuntime().addShutdownHook(new Thread(sidecar::leave, "leave"));
             sidecar.start();
             settings.watch(hangup, loop, sidecar::seeds);
--- a/src/main/java/whinlead/mesh/run/SettingsWatcher.java
+++ b/src/main/java/whinlead/mesh/run/SettingsWatcher.java
@@ -23,10 +23,10 @@
     private List<String> seeds;
     private String wrong = "";
 
-    SettingsWatcher(Path path, NodeSettings card, NodeSettingsReader reader) {
+    SettingsWatcher(Path path, NodeSettings nodeSettings, NodeSettingsReader reader) {
         this.path = path;
         this.reader = reader;
-        this.seeds = card.network().seeds();
+        this.seeds = nodeSettings.network().seeds();
     }
 
     /** Has this told of other seeds. */
--- a/src/main/java/whinlead/mesh/sidecar/ClientSide.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientSide.java
@@ -19,11 +19,11 @@
     private static final int SIDECARS = 4;
 
     private final Timers timers;
-    private final NodeSettings card;
+    private final NodeSettings nodeSettings;
     private final long seed;
     private final RequestForwarder round;
     private final RequestClasses classes = new RequestClasses();
-    private final Map<String, ServiceBalancer> depots = new HashMap<>();
+    private final Map<String, ServiceBalancer> balancers = new HashMap<>();
     private final EgressListener egress;
     private final Shutdown shutdown;
 
@@ -33,28 +33,28 @@
      * @param routing the configuration in force, or null
      * @param seed of what its modules draw
      */
-    public ClientSide(Timers timers, NodeSettings card, RequestForwarder round, Supplier<RoutingTable> routing, long seed) {
+    public ClientSide(Timers timers, NodeSettings nodeSettings, RequestForwarder round, Supplier<RoutingTable> routing, long seed) {
         this.timers = timers;
-        this.card = card;
+        this.nodeSettings = nodeSettings;
         this.round = round;
         this.seed = seed;
-        NodeSettings.Bounds bounds = card.clauses().bounds();
+        NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
         TenantQuota allowance = new TenantQuota(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
                 bounds.quotaWindowS(), seed);
-        this.egress = new EgressListener(null, timers, routing, (target, large) -> depot(target), () -> "",
+        this.egress = new EgressListener(null, timers, routing, (target, large) -> balancer(target), () -> "",
                 () -> SIDECARS, allowance, classes);
         this.shutdown = new Shutdown(timers, bounds.graceS(), egress, () -> 0);
     }
 
-    private ServiceBalancer depot(String target) {
-        NodeSettings.Bounds bounds = card.clauses().bounds();
-        return depots.computeIfAbsent(target, t -> new ServiceBalancer(timers, classes, card, SIDECARS, seed, round,
+    private ServiceBalancer balancer(String target) {
+        NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
+        return balancers.computeIfAbsent(target, t -> new ServiceBalancer(timers, classes, nodeSettings, SIDECARS, seed, round,
                 null, new RetryBudget(bounds.retryRatio(), bounds.retrySlack())));
     }
 
     /** The endpoints of a service. */
-    public void endpoints(String target, List<EndpointRecord> listings) {
-        depot(target).update(listings);
+    public void endpoints(String target, List<EndpointRecord> records) {
+        balancer(target).update(records);
     }
 
     /** A client has connected. */
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -27,33 +27,33 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A sidecar's ties to the offices: says what it lists, asks with the configuration that it has, and takes a
+ * A sidecar's connections to the control nodes: says what it lists, asks with the configuration that it has, and takes a
  * newer one. It never goes back. On its loop's thread; configurations are read on another.
  */
 final class ControlClient {
-    /** Longer until it is given up than an idle tie goes without a ping. */
-    private static final ReconnectingConnection.Pace PACE = new ReconnectingConnection.Pace(300, 900, 3000, 150);
-    /** Until another office is asked for what one has not sent, in milliseconds. */
+    /** Longer until it is given up than an idle connection goes without a ping. */
+    private static final ReconnectingConnection.Timeouts PACE = new ReconnectingConnection.Timeouts(300, 900, 3000, 150);
+    /** Until another control node is asked for what one has not sent, in milliseconds. */
     private static final double FETCH_MS = 500;
-    private static final int OFFICES_MOST = 16;
-    /** The same for an office that could confirm what another has sent, where nothing is in force yet. */
+    private static final int CONTROL_NODES_MOST = 16;
+    /** The same for a control node that could confirm what another has sent, where nothing is in force yet. */
     private static final double CONFIRM_MS = 200;
-    /** Without an office in reach, or one that confirms, another sidecar is asked for offices so often. */
+    /** Without a control node in reach, or one that confirms, another sidecar is asked for control nodes so often. */
     private static final double SEEK_MS = 1000;
     private static final double NANOS = 1e6;
 
     private final EventLoop loop;
-    private final NodeSettings card;
+    private final NodeSettings nodeSettings;
     private final PeerMessage.Hello hello;
     private final UnaryOperator<InetSocketAddress> dials;
-    private final Owner owner;
+    private final Listener owner;
     private final ConfigReader reader = new ConfigReader();
     private final ExecutorService reading = Executors.newSingleThreadExecutor(r -> {
         Thread t = new Thread(r, "reader");
         t.setDaemon(true);
         return t;
     });
-    private final Map<String, ReconnectingConnection> offices = new LinkedHashMap<>();
+    private final Map<String, ReconnectingConnection> controlNodes = new LinkedHashMap<>();
     private final Map<ReconnectingConnection, Long> noticed = new HashMap<>();
     private RoutingTable routing;
     private Decision newest;
@@ -63,16 +63,16 @@
     private final DemandReports reports = new DemandReports();
     private ReconnectingConnection seeking;
 
-    /** Hears what the offices say. */
-    interface Owner {
-        /** Listings, old and new. */
-        void posted(List<EndpointRecord> listings);
+    /** Hears what the control nodes say. */
+    interface Listener {
+        /** Endpoint records, old and new. */
+        void posted(List<EndpointRecord> records);
 
         /** Where other sidecars are. */
         List<String> others();
 
-        /** An office has come into reach. */
-        void officeUp();
+        /** A control node has come into reach. */
+        void controlNodeUp();
 
         /** A newer configuration is in force. */
         void inForce(RoutingTable routing);
@@ -82,9 +82,9 @@
     }
 
     /** A desk that dials what {@code dials} makes of an address. */
-    ControlClient(EventLoop loop, NodeSettings card, PeerMessage.Hello hello, UnaryOperator<InetSocketAddress> dials, Owner owner) {
+    ControlClient(EventLoop loop, NodeSettings nodeSettings, PeerMessage.Hello hello, UnaryOperator<InetSocketAddress> dials, Listener owner) {
         this.loop = loop;
-        this.card = card;
+        this.nodeSettings = nodeSettings;
         this.hello = hello;
         this.dials = dials;
         this.owner = owner;
@@ -92,10 +92,10 @@
 
     void start() {
         seekAt = now();
-        seeds(card.network().seeds());
+        seeds(nodeSettings.network().seeds());
     }
 
-    /** Offices to ask as well. */
+    /** Control nodes to ask as well. */
     void seeds(List<String> seeds) {
         seeds.forEach(s -> know(s.substring(0, Math.max(0, s.lastIndexOf(':')))));
     }
@@ -105,22 +105,22 @@
         return routing;
     }
 
-    /** Says listings to all offices in reach. */
-    void post(List<EndpointRecord> listings) {
-        PeerMessage.Post post = new PeerMessage.Post(listings);
-        offices.values().forEach(t -> t.send(post));
+    /** Says endpoint records to all control nodes in reach. */
+    void post(List<EndpointRecord> records) {
+        PeerMessage.EndpointUpdate post = new PeerMessage.EndpointUpdate(records);
+        controlNodes.values().forEach(t -> t.send(post));
     }
 
-    /** Tells offices in reach what is asked for here, where it is due, and asks the first for the sums. */
+    /** Tells control nodes in reach what is asked for here, where it is due, and asks the first for the sums. */
     void uses(List<TenantDemand> uses) {
         DemandReports.Audience audience = reports.next(!uses.isEmpty());
         if (audience == DemandReports.Audience.NONE) {
             return;
         }
         boolean wanted = true;
-        for (ReconnectingConnection tie : offices.values()) {
-            if (tie.up() && (wanted || audience == DemandReports.Audience.ALL)) {
-                tie.send(new PeerMessage.Uses(uses, wanted));
+        for (ReconnectingConnection connection : controlNodes.values()) {
+            if (connection.up() && (wanted || audience == DemandReports.Audience.ALL)) {
+                connection.send(new PeerMessage.DemandReport(uses, wanted));
                 wanted = false;
             }
         }
@@ -134,59 +134,59 @@
         return newest == null ? -1 : newest.slot();
     }
 
-    /** The addresses of offices that are known. */
+    /** The addresses of control nodes that are known. */
     List<String> addresses() {
-        return List.copyOf(offices.keySet());
+        return List.copyOf(controlNodes.keySet());
     }
 
     private void know(String ip) {
-        if (ip.isEmpty() || offices.containsKey(ip)) {
+        if (ip.isEmpty() || controlNodes.containsKey(ip)) {
             return;
         }
-        if (offices.size() >= OFFICES_MOST) {
-            offices.entrySet().stream().filter(e -> !e.getValue().up()).findFirst()
+        if (controlNodes.size() >= CONTROL_NODES_MOST) {
+            controlNodes.entrySet().stream().filter(e -> !e.getValue().up()).findFirst()
                     .ifPresent(e -> drop(e.getKey()));
         }
-        if (offices.size() >= OFFICES_MOST) {
+        if (controlNodes.size() >= CONTROL_NODES_MOST) {
             return;
         }
-        ReconnectingConnection tie = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, card.network().talkPort())), hello,
-                PACE, new ReconnectingConnection.Owner() {
+        ReconnectingConnection connection = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, nodeSettings.network().talkPort())), hello,
+                PACE, new ReconnectingConnection.Listener() {
                     @Override
                     public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
                         if (t.state() == ReconnectingConnection.State.UP && before == ReconnectingConnection.State.DIALLING) {
-                            Event.OFFICE_UP.log(ip);
-                            owner.officeUp();
-                            t.send(new PeerMessage.Ask(slot()));
+                            Event.CONTROL_NODE_UP.log(ip);
+                            owner.controlNodeUp();
+                            t.send(new PeerMessage.Subscribe(slot()));
                         } else if (t.state() == ReconnectingConnection.State.DOWN && before != ReconnectingConnection.State.DIALLING) {
-                            Event.OFFICE_DOWN.log(ip);
+                            Event.CONTROL_NODE_DOWN.log(ip);
                             noticed.remove(t);
                         }
                     }
 
                     @Override
-                    public void letter(ReconnectingConnection t, PeerMessage letter) {
-                        came(t, letter);
+                    public void message(ReconnectingConnection t, PeerMessage message) {
+                        came(t, message);
                     }
 
                     @Override
                     public boolean waits() {
-                        return newest == null || noticed.getOrDefault(offices.get(ip), -1L) > slot();
+                        return newest == null || noticed.getOrDefault(controlNodes.get(ip), -1L) > slot();
                     }
                 });
-        offices.put(ip, tie);
-        tie.dial();
+        controlNodes.put(ip, connection);
+        connection.dial();
     }
 
-    private void came(ReconnectingConnection tie, PeerMessage letter) {
-        if (letter instanceof PeerMessage.Post post) {
-            owner.posted(post.listings());
-        } else if (letter instanceof PeerMessage.Notice notice) {
-            noticed.put(tie, notice.slot());
+    private void came(ReconnectingConnection connection, PeerMessage message) {
+        if (message instanceof PeerMessage.EndpointUpdate post) {
+            owner.posted(post.records());
+        } else if (message instanceof PeerMessage.ConfigAvailable notice) {
+            noticed.put(connection, notice.slot());
             fetch();
-        } else if (letter instanceof PeerMessage.News news) {
-            offered(news);
-        } else if (letter instanceof PeerMessage.Sums sums) {
+        } else if (message instanceof PeerMessage.ConfigUpdate update) {
+            offered(update);
+        } else if (message instanceof PeerMessage.DemandSums sums) {
             owner.sums(sums.nodes(), sums.totals());
         }
     }
@@ -200,15 +200,15 @@
     }
 
     // What is in force here never goes back, and a decision is one whoever tells it; but where nothing is in
-    // force yet, an office that is cut off must not be the one to begin with while a better one can be reached.
-    private void offered(PeerMessage.News news) {
+    // force yet, a control node that is cut off must not be the one to begin with while a better one can be reached.
+    private void offered(PeerMessage.ConfigUpdate update) {
         if (newest != null) {
-            take(news.decision());
+            take(update.decision());
             return;
         }
         fetchAt = now() - FETCH_MS + CONFIRM_MS;
-        news.decision().electors().forEach(e -> know(ConsensusNode.address(e)));
-        begin(beginning.offered(now(), news.decision(), news.confirmed()));
+        update.decision().voters().forEach(e -> know(ConsensusNode.address(e)));
+        begin(beginning.offered(now(), update.decision(), update.confirmed()));
     }
 
     private void begin(Decision decision) {
@@ -217,9 +217,9 @@
         }
     }
 
-    // Offices beyond those known: other sidecars may know them where all have changed since.
+    // Control nodes beyond those known: other sidecars may know them where all have changed since.
     private void seek() {
-        boolean reached = offices.values().stream().anyMatch(ReconnectingConnection::up)
+        boolean reached = controlNodes.values().stream().anyMatch(ReconnectingConnection::up)
                 && !(newest == null && beginning.unconfirmed());
         if (reached) {
             seekAt = now();
@@ -236,17 +236,17 @@
         if (seeking != null) {
             seeking.close();
         }
-        seeking = new ReconnectingConnection(loop, dials.apply(EndpointList.address(node)), hello, PACE, new ReconnectingConnection.Owner() {
+        seeking = new ReconnectingConnection(loop, dials.apply(EndpointList.address(node)), hello, PACE, new ReconnectingConnection.Listener() {
             @Override
             public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
                 if (t.state() == ReconnectingConnection.State.UP) {
-                    t.send(new PeerMessage.Seek());
+                    t.send(new PeerMessage.FindControlNodes());
                 }
             }
 
             @Override
-            public void letter(ReconnectingConnection t, PeerMessage letter) {
-                if (letter instanceof PeerMessage.Offices told) {
+            public void message(ReconnectingConnection t, PeerMessage message) {
+                if (message instanceof PeerMessage.ControlNodes told) {
                     told.addresses().forEach(ControlClient.this::know);
                     t.close();
                 }
@@ -260,14 +260,14 @@
             return;
         }
         List<ReconnectingConnection> have = new ArrayList<>();
-        noticed.forEach((tie, slot) -> {
-            if (slot > slot() && tie.up()) {
-                have.add(tie);
+        noticed.forEach((connection, slot) -> {
+            if (slot > slot() && connection.up()) {
+                have.add(connection);
             }
         });
         if (!have.isEmpty()) {
             fetchAt = now();
-            have.get((int) (Math.random() * have.size())).send(new PeerMessage.Fetch());
+            have.get((int) (Math.random() * have.size())).send(new PeerMessage.FetchConfig());
         }
     }
 
@@ -278,9 +278,9 @@
         }
         boolean same = newest != null && newest.version() == decision.version();
         newest = decision;
-        PeerMessage.Ask ask = new PeerMessage.Ask(decision.slot());
-        offices.values().forEach(t -> t.send(ask));
-        decision.electors().forEach(e -> know(ConsensusNode.address(e)));
+        PeerMessage.Subscribe ask = new PeerMessage.Subscribe(decision.slot());
+        controlNodes.values().forEach(t -> t.send(ask));
+        decision.voters().forEach(e -> know(ConsensusNode.address(e)));
         forget(decision);
         if (same && routing != null) {
             return;
@@ -288,30 +288,30 @@
         reading.execute(() -> read(decision));
     }
 
-    // Offices that are no longer among the electors go, unless they are heard of.
+    // Control nodes that are no longer among the voters go, unless they are heard of.
     private void forget(Decision decision) {
-        List<String> electors = decision.electors().stream().map(ConsensusNode::address).toList();
-        for (String ip : List.copyOf(offices.keySet())) {
-            if (!electors.contains(ip) && !offices.get(ip).up()) {
+        List<String> voters = decision.voters().stream().map(ConsensusNode::address).toList();
+        for (String ip : List.copyOf(controlNodes.keySet())) {
+            if (!voters.contains(ip) && !controlNodes.get(ip).up()) {
                 drop(ip);
             }
         }
     }
 
     private void drop(String ip) {
-        ReconnectingConnection tie = offices.remove(ip);
-        noticed.remove(tie);
-        tie.close();
+        ReconnectingConnection connection = controlNodes.remove(ip);
+        noticed.remove(connection);
+        connection.close();
     }
 
     private void read(Decision decision) {
         try {
-            MeshConfig tariff = reader.read(ConfigCodec.inflate(decision.body()));
-            RoutingTable made = new RoutingTable(decision.slot(), tariff);
+            MeshConfig meshConfig = reader.read(ConfigCodec.inflate(decision.body()));
+            RoutingTable made = new RoutingTable(decision.slot(), meshConfig);
             loop.execute(() -> {
                 if (routing == null || made.slot() > routing.slot()) {
                     routing = made;
-                    Event.IN_FORCE.log("version " + tariff.epoch() + " slot " + made.slot());
+                    Event.IN_FORCE.log("version " + meshConfig.epoch() + " slot " + made.slot());
                     owner.inForce(made);
                 }
             });
--- a/src/main/java/whinlead/mesh/sidecar/EgressListener.java
+++ b/src/main/java/whinlead/mesh/sidecar/EgressListener.java
@@ -27,7 +27,7 @@
 import java.util.function.Supplier;
 
 /**
- * Where the clients and the endpoint of this machine send their requests: finds route, tenant and allowance,
+ * Where the clients and the endpoint of this machine send their requests: finds route, tenant and quota,
  * and has the service's module decide the rest. On its loop's thread.
  */
 final class EgressListener implements ClientConnection.Taker {
@@ -47,7 +47,7 @@
     private static final double NO_ROUTES_MS = 300;
     private static final int BACKLOG = 512;
 
-    /** Finds a service's depot. */
+    /** Finds a service's service balancer. */
     interface Depots {
         /** For requests with large bodies, or for the others. */
         ServiceBalancer of(String target, boolean large);
@@ -56,7 +56,7 @@
     private final EventLoop loop;
     private final Timers timers;
     private final Supplier<RoutingTable> routing;
-    private final Depots depots;
+    private final Depots balancers;
     private final Supplier<String> service;
     private final IntSupplier sidecars;
     private final TenantQuota allowance;
@@ -69,12 +69,12 @@
     private boolean refusing;
 
     EgressListener(EventLoop loop, Timers timers, Supplier<RoutingTable> routing,
-            Depots depots, Supplier<String> service, IntSupplier sidecars,
+            Depots balancers, Supplier<String> service, IntSupplier sidecars,
             TenantQuota allowance, RequestClasses classes) {
         this.loop = loop;
         this.timers = timers;
         this.routing = routing;
-        this.depots = depots;
+        this.balancers = balancers;
         this.service = service;
         this.sidecars = sidecars;
         this.allowance = allowance;
@@ -133,7 +133,7 @@
     @Override
     public MeshConfig.Limits limits() {
         RoutingTable now = routing.get();
-        return now == null ? FIRST : now.tariff().limits();
+        return now == null ? FIRST : now.config().limits();
     }
 
     @Override
@@ -167,7 +167,7 @@
             later(turn, NOT_NOW, NO_ROUTES_MS);
             return;
         }
-        RoutingTable.Way way = now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
+        RoutingTable.NamedRoute way = now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
         if (way == null) {
             plain(turn, NO_ROUTE);
             return;
@@ -178,7 +178,7 @@
             plain(turn, BAD);
             return;
         }
-        RoutingTable.Payer payer = now.payer(head.headers().get(ForwardedHeaders.KEY));
+        RoutingTable.NamedTenant payer = now.payer(head.headers().get(ForwardedHeaders.KEY));
         if (payer == null && !way.route().open() && now.keyed()) {
             plain(turn, UNKNOWN_KEY);
             return;
@@ -192,24 +192,24 @@
             }
         }
         String target = way.service(random.nextDouble());
-        ServiceBalancer depot = depots.of(target, MeshConfig.INGEST.equals(way.route().kind()));
+        ServiceBalancer balancer = balancers.of(target, MeshConfig.INGEST.equals(way.route().kind()));
         double timeout = Math.max(1, timeout(way, deadline) - turn.readingMs());
         Integer rank = payer == null ? null : payer.tenant().rank();
         new Exchange(head, body, turn, way, payer, target, timeout,
-                rank == null ? way.route().rank() : rank).go(depot);
+                rank == null ? way.route().rank() : rank).go(balancer);
     }
 
     @Override
     public double mostMs(HttpRequest head) {
         RoutingTable now = routing.get();
-        RoutingTable.Way way = now == null ? null
+        RoutingTable.NamedRoute way = now == null ? null
                 : now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
         double deadline = deadline(head);
         return way == null || Double.isNaN(deadline) ? Double.POSITIVE_INFINITY : timeout(way, deadline);
     }
 
     // How long the request may be held, from when its head was read, in milliseconds.
-    private static double timeout(RoutingTable.Way way, double deadline) {
+    private static double timeout(RoutingTable.NamedRoute way, double deadline) {
         return Math.min(deadline, way.route().deadlineS() * 1000);
     }
 
@@ -236,23 +236,23 @@
     }
 
     /** One request of a client's. */
-    private final class Exchange implements ServiceBalancer.Shipment, ResponseSink<PeerMessage.Delivered> {
+    private final class Exchange implements ServiceBalancer.Shipment, ResponseSink<PeerMessage.ForwardResponse> {
         private final String method;
         private final String uri;
         private final List<String> headers;
         private final byte[] body;
         private final ClientConnection.Turn turn;
-        private final RoutingTable.Way way;
+        private final RoutingTable.NamedRoute way;
         private final String target;
         private final int rank;
         private final double timeout;
         private final double endAt;
         private final EndpointAttempts attempts;
         private ServiceBalancer.Taken taken = () -> { };
-        private PeerMessage.Delivered last;
+        private PeerMessage.ForwardResponse last;
 
-        private Exchange(HttpRequest head, byte[] body, ClientConnection.Turn turn, RoutingTable.Way way,
-                RoutingTable.Payer payer, String target, double timeout, int rank) {
+        private Exchange(HttpRequest head, byte[] body, ClientConnection.Turn turn, RoutingTable.NamedRoute way,
+                RoutingTable.NamedTenant payer, String target, double timeout, int rank) {
             this.method = head.method().name();
             this.uri = head.uri();
             this.headers = ForwardedHeaders.onward(head.headers(), true);
@@ -274,11 +274,11 @@
             }
         }
 
-        private void go(ServiceBalancer depot) {
+        private void go(ServiceBalancer balancer) {
             exchanges.add(this);
             Request ask = new Request(classes.of(way.repeatable(), rank, way.route().targetS() * 1000), -1, timeout,
                     false, 1, body.length);
-            taken = depot.take(ask, Math.max(1, sidecars.getAsInt()), this, this);
+            taken = balancer.take(ask, Math.max(1, sidecars.getAsInt()), this, this);
             turn.onGone(() -> {
                 exchanges.remove(this);
                 taken.abandon();
@@ -291,8 +291,8 @@
         }
 
         @Override
-        public PeerMessage.Parcel parcel(String endpoint) {
-            return new PeerMessage.Parcel(0, method, uri, headers, body,
+        public PeerMessage.ForwardRequest request(String endpoint) {
+            return new PeerMessage.ForwardRequest(0, method, uri, headers, body,
                     (int) Math.max(1, endAt - timers.now()), target, endpoint, rank);
         }
 
@@ -307,12 +307,12 @@
         }
 
         @Override
-        public void answered(PeerMessage.Delivered answer) {
+        public void answered(PeerMessage.ForwardResponse answer) {
             last = answer;
         }
 
         @Override
-        public void served(PeerMessage.Delivered answer) {
+        public void served(PeerMessage.ForwardResponse answer) {
             exchanges.remove(this);
             turn.answer(answer.status(), answer.headers(), answer.body());
         }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
@@ -45,11 +45,11 @@
     }
 
     /** An attempt came back without an answer. */
-    public void returned(PeerMessage.Why why) {
+    public void returned(PeerMessage.FailureReason why) {
         if (why.neverRan) {
             mayHaveRun--;
         }
-        if (why.neverRan && why != PeerMessage.Why.TURNED_AWAY) {
+        if (why.neverRan && why != PeerMessage.FailureReason.TURNED_AWAY) {
             arrived--;
         }
     }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
@@ -93,21 +93,21 @@
     }
 
     /**
-     * Sends a request, at most once; {@code done} gets the answer, a {@link PeerMessage.Delivered} or
-     * {@link PeerMessage.Returned} with no figures of load, once, also if it is cancelled.
+     * Sends a request, at most once; {@code done} gets the answer, a {@link PeerMessage.ForwardResponse} or
+     * {@link PeerMessage.ForwardFailure} with no figures of load, once, also if it is cancelled.
      *
      * @param instance the endpoint's id, which every other endpoint turns away; empty where none is known
      */
-    public Sent send(PeerMessage.Parcel parcel, String instance, Consumer<PeerMessage> done) {
-        double until = timers.now() + parcel.leftMs();
-        String attempt = attempt(parcel);
+    public Sent send(PeerMessage.ForwardRequest forwardRequest, String instance, Consumer<PeerMessage> done) {
+        double until = timers.now() + forwardRequest.leftMs();
+        String attempt = attempt(forwardRequest);
         Wire wire = idle(attempt);
         if (wire != null) {
-            wire.ask(parcel, attempt, until, instance, done);
-            return whileRunning -> wire.cancel(parcel, whileRunning);
+            wire.ask(forwardRequest, attempt, until, instance, done);
+            return whileRunning -> wire.cancel(forwardRequest, whileRunning);
         }
         Wire made = new Wire();
-        made.parcel = parcel;
+        made.forwardRequest = forwardRequest;
         connector.connect(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
@@ -115,12 +115,12 @@
             }
         }).addListener(f -> {
             if (f.isSuccess()) {
-                made.ask(parcel, attempt, made.parcel == null ? 0 : until, instance, done);
+                made.ask(forwardRequest, attempt, made.forwardRequest == null ? 0 : until, instance, done);
             } else {
-                done.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.UNREACHED, 0, 0));
+                done.accept(new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
             }
         });
-        return whileRunning -> made.cancel(parcel, whileRunning);
+        return whileRunning -> made.cancel(forwardRequest, whileRunning);
     }
 
     // The one that was used last of those that are still good, but none that was asked under this id before:
@@ -144,9 +144,9 @@
         return found;
     }
 
-    private static String attempt(PeerMessage.Parcel parcel) {
+    private static String attempt(PeerMessage.ForwardRequest forwardRequest) {
         String attempt = null;
-        List<String> headers = parcel.headers();
+        List<String> headers = forwardRequest.headers();
         for (int i = 0; i + 1 < headers.size(); i += 2) {
             attempt = headers.get(i).equalsIgnoreCase(ForwardedHeaders.ATTEMPT) ? headers.get(i + 1) : attempt;
         }
@@ -169,7 +169,7 @@
 
     private final class Wire extends ChannelInboundHandlerAdapter {
         private Channel channel;
-        private PeerMessage.Parcel parcel;
+        private PeerMessage.ForwardRequest forwardRequest;
         private String attempt;
         private Consumer<PeerMessage> done;
         private Timers.Timer timer;
@@ -196,23 +196,23 @@
         }
 
         // While it connects it has no one to tell yet, and does without its request from then on.
-        void cancel(PeerMessage.Parcel sent, boolean whileRunning) {
-            if (parcel == sent && done == null) {
-                parcel = null;
-            } else if (parcel == sent && whileRunning) {
-                spoilt(PeerMessage.Why.BROKEN);
+        void cancel(PeerMessage.ForwardRequest sent, boolean whileRunning) {
+            if (forwardRequest == sent && done == null) {
+                forwardRequest = null;
+            } else if (forwardRequest == sent && whileRunning) {
+                spoilt(PeerMessage.FailureReason.BROKEN);
             }
         }
 
-        void ask(PeerMessage.Parcel sent, String id, double until, String instance, Consumer<PeerMessage> whenDone) {
-            parcel = sent;
+        void ask(PeerMessage.ForwardRequest sent, String id, double until, String instance, Consumer<PeerMessage> whenDone) {
+            forwardRequest = sent;
             attempt = id;
             done = whenDone;
             double left = until - timers.now();
             if (channel == null || !channel.isActive() || left < 1) {
                 // Nothing was written. Its time may have gone by while this connection was being made.
                 boolean sound = channel != null && channel.isActive();
-                end(PeerMessage.Why.UNREACHED);
+                end(PeerMessage.FailureReason.UNREACHED);
                 if (sound) {
                     reusable();
                 }
@@ -223,12 +223,12 @@
             try {
                 request = written(sent, left, instance);
             } catch (IllegalArgumentException e) {
-                // Nothing goes out of what is no request; it must not end the tie that it came by, either.
-                end(PeerMessage.Why.UNREACHED);
+                // Nothing goes out of what is no request; it must not end the connection that it came by, either.
+                end(PeerMessage.FailureReason.UNREACHED);
                 channel.close();
                 return;
             }
-            timer = timers.after(left + SLACK_MS, () -> spoilt(PeerMessage.Why.LATE));
+            timer = timers.after(left + SLACK_MS, () -> spoilt(PeerMessage.FailureReason.LATE));
             writing = true;
             channel.writeAndFlush(request).addListener(f -> written(f.isSuccess()));
         }
@@ -237,14 +237,14 @@
         private void written(boolean whole) {
             writing = false;
             if (!whole) {
-                spoilt(PeerMessage.Why.BROKEN);
-            } else if (parcel == null && channel.isActive()) {
+                spoilt(PeerMessage.FailureReason.BROKEN);
+            } else if (forwardRequest == null && channel.isActive()) {
                 timer.cancel();
                 reusable();
             }
         }
 
-        private FullHttpRequest written(PeerMessage.Parcel sent, double left, String instance) {
+        private FullHttpRequest written(PeerMessage.ForwardRequest sent, double left, String instance) {
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                     HttpMethod.valueOf(sent.method()), sent.uri(), Unpooled.wrappedBuffer(sent.body()));
             List<String> headers = sent.headers();
@@ -273,7 +273,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
                 if (message instanceof HttpObject o && o.decoderResult().isFailure()) {
-                    spoilt(PeerMessage.Why.BROKEN);
+                    spoilt(PeerMessage.FailureReason.BROKEN);
                     return;
                 }
                 if (message instanceof HttpResponse r) {
@@ -297,13 +297,13 @@
             body = Unpooled.buffer(256);
             if (!ResponseValidator.isFramed(r)) {
                 // Its end could not be told, or its body is not the endpoint's.
-                spoilt(PeerMessage.Why.BROKEN);
+                spoilt(PeerMessage.FailureReason.BROKEN);
             }
         }
 
         private void more(HttpContent c) {
             if (body.readableBytes() + c.content().readableBytes() > ANSWER_MOST) {
-                spoilt(PeerMessage.Why.BROKEN);
+                spoilt(PeerMessage.FailureReason.BROKEN);
                 return;
             }
             body.writeBytes(c.content());
@@ -323,16 +323,16 @@
                 }
                 return;
             }
-            boolean keep = HttpUtil.isKeepAlive(answer) && !HttpMethod.CONNECT.name().equals(parcel.method());
+            boolean keep = HttpUtil.isKeepAlive(answer) && !HttpMethod.CONNECT.name().equals(forwardRequest.method());
             idleMs = ResponseValidator.idleMs(answer, idleMs, IDLE_MS);
-            PeerMessage.Why why = ResponseValidator.reject(answer);
+            PeerMessage.FailureReason why = ResponseValidator.reject(answer);
             Consumer<PeerMessage> tell = done;
-            PeerMessage.Parcel told = parcel;
+            PeerMessage.ForwardRequest told = forwardRequest;
             rest(keep);
             if (why != null) {
-                tell.accept(new PeerMessage.Returned(told.stream(), why, 0, 0));
+                tell.accept(new PeerMessage.ForwardFailure(told.stream(), why, 0, 0));
             } else {
-                tell.accept(new PeerMessage.Delivered(told.stream(), answer.status().code(),
+                tell.accept(new PeerMessage.ForwardResponse(told.stream(), answer.status().code(),
                         ForwardedHeaders.onward(answer.headers(), false), bytes, 0, 0));
             }
         }
@@ -340,7 +340,7 @@
         private void rest(boolean keep) {
             timer.cancel();
             done = null;
-            parcel = null;
+            forwardRequest = null;
             if (!keep || !channel.isActive()) {
                 channel.close();
                 return;
@@ -358,7 +358,7 @@
             idle.addLast(this);
         }
 
-        private void spoilt(PeerMessage.Why why) {
+        private void spoilt(PeerMessage.FailureReason why) {
             // What still comes in the same breath belongs to nothing.
             head = null;
             body = null;
@@ -367,7 +367,7 @@
             channel.close();
         }
 
-        private void end(PeerMessage.Why why) {
+        private void end(PeerMessage.FailureReason why) {
             if (timer != null) {
                 timer.cancel();
             }
@@ -375,19 +375,19 @@
             Consumer<PeerMessage> tell = done;
             done = null;
             if (tell != null) {
-                tell.accept(new PeerMessage.Returned(parcel.stream(), why, 0, 0));
+                tell.accept(new PeerMessage.ForwardFailure(forwardRequest.stream(), why, 0, 0));
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end(PeerMessage.Why.BROKEN);
+            end(PeerMessage.FailureReason.BROKEN);
         }
 
         // Before the connection is told to be closed: after a reset no answer ends with its connection.
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            spoilt(PeerMessage.Why.BROKEN);
+            spoilt(PeerMessage.FailureReason.BROKEN);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
@@ -54,25 +54,25 @@
     private double highest;
     private double highestAt;
 
-    /** A hatch whose endpoint beats so often, in milliseconds. */
+    /** An endpoint gate whose endpoint beats so often, in milliseconds. */
     public EndpointGate(double beatMs) {
         this.beatMs = beatMs;
     }
 
     /** An endpoint beats; true if that changes what others need to know. */
-    public boolean beat(double now, String id, RpcCall.Card card) {
-        if (id.equals(endpoint) && (card.callSeq() <= callSeq || state == State.GONE && callSeq < 0)) {
+    public boolean beat(double now, String id, RpcCall.EndpointStatus settings) {
+        if (id.equals(endpoint) && (settings.callSeq() <= callSeq || state == State.GONE && callSeq < 0)) {
             return false;
         }
         boolean fresh = !id.equals(endpoint);
         State before = state;
         endpoint = id;
-        target = card.target();
-        capacity = Math.max(1, card.capacity());
-        callSeq = card.callSeq();
+        target = settings.target();
+        capacity = Math.max(1, settings.capacity());
+        callSeq = settings.callSeq();
         beatAt = now;
-        warmUntil = now + Math.max(0, card.warmupS()) * 1000;
-        if ("draining".equals(card.phase())) {
+        warmUntil = now + Math.max(0, settings.warmupS()) * 1000;
+        if ("draining".equals(settings.phase())) {
             if (fresh || before != State.DRAINING) {
                 drainAt = now;
             }
@@ -138,14 +138,14 @@
     }
 
     /** What may become of a request now. */
-    public enum Entry { OPEN, FULL, MOVED }
+    public enum Admission { OPEN, FULL, MOVED }
 
     /** Whether a request for this service, of this rank, may go to the endpoint now. */
-    public Entry enter(double now, String service, int rank) {
+    public Admission enter(double now, String service, int rank) {
         boolean there = service.equals(target) && (state == State.SERVING
                 || state == State.DRAINING && now - drainAt < LAST_CALLS_MS);
         if (!there) {
-            return Entry.MOVED;
+            return Admission.MOVED;
         }
         double highest = this.highest * Math.exp(-(now - highestAt) / HIGHEST_MS);
         if (rank <= 0) {
@@ -154,7 +154,7 @@
         }
         double[] queues = highest > HIGHEST_COME ? QUEUE_BEHIND : QUEUE;
         double queue = queues[Math.min(queues.length - 1, Math.max(0, rank))];
-        return held < capacity * (1 + queue) ? Entry.OPEN : Entry.FULL;
+        return held < capacity * (1 + queue) ? Admission.OPEN : Admission.FULL;
     }
 
     /** A request goes to the endpoint. */
--- a/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
@@ -31,9 +31,9 @@
      *
      * @param transit of the connection by which it came
      */
-    public int left(double now, TransitClock transit, PeerMessage.Parcel parcel) {
+    public int left(double now, TransitClock transit, PeerMessage.ForwardRequest request) {
         running(now);
-        int left = transit.left(now, parcel.sentAt(), parcel.leftMs());
+        int left = transit.left(now, request.sentAt(), request.leftMs());
         boolean backlog = now - resumedAt < BACKLOG_MS;
         return backlog && transit.firstArrivalAt() >= resumedAt ? 0 : left;
     }
--- a/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
+++ b/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
@@ -10,12 +10,12 @@
 
 /**
  * Notes which services' lists of endpoints a change has made out of date, and has each of them made anew once
- * for all that changes in one turn of the loop. A listing concerns the service that it names and the one that
+ * for all that changes in one turn of the loop. An endpoint record concerns the service that it names and the one that
  * its sidecar named before. On the loop's thread.
  */
 final class OutdatedLists {
     private final Executor loop;
-    private final EndpointRegistry directory;
+    private final EndpointRegistry endpointRegistry;
     private final Consumer<Set<String>> refresh;
     private final Set<String> services = new LinkedHashSet<>();
     private boolean scheduled;
@@ -24,22 +24,22 @@
      * Nothing is out of date yet.
      *
      * @param loop runs a task on this thread, after the one that runs
-     * @param directory takes the listings in
+     * @param endpointRegistry takes the endpoint records in
      * @param refresh makes the lists of these services anew
      */
-    OutdatedLists(Executor loop, EndpointRegistry directory, Consumer<Set<String>> refresh) {
+    OutdatedLists(Executor loop, EndpointRegistry endpointRegistry, Consumer<Set<String>> refresh) {
         this.loop = loop;
-        this.directory = directory;
+        this.endpointRegistry = endpointRegistry;
         this.refresh = refresh;
     }
 
-    /** Takes a listing in; if it is news, the lists that it concerns are made anew. */
-    void merge(EndpointRecord listing) {
-        EndpointRecord before = directory.of(listing.node());
-        if (!directory.merge(listing)) {
+    /** Takes an endpoint record in; if it is news, the lists that it concerns are made anew. */
+    void merge(EndpointRecord record) {
+        EndpointRecord before = endpointRegistry.of(record.node());
+        if (!endpointRegistry.merge(record)) {
             return;
         }
-        services.add(listing.target());
+        services.add(record.target());
         if (before != null) {
             services.add(before.target());
         }
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -24,18 +24,18 @@
 import java.util.function.Function;
 
 /**
- * The ways to the sidecars beside the endpoints: a tie to each that was used, and the requests out on it.
+ * The ways to the sidecars beside the endpoints: a connection to each that was used, and the requests out on it.
  * Each request is written once at most, on one connection, under a number that this process gives once; what
  * comes back counts for the request of that number and no other. On its loop's thread.
  */
 public final class RequestForwarder {
-    private static final ReconnectingConnection.Pace PACE = new ReconnectingConnection.Pace(250, 700, 5000, 250);
+    private static final ReconnectingConnection.Timeouts PACE = new ReconnectingConnection.Timeouts(250, 700, 5000, 250);
     private static final double MICROS = 1000;
 
     /** Takes requests for the endpoint beside this sidecar. */
-    public interface Local {
+    public interface LocalEndpoint {
         /** Delivers it, and tells what became of it once. */
-        void deliver(PeerMessage.Parcel parcel, Consumer<PeerMessage> done);
+        void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done);
 
         /** The client of a request that was delivered has left. */
         default void cancel(PeerMessage.Cancel cancel) { }
@@ -58,8 +58,8 @@
         /** Where it stands. */
         ReconnectingConnection.State state();
 
-        /** Sends a letter; false if nothing of it was sent. */
-        boolean send(PeerMessage letter);
+        /** Sends a message; false if nothing of it was sent. */
+        boolean send(PeerMessage message);
 
         /** Ends it for good. */
         void close();
@@ -70,8 +70,8 @@
         /** It stands otherwise than before. */
         void changed(ReconnectingConnection.State now, ReconnectingConnection.State before);
 
-        /** A letter came. */
-        void letter(PeerMessage letter);
+        /** A message came. */
+        void message(PeerMessage message);
 
         /** Whether something is waited for. */
         boolean waits();
@@ -83,7 +83,7 @@
     private final Timers timers;
     private final Executor soon;
     private final String self;
-    private final Local local;
+    private final LocalEndpoint local;
     private final BiFunction<String, Ear, Path> paths;
     private final Runnable changed;
     private final Map<String, Way> ways = new HashMap<>();
@@ -94,7 +94,7 @@
      *
      * @param changed told when a node has come into reach or gone out of it
      */
-    RequestForwarder(EventLoop loop, String self, Local local, PeerMessage hello,
+    RequestForwarder(EventLoop loop, String self, LocalEndpoint local, PeerMessage hello,
             Function<String, SocketAddress> addresses, Runnable changed) {
         this(new LoopTimers(loop, new Clock()), loop, self, local,
                 (node, ear) -> new Tied(loop, node, addresses.apply(node), hello, ear), changed);
@@ -105,7 +105,7 @@
      *
      * @param soon runs a task on this thread, after the one that runs
      */
-    public RequestForwarder(Timers timers, Executor soon, String self, Local local, BiFunction<String, Ear, Path> paths,
+    public RequestForwarder(Timers timers, Executor soon, String self, LocalEndpoint local, BiFunction<String, Ear, Path> paths,
             Runnable changed) {
         this.timers = timers;
         this.soon = soon;
@@ -115,36 +115,36 @@
         this.changed = changed;
     }
 
-    /** A path that is a tie. */
-    private static final class Tied implements Path, ReconnectingConnection.Owner {
+    /** A path that is a connection. */
+    private static final class Tied implements Path, ReconnectingConnection.Listener {
         private final String node;
         private final Ear ear;
-        private final ReconnectingConnection tie;
+        private final ReconnectingConnection connection;
 
         private Tied(EventLoop loop, String node, SocketAddress address, PeerMessage hello, Ear ear) {
             this.node = node;
             this.ear = ear;
-            this.tie = new ReconnectingConnection(loop, address, hello, PACE, this);
+            this.connection = new ReconnectingConnection(loop, address, hello, PACE, this);
         }
 
         @Override
         public void dial() {
-            tie.dial();
+            connection.dial();
         }
 
         @Override
         public ReconnectingConnection.State state() {
-            return tie.state();
+            return connection.state();
         }
 
         @Override
-        public boolean send(PeerMessage letter) {
-            return tie.send(letter);
+        public boolean send(PeerMessage message) {
+            return connection.send(message);
         }
 
         @Override
         public void close() {
-            tie.close();
+            connection.close();
         }
 
         @Override
@@ -156,8 +156,8 @@
         }
 
         @Override
-        public void letter(ReconnectingConnection t, PeerMessage letter) {
-            ear.letter(letter);
+        public void message(ReconnectingConnection t, PeerMessage message) {
+            ear.message(message);
         }
 
         @Override
@@ -188,10 +188,10 @@
             this.elsewhere = elsewhere;
         }
 
-        private void end(PeerMessage letter) {
+        private void end(PeerMessage message) {
             if (!over) {
                 over = true;
-                done.accept(letter);
+                done.accept(message);
             }
         }
 
@@ -219,12 +219,12 @@
     }
 
     /** A request that waits for its path, and until when its answer is of use. */
-    private record Waiting(PeerMessage.Parcel parcel, double until) { }
+    private record Waiting(PeerMessage.ForwardRequest request, double until) { }
 
     private final class Way implements Ear {
         private final Path path;
         private final Map<Long, Out> out = new LinkedHashMap<>();
-        /** What waits for the tie's first moments. */
+        /** What waits for the connection's first moments. */
         private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
 
         private Way(String node) {
@@ -234,34 +234,34 @@
         @Override
         public void changed(ReconnectingConnection.State now, ReconnectingConnection.State before) {
             if (now == ReconnectingConnection.State.UP) {
-                List<Waiting> parcels = new ArrayList<>(waiting.values());
+                List<Waiting> requests = new ArrayList<>(waiting.values());
                 waiting.clear();
-                parcels.forEach(this::write);
+                requests.forEach(this::write);
             } else if (now == ReconnectingConnection.State.SUSPECT) {
                 // The answers may still come; but what may run again had better be served elsewhere.
-                fail(PeerMessage.Why.BROKEN, true);
+                fail(PeerMessage.FailureReason.BROKEN, true);
             } else if (now == ReconnectingConnection.State.DOWN || now == ReconnectingConnection.State.CLOSED) {
-                fail(PeerMessage.Why.BROKEN, false);
+                fail(PeerMessage.FailureReason.BROKEN, false);
             }
             if (now != ReconnectingConnection.State.DIALLING && now != ReconnectingConnection.State.CLOSED) {
                 changed.run();
             }
         }
 
-        private void fail(PeerMessage.Why why, boolean silent) {
+        private void fail(PeerMessage.FailureReason why, boolean silent) {
             for (Map.Entry<Long, Out> e : new ArrayList<>(out.entrySet())) {
                 Out o = e.getValue();
                 if (!silent || o.leavesSilence()) {
                     out.remove(e.getKey());
                     waiting.remove(e.getKey());
-                    o.end(new PeerMessage.Returned(e.getKey(), o.written ? why : PeerMessage.Why.UNREACHED, 0, 0));
+                    o.end(new PeerMessage.ForwardFailure(e.getKey(), o.written ? why : PeerMessage.FailureReason.UNREACHED, 0, 0));
                 }
             }
         }
 
         // Its time runs while it waits; once that is up nobody waits for it any more, and it must not run.
         private void write(Waiting w) {
-            long stream = w.parcel.stream();
+            long stream = w.request.stream();
             Out o = out.get(stream);
             if (o == null || o.over) {
                 out.remove(stream);
@@ -269,10 +269,10 @@
             }
             double left = w.until - timers.now();
             o.written = left >= 1;
-            if (!o.written || !path.send(numbered(stream, w.parcel, (int) Math.round(left), stamp()))) {
+            if (!o.written || !path.send(numbered(stream, w.request, (int) Math.round(left), stamp()))) {
                 o.written = false;
                 out.remove(stream);
-                o.end(new PeerMessage.Returned(stream, PeerMessage.Why.UNREACHED, 0, 0));
+                o.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0));
             }
         }
 
@@ -287,12 +287,12 @@
         }
 
         @Override
-        public void letter(PeerMessage letter) {
-            long stream = letter instanceof PeerMessage.Delivered d ? d.stream()
-                    : letter instanceof PeerMessage.Returned r ? r.stream() : -1;
+        public void message(PeerMessage message) {
+            long stream = message instanceof PeerMessage.ForwardResponse d ? d.stream()
+                    : message instanceof PeerMessage.ForwardFailure r ? r.stream() : -1;
             Out o = out.remove(stream);
             if (o != null) {
-                o.end(letter);
+                o.end(message);
             }
         }
     }
@@ -320,9 +320,9 @@
     }
 
     /** Ends the ways to nodes that have gone. */
-    void keep(EndpointRegistry directory) {
+    void keep(EndpointRegistry endpointRegistry) {
         for (String node : List.copyOf(ways.keySet())) {
-            EndpointRecord l = directory.of(node);
+            EndpointRecord l = endpointRegistry.of(node);
             if ((l == null || l.phase() == EndpointRecord.Phase.GONE) && ways.get(node).out.isEmpty()) {
                 ways.remove(node).path.close();
             }
@@ -330,7 +330,7 @@
     }
 
     /** Sends a request that may go elsewhere whenever it may run again. */
-    public Sent send(String node, PeerMessage.Parcel draft, boolean repeatable, Consumer<PeerMessage> done) {
+    public Sent send(String node, PeerMessage.ForwardRequest draft, boolean repeatable, Consumer<PeerMessage> done) {
         return send(node, draft, repeatable, () -> true, done);
     }
 
@@ -342,7 +342,7 @@
      * @param elsewhere whether another endpoint may be asked, so that it needn't wait for a path that is
      *     silent; asked once the path is
      */
-    public Sent send(String node, PeerMessage.Parcel draft, boolean repeatable, BooleanSupplier elsewhere,
+    public Sent send(String node, PeerMessage.ForwardRequest draft, boolean repeatable, BooleanSupplier elsewhere,
             Consumer<PeerMessage> done) {
         Out o = new Out(done, repeatable, elsewhere);
         long stream = ++streams;
@@ -366,24 +366,24 @@
             way.write(w);
         } else if (way.path.state() == ReconnectingConnection.State.SUSPECT) {
             way.out.remove(stream);
-            soon.execute(() -> o.end(new PeerMessage.Returned(stream, PeerMessage.Why.UNREACHED, 0, 0)));
+            soon.execute(() -> o.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0)));
         } else {
             way.waiting.put(stream, w);
         }
         return o;
     }
 
-    private static PeerMessage.Parcel numbered(long stream, PeerMessage.Parcel p, int leftMs, long sentAt) {
-        return new PeerMessage.Parcel(stream, p.method(), p.uri(), p.headers(), p.body(), leftMs, p.target(),
+    private static PeerMessage.ForwardRequest numbered(long stream, PeerMessage.ForwardRequest p, int leftMs, long sentAt) {
+        return new PeerMessage.ForwardRequest(stream, p.method(), p.uri(), p.headers(), p.body(), leftMs, p.target(),
                 p.endpoint(), p.rank(), sentAt);
     }
 
-    /** What the module is told of a letter. */
-    public static Contract.Outcome outcome(PeerMessage letter) {
-        if (letter instanceof PeerMessage.Delivered d) {
+    /** What the module is told of a message. */
+    public static Contract.Outcome outcome(PeerMessage message) {
+        if (message instanceof PeerMessage.ForwardResponse d) {
             return d.status() >= 500 ? Contract.Outcome.ERROR : Contract.Outcome.SERVED;
         }
-        return switch (((PeerMessage.Returned) letter).why()) {
+        return switch (((PeerMessage.ForwardFailure) message).why()) {
             case FULL, TURNED_AWAY -> Contract.Outcome.FULL;
             case MOVED, UNREACHED -> Contract.Outcome.CONNECT_FAILED;
             case BROKEN -> Contract.Outcome.RESET;
--- a/src/main/java/whinlead/mesh/sidecar/ResponseValidator.java
+++ b/src/main/java/whinlead/mesh/sidecar/ResponseValidator.java
@@ -33,22 +33,22 @@
     }
 
     /** Why a whole answer is not for the client, or null if it is. */
-    static PeerMessage.Why reject(HttpResponse answer) {
+    static PeerMessage.FailureReason reject(HttpResponse answer) {
         int status = answer.status().code();
         if (status == MISDIRECTED) {
-            return PeerMessage.Why.MOVED;
+            return PeerMessage.FailureReason.MOVED;
         }
         if (answer.headers().contains(ForwardedHeaders.NOT_EXECUTED)) {
-            return PeerMessage.Why.TURNED_AWAY;
+            return PeerMessage.FailureReason.TURNED_AWAY;
         }
         boolean success = answer.status().codeClass() == HttpStatusClass.SUCCESS;
         if (success && (!answer.headers().contains(ForwardedHeaders.SEAL)
                 || answer.headers().contains(HttpHeaderNames.CONTENT_ENCODING))) {
-            return PeerMessage.Why.BROKEN;
+            return PeerMessage.FailureReason.BROKEN;
         }
         // Without a word of the endpoint's, these would promise that the request has not run.
         boolean promises = status == TOO_MANY || status == UNAVAILABLE || status == TIMED_OUT;
-        return promises ? PeerMessage.Why.BROKEN : null;
+        return promises ? PeerMessage.FailureReason.BROKEN : null;
     }
 
     /**
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -34,7 +34,7 @@
 
     private final Engine engine;
     private final RequestForwarder round;
-    private final RetryBudget postage;
+    private final RetryBudget retryBudgets;
     private final String near;
     private final Timers timers;
     private final Map<String, String> nodes = new HashMap<>();
@@ -45,15 +45,15 @@
      * A service.
      *
      * @param near the zone whose endpoints come first in the walk, or null where all are alike
-     * @param postage the service's budget of further tries
+     * @param retryBudgets the service's budget of further tries
      */
-    ServiceBalancer(Timers timers, RequestClasses classes, NodeSettings card, int sidecars, long seed, RequestForwarder round, String near,
-            RetryBudget postage) {
+    ServiceBalancer(Timers timers, RequestClasses classes, NodeSettings nodeSettings, int sidecars, long seed, RequestForwarder round, String near,
+            RetryBudget retryBudgets) {
         this.timers = timers;
         this.round = round;
         this.near = near;
-        this.postage = postage;
-        Contract.Settings settings = settings(classes, card.clauses().bounds().drainS(), sidecars);
+        this.retryBudgets = retryBudgets;
+        Contract.Settings settings = settings(classes, nodeSettings.clauses().bounds().drainS(), sidecars);
         this.engine = new Engine(timers, settings, out -> new TicklessModule(out,
                 watched -> new Decide(settings, seed, watched)), list -> { }, Event.MODULE::log);
         engine.start(() -> { }, null);
@@ -68,11 +68,11 @@
     }
 
     /** The endpoints as listed now. */
-    void update(List<EndpointRecord> listings) {
+    void update(List<EndpointRecord> records) {
         nodes.clear();
         List<EndpointList.Entry> entries = new ArrayList<>();
         Map<String, Double> times = new HashMap<>();
-        for (EndpointRecord l : listings) {
+        for (EndpointRecord l : records) {
             boolean up = l.open() && round.reaches(l.node());
             double now = timers.now();
             double start = started.getOrDefault(l.endpoint(),
@@ -91,7 +91,7 @@
     /** A request of a client's, as it is to be sent on. */
     interface Shipment {
         /** What is sent, with what is left of its time. */
-        PeerMessage.Parcel parcel(String endpoint);
+        PeerMessage.ForwardRequest request(String endpoint);
 
         /** Its attempts so far. */
         EndpointAttempts attempts();
@@ -100,7 +100,7 @@
         boolean repeatable();
 
         /** An endpoint answered, whatever the answer. */
-        void answered(PeerMessage.Delivered answer);
+        void answered(PeerMessage.ForwardResponse answer);
     }
 
     /** A request that was taken. */
@@ -110,22 +110,22 @@
     }
 
     /** Takes a request; the caller is told its end once, unless it is abandoned. */
-    Taken take(Request ask, int sidecars, Shipment shipment, ResponseSink<PeerMessage.Delivered> caller) {
-        postage.asked(sidecars);
+    Taken take(Request ask, int sidecars, Shipment shipment, ResponseSink<PeerMessage.ForwardResponse> caller) {
+        retryBudgets.asked(sidecars);
         Delivery delivery = new Delivery(shipment);
-        Engine.Held<PeerMessage.Delivered> held = engine.take(ask, delivery, caller);
+        Engine.Held<PeerMessage.ForwardResponse> held = engine.take(ask, delivery, caller);
         return () -> {
             held.abandon();
             delivery.cancel();
         };
     }
 
-    private final class Delivery implements Transport<PeerMessage.Delivered> {
+    private final class Delivery implements Transport<PeerMessage.ForwardResponse> {
         private final Shipment shipment;
         private final EndpointAttempts attempts;
         /** The attempt that is out, of which there is one at most; and who hears of its end. */
         private RequestForwarder.Sent out;
-        private Outcomes<PeerMessage.Delivered> outcomes;
+        private Outcomes<PeerMessage.ForwardResponse> outcomes;
 
         private Delivery(Shipment shipment) {
             this.shipment = shipment;
@@ -133,16 +133,16 @@
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.Delivered> told) {
+        public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.ForwardResponse> told) {
             String node = nodes.get(endpoint);
-            if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && postage.spend())) {
+            if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && retryBudgets.spend())) {
                 told.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
             attempts.sent();
             outcomes = told;
-            RequestForwarder.Sent sent = round.send(node, shipment.parcel(endpoint), shipment.repeatable(),
-                    () -> attempts.mayBeSent() && postage.affords(), letter -> came(letter, told));
+            RequestForwarder.Sent sent = round.send(node, shipment.request(endpoint), shipment.repeatable(),
+                    () -> attempts.mayBeSent() && retryBudgets.affords(), message -> came(message, told));
             out = sent;
             return () -> {
                 out = null;
@@ -162,17 +162,17 @@
             }
         }
 
-        private void came(PeerMessage letter, Outcomes<PeerMessage.Delivered> told) {
+        private void came(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> told) {
             out = null;
             Contract.Report report = null;
-            if (letter instanceof PeerMessage.Delivered d) {
+            if (message instanceof PeerMessage.ForwardResponse d) {
                 shipment.answered(d);
                 report = report(d.util(), d.perSecond());
-            } else if (letter instanceof PeerMessage.Returned r) {
+            } else if (message instanceof PeerMessage.ForwardFailure r) {
                 attempts.returned(r.why());
                 report = report(r.util(), r.perSecond());
             }
-            told.ended(RequestForwarder.outcome(letter), letter instanceof PeerMessage.Delivered d ? d : null, report);
+            told.ended(RequestForwarder.outcome(message), message instanceof PeerMessage.ForwardResponse d ? d : null, report);
         }
 
         private Contract.Report report(double util, double perSecond) {
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -36,22 +36,22 @@
 import java.util.stream.Stream;
 
 /**
- * A carrier: the sidecar of one auxiliary machine. It takes the requests that begin there, carries them to
+ * A sidecar: the sidecar of one auxiliary machine. It takes the requests that begin there, carries them to
  * the sidecar beside the endpoint that the module chose, and hands in those that are for its own endpoint.
  */
-public final class Sidecar implements PeerConnection.Ear {
+public final class Sidecar implements PeerConnection.MessageHandler {
     private static final long TICK_MS = 100;
-    /** How often an unchanged listing is said again, in milliseconds. */
+    /** How often an unchanged endpoint record is said again, in milliseconds. */
     private static final double SAY_MS = 3000;
-    /** How often the offices are told what is asked for here, in milliseconds. */
+    /** How often the control nodes are told what is asked for here, in milliseconds. */
     private static final double USES_MS = 350;
     /** Services that modules are kept for. */
-    private static final int DEPOTS_MOST = 256;
+    private static final int BALANCERS_MOST = 256;
     private static final int BACKLOG = 512;
     private static final int NONE = 404;
     private static final double NANOS_IN_MILLI = 1e6;
 
-    private final NodeSettings card;
+    private final NodeSettings nodeSettings;
     private final EventLoop loop;
     private final ObjectMapper mapper;
     private final Timers timers;
@@ -59,19 +59,19 @@
     private final Timers beat;
     private final String node;
     private final PeerMessage.Hello greeting;
-    private final EndpointGate hatch;
+    private final EndpointGate gate;
     private final EndpointConnections line;
     private final EndpointRequests requests = new EndpointRequests();
     private final ForwardedTime forwardedTime = new ForwardedTime();
-    private final EndpointRegistry directory = new EndpointRegistry();
-    private final Map<String, ServiceBalancer> depots = new HashMap<>();
-    private final Map<String, ServiceBalancer> largeDepots = new HashMap<>();
-    private final Map<String, RetryBudget> postage = new HashMap<>();
+    private final EndpointRegistry endpointRegistry = new EndpointRegistry();
+    private final Map<String, ServiceBalancer> balancers = new HashMap<>();
+    private final Map<String, ServiceBalancer> largeBalancers = new HashMap<>();
+    private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
     private final RequestClasses classes = new RequestClasses();
     private final RequestForwarder round;
     private final EgressListener egress;
     private final OutdatedLists outdated;
-    private final ControlClient desk;
+    private final ControlClient controlClient;
     private final TenantQuota allowance;
     private long life = System.currentTimeMillis();
     private long seq;
@@ -81,27 +81,27 @@
     private boolean leaving;
 
     /** A sidecar that has not begun. */
-    public Sidecar(NodeSettings card, EventLoop loop, ObjectMapper mapper) {
-        this(card, loop, mapper, UnaryOperator.identity());
+    public Sidecar(NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper) {
+        this(nodeSettings, loop, mapper, UnaryOperator.identity());
     }
 
-    /** One that dials what this makes of an office's or another sidecar's address. */
-    public Sidecar(NodeSettings card, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
-        this.card = card;
+    /** One that dials what this makes of a control node's or another sidecar's address. */
+    public Sidecar(NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
+        this.nodeSettings = nodeSettings;
         this.loop = loop;
         this.mapper = mapper;
         this.timers = new LoopTimers(loop, new Clock());
         this.beat = new AlignedTimers(timers, RequestClasses.period(), timers.now()
                 + untilNext((long) RequestClasses.period()) / NANOS_IN_MILLI);
-        this.node = NodeSettings.present(card.network().bind().ingress(), "Network.Bind.Ingress");
-        this.hatch = new EndpointGate(card.substrate().heartbeatS() * 1000);
-        this.line = new EndpointConnections(loop, EndpointList.address(NodeSettings.present(card.self().appAddr(),
+        this.node = NodeSettings.present(nodeSettings.network().bind().ingress(), "Network.Bind.Ingress");
+        this.gate = new EndpointGate(nodeSettings.substrate().heartbeatS() * 1000);
+        this.line = new EndpointConnections(loop, EndpointList.address(NodeSettings.present(nodeSettings.self().appAddr(),
                 "Self.AppAddr")));
         this.greeting = new PeerMessage.Hello(node, false);
-        this.round = new RequestForwarder(loop, node, new RequestForwarder.Local() {
+        this.round = new RequestForwarder(loop, node, new RequestForwarder.LocalEndpoint() {
             @Override
-            public void deliver(PeerMessage.Parcel parcel, Consumer<PeerMessage> done) {
-                Sidecar.this.deliver(node, parcel, done);
+            public void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
+                Sidecar.this.deliver(node, request, done);
             }
 
             @Override
@@ -109,25 +109,25 @@
                 requests.cancel(node, cancel);
             }
         }, greeting, address -> dials.apply(EndpointList.address(address)), this::reachChanged);
-        this.outdated = new OutdatedLists(loop, directory, this::refresh);
-        NodeSettings.Bounds bounds = card.clauses().bounds();
+        this.outdated = new OutdatedLists(loop, endpointRegistry, this::refresh);
+        NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
         this.allowance = new TenantQuota(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
                 bounds.quotaWindowS(), new SecureRandom().nextLong());
-        this.desk = new ControlClient(loop, card, greeting, dials, new ControlClient.Owner() {
+        this.controlClient = new ControlClient(loop, nodeSettings, greeting, dials, new ControlClient.Listener() {
             @Override
-            public void posted(List<EndpointRecord> listings) {
-                Sidecar.this.posted(listings);
+            public void posted(List<EndpointRecord> records) {
+                Sidecar.this.posted(records);
             }
 
             @Override
             public List<String> others() {
-                return directory.all().stream().filter(l -> l.phase() != EndpointRecord.Phase.GONE
+                return endpointRegistry.all().stream().filter(l -> l.phase() != EndpointRecord.Phase.GONE
                         && !l.node().equals(node)).map(EndpointRecord::node).toList();
             }
 
             @Override
-            public void officeUp() {
-                desk().post(List.of(directory.of(node)));
+            public void controlNodeUp() {
+                controlClient().post(List.of(endpointRegistry.of(node)));
             }
 
             @Override
@@ -140,17 +140,17 @@
                 allowance.sums(timers.now(), nodes, totals);
             }
         });
-        this.egress = new EgressListener(loop, timers, desk::routing, this::depot, this::service,
-                directory::present, allowance, classes);
+        this.egress = new EgressListener(loop, timers, controlClient::routing, this::balancer, this::service,
+                endpointRegistry::present, allowance, classes);
     }
 
     /**
-     * Listens, and asks the offices.
+     * Listens, and asks the control nodes.
      *
      * @throws InterruptedException if interrupted
      */
     public void start() throws InterruptedException {
-        NodeSettings.Bind bind = card.network().bind();
+        NodeSettings.Bind bind = nodeSettings.network().bind();
         new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG).childHandler(PeerConnection.handlers(this))
                 .bind(EndpointList.address(node)).sync();
@@ -159,10 +159,10 @@
         new Readiness(loop, () -> ready && !leaving).listen(EndpointList.address(
                 NodeSettings.present(bind.readiness(), "Network.Bind.Readiness"))).sync();
         egress.listen(EndpointList.address(NodeSettings.present(bind.egress(), "Network.Bind.Egress"))).sync();
-        Event.STARTED.log("sidecar " + node + " of " + card.self().node());
+        Event.STARTED.log("sidecar " + node + " of " + nodeSettings.self().node());
         loop.execute(() -> {
             say(true);
-            desk.start();
+            controlClient.start();
             loop.scheduleAtFixedRate(this::tick, untilNext(TICK_MS), TimeUnit.MILLISECONDS.toNanos(TICK_MS),
                     TimeUnit.NANOSECONDS);
         });
@@ -175,12 +175,12 @@
 
     /** Other machines may be asked first from now on. */
     public void seeds(List<String> seeds) {
-        desk.seeds(seeds);
+        controlClient.seeds(seeds);
     }
 
     /** Leaves: runs while the process ends on SIGTERM, on a thread of its own. */
     public void leave() {
-        Shutdown shutdown = new Shutdown(timers, card.clauses().bounds().graceS(), egress, hatch::held);
+        Shutdown shutdown = new Shutdown(timers, nodeSettings.clauses().bounds().graceS(), egress, gate::held);
         loop.execute(() -> {
             leaving = true;
             Event.LEAVING.log(egress.underWay() + " requests under way");
@@ -196,81 +196,81 @@
     }
 
     private String service() {
-        return hatch.target().isEmpty() && card.self().target() != null ? card.self().target()
-                : hatch.target();
+        return gate.target().isEmpty() && nodeSettings.self().target() != null ? nodeSettings.self().target()
+                : gate.target();
     }
 
-    // Requests with large bodies have a depot of their own, which looks in this zone first: they are most of
+    // Requests with large bodies have a service balancer of their own, which looks in this zone first: they are most of
     // the bytes between zones.
-    private ServiceBalancer depot(String target, boolean large) {
-        Map<String, ServiceBalancer> kind = large ? largeDepots : depots;
+    private ServiceBalancer balancer(String target, boolean large) {
+        Map<String, ServiceBalancer> kind = large ? largeBalancers : balancers;
         ServiceBalancer known = kind.get(target);
         if (known == null) {
-            if (kind.size() >= DEPOTS_MOST) {
-                throw new IllegalStateException("over " + DEPOTS_MOST + " services");
+            if (kind.size() >= BALANCERS_MOST) {
+                throw new IllegalStateException("over " + BALANCERS_MOST + " services");
             }
-            NodeSettings.Bounds bounds = card.clauses().bounds();
-            RetryBudget paid = postage.computeIfAbsent(target,
+            NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
+            RetryBudget paid = retryBudgets.computeIfAbsent(target,
                     t -> new RetryBudget(bounds.retryRatio(), bounds.retrySlack()));
-            known = new ServiceBalancer(beat, classes, card, directory.present(), new SecureRandom().nextLong(),
-                    round, large ? card.self().zone() : null, paid);
+            known = new ServiceBalancer(beat, classes, nodeSettings, endpointRegistry.present(), new SecureRandom().nextLong(),
+                    round, large ? nodeSettings.self().zone() : null, paid);
             kind.put(target, known);
-            known.update(directory.endpoints(target));
+            known.update(endpointRegistry.endpoints(target));
         }
         return known;
     }
 
     // Which services the node served is not looked up: reach changes seldom.
     private void reachChanged() {
-        outdated.add(depots.keySet());
-        outdated.add(largeDepots.keySet());
+        outdated.add(balancers.keySet());
+        outdated.add(largeBalancers.keySet());
     }
 
     private void refresh(Set<String> services) {
-        round.keep(directory);
+        round.keep(endpointRegistry);
         for (String service : services) {
-            List<EndpointRecord> endpoints = directory.endpoints(service);
-            Stream.of(depots, largeDepots).map(kind -> kind.get(service)).filter(Objects::nonNull)
-                    .forEach(depot -> depot.update(endpoints));
+            List<EndpointRecord> endpoints = endpointRegistry.endpoints(service);
+            Stream.of(balancers, largeBalancers).map(kind -> kind.get(service)).filter(Objects::nonNull)
+                    .forEach(balancer -> balancer.update(endpoints));
         }
     }
 
     private void tick() {
         forwardedTime.running(timers.now());
-        if (hatch.tick(timers.now())) {
-            Event.ENDPOINT.log(hatch.endpoint() + " is silent");
+        if (gate.tick(timers.now())) {
+            Event.ENDPOINT.log(gate.endpoint() + " is silent");
             line.clear();
             say(true);
         }
         line.tick();
         egress.tick();
-        desk.tick();
+        controlClient.tick();
         say(false);
         if (timers.now() - usesAt > USES_MS) {
             usesAt = timers.now();
-            desk.uses(allowance.uses(timers.now()));
+            controlClient.uses(allowance.uses(timers.now()));
         }
     }
 
     // --- what others say
 
-    private void posted(List<EndpointRecord> listings) {
-        for (EndpointRecord listing : listings) {
-            if (listing.node().equals(node)) {
-                if (listing.life() > life || listing.life() == life && listing.seq() > seq) {
+    private void posted(List<EndpointRecord> records) {
+        for (EndpointRecord record : records) {
+            if (record.node().equals(node)) {
+                if (record.life() > life || record.life() == life && record.seq() > seq) {
                     // Someone holds an older life's word, or a rumour, for newer than this one's own.
-                    life = listing.life();
-                    seq = listing.seq();
+                    life = record.life();
+                    seq = record.seq();
                     say(true);
                 }
             } else {
-                outdated.merge(listing);
+                outdated.merge(record);
             }
         }
     }
 
-    private ControlClient desk() {
-        return desk;
+    private ControlClient controlClient() {
+        return controlClient;
     }
 
     private void inForce(RoutingTable routing) {
@@ -279,72 +279,72 @@
             Event.READY.log(node);
         }
         // Ahead of the first request: a new module and its endpoints take a moment.
-        routing.tariff().services().keySet().stream().limit(DEPOTS_MOST).forEach(s -> depot(s, false));
+        routing.config().services().keySet().stream().limit(BALANCERS_MOST).forEach(s -> balancer(s, false));
     }
 
     private void say(boolean changed) {
         if (changed) {
             seq++;
-            EndpointRecord mine = new EndpointRecord(node, life, seq, card.self().zone(), hatch.endpoint(), service(),
-                    leaving ? EndpointRecord.Phase.DRAINING : hatch.phase(), hatch.capacity(),
-                    hatch.warmMs(timers.now()));
+            EndpointRecord mine = new EndpointRecord(node, life, seq, nodeSettings.self().zone(), gate.endpoint(), service(),
+                    leaving ? EndpointRecord.Phase.DRAINING : gate.phase(), gate.capacity(),
+                    gate.warmMs(timers.now()));
             outdated.merge(mine);
         }
         if (changed || timers.now() - saidAt > SAY_MS) {
             saidAt = timers.now();
-            desk.post(List.of(directory.of(node)));
+            controlClient.post(List.of(endpointRegistry.of(node)));
         }
     }
 
     // --- the endpoint beside
 
     private void run(RpcCall order, Consumer<RpcResponse> answer) {
-        if (order instanceof RpcCall.Beat beat) {
-            if (beat.card() == null || beat.card().target() == null) {
+        if (order instanceof RpcCall.Heartbeat beat) {
+            if (beat.status() == null || beat.status().target() == null) {
                 answer.accept(RpcResponse.not(400, "Target is missing"));
                 return;
             }
-            String before = hatch.endpoint();
-            if (hatch.beat(timers.now(), beat.endpoint(), beat.card())) {
+            String before = gate.endpoint();
+            if (gate.beat(timers.now(), beat.endpoint(), beat.status())) {
                 if (!beat.endpoint().equals(before)) {
                     line.clear();
                 }
-                Event.ENDPOINT.log(beat.endpoint() + " of " + hatch.target() + " " + hatch.state());
+                Event.ENDPOINT.log(beat.endpoint() + " of " + gate.target() + " " + gate.state());
                 say(true);
             }
             answer.accept(RpcResponse.done());
         } else if (order instanceof RpcCall.Depart depart) {
-            if (hatch.depart(depart.endpoint())) {
+            if (gate.depart(depart.endpoint())) {
                 Event.ENDPOINT.log(depart.endpoint() + " has left");
                 line.clear();
                 say(true);
             }
             answer.accept(RpcResponse.done());
         } else {
-            answer.accept(RpcResponse.not(NONE, "operators call the offices"));
+            answer.accept(RpcResponse.not(NONE, "operators call the control nodes"));
         }
     }
 
-    private void deliver(Object sender, PeerMessage.Parcel parcel, Consumer<PeerMessage> done) {
-        EndpointGate.Entry entry = hatch.enter(timers.now(), parcel.target(), parcel.rank());
-        if (entry != EndpointGate.Entry.OPEN) {
-            PeerMessage no = new PeerMessage.Returned(parcel.stream(), entry == EndpointGate.Entry.FULL ? PeerMessage.Why.FULL
-                    : PeerMessage.Why.MOVED, hatch.util(), hatch.perSecond());
+    private void deliver(Object sender, PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
+        EndpointGate.Admission entry = gate.enter(timers.now(), request.target(), request.rank());
+        if (entry != EndpointGate.Admission.OPEN) {
+            PeerMessage no = new PeerMessage.ForwardFailure(request.stream(), entry == EndpointGate.Admission.FULL ? PeerMessage.FailureReason.FULL
+                    : PeerMessage.FailureReason.MOVED, gate.util(), gate.perSecond());
             // Not in the caller's own call: it has not noted yet that it sent.
             loop.execute(() -> done.accept(no));
             return;
         }
-        hatch.began(timers.now());
-        requests.begin(sender, parcel.stream());
-        EndpointConnections.Sent sent = line.send(parcel, hatch.endpoint(), letter -> {
-            requests.ended(sender, parcel.stream());
-            hatch.ended(timers.now(), letter instanceof PeerMessage.Delivered);
-            done.accept(letter instanceof PeerMessage.Delivered d ? new PeerMessage.Delivered(d.stream(), d.status(),
-                    d.headers(), d.body(), hatch.util(), hatch.perSecond())
-                    : new PeerMessage.Returned(parcel.stream(), ((PeerMessage.Returned) letter).why(), hatch.util(),
-                            hatch.perSecond()));
+        gate.began(timers.now());
+        requests.begin(sender, request.stream());
+        EndpointConnections.Sent sent = line.send(request, gate.endpoint(), message -> {
+            requests.ended(sender, request.stream());
+            gate.ended(timers.now(), message instanceof PeerMessage.ForwardResponse);
+            done.accept(message instanceof PeerMessage.ForwardResponse d ? new PeerMessage.ForwardResponse(d.stream(), d.status(),
+                    d.headers(), d.body(), gate.util(), gate.perSecond())
+                    : new PeerMessage.ForwardFailure(request.stream(), ((PeerMessage.ForwardFailure) message).why(), gate.util(),
+                            gate.perSecond()));
         });
-        requests.sent(sender, parcel.stream(), sent);
+        requests.sent(sender, request.stream(), sent);
     }
 
     // --- other sidecars' links to this one
@@ -356,18 +356,18 @@
     public void down(PeerConnection link) { }
 
     @Override
-    public void letter(PeerConnection link, PeerMessage letter) {
-        if (letter instanceof PeerMessage.Ping ping) {
+    public void message(PeerConnection link, PeerMessage message) {
+        if (message instanceof PeerMessage.Ping ping) {
             forwardedTime.running(timers.now());
             link.transit().waited(timers.now(), ping.sentAt());
             link.send(new PeerMessage.Pong(ping.number(), node, -1));
-        } else if (letter instanceof PeerMessage.Parcel parcel) {
-            forwarded(link, parcel);
-        } else if (letter instanceof PeerMessage.Cancel cancel) {
+        } else if (message instanceof PeerMessage.ForwardRequest request) {
+            forwarded(link, request);
+        } else if (message instanceof PeerMessage.Cancel cancel) {
             requests.cancel(link, cancel);
-        } else if (letter instanceof PeerMessage.Seek) {
-            link.send(new PeerMessage.Offices(desk.addresses()));
-        } else if (letter instanceof PeerMessage.Hello hello) {
+        } else if (message instanceof PeerMessage.FindControlNodes) {
+            link.send(new PeerMessage.ControlNodes(controlClient.addresses()));
+        } else if (message instanceof PeerMessage.Hello hello) {
             link.peer(hello.id());
             // A program without versions would not know what a greeting on a connection of its own means.
             if (link.version() > ProtocolVersion.UNVERSIONED) {
@@ -377,14 +377,14 @@
     }
 
     // What waited on its way until its time was up is not begun: its caller has been answered.
-    private void forwarded(PeerConnection link, PeerMessage.Parcel parcel) {
-        int left = forwardedTime.left(timers.now(), link.transit(), parcel);
+    private void forwarded(PeerConnection link, PeerMessage.ForwardRequest request) {
+        int left = forwardedTime.left(timers.now(), link.transit(), request);
         if (left == 0) {
-            link.send(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.UNREACHED, hatch.util(),
-                    hatch.perSecond()));
+            link.send(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.UNREACHED, gate.util(),
+                    gate.perSecond()));
             return;
         }
-        deliver(link, parcel.withLeft(left), answer -> {
+        deliver(link, request.withLeft(left), answer -> {
             if (link.open()) {
                 link.send(answer);
             }
--- a/src/main/java/whinlead/mesh/storage/StateSchema.java
+++ b/src/main/java/whinlead/mesh/storage/StateSchema.java
@@ -9,7 +9,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * How the ledger's file is laid out: its format, told by SQLite's {@code user_version}. Each format is read
+ * How the state store's file is laid out: its format, told by SQLite's {@code user_version}. Each format is read
  * and written as the program that made it does; a file is never changed so that this program's predecessor
  * can't write it. So a fleet may hold several versions, and any of them may be set back.
  */
@@ -100,7 +100,7 @@
         return null;
     }
 
-    /** Makes the tables of a new ledger, in one transaction. */
+    /** Makes the tables of a new state store, in one transaction. */
     static void found(Statement s) throws SQLException {
         s.execute("BEGIN");
         s.execute("CREATE TABLE office (one INTEGER PRIMARY KEY CHECK (one = 1), id TEXT NOT NULL,"
--- a/src/main/java/whinlead/mesh/storage/StateStore.java
+++ b/src/main/java/whinlead/mesh/storage/StateStore.java
@@ -12,11 +12,11 @@
 import java.util.Deque;
 
 /**
- * An office's memory on disk: one row, replaced and synced each time. SQLite in WAL mode with full syncs: a
+ * A control node's memory on disk: one row, replaced and synced each time. SQLite in WAL mode with full syncs: a
  * commit is one sync. One thread; a call may wait for the disk.
  *
  * <p>What {@link #read} gives lasts: a log that a process left unsynced is synced before it is read. What is
- * damaged is refused, never mended: an office that has forgotten what it promised must not vote under its
+ * damaged is refused, never mended: a control node that has forgotten what it promised must not vote under its
  * old name.
  */
 public final class StateStore implements AutoCloseable {
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Opens the ledger in this folder, or founds one.
+     * Opens the state store in this folder, or founds one.
      *
      * @throws StateStoreException if that can't be done, or what is there is damaged
      */
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Opens the ledger in this folder, or founds one, with these syncs besides SQLite's own.
+     * Opens the state store in this folder, or founds one, with these syncs besides SQLite's own.
      *
      * @throws StateStoreException if that can't be done, or what is there is damaged
      */
@@ -57,8 +57,8 @@
             boolean log = size(folder.resolve(LOG)) > 0;
             if (log && size(folder.resolve(FILE)) == 0) {
                 // SQLite would remove the log and begin anew.
-                throw new StateStoreException("the ledger in " + folder + " has a log, but no " + FILE
-                        + "; remove both to join as a new office");
+                throw new StateStoreException("the state store in " + folder + " has a log, but no " + FILE
+                        + "; remove both to join as a new control node");
             }
             if (log) {
                 // A process that was killed may have left there what no sync has covered.
@@ -68,7 +68,7 @@
             return new StateStore(c, prepare(c, folder, syncer));
         } catch (SQLException | IOException e) {
             close(c);
-            throw new StateStoreException("the ledger in " + folder + " can't be opened: " + e.getMessage(), e);
+            throw new StateStoreException("the state store in " + folder + " can't be opened: " + e.getMessage(), e);
         } catch (StateStoreException e) {
             close(c);
             throw e;
@@ -118,7 +118,7 @@
             }
             StateSchema layout = StateSchema.of(format);
             if (layout == null) {
-                throw new StateStoreException("the ledger in " + folder + " is damaged, or of a later version: "
+                throw new StateStoreException("the state store in " + folder + " is damaged, or of a later version: "
                         + "its format is " + format + ", this program knows 0 to " + StateSchema.NEWEST.format()
                         + "; it is left as it was");
             }
@@ -134,7 +134,7 @@
     }
 
     /**
-     * What was written last, or null in a new ledger. It lasts: no loss of power after this takes it.
+     * What was written last, or null in a new state store. It lasts: no loss of power after this takes it.
      *
      * @throws StateStoreException if it can't be read, or is damaged
      */
@@ -149,11 +149,11 @@
                 check();
                 layout.write(connection, stored.entry());
             } else if (!stored.whole()) {
-                throw new StateStoreException("the ledger's entry is damaged; remove it to join as a new office");
+                throw new StateStoreException("the state store's entry is damaged; remove it to join as a new control node");
             }
             return stored.entry();
         } catch (SQLException e) {
-            throw new StateStoreException("the ledger can't be read: " + e.getMessage(), e);
+            throw new StateStoreException("the state store can't be read: " + e.getMessage(), e);
         }
     }
 
@@ -162,8 +162,8 @@
         try (Statement s = connection.createStatement();
                 ResultSet r = s.executeQuery("PRAGMA quick_check")) {
             if (!"ok".equals(r.getString(1))) {
-                throw new StateStoreException("the ledger is damaged: " + r.getString(1)
-                        + "; remove it to join as a new office");
+                throw new StateStoreException("the state store is damaged: " + r.getString(1)
+                        + "; remove it to join as a new control node");
             }
         }
     }
@@ -177,7 +177,7 @@
         try {
             layout.write(connection, new Entry(id, memory));
         } catch (SQLException e) {
-            throw new StateStoreException("the ledger can't be written: " + e.getMessage(), e);
+            throw new StateStoreException("the state store can't be written: " + e.getMessage(), e);
         }
     }
 
@@ -186,7 +186,7 @@
         try {
             connection.close();
         } catch (SQLException e) {
-            throw new StateStoreException("the ledger can't be closed: " + e.getMessage(), e);
+            throw new StateStoreException("the state store can't be closed: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
+++ b/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
@@ -23,7 +23,7 @@
     private AcceptorRecord() { }
 
     /** Writes a record. */
-    public static byte[] write(Acceptor.Memory memory) {
+    public static byte[] write(Acceptor.State memory) {
         try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
             if (memory.decided() == null) {
                 p.packNil();
@@ -45,11 +45,11 @@
      * @throws LaterFormatException if it needs a later program
      * @throws IOException if these bytes are none
      */
-    public static Acceptor.Memory read(byte[] bytes) throws IOException {
+    public static Acceptor.State read(byte[] bytes) throws IOException {
         try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
             Decision decided = u.tryUnpackNil() ? null : PeerMessageCodec.decision(u);
             Ballot promised = PeerMessageCodec.ballot(u);
-            Acceptor.Memory memory = new Acceptor.Memory(decided, promised, PeerMessageCodec.vote(u));
+            Acceptor.State memory = new Acceptor.State(decided, promised, PeerMessageCodec.vote(u));
             checkFormat(u);
             return memory;
         } catch (RuntimeException e) {
--- a/src/main/java/whinlead/mesh/wire/FieldCodec.java
+++ b/src/main/java/whinlead/mesh/wire/FieldCodec.java
@@ -9,9 +9,9 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** How the values are written and read that letters of several kinds hold. For any thread. */
+/** How the values are written and read that messages of several kinds hold. For any thread. */
 final class FieldCodec {
-    /** Lists longer than this are no letter of ours. */
+    /** Lists longer than this are no message of ours. */
     private static final int LIST_MOST = 1 << 16;
     private static final EndpointRecord.Phase[] PHASES = EndpointRecord.Phase.values();
 
@@ -33,14 +33,14 @@
         return uses;
     }
 
-    static void listing(MessageBufferPacker p, EndpointRecord x) throws IOException {
+    static void record(MessageBufferPacker p, EndpointRecord x) throws IOException {
         p.packString(x.node()).packLong(x.life()).packLong(x.seq()).packString(x.zone());
         p.packString(x.endpoint()).packString(x.target()).packInt(x.phase().ordinal());
         p.packInt(x.capacity()).packInt(x.warmMs());
     }
 
     // One in a phase that this version does not know is passed over: what was known of its node stands.
-    static Optional<EndpointRecord> listing(MessageUnpacker u) throws IOException {
+    static Optional<EndpointRecord> record(MessageUnpacker u) throws IOException {
         String node = u.unpackString();
         long life = u.unpackLong();
         long seq = u.unpackLong();
@@ -51,7 +51,7 @@
         int capacity = u.unpackInt();
         int warmMs = u.unpackInt();
         if (phase < 0 || phase >= PHASES.length) {
-            VersionEvents.PROCESS.passedOver("a listing in phase " + phase);
+            VersionEvents.PROCESS.passedOver("an endpoint record in phase " + phase);
             return Optional.empty();
         }
         return Optional.of(new EndpointRecord(node, life, seq, zone, endpoint, target, PHASES[phase], capacity,
--- a/src/main/java/whinlead/mesh/wire/MalformedMessageException.java
+++ b/src/main/java/whinlead/mesh/wire/MalformedMessageException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Bytes that are no letter of the kind that they name. */
+/** Bytes that are no message of the kind that they name. */
 public final class MalformedMessageException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
      * @param kind the kind that the bytes name, or null if they name none
      */
     MalformedMessageException(PeerMessageKind kind, Throwable cause) {
-        super("malformed " + (kind == null ? "letter" : kind) + ": " + cause.getMessage(), cause);
+        super("malformed " + (kind == null ? "message" : kind) + ": " + cause.getMessage(), cause);
         this.kind = kind;
     }
 
