--- a/src/main/java/whinlead/mesh/wire/PeerConnection.java
+++ b/src/main/java/whinlead/mesh/wire/PeerConnection.java
@@ -11,23 +11,23 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 
 /**
- * One TCP connection between two processes of the system, on its loop's thread. Every letter goes behind its
- * length. A letter of a later version's kind is passed over. A malformed one is refused by name; it ends the
+ * One TCP connection between two processes of the system, on its loop's thread. Every message goes behind its
+ * length. A message of a later version's kind is passed over. A malformed one is refused by name; it ends the
  * connection if nobody would say it again, for the new connection says all anew. One that is too long ends
  * it.
  */
 public final class PeerConnection {
-    /** The longest letter: a request's body at most, and what goes around it. */
-    public static final int LETTER_MOST = 24 << 20;
+    /** The longest message: a request's body at most, and what goes around it. */
+    public static final int MESSAGE_MOST = 24 << 20;
     private static final int LENGTH_BYTES = 4;
 
     /** Hears what comes. */
-    public interface Ear {
+    public interface MessageHandler {
         /** The link is up. */
         void up(PeerConnection link);
 
-        /** A letter came. */
-        void letter(PeerConnection link, PeerMessage letter);
+        /** A message came. */
+        void message(PeerConnection link, PeerMessage message);
 
         /** The link is down; told once if it was up. */
         void down(PeerConnection link);
@@ -44,25 +44,25 @@
     }
 
     /** Puts the link's handlers on new connections. */
-    public static ChannelInitializer<Channel> handlers(Ear ear) {
+    public static ChannelInitializer<Channel> handlers(MessageHandler ear) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel ch) {
                 ch.config().setOption(ChannelOption.TCP_NODELAY, true);
-                ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(LETTER_MOST, 0, LENGTH_BYTES, 0,
+                ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(MESSAGE_MOST, 0, LENGTH_BYTES, 0,
                         LENGTH_BYTES), new Reader(ear));
             }
         };
     }
 
-    /** Sends a letter; it is lost if the link goes down, or the other side does not know its kind yet. */
-    public void send(PeerMessage letter) {
-        if (PeerMessageCodec.since(letter) <= version) {
-            send(PeerMessageCodec.write(letter));
+    /** Sends a message; it is lost if the link goes down, or the other side does not know its kind yet. */
+    public void send(PeerMessage message) {
+        if (PeerMessageCodec.since(message) <= version) {
+            send(PeerMessageCodec.write(message));
         }
     }
 
-    /** Sends a letter that is written already, of a kind that every version knows. */
+    /** Sends a message that is written already, of a kind that every version knows. */
     public void send(byte[] written) {
         ByteBuf length = Unpooled.buffer(LENGTH_BYTES).writeInt(written.length);
         channel.writeAndFlush(Unpooled.wrappedBuffer(length, Unpooled.wrappedBuffer(written)),
@@ -118,10 +118,10 @@
     }
 
     private static final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
-        private final Ear ear;
+        private final MessageHandler ear;
         private PeerConnection link;
 
-        private Reader(Ear ear) {
+        private Reader(MessageHandler ear) {
             this.ear = ear;
         }
 
@@ -143,11 +143,11 @@
             }
         }
 
-        private void read(PeerMessage letter) {
-            if (letter instanceof PeerMessage.Unknown unknown) {
+        private void read(PeerMessage message) {
+            if (message instanceof PeerMessage.Unknown unknown) {
                 VersionEvents.PROCESS.passedOver(unknown.kind());
-            } else if (!(letter instanceof PeerMessage.Hello hello) || link.agree(hello)) {
-                ear.letter(link, letter);
+            } else if (!(message instanceof PeerMessage.Hello hello) || link.agree(hello)) {
+                ear.message(link, message);
             }
         }
 
@@ -156,7 +156,7 @@
             ear.down(link);
         }
 
-        // A letter that is too long, and connections that break, end alike: by a close.
+        // A message that is too long, and connections that break, end alike: by a close.
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
--- a/src/main/java/whinlead/mesh/wire/PeerMessage.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessage.java
@@ -12,33 +12,33 @@
     long UNSTAMPED = Long.MIN_VALUE;
 
     /**
-     * The first on every link: who it is, and whether an office. Whoever is greeted by one that names its
+     * The first on every link: who it is, and whether a control node. Whoever is greeted by one that names its
      * versions greets back.
      */
-    record Hello(String id, boolean office, ProtocolVersion versions) implements PeerMessage {
+    record Hello(String id, boolean controlNode, ProtocolVersion versions) implements PeerMessage {
         /** This program's greeting. */
-        public Hello(String id, boolean office) {
-            this(id, office, ProtocolVersion.OURS);
+        public Hello(String id, boolean controlNode) {
+            this(id, controlNode, ProtocolVersion.OURS);
         }
     }
 
-    /** A letter of a later version, of which only the name of its kind is known. It is never written. */
+    /** A message of a later version, of which only the name of its kind is known. It is never written. */
     record Unknown(String kind) implements PeerMessage { }
 
-    /** Listings, one's own or passed on. */
-    record Post(List<EndpointRecord> listings) implements PeerMessage { }
+    /** Endpoint records, one's own or passed on. */
+    record EndpointUpdate(List<EndpointRecord> records) implements PeerMessage { }
 
     /** A sidecar has this slot's configuration and wants to be told of a newer one. */
-    record Ask(long slot) implements PeerMessage { }
+    record Subscribe(long slot) implements PeerMessage { }
 
-    /** An office has this one. */
-    record Notice(long slot) implements PeerMessage { }
+    /** A control node has this one. */
+    record ConfigAvailable(long slot) implements PeerMessage { }
 
     /** Asks for the newest. */
-    record Fetch() implements PeerMessage { }
+    record FetchConfig() implements PeerMessage { }
 
-    /** The newest known there, whole; {@code confirmed} tells that its office reaches a quorum. */
-    record News(Decision decision, boolean confirmed) implements PeerMessage { }
+    /** The newest known there, whole; {@code confirmed} tells that its control node reaches a quorum. */
+    record ConfigUpdate(Decision decision, boolean confirmed) implements PeerMessage { }
 
     /**
      * Asks for a sign of life.
@@ -61,20 +61,20 @@
      */
     record Pong(long number, String id, long slot) implements PeerMessage { }
 
-    /** A sidecar that reaches no office asks another sidecar which ones there are. */
-    record Seek() implements PeerMessage { }
+    /** A sidecar that reaches no control node asks another sidecar which ones there are. */
+    record FindControlNodes() implements PeerMessage { }
 
-    /** The addresses of offices that are known here. */
-    record Offices(List<String> addresses) implements PeerMessage { }
+    /** The addresses of control nodes that are known here. */
+    record ControlNodes(List<String> addresses) implements PeerMessage { }
 
     /** About a ballot. */
-    record Paper(Message message) implements PeerMessage { }
+    record Consensus(Message message) implements PeerMessage { }
 
     /** A sidecar tells what it is asked for, and may ask for the sums. */
-    record Uses(List<TenantDemand> uses, boolean wanted) implements PeerMessage { }
+    record DemandReport(List<TenantDemand> uses, boolean wanted) implements PeerMessage { }
 
     /** The sums over so many sidecars of the tenants that the one who asked has named. */
-    record Sums(int nodes, List<TenantDemand> totals) implements PeerMessage { }
+    record DemandSums(int nodes, List<TenantDemand> totals) implements PeerMessage { }
 
     /**
      * A request on its way to an endpoint.
@@ -85,17 +85,17 @@
      * @param rank 0 is the highest
      * @param sentAt when it was written, by the sender's steady clock in microseconds, or {@link #UNSTAMPED}
      */
-    record Parcel(long stream, String method, String uri, List<String> headers, byte[] body, int leftMs,
+    record ForwardRequest(long stream, String method, String uri, List<String> headers, byte[] body, int leftMs,
             String target, String endpoint, int rank, long sentAt) implements PeerMessage {
         /** One without a time of sending. */
-        public Parcel(long stream, String method, String uri, List<String> headers, byte[] body, int leftMs,
+        public ForwardRequest(long stream, String method, String uri, List<String> headers, byte[] body, int leftMs,
                 String target, String endpoint, int rank) {
             this(stream, method, uri, headers, body, leftMs, target, endpoint, rank, UNSTAMPED);
         }
 
         /** The same request with another time left. */
-        public Parcel withLeft(int otherLeftMs) {
-            return new Parcel(stream, method, uri, headers, body, otherLeftMs, target, endpoint, rank,
+        public ForwardRequest withLeft(int otherLeftMs) {
+            return new ForwardRequest(stream, method, uri, headers, body, otherLeftMs, target, endpoint, rank,
                     sentAt);
         }
     }
@@ -110,14 +110,14 @@
     record Cancel(long stream, boolean whileRunning) implements PeerMessage { }
 
     /** The endpoint's answer, whole, and how busy it is. */
-    record Delivered(long stream, int status, List<String> headers, byte[] body, double util,
+    record ForwardResponse(long stream, int status, List<String> headers, byte[] body, double util,
             double perSecond) implements PeerMessage { }
 
     /** No answer, and how busy the endpoint is. */
-    record Returned(long stream, Why why, double util, double perSecond) implements PeerMessage { }
+    record ForwardFailure(long stream, FailureReason why, double util, double perSecond) implements PeerMessage { }
 
     /** Why there is no answer. */
-    enum Why {
+    enum FailureReason {
         /** It has not run: the sidecar beside the endpoint saw that it is full. */
         FULL(true),
         /** It has not run: it arrived, and the endpoint said so. */
@@ -134,7 +134,7 @@
         /** Whether it is certain that it has not run and will not. */
         public final boolean neverRan;
 
-        Why(boolean neverRan) {
+        FailureReason(boolean neverRan) {
             this.neverRan = neverRan;
         }
     }
--- a/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.wire;
 
 import static whinlead.mesh.wire.FieldCodec.bytes;
-import static whinlead.mesh.wire.FieldCodec.listing;
+import static whinlead.mesh.wire.FieldCodec.record;
 import static whinlead.mesh.wire.FieldCodec.size;
 import static whinlead.mesh.wire.FieldCodec.strings;
 import static whinlead.mesh.wire.FieldCodec.uses;
@@ -21,15 +21,15 @@
 /**
  * PeerMessageCodec as MessagePack: a tag, then the fields in their order. For any thread.
  *
- * <p>Versions: a letter grows by fields at its end only, each with a default that stands where an older
+ * <p>Versions: a message grows by fields at its end only, each with a default that stands where an older
  * program has not sent it; an older reader passes over what it does not know. A field may be left out only
- * while it is the last one. What stands inside a list or another value can't grow: new fields of a listing go
- * into a list of their own at the letter's end. A new kind is sent only where {@link #since} allows it.
+ * while it is the last one. What stands inside a list or another value can't grow: new fields of an endpoint record go
+ * into a list of their own at the message's end. A new kind is sent only where {@link #since} allows it.
  */
 public final class PeerMessageCodec {
-    private static final PeerMessage.Why[] REASONS = PeerMessage.Why.values();
+    private static final PeerMessage.FailureReason[] REASONS = PeerMessage.FailureReason.values();
 
-    /** Names a kind of letter or ballot message that this version does not know. */
+    /** Names a kind of message or ballot message that this version does not know. */
     private static final class UnknownKindException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -40,25 +40,25 @@
 
     private PeerMessageCodec() { }
 
-    /** Writes a letter. */
-    public static byte[] write(PeerMessage letter) {
+    /** Writes a message. */
+    public static byte[] write(PeerMessage peerMessage) {
         try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-            if (letter instanceof PeerMessage.Parcel l) {
+            if (peerMessage instanceof PeerMessage.ForwardRequest l) {
                 p.packByte((byte) 10).packLong(l.stream()).packString(l.method()).packString(l.uri());
                 strings(p, l.headers());
                 bytes(p, l.body());
                 p.packInt(l.leftMs()).packString(l.target()).packString(l.endpoint()).packInt(l.rank());
                 stamp(p, l.sentAt());
-            } else if (letter instanceof PeerMessage.Delivered l) {
+            } else if (peerMessage instanceof PeerMessage.ForwardResponse l) {
                 p.packByte((byte) 11).packLong(l.stream()).packInt(l.status());
                 strings(p, l.headers());
                 bytes(p, l.body());
                 p.packDouble(l.util()).packDouble(l.perSecond());
-            } else if (letter instanceof PeerMessage.Returned l) {
+            } else if (peerMessage instanceof PeerMessage.ForwardFailure l) {
                 p.packByte((byte) 12).packLong(l.stream()).packInt(l.why().ordinal());
                 p.packDouble(l.util()).packDouble(l.perSecond());
             } else {
-                rest(p, letter);
+                rest(p, peerMessage);
             }
             return p.toByteArray();
         } catch (IOException e) {
@@ -66,46 +66,46 @@
         }
     }
 
-    private static void rest(MessageBufferPacker p, PeerMessage letter) throws IOException {
-        if (letter instanceof PeerMessage.Hello l) {
-            p.packByte((byte) 1).packString(l.id()).packBoolean(l.office());
+    private static void rest(MessageBufferPacker p, PeerMessage peerMessage) throws IOException {
+        if (peerMessage instanceof PeerMessage.Hello l) {
+            p.packByte((byte) 1).packString(l.id()).packBoolean(l.controlNode());
             p.packInt(l.versions().newest()).packInt(l.versions().oldest());
-        } else if (letter instanceof PeerMessage.Post l) {
-            p.packByte((byte) 2).packInt(l.listings().size());
-            for (EndpointRecord x : l.listings()) {
-                listing(p, x);
+        } else if (peerMessage instanceof PeerMessage.EndpointUpdate l) {
+            p.packByte((byte) 2).packInt(l.records().size());
+            for (EndpointRecord x : l.records()) {
+                record(p, x);
             }
-        } else if (letter instanceof PeerMessage.Ask l) {
+        } else if (peerMessage instanceof PeerMessage.Subscribe l) {
             p.packByte((byte) 3).packLong(l.slot());
-        } else if (letter instanceof PeerMessage.Notice l) {
+        } else if (peerMessage instanceof PeerMessage.ConfigAvailable l) {
             p.packByte((byte) 4).packLong(l.slot());
-        } else if (letter instanceof PeerMessage.Fetch) {
+        } else if (peerMessage instanceof PeerMessage.FetchConfig) {
             p.packByte((byte) 5);
-        } else if (letter instanceof PeerMessage.News l) {
+        } else if (peerMessage instanceof PeerMessage.ConfigUpdate l) {
             p.packByte((byte) 6);
             decision(p, l.decision());
             p.packBoolean(l.confirmed());
-        } else if (letter instanceof PeerMessage.Ping l) {
+        } else if (peerMessage instanceof PeerMessage.Ping l) {
             p.packByte((byte) 7).packLong(l.number());
             stamp(p, l.sentAt());
-        } else if (letter instanceof PeerMessage.Pong l) {
+        } else if (peerMessage instanceof PeerMessage.Pong l) {
             p.packByte((byte) 8).packLong(l.number()).packString(l.id()).packLong(l.slot());
-        } else if (letter instanceof PeerMessage.Paper l) {
+        } else if (peerMessage instanceof PeerMessage.Consensus l) {
             p.packByte((byte) 9);
             message(p, l.message());
-        } else if (letter instanceof PeerMessage.Uses l) {
+        } else if (peerMessage instanceof PeerMessage.DemandReport l) {
             p.packByte((byte) 13);
             uses(p, l.uses());
             p.packBoolean(l.wanted());
-        } else if (letter instanceof PeerMessage.Sums l) {
+        } else if (peerMessage instanceof PeerMessage.DemandSums l) {
             p.packByte((byte) 14).packInt(l.nodes());
             uses(p, l.totals());
-        } else if (letter instanceof PeerMessage.Seek) {
+        } else if (peerMessage instanceof PeerMessage.FindControlNodes) {
             p.packByte((byte) 15);
-        } else if (letter instanceof PeerMessage.Offices l) {
+        } else if (peerMessage instanceof PeerMessage.ControlNodes l) {
             p.packByte((byte) 16);
             strings(p, l.addresses());
-        } else if (letter instanceof PeerMessage.Cancel l) {
+        } else if (peerMessage instanceof PeerMessage.Cancel l) {
             p.packByte((byte) 17).packLong(l.stream()).packBoolean(l.whileRunning());
         }
     }
@@ -121,13 +121,13 @@
         return u.hasNext() ? u.unpackLong() : PeerMessage.UNSTAMPED;
     }
 
-    /** The first protocol version whose readers know this letter's kind. */
-    static int since(PeerMessage letter) {
-        return letter instanceof PeerMessage.Cancel ? ProtocolVersion.TOLERANT : ProtocolVersion.UNVERSIONED;
+    /** The first protocol version whose readers know this message's kind. */
+    static int since(PeerMessage peerMessage) {
+        return peerMessage instanceof PeerMessage.Cancel ? ProtocolVersion.TOLERANT : ProtocolVersion.UNVERSIONED;
     }
 
     /**
-     * Reads a letter. One of a kind that this version does not know is {@link PeerMessage.Unknown}; fields that it
+     * Reads a message. One of a kind that this version does not know is {@link PeerMessage.Unknown}; fields that it
      * does not know are passed over.
      *
      * @throws MalformedMessageException if these bytes are none
@@ -137,11 +137,11 @@
         try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
             byte tag = u.unpackByte();
             kind = PeerMessageKind.of(tag);
-            PeerMessage letter = read(tag, u);
-            if (!(letter instanceof PeerMessage.Unknown) && u.hasNext()) {
+            PeerMessage peerMessage = read(tag, u);
+            if (!(peerMessage instanceof PeerMessage.Unknown) && u.hasNext()) {
                 VersionEvents.PROCESS.passedOver("a field of " + kind);
             }
-            return letter;
+            return peerMessage;
         } catch (UnknownKindException e) {
             return new PeerMessage.Unknown(e.getMessage());
         } catch (IOException | RuntimeException e) {
@@ -157,29 +157,29 @@
                 int n = size(u.unpackInt());
                 List<EndpointRecord> list = new ArrayList<>();
                 for (int i = 0; i < n; i++) {
-                    listing(u).ifPresent(list::add);
+                    record(u).ifPresent(list::add);
                 }
-                yield new PeerMessage.Post(list);
+                yield new PeerMessage.EndpointUpdate(list);
             }
-            case 3 -> new PeerMessage.Ask(u.unpackLong());
-            case 4 -> new PeerMessage.Notice(u.unpackLong());
-            case 5 -> new PeerMessage.Fetch();
-            case 6 -> new PeerMessage.News(decision(u), u.unpackBoolean());
+            case 3 -> new PeerMessage.Subscribe(u.unpackLong());
+            case 4 -> new PeerMessage.ConfigAvailable(u.unpackLong());
+            case 5 -> new PeerMessage.FetchConfig();
+            case 6 -> new PeerMessage.ConfigUpdate(decision(u), u.unpackBoolean());
             case 7 -> new PeerMessage.Ping(u.unpackLong(), stamp(u));
             case 8 -> new PeerMessage.Pong(u.unpackLong(), u.unpackString(), u.unpackLong());
-            case 9 -> new PeerMessage.Paper(message(u));
-            case 10 -> new PeerMessage.Parcel(u.unpackLong(), u.unpackString(), u.unpackString(), strings(u),
+            case 9 -> new PeerMessage.Consensus(message(u));
+            case 10 -> new PeerMessage.ForwardRequest(u.unpackLong(), u.unpackString(), u.unpackString(), strings(u),
                     bytes(u), u.unpackInt(), u.unpackString(), u.unpackString(), u.unpackInt(), stamp(u));
-            case 11 -> new PeerMessage.Delivered(u.unpackLong(), u.unpackInt(), strings(u), bytes(u),
+            case 11 -> new PeerMessage.ForwardResponse(u.unpackLong(), u.unpackInt(), strings(u), bytes(u),
                     u.unpackDouble(), u.unpackDouble());
-            case 12 -> new PeerMessage.Returned(u.unpackLong(), why(u.unpackInt()),
+            case 12 -> new PeerMessage.ForwardFailure(u.unpackLong(), why(u.unpackInt()),
                     u.unpackDouble(), u.unpackDouble());
-            case 13 -> new PeerMessage.Uses(uses(u), u.unpackBoolean());
-            case 14 -> new PeerMessage.Sums(u.unpackInt(), uses(u));
-            case 15 -> new PeerMessage.Seek();
-            case 16 -> new PeerMessage.Offices(strings(u));
+            case 13 -> new PeerMessage.DemandReport(uses(u), u.unpackBoolean());
+            case 14 -> new PeerMessage.DemandSums(u.unpackInt(), uses(u));
+            case 15 -> new PeerMessage.FindControlNodes();
+            case 16 -> new PeerMessage.ControlNodes(strings(u));
             case 17 -> new PeerMessage.Cancel(u.unpackLong(), u.unpackBoolean());
-            default -> throw new UnknownKindException("letter " + tag);
+            default -> throw new UnknownKindException("message " + tag);
         };
     }
 
@@ -189,10 +189,10 @@
     }
 
     // A reason that this version does not know promises nothing: the request may have run.
-    private static PeerMessage.Why why(int number) {
+    private static PeerMessage.FailureReason why(int number) {
         if (number < 0 || number >= REASONS.length) {
             VersionEvents.PROCESS.passedOver("reason " + number + " of RETURNED");
-            return PeerMessage.Why.BROKEN;
+            return PeerMessage.FailureReason.BROKEN;
         }
         return REASONS[number];
     }
@@ -318,7 +318,7 @@
         for (Decision.Taken t : d.taken()) {
             p.packLong(t.version()).packString(t.digest());
         }
-        strings(p, d.electors());
+        strings(p, d.voters());
     }
 
     static Decision decision(MessageUnpacker u) throws IOException {
--- a/src/main/java/whinlead/mesh/wire/PeerMessageKind.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessageKind.java
@@ -1,23 +1,23 @@
 package whinlead.mesh.wire;
 
-/** The kinds of letters, by the tag that stands first in the bytes of each. */
+/** The kinds of messages, by the tag that stands first in the bytes of each. */
 public enum PeerMessageKind {
     HELLO(1, false),
-    POST(2, false),
-    ASK(3, false),
-    NOTICE(4, false),
-    FETCH(5, false),
-    NEWS(6, false),
+    ENDPOINT_UPDATE(2, false),
+    SUBSCRIBE(3, false),
+    CONFIG_AVAILABLE(4, false),
+    FETCH_CONFIG(5, false),
+    CONFIG_UPDATE(6, false),
     PING(7, true),
     PONG(8, true),
-    PAPER(9, true),
-    PARCEL(10, false),
-    DELIVERED(11, false),
-    RETURNED(12, false),
-    USES(13, true),
-    SUMS(14, true),
-    SEEK(15, true),
-    OFFICES(16, true),
+    CONSENSUS(9, true),
+    FORWARD_REQUEST(10, false),
+    FORWARD_RESPONSE(11, false),
+    FORWARD_FAILURE(12, false),
+    DEMAND_REPORT(13, true),
+    DEMAND_SUMS(14, true),
+    FIND_CONTROL_NODES(15, true),
+    CONTROL_NODES(16, true),
     CANCEL(17, false);
 
     private final int tag;
--- a/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
+++ b/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
@@ -36,15 +36,15 @@
      * @param dead silence before it is closed
      * @param redial between two dials, at least; twice at most
      */
-    public record Pace(long ping, long suspect, long dead, long redial) { }
+    public record Timeouts(long ping, long suspect, long dead, long redial) { }
 
     /** Hears of it. */
-    public interface Owner {
+    public interface Listener {
         /** It stands differently. */
-        void changed(ReconnectingConnection tie, State before);
+        void changed(ReconnectingConnection connection, State before);
 
-        /** A letter came. */
-        void letter(ReconnectingConnection tie, PeerMessage letter);
+        /** A message came. */
+        void message(ReconnectingConnection connection, PeerMessage message);
 
         /** A ping that left at this time, by the loop's steady clock in milliseconds, was answered. */
         default void echoed(double sentAt, PeerMessage.Pong pong) { }
@@ -75,8 +75,8 @@
     private final EventLoop loop;
     private final SocketAddress address;
     private final PeerMessage hello;
-    private final Pace pace;
-    private final Owner owner;
+    private final Timeouts pace;
+    private final Listener owner;
     private State state = State.DOWN;
     private PeerConnection link;
     private Future<?> timer;
@@ -86,8 +86,8 @@
     private long pings;
     private boolean pinged;
 
-    /** A tie that is not yet dialled. */
-    public ReconnectingConnection(EventLoop loop, SocketAddress address, PeerMessage hello, Pace pace, Owner owner) {
+    /** A connection that is not yet dialled. */
+    public ReconnectingConnection(EventLoop loop, SocketAddress address, PeerMessage hello, Timeouts pace, Listener owner) {
         this.loop = loop;
         this.address = address;
         this.hello = hello;
@@ -103,7 +103,7 @@
         to(State.DIALLING);
         new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(PeerConnection.handlers(new Ear())).connect(address).addListener(f -> {
+                .handler(PeerConnection.handlers(new Handler())).connect(address).addListener(f -> {
                     if (!f.isSuccess()) {
                         lost();
                     }
@@ -115,16 +115,16 @@
         return state;
     }
 
-    /** Whether a letter may be sent with hope of an answer. */
+    /** Whether a message may be sent with hope of an answer. */
     public boolean up() {
         return state == State.UP;
     }
 
-    /** Sends a letter; false if the link is down. */
-    public boolean send(PeerMessage letter) {
+    /** Sends a message; false if the link is down. */
+    public boolean send(PeerMessage message) {
         boolean can = link != null && link.open();
         if (can) {
-            link.send(letter);
+            link.send(message);
         }
         return can;
     }
@@ -188,7 +188,7 @@
         link.send(new PeerMessage.Ping(pings, owner.stamp()));
     }
 
-    private final class Ear implements PeerConnection.Ear {
+    private final class Handler implements PeerConnection.MessageHandler {
         @Override
         public void up(PeerConnection up) {
             if (state == State.CLOSED) {
@@ -208,18 +208,18 @@
         }
 
         @Override
-        public void letter(PeerConnection from, PeerMessage letter) {
+        public void message(PeerConnection from, PeerMessage message) {
             heardAt = System.nanoTime();
             pinged = false;
-            if (letter instanceof PeerMessage.Pong pong && pong.number() <= pings
+            if (message instanceof PeerMessage.Pong pong && pong.number() <= pings
                     && pong.number() > pings - PINGS_OUT && pong.number() > 0) {
                 owner.echoed(sentAt[(int) (pong.number() % PINGS_OUT)], pong);
             }
             if (state == State.SUSPECT) {
                 to(State.UP);
             }
-            if (!(letter instanceof PeerMessage.Hello)) {
-                owner.letter(ReconnectingConnection.this, letter);
+            if (!(message instanceof PeerMessage.Hello)) {
+                owner.message(ReconnectingConnection.this, message);
             }
         }
 
--- a/src/main/java/whinlead/mesh/wire/VersionEvents.java
+++ b/src/main/java/whinlead/mesh/wire/VersionEvents.java
@@ -21,7 +21,7 @@
         once(Event.PASSED_OVER, what);
     }
 
-    /** A letter or a greeting was refused. */
+    /** A message or a greeting was refused. */
     void refused(String peer, String why) {
         once(Event.PEER_REFUSED, (peer == null ? "a peer not yet named" : peer) + ": " + why);
     }
--- a/src/main/java/whinlead/replication/net/Frames.java
+++ b/src/main/java/whinlead/replication/net/Frames.java
@@ -18,11 +18,11 @@
 public final class Frames {
     private Frames() { }
 
-    /** A parcel as a frame of this group. */
-    public static Wire.Frame of(String group, GroupMessage parcel) {
-        Wire.Frame.Builder b = Wire.Frame.newBuilder().setGroup(group).setSender(parcel.from())
-                .setSenderLife(parcel.fromLife()).setReceiverLife(parcel.toLife()).setSpeaks(parcel.speaks());
-        Envelope what = parcel.what();
+    /** A message as a frame of this group. */
+    public static Wire.Frame of(String group, GroupMessage groupMessage) {
+        Wire.Frame.Builder b = Wire.Frame.newBuilder().setGroup(group).setSender(groupMessage.from())
+                .setSenderLife(groupMessage.fromLife()).setReceiverLife(groupMessage.toLife()).setSpeaks(groupMessage.speaks());
+        Envelope what = groupMessage.what();
         if (what instanceof Envelope.Consensus e) {
             b.setConsensus(Messages.of(e.message()));
         } else if (what instanceof Envelope.Forward e) {
@@ -55,7 +55,7 @@
     }
 
     /** What a frame holds; null for a ping, and for what a later version has added. */
-    public static GroupMessage parcel(Wire.Frame f) {
+    public static GroupMessage message(Wire.Frame f) {
         MemberId from = new MemberId(f.getSender(), f.getSenderLife());
         Envelope what = switch (f.getWhatCase()) {
             case CONSENSUS -> new Envelope.Consensus(Messages.message(f.getConsensus(), Member.GROUP, from));
--- a/src/main/java/whinlead/replication/net/GroupLink.java
+++ b/src/main/java/whinlead/replication/net/GroupLink.java
@@ -112,9 +112,9 @@
     }
 
     /** Sends to a process, or loses it. On the loop. */
-    public void send(String group, String to, GroupMessage parcel) {
+    public void send(String group, String to, GroupMessage message) {
         if (!to.equals(name) && processes.containsKey(to)) {
-            line(to).send(counted(Frames.of(group, parcel)));
+            line(to).send(counted(Frames.of(group, message)));
         }
     }
 
@@ -126,16 +126,16 @@
     }
 
     private void received(Wire.Frame frame) {
-        received(frame, parcel -> send(frame.getGroup(), frame.getSender(), parcel));
+        received(frame, message -> send(frame.getGroup(), frame.getSender(), message));
     }
 
     private void received(Wire.Frame frame, Consumer<GroupMessage> back) {
         if (host == null) {
             return;
         }
-        GroupMessage parcel;
+        GroupMessage message;
         try {
-            parcel = Frames.parcel(frame);
+            message = Frames.message(frame);
         } catch (IllegalArgumentException e) {
             // The 1st, 2nd, 4th, 8th and so on: a peer must not fill the log.
             if ((++unread & unread - 1) == 0) {
@@ -143,8 +143,8 @@
             }
             return;
         }
-        if (parcel != null) {
-            host.received(frame.getGroup(), parcel, back);
+        if (message != null) {
+            host.received(frame.getGroup(), message, back);
         }
     }
 
@@ -162,9 +162,9 @@
                     if (frame.getWhatCase() == Wire.Frame.WhatCase.PING && out.isReady()) {
                         out.onNext(frame().setPing(frame.getPing()).build());
                     }
-                    received(frame, parcel -> {
+                    received(frame, message -> {
                         if (out.isReady() && !out.isCancelled()) {
-                            out.onNext(counted(Frames.of(frame.getGroup(), parcel)));
+                            out.onNext(counted(Frames.of(frame.getGroup(), message)));
                         }
                     });
                 }
--- a/src/main/java/whinlead/replication/raft/GroupHost.java
+++ b/src/main/java/whinlead/replication/raft/GroupHost.java
@@ -33,7 +33,7 @@
     /** What it needs of the process. */
     public interface Outside {
         /** Sends once, or loses it; never calls back before it returns. */
-        void send(String group, String to, GroupMessage parcel);
+        void send(String group, String to, GroupMessage message);
 
         /** What the disk holds of a seat in this group; empty if there is none, or no disk. */
         LogMirror found(String group);
@@ -117,8 +117,8 @@
     private Seat seat(String group, LogMirror log) {
         return new Seat(setup.seat(group), timers, new GroupClock(timers.now()), log, random, new Seat.Outside() {
             @Override
-            public void send(String to, GroupMessage parcel) {
-                outside.send(group, to, parcel);
+            public void send(String to, GroupMessage message) {
+                outside.send(group, to, message);
             }
 
             @Override
@@ -216,27 +216,27 @@
      *
      * @param back to the very process that said it, whoever its name's address leads to
      */
-    public void received(String group, GroupMessage parcel, Consumer<GroupMessage> back) {
-        if (!setup.groups().containsKey(group) || !setup.processes().contains(parcel.from())) {
+    public void received(String group, GroupMessage message, Consumer<GroupMessage> back) {
+        if (!setup.groups().containsKey(group) || !setup.processes().contains(message.from())) {
             return;
         }
         Seat seat = seats.get(group);
-        if (parcel.what() instanceof Envelope.Pass pass) {
-            passed(seat, parcel.from(), pass, back);
-        } else if (parcel.what() instanceof Envelope.Passed answer) {
+        if (message.what() instanceof Envelope.Pass pass) {
+            passed(seat, message.from(), pass, back);
+        } else if (message.what() instanceof Envelope.Passed answer) {
             GroupRoute way = ways.get(group);
             if (way != null) {
                 String leader = setup.processes().contains(answer.leader()) ? answer.leader() : "";
                 way.answered(answer.token(), answer.reply(), answer.time(), leader, timers.now());
             }
-        } else if (parcel.what() instanceof Envelope.Invite invite) {
+        } else if (message.what() instanceof Envelope.Invite invite) {
             if (seat == null && !setup.first(group)) {
                 Seat guest = seat(group, outside.wiped(group));
                 seats.put(group, guest);
                 guest.invited(invite.first());
             }
         } else if (seat != null) {
-            seat.received(parcel, back);
+            seat.received(message, back);
         }
     }
 
--- a/src/main/java/whinlead/replication/raft/ReplacementDriver.java
+++ b/src/main/java/whinlead/replication/raft/ReplacementDriver.java
@@ -24,9 +24,9 @@
     }
 
     /** Something has come from another process. */
-    void received(GroupMessage parcel) {
-        heard(parcel.from());
-        versions.put(parcel.from(), parcel.speaks());
+    void received(GroupMessage message) {
+        heard(message.from());
+        versions.put(message.from(), message.speaks());
     }
 
     /** Something of a process has come, perhaps by way of another. */
--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -27,7 +27,7 @@
     /** What it needs of the process. */
     public interface Outside {
         /** Sends once, or loses it; never calls back before it returns. */
-        void send(String to, GroupMessage parcel);
+        void send(String to, GroupMessage message);
 
         /** Forgets what the disk holds; what is held from now on goes to the log given back. */
         LogMirror wiped();
@@ -222,7 +222,7 @@
         }
         for (String other : setup.names()) {
             if (!other.equals(setup.name())) {
-                outside.send(other, parcel(0, new Envelope.Ask(formation.nonce())));
+                outside.send(other, message(0, new Envelope.Ask(formation.nonce())));
             }
         }
         found();
@@ -233,7 +233,7 @@
         return member == null ? 0 : member.id().life();
     }
 
-    private GroupMessage parcel(long toLife, Envelope what) {
+    private GroupMessage message(long toLife, Envelope what) {
         return new GroupMessage(setup.name(), life(), toLife, what);
     }
 
@@ -244,7 +244,7 @@
         }
         Set<MemberId> first = formation.founders();
         formation.answerers().forEach(other ->
-                outside.send(other, parcel(0, new Envelope.Founded(formation.nonce(), first))));
+                outside.send(other, message(0, new Envelope.Founded(formation.nonce(), first))));
         sit(formation.firstLife(), first, "founds the group");
     }
 
@@ -294,54 +294,54 @@
      *
      * @param back to the very process that said it, whoever its name's address leads to
      */
-    public void received(GroupMessage parcel, Consumer<GroupMessage> back) {
-        if (stopped || !setup.processes().contains(parcel.from()) || parcel.from().equals(setup.name())) {
+    public void received(GroupMessage message, Consumer<GroupMessage> back) {
+        if (stopped || !setup.processes().contains(message.from()) || message.from().equals(setup.name())) {
             return;
         }
-        replacements.received(parcel);
-        if (parcel.what() instanceof Envelope.Ask ask) {
-            asked(parcel, ask, back);
-        } else if (parcel.what() instanceof Envelope.Standing standing) {
-            told(parcel, standing);
-        } else if (parcel.what() instanceof Envelope.Founded founded) {
-            if (member == null && formation.promisedTo(parcel.from(), founded.nonce())) {
+        replacements.received(message);
+        if (message.what() instanceof Envelope.Ask ask) {
+            asked(message, ask, back);
+        } else if (message.what() instanceof Envelope.Standing standing) {
+            told(message, standing);
+        } else if (message.what() instanceof Envelope.Founded founded) {
+            if (member == null && formation.promisedTo(message.from(), founded.nonce())) {
                 adopt(founded.first());
             }
-        } else if (parcel.what() instanceof Envelope.Taken) {
-            nameTaken(parcel);
-        } else if (member != null && (parcel.toLife() == life() || parcel.what() instanceof Envelope.Join)) {
-            receivedByMember(parcel, back);
+        } else if (message.what() instanceof Envelope.Taken) {
+            nameTaken(message);
+        } else if (member != null && (message.toLife() == life() || message.what() instanceof Envelope.Join)) {
+            receivedByMember(message, back);
         }
     }
 
-    private void nameTaken(GroupMessage parcel) {
-        if (member != null && parcel.toLife() == life()) {
+    private void nameTaken(GroupMessage message) {
+        if (member != null && message.toLife() == life()) {
             beginAnew();
-        } else if (member == null && parcel.toLife() == formation.nonce()) {
+        } else if (member == null && message.toLife() == formation.nonce()) {
             stop();
             outside.taken();
         }
     }
 
-    private void receivedByMember(GroupMessage parcel, Consumer<GroupMessage> back) {
-        if (member.knowsLaterLife(parcel.from(), parcel.fromLife())) {
-            back.accept(parcel(parcel.fromLife(), new Envelope.Taken()));
+    private void receivedByMember(GroupMessage message, Consumer<GroupMessage> back) {
+        if (member.knowsLaterLife(message.from(), message.fromLife())) {
+            back.accept(message(message.fromLife(), new Envelope.Taken()));
             return;
         }
-        if (parcel.what() instanceof Envelope.Join join) {
+        if (message.what() instanceof Envelope.Join join) {
             replacements.heard(join.who().name());
         }
-        member.received(new MemberId(parcel.from(), parcel.fromLife()), parcel.what());
+        member.received(new MemberId(message.from(), message.fromLife()), message.what());
     }
 
-    private void asked(GroupMessage parcel, Envelope.Ask ask, Consumer<GroupMessage> back) {
-        String from = parcel.from();
+    private void asked(GroupMessage message, Envelope.Ask ask, Consumer<GroupMessage> back) {
+        String from = message.from();
         if (member == null) {
             formation.promise(from, ask.nonce());
             answer(ask, back);
             return;
         }
-        boolean hasLife = parcel.fromLife() != 0
+        boolean hasLife = message.fromLife() != 0
                 || member.members().contains(new MemberId(from, IncarnationNumbers.first(ask.nonce())));
         if (hasLife || !member.knowsName(from)) {
             answer(ask, back);
@@ -349,9 +349,9 @@
         }
         LivenessChallenges.Challenge challenge = challenges.challenge(from, ask.nonce(), timers.now());
         switch (challenge.state(timers.now())) {
-            case PROVEN -> back.accept(parcel(ask.nonce(), new Envelope.Taken()));
+            case PROVEN -> back.accept(message(ask.nonce(), new Envelope.Taken()));
             case EXPIRED -> answer(ask, back);
-            case PENDING -> outside.send(from, parcel(0, new Envelope.Ask(challenge.token())));
+            case PENDING -> outside.send(from, message(0, new Envelope.Ask(challenge.token())));
         }
     }
 
@@ -360,20 +360,20 @@
                 ? new Envelope.Standing(ask.nonce(), formation.nonce(), Set.of(), Set.of(), 0)
                 : new Envelope.Standing(ask.nonce(), formation.nonce(), member.first(), member.members(),
                         member.membersIndex());
-        back.accept(parcel(0, standing));
+        back.accept(message(0, standing));
     }
 
-    private void told(GroupMessage parcel, Envelope.Standing standing) {
-        if (parcel.fromLife() != 0) {
-            challenges.answered(parcel.from(), standing.asked());
+    private void told(GroupMessage message, Envelope.Standing standing) {
+        if (message.fromLife() != 0) {
+            challenges.answered(message.from(), standing.asked());
         }
         if (standing.asked() != formation.nonce()) {
             return;
         }
         if (member == null) {
-            toldWithoutLife(parcel.from(), standing);
+            toldWithoutLife(message.from(), standing);
         } else {
-            formation.answered(parcel.from(), standing);
+            formation.answered(message.from(), standing);
             if (member.isReplacedIn(standing)) {
                 beginAnew();
             }
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -33,7 +33,7 @@
 
 /**
  * The command line: {@code serve} runs a real sidecar, {@code check} only starts one and stops it again,
- * {@code benchlink} is the simulator's adapter, {@code carrier} and {@code office} are the mesh's roles; all else is in {@link Tools}.
+ * {@code benchlink} is the simulator's adapter, {@code sidecar} and {@code control} are the mesh's roles; all else is in {@link Tools}.
  */
 public final class Main {
     /**
@@ -224,7 +224,7 @@
         }
         Discovery discovery = new Discovery(loop, config.discovery(), mapper,
                 !settings.listMustBeAsked(), config.seed(), config.known(), engine);
-        ClientServer server = new ClientServer(loop, clock, engine, pool::carrier, settings,
+        ClientServer server = new ClientServer(loop, clock, engine, pool::transport, settings,
                 admission.clients(), budget, config.sockets() / REQUEST_PART);
         return new Parts(server, discovery, processor, copies, engine,
                 () -> engine.start(discovery, config.known()));
--- a/src/main/java/whinlead/run/ReplicationSetup.java
+++ b/src/main/java/whinlead/run/ReplicationSetup.java
@@ -90,8 +90,8 @@
     /** The way out of the groups: links, disks, and the operator's log. */
     private final class Outside implements GroupHost.Outside {
         @Override
-        public void send(String group, String to, GroupMessage parcel) {
-            link.send(group, to, parcel);
+        public void send(String group, String to, GroupMessage message) {
+            link.send(group, to, message);
         }
 
         private Path folder(String group) {
--- a/src/main/java/whinlead/run/Warmup.java
+++ b/src/main/java/whinlead/run/Warmup.java
@@ -78,7 +78,7 @@
                         Budget.fixed(Budget.Purpose.ENDPOINTS, sockets));
         Engine engine = new Engine(new LoopTimers(loop, clock), settings,
                 actions -> new Decide(settings, 0, actions), pool::update, line -> { });
-        ClientServer server = new ClientServer(loop, clock, engine, pool::carrier, settings, sockets);
+        ClientServer server = new ClientServer(loop, clock, engine, pool::transport, settings, sockets);
         SocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         ChannelFuture endpoint = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .childHandler(pipeline(true)).bind(any).awaitUninterruptibly();
--- a/src/main/java/whinlead/testbed/HardeningRehearsal.java
+++ b/src/main/java/whinlead/testbed/HardeningRehearsal.java
@@ -24,10 +24,10 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code rehearse hardening}: the offices' councils under seeded schedules of the users' worst days, by a
+ * {@code rehearse hardening}: the control nodes' consensus under seeded schedules of the users' worst days, by a
  * driven clock. The same seed plays the same schedule, whatever the number of threads.
  */
-@Command(name = "hardening", description = "The offices' councils under seeded schedules: cuts, racing "
+@Command(name = "hardening", description = "The control nodes' consensus under seeded schedules: cuts, racing "
         + "operators, losses one after the other, hundreds of changes past a member; whose answer is whose.")
 final class HardeningRehearsal implements Callable<Integer> {
     private static final double[] DISTANCES = {500, 1000, 1500, 2000, 2500, 3000, 4000};
@@ -211,8 +211,8 @@
         Map<String, Double> bounds = Map.of(
                 "a call where there was no majority for 3 s, ms to unclear", TELLS_SOON,
                 "a call, ms to UNCLEAR", ENDS_SOON,
-                "from the cut's end, ms until the newest is at every office", CONVERGE,
-                "an order, ms from an office in touch to an acknowledgement", ACK);
+                "from the cut's end, ms until the newest is at every control node", CONVERGE,
+                "an order, ms from a control node in touch to an acknowledgement", ACK);
         boolean synced = name.startsWith("a member that is back, ms")
                 || name.startsWith("a planned replacement, ms from the new");
         return synced ? Double.valueOf(SYNC) : bounds.get(name);
--- a/src/main/java/whinlead/testbed/ProcessorRig.java
+++ b/src/main/java/whinlead/testbed/ProcessorRig.java
@@ -88,7 +88,7 @@
 
     /** An application asks it, and it sends to the endpoints itself. */
     ProcessorRig plain() throws IOException {
-        ClientServer server = ask(() -> new ClientServer(loop, clock, engine, pool::carrier, settings,
+        ClientServer server = ask(() -> new ClientServer(loop, clock, engine, pool::transport, settings,
                 CONNECTIONS_MOST));
         address = bound(server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
         loop.execute(server::ready);
--- a/src/main/java/whinlead/testbed/UpgradeRehearsal.java
+++ b/src/main/java/whinlead/testbed/UpgradeRehearsal.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Spec;
 
 /** {@code rehearse upgrade}: another version of the program beside this one, as processes on loopback. */
-@Command(name = "upgrade", description = "Three offices and three sidecars go from another version to this "
+@Command(name = "upgrade", description = "Three control nodes and three sidecars go from another version to this "
         + "one, half way, back, through, and all back, under requests and changes.")
 final class UpgradeRehearsal implements Callable<Integer> {
     @Spec
--- a/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
+++ b/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
@@ -14,9 +14,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The real councils under a driven clock, a seeded network and seeded disks: messages are lost, delayed and
+ * The real consensus nodes under a driven clock, a seeded network and seeded disks: messages are lost, delayed and
  * cut off in one direction, syncs take time and what was not synced is lost with the power, disks are wiped,
- * one office is replaced at another address. Operators race and repeat their calls. Checks that no slot has two
+ * one control node is replaced at another address. Operators race and repeat their calls. Checks that no slot has two
  * values and that nothing acknowledged is forgotten or taken twice on one version. The same seed plays the
  * same. One thread.
  */
@@ -41,18 +41,18 @@
 
     private record Due(double at, long order, Runnable task) { }
 
-    /** An office's machine. */
+    /** A control node's machine. */
     private final class Machine implements ConsensusNode.Actions {
         private final String address;
         private String id;
-        private ConsensusNode council;
-        private Acceptor.Memory disk;
+        private ConsensusNode consensusNode;
+        private Acceptor.State disk;
         private int life;
         private boolean up = true;
         private double freeAt;
         private int ticks;
 
-        private Machine(String address, String id, Acceptor.Memory disk) {
+        private Machine(String address, String id, Acceptor.State disk) {
             this.address = address;
             this.id = id;
             this.disk = disk;
@@ -62,7 +62,7 @@
         private void boot() {
             up = true;
             life++;
-            council = new ConsensusNode(id, disk, random.nextLong(), this);
+            consensusNode = new ConsensusNode(id, disk, random.nextLong(), this);
             int mine = life;
             ticks = -1;
             tick(mine);
@@ -70,8 +70,8 @@
 
         private void tick(int mine) {
             if (up && life == mine) {
-                council.tick(now);
-                // The first at once, as a tie is made.
+                consensusNode.tick(now);
+                // The first at once, as a connection is made.
                 if (++ticks % PING_TICKS == 0) {
                     ping();
                 }
@@ -87,10 +87,10 @@
                 if (m != this && m.up && !cut.containsKey(address + m.address)) {
                     if (!cut.containsKey(m.address + address)) {
                         String answers = m.id;
-                        long slot = m.council.storedSlot();
+                        long slot = m.consensusNode.storedSlot();
                         at(1 + random.nextDouble() * 4, () -> {
                             if (up && life == mine) {
-                                council.echoed(sentAt, answers, slot);
+                                consensusNode.echoed(sentAt, answers, slot);
                             }
                         });
                     }
@@ -111,9 +111,9 @@
             power(false);
             if (bug != Bug.VOTES_AFTER_WIPE) {
                 id = address + "#" + Long.toHexString(random.nextLong() | 1);
-                disk = new Acceptor.Memory(null, Ballot.NONE, null);
+                disk = new Acceptor.State(null, Ballot.NONE, null);
             } else {
-                disk = new Acceptor.Memory(Decision.founding(founders), Ballot.NONE, null);
+                disk = new Acceptor.State(Decision.founding(founders), Ballot.NONE, null);
             }
         }
 
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public void sync(Acceptor.Memory memory, String to, Message message) {
+        public void sync(Acceptor.State memory, String to, Message message) {
             int mine = life;
             if (bug == Bug.UNSYNCED) {
                 send(to, message);
@@ -159,8 +159,8 @@
             int mine = life;
             at(written(1), () -> {
                 if (life == mine && up) {
-                    disk = new Acceptor.Memory(decision, Ballot.NONE, null);
-                    council.stored(now, decision.slot());
+                    disk = new Acceptor.State(decision, Ballot.NONE, null);
+                    consensusNode.stored(now, decision.slot());
                 }
             });
         }
@@ -172,7 +172,7 @@
         }
 
         @Override
-        public void replaced(long call, ConsensusNode.Verdict verdict) {
+        public void replaced(long call, ConsensusNode.CallResult verdict) {
             ended(call, verdict);
         }
 
@@ -225,7 +225,7 @@
     private Outcome play() {
         for (String id : founders) {
             machines.put(ConsensusNode.address(id), new Machine(ConsensusNode.address(id), id,
-                    new Acceptor.Memory(Decision.founding(founders), Ballot.NONE, null)));
+                    new Acceptor.State(Decision.founding(founders), Ballot.NONE, null)));
         }
         double step = CALM / CALLS;
         for (int i = 0; i < CALLS; i++) {
@@ -259,7 +259,7 @@
         String sender = from.id;
         at(from == to ? 0 : 0.5 + random.nextDouble() * 2, () -> {
             if (to.up && to.id.equals(id)) {
-                to.council.received(now, sender, message);
+                to.consensusNode.received(now, sender, message);
             }
         });
     }
@@ -269,7 +269,7 @@
         return up.isEmpty() ? null : up.get(random.nextInt(up.size()));
     }
 
-    // One operator, or two at once on the same version, each call repeated to another office.
+    // One operator, or two at once on the same version, each call repeated to another control node.
     private void operate() {
         long base = acknowledged;
         int racers = random.nextInt(3) == 0 ? 2 : 1;
@@ -283,7 +283,7 @@
                     if (m != null) {
                         long call = ++calls;
                         sent.put(call, new Sent(version, base, digest));
-                        m.council.replace(now, call, version, base, digest,
+                        m.consensusNode.replace(now, call, version, base, digest,
                                 digest.getBytes(StandardCharsets.UTF_8));
                     }
                 });
@@ -295,12 +295,12 @@
         machines.values().stream().filter(m -> m.up).forEach(m -> {
             long call = ++calls;
             readFloor.put(call, acknowledged);
-            m.council.read(now, call);
+            m.consensusNode.read(now, call);
         });
     }
 
-    private void ended(long call, ConsensusNode.Verdict verdict) {
-        if (verdict != ConsensusNode.Verdict.TAKEN) {
+    private void ended(long call, ConsensusNode.CallResult verdict) {
+        if (verdict != ConsensusNode.CallResult.TAKEN) {
             return;
         }
         Sent s = sent.get(call);
@@ -362,7 +362,7 @@
                 String address = m.address + "'";
                 at(1500, () -> machines.put(address, new Machine(address, address + "#"
                         + Long.toHexString(random.nextLong() | 1),
-                        new Acceptor.Memory(null, Ballot.NONE, null))));
+                        new Acceptor.State(null, Ballot.NONE, null))));
             }
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
+++ b/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A postman's walk: an office, two carriers and their endpoints in one process on loopback; a configuration is
+ * A postman's walk: a control node, two sidecars and their endpoints in one process on loopback; a configuration is
  * taken and requests are served. The build runs it, for it notes which classes a start needs.
  */
 public final class LocalMeshRun {
@@ -29,7 +29,7 @@
     private LocalMeshRun() { }
 
     /** A configuration with one service and one tenant, whose key is {@code key-1}. */
-    public static String tariff(String epoch, String target) {
+    public static String config(String epoch, String target) {
         return "{\"Epoch\":\"" + epoch + "\",\"Routes\":{\"r-1\":{\"Authority\":\"post.example\","
                 + "\"PathPrefix\":\"/a/\",\"Kind\":\"idempotent\",\"DeadlineS\":2,\"TargetS\":0.5,\"Rank\":1,"
                 + "\"Target\":\"" + target + "\",\"Tries\":2,\"Public\":false},"
@@ -48,15 +48,15 @@
         NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         Path data = Files.createTempDirectory("walk");
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        new ControlNode(reader.parse(cards.office(0, data.toString(), true)), loop, new ObjectMapper()).start();
+        new ControlNode(reader.parse(cards.controlNode(0, data.toString(), true)), loop, new ObjectMapper()).start();
         int served = 0;
         try (StandInApp a = new StandInApp("i-a", "svc", cards.app(0), cards.beats(0));
                 StandInApp b = new StandInApp("i-b", "svc", cards.app(1), cards.beats(1))) {
             for (int i = 0; i < 2; i++) {
-                new Sidecar(reader.parse(cards.carrier(i, "svc")), loop, new ObjectMapper()).start();
+                new Sidecar(reader.parse(cards.sidecar(i, "svc")), loop, new ObjectMapper()).start();
             }
             int taken = Talk.ask(cards.control(0), "POST /whinlead/rpc?call=config.replace",
-                    Map.of("If-Match", "0"), tariff("00000001", "svc").getBytes(StandardCharsets.UTF_8))
+                    Map.of("If-Match", "0"), config("00000001", "svc").getBytes(StandardCharsets.UTF_8))
                     .status();
             a.beat("serving");
             b.beat("serving");
@@ -71,10 +71,10 @@
         return served == REQUESTS ? 0 : 1;
     }
 
-    private static boolean ready(TestbedSettings cards, int carrier) throws IOException, InterruptedException {
+    private static boolean ready(TestbedSettings cards, int sidecar) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (System.nanoTime() < end) {
-            if (Talk.ask(cards.readiness(carrier), "GET /whinlead/readiness", Map.of(), new byte[0])
+            if (Talk.ask(cards.readiness(sidecar), "GET /whinlead/readiness", Map.of(), new byte[0])
                     .status() == 200) {
                 return true;
             }
--- a/src/main/java/whinlead/testbed/mesh/StandInApp.java
+++ b/src/main/java/whinlead/testbed/mesh/StandInApp.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** An application endpoint: beats to the carrier beside it and answers requests, each with its seal. */
+/** An application endpoint: beats to the sidecar beside it and answers requests, each with its seal. */
 public final class StandInApp implements AutoCloseable {
     /** In a path: the request ends only once {@link #release} was called. */
     public static final String SLOW = "/slow";
@@ -92,7 +92,7 @@
             try {
                 beat("serving");
             } catch (IOException e) {
-                // The carrier is not there yet, or any more: the next beat may reach it.
+                // The sidecar is not there yet, or any more: the next beat may reach it.
                 return;
             }
         }, 0, millis, TimeUnit.MILLISECONDS);
--- a/src/main/java/whinlead/testbed/mesh/TestbedSettings.java
+++ b/src/main/java/whinlead/testbed/mesh/TestbedSettings.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Settings files as the platform writes them, for machines on loopback: 127.0.0.1 and on are offices, those
+ * Settings files as the platform writes them, for machines on loopback: 127.0.0.1 and on are control nodes, those
  * after them auxiliary machines. Ports are alike on all, and were free when this was made.
  */
 public final class TestbedSettings {
-    private final int offices;
+    private final int controlNodes;
     private final int talk;
     private final int control;
     private final int egress;
@@ -19,9 +19,9 @@
     private final int readiness;
     private final int app;
 
-    /** Settings of machines with so many offices. */
-    public TestbedSettings(int offices) throws IOException {
-        this.offices = offices;
+    /** Settings of machines with so many control nodes. */
+    public TestbedSettings(int controlNodes) throws IOException {
+        this.controlNodes = controlNodes;
         List<ServerSocket> held = new ArrayList<>();
         int[] ports = new int[6];
         try {
@@ -43,62 +43,62 @@
         app = ports[5];
     }
 
-    /** The address of an office's machine, from 0. */
-    public String officeIp(int i) {
+    /** The address of a control node's machine, from 0. */
+    public String controlNodeIp(int i) {
         return "127.0.0." + (1 + i);
     }
 
     /** The address of an auxiliary machine, from 0. */
-    public String carrierIp(int i) {
+    public String sidecarIp(int i) {
         return "127.0.0." + (101 + i);
     }
 
-    /** Where an office takes operators' calls. */
-    public String control(int office) {
-        return officeIp(office) + ":" + control;
+    /** Where a control node takes operators' calls. */
+    public String control(int controlNode) {
+        return controlNodeIp(controlNode) + ":" + control;
     }
 
-    /** Where a carrier takes its endpoint's beats. */
-    public String beats(int carrier) {
-        return carrierIp(carrier) + ":" + control;
+    /** Where a sidecar takes its endpoint's beats. */
+    public String beats(int sidecar) {
+        return sidecarIp(sidecar) + ":" + control;
     }
 
-    /** Where a carrier takes clients' requests. */
-    public String egress(int carrier) {
-        return carrierIp(carrier) + ":" + egress;
+    /** Where a sidecar takes clients' requests. */
+    public String egress(int sidecar) {
+        return sidecarIp(sidecar) + ":" + egress;
     }
 
-    /** Where a carrier tells whether it is ready. */
-    public String readiness(int carrier) {
-        return carrierIp(carrier) + ":" + readiness;
+    /** Where a sidecar tells whether it is ready. */
+    public String readiness(int sidecar) {
+        return sidecarIp(sidecar) + ":" + readiness;
     }
 
-    /** Where the endpoint beside a carrier listens. */
-    public String app(int carrier) {
-        return carrierIp(carrier) + ":" + app;
+    /** Where the endpoint beside a sidecar listens. */
+    public String app(int sidecar) {
+        return sidecarIp(sidecar) + ":" + app;
     }
 
-    /** Where an office talks to other processes. */
-    public String talk(int office) {
-        return officeIp(office) + ":" + talk;
+    /** Where a control node talks to other processes. */
+    public String talk(int controlNode) {
+        return controlNodeIp(controlNode) + ":" + talk;
     }
 
-    /** Where a carrier takes requests for the endpoint beside it. */
-    public String ingress(int carrier) {
-        return carrierIp(carrier) + ":" + ingress;
+    /** Where a sidecar takes requests for the endpoint beside it. */
+    public String ingress(int sidecar) {
+        return sidecarIp(sidecar) + ":" + ingress;
     }
 
-    /** An office's settings. */
-    public List<String> office(int i, String dataDir, boolean bootstrap) {
-        List<String> lines = common("core-" + i, officeIp(i), bootstrap);
+    /** A control node's settings. */
+    public List<String> controlNode(int i, String dataDir, boolean bootstrap) {
+        List<String> lines = common("core-" + i, controlNodeIp(i), bootstrap);
         lines.add("Self.DataDir=" + dataDir);
         lines.add("Network.Bind.Control=" + control(i));
         return lines;
     }
 
-    /** A carrier's settings, beside an endpoint of this service. */
-    public List<String> carrier(int i, String target) {
-        List<String> lines = common("auxiliary-" + i, carrierIp(i), true);
+    /** A sidecar's settings, beside an endpoint of this service. */
+    public List<String> sidecar(int i, String target) {
+        List<String> lines = common("auxiliary-" + i, sidecarIp(i), true);
         lines.add("Self.AppAddr=" + app(i));
         lines.add("Self.Target=" + target);
         lines.add("Network.Bind.Ingress=" + ingress(i));
@@ -110,7 +110,7 @@
 
     private List<String> common(String node, String ip, boolean bootstrap) {
         List<String> seeds = new ArrayList<>();
-        for (int i = 0; i < Math.min(3, offices); i++) {
+        for (int i = 0; i < Math.min(3, controlNodes); i++) {
             seeds.add(control(i));
         }
         return new ArrayList<>(List.of("Self.Node=" + node, "Self.Ip=" + ip, "Self.Zone=hall-a",
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -77,14 +77,14 @@
     }
 
     @Override
-    public boolean send(PeerMessage letter) {
-        byte[] written = PeerMessageCodec.write(letter);
+    public boolean send(PeerMessage message) {
+        byte[] written = PeerMessageCodec.write(message);
         int mine = connection;
         thereAt = Math.max(thereAt, calendar.now() + random.nextInt(3));
         calendar.at(thereAt, () -> {
             PeerMessage read = read(written);
-            if (read instanceof PeerMessage.Parcel parcel) {
-                take(parcel, answer -> answer(mine, answer));
+            if (read instanceof PeerMessage.ForwardRequest request) {
+                take(request, answer -> answer(mine, answer));
             } else if (read instanceof PeerMessage.Cancel cancel && sent.containsKey(cancel.stream())) {
                 sent.get(cancel.stream()).cancel(cancel.whileRunning());
             }
@@ -92,12 +92,12 @@
         return true;
     }
 
-    private void answer(int mine, PeerMessage letter) {
-        byte[] written = PeerMessageCodec.write(letter);
+    private void answer(int mine, PeerMessage message) {
+        byte[] written = PeerMessageCodec.write(message);
         backAt = Math.max(backAt, calendar.now() + random.nextInt(3));
         calendar.at(backAt, () -> {
             if (mine == connection) {
-                ear.letter(read(written));
+                ear.message(read(written));
             }
         });
     }
@@ -110,36 +110,36 @@
         }
     }
 
-    private void take(PeerMessage.Parcel parcel, Consumer<PeerMessage> answer) {
+    private void take(PeerMessage.ForwardRequest request, Consumer<PeerMessage> answer) {
         if (random.nextInt(FULL_ONE_OF) == 0) {
-            answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.FULL, 0, 0));
+            answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.FULL, 0, 0));
             return;
         }
         boolean[] told = {false};
-        sent.put(parcel.stream(), line.send(parcel, parcel.endpoint(), letter -> {
-            sent.remove(parcel.stream());
+        sent.put(request.stream(), line.send(request, request.endpoint(), message -> {
+            sent.remove(request.stream());
             if (!told[0]) {
                 told[0] = true;
-                answer.accept(passedOn(parcel, letter));
+                answer.accept(passedOn(request, message));
             }
         }));
         if (bug == AnswerBug.GIVES_UP_ON_SILENCE) {
             calendar.after(SILENCE_MS, () -> {
                 if (!told[0]) {
                     told[0] = true;
-                    answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.BROKEN, 0, 0));
+                    answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.BROKEN, 0, 0));
                 }
             });
         }
     }
 
-    private PeerMessage passedOn(PeerMessage.Parcel parcel, PeerMessage letter) {
-        boolean spoilt = letter instanceof PeerMessage.Returned r && r.why() == PeerMessage.Why.BROKEN;
+    private PeerMessage passedOn(PeerMessage.ForwardRequest request, PeerMessage message) {
+        boolean spoilt = message instanceof PeerMessage.ForwardFailure r && r.why() == PeerMessage.FailureReason.BROKEN;
         if (bug != AnswerBug.PASSES_HEADERS_OF_SPOILT_ANSWERS || !spoilt) {
-            return letter;
+            return message;
         }
-        String id = parcel.headers().get(parcel.headers().indexOf("Attempt-Id") + 1);
-        return new PeerMessage.Delivered(parcel.stream(), 502, List.of("Attempt-Id", id, "Server-Seal",
+        String id = request.headers().get(request.headers().indexOf("Attempt-Id") + 1);
+        return new PeerMessage.ForwardResponse(request.stream(), 502, List.of("Attempt-Id", id, "Server-Seal",
                 AnswerEndpoint.seal(id, 200)), new byte[0], 0, 0);
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 
 /**
- * Requests from clients' connections through a sidecar's real client side (window, egress, depot, engine,
+ * Requests from clients' connections through a sidecar's real client side (window, egress, service balancer, engine,
  * module, round) and real lines to three endpoints that answer in every way they may, under a driven clock,
  * with configurations and a SIGTERM on the way. Checks the users' rules MIXED and LOST: whose seal, status
  * and body an answer has; that every request that was read has a whole answer; that none is broken off at
@@ -55,22 +55,22 @@
     private AnswerPlay(long seed, AnswerBug bug) {
         this.random = new SplittableRandom(seed);
         this.bug = bug;
-        NodeSettings card = new NodeSettings(new NodeSettings.Self("near", "127.0.0.1", "z", false, null, null, null, null),
+        NodeSettings nodeSettings = new NodeSettings(new NodeSettings.Self("near", "127.0.0.1", "z", false, null, null, null, null),
                 new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(1, 1), List.of()),
                 new NodeSettings.Substrate(1),
                 new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, GRACE_S, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
-        List<EndpointRecord> listings = new ArrayList<>();
+        List<EndpointRecord> records = new ArrayList<>();
         for (int i = 0; i < FARS; i++) {
             endpoints.add(new AnswerEndpoint(calendar, random.split(), new Work(),
                     bug == AnswerBug.TAKES_RESET_FOR_END));
-            listings.add(new EndpointRecord(Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, EndpointRecord.Phase.SERVING,
+            records.add(new EndpointRecord(Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, EndpointRecord.Phase.SERVING,
                     CAPACITY, 0));
         }
-        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "near", (parcel, done) -> { },
+        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "near", (request, done) -> { },
                 this::path, () -> { });
         routing = routing(1, PREFIXES, SERVICE);
-        sidecar = new ClientSide(calendar, card, round, () -> routing, seed);
-        sidecar.endpoints(SERVICE, listings);
+        sidecar = new ClientSide(calendar, nodeSettings, round, () -> routing, seed);
+        sidecar.endpoints(SERVICE, records);
     }
 
     private AnswerPath path(String node, RequestForwarder.Ear ear) {
--- a/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
@@ -117,7 +117,7 @@
         core.machines().forEach(m -> operators.read(m.address(), d -> closed += d == null ? 0 : 1));
         core.agenda().run(core.now() + Core.ACK, core.checker()::anyBroken);
         if (closed < core.machines().size() && !core.checker().anyBroken()) {
-            core.checker().broke("only " + closed + " offices could read at the end");
+            core.checker().broke("only " + closed + " control nodes could read at the end");
         }
     }
 
@@ -202,7 +202,7 @@
         Change c = operators.change(behind);
         core.checker().count("orders put to a member at its return");
         member.loop(() -> member.replace(c, operators.body(c), verdict -> {
-            if (verdict == ConsensusNode.Verdict.TAKEN) {
+            if (verdict == ConsensusNode.CallResult.TAKEN) {
                 // It was not behind.
                 base = Math.max(base, c.version());
             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
@@ -58,14 +58,14 @@
         samples.computeIfAbsent(what, k -> new ArrayList<>()).add(value);
     }
 
-    /** An office learned this. */
+    /** A control node learned this. */
     void decided(Decision decision) {
         Decision other = chosen.putIfAbsent(decision.slot(), decision);
         if (other != null && !same(other, decision)) {
             broke("slot " + decision.slot() + " has two values");
         }
         if (newest == null || decision.slot() > newest.slot()) {
-            if (newest == null || !newest.electors().equals(decision.electors())) {
+            if (newest == null || !newest.voters().equals(decision.voters())) {
                 votersSlot = decision.slot();
             }
             newest = decision;
@@ -73,28 +73,28 @@
     }
 
     private boolean same(Decision a, Decision b) {
-        return a.version() == b.version() && a.electors().equals(b.electors())
+        return a.version() == b.version() && a.voters().equals(b.voters())
                 && Arrays.equals(a.body(), b.body()) && (!looksAtTaken || a.taken().equals(b.taken()));
     }
 
-    /** The newest decision that any office ever learned; null before the first. */
+    /** The newest decision that any control node ever learned; null before the first. */
     Decision newest() {
         return newest;
     }
 
-    /** The slot of the newest decision as of which its electors are those that they are. */
+    /** The slot of the newest decision as of which its voters are those that they are. */
     long votersSlot() {
         return votersSlot;
     }
 
-    /** An office got a call; null for a read. The call's number. */
+    /** A control node got a call; null for a read. The call's number. */
     int invoked(Change change) {
         history.add(new Operation(change, agenda.now(), Double.POSITIVE_INFINITY, Operation.End.UNCLEAR,
                 null));
         return history.size() - 1;
     }
 
-    /** The office ended it. */
+    /** The control node ended it. */
     void ended(int call, Operation.End end, Decision seen) {
         Operation o = history.get(call);
         Value value = seen == null ? null : value(seen);
--- a/src/main/java/whinlead/testbed/mesh/hardening/Core.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Core.java
@@ -54,7 +54,7 @@
             founders.add((char) ('a' + i) + "#0");
         }
         founders.forEach(id -> add(ConsensusNode.address(id), new Disk.Entry(id,
-                new Acceptor.Memory(Decision.founding(founders), Ballot.NONE, null))));
+                new Acceptor.State(Decision.founding(founders), Ballot.NONE, null))));
     }
 
     Agenda agenda() {
--- a/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 
 /**
- * What a loss of power may leave of a ledger's folder. Of SQLite it assumes: a commit writes the log's
+ * What a loss of power may leave of a state store's folder. Of SQLite it assumes: a commit writes the log's
  * header, if that is new, syncs log and folder, writes the frames, syncs the log; a checkpoint then writes
  * pages of the file and syncs it; a founding makes file and rollback journal, syncs journal and folder,
  * writes the first page, syncs the file, removes the journal and syncs the folder; a close checkpoints and
@@ -160,7 +160,7 @@
         folderSynced();
     }
 
-    /** The ledger was closed. */
+    /** The state store was closed. */
     void closed() {
         files = to;
         synced.clear();
--- a/src/main/java/whinlead/testbed/mesh/hardening/CutPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutPlay.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * Point 1: machines are cut off for some twenty seconds while an operator orders and reads at all offices,
+ * Point 1: machines are cut off for some twenty seconds while an operator orders and reads at all control nodes,
  * the ones cut off too, and sidecars start. Nothing there may claim contact, confirm, read or refuse wrongly;
  * orders are taken by the others; after the end the newest is soon everywhere. One schedule, one thread.
  */
@@ -127,9 +127,9 @@
     private void await(long newest, double since) {
         double took = core.now() - since;
         if (core.machines().stream().allMatch(m -> m.version() >= newest)) {
-            core.checker().sample("from the cut's end, ms until the newest is at every office", took);
+            core.checker().sample("from the cut's end, ms until the newest is at every control node", took);
         } else if (took > Core.CONVERGE) {
-            core.checker().broke("the newest is not at every office 2.5 s after the cut's end");
+            core.checker().broke("the newest is not at every control node 2.5 s after the cut's end");
         } else {
             core.agenda().in(LOOK, () -> await(newest, since));
         }
@@ -152,7 +152,7 @@
                 if (begunAt >= settledAt) {
                     core.checker().sample("an order, ms to its operator's acknowledgement",
                             core.now() - begunAt);
-                    core.checker().sample("an order, ms from an office in touch to an acknowledgement",
+                    core.checker().sample("an order, ms from a control node in touch to an acknowledgement",
                             core.checker().acknowledgedAt(c.version()) - order[0].reachedAt());
                 }
                 converges(c.version());
@@ -171,7 +171,7 @@
         });
     }
 
-    // After five seconds: while a way is cut it is owed from when it came to an office in touch.
+    // After five seconds: while a way is cut it is owed from when it came to a control node in touch.
     private void owed(Operators.Order order) {
         if (order.begunAt() < settledAt || core.now() < settledAt) {
             return;
@@ -180,12 +180,12 @@
             core.checker().broke("an order on top of the newest version was not taken in 5 s of a settled "
                     + "core");
         } else if (Double.isNaN(order.reachedAt())) {
-            core.checker().count("orders that came to no office in touch for 5 s");
+            core.checker().count("orders that came to no control node in touch for 5 s");
         } else {
             core.agenda().in(order.reachedAt() + Core.ACK - core.now(), () -> {
                 if (core.now() >= settledAt && core.checker().acknowledgedBy(core.now())
                         < order.change().version()) {
-                    core.checker().broke("an order was not taken 5 s after it came to an office in touch");
+                    core.checker().broke("an order was not taken 5 s after it came to a control node in touch");
                 }
             });
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Disk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Disk.java
@@ -8,14 +8,14 @@
 import java.util.SplittableRandom;
 
 /**
- * A machine's disk and the one who writes to it, as {@code post.office.Scribe} does: one write at a time, and
+ * A machine's disk and the one who writes to it, as {@code control.StateWriter} does: one write at a time, and
  * what waits meanwhile is written once, as it is last. It is slow, stalls, or refuses; what is under way as
- * the power goes is there or not. What is read back has gone through the bytes of the ledger's entry. One
+ * the power goes is there or not. What is read back has gone through the bytes of the state store's entry. One
  * thread.
  */
 final class Disk {
-    /** What lies on it: an office's id, and its memory. */
-    record Entry(String id, Acceptor.Memory memory) { }
+    /** What lies on it: a control node's id, and its memory. */
+    record Entry(String id, Acceptor.State memory) { }
 
     private static final double QUICK = 1;
     private static final double SPREAD = 3;
--- a/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
@@ -51,7 +51,7 @@
     private static final double HANDOVER_MOST = 2000;
     /** Between two looks, in milliseconds. */
     private static final double LOOK = 25;
-    /** A successor without a seat for so long is not waited for, in milliseconds. */
+    /** A successor without a vote for so long is not waited for, in milliseconds. */
     private static final double UNSEATED = 20_000;
     /** Every process of the core may end at once and is back within this, in milliseconds. */
     private static final double POWER_BACK = 1000;
@@ -246,11 +246,11 @@
         }
     }
 
-    // An unplanned replacement: until the successor has a seat and the one that is gone has none.
+    // An unplanned replacement: until the successor has a vote and the one that is gone has none.
     private void measureSeat(Machine young, Machine old, double removedAt, double startedAt) {
         Decision newest = core.checker().newest();
-        boolean done = newest != null && newest.electors().contains(young.id())
-                && !newest.electors().contains(old.id());
+        boolean done = newest != null && newest.voters().contains(young.id())
+                && !newest.voters().contains(old.id());
         if (done) {
             core.checker().sample("an unplanned replacement, ms from the loss to the new voters",
                     core.now() - removedAt);
@@ -272,7 +272,7 @@
             core.checker().broke(state + ": not long after a planned replacement, of " + r.old().address());
             return;
         }
-        if (!core.checker().newest().electors().contains(r.old().id()) && reached.getAsBoolean()) {
+        if (!core.checker().newest().voters().contains(r.old().id()) && reached.getAsBoolean()) {
             core.checker().sample("a planned replacement, ms from the new one's start to " + state,
                     core.now() - r.startedAt());
             core.checker().sample("a planned replacement, ms from SIGTERM to " + state,
@@ -282,28 +282,28 @@
         core.agenda().in(LOOK, () -> measure(r, state, reached));
     }
 
-    // Any of the electors may go, as many as the budget still has room for, and the rest decides and knows
+    // Any of the voters may go, as many as the budget still has room for, and the rest decides and knows
     // all.
     private boolean bears() {
-        List<String> electors = core.checker().newest().electors();
+        List<String> voters = core.checker().newest().voters();
         long slot = core.checker().newest().slot();
-        long able = electors.stream().filter(e -> holds(e, slot)).count();
-        return able - (budget - occupied) >= electors.size() / 2 + 1;
+        long able = voters.stream().filter(e -> holds(e, slot)).count();
+        return able - (budget - occupied) >= voters.size() / 2 + 1;
     }
 
-    // Any of the electors may go, as many as the budget has room for: a quorum is left that knows who votes,
+    // Any of the voters may go, as many as the budget has room for: a quorum is left that knows who votes,
     // and one of it has the newest on disk. Where decisions follow each other fast, all disks hardly ever hold
     // the newest at the same moment, and nobody needs them to.
     private boolean anyRestKnows() {
-        List<String> electors = core.checker().newest().electors();
-        long informed = electors.stream().filter(e -> holds(e, core.checker().votersSlot())).count();
-        long current = electors.stream().filter(e -> holds(e, core.checker().newest().slot())).count();
+        List<String> voters = core.checker().newest().voters();
+        long informed = voters.stream().filter(e -> holds(e, core.checker().votersSlot())).count();
+        long current = voters.stream().filter(e -> holds(e, core.checker().newest().slot())).count();
         int losses = budget - occupied;
-        return informed - losses >= electors.size() / 2 + 1 && current > losses;
+        return informed - losses >= voters.size() / 2 + 1 && current > losses;
     }
 
-    private boolean holds(String elector, long slot) {
-        return core.machines().stream().anyMatch(m -> m.up() && m.id().equals(elector) && m.onDisk() >= slot);
+    private boolean holds(String voter, long slot) {
+        return core.machines().stream().anyMatch(m -> m.up() && m.id().equals(voter) && m.onDisk() >= slot);
     }
 
     /** All power goes, and with it some disks; all are back within a second. */
--- a/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
@@ -9,7 +9,7 @@
 
 /**
  * Point 2: operators race, up to eight orders under way, under one number at times; answers are lost, and
- * calls are repeated at every other office: at once, after a loss, after hundreds of other changes. Their
+ * calls are repeated at every other control node: at once, after a loss, after hundreds of other changes. Their
  * history has to be one of a register with compare-and-set. One schedule, one thread.
  */
 final class HistoryPlay {
@@ -80,7 +80,7 @@
         core.agenda().run(LENGTH, core.checker()::anyBroken);
         if (readers[0] < core.machines().size() && !core.checker().anyBroken()) {
             core.checker().broke("only " + readers[0] + " of " + core.machines().size()
-                    + " offices could read after the calm");
+                    + " control nodes could read after the calm");
         }
     }
 
@@ -134,7 +134,7 @@
     private void again(Operators.Order o, String at) {
         operators.repeat(o, at, verdict -> {
             core.checker().count("calls of a change that was taken, again: " + verdict);
-            if (verdict != ConsensusNode.Verdict.TAKEN && verdict != ConsensusNode.Verdict.UNCLEAR) {
+            if (verdict != ConsensusNode.CallResult.TAKEN && verdict != ConsensusNode.CallResult.UNCLEAR) {
                 core.checker().broke("a change that was taken was sent again to " + at + " and was refused: "
                         + o.change());
             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * The real ledger on a modelled disk. It writes to a real folder; images of the files before and after
- * each step are made into what a loss of power in that step may leave, and the real ledger is opened on
+ * The real state store on a modelled disk. It writes to a real folder; images of the files before and after
+ * each step are made into what a loss of power in that step may leave, and the real state store is opened on
  * that. The order of SQLite's writes and syncs within a step is assumed, as {@link CutDisk} has it. Checks
  * that it gives the memory whose write had returned, or the one that was being written; that what it gave
  * once it gives again; and that what is damaged is refused. The same seed plays the same, but for the
@@ -51,7 +51,7 @@
     private final Path base;
     private final List<String> broken = new ArrayList<>();
     private final Map<String, Long> figures = new TreeMap<>();
-    /** What the last write that returned held, or what was read since; null in a new ledger. */
+    /** What the last write that returned held, or what was read since; null in a new state store. */
     private byte[] said;
     /** What is being written, or null. */
     private byte[] writing;
@@ -69,7 +69,7 @@
     /** Plays the schedule of this seed. */
     public static Outcome play(long seed, Bug bug) {
         try {
-            Path base = Files.createTempDirectory("ledger");
+            Path base = Files.createTempDirectory("state store");
             try {
                 return new LedgerPlay(seed, bug, base).run();
             } finally {
@@ -107,8 +107,8 @@
         Path folder = Files.createDirectory(base.resolve("life-" + ++folders));
         disk.store(folder);
         disk.begin();
-        try (StateStore ledger = StateStore.open(folder, disk)) {
-            check(ledger.read(), "opened");
+        try (StateStore stateStore = StateStore.open(folder, disk)) {
+            check(stateStore.read(), "opened");
             disk.opened(folder);
             count("lives");
             // A killed process left what no sync has covered: that the power goes soon is played more often.
@@ -124,11 +124,11 @@
                 if (last) {
                     disk.before(folder);
                 }
-                ledger.write(ID, writing);
+                stateStore.write(ID, writing);
                 count("writes");
                 if (last) {
                     disk.after(folder);
-                    endOfWriting(folder, ledger);
+                    endOfWriting(folder, stateStore);
                     return;
                 }
                 said = writing;
@@ -140,7 +140,7 @@
         }
     }
 
-    private void endOfWriting(Path folder, StateStore ledger) throws IOException, StateStoreException {
+    private void endOfWriting(Path folder, StateStore stateStore) throws IOException, StateStoreException {
         int how = random.nextInt(10);
         if (bug == Bug.SAID_BEFORE_SYNC) {
             said = writing;
@@ -159,7 +159,7 @@
             writing = null;
             disk.written();
             disk.before(folder);
-            ledger.close();
+            stateStore.close();
             disk.after(folder);
             if (how == 8) {
                 end("power while closing");
@@ -180,9 +180,9 @@
             Path folder = Files.createDirectory(base.resolve("state-" + ++folders));
             CutDisk.store(state, folder);
             byte[] found;
-            try (StateStore ledger = StateStore.open(folder)) {
-                found = check(ledger.read(), how + ", " + disk.phase());
-                writable(ledger, how);
+            try (StateStore stateStore = StateStore.open(folder)) {
+                found = check(stateStore.read(), how + ", " + disk.phase());
+                writable(stateStore, how);
             } finally {
                 CutDisk.remove(folder);
             }
@@ -196,11 +196,11 @@
     }
 
     // At times: each write waits for the real disk.
-    private void writable(StateStore ledger, String how) throws StateStoreException {
+    private void writable(StateStore stateStore, String how) throws StateStoreException {
         if (random.nextInt(4) == 0) {
             byte[] next = memory();
-            ledger.write(ID, next);
-            if (!Arrays.equals(ledger.read().memory(), next)) {
+            stateStore.write(ID, next);
+            if (!Arrays.equals(stateStore.read().memory(), next)) {
                 broken.add(how + ", " + disk.phase() + ": what is written isn't read");
             }
         }
@@ -224,8 +224,8 @@
     private byte[] peek() throws IOException, StateStoreException {
         Path folder = Files.createDirectory(base.resolve("peek-" + ++folders));
         CutDisk.store(disk.files(), folder);
-        try (StateStore ledger = StateStore.open(folder)) {
-            return check(ledger.read(), "killed");
+        try (StateStore stateStore = StateStore.open(folder)) {
+            return check(stateStore.read(), "killed");
         } finally {
             CutDisk.remove(folder);
         }
@@ -236,8 +236,8 @@
         Path folder = Files.createDirectory(base.resolve("rot-" + ++folders));
         CutDisk.store(disk.rotten(), folder);
         count("rot");
-        try (StateStore ledger = StateStore.open(folder)) {
-            StateStore.Entry entry = ledger.read();
+        try (StateStore stateStore = StateStore.open(folder)) {
+            StateStore.Entry entry = stateStore.read();
             if (entry == null || !Arrays.equals(entry.memory(), said)) {
                 broken.add("damaged: " + (entry == null ? "nothing" : "another memory") + " was read");
             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -18,12 +18,12 @@
 import java.util.function.Consumer;
 
 /**
- * One core machine: a real council, driven as {@code post.office.Office} drives it, with a disk and a clock
+ * One core machine: a real consensus node, driven as {@code control.ControlNode} drives it, with a disk and a clock
  * of its own. It is up, down, or frozen: then what arrives waits, and comes all at once as it thaws. Keeps,
- * beside the council, the truth of whom it has exchanged question and answer with. One thread.
+ * beside the consensus node, the truth of whom it has exchanged question and answer with. One thread.
  */
 final class Machine implements ConsensusNode.Actions {
-    /** An office that was in touch so lately says that it is, in milliseconds; as the office has it. */
+    /** A control node that was in touch so lately says that it is, in milliseconds; as the control node has it. */
     static final double IN_TOUCH = 1000;
     private static final double TICK = 25;
     private static final double PING = 300;
@@ -32,7 +32,7 @@
     /** Two clocks' rounding. */
     private static final double ROUNDING = 0.01;
 
-    /** The newest letter of one life of another machine that was taken in here, by when it left there. */
+    /** The newest message of one life of another machine that was taken in here, by when it left there. */
     private record Sight(String key, double sentAt) { }
 
     private final Core core;
@@ -42,10 +42,10 @@
     private final Set<String> known = new LinkedHashSet<>();
     private final Map<String, Sight> seen = new HashMap<>();
     private final Map<String, Double> contact = new HashMap<>();
-    private final Map<Long, Consumer<ConsensusNode.Verdict>> replaces = new HashMap<>();
+    private final Map<Long, Consumer<ConsensusNode.CallResult>> replaces = new HashMap<>();
     private final Map<Long, Consumer<Decision>> reads = new HashMap<>();
     private String id;
-    private ConsensusNode council;
+    private ConsensusNode consensusNode;
     private int life;
     private boolean up;
     private boolean frozen;
@@ -87,14 +87,14 @@
         return up && frozen;
     }
 
-    /** The council of its present life. */
-    ConsensusNode council() {
-        return council;
+    /** The consensus node of its present life. */
+    ConsensusNode consensus() {
+        return consensusNode;
     }
 
     /** The version that it has learned, or -1. */
     long version() {
-        return version(council.decided());
+        return version(consensusNode.decided());
     }
 
     /** The slot that is on its disk, or -1. */
@@ -118,18 +118,18 @@
         offset = core.random().nextDouble() * OFFSET_MOST;
         Disk.Entry entry = core.bug() == Bug.RESTARTS_OLDER ? disk.readBefore() : disk.read();
         if (entry == null) {
-            // A new disk is a new elector: what the old one may have promised, this one can't know.
+            // A new disk is a new voter: what the old one may have promised, this one can't know.
             entry = new Disk.Entry(address + "#" + Long.toHexString(core.random().nextLong() | 1),
-                    new Acceptor.Memory(null, Ballot.NONE, null));
+                    new Acceptor.State(null, Ballot.NONE, null));
             disk.found(entry);
         }
         id = entry.id();
         onDisk = slot(entry.memory().decided());
         diskVersion = version(entry.memory().decided());
-        council = new ConsensusNode(id, entry.memory(), core.random().nextLong(), this);
+        consensusNode = new ConsensusNode(id, entry.memory(), core.random().nextLong(), this);
         core.tell(address + " starts as " + id + ", slot " + onDisk);
         core.seeds(address).forEach(this::know);
-        knowElectors();
+        knowVoters();
         int mine = life;
         core.agenda().in(core.random().nextDouble() * TICK, () -> tick(mine));
         core.agenda().in(core.random().nextDouble() * PING, () -> ping(mine));
@@ -138,12 +138,12 @@
     /** SIGTERM: it is to leave. */
     void leave() {
         leaving = true;
-        loop(() -> council.leave(local()));
+        loop(() -> consensusNode.leave(local()));
     }
 
-    /** Whether it may end: its council is out, and no call is under way. */
+    /** Whether it may end: its consensus node is out, and no call is under way. */
     boolean left() {
-        return up() && council.left(local()) && replaces.isEmpty() && reads.isEmpty();
+        return up() && consensusNode.left(local()) && replaces.isEmpty() && reads.isEmpty();
     }
 
     /** Whether it was told to. */
@@ -181,7 +181,7 @@
         disk.wipe();
         core.tell(address + " has lost its disk");
         if (core.bug() == Bug.VOTES_AFTER_WIPE) {
-            disk.found(new Disk.Entry(id, new Acceptor.Memory(Decision.founding(core.founders()), Ballot.NONE,
+            disk.found(new Disk.Entry(id, new Acceptor.State(Decision.founding(core.founders()), Ballot.NONE,
                     null)));
         }
     }
@@ -192,7 +192,7 @@
         frozen = true;
     }
 
-    /** It goes on: ticks that were missed and letters that wait come at once, in either order. */
+    /** It goes on: ticks that were missed and messages that wait come at once, in either order. */
     void thaw() {
         if (!up || !frozen) {
             return;
@@ -221,9 +221,9 @@
 
     private void tick() {
         if (disk.settled()) {
-            council.stored(local(), slot(council.decided()));
+            consensusNode.stored(local(), slot(consensusNode.decided()));
         }
-        council.tick(local());
+        consensusNode.tick(local());
     }
 
     /** Its own clock. */
@@ -238,8 +238,8 @@
         if (frozen) {
             lateTicks++;
         } else {
-            if (core.bug() == Bug.SEATS_BESIDE_DEAD && council.decided() != null) {
-                council.decided().electors().forEach(e -> council.echoed(local(), e, council.storedSlot()));
+            if (core.bug() == Bug.SEATS_BESIDE_DEAD && consensusNode.decided() != null) {
+                consensusNode.decided().voters().forEach(e -> consensusNode.echoed(local(), e, consensusNode.storedSlot()));
             }
             loop(mine, this::tick);
         }
@@ -262,21 +262,21 @@
 
     private void pinged(String from, String asker, int askersLife, double sentAt) {
         if (core.bug() == Bug.CONTACT_FROM_ARRIVAL) {
-            council.echoed(local(), asker, -1);
+            consensusNode.echoed(local(), asker, -1);
         }
         String answerer = id;
-        long has = council.storedSlot();
+        long has = consensusNode.storedSlot();
         post(from, m -> m.ponged(askersLife, answerer, sentAt, has));
     }
 
     private void ponged(int askersLife, String from, double sentAt, long slot) {
         // An answer to an earlier life's question came on a connection that is gone.
         if (askersLife == life) {
-            council.echoed(core.bug() == Bug.CONTACT_FROM_ARRIVAL ? local() : sentAt, from, slot);
+            consensusNode.echoed(core.bug() == Bug.CONTACT_FROM_ARRIVAL ? local() : sentAt, from, slot);
         }
     }
 
-    /** Runs something on the office's loop: now, as it thaws, or never. */
+    /** Runs something on the control node's loop: now, as it thaws, or never. */
     void loop(Runnable task) {
         loop(life, task);
     }
@@ -297,22 +297,22 @@
 
     /** What it says of its contact with a majority. */
     boolean claimsContact() {
-        return council.inTouch(local(), IN_TOUCH);
+        return consensusNode.inTouch(local(), IN_TOUCH);
     }
 
-    /** Whether a majority of the electors that it knows has answered what left here so lately. */
+    /** Whether a majority of the voters that it knows has answered what left here so lately. */
     boolean hasContact() {
         return contactWithin(IN_TOUCH + ROUNDING);
     }
 
     /** The same for another time. */
     boolean contactWithin(double millis) {
-        Decision d = council.decided();
+        Decision d = consensusNode.decided();
         if (d == null) {
             return false;
         }
         int reached = 0;
-        for (String e : d.electors()) {
+        for (String e : d.voters()) {
             if (e.equals(id) || core.now() - contact.getOrDefault(e, Double.NEGATIVE_INFINITY) < millis) {
                 reached++;
             }
@@ -330,9 +330,9 @@
         }
     }
 
-    private void knowElectors() {
-        if (council.decided() != null) {
-            council.decided().electors().forEach(e -> know(ConsensusNode.address(e)));
+    private void knowVoters() {
+        if (consensusNode.decided() != null) {
+            consensusNode.decided().voters().forEach(e -> know(ConsensusNode.address(e)));
         }
     }
 
@@ -372,7 +372,7 @@
         return metered;
     }
 
-    // --- what the council has done
+    // --- what the consensus node has done
 
     @Override
     public void send(String to, Message message) {
@@ -380,14 +380,14 @@
             known.forEach(a -> message(a, message));
         } else if (to.equals(id)) {
             int mine = life;
-            core.agenda().in(0, () -> loop(mine, () -> council.received(local(), id, message)));
+            core.agenda().in(0, () -> loop(mine, () -> consensusNode.received(local(), id, message)));
         } else {
             know(ConsensusNode.address(to));
             message(ConsensusNode.address(to), message);
         }
         if (core.bug() == Bug.ACKNOWLEDGES_ON_PROMISE && message instanceof Message.Accept p) {
             int mine = life;
-            core.agenda().in(0, () -> loop(mine, () -> council.received(local(), to,
+            core.agenda().in(0, () -> loop(mine, () -> consensusNode.received(local(), to,
                     new Message.Accepted(p.value().slot(), p.ballot()))));
         }
     }
@@ -402,20 +402,20 @@
             core.tell(address + " gets from " + from + " " + shortly(message));
         }
         if (metered >= 0) {
-            metered += PeerMessageCodec.write(new PeerMessage.Paper(message)).length;
+            metered += PeerMessageCodec.write(new PeerMessage.Consensus(message)).length;
         }
         if (message instanceof Message.Decided d && core.bug() == Bug.LEARNS_OLDER
-                && council.decided() != null
-                && d.decision().slot() < council.decided().slot()) {
-            council = new ConsensusNode(id, new Acceptor.Memory(d.decision(), Ballot.NONE, null),
+                && consensusNode.decided() != null
+                && d.decision().slot() < consensusNode.decided().slot()) {
+            consensusNode = new ConsensusNode(id, new Acceptor.State(d.decision(), Ballot.NONE, null),
                     core.random().nextLong(), this);
         }
         if (message instanceof Message.Decided d && core.bug() == Bug.FORGETS_TAKEN) {
-            council.received(local(), from, new Message.Decided(forgetful(d.decision())));
+            consensusNode.received(local(), from, new Message.Decided(forgetful(d.decision())));
         } else if (message instanceof Message.State s && core.bug() == Bug.REMOVES_BY_ONE_WORD) {
-            council.received(local(), from, agreeing(s));
+            consensusNode.received(local(), from, agreeing(s));
         } else {
-            council.received(local(), from, message);
+            consensusNode.received(local(), from, message);
         }
     }
 
@@ -435,11 +435,11 @@
     private static Decision forgetful(Decision d) {
         List<Decision.Taken> taken = d.taken();
         return new Decision(d.slot(), d.version(), d.body(),
-                taken.subList(Math.max(0, taken.size() - 1), taken.size()), d.electors());
+                taken.subList(Math.max(0, taken.size() - 1), taken.size()), d.voters());
     }
 
     @Override
-    public void sync(Acceptor.Memory memory, String to, Message message) {
+    public void sync(Acceptor.State memory, String to, Message message) {
         boolean early = core.bug() == Bug.UNSYNCED;
         if (early) {
             send(to, message);
@@ -455,15 +455,15 @@
     public void decided(Decision decision) {
         if (core.traced()) {
             core.tell(address + " learns slot " + decision.slot() + " version " + decision.version()
-                    + " electors " + decision.electors());
+                    + " voters " + decision.voters());
         }
         core.checker().decided(decision);
-        write(new Acceptor.Memory(decision, Ballot.NONE, null),
-                () -> council.stored(local(), decision.slot()));
-        decision.electors().forEach(e -> know(ConsensusNode.address(e)));
+        write(new Acceptor.State(decision, Ballot.NONE, null),
+                () -> consensusNode.stored(local(), decision.slot()));
+        decision.voters().forEach(e -> know(ConsensusNode.address(e)));
     }
 
-    private void write(Acceptor.Memory memory, Runnable then) {
+    private void write(Acceptor.State memory, Runnable then) {
         int mine = life;
         disk.write(new Disk.Entry(id, memory), () -> loop(mine, () -> {
             onDisk = Math.max(onDisk, slot(memory.decided()));
@@ -474,27 +474,27 @@
 
     // --- what operators order
 
-    /** Puts a change to the council; its end is told once, or never if the process ends. */
-    void replace(Change change, byte[] body, Consumer<ConsensusNode.Verdict> then) {
+    /** Puts a change to the consensus node; its end is told once, or never if the process ends. */
+    void replace(Change change, byte[] body, Consumer<ConsensusNode.CallResult> then) {
         int call = core.checker().invoked(change);
-        // One that knows no electors yet has no majority to be out of contact with.
-        boolean alone = council.decided() != null && !contactWithin(Core.CONTACT);
-        BiConsumer<Integer, ConsensusNode.Verdict> end = (c, verdict) -> {
+        // One that knows no voters yet has no majority to be out of contact with.
+        boolean alone = consensusNode.decided() != null && !contactWithin(Core.CONTACT);
+        BiConsumer<Integer, ConsensusNode.CallResult> end = (c, verdict) -> {
             ended(c, verdict, alone);
             then.accept(verdict);
         };
-        Decision d = council.decided();
+        Decision d = consensusNode.decided();
         if (core.bug() == Bug.REFUSES_BY_LOCAL && d != null && d.version() != change.builtOn()
                 && !d.has(change.version(), change.digest())) {
-            end.accept(call, ConsensusNode.Verdict.MISMATCH);
+            end.accept(call, ConsensusNode.CallResult.MISMATCH);
             return;
         }
         long mine = ++calls;
         replaces.put(mine, verdict -> end.accept(call, verdict));
-        council.replace(local(), mine, change.version(), change.builtOn(), change.digest(), body);
+        consensusNode.replace(local(), mine, change.version(), change.builtOn(), change.digest(), body);
     }
 
-    private void ended(int call, ConsensusNode.Verdict verdict, boolean alone) {
+    private void ended(int call, ConsensusNode.CallResult verdict, boolean alone) {
         core.checker().ended(call, switch (verdict) {
             case TAKEN -> Operation.End.TAKEN;
             case MISMATCH -> Operation.End.MISMATCH;
@@ -506,14 +506,14 @@
             // It stood still meanwhile.
             return;
         }
-        if (alone && !contactWithin(Core.CONTACT) && verdict == ConsensusNode.Verdict.UNCLEAR) {
+        if (alone && !contactWithin(Core.CONTACT) && verdict == ConsensusNode.CallResult.UNCLEAR) {
             core.checker().sample("a call where there was no majority for 3 s, ms to unclear", took);
         } else {
             core.checker().sample("a call, ms to " + verdict, took);
         }
     }
 
-    /** Asks the council for the newest configuration. */
+    /** Asks the consensus node for the newest configuration. */
     void read(Consumer<Decision> then) {
         int call = core.checker().invoked(null);
         long mine = ++calls;
@@ -521,12 +521,12 @@
             core.checker().ended(call, newest == null ? Operation.End.UNCLEAR : Operation.End.READ, newest);
             then.accept(newest);
         });
-        council.read(local(), mine);
+        consensusNode.read(local(), mine);
     }
 
     @Override
-    public void replaced(long call, ConsensusNode.Verdict verdict) {
-        Consumer<ConsensusNode.Verdict> then = replaces.remove(call);
+    public void replaced(long call, ConsensusNode.CallResult verdict) {
+        Consumer<ConsensusNode.CallResult> then = replaces.remove(call);
         if (then != null) {
             then.accept(verdict);
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/MembershipPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/MembershipPlay.java
@@ -5,7 +5,7 @@
 import java.util.function.Predicate;
 
 /**
- * How long a change of voters takes under orders without a pause: a newcomer that asks for a vote, then a
+ * How long a change of voters takes under orders without a pause: a learner that asks for a vote, then a
  * voter that is told to leave, then one that falls silent. Each is measured from its cause to the first
  * decision with the new voters, in milliseconds and in slots decided meanwhile. One schedule, one thread.
  */
@@ -82,7 +82,7 @@
 
     private void fourth() {
         Machine added = core.add("n2", null);
-        await(() -> core.checker().newest().electors().contains(added.id()), this::silence);
+        await(() -> core.checker().newest().voters().contains(added.id()), this::silence);
     }
 
     private void silence() {
@@ -94,7 +94,7 @@
 
     private Machine draw() {
         List<Machine> voters = core.machines().stream()
-                .filter(machine -> core.checker().newest().electors().contains(machine.id())).toList();
+                .filter(machine -> core.checker().newest().voters().contains(machine.id())).toList();
         return voters.get(core.random().nextInt(voters.size()));
     }
 
@@ -108,7 +108,7 @@
 
     private void measure(String cause, long fromSlot, double from, Predicate<List<String>> reached,
             Runnable then) {
-        await(() -> reached.test(core.checker().newest().electors()), () -> {
+        await(() -> reached.test(core.checker().newest().voters()), () -> {
             core.checker().sample(title(cause + " to the new voters, ms"), core.now() - from);
             core.checker().sample(title(cause + " to the new voters, changes decided meanwhile"),
                     Math.max(0, slot() - fromSlot - 1));
--- a/src/main/java/whinlead/testbed/mesh/hardening/Operation.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operation.java
@@ -1,11 +1,11 @@
 package whinlead.testbed.mesh.hardening;
 
 /**
- * An operator's call at one office: invoked, and answered or not.
+ * An operator's call at one control node: invoked, and answered or not.
  *
  * @param change what is to be put in place, or null for a read
- * @param from when the office got it, in milliseconds
- * @param to when the office ended it; infinite if it never did
+ * @param from when the control node got it, in milliseconds
+ * @param to when the control node ended it; infinite if it never did
  * @param end how
  * @param seen what a read found; null if it found out nothing
  */
--- a/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 /**
- * Operators, as the pages describe them: an order goes to any office, to the next one after a second of
+ * Operators, as the pages describe them: an order goes to any control node, to the next one after a second of
  * silence or an unclear end, with a pause that grows, and its answer may be lost on the way. One thread.
  */
 final class Operators {
@@ -26,7 +26,7 @@
         private final double begunAt;
         private final double until;
         private final Consumer<Order> then;
-        private ConsensusNode.Verdict end;
+        private ConsensusNode.CallResult end;
         private int tries;
         private double pause = PAUSE;
         private double reachedAt = Double.NaN;
@@ -52,17 +52,17 @@
         }
 
         /** How it ended; null if no clear answer came in all its time. */
-        ConsensusNode.Verdict end() {
+        ConsensusNode.CallResult end() {
             return end;
         }
 
-        /** When it first came to an office that is in touch with a majority; NaN if it never did. */
+        /** When it first came to a control node that is in touch with a majority; NaN if it never did. */
         double reachedAt() {
             return reachedAt;
         }
 
         boolean taken() {
-            return end == ConsensusNode.Verdict.TAKEN;
+            return end == ConsensusNode.CallResult.TAKEN;
         }
     }
 
@@ -106,7 +106,7 @@
         return body;
     }
 
-    /** From now on most orders go first to the office that answered last. */
+    /** From now on most orders go first to the control node that answered last. */
     void stay() {
         stays = true;
     }
@@ -116,8 +116,8 @@
                 : core.any().address();
     }
 
-    /** Sends it once more, to one office, and tells how that ended; never, if no answer comes. */
-    void repeat(Order order, String at, Consumer<ConsensusNode.Verdict> then) {
+    /** Sends it once more, to one control node, and tells how that ended; never, if no answer comes. */
+    void repeat(Order order, String at, Consumer<ConsensusNode.CallResult> then) {
         ask(at, order, then, () -> { });
     }
 
@@ -136,7 +136,7 @@
         };
         core.agenda().in(SILENCE, next);
         ask(at, o, verdict -> {
-            if (verdict == ConsensusNode.Verdict.UNCLEAR) {
+            if (verdict == ConsensusNode.CallResult.UNCLEAR) {
                 next.run();
             } else if (o.end == null && o.tries == mine) {
                 o.end = verdict;
@@ -157,7 +157,7 @@
         return at;
     }
 
-    private void ask(String at, Order o, Consumer<ConsensusNode.Verdict> then, Runnable closed) {
+    private void ask(String at, Order o, Consumer<ConsensusNode.CallResult> then, Runnable closed) {
         core.agenda().in(way(), () -> {
             Machine m = core.at(at);
             if (m == null || !m.up() && !m.waits()) {
@@ -173,7 +173,7 @@
         });
     }
 
-    private void ended(String at, Order o, ConsensusNode.Verdict verdict, Consumer<ConsensusNode.Verdict> then) {
+    private void ended(String at, Order o, ConsensusNode.CallResult verdict, Consumer<ConsensusNode.CallResult> then) {
         if (core.traced()) {
             core.tell(at + " ends a call of " + o.change + " " + verdict);
         }
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Reads at one office; null where it could not say, and nothing where it is down. */
+    /** Reads at one control node; null where it could not say, and nothing where it is down. */
     void read(String at, Consumer<Decision> then) {
         core.agenda().in(way(), () -> {
             Machine m = core.at(at);
--- a/src/main/java/whinlead/testbed/mesh/hardening/PairCutPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/PairCutPlay.java
@@ -10,7 +10,7 @@
  * Point 6: each pair of voters is cut in turn and for long, one way and both, while both reach the rest;
  * three voters or five, with orders going on and other losses between, within the budget. A cut pair counts
  * as one loss for as long as none of its two is lost otherwise. A voter that reaches a quorum must keep its
- * seat, and the core must go on. One schedule, one thread.
+ * vote, and the core must go on. One schedule, one thread.
  */
 final class PairCutPlay {
     private enum Direction { FORTH, BACK, BOTH }
@@ -163,7 +163,7 @@
 
     private void judgeSeats() {
         Decision newest = core.checker().newest();
-        List<String> now = newest == null ? voters : newest.electors();
+        List<String> now = newest == null ? voters : newest.voters();
         if (!now.equals(voters)) {
             core.checker().count("changes of the voters");
             voters.stream().filter(v -> !now.contains(v)).forEach(this::judgeRemoval);
@@ -175,7 +175,7 @@
         Machine m = core.at(ConsensusNode.address(voter));
         boolean same = m != null && m.id().equals(voter);
         if (same && m.up() && !m.leaving() && core.calm(m.address()) && m.contactWithin(Core.CONTACT)) {
-            core.checker().broke(voter + " reaches a quorum and lost its seat");
+            core.checker().broke(voter + " reaches a quorum and lost its vote");
         }
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 
 /**
- * A modelled tie between two processes: connections in order, which break, are held back, and outlive at the
+ * A modelled connection between two processes: connections in order, which break, are held back, and outlive at the
  * far end what the near one has closed. One thread; driven time.
  */
 final class RelayPath implements RequestForwarder.Path {
@@ -27,11 +27,11 @@
     /** The process at the far end. */
     interface FarEnd {
         /**
-         * Takes a letter, and answers it if it is a request.
+         * Takes a message, and answers it if it is a request.
          *
          * @param firstWaited how long the connection's first message waited on its way, in milliseconds
          */
-        void take(TransitClock transit, double firstWaited, PeerMessage letter, Consumer<PeerMessage> answer);
+        void take(TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer);
     }
 
     private final Calendar calendar;
@@ -102,12 +102,12 @@
             }
         }
 
-        private void answer(PeerMessage letter) {
+        private void answer(PeerMessage message) {
             if (farOpen) {
-                byte[] written = PeerMessageCodec.write(letter);
+                byte[] written = PeerMessageCodec.write(message);
                 toNear(() -> {
                     if (nearOpen) {
-                        ear.letter(read(written));
+                        ear.message(read(written));
                     }
                 });
             }
@@ -156,14 +156,14 @@
     }
 
     @Override
-    public boolean send(PeerMessage letter) {
+    public boolean send(PeerMessage message) {
         boolean can = connection != null && connection.nearOpen;
         if (can) {
             if (again) {
-                sent.add(letter);
+                sent.add(message);
             }
-            connection.send(PeerMessageCodec.write(letter));
-            wrote.accept(letter);
+            connection.send(PeerMessageCodec.write(message));
+            wrote.accept(message);
         }
         return can;
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -30,7 +30,7 @@
 
 /**
  * Requests from one sidecar through the real engine, module, ways and lines to three endpoints in trouble,
- * under a driven clock: connections are reset and held back, ties are lost and made anew, either sidecar is
+ * under a driven clock: connections are reset and held back, connections are lost and made anew, either sidecar is
  * frozen or restarted, endpoints reset, cut off, spoil, and answer late or twice, and clients leave. Beside
  * it, pipelined calls through the real server of calls.
  *
@@ -48,7 +48,7 @@
         ANSWERS_AS_THEY_COME,
         /** What waited when its caller was answered still goes out. */
         WRITES_AFTER_ANSWER,
-        /** A tie that is made anew sends again what was sent on the last. */
+        /** A connection that is made anew sends again what was sent on the last. */
         WRITES_AGAIN_AFTER_REDIAL,
         /** A connection that broke after the request was written is told as one that was never made. */
         RESET_NEVER_RAN,
@@ -174,7 +174,7 @@
                 });
         engine.start(() -> { }, null);
         round = new RequestForwarder(near, task -> calendar.after(0, () -> near.execute(task)), "near",
-                (parcel, done) -> { }, (node, ear) -> {
+                (request, done) -> { }, (node, ear) -> {
                     Far far = fars.get(Integer.parseInt(node));
                     RelayPath path = new RelayPath(calendar, random.split(), near, far.process, ear,
                             far::take, this::wrote, bug == Bug.WRITES_AGAIN_AFTER_REDIAL);
@@ -215,33 +215,33 @@
                 path.silence(length);
             }
         } else if (path != null && how < 6) {
-            count("ties reset");
+            count("connections reset");
             path.reset();
         } else if (path != null) {
-            count("ties held back");
+            count("connections held back");
             path.hold(length);
         }
     }
 
     // --- the near sidecar
 
-    private void wrote(PeerMessage letter) {
-        if (!(letter instanceof PeerMessage.Parcel parcel)) {
+    private void wrote(PeerMessage message) {
+        if (!(message instanceof PeerMessage.ForwardRequest request)) {
             count("cancellations");
             return;
         }
-        ClientRequest r = requests.get(id(parcel));
+        ClientRequest r = requests.get(id(request));
         if (r.answered && r.life == life) {
             broke(r.id + " was written after its caller had been answered");
         }
-        if (parcel.leftMs() > r.endAt - calendar.now() + 1) {
-            broke(r.id + " was written with " + parcel.leftMs() + " ms, of which it had "
+        if (request.leftMs() > r.endAt - calendar.now() + 1) {
+            broke(r.id + " was written with " + request.leftMs() + " ms, of which it had "
                     + (r.endAt - calendar.now()));
         }
     }
 
-    private static String id(PeerMessage.Parcel parcel) {
-        return parcel.headers().get(1);
+    private static String id(PeerMessage.ForwardRequest request) {
+        return request.headers().get(1);
     }
 
     private void ran(String id, Far far) {
@@ -284,7 +284,7 @@
         }
     }
 
-    private final class ClientRequest implements ResponseSink<PeerMessage.Delivered>, Transport<PeerMessage.Delivered> {
+    private final class ClientRequest implements ResponseSink<PeerMessage.ForwardResponse>, Transport<PeerMessage.ForwardResponse> {
         private final String id;
         private final int life = RelayPlay.this.life;
         private final boolean mutating = random.nextInt(3) > 0;
@@ -302,7 +302,7 @@
         private boolean promised;
         /** The attempt that was sent last, and who hears of its end. */
         private RequestForwarder.Sent sent;
-        private Outcomes<PeerMessage.Delivered> outcomes;
+        private Outcomes<PeerMessage.ForwardResponse> outcomes;
 
         private ClientRequest(String id) {
             this.id = id;
@@ -310,14 +310,14 @@
         }
 
         private void go() {
-            Engine.Held<PeerMessage.Delivered> held = engine.take(new Request(CLASSES.of(!mutating, 1, 500), -1,
+            Engine.Held<PeerMessage.ForwardResponse> held = engine.take(new Request(CLASSES.of(!mutating, 1, 500), -1,
                     timeout, false, 1, 0), this, this);
             if (requests.size() % LEAVES == 0) {
                 near.after(random.nextDouble() * timeout, () -> leave(held));
             }
         }
 
-        private void leave(Engine.Held<PeerMessage.Delivered> held) {
+        private void leave(Engine.Held<PeerMessage.ForwardResponse> held) {
             if (answered) {
                 return;
             }
@@ -330,17 +330,17 @@
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.Delivered> told) {
+        public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.ForwardResponse> told) {
             if (!attempts.mayBeSent()) {
                 told.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
             attempts.sent();
             double left = bug == Bug.HANDS_OUT_WHOLE_TIME ? timeout : endAt - calendar.now();
-            PeerMessage.Parcel draft = new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
+            PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
                     (int) Math.max(1, left), "svc", endpoint, 1);
             outcomes = told;
-            RequestForwarder.Sent attempted = round.send(endpoint, draft, !mutating, letter -> came(letter, told));
+            RequestForwarder.Sent attempted = round.send(endpoint, draft, !mutating, message -> came(message, told));
             sent = attempted;
             return () -> {
                 boolean written = attempted.giveUp();
@@ -348,17 +348,17 @@
                     attempts.neverWritten();
                 }
                 if (!written && bug == Bug.WRITES_AFTER_ANSWER) {
-                    near.after(1, () -> round.send(endpoint, draft, false, letter -> { }));
+                    near.after(1, () -> round.send(endpoint, draft, false, message -> { }));
                 }
                 return written;
             };
         }
 
-        private void came(PeerMessage letter, Outcomes<PeerMessage.Delivered> told) {
-            if (letter instanceof PeerMessage.Returned r) {
-                attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.Why.UNREACHED : r.why());
+        private void came(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> told) {
+            if (message instanceof PeerMessage.ForwardFailure r) {
+                attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.FailureReason.UNREACHED : r.why());
             }
-            told.ended(RequestForwarder.outcome(letter), letter instanceof PeerMessage.Delivered d ? d : null, null);
+            told.ended(RequestForwarder.outcome(message), message instanceof PeerMessage.ForwardResponse d ? d : null, null);
         }
 
         private void answered(String how) {
@@ -371,7 +371,7 @@
         }
 
         @Override
-        public void served(PeerMessage.Delivered answer) {
+        public void served(PeerMessage.ForwardResponse answer) {
             answered("served");
             String body = new String(answer.body(), StandardCharsets.US_ASCII);
             int at = answer.headers().indexOf("Attempt-Id");
@@ -421,46 +421,46 @@
             process.after(TICK, this::tick);
         }
 
-        private void take(TransitClock transit, double firstWaited, PeerMessage letter,
+        private void take(TransitClock transit, double firstWaited, PeerMessage message,
                 Consumer<PeerMessage> answer) {
-            if (letter instanceof PeerMessage.Ping ping) {
+            if (message instanceof PeerMessage.Ping ping) {
                 time.running(process.now());
                 transit.waited(process.now(), ping.sentAt());
-            } else if (letter instanceof PeerMessage.Cancel cancel) {
+            } else if (message instanceof PeerMessage.Cancel cancel) {
                 underWay.cancel(answer, cancel);
-            } else if (letter instanceof PeerMessage.Parcel parcel) {
-                int left = time.left(process.now(), transit, parcel);
-                requests.get(parcel.headers().get(1)).comparable = firstWaited < LATE_MOST;
+            } else if (message instanceof PeerMessage.ForwardRequest request) {
+                int left = time.left(process.now(), transit, request);
+                requests.get(request.headers().get(1)).comparable = firstWaited < LATE_MOST;
                 if (bug == Bug.COUNTS_FROM_ARRIVAL) {
-                    run(parcel, answer);
+                    run(request, answer);
                 } else if (left > 0) {
-                    run(parcel.withLeft(left), answer);
+                    run(request.withLeft(left), answer);
                 } else {
                     count("requests whose time was up when they arrived");
-                    answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.UNREACHED, 0, 0));
+                    answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
                 }
             }
         }
 
-        private void run(PeerMessage.Parcel parcel, Consumer<PeerMessage> answer) {
+        private void run(PeerMessage.ForwardRequest request, Consumer<PeerMessage> answer) {
             if (random.nextInt(15) == 0) {
-                answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.FULL, 0, 0));
+                answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.FULL, 0, 0));
                 return;
             }
-            underWay.begin(answer, parcel.stream());
-            EndpointConnections.Sent atEndpoint = line.send(parcel, parcel.endpoint(), l -> {
-                underWay.ended(answer, parcel.stream());
-                boolean reset = l instanceof PeerMessage.Returned r && r.why() == PeerMessage.Why.BROKEN;
+            underWay.begin(answer, request.stream());
+            EndpointConnections.Sent atEndpoint = line.send(request, request.endpoint(), l -> {
+                underWay.ended(answer, request.stream());
+                boolean reset = l instanceof PeerMessage.ForwardFailure r && r.why() == PeerMessage.FailureReason.BROKEN;
                 if (reset && bug == Bug.RESET_NEVER_RAN) {
-                    answer.accept(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.UNREACHED, 0, 0));
-                } else if (reset && bug == Bug.PASSES_ON_AFTER_RESET && !requests.get(id(parcel)).mutating) {
+                    answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
+                } else if (reset && bug == Bug.PASSES_ON_AFTER_RESET && !requests.get(id(request)).mutating) {
                     Far next = fars.get((fars.indexOf(this) + 1) % FARS);
-                    next.line.send(parcel, parcel.endpoint(), answer);
+                    next.line.send(request, request.endpoint(), answer);
                 } else {
                     answer.accept(l);
                 }
             });
-            underWay.sent(answer, parcel.stream(), atEndpoint);
+            underWay.sent(answer, request.stream(), atEndpoint);
         }
 
         private void restart() {
--- a/src/main/java/whinlead/testbed/mesh/hardening/SeatsPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/SeatsPlay.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * Point 3: one loss after the other, at a distance after the machine's return, three electors with one loss
+ * Point 3: one loss after the other, at a distance after the machine's return, three voters with one loss
  * or five with two at once: kills, wiped disks, replacements as planned and not, freezes, cuts, slow, stalled
  * and full disks. A majority must always be there, and the core must go on after it. One schedule, one
  * thread.
@@ -84,7 +84,7 @@
         core.agenda().run(core.now() + Core.ACK, core.checker()::anyBroken);
         if (!core.checker().anyBroken() && (done[0] < core.machines().size() || ordered[0] == 0)) {
             core.checker().broke("stands still after the calm: " + done[0] + " of " + core.machines().size()
-                    + " offices read, an order was " + (ordered[0] == 0 ? "not taken" : "taken"));
+                    + " control nodes read, an order was " + (ordered[0] == 0 ? "not taken" : "taken"));
         }
     }
 
@@ -93,12 +93,12 @@
             inTheDark = inTheDark && !core.machines().stream().allMatch(Machine::up);
             return;
         }
-        List<String> electors = core.checker().newest() == null ? core.founders()
-                : core.checker().newest().electors();
-        long there = electors.stream().filter(e -> core.machines().stream().anyMatch(m -> m.up()
+        List<String> voters = core.checker().newest() == null ? core.founders()
+                : core.checker().newest().voters();
+        long there = voters.stream().filter(e -> core.machines().stream().anyMatch(m -> m.up()
                 && m.id().equals(e) && !faults.out(m.address()))).count();
-        if (there < electors.size() / 2 + 1) {
-            core.checker().broke("no majority is there: " + there + " of " + electors);
+        if (there < voters.size() / 2 + 1) {
+            core.checker().broke("no majority is there: " + there + " of " + voters);
         }
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
@@ -7,20 +7,20 @@
 import java.util.Set;
 
 /**
- * A sidecar that starts with nothing, as {@code post.carrier.Desk} goes about it: asks the offices that it
+ * A sidecar that starts with nothing, as {@code sidecar.ControlClient} goes about it: asks the control nodes that it
  * knows of, begins with what one has that says it is in touch with a majority, asks other sidecars for more
- * offices, and after a while without any in touch begins with the newest that it was told. One thread.
+ * control nodes, and after a while without any in touch begins with the newest that it was told. One thread.
  */
 final class Sidecar {
     private static final double ASK = 200;
-    /** Without an office that confirms, others are asked for more of them after so long, in milliseconds. */
+    /** Without a control node that confirms, others are asked for more of them after so long, in milliseconds. */
     private static final double SEEK = 1000;
-    /** From the first answer so long it waits for an office in touch, in milliseconds. */
+    /** From the first answer so long it waits for a control node in touch, in milliseconds. */
     private static final double WAIT = 2000;
 
     private final Core core;
     private final String name;
-    private final Set<String> offices;
+    private final Set<String> controlNodes;
     private final double blockedUntil;
     private Decision candidate;
     private double startedAt;
@@ -30,26 +30,26 @@
     /**
      * A sidecar that has not started.
      *
-     * @param blockedUntil from then on its ways to all offices and other sidecars are open
+     * @param blockedUntil from then on its ways to all control nodes and other sidecars are open
      */
     Sidecar(Core core, String name, List<String> seeds, double blockedUntil) {
         this.core = core;
         this.name = name;
-        this.offices = new LinkedHashSet<>(seeds);
+        this.controlNodes = new LinkedHashSet<>(seeds);
         this.blockedUntil = blockedUntil;
     }
 
     /** Begins to ask. */
     void start() {
         startedAt = core.now();
-        core.tell(name + " starts with seeds " + offices);
+        core.tell(name + " starts with seeds " + controlNodes);
         core.agenda().in(SEEK, this::seek);
         ask();
     }
 
     private void seek() {
         if (core.now() >= blockedUntil) {
-            core.machines().forEach(m -> offices.add(m.address()));
+            core.machines().forEach(m -> controlNodes.add(m.address()));
         } else if (!began) {
             core.agenda().in(SEEK, this::seek);
         }
@@ -63,9 +63,9 @@
             beginUnconfirmed();
             return;
         }
-        for (String office : offices) {
-            core.network().sendSurely(name, office, () -> {
-                Machine m = core.at(office);
+        for (String controlNode : controlNodes) {
+            core.network().sendSurely(name, controlNode, () -> {
+                Machine m = core.at(controlNode);
                 if (m != null) {
                     m.loop(() -> answer(m));
                 }
@@ -74,9 +74,9 @@
         core.agenda().in(ASK, this::ask);
     }
 
-    // On the office's loop.
+    // On the control node's loop.
     private void answer(Machine m) {
-        Decision d = m.council().decided();
+        Decision d = m.consensus().decided();
         if (d == null || d.version() == 0) {
             return;
         }
@@ -91,7 +91,7 @@
         if (began) {
             return;
         }
-        d.electors().forEach(e -> offices.add(ConsensusNode.address(e)));
+        d.voters().forEach(e -> controlNodes.add(ConsensusNode.address(e)));
         answeredAt = Double.isNaN(answeredAt) ? core.now() : answeredAt;
         if (candidate == null || d.slot() > candidate.slot()) {
             candidate = d;
@@ -109,7 +109,7 @@
                         + (has ? " which is in touch" : " which is not in touch") + ", though " + owed
                         + " was acknowledged 2.5 s before");
             } else {
-                core.checker().count("sidecars that began behind at an office just back in touch");
+                core.checker().count("sidecars that began behind at a control node just back in touch");
             }
         }
     }
@@ -119,7 +119,7 @@
         core.checker().count("sidecars that began unconfirmed");
         if (blockedUntil < startedAt && core.machines().stream().anyMatch(m -> m.up()
                 && core.calm(m.address()))) {
-            core.checker().broke(name + " begins unconfirmed though it reaches a calm office");
+            core.checker().broke(name + " begins unconfirmed though it reaches a calm control node");
         }
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/SteadyOrders.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/SteadyOrders.java
@@ -2,7 +2,7 @@
 
 /**
  * A client that sends one order on top of the other, and reads now and then, until it is stopped; and the
- * check after the last trouble that every office reads and an order is taken. One thread.
+ * check after the last trouble that every control node reads and an order is taken. One thread.
  */
 final class SteadyOrders {
     private static final double PATIENCE = 8000;
@@ -30,7 +30,7 @@
         core.agenda().in(core.between(400, 1500), this::read);
     }
 
-    /** Stops, waits for what is under way, and checks that every office reads and one more order is taken. */
+    /** Stops, waits for what is under way, and checks that every control node reads and one more order is taken. */
     void stopAndCheck() {
         stopped = true;
         run(PATIENCE);
@@ -48,7 +48,7 @@
         run(Core.ACK);
         if (!core.checker().anyBroken() && (reads[0] < core.machines().size() || taken[0] == 0)) {
             core.checker().broke("stands still after the calm: " + reads[0] + " of " + core.machines().size()
-                    + " offices read, an order was " + (taken[0] == 0 ? "not taken" : "taken"));
+                    + " control nodes read, an order was " + (taken[0] == 0 ? "not taken" : "taken"));
         }
     }
 
--- a/src/main/java/whinlead/testbed/mesh/scale/Fleet.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Fleet.java
@@ -22,8 +22,8 @@
 import java.util.stream.Stream;
 
 /**
- * The processes of one point of a scale run: offices, one real carrier behind a {@link Relay}, and one
- * process of hollow carriers. They end when this is closed, or with this process. One thread.
+ * The processes of one point of a scale run: control nodes, one real sidecar behind a {@link Relay}, and one
+ * process of hollow sidecars. They end when this is closed, or with this process. One thread.
  */
 final class Fleet implements AutoCloseable {
     /** As in {@code deploy/system.toml}; the archive of classes is taken where the build has made one. */
@@ -43,18 +43,18 @@
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final Relay relay = new Relay(loop);
     private final Heard heard = new Heard();
-    private final List<Process> offices = new ArrayList<>();
-    private final List<Heard> officesHeard = new ArrayList<>();
-    private Process carrier;
+    private final List<Process> controlNodes = new ArrayList<>();
+    private final List<Heard> controlNodesHeard = new ArrayList<>();
+    private Process sidecar;
     private Process hollow;
     private PrintStream toHollow;
     private BufferedReader fromHollow;
     private int replaced;
     private long version;
 
-    private Fleet(Sizes sizes, int officeCount) throws IOException {
+    private Fleet(Sizes sizes, int controlNodeCount) throws IOException {
         this.sizes = sizes;
-        this.places = new Places(officeCount);
+        this.places = new Places(controlNodeCount);
         this.folder = Files.createTempDirectory("scale");
     }
 
@@ -63,8 +63,8 @@
      *
      * @throws IOException if that does not come about within a minute
      */
-    static Fleet start(Sizes sizes, int officeCount) throws IOException, InterruptedException {
-        Fleet fleet = new Fleet(sizes, officeCount);
+    static Fleet start(Sizes sizes, int controlNodeCount) throws IOException, InterruptedException {
+        Fleet fleet = new Fleet(sizes, controlNodeCount);
         try {
             fleet.begin();
             return fleet;
@@ -75,11 +75,11 @@
     }
 
     private void begin() throws IOException, InterruptedException {
-        for (int i = 0; i < places.offices(); i++) {
-            offices.add(role("office", "office-" + i,
-                    places.office(i, folder.resolve("disk-" + i).toString()), hear()));
-            relay.listen(new InetSocketAddress(places.officeIp(i), places.relay()),
-                    new InetSocketAddress(places.officeIp(i), places.talk()));
+        for (int i = 0; i < places.controlNodes(); i++) {
+            controlNodes.add(role("control", "control-" + i,
+                    places.controlNode(i, folder.resolve("disk-" + i).toString()), hear()));
+            relay.listen(new InetSocketAddress(places.controlNodeIp(i), places.relay()),
+                    new InetSocketAddress(places.controlNodeIp(i), places.talk()));
         }
         until("the first configuration is taken", () -> {
             try {
@@ -91,19 +91,19 @@
         });
         List<String> words = new ArrayList<>(HOLLOW);
         words.addAll(List.of("-cp", System.getProperty("java.class.path"), Hollow.class.getName(),
-                places.toString(), Integer.toString(sizes.carriers()), Integer.toString(sizes.services()),
+                places.toString(), Integer.toString(sizes.sidecars()), Integer.toString(sizes.services()),
                 Integer.toString(sizes.asked())));
         hollow = java(words).redirectError(log("hollow")).start();
         toHollow = new PrintStream(hollow.getOutputStream(), true, StandardCharsets.UTF_8);
         fromHollow = hollow.inputReader(StandardCharsets.UTF_8);
-        carrier = role("carrier", "carrier", places.carrier(0, Sizes.service(0)), heard);
+        sidecar = role("sidecar", "sidecar", places.sidecar(0, Sizes.service(0)), heard);
         if (sizes.listed() > 0) {
             Ghosts ghosts = new Ghosts(loop, sizes);
-            for (int i = 0; i < places.offices(); i++) {
+            for (int i = 0; i < places.controlNodes(); i++) {
                 ghosts.say(places, i);
             }
         }
-        until("the first configuration is in force", () -> inForce(1).size() == sizes.carriers());
+        until("the first configuration is in force", () -> inForce(1).size() == sizes.sidecars());
     }
 
     private File log(String name) {
@@ -117,8 +117,8 @@
     }
 
     private Heard hear() {
-        officesHeard.add(new Heard());
-        return officesHeard.get(officesHeard.size() - 1);
+        controlNodesHeard.add(new Heard());
+        return controlNodesHeard.get(controlNodesHeard.size() - 1);
     }
 
     private Process role(String role, String name, List<String> settings, Heard ear) throws IOException {
@@ -158,10 +158,10 @@
     /** Orders the next version; the time of its acknowledgement, or 0 if it was not taken. */
     long change() throws IOException {
         long next = version + 1;
-        int office = (int) (next % offices.size());
-        int status = Talk.ask(places.control(office), "POST /whinlead/rpc?call=config.replace",
+        int controlNode = (int) (next % controlNodes.size());
+        int status = Talk.ask(places.control(controlNode), "POST /whinlead/rpc?call=config.replace",
                 Map.of("If-Match", Long.toHexString(version), "Content-Type", "application/json"),
-                sizes.tariff(next).getBytes(StandardCharsets.UTF_8)).status();
+                sizes.config(next).getBytes(StandardCharsets.UTF_8)).status();
         if (status != TAKEN) {
             return 0;
         }
@@ -175,8 +175,8 @@
     }
 
     /** Has endpoints replaced at this rate from now on. */
-    void replaceListings(double perMin) {
-        toHollow.println("listings " + perMin);
+    void replaceEndpointRecords(double perMin) {
+        toHollow.println("endpoint records " + perMin);
     }
 
     /** How many endpoints were replaced so far. */
@@ -185,28 +185,28 @@
         return replaced;
     }
 
-    /** When each carrier had a version in force. */
+    /** When each sidecar had a version in force. */
     List<Long> inForce(long aVersion) throws IOException {
         List<Long> times = new ArrayList<>(ask().inForce(aVersion));
         times.addAll(heard.inForce(aVersion));
         return times;
     }
 
-    /** How often carriers, the real one too, logged an event. */
+    /** How often sidecars, the real one too, logged an event. */
     int count(Event event) throws IOException {
         return ask().count(event) + heard.count(event);
     }
 
-    /** The real carrier's heap in use after a collection, in bytes. */
-    double carrierHeap() throws IOException, InterruptedException {
-        return heap(carrier, heard);
+    /** The real sidecar's heap in use after a collection, in bytes. */
+    double sidecarHeap() throws IOException, InterruptedException {
+        return heap(sidecar, heard);
     }
 
-    /** The same of the office with the most. */
-    double officeHeap() throws IOException, InterruptedException {
+    /** The same of the control node with the most. */
+    double controlNodeHeap() throws IOException, InterruptedException {
         double most = 0;
-        for (int i = 0; i < offices.size(); i++) {
-            most = Math.max(most, heap(offices.get(i), officesHeard.get(i)));
+        for (int i = 0; i < controlNodes.size(); i++) {
+            most = Math.max(most, heap(controlNodes.get(i), controlNodesHeard.get(i)));
         }
         return most;
     }
@@ -228,7 +228,7 @@
         Heard told = new Heard();
         for (String line = fromHollow.readLine(); !"end".equals(line); line = fromHollow.readLine()) {
             if (line == null) {
-                throw new IOException("the hollow carriers' process has ended: "
+                throw new IOException("the hollow sidecars' process has ended: "
                         + Files.readString(log("hollow").toPath()));
             }
             if (line.startsWith("replaced ")) {
@@ -243,26 +243,26 @@
     /** What each process has used and each way has carried so far. */
     Snapshot snapshot() throws IOException {
         List<Usage> each = new ArrayList<>();
-        for (Process office : offices) {
-            each.add(Usage.of(office.pid()));
+        for (Process controlNode : controlNodes) {
+            each.add(Usage.of(controlNode.pid()));
         }
-        return new Snapshot(System.nanoTime(), Usage.of(carrier.pid()), each, Usage.of(hollow.pid()),
+        return new Snapshot(System.nanoTime(), Usage.of(sidecar.pid()), each, Usage.of(hollow.pid()),
                 Usage.of(ProcessHandle.current().pid()), relay.counts());
     }
 
     @Override
     public void close() {
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
-        offices.forEach(Process::destroyForcibly);
+        controlNodes.forEach(Process::destroyForcibly);
         if (hollow != null) {
             hollow.destroyForcibly();
         }
-        if (carrier != null) {
-            carrier.destroyForcibly();
+        if (sidecar != null) {
+            sidecar.destroyForcibly();
         }
         try {
-            for (Process office : offices) {
-                office.waitFor();
+            for (Process controlNode : controlNodes) {
+                controlNode.waitFor();
             }
             try (Stream<Path> files = Files.walk(folder)) {
                 files.sorted(Comparator.reverseOrder()).forEach(p -> p.toFile().delete());
--- a/src/main/java/whinlead/testbed/mesh/scale/Ghosts.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Ghosts.java
@@ -11,18 +11,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Listings of carriers that are not there, said to every office as theirs would be, so that a directory can
- * be larger than the machine holds carriers. Said again now and then, or they would be listed as gone.
+ * Endpoint records of sidecars that are not there, said to every control node as theirs would be, so that a directory can
+ * be larger than the machine holds sidecars. Said again now and then, or they would be listed as gone.
  */
-final class Ghosts implements PeerConnection.Ear {
-    /** Well within the time after which an office lists who is silent as gone. */
+final class Ghosts implements PeerConnection.MessageHandler {
+    /** Well within the time after which a control node lists who is silent as gone. */
     private static final long AGAIN_S = 5;
     private static final int PORT = 7000;
     /** Addresses of one block. */
     private static final int BLOCK = 250;
 
     private final EventLoop loop;
-    private final PeerMessage.Post post;
+    private final PeerMessage.EndpointUpdate post;
 
     Ghosts(EventLoop loop, Sizes sizes) {
         this.loop = loop;
@@ -31,13 +31,13 @@
             all.add(new EndpointRecord("127.45." + i / BLOCK + "." + (1 + i % BLOCK) + ":" + PORT, 1, 1, "hall-a",
                     "ghost-" + i, Sizes.service(i % sizes.services()), EndpointRecord.Phase.SERVING, 6, 0));
         }
-        this.post = new PeerMessage.Post(all);
+        this.post = new PeerMessage.EndpointUpdate(all);
     }
 
-    /** Begins to say them to an office. */
-    void say(Places places, int office) throws InterruptedException {
+    /** Begins to say them to a control node. */
+    void say(Places places, int controlNode) throws InterruptedException {
         new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(PeerConnection.handlers(this))
-                .connect(places.officeIp(office), places.talk()).sync();
+                .connect(places.controlNodeIp(controlNode), places.talk()).sync();
     }
 
     @Override
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void letter(PeerConnection link, PeerMessage letter) { }
+    public void message(PeerConnection link, PeerMessage message) { }
 
     @Override
     public void down(PeerConnection link) { }
--- a/src/main/java/whinlead/testbed/mesh/scale/Heard.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Heard.java
@@ -14,7 +14,7 @@
 import java.util.logging.SimpleFormatter;
 
 /**
- * What a process's carriers logged: how often each event, and when each version came in force. Times are of
+ * What a process's sidecars logged: how often each event, and when each version came in force. Times are of
  * {@link System#nanoTime}, which all processes of a Linux machine share. For any thread.
  */
 final class Heard extends Handler {
@@ -72,7 +72,7 @@
         return events.getOrDefault(SILENT, 0);
     }
 
-    /** When a version came in force, once for each carrier here that had it. */
+    /** When a version came in force, once for each sidecar here that had it. */
     synchronized List<Long> inForce(long version) {
         return List.copyOf(inForce.getOrDefault(version, List.of()));
     }
--- a/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
@@ -20,17 +20,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The hollow carriers of a scale run: many {@link Sidecar}s in one process, on few loops, with an endpoint
- * beside each that only beats. It beats to the real carrier 0 as well. Commands come on standard input, one a
+ * The hollow sidecars of a scale run: many {@link Sidecar}s in one process, on few loops, with an endpoint
+ * beside each that only beats. It beats to the real sidecar 0 as well. Commands come on standard input, one a
  * line, and answers go to standard output; the process ends with its input.
  */
 public final class Hollow {
     private static final int LOOPS = 6;
-    /** Threads that beat and ask, each for its own carriers, for each waits for its answers. */
+    /** Threads that beat and ask, each for its own sidecars, for each waits for its answers. */
     private static final int WORKERS = 8;
     /** Within the settings' time between two beats, in microseconds. */
     private static final double BEAT_US = 1.2e6;
-    /** How often a tenant's request comes to a carrier, in microseconds: enough to be told to offices. */
+    /** How often a tenant's request comes to a sidecar, in microseconds: enough to be told to control nodes. */
     private static final double ASK_US = 4e6;
     private static final double US_A_MIN = 60e6;
 
@@ -49,12 +49,12 @@
     private Hollow(Places places, Sizes sizes) {
         this.places = places;
         this.sizes = sizes;
-        this.toBeats = new Talk[sizes.carriers()];
-        this.toEgress = new Talk[sizes.carriers()];
-        this.lives = new int[sizes.carriers()];
+        this.toBeats = new Talk[sizes.sidecars()];
+        this.toEgress = new Talk[sizes.sidecars()];
+        this.lives = new int[sizes.sidecars()];
     }
 
-    /** Runs; arguments are the places, carriers, services, and tenants that are asked for. */
+    /** Runs; arguments are the places, sidecars, services, and tenants that are asked for. */
     public static void main(String... args) throws IOException, InterruptedException {
         Hollow hollow = new Hollow(Places.parse(args[0]), new Sizes(Integer.parseInt(args[1]),
                 Integer.parseInt(args[2]), 1, 0, Integer.parseInt(args[3]), 0, 0, 0));
@@ -70,19 +70,19 @@
         heard.listen();
         NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
-        for (int i = 1; i < sizes.carriers(); i++) {
-            new Sidecar(reader.parse(places.carrier(i, target(i))), loops.next(), new ObjectMapper()).start();
+        for (int i = 1; i < sizes.sidecars(); i++) {
+            new Sidecar(reader.parse(places.sidecar(i, target(i))), loops.next(), new ObjectMapper()).start();
         }
         for (int w = 0; w < WORKERS; w++) {
             workers[w] = Executors.newSingleThreadScheduledExecutor();
         }
-        for (int i = 0; i < sizes.carriers(); i++) {
-            int carrier = i;
-            workers[i % WORKERS].scheduleAtFixedRate(() -> beat(carrier), spread(BEAT_US, i),
+        for (int i = 0; i < sizes.sidecars(); i++) {
+            int sidecar = i;
+            workers[i % WORKERS].scheduleAtFixedRate(() -> beat(sidecar), spread(BEAT_US, i),
                     (long) BEAT_US, TimeUnit.MICROSECONDS);
             for (int t = 0; t < sizes.asked(); t++) {
                 int tenant = t;
-                workers[i % WORKERS].scheduleAtFixedRate(() -> ask(carrier, tenant),
+                workers[i % WORKERS].scheduleAtFixedRate(() -> ask(sidecar, tenant),
                         spread(ASK_US, i + t), (long) ASK_US, TimeUnit.MICROSECONDS);
             }
         }
@@ -90,11 +90,11 @@
 
     // When the first comes, so that they are spread over their time.
     private long spread(double everyUs, int i) {
-        return (long) (everyUs * (i % sizes.carriers()) / sizes.carriers());
+        return (long) (everyUs * (i % sizes.sidecars()) / sizes.sidecars());
     }
 
     private void run(String... command) {
-        if ("listings".equals(command[0])) {
+        if ("endpoint records".equals(command[0])) {
             double perMin = Double.parseDouble(command[1]);
             if (replacing != null) {
                 replacing.cancel(false);
@@ -110,16 +110,16 @@
         }
     }
 
-    private String target(int carrier) {
-        return Sizes.service(carrier % sizes.services());
+    private String target(int sidecar) {
+        return Sizes.service(sidecar % sizes.services());
     }
 
     private void replace() {
-        int carrier = replaced % sizes.carriers();
+        int sidecar = replaced % sizes.sidecars();
         replaced = replaced + 1;
-        workers[carrier % WORKERS].execute(() -> {
-            lives[carrier]++;
-            beat(carrier);
+        workers[sidecar % WORKERS].execute(() -> {
+            lives[sidecar]++;
+            beat(sidecar);
         });
     }
 
--- a/src/main/java/whinlead/testbed/mesh/scale/Places.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Places.java
@@ -10,22 +10,22 @@
 
 /**
  * Where the processes of a scale run stand on loopback, and their settings as the platform writes them. Ports
- * are alike on all machines and were free when this was made. Carrier 0 dials the offices at a port of its
+ * are alike on all machines and were free when this was made. Sidecar 0 dials the control nodes at a port of its
  * own, where a relay counts. Immutable.
  */
 final class Places {
-    /** Addresses of one block of carriers. */
+    /** Addresses of one block of sidecars. */
     private static final int BLOCK = 200;
 
-    private final int offices;
+    private final int controlNodes;
     private final int[] ports = new int[7];
 
-    Places(int offices) throws IOException {
-        this.offices = offices;
+    Places(int controlNodes) throws IOException {
+        this.controlNodes = controlNodes;
         List<ServerSocket> held = new ArrayList<>();
         try {
             for (int i = 0; i < ports.length; i++) {
-                ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(officeIp(0)));
+                ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(controlNodeIp(0)));
                 held.add(s);
                 ports[i] = s.getLocalPort();
             }
@@ -36,8 +36,8 @@
         }
     }
 
-    private Places(int offices, int[] ports) {
-        this.offices = offices;
+    private Places(int controlNodes, int[] ports) {
+        this.controlNodes = controlNodes;
         System.arraycopy(ports, 0, this.ports, 0, ports.length);
     }
 
@@ -49,20 +49,20 @@
 
     @Override
     public String toString() {
-        StringBuilder text = new StringBuilder().append(offices);
+        StringBuilder text = new StringBuilder().append(controlNodes);
         IntStream.of(ports).forEach(p -> text.append(',').append(p));
         return text.toString();
     }
 
-    int offices() {
-        return offices;
+    int controlNodes() {
+        return controlNodes;
     }
 
-    String officeIp(int i) {
+    String controlNodeIp(int i) {
         return "127.43.0." + (1 + i);
     }
 
-    String carrierIp(int i) {
+    String sidecarIp(int i) {
         return "127.44." + i / BLOCK + "." + (1 + i % BLOCK);
     }
 
@@ -70,46 +70,46 @@
         return ports[0];
     }
 
-    /** Where the relay of carrier 0 listens, at each office's address. */
+    /** Where the relay of sidecar 0 listens, at each control node's address. */
     int relay() {
         return ports[6];
     }
 
-    /** Where an office takes operators' calls. */
-    String control(int office) {
-        return officeIp(office) + ":" + ports[1];
+    /** Where a control node takes operators' calls. */
+    String control(int controlNode) {
+        return controlNodeIp(controlNode) + ":" + ports[1];
     }
 
-    /** Where a carrier takes its endpoint's beats. */
-    String beats(int carrier) {
-        return carrierIp(carrier) + ":" + ports[1];
+    /** Where a sidecar takes its endpoint's beats. */
+    String beats(int sidecar) {
+        return sidecarIp(sidecar) + ":" + ports[1];
     }
 
-    /** Where a carrier takes clients' requests. */
-    String egress(int carrier) {
-        return carrierIp(carrier) + ":" + ports[2];
+    /** Where a sidecar takes clients' requests. */
+    String egress(int sidecar) {
+        return sidecarIp(sidecar) + ":" + ports[2];
     }
 
-    List<String> office(int i, String dataDir) {
-        List<String> lines = common("core-" + i, officeIp(i), ports[0]);
+    List<String> controlNode(int i, String dataDir) {
+        List<String> lines = common("core-" + i, controlNodeIp(i), ports[0]);
         lines.add("Self.DataDir=" + dataDir);
         lines.add("Network.Bind.Control=" + control(i));
         return lines;
     }
 
-    List<String> carrier(int i, String target) {
-        List<String> lines = common("auxiliary-" + i, carrierIp(i), i == 0 ? relay() : ports[0]);
-        lines.add("Self.AppAddr=" + carrierIp(i) + ":" + ports[5]);
+    List<String> sidecar(int i, String target) {
+        List<String> lines = common("auxiliary-" + i, sidecarIp(i), i == 0 ? relay() : ports[0]);
+        lines.add("Self.AppAddr=" + sidecarIp(i) + ":" + ports[5]);
         lines.add("Self.Target=" + target);
-        lines.add("Network.Bind.Ingress=" + carrierIp(i) + ":" + ports[3]);
+        lines.add("Network.Bind.Ingress=" + sidecarIp(i) + ":" + ports[3]);
         lines.add("Network.Bind.Egress=" + egress(i));
-        lines.add("Network.Bind.Readiness=" + carrierIp(i) + ":" + ports[4]);
+        lines.add("Network.Bind.Readiness=" + sidecarIp(i) + ":" + ports[4]);
         lines.add("Network.Bind.Control=" + beats(i));
         return lines;
     }
 
     private List<String> common(String node, String ip, int talkPort) {
-        String seeds = String.join(",", IntStream.range(0, Math.min(3, offices)).mapToObj(this::control)
+        String seeds = String.join(",", IntStream.range(0, Math.min(3, controlNodes)).mapToObj(this::control)
                 .toList());
         return new ArrayList<>(List.of("Self.Node=" + node, "Self.Ip=" + ip, "Self.Zone=hall-a",
                 "Self.Bootstrap=true", "Self.Limits.MemoryMb=430", "Self.Limits.FdLimit=4100",
--- a/src/main/java/whinlead/testbed/mesh/scale/Point.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Point.java
@@ -15,7 +15,7 @@
  * calm one, by the changes in it. Figures by name, in the order of the measurement. One thread.
  */
 final class Point {
-    private static final String LOST = "ties lost by all carriers";
+    private static final String LOST = "connections lost by all sidecars";
     private static final String AWAY = "endpoints whose beats stayed away";
     private static final double NANOS = 1e9;
     private static final double MILLIS = 1e3;
@@ -28,7 +28,7 @@
     private static final double REST_S = 2;
 
     private final Sizes sizes;
-    private final int offices;
+    private final int controlNodes;
     private final double seconds;
     private final double warmS;
     private final Map<String, Double> figures = new LinkedHashMap<>();
@@ -39,15 +39,15 @@
      * @param seconds length of each of the spans
      * @param warmS seconds before the first of them
      */
-    Point(Sizes sizes, int offices, double seconds, double warmS) {
+    Point(Sizes sizes, int controlNodes, double seconds, double warmS) {
         this.sizes = sizes;
-        this.offices = offices;
+        this.controlNodes = controlNodes;
         this.seconds = seconds;
         this.warmS = warmS;
     }
 
     /**
-     * Whether the run itself disturbed what these figures are of: it did not keep its ties or its beats, as
+     * Whether the run itself disturbed what these figures are of: it did not keep its connections or its beats, as
      * where the machine is too busy. No cost of the mesh at that size.
      */
     static boolean disturbed(Map<String, Double> figures) {
@@ -56,20 +56,20 @@
 
     /** Measures it. */
     Map<String, Double> measure() throws IOException, InterruptedException {
-        try (Fleet fleet = Fleet.start(sizes, offices)) {
+        try (Fleet fleet = Fleet.start(sizes, controlNodes)) {
             warm(fleet);
-            int lost = fleet.count(Event.OFFICE_DOWN);
+            int lost = fleet.count(Event.CONTROL_NODE_DOWN);
             int silent = fleet.silent();
             Snapshot calm = calm(fleet);
             if (sizes.changesPerMin() > 0) {
                 changes(fleet, calm);
             }
-            if (sizes.listingsPerMin() > 0) {
-                listings(fleet, calm);
+            if (sizes.endpointRecordsPerMin() > 0) {
+                records(fleet, calm);
             }
-            figures.put("carrier, heap in use, MB", fleet.carrierHeap() / MB);
-            figures.put("office, heap in use, MB", fleet.officeHeap() / MB);
-            figures.put(LOST, (double) fleet.count(Event.OFFICE_DOWN) - lost);
+            figures.put("sidecar, heap in use, MB", fleet.sidecarHeap() / MB);
+            figures.put("control node, heap in use, MB", fleet.controlNodeHeap() / MB);
+            figures.put(LOST, (double) fleet.count(Event.CONTROL_NODE_DOWN) - lost);
             figures.put(AWAY, (double) fleet.silent() - silent);
         }
         return figures;
@@ -78,12 +78,12 @@
     // All that is measured later is done before: a JVM compiles what runs often, and that costs as well.
     private void warm(Fleet fleet) throws IOException, InterruptedException {
         long end = System.nanoTime() + (long) (warmS * NANOS);
-        fleet.replaceListings(sizes.listingsPerMin());
+        fleet.replaceEndpointRecords(sizes.endpointRecordsPerMin());
         while (sizes.changesPerMin() > 0 && System.nanoTime() < end - REST_S * NANOS) {
             fleet.change();
             sleepUntil(System.nanoTime() + (long) (MIN_S / sizes.changesPerMin() * NANOS));
         }
-        fleet.replaceListings(0);
+        fleet.replaceEndpointRecords(0);
         sleepUntil(end);
     }
 
@@ -97,22 +97,22 @@
         Snapshot calm = fleet.snapshot().since(before);
         String name = "calm, ";
         double s = calm.seconds();
-        figures.put(name + "carrier, % of a core", calm.carrier().cpuS() / s * PERCENT);
-        figures.put(name + "carrier, MB", calm.carrier().residentMb());
-        figures.put(name + "carrier, MB of its own", calm.carrier().ownMb());
-        figures.put(name + "carrier, bytes/s in", Snapshot.bytes(calm.letters().fromOffices()) / s);
-        figures.put(name + "carrier, bytes/s out", Snapshot.bytes(calm.letters().toOffices()) / s);
-        figures.put(name + "carrier, letters/s in", Snapshot.letters(calm.letters().fromOffices()) / s);
-        figures.put(name + "carrier, letters/s out", Snapshot.letters(calm.letters().toOffices()) / s);
-        calm.letters().fromOffices().forEach((kind, c) -> figures.put(name + "letters/s in, " + kind,
-                c.letters() / s));
-        calm.letters().toOffices().forEach((kind, c) -> figures.put(name + "letters/s out, " + kind,
-                c.letters() / s));
-        figures.put(name + "office, % of a core", calm.officeCpuS() / s * PERCENT);
-        figures.put(name + "office, MB", calm.officeMb());
-        figures.put(name + "office, MB of its own", calm.officeOwnMb());
-        figures.put(name + "office, bytes/s in", calm.officeRead() / s);
-        figures.put(name + "office, bytes/s out", calm.officeWritten() / s);
+        figures.put(name + "sidecar, % of a core", calm.sidecar().cpuS() / s * PERCENT);
+        figures.put(name + "sidecar, MB", calm.sidecar().residentMb());
+        figures.put(name + "sidecar, MB of its own", calm.sidecar().ownMb());
+        figures.put(name + "sidecar, bytes/s in", Snapshot.bytes(calm.messages().fromControlNodes()) / s);
+        figures.put(name + "sidecar, bytes/s out", Snapshot.bytes(calm.messages().toControlNodes()) / s);
+        figures.put(name + "sidecar, messages/s in", Snapshot.messages(calm.messages().fromControlNodes()) / s);
+        figures.put(name + "sidecar, messages/s out", Snapshot.messages(calm.messages().toControlNodes()) / s);
+        calm.messages().fromControlNodes().forEach((kind, c) -> figures.put(name + "messages/s in, " + kind,
+                c.messages() / s));
+        calm.messages().toControlNodes().forEach((kind, c) -> figures.put(name + "messages/s out, " + kind,
+                c.messages() / s));
+        figures.put(name + "control node, % of a core", calm.controlNodeCpuS() / s * PERCENT);
+        figures.put(name + "control node, MB", calm.controlNodeMb());
+        figures.put(name + "control node, MB of its own", calm.controlNodeOwnMb());
+        figures.put(name + "control node, bytes/s in", calm.controlNodeRead() / s);
+        figures.put(name + "control node, bytes/s out", calm.controlNodeWritten() / s);
         run(name, calm);
         return calm;
     }
@@ -143,13 +143,13 @@
         sleepUntil(before.nanos() + (long) (seconds * NANOS));
         Snapshot span = fleet.snapshot().since(before);
         long last = fleet.version();
-        Fleet.until("the last change is in force", () -> fleet.inForce(last).size() >= sizes.carriers());
+        Fleet.until("the last change is in force", () -> fleet.inForce(last).size() >= sizes.sidecars());
         String name = "changes, ";
         costs(name + "each, ", span, calm, acknowledged.size());
-        figures.put(name + "carrier, % of a core", span.carrier().cpuS() / span.seconds() * PERCENT);
-        figures.put(name + "carrier, MB", span.carrier().residentMb());
-        figures.put(name + "office, % of a core", span.officeCpuS() / span.seconds() * PERCENT);
-        figures.put(name + "office, MB", span.officeMb());
+        figures.put(name + "sidecar, % of a core", span.sidecar().cpuS() / span.seconds() * PERCENT);
+        figures.put(name + "sidecar, MB", span.sidecar().residentMb());
+        figures.put(name + "control node, % of a core", span.controlNodeCpuS() / span.seconds() * PERCENT);
+        figures.put(name + "control node, MB", span.controlNodeMb());
         figures.put(name + "taken", (double) acknowledged.size());
         figures.put(name + "not taken", (double) refused);
         figures.put(name + "order to acknowledgement, median ms", median(orders));
@@ -165,52 +165,52 @@
         for (Map.Entry<Long, Long> e : acknowledged.entrySet()) {
             List<Double> ms = new ArrayList<>();
             fleet.inForce(e.getKey()).forEach(t -> ms.add((t - e.getValue()) / NANOS * MILLIS));
-            skipped += sizes.carriers() - ms.size();
+            skipped += sizes.sidecars() - ms.size();
             if (!ms.isEmpty()) {
                 medians.add(median(ms));
                 last.add(Collections.max(ms));
             }
         }
-        figures.put("changes, in force at half of the carriers, median ms", median(medians));
-        figures.put("changes, in force at all carriers, median ms", median(last));
-        figures.put("changes, in force at all carriers, worst ms", Collections.max(last));
-        figures.put("changes, overtaken by the next at a carrier", (double) skipped);
+        figures.put("changes, in force at half of the sidecars, median ms", median(medians));
+        figures.put("changes, in force at all sidecars, median ms", median(last));
+        figures.put("changes, in force at all sidecars, worst ms", Collections.max(last));
+        figures.put("changes, overtaken by the next at a sidecar", (double) skipped);
     }
 
-    private void listings(Fleet fleet, Snapshot calm) throws IOException, InterruptedException {
+    private void records(Fleet fleet, Snapshot calm) throws IOException, InterruptedException {
         int had = fleet.replaced();
         Snapshot before = fleet.snapshot();
-        fleet.replaceListings(sizes.listingsPerMin());
+        fleet.replaceEndpointRecords(sizes.endpointRecordsPerMin());
         sleepUntil(before.nanos() + (long) (seconds * ACTIVE * NANOS));
-        fleet.replaceListings(0);
+        fleet.replaceEndpointRecords(0);
         sleepUntil(before.nanos() + (long) (seconds * NANOS));
         Snapshot span = fleet.snapshot().since(before);
         int replaced = fleet.replaced() - had;
-        costs("listings, each, ", span, calm, replaced);
-        figures.put("listings, carrier, % of a core", span.carrier().cpuS() / span.seconds() * PERCENT);
-        figures.put("listings, office, % of a core", span.officeCpuS() / span.seconds() * PERCENT);
-        figures.put("listings, changed", (double) replaced);
-        run("listings, ", span);
+        costs("endpoint records, each, ", span, calm, replaced);
+        figures.put("endpoint records, sidecar, % of a core", span.sidecar().cpuS() / span.seconds() * PERCENT);
+        figures.put("endpoint records, control node, % of a core", span.controlNodeCpuS() / span.seconds() * PERCENT);
+        figures.put("endpoint records, changed", (double) replaced);
+        run("endpoint records, ", span);
     }
 
     private void costs(String name, Snapshot span, Snapshot calm, int count) {
         double s = span.seconds() / calm.seconds();
         double of = Math.max(1, count);
-        figures.put(name + "carrier, ms of a core",
-                (span.carrier().cpuS() - calm.carrier().cpuS() * s) * MILLIS / of);
-        figures.put(name + "carrier, bytes in", (Snapshot.bytes(span.letters().fromOffices())
-                - Snapshot.bytes(calm.letters().fromOffices()) * s) / of);
-        figures.put(name + "carrier, bytes out", (Snapshot.bytes(span.letters().toOffices())
-                - Snapshot.bytes(calm.letters().toOffices()) * s) / of);
-        span.letters().fromOffices().forEach((kind, c) -> {
-            Relay.Count less = calm.letters().fromOffices().get(kind);
-            figures.put(name + "letters in, " + kind,
-                    (c.letters() - (less == null ? 0 : less.letters() * s)) / of);
+        figures.put(name + "sidecar, ms of a core",
+                (span.sidecar().cpuS() - calm.sidecar().cpuS() * s) * MILLIS / of);
+        figures.put(name + "sidecar, bytes in", (Snapshot.bytes(span.messages().fromControlNodes())
+                - Snapshot.bytes(calm.messages().fromControlNodes()) * s) / of);
+        figures.put(name + "sidecar, bytes out", (Snapshot.bytes(span.messages().toControlNodes())
+                - Snapshot.bytes(calm.messages().toControlNodes()) * s) / of);
+        span.messages().fromControlNodes().forEach((kind, c) -> {
+            Relay.Count less = calm.messages().fromControlNodes().get(kind);
+            figures.put(name + "messages in, " + kind,
+                    (c.messages() - (less == null ? 0 : less.messages() * s)) / of);
         });
-        figures.put(name + "office, ms of a core",
-                (span.officeCpuS() - calm.officeCpuS() * s) * MILLIS / of);
-        figures.put(name + "office, bytes in", (span.officeRead() - calm.officeRead() * s) / of);
-        figures.put(name + "office, bytes out", (span.officeWritten() - calm.officeWritten() * s) / of);
+        figures.put(name + "control node, ms of a core",
+                (span.controlNodeCpuS() - calm.controlNodeCpuS() * s) * MILLIS / of);
+        figures.put(name + "control node, bytes in", (span.controlNodeRead() - calm.controlNodeRead() * s) / of);
+        figures.put(name + "control node, bytes out", (span.controlNodeWritten() - calm.controlNodeWritten() * s) / of);
     }
 
     static double median(List<Double> values) {
--- a/src/main/java/whinlead/testbed/mesh/scale/Relay.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Relay.java
@@ -24,28 +24,28 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Stands between a process and the offices, passes every letter on and counts it by kind and way. Bytes are
- * those of the letters and their lengths; what TCP and IP add is not in them. Counts may be read on any
+ * Stands between a process and the control nodes, passes every message on and counts it by kind and way. Bytes are
+ * those of the messages and their lengths; what TCP and IP add is not in them. Counts may be read on any
  * thread.
  */
 final class Relay {
     private static final int LENGTH_BYTES = 4;
 
-    /** What went one way: letters and bytes of a kind. */
-    record Count(long letters, long bytes) {
+    /** What went one way: messages and bytes of a kind. */
+    record Count(long messages, long bytes) {
         private Count plus(long more) {
-            return new Count(letters + 1, bytes + more);
+            return new Count(messages + 1, bytes + more);
         }
 
         private Count less(Count other) {
-            return other == null ? this : new Count(letters - other.letters, bytes - other.bytes);
+            return other == null ? this : new Count(messages - other.messages, bytes - other.bytes);
         }
     }
 
-    /** Counts of both ways so far, by the letters' kinds. */
-    record Counts(Map<String, Count> toOffices, Map<String, Count> fromOffices) {
+    /** Counts of both ways so far, by the messages' kinds. */
+    record Counts(Map<String, Count> toControlNodes, Map<String, Count> fromControlNodes) {
         Counts since(Counts then) {
-            return new Counts(less(toOffices, then.toOffices), less(fromOffices, then.fromOffices));
+            return new Counts(less(toControlNodes, then.toControlNodes), less(fromControlNodes, then.fromControlNodes));
         }
 
         private static Map<String, Count> less(Map<String, Count> now, Map<String, Count> then) {
@@ -56,8 +56,8 @@
     }
 
     private final EventLoop loop;
-    private final Map<String, Count> toOffices = new ConcurrentHashMap<>();
-    private final Map<String, Count> fromOffices = new ConcurrentHashMap<>();
+    private final Map<String, Count> toControlNodes = new ConcurrentHashMap<>();
+    private final Map<String, Count> fromControlNodes = new ConcurrentHashMap<>();
 
     Relay(EventLoop loop) {
         this.loop = loop;
@@ -79,11 +79,11 @@
                 new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel far) {
-                        handlers(far, near, fromOffices);
+                        handlers(far, near, fromControlNodes);
                     }
                 }).connect(there).addListener((ChannelFuture f) -> {
                     if (f.isSuccess()) {
-                        handlers(near, f.channel(), toOffices);
+                        handlers(near, f.channel(), toControlNodes);
                         near.config().setAutoRead(true);
                     } else {
                         near.close();
@@ -93,12 +93,12 @@
 
     private static void handlers(Channel from, Channel to, Map<String, Count> counts) {
         from.config().setOption(ChannelOption.TCP_NODELAY, true);
-        from.pipeline().addLast(new LengthFieldBasedFrameDecoder(PeerConnection.LETTER_MOST, 0, LENGTH_BYTES, 0, 0),
+        from.pipeline().addLast(new LengthFieldBasedFrameDecoder(PeerConnection.MESSAGE_MOST, 0, LENGTH_BYTES, 0, 0),
                 new Way(to, counts));
     }
 
     Counts counts() {
-        return new Counts(Map.copyOf(toOffices), Map.copyOf(fromOffices));
+        return new Counts(Map.copyOf(toControlNodes), Map.copyOf(fromControlNodes));
     }
 
     private static final class Way extends SimpleChannelInboundHandler<ByteBuf> {
@@ -112,9 +112,9 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
-            PeerMessage letter = PeerMessageCodec.read(ByteBufUtil.getBytes(frame, frame.readerIndex() + LENGTH_BYTES,
+            PeerMessage message = PeerMessageCodec.read(ByteBufUtil.getBytes(frame, frame.readerIndex() + LENGTH_BYTES,
                     frame.readableBytes() - LENGTH_BYTES));
-            counts.merge(letter.getClass().getSimpleName(), new Count(1, frame.readableBytes()),
+            counts.merge(message.getClass().getSimpleName(), new Count(1, frame.readableBytes()),
                     (had, one) -> had.plus(one.bytes()));
             to.writeAndFlush(frame.retain(), to.voidPromise());
         }
--- a/src/main/java/whinlead/testbed/mesh/scale/ScaleRehearsal.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/ScaleRehearsal.java
@@ -16,22 +16,22 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code rehearse scale}: what control costs a carrier and an office, at several sizes of the mesh, and how
- * it grows. Offices and one carrier are processes of their own, the other carriers share one. Of the sizes
+ * {@code rehearse scale}: what control costs a sidecar and a control node, at several sizes of the mesh, and how
+ * it grows. Control nodes and one sidecar are processes of their own, the other sidecars share one. Of the sizes
  * one may have several values; each figure is then fitted on it. Exits with 1 where the run used more than
  * it may.
  */
-@Command(name = "scale", description = "What control costs carriers and offices, and how it grows with "
-        + "carriers, services, routes, tenants or changes a minute.")
+@Command(name = "scale", description = "What control costs sidecars and control nodes, and how it grows with "
+        + "sidecars, services, routes, tenants or changes a minute.")
 public final class ScaleRehearsal implements Callable<Integer> {
     /** What all processes of a run may use together. */
     private static final double CORES_MOST = 4;
     private static final double MB_MOST = 10_240;
-    private static final int CARRIERS_MOST = 600;
+    private static final int SIDECARS_MOST = 600;
 
-    @Option(names = "--carriers", split = ",",
+    @Option(names = "--sidecars", split = ",",
             description = "How many, the real one too; 25,50,100,200, or 25 where another size varies.")
-    private List<Integer> carriers;
+    private List<Integer> sidecars;
     @Option(names = "--services", split = ",", description = "In the configuration; ${DEFAULT-VALUE}.")
     private List<Integer> services = List.of(2);
     @Option(names = "--routes", split = ",", description = "In the configuration; ${DEFAULT-VALUE}.")
@@ -39,19 +39,19 @@
     @Option(names = "--tenants", split = ",", description = "In the configuration; ${DEFAULT-VALUE}.")
     private List<Integer> tenants = List.of(20);
     @Option(names = "--asked", split = ",",
-            description = "Tenants that requests come for at every carrier; ${DEFAULT-VALUE}.")
+            description = "Tenants that requests come for at every sidecar; ${DEFAULT-VALUE}.")
     private List<Integer> asked = List.of(0);
     @Option(names = "--listed", split = ",",
-            description = "Carriers that are listed and not there; ${DEFAULT-VALUE}.")
+            description = "Sidecars that are listed and not there; ${DEFAULT-VALUE}.")
     private List<Integer> listed = List.of(0);
     @Option(names = "--changes-per-min", split = ",", description = "Of the configuration; ${DEFAULT-VALUE}.")
     private List<Double> changes = List.of(60.0);
     @Option(names = "--listings-per-min", split = ",", description = "Endpoints replaced; ${DEFAULT-VALUE}.")
-    private List<Double> listings = List.of(600.0);
-    @Option(names = "--bytes", description = "Only what letters weigh at these sizes; nothing is started.")
+    private List<Double> records = List.of(600.0);
+    @Option(names = "--bytes", description = "Only what messages weigh at these sizes; nothing is started.")
     private boolean bytes;
-    @Option(names = "--offices", description = "${DEFAULT-VALUE}.")
-    private int offices = 3;
+    @Option(names = "--control-nodes", description = "${DEFAULT-VALUE}.")
+    private int controlNodes = 3;
     @Option(names = "--seconds", description = "Length of each span; ${DEFAULT-VALUE}.")
     private double seconds = 15;
     @Option(names = "--warm", description = "Seconds before the first span; ${DEFAULT-VALUE}.")
@@ -61,8 +61,8 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        if (carriers == null) {
-            carriers = Stream.of(services, routes, tenants, asked, listed, changes, listings)
+        if (sidecars == null) {
+            sidecars = Stream.of(services, routes, tenants, asked, listed, changes, records)
                     .anyMatch(size -> size.size() > 1) ? List.of(25) : List.of(25, 50, 100, 200);
         }
         List<double[]> points = points();
@@ -97,7 +97,7 @@
 
     private Map<String, Double> measured(Sizes sizes) throws IOException, InterruptedException {
         double load = load();
-        Map<String, Double> figures = new Point(sizes, offices, seconds, warm).measure();
+        Map<String, Double> figures = new Point(sizes, controlNodes, seconds, warm).measure();
         figures.put("the machine's load before", load);
         figures.put("the machine's load after", load());
         return figures;
@@ -109,14 +109,14 @@
 
     private List<double[]> points() {
         List<double[]> all = new ArrayList<>();
-        for (int n : carriers) {
+        for (int n : sidecars) {
             for (int s : services) {
                 for (int r : routes) {
                     for (int t : tenants) {
                         for (int a : asked) {
                             for (int d : listed) {
                                 for (double c : changes) {
-                                    for (double l : listings) {
+                                    for (double l : records) {
                                         all.add(new double[] {n, s, r, t, a, d, c, l});
                                     }
                                 }
@@ -127,25 +127,25 @@
             }
         }
         for (double[] p : all) {
-            if (p[0] < 2 || p[0] > CARRIERS_MOST || p[1] < 1 || p[2] < p[1] || p[4] > p[3]) {
-                throw new ParameterException(spec.commandLine(), "2 to " + CARRIERS_MOST
-                        + " carriers, as many routes as services at least, no more asked for than tenants");
+            if (p[0] < 2 || p[0] > SIDECARS_MOST || p[1] < 1 || p[2] < p[1] || p[4] > p[3]) {
+                throw new ParameterException(spec.commandLine(), "2 to " + SIDECARS_MOST
+                        + " sidecars, as many routes as services at least, no more asked for than tenants");
             }
         }
         return all;
     }
 
-    // By the letter that stands for it in formulas.
+    // By the message that stands for it in formulas.
     private String varied() {
         Map<String, List<?>> sizes = new LinkedHashMap<>();
-        sizes.put("N", carriers);
+        sizes.put("N", sidecars);
         sizes.put("S", services);
         sizes.put("R", routes);
         sizes.put("T", tenants);
         sizes.put("A", asked);
         sizes.put("D", listed);
         sizes.put("C", changes);
-        sizes.put("L", listings);
+        sizes.put("L", records);
         List<String> several = sizes.entrySet().stream().filter(e -> e.getValue().size() > 1)
                 .map(Map.Entry::getKey).toList();
         if (several.size() > 1) {
@@ -162,8 +162,8 @@
             case "A" -> s.asked();
             case "D" -> s.listed();
             case "C" -> s.changesPerMin();
-            case "L" -> s.listingsPerMin();
-            default -> s.carriers();
+            case "L" -> s.endpointRecordsPerMin();
+            default -> s.sidecars();
         };
     }
 
--- a/src/main/java/whinlead/testbed/mesh/scale/Sizes.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Sizes.java
@@ -5,16 +5,16 @@
 /**
  * How large one point of a scale run is.
  *
- * @param carriers all, the real one too
+ * @param sidecars all, the real one too
  * @param routes in all, spread over the services
  * @param tenants in the configuration
- * @param asked tenants that requests come for at every carrier
- * @param listed carriers that are listed and not there, beside those that are
+ * @param asked tenants that requests come for at every sidecar
+ * @param listed sidecars that are listed and not there, beside those that are
  * @param changesPerMin changes of the configuration, one route's deadline each
- * @param listingsPerMin endpoints that are replaced by another life, one changed listing each
+ * @param endpointRecordsPerMin endpoints that are replaced by another life, one changed endpoint record each
  */
-record Sizes(int carriers, int services, int routes, int tenants, int asked, int listed,
-        double changesPerMin, double listingsPerMin) {
+record Sizes(int sidecars, int services, int routes, int tenants, int asked, int listed,
+        double changesPerMin, double endpointRecordsPerMin) {
     private static final long SEED = 43;
     private static final double DEADLINE_S = 2;
 
@@ -33,7 +33,7 @@
      * The configuration of a version. Limits of tenants are so low that no request gets past them: the run
      * measures control, not traffic.
      */
-    String tariff(long version) {
+    String config(long version) {
         StringBuilder json = new StringBuilder("{\"Epoch\":\"").append(String.format("%08x", version))
                 .append("\",\"Routes\":{");
         SplittableRandom random = new SplittableRandom(SEED);
--- a/src/main/java/whinlead/testbed/mesh/scale/Snapshot.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Snapshot.java
@@ -10,20 +10,20 @@
  *
  * @param nanos when, or how long
  * @param driver the process that drives the run, its relay included
- * @param letters of the real carrier
+ * @param messages of the real sidecar
  */
-record Snapshot(long nanos, Usage carrier, List<Usage> offices, Usage hollow, Usage driver,
-        Relay.Counts letters) {
+record Snapshot(long nanos, Usage sidecar, List<Usage> controlNodes, Usage hollow, Usage driver,
+        Relay.Counts messages) {
     private static final double NANOS = 1e9;
 
     /** What was used since then. */
     Snapshot since(Snapshot then) {
         List<Usage> each = new ArrayList<>();
-        for (int i = 0; i < offices.size(); i++) {
-            each.add(offices.get(i).since(then.offices.get(i)));
+        for (int i = 0; i < controlNodes.size(); i++) {
+            each.add(controlNodes.get(i).since(then.controlNodes.get(i)));
         }
-        return new Snapshot(nanos - then.nanos, carrier.since(then.carrier), each, hollow.since(then.hollow),
-                driver.since(then.driver), letters.since(then.letters));
+        return new Snapshot(nanos - then.nanos, sidecar.since(then.sidecar), each, hollow.since(then.hollow),
+                driver.since(then.driver), messages.since(then.messages));
     }
 
     double seconds() {
@@ -41,36 +41,36 @@
     }
 
     private Stream<Usage> all() {
-        return Stream.concat(Stream.of(carrier, hollow, driver), offices.stream());
+        return Stream.concat(Stream.of(sidecar, hollow, driver), controlNodes.stream());
     }
 
-    /** The busiest office's processor time, in seconds. */
-    double officeCpuS() {
-        return offices.stream().mapToDouble(Usage::cpuS).max().orElse(0);
+    /** The busiest control node's processor time, in seconds. */
+    double controlNodeCpuS() {
+        return controlNodes.stream().mapToDouble(Usage::cpuS).max().orElse(0);
     }
 
-    double officeMb() {
-        return offices.stream().mapToDouble(Usage::residentMb).max().orElse(0);
+    double controlNodeMb() {
+        return controlNodes.stream().mapToDouble(Usage::residentMb).max().orElse(0);
     }
 
-    double officeOwnMb() {
-        return offices.stream().mapToDouble(Usage::ownMb).max().orElse(0);
+    double controlNodeOwnMb() {
+        return controlNodes.stream().mapToDouble(Usage::ownMb).max().orElse(0);
     }
 
-    /** Bytes that an office writes, the mean of all. */
-    double officeWritten() {
-        return offices.stream().mapToLong(Usage::writtenBytes).average().orElse(0);
+    /** Bytes that a control node writes, the mean of all. */
+    double controlNodeWritten() {
+        return controlNodes.stream().mapToLong(Usage::writtenBytes).average().orElse(0);
     }
 
-    double officeRead() {
-        return offices.stream().mapToLong(Usage::readBytes).average().orElse(0);
+    double controlNodeRead() {
+        return controlNodes.stream().mapToLong(Usage::readBytes).average().orElse(0);
     }
 
     static long bytes(Map<String, Relay.Count> way) {
         return way.values().stream().mapToLong(Relay.Count::bytes).sum();
     }
 
-    static long letters(Map<String, Relay.Count> way) {
-        return way.values().stream().mapToLong(Relay.Count::letters).sum();
+    static long messages(Map<String, Relay.Count> way) {
+        return way.values().stream().mapToLong(Relay.Count::messages).sum();
     }
 }
