--- a/src/main/java/whinlead/testbed/mesh/scale/Weights.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Weights.java
@@ -12,36 +12,36 @@
 import java.util.List;
 import java.util.Map;
 
-/** What letters weigh at a size, in bytes on a link, the letter's length in front of it counted. Pure. */
+/** What messages weigh at a size, in bytes on a link, the message's length in front of it counted. Pure. */
 final class Weights {
     private static final int LENGTH_BYTES = 4;
     private static final long MANY = 100_000;
-    private static final List<String> ELECTORS = List.of("10.1.0.14#0", "10.2.0.37#0", "10.3.0.16#0");
+    private static final List<String> VOTERS = List.of("10.1.0.14#0", "10.2.0.37#0", "10.3.0.16#0");
 
     private Weights() { }
 
     /** Of a size's configuration, and of what goes with it. */
     static Map<String, Double> of(Sizes sizes) {
-        byte[] json = sizes.tariff(1).getBytes(StandardCharsets.UTF_8);
+        byte[] json = sizes.config(1).getBytes(StandardCharsets.UTF_8);
         byte[] body = ConfigCodec.deflate(json);
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("configuration, bytes", (double) json.length);
         figures.put("configuration deflated, bytes", (double) body.length);
-        figures.put("news of it to a sidecar, bytes", letter(new PeerMessage.News(decision(body, 0), true)));
-        figures.put("decision between offices, bytes, nothing remembered", told(body, 0));
-        figures.put("decision between offices, bytes, all that is remembered", told(body, Decision.TAKEN_MOST));
-        EndpointRecord listing = new EndpointRecord("10.123.45.67:8366", 1_790_000_000_000L, 12, "hall-a",
+        figures.put("news of it to a sidecar, bytes", message(new PeerMessage.ConfigUpdate(decision(body, 0), true)));
+        figures.put("decision between control nodes, bytes, nothing remembered", told(body, 0));
+        figures.put("decision between control nodes, bytes, all that is remembered", told(body, Decision.TAKEN_MOST));
+        EndpointRecord record = new EndpointRecord("10.123.45.67:8366", 1_790_000_000_000L, 12, "hall-a",
                 "endpoint-1234-17", Sizes.service(0), EndpointRecord.Phase.SERVING, 6, 0);
-        figures.put("one listing, bytes", letter(new PeerMessage.Post(List.of(listing))));
-        figures.put("one listing more, bytes", letter(new PeerMessage.Post(List.of(listing, listing)))
-                - letter(new PeerMessage.Post(List.of(listing))));
-        figures.put("ping, bytes", letter(new PeerMessage.Ping(MANY)));
-        figures.put("pong, bytes", letter(new PeerMessage.Pong(MANY, ELECTORS.get(0), MANY)));
+        figures.put("one endpoint record, bytes", message(new PeerMessage.EndpointUpdate(List.of(record))));
+        figures.put("one endpoint record more, bytes", message(new PeerMessage.EndpointUpdate(List.of(record, record)))
+                - message(new PeerMessage.EndpointUpdate(List.of(record))));
+        figures.put("ping, bytes", message(new PeerMessage.Ping(MANY)));
+        figures.put("pong, bytes", message(new PeerMessage.Pong(MANY, VOTERS.get(0), MANY)));
         return figures;
     }
 
     private static double told(byte[] body, int remembered) {
-        return letter(new PeerMessage.Paper(new Message.Decided(decision(body, remembered))));
+        return message(new PeerMessage.Consensus(new Message.Decided(decision(body, remembered))));
     }
 
     private static Decision decision(byte[] body, int remembered) {
@@ -49,10 +49,10 @@
         for (int i = 0; i < remembered; i++) {
             taken.add(new Decision.Taken(MANY + i, ConfigCodec.digest(new byte[] {(byte) i})));
         }
-        return new Decision(MANY, MANY, body, taken, ELECTORS);
+        return new Decision(MANY, MANY, body, taken, VOTERS);
     }
 
-    private static double letter(PeerMessage letter) {
-        return LENGTH_BYTES + PeerMessageCodec.write(letter).length;
+    private static double message(PeerMessage message) {
+        return LENGTH_BYTES + PeerMessageCodec.write(message).length;
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Changes.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Changes.java
@@ -13,7 +13,7 @@
 
 /**
  * An operator who sends one configuration after the other, each built on the one acknowledged before, to the
- * offices in turn; what got no clear answer is sent again as it was. A thread of its own.
+ * control nodes in turn; what got no clear answer is sent again as it was. A thread of its own.
  */
 final class Changes implements AutoCloseable {
     private static final long EVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
@@ -27,7 +27,7 @@
             + "\"%s\",\"Kind\":\"idempotent\",\"DeadlineS\":5,\"TargetS\":0.5,\"Rank\":1,\"Target\":\"svc\","
             + "\"Tries\":2,\"Public\":false},";
 
-    private final List<String> offices;
+    private final List<String> controlNodes;
     private final Queue<String> broken = new ConcurrentLinkedQueue<>();
     private final Thread thread = new Thread(this::run, "operator");
     private int turn;
@@ -38,9 +38,9 @@
     private boolean idle;
     private boolean ended;
 
-    /** Changes for the offices that take them at these addresses. */
-    Changes(List<String> offices) {
-        this.offices = offices;
+    /** Changes for the control nodes that take them at these addresses. */
+    Changes(List<String> controlNodes) {
+        this.controlNodes = controlNodes;
     }
 
     /** The path of a route that only this version has. */
@@ -50,7 +50,7 @@
 
     /** This version, whole. */
     static String body(long version) {
-        return LocalMeshRun.tariff(String.format("%08x", version), "svc")
+        return LocalMeshRun.config(String.format("%08x", version), "svc")
                 .replace("\"DeadlineS\":2", "\"DeadlineS\":5")
                 .replace("\"Routes\":{", String.format(ROUTE, path(version)));
     }
@@ -106,12 +106,12 @@
         String ifMatch = version == 1 ? "0" : String.format("%08x", version - 1);
         int status = UNCLEAR;
         while (status == UNCLEAR && !over()) {
-            status = send(offices.get(turn++ % offices.size()), ifMatch, version);
+            status = send(controlNodes.get(turn++ % controlNodes.size()), ifMatch, version);
         }
         if (status == TAKEN) {
             acknowledged = version;
             longestNanos = Math.max(longestNanos, System.nanoTime() - began);
-            read(offices.get(turn % offices.size()), version);
+            read(controlNodes.get(turn % controlNodes.size()), version);
         }
     }
 
@@ -120,15 +120,15 @@
     }
 
     // UNCLEAR if it is to be sent again.
-    private int send(String office, String ifMatch, long version) {
+    private int send(String controlNode, String ifMatch, long version) {
         try {
-            Talk.Message answer = Talk.ask(office, "POST /whinlead/rpc?call=config.replace",
+            Talk.Message answer = Talk.ask(controlNode, "POST /whinlead/rpc?call=config.replace",
                     Map.of("If-Match", ifMatch), body(version).getBytes(StandardCharsets.UTF_8));
             if (answer != null && answer.status() == TAKEN) {
                 return TAKEN;
             }
             if (answer != null && answer.status() != UNCLEAR) {
-                broken.add("version " + version + " at " + office + ": " + answer.first() + " "
+                broken.add("version " + version + " at " + controlNode + ": " + answer.first() + " "
                         + answer.text());
                 end();
                 return answer.status();
@@ -142,16 +142,16 @@
     }
 
     // What was acknowledged is in force wherever one asks; no answer says nothing.
-    private void read(String office, long version) {
+    private void read(String controlNode, long version) {
         try {
-            Talk.Message answer = Talk.ask(office, "POST /whinlead/rpc?call=config.read", Map.of(),
+            Talk.Message answer = Talk.ask(controlNode, "POST /whinlead/rpc?call=config.read", Map.of(),
                     new byte[0]);
             if (answer != null && answer.status() == TAKEN && !answer.text().equals(body(version))) {
-                broken.add("read at " + office + " after version " + version + " was acknowledged: "
+                broken.add("read at " + controlNode + " after version " + version + " was acknowledged: "
                         + answer.text());
             }
         } catch (IOException e) {
-            // That office is being replaced.
+            // That control node is being replaced.
             return;
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Clients.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Clients.java
@@ -43,7 +43,7 @@
     record Sums(long asked, long served, long refused, long lost, long runTwice, long repeated,
             long refusedYetRun, long servedUnrun) { }
 
-    private final List<Machine> carriers;
+    private final List<Machine> sidecars;
     private final List<String> addresses;
     private final boolean[] ready;
     private final ExecutorService threads = Executors.newCachedThreadPool();
@@ -53,25 +53,25 @@
     private volatile boolean ended;
 
     /** Clients of these sidecars, which take requests at these addresses. */
-    Clients(List<Machine> carriers, List<String> addresses) {
-        this.carriers = carriers;
+    Clients(List<Machine> sidecars, List<String> addresses) {
+        this.sidecars = sidecars;
         this.addresses = addresses;
-        this.ready = new boolean[carriers.size()];
+        this.ready = new boolean[sidecars.size()];
     }
 
     /** Begins, with so many clients at each sidecar. */
     void start(int each) {
         threads.execute(this::watch);
-        for (int i = 0; i < each * carriers.size(); i++) {
-            int home = i % carriers.size();
+        for (int i = 0; i < each * sidecars.size(); i++) {
+            int home = i % sidecars.size();
             threads.execute(() -> ask(home));
         }
     }
 
     private void watch() {
         while (!ended) {
-            for (int i = 0; i < carriers.size(); i++) {
-                boolean now = carriers.get(i).ready();
+            for (int i = 0; i < sidecars.size(); i++) {
+                boolean now = sidecars.get(i).ready();
                 synchronized (ready) {
                     ready[i] = now;
                 }
@@ -84,9 +84,9 @@
     private int readyFrom(int home) {
         synchronized (ready) {
             for (int i = 0; i < ready.length; i++) {
-                int carrier = (home + i) % ready.length;
-                if (ready[carrier]) {
-                    return carrier;
+                int sidecar = (home + i) % ready.length;
+                if (ready[sidecar]) {
+                    return sidecar;
                 }
             }
         }
@@ -112,9 +112,9 @@
         close(talk);
     }
 
-    private Talk connect(int carrier) {
+    private Talk connect(int sidecar) {
         try {
-            return carrier < 0 ? null : new Talk(addresses.get(carrier));
+            return sidecar < 0 ? null : new Talk(addresses.get(sidecar));
         } catch (IOException e) {
             // Nothing was asked yet: the next try may find one that listens.
             return null;
@@ -133,7 +133,7 @@
     }
 
     // False if the connection is of no use any more.
-    private boolean ask(Talk talk, int carrier) {
+    private boolean ask(Talk talk, int sidecar) {
         long number = ids.incrementAndGet();
         String id = "upgrade-" + number;
         boolean repeatable = number % 2 == 0;
@@ -155,7 +155,7 @@
         Asked done = new Asked(id, repeatable, status);
         asked.add(done);
         if (lost(done)) {
-            losses.add(id + " at sidecar " + carrier + ": " + found);
+            losses.add(id + " at sidecar " + sidecar + ": " + found);
         }
         return answer != null && !"close".equalsIgnoreCase(answer.headers().get("connection"));
     }
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Machine.java
@@ -19,12 +19,15 @@
     /** What runs on it. */
     enum Role {
         /** A control node. */
-        OFFICE,
+        CONTROL_NODE("office"),
         /** A sidecar. */
-        CARRIER;
+        SIDECAR("carrier");
 
-        private String command() {
-            return name().toLowerCase(java.util.Locale.ROOT);
+        private final String command;
+
+        /** A role by its former name, the one that this version and those before it understand. */
+        Role(String command) {
+            this.command = command;
         }
     }
 
@@ -44,9 +47,9 @@
     Machine(Role role, int number, Path folder, List<String> settings, String probeAddress)
             throws IOException {
         this.role = role;
-        this.name = role.command() + " " + number;
-        this.settings = Files.write(folder.resolve(role.command() + "-" + number + ".conf"), settings);
-        this.log = folder.resolve(role.command() + "-" + number + ".log");
+        this.name = role.command + " " + number;
+        this.settings = Files.write(folder.resolve(role.command + "-" + number + ".conf"), settings);
+        this.log = folder.resolve(role.command + "-" + number + ".log");
         this.probeAddress = probeAddress;
     }
 
@@ -62,7 +65,7 @@
 
     /** Starts this version's process. */
     void start(Program program) throws IOException {
-        ProcessBuilder b = new ProcessBuilder(program.command(role.command()));
+        ProcessBuilder b = new ProcessBuilder(program.command(role.command));
         b.environment().put("WHINLEAD_NODE_FILE", settings.toString());
         process = b.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
@@ -89,9 +92,9 @@
         return killed;
     }
 
-    /** Whether it can be used: an office answers a read, a sidecar says that it is ready. */
+    /** Whether it can be used: a control node answers a read, a sidecar says that it is ready. */
     boolean ready() {
-        String first = role == Role.OFFICE ? "POST /whinlead/rpc?call=config.read"
+        String first = role == Role.CONTROL_NODE ? "POST /whinlead/rpc?call=config.read"
                 : "GET /whinlead/readiness";
         try {
             Talk.Message answer = Talk.ask(probeAddress, first, Map.of(), new byte[0]);
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Rollout.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Rollout.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Three offices and three sidecars as processes on loopback, upgraded one at a time under requests and
+ * Three control nodes and three sidecars as processes on loopback, upgraded one at a time under requests and
  * changes: half way, back, through, and all back. One thread.
  */
 public final class Rollout implements AutoCloseable {
@@ -32,8 +32,8 @@
     private final Program current;
     private final long standMs;
     private final TestbedSettings cards = new TestbedSettings(NODES);
-    private final List<Machine> offices = new ArrayList<>();
-    private final List<Machine> carriers = new ArrayList<>();
+    private final List<Machine> controlNodes = new ArrayList<>();
+    private final List<Machine> sidecars = new ArrayList<>();
     private final List<StandInApp> endpoints = new ArrayList<>();
     private final Clients clients;
     private final Changes changes;
@@ -52,15 +52,15 @@
         List<String> egress = new ArrayList<>();
         List<String> control = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            offices.add(new Machine(Machine.Role.OFFICE, i, folder,
-                    cards.office(i, folder.resolve("disk-" + i).toString(), true), cards.control(i)));
-            carriers.add(new Machine(Machine.Role.CARRIER, i, folder, cards.carrier(i, "svc"),
+            controlNodes.add(new Machine(Machine.Role.CONTROL_NODE, i, folder,
+                    cards.controlNode(i, folder.resolve("disk-" + i).toString(), true), cards.control(i)));
+            sidecars.add(new Machine(Machine.Role.SIDECAR, i, folder, cards.sidecar(i, "svc"),
                     cards.readiness(i)));
             endpoints.add(new StandInApp("i-" + i, "svc", cards.app(i), cards.beats(i)));
             egress.add(cards.egress(i));
             control.add(cards.control(i));
         }
-        clients = new Clients(carriers, egress);
+        clients = new Clients(sidecars, egress);
         changes = new Changes(control);
     }
 
@@ -71,9 +71,9 @@
      */
     public void play() throws Exception {
         begin();
-        replace("half way up, ", current, offices.get(0), carriers.get(0), offices.get(1));
+        replace("half way up, ", current, controlNodes.get(0), sidecars.get(0), controlNodes.get(1));
         stand("half way up, ");
-        replace("back, ", old, offices.get(1), carriers.get(0), offices.get(0));
+        replace("back, ", old, controlNodes.get(1), sidecars.get(0), controlNodes.get(0));
         stand("back, ");
         replace("through, ", current, inPairs());
         stand("through, ");
@@ -83,23 +83,23 @@
     }
 
     private Machine[] inPairs() {
-        return new Machine[] {offices.get(0), carriers.get(0), offices.get(1), carriers.get(1),
-            offices.get(2), carriers.get(2)};
+        return new Machine[] {controlNodes.get(0), sidecars.get(0), controlNodes.get(1), sidecars.get(1),
+            controlNodes.get(2), sidecars.get(2)};
     }
 
     private void begin() throws Exception {
-        for (Machine m : offices) {
+        for (Machine m : controlNodes) {
             m.start(old);
         }
         for (int i = 0; i < NODES; i++) {
-            carriers.get(i).start(old);
+            sidecars.get(i).start(old);
             endpoints.get(i).beatEvery(HEARTBEAT_MS);
         }
         changes.start();
-        for (Machine m : carriers) {
+        for (Machine m : sidecars) {
             await(m.name() + " is ready", m::ready);
         }
-        for (Machine m : offices) {
+        for (Machine m : controlNodes) {
             await(m.name() + " answers", m::ready);
         }
         for (String egress : List.of(cards.egress(0), cards.egress(1), cards.egress(2))) {
@@ -141,7 +141,7 @@
         }
     }
 
-    // Under load for a while; then what was acknowledged last must be at every office and sidecar.
+    // Under load for a while; then what was acknowledged last must be at every control node and sidecar.
     private void stand(String of) throws Exception {
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(standMs));
         long version = changes.hold();
@@ -154,7 +154,7 @@
                     () -> status(egress, Changes.path(version) + "x") == 200);
         }
         figures.figure(of + "changes acknowledged so far, the last one in force everywhere", version);
-        figures.figure(of + "ms until the last one was seen at every office and sidecar",
+        figures.figure(of + "ms until the last one was seen at every control node and sidecar",
                 (System.nanoTime() - began) / NANOS_PER_MS);
         changes.resume();
     }
@@ -207,8 +207,8 @@
     }
 
     private List<Machine> machines() {
-        List<Machine> all = new ArrayList<>(offices);
-        all.addAll(carriers);
+        List<Machine> all = new ArrayList<>(controlNodes);
+        all.addAll(sidecars);
         return all;
     }
 
--- a/src/main/java/whinlead/testbed/replication/PointsDay.java
+++ b/src/main/java/whinlead/testbed/replication/PointsDay.java
@@ -94,15 +94,15 @@
     }
 
     private void start(SimMachine m) {
-        m.start((group, to, parcel) -> post(m, machines.get(to), parcel), list());
+        m.start((group, to, message) -> post(m, machines.get(to), message), list());
     }
 
-    private void post(SimMachine from, SimMachine to, GroupMessage parcel) {
-        Wire.Frame frame = Frames.of(GROUP, parcel);
+    private void post(SimMachine from, SimMachine to, GroupMessage message) {
+        Wire.Frame frame = Frames.of(GROUP, message);
         if (from.alive()) {
             net.send(from.name(), to.name(), () -> {
                 if (to.alive()) {
-                    to.process().run(() -> to.host().received(GROUP, Frames.parcel(frame), back -> post(to,
+                    to.process().run(() -> to.host().received(GROUP, Frames.message(frame), back -> post(to,
                             from,
                             back)));
                 }
--- a/src/main/java/whinlead/testbed/replication/SimCluster.java
+++ b/src/main/java/whinlead/testbed/replication/SimCluster.java
@@ -141,16 +141,16 @@
 
     /** Starts a machine, again or for the first time. */
     void start(SimMachine machine) {
-        machine.start((group, to, parcel) -> send(group, machine, machinesByName.get(to), parcel),
+        machine.start((group, to, message) -> send(group, machine, machinesByName.get(to), message),
                 endpoints());
     }
 
     // As messages go between processes: by the frames of their service.
-    private void send(String group, SimMachine from, SimMachine to, GroupMessage parcel) {
-        Wire.Frame frame = Frames.of(group, parcel);
+    private void send(String group, SimMachine from, SimMachine to, GroupMessage message) {
+        Wire.Frame frame = Frames.of(group, message);
         network.send(from.name(), to.name(), () -> {
             if (to.alive()) {
-                to.process().run(() -> to.host().received(group, Frames.parcel(frame),
+                to.process().run(() -> to.host().received(group, Frames.message(frame),
                         reply -> send(group, to, from, reply)));
             }
         });
--- a/src/main/java/whinlead/testbed/replication/SimMachine.java
+++ b/src/main/java/whinlead/testbed/replication/SimMachine.java
@@ -56,7 +56,7 @@
     /** The way to the other machines. */
     @FunctionalInterface
     interface Post {
-        void send(String group, String to, GroupMessage parcel);
+        void send(String group, String to, GroupMessage message);
     }
 
     /** {@code lasting} tells whether it has a disk at all. */
@@ -108,8 +108,8 @@
         SimProcess mine = process;
         host = new GroupHost(setup, process, new Random(dice.nextLong()), new GroupHost.Outside() {
             @Override
-            public void send(String group, String to, GroupMessage parcel) {
-                post.send(group, to, parcel);
+            public void send(String group, String to, GroupMessage message) {
+                post.send(group, to, message);
             }
 
             private LogMirror disk(String group) {
--- a/src/main/java/whinlead/transport/EndpointPool.java
+++ b/src/main/java/whinlead/transport/EndpointPool.java
@@ -118,7 +118,7 @@
     }
 
     /** What sends the attempts of this request. */
-    public Transport<HttpAnswer> carrier(HttpAsk ask) {
+    public Transport<HttpAnswer> transport(HttpAsk ask) {
         return new Transport<>() {
             @Override
             public Sending send(String endpoint, int attempt, double within, Outcomes<HttpAnswer> told) {
--- a/src/test/java/whinlead/PackagesTest.java
+++ b/src/test/java/whinlead/PackagesTest.java
@@ -49,7 +49,7 @@
                         "whinlead.mesh.quota", "java.lang..", "java.util", "java.util.function",
                         "java.util.stream")
                 .check(CLASSES);
-        noClasses().that().haveSimpleName("Hatch").or().haveSimpleName("Postage").or()
+        noClasses().that().haveSimpleName("EndpointGate").or().haveSimpleName("RetryBudget").or()
                 .haveFullyQualifiedName("whinlead.mesh.sidecar.RequestClasses").should().dependOnClassesThat()
                 .resideInAnyPackage("java.net..", "java.io..", "java.nio..", "io.netty..")
                 .check(CLASSES);
--- a/src/test/java/whinlead/bench/EngineBenchmark.java
+++ b/src/test/java/whinlead/bench/EngineBenchmark.java
@@ -48,7 +48,7 @@
     private final DrivenClock clock = new DrivenClock();
     private final Request ask = new Request(0, -1, Settings.DEADLINE, false);
     private final Ends ends = new Ends();
-    private final Transport<String> carrier = (endpoint, attempt, within, told) -> {
+    private final Transport<String> transport = (endpoint, attempt, within, told) -> {
         clock.after(TOOK_MS, () -> told.ended(Contract.Outcome.SERVED, "", null));
         return () -> true;
     };
@@ -77,7 +77,7 @@
     /** One request, and what falls due until the next. */
     @Benchmark
     public Object request() {
-        Object held = engine.take(ask, carrier, ends);
+        Object held = engine.take(ask, transport, ends);
         clock.runTo(clock.now() + GAP_MS);
         return held;
     }
--- a/src/test/java/whinlead/engine/EngineTest.java
+++ b/src/test/java/whinlead/engine/EngineTest.java
@@ -24,7 +24,7 @@
     private final List<Integer> lists = new ArrayList<>();
     private final ScriptedModule module = new ScriptedModule();
     private final Engine engine = with(module);
-    private final ScriptedTransport carrier = new ScriptedTransport();
+    private final ScriptedTransport transport = new ScriptedTransport();
     private final ScriptedFront front = new ScriptedFront();
 
     private Engine with(ScriptedModule scripted) {
@@ -36,7 +36,7 @@
     }
 
     private Engine.Held<String> take(int classIndex) {
-        return engine.take(new Request(classIndex, -1, TIMEOUT, false), carrier, front);
+        return engine.take(new Request(classIndex, -1, TIMEOUT, false), transport, front);
     }
 
     private void send(String server) {
@@ -47,9 +47,9 @@
     void whatIsServedEndsOnceAndTheModuleHearsThatItIsOver() {
         take(READ);
         send("a");
-        assertEquals("a", carrier.sent.get(0).endpoint);
-        carrier.sent.get(0).ends(Outcome.SERVED);
-        carrier.sent.get(0).ends(Outcome.RESET);
+        assertEquals("a", transport.sent.get(0).endpoint);
+        transport.sent.get(0).ends(Outcome.SERVED);
+        transport.sent.get(0).ends(Outcome.RESET);
         clock.runTo(10 * TIMEOUT);
         assertEquals(List.of("served answer"), front.ends);
         assertEquals(List.of("request 0", "outcome 0/0 SERVED over"), module.heard);
@@ -60,7 +60,7 @@
         take(READ);
         clock.runTo(100);
         send("a");
-        assertEquals(TIMEOUT - 100 - 25, carrier.sent.get(0).within);
+        assertEquals(TIMEOUT - 100 - 25, transport.sent.get(0).within);
     }
 
     @Test
@@ -70,7 +70,7 @@
         assertEquals(List.of("failed"), front.ends);
         assertEquals(List.of("request 0", "abandoned 0"), module.heard);
         send("a");
-        assertTrue(carrier.sent.isEmpty(), "nothing goes out for what is over");
+        assertTrue(transport.sent.isEmpty(), "nothing goes out for what is over");
     }
 
     @Test
@@ -78,7 +78,7 @@
         take(READ);
         send("a");
         clock.runTo(TIMEOUT);
-        assertTrue(carrier.sent.get(0).givenUp);
+        assertTrue(transport.sent.get(0).givenUp);
         assertEquals("outcome 0/0 TIMED_OUT", module.heard.get(1));
         assertEquals(List.of("failed"), front.ends);
     }
@@ -87,7 +87,7 @@
     void anAttemptNeverWrittenWholeIsKnownNotToHaveRun() {
         take(WRITE);
         module.actions.send(module.requests.get(0), "a", 50);
-        carrier.sent.get(0).written = false;
+        transport.sent.get(0).written = false;
         clock.runTo(60);
         assertEquals("outcome 0/0 CONNECT_FAILED", module.heard.get(1));
         module.actions.refuse(module.requests.get(0), 300);
@@ -98,7 +98,7 @@
     void anUnsafeRequestThatMayHaveRunIsFailedWhereTheModuleWouldRefuseIt() {
         take(WRITE);
         send("a");
-        carrier.sent.get(0).ends(Outcome.RESET);
+        transport.sent.get(0).ends(Outcome.RESET);
         module.actions.refuse(module.requests.get(0), 300);
         module.actions.refuse(module.requests.get(0), 300);
         assertEquals(List.of("failed"), front.ends);
@@ -108,7 +108,7 @@
     void aSafeRequestMayBeRefusedWhateverRan() {
         take(READ);
         send("a");
-        carrier.sent.get(0).ends(Outcome.RESET);
+        transport.sent.get(0).ends(Outcome.RESET);
         module.actions.refuse(module.requests.get(0), 300);
         assertEquals(List.of("refused 300"), front.ends);
     }
@@ -119,7 +119,7 @@
         for (int i = 0; i < 5; i++) {
             send("a");
         }
-        assertEquals(3, carrier.sent.size());
+        assertEquals(3, transport.sent.size());
         assertEquals("outcome 0/4 NEVER_SENT", module.heard.get(module.heard.size() - 1));
     }
 
@@ -128,8 +128,8 @@
         take(READ);
         send("a");
         send("b");
-        carrier.sent.get(1).ends(Outcome.SERVED);
-        carrier.sent.get(0).ends(Outcome.SERVED);
+        transport.sent.get(1).ends(Outcome.SERVED);
+        transport.sent.get(0).ends(Outcome.SERVED);
         assertEquals(List.of("served answer"), front.ends);
         assertEquals(List.of("request 0", "outcome 0/1 SERVED over", "outcome 0/0 SERVED over"),
                 module.heard);
@@ -142,8 +142,8 @@
         held.abandon();
         held.abandon();
         send("b");
-        assertEquals(1, carrier.sent.size(), "nothing goes out for what is over");
-        carrier.sent.get(0).ends(Outcome.SERVED);
+        assertEquals(1, transport.sent.size(), "nothing goes out for what is over");
+        transport.sent.get(0).ends(Outcome.SERVED);
         clock.runTo(10 * TIMEOUT);
         assertEquals(List.of(), front.ends);
         assertEquals(List.of("request 0", "abandoned 0", "outcome 0/1 NEVER_SENT over",
@@ -155,7 +155,7 @@
         List<String> told = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             int number = i;
-            engine.take(new Request(READ, -1, TIMEOUT, false), carrier, new ResponseSink<String>() {
+            engine.take(new Request(READ, -1, TIMEOUT, false), transport, new ResponseSink<String>() {
                 @Override
                 public void served(String answer) {
                     told.add("served " + number);
@@ -214,7 +214,7 @@
                 throw new IllegalStateException("on purpose");
             }
         };
-        with(faulty).take(new Request(READ, -1, TIMEOUT, false), carrier, front);
+        with(faulty).take(new Request(READ, -1, TIMEOUT, false), transport, front);
         assertTrue(log.get(0).startsWith("decision failed: java.lang.IllegalStateException: on purpose"));
         clock.runTo(TIMEOUT);
         assertEquals(List.of("failed"), front.ends);
--- a/src/test/java/whinlead/mesh/AtMostOnceTest.java
+++ b/src/test/java/whinlead/mesh/AtMostOnceTest.java
@@ -44,8 +44,8 @@
     private static final double LATE_MS = 500;
     /** After a request's time, until what held it back ends. */
     private static final double MARGIN_MS = 100;
-    /** A silent tie between carriers is given up after so long. */
-    private static final int TIE_GIVEN_UP_MS = 5000;
+    /** A silent connection between sidecars is given up after so long. */
+    private static final int CONNECTION_GIVEN_UP_MS = 5000;
     private RelayedRig rig;
     private StandInApp far;
     private StandInApp near;
@@ -53,13 +53,13 @@
     @BeforeClass
     public void start() throws Exception {
         rig = new RelayedRig();
-        rig.startOffices();
-        rig.startCarriers();
-        // Only the second carrier has an endpoint, so that all requests at the first take the tie.
+        rig.startControlNodes();
+        rig.startSidecars();
+        // Only the second sidecar has an endpoint, so that all requests at the first take the connection.
         far = new StandInApp("i-1", "svc", rig.cards.app(1), rig.cards.beats(1));
         far.beatEvery(BEAT_MS);
         rig.change(0, 1, START_MS, RelayedRig.FOUNDERS);
-        RelayedRig.await("both carriers serve", START_MS, () -> served(0) && served(1));
+        RelayedRig.await("both sidecars serve", START_MS, () -> served(0) && served(1));
     }
 
     @AfterClass(alwaysRun = true)
@@ -71,9 +71,9 @@
         }
     }
 
-    private boolean served(int carrier) throws IOException {
+    private boolean served(int sidecar) throws IOException {
         Map<String, String> h = rig.headers(2000);
-        Talk.Message m = Talk.ask(rig.cards.egress(carrier), "POST /b/x", h, new byte[10]);
+        Talk.Message m = Talk.ask(rig.cards.egress(sidecar), "POST /b/x", h, new byte[10]);
         assertTrue(m.status() != 200 || h.get("Attempt-Id").equals(m.headers().get("attempt-id")));
         return m.status() == 200;
     }
@@ -85,10 +85,10 @@
         }
     }
 
-    private Sent send(int carrier, String first, int deadlineMs) {
+    private Sent send(int sidecar, String first, int deadlineMs) {
         Map<String, String> h = rig.headers(deadlineMs);
         return new Sent(h.get("Attempt-Id"), CompletableFuture.supplyAsync(() -> {
-            try (Talk talk = new Talk(rig.cards.egress(carrier))) {
+            try (Talk talk = new Talk(rig.cards.egress(sidecar))) {
                 talk.say(first + " HTTP/1.1", h, new byte[10]);
                 return heard(talk);
             } catch (IOException e) {
@@ -140,9 +140,9 @@
 
     @Test
     public void anEndpointThatResetsRanItOnceAndNobodySaysOtherwise() throws Exception {
-        for (int carrier = 0; carrier < 2; carrier++) {
+        for (int sidecar = 0; sidecar < 2; sidecar++) {
             for (int i = 0; i < 5; i++) {
-                Sent s = send(carrier, "POST /b/reset", 2000);
+                Sent s = send(sidecar, "POST /b/reset", 2000);
                 Talk.Message m = s.get();
                 if (far.runs(s.id()) > 0) {
                     says(m, 502, 504);
@@ -155,12 +155,12 @@
     }
 
     @Test
-    public void aTieResetWithARequestUnderWay() throws Exception {
+    public void aConnectionResetWithARequestUnderWay() throws Exception {
         Sent s = sendUntilOneRuns("POST /b/slow", 10_000);
         double began = RelayedRig.now();
         rig.relay("c0", "c1").reset();
         says(s.get(), 502);
-        RelayedRig.figure("tie reset: answered after", RelayedRig.now() - began);
+        RelayedRig.figure("connection reset: answered after", RelayedRig.now() - began);
         far.release();
         mends();
         assertEquals(far.runs(s.id()), 1);
@@ -169,17 +169,17 @@
     // The answer of one that may not be repeated is late, or the way there is: then it may run after all.
     @Test(dependsOnMethods = {"aTieResetWithARequestUnderWay",
         "anEndpointThatResetsRanItOnceAndNobodySaysOtherwise"}, alwaysRun = true)
-    public void aTieHeldBackAndLetGo() throws Exception {
+    public void aConnectionHeldBackAndLetGo() throws Exception {
         for (Relay.Way way : Relay.Way.values()) {
-            // Before the tie is given up on, and after that.
+            // Before the connection is given up on, and after that.
             for (int deadline : way == Relay.Way.THERE ? new int[] {1500, 8000} : new int[] {1500}) {
                 rig.relay("c0", "c1").set(way, Mode.HELD);
                 double began = RelayedRig.now();
-                // One that is refused at once never got as far as the tie.
+                // One that is refused at once never got as far as the connection.
                 Sent s = send(0, "POST /b/x", deadline);
                 for (int i = 0; i < 50 && s.get().status() == 503; i++) {
                     assertEquals(far.runs(s.id()), 0);
-                    // A tie that has been silent meanwhile takes nothing: it is held anew.
+                    // A connection that has been silent meanwhile takes nothing: it is held anew.
                     rig.relay("c0", "c1").set(Mode.OPEN);
                     mends();
                     rig.relay("c0", "c1").set(way, Mode.HELD);
@@ -189,7 +189,7 @@
                 Talk.Message m = s.get();
                 double answered = RelayedRig.now() - began;
                 long before = far.runs(s.id());
-                if (deadline < TIE_GIVEN_UP_MS) {
+                if (deadline < CONNECTION_GIVEN_UP_MS) {
                     // The 504 comes some milliseconds ahead of that; let go then, it might still begin.
                     double timeIsUp = began + deadline + MARGIN_MS;
                     RelayedRig.await("its time is up", START_MS, () -> RelayedRig.now() > timeIsUp);
@@ -204,7 +204,7 @@
                 assertTrue(answered < deadline + 500, "answered after " + answered);
                 if (way == Relay.Way.BACK) {
                     assertEquals(before, 1, "it is the answer that was held");
-                } else if (deadline < TIE_GIVEN_UP_MS) {
+                } else if (deadline < CONNECTION_GIVEN_UP_MS) {
                     assertEquals(after, 0, "its time was up when it was let go");
                 }
                 for (int i = 0; i < 20; i++) {
@@ -216,9 +216,9 @@
         }
     }
 
-    // What waits for its tie's dial must not leave once its caller was answered.
+    // What waits for its connection's dial must not leave once its caller was answered.
     @Test(dependsOnMethods = "aTieHeldBackAndLetGo", alwaysRun = true)
-    public void aTieThatCantBeDialled() throws Exception {
+    public void aConnectionThatCantBeDialled() throws Exception {
         rig.relay("c0", "c1").set(Mode.CUT);
         rig.relay("c0", "c1").reset();
         List<Sent> all = new ArrayList<>();
@@ -268,23 +268,23 @@
     // Last, for its time-outs may have requests of others refused for a while.
     @Test(dependsOnMethods = "aStormOfResetsCutsHoldsAndAKill", alwaysRun = true)
     public void aRequestThatOutlastsItsRouteIsAnsweredInTime() throws Exception {
-        for (int carrier = 0; carrier < 2; carrier++) {
-            int at = carrier;
+        for (int sidecar = 0; sidecar < 2; sidecar++) {
+            int at = sidecar;
             RelayedRig.await("one is not refused", START_MS, () -> outlastsItsRoute(at));
         }
     }
 
     // False where it was refused at once and has not run; it is then sent again.
-    private boolean outlastsItsRoute(int carrier) throws Exception {
+    private boolean outlastsItsRoute(int sidecar) throws Exception {
         double began = RelayedRig.now();
-        Sent s = send(carrier, "GET /once" + StandInApp.ENDLESS, 8000);
+        Sent s = send(sidecar, "GET /once" + StandInApp.ENDLESS, 8000);
         Talk.Message m = s.get();
         double took = RelayedRig.now() - began;
         if (m.status() == 503) {
             assertEquals(far.runs(s.id()) + near.runs(s.id()), 0);
             return false;
         }
-        System.out.printf("at carrier %d, route of %.0f ms: answered %d after %.0f ms%n", carrier, ROUTE_MS,
+        System.out.printf("at sidecar %d, route of %.0f ms: answered %d after %.0f ms%n", sidecar, ROUTE_MS,
                 m.status(), took);
         says(m, 504);
         assertTrue(took > ROUTE_MS - LATE_MS && took < ROUTE_MS + LATE_MS, "after " + took + " ms");
@@ -327,7 +327,7 @@
             if (!killed && RelayedRig.now() > until - STORM_MS / 2) {
                 killed = true;
                 rig.kill("c1");
-                rig.carrier(1, RelayedRig.FOUNDERS);
+                rig.sidecar(1, RelayedRig.FOUNDERS);
             }
             LockSupport.parkNanos((100 + random.nextInt(300)) * 1_000_000L);
             if (random.nextInt(3) == 0) {
--- a/src/test/java/whinlead/mesh/ConfigUpdateProbe.java
+++ b/src/test/java/whinlead/mesh/ConfigUpdateProbe.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Asks one office for what it would have a sidecar begin with, some tens of times a second, and notes it. */
+/** Asks one control node for what it would have a sidecar begin with, some tens of times a second, and notes it. */
 final class ConfigUpdateProbe implements AutoCloseable {
     private static final long EVERY_MS = 20;
 
@@ -25,8 +25,8 @@
     private final List<Seen> seen = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService threads = Executors.newScheduledThreadPool(2);
 
-    ConfigUpdateProbe(TestbedSettings cards, int office) throws IOException {
-        String at = cards.talk(office);
+    ConfigUpdateProbe(TestbedSettings cards, int controlNode) throws IOException {
+        String at = cards.talk(controlNode);
         int colon = at.lastIndexOf(':');
         socket = new Socket(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1)));
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -34,15 +34,15 @@
         threads.execute(this::hear);
         threads.scheduleAtFixedRate(() -> {
             try {
-                say(out, new PeerMessage.Fetch());
+                say(out, new PeerMessage.FetchConfig());
             } catch (IOException e) {
-                throw new IllegalStateException("the office closed the probe's link", e);
+                throw new IllegalStateException("the control node closed the probe's link", e);
             }
         }, 0, EVERY_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static void say(DataOutputStream out, PeerMessage letter) throws IOException {
-        byte[] written = PeerMessageCodec.write(letter);
+    private static void say(DataOutputStream out, PeerMessage message) throws IOException {
+        byte[] written = PeerMessageCodec.write(message);
         out.writeInt(written.length);
         out.write(written);
         out.flush();
@@ -52,8 +52,8 @@
         try {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             while (true) {
-                if (PeerMessageCodec.read(in.readNBytes(in.readInt())) instanceof PeerMessage.News news) {
-                    seen.add(new Seen(RelayedRig.now(), news.decision().version(), news.confirmed()));
+                if (PeerMessageCodec.read(in.readNBytes(in.readInt())) instanceof PeerMessage.ConfigUpdate update) {
+                    seen.add(new Seen(RelayedRig.now(), update.decision().version(), update.confirmed()));
                 }
             }
         } catch (EOFException e) {
--- a/src/test/java/whinlead/mesh/ConfigurationTest.java
+++ b/src/test/java/whinlead/mesh/ConfigurationTest.java
@@ -31,7 +31,7 @@
     /** What is changed of a good configuration, into what, and what the answer names. */
     @DataProvider
     public Object[][] bad() {
-        String good = LocalMeshRun.tariff("00000001", "svc");
+        String good = LocalMeshRun.config("00000001", "svc");
         return new Object[][] {
             {good, good.substring(0, good.length() - 30), "can't be read"},
             {"\"Target\":\"svc\"", "\"Target\":\"none\"", "Target"},
@@ -47,7 +47,7 @@
 
     @Test(dataProvider = "bad")
     public void aBadConfigurationIsRefusedByItsField(String part, String instead, String named) {
-        String json = LocalMeshRun.tariff("00000001", "svc").replace(part, instead);
+        String json = LocalMeshRun.config("00000001", "svc").replace(part, instead);
         InvalidConfigException e = expectThrows(InvalidConfigException.class, () -> take(json));
         assertTrue(e.getMessage().contains(named), e.getMessage());
         assertTrue(e.getMessage().lines().count() == 1, e.getMessage());
@@ -55,7 +55,7 @@
 
     @Test
     public void theLongestPrefixOfTheHostWins() throws InvalidConfigException {
-        String json = LocalMeshRun.tariff("00000001", "svc").replace("\"/b/\"", "\"/a/b/\"");
+        String json = LocalMeshRun.config("00000001", "svc").replace("\"/b/\"", "\"/a/b/\"");
         take(json);
         RoutingTable r = new RoutingTable(1, new ConfigReader().read(json.getBytes(StandardCharsets.UTF_8)));
         assertEquals(r.route("POST.example:80", "/a/b/c?q=/").name(), "r-2");
@@ -69,11 +69,11 @@
 
     @Test
     public void sharesAreDrawnByWeight() throws InvalidConfigException {
-        String json = LocalMeshRun.tariff("00000001", "svc").replace("\"Target\":\"svc\",\"Tries\":2,\"Public\":false},",
+        String json = LocalMeshRun.config("00000001", "svc").replace("\"Target\":\"svc\",\"Tries\":2,\"Public\":false},",
                 "\"Shares\":[{\"Target\":\"svc\",\"Weight\":90},{\"Target\":\"two\",\"Weight\":10}],"
                 + "\"Tries\":2,\"Public\":false},").replace("\"Services\":{", "\"Services\":{\"two\":{},");
         take(json);
-        RoutingTable.Way way = new RoutingTable(1, new ConfigReader().read(json.getBytes(StandardCharsets.UTF_8)))
+        RoutingTable.NamedRoute way = new RoutingTable(1, new ConfigReader().read(json.getBytes(StandardCharsets.UTF_8)))
                 .route("post.example", "/a/");
         assertEquals(way.service(0), "svc");
         assertEquals(way.service(0.899), "svc");
@@ -97,7 +97,7 @@
 
     @Test(dataProvider = "badSettings")
     public void badSettingsAreNamedByTheirField(String line, String instead, String named) throws Exception {
-        List<String> lines = new TestbedSettings(1).carrier(0, "svc").stream()
+        List<String> lines = new TestbedSettings(1).sidecar(0, "svc").stream()
                 .map(l -> l.startsWith(line) ? instead : l).toList();
         NodeSettingsException e = expectThrows(NodeSettingsException.class,
                 () -> new NodeSettingsReader(new ObjectMapper()).parse(lines));
@@ -106,10 +106,10 @@
 
     @Test
     public void fieldsThatAreNotKnownAreLeft() throws Exception {
-        List<String> lines = new TestbedSettings(3).carrier(0, "svc");
+        List<String> lines = new TestbedSettings(3).sidecar(0, "svc");
         lines.add("Self.Later.Added=1");
         lines.add("Clauses.Bounds.NewS=2");
-        NodeSettings card = new NodeSettingsReader(new ObjectMapper()).parse(lines);
-        assertEquals(card.network().seeds().size(), 3);
+        NodeSettings nodeSettings = new NodeSettingsReader(new ObjectMapper()).parse(lines);
+        assertEquals(nodeSettings.network().seeds().size(), 3);
     }
 }
--- a/src/test/java/whinlead/mesh/ConsensusContactTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusContactTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** Contact with a majority, and what an office without it says; calls that are sent again. */
+/** Contact with a majority, and what a control node without it says; calls that are sent again. */
 public class ConsensusContactTest {
     private static final double WITHIN = 1000;
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void anOfficeThatIsCutOffSaysAtOnceThatItCannotTell() {
+    public void aControlNodeThatIsCutOffSaysAtOnceThatItCannotTell() {
         ConsensusNodes c = new ConsensusNodes();
         c.cutOff.add("a#0");
         c.pass(2000);
@@ -52,16 +52,16 @@
         c.all.get("a#0").replace(c.now, 1, 5, 0, "digest", new byte[] {1});
         c.all.get("a#0").read(c.now, 2);
         assertEquals(c.verdicts.size(), 2, "told in the same moment");
-        assertTrue(c.verdicts.stream().allMatch(v -> v == ConsensusNode.Verdict.UNCLEAR));
-        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN, "any other takes it");
+        assertTrue(c.verdicts.stream().allMatch(v -> v == ConsensusNode.CallResult.UNCLEAR));
+        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN, "any other takes it");
         c.cutOff.clear();
         c.pass(1000);
         assertEquals(c.all.get("a#0").decided().version(), 5L);
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
     }
 
     @Test
-    public void eightOrdersUnderWayAtACutOfficeAreAllToldSoon() {
+    public void eightOrdersUnderWayAtACutControlNodeAreAllToldSoon() {
         ConsensusNodes c = new ConsensusNodes();
         c.cutOff.add("a#0");
         for (int i = 0; i < 8; i++) {
@@ -75,22 +75,22 @@
     }
 
     @Test
-    public void ofTwoChangesUnderOneNumberOneIsTakenAndItsRepeatsAtAnyOffice() {
+    public void ofTwoChangesUnderOneNumberOneIsTakenAndItsRepeatsAtAnyControlNode() {
         ConsensusNodes c = new ConsensusNodes();
-        assertEquals(c.replace("a#0", 5, 0, "mine"), ConsensusNode.Verdict.TAKEN);
-        assertEquals(c.replace("b#0", 5, 0, "yours"), ConsensusNode.Verdict.MISMATCH);
-        for (String office : ConsensusNodes.FOUNDERS) {
-            assertEquals(c.replace(office, 5, 0, "mine"), ConsensusNode.Verdict.TAKEN);
-            assertEquals(c.replace(office, 5, 0, "yours"), ConsensusNode.Verdict.MISMATCH);
+        assertEquals(c.replace("a#0", 5, 0, "mine"), ConsensusNode.CallResult.TAKEN);
+        assertEquals(c.replace("b#0", 5, 0, "yours"), ConsensusNode.CallResult.MISMATCH);
+        for (String controlNode : ConsensusNodes.FOUNDERS) {
+            assertEquals(c.replace(controlNode, 5, 0, "mine"), ConsensusNode.CallResult.TAKEN);
+            assertEquals(c.replace(controlNode, 5, 0, "yours"), ConsensusNode.CallResult.MISMATCH);
         }
     }
 
     @Test
-    public void noLifeOfAnOfficeCallsABallotOfAnEarlierOne() {
+    public void noLifeOfAControlNodeCallsABallotOfAnEarlierOne() {
         // Its own promise was not on disk when it went; what it had called may still be on its way.
         Set<Ballot> ballots = new HashSet<>();
         for (int life = 0; life < 3; life++) {
-            Acceptor.Memory founding = new Acceptor.Memory(Decision.founding(ConsensusNodes.FOUNDERS), Ballot.NONE,
+            Acceptor.State founding = new Acceptor.State(Decision.founding(ConsensusNodes.FOUNDERS), Ballot.NONE,
                     null);
             ConsensusNode c = new ConsensusNode("a#0", founding, life, new ConsensusNode.Actions() {
                         @Override
@@ -101,10 +101,10 @@
                         }
 
                         @Override
-                        public void sync(Acceptor.Memory memory, String to, Message message) { }
+                        public void sync(Acceptor.State memory, String to, Message message) { }
 
                         @Override
-                        public void replaced(long call, ConsensusNode.Verdict verdict) { }
+                        public void replaced(long call, ConsensusNode.CallResult verdict) { }
 
                         @Override
                         public void read(long call, Decision newest) { }
@@ -122,13 +122,13 @@
     public void aRepeatAfterHundredsOfChangesIsTakenOrUnclearNeverRefused() {
         ConsensusNodes c = new ConsensusNodes();
         for (int v = 1; v <= 300; v++) {
-            assertEquals(c.replace("a#0", v, v - 1, "d" + v), ConsensusNode.Verdict.TAKEN);
+            assertEquals(c.replace("a#0", v, v - 1, "d" + v), ConsensusNode.CallResult.TAKEN);
         }
         for (int v = 1; v <= 300; v++) {
-            ConsensusNode.Verdict verdict = c.replace("b#0", v, v - 1, "d" + v);
-            assertEquals(verdict, v > 300 - Decision.TAKEN_MOST ? ConsensusNode.Verdict.TAKEN
-                    : ConsensusNode.Verdict.UNCLEAR, "version " + v);
+            ConsensusNode.CallResult verdict = c.replace("b#0", v, v - 1, "d" + v);
+            assertEquals(verdict, v > 300 - Decision.TAKEN_MOST ? ConsensusNode.CallResult.TAKEN
+                    : ConsensusNode.CallResult.UNCLEAR, "version " + v);
         }
-        assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.Verdict.MISMATCH);
+        assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.CallResult.MISMATCH);
     }
 }
--- a/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Who gets a seat, and when; how one goes out. */
+/** Who gets a vote, and when; how one goes out. */
 public class ConsensusMembershipTest {
     @Test
     public void aNewcomerWaitsWhileOneIsQuietAndTakesTheSeatOfOneThatIsSilent() {
@@ -19,9 +19,9 @@
         c.pass(1200);
         c.start("d#1", null);
         c.pass(800);
-        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "a seat beside a dead one leaves no room for a loss");
+        assertEquals(c.voters(), ConsensusNodes.FOUNDERS, "a vote beside a dead one leaves no room for a loss");
         c.pass(1200);
-        assertEquals(c.electors(), List.of("a#0", "b#0", "d#1"));
+        assertEquals(c.voters(), List.of("a#0", "b#0", "d#1"));
     }
 
     @Test
@@ -30,7 +30,7 @@
         c.all.remove("b#0");
         c.start("b#9", null);
         c.pass(600);
-        assertEquals(c.electors(), List.of("a#0", "b#9", "c#0"));
+        assertEquals(c.voters(), List.of("a#0", "b#9", "c#0"));
     }
 
     @Test
@@ -38,10 +38,10 @@
         ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(600);
-        assertEquals(c.electors(), List.of("a#0", "b#0", "c#0", "d#1"));
+        assertEquals(c.voters(), List.of("a#0", "b#0", "c#0", "d#1"));
         c.all.remove("b#0");
         c.pass(3500);
-        assertEquals(c.electors(), List.of("a#0", "c#0", "d#1"));
+        assertEquals(c.voters(), List.of("a#0", "c#0", "d#1"));
     }
 
     @Test
@@ -49,7 +49,7 @@
         ConsensusNodes c = new ConsensusNodes();
         c.all.get("b#0").replace(c.now, 1, 5, 0, "digest", new byte[] {1});
         c.deliver();
-        assertEquals(c.verdicts, List.of(ConsensusNode.Verdict.TAKEN));
+        assertEquals(c.verdicts, List.of(ConsensusNode.CallResult.TAKEN));
         assertEquals(c.all.get("c#0").decided().version(), 5L);
     }
 
@@ -61,11 +61,11 @@
         c.start("b#9", null);
         c.start("c#9", null);
         c.pass(5000);
-        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "one of three decides nothing with two that are new");
+        assertEquals(c.voters(), ConsensusNodes.FOUNDERS, "one of three decides nothing with two that are new");
     }
 
     @Test
-    public void oneThatDiedBeforeThisOfficeBeganFallsSilentTooAndLosesItsSeat() {
+    public void oneThatDiedBeforeThisControlNodeBeganFallsSilentTooAndLosesItsSeat() {
         ConsensusNodes c = new ConsensusNodes();
         Decision known = c.all.get("a#0").decided();
         c.all.clear();
@@ -73,9 +73,9 @@
         c.start("b#0", known);
         c.start("d#1", null);
         c.pass(2000);
-        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "no seat beside one that may be dead");
+        assertEquals(c.voters(), ConsensusNodes.FOUNDERS, "no vote beside one that may be dead");
         c.pass(2000);
-        assertEquals(c.electors(), List.of("a#0", "b#0", "d#1"));
+        assertEquals(c.voters(), List.of("a#0", "b#0", "d#1"));
     }
 
     @Test
@@ -86,7 +86,7 @@
         c.stall("d#1");
         c.pass(3000);
         assertEquals(c.all.get("d#1").decided().version(), 5L, "it learns");
-        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "but nothing is on its disk");
+        assertEquals(c.voters(), ConsensusNodes.FOUNDERS, "but nothing is on its disk");
     }
 
     @Test
@@ -94,7 +94,7 @@
         ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(1500);
-        assertEquals(c.electors().size(), 4);
+        assertEquals(c.voters().size(), 4);
         ConsensusNode b = c.all.get("b#0");
         double from = c.now;
         b.leave(c.now);
@@ -104,10 +104,10 @@
         }
         assertTrue(b.left(c.now) && c.now - from <= 500, "left after " + (c.now - from) + " ms");
         c.all.remove("b#0");
-        assertEquals(c.electors(), List.of("a#0", "c#0", "d#1"));
+        assertEquals(c.voters(), List.of("a#0", "c#0", "d#1"));
         // The next loss comes at once, and is borne.
         c.all.remove("c#0");
-        assertEquals(c.replace("a#0", 7, 0, "next"), ConsensusNode.Verdict.TAKEN);
+        assertEquals(c.replace("a#0", 7, 0, "next"), ConsensusNode.CallResult.TAKEN);
     }
 
     @Test
@@ -119,7 +119,7 @@
         ConsensusNode b = c.all.get("b#0");
         b.leave(c.now);
         c.pass(2000);
-        assertEquals(c.electors(), List.of("a#0", "c#0", "d#1"));
+        assertEquals(c.voters(), List.of("a#0", "c#0", "d#1"));
         assertFalse(b.left(c.now), "c has told that its disk has an older decision");
     }
 
@@ -136,8 +136,8 @@
         c.deliver();
         assertEquals(c.verdicts.size(), 8);
         List<String> voters = List.of("a#0", "c#0", "d#1");
-        assertEquals(c.decisions.get(before + 2).electors(), voters, "the order under way, then the removal");
-        assertEquals(c.decisions.lastEntry().getValue().electors(), voters);
+        assertEquals(c.decisions.get(before + 2).voters(), voters, "the order under way, then the removal");
+        assertEquals(c.decisions.lastEntry().getValue().voters(), voters);
     }
 
     @Test
@@ -152,12 +152,12 @@
         do {
             c.pass(25);
             version++;
-            assertEquals(c.replace("a#0", version, version - 1, "d" + version), ConsensusNode.Verdict.TAKEN);
+            assertEquals(c.replace("a#0", version, version - 1, "d" + version), ConsensusNode.CallResult.TAKEN);
             // It knows of this before any of the others has told it what is on its disk.
             b.received(c.now, "a#0", new Message.Decided(c.decisions.lastEntry().getValue()));
         } while (!b.left(c.now) && version < 20);
         assertTrue(b.left(c.now), "it waits for slots that are decided without it");
-        assertEquals(c.replace("b#0", version + 1, version, "next"), ConsensusNode.Verdict.UNCLEAR,
+        assertEquals(c.replace("b#0", version + 1, version, "next"), ConsensusNode.CallResult.UNCLEAR,
                 "one that may end takes on nothing new");
     }
 
@@ -169,7 +169,7 @@
         ConsensusNode b = c.all.get("b#0");
         b.leave(c.now);
         c.pass(100);
-        assertEquals(c.electors(), List.of("a#0", "c#0", "d#0", "e#0"));
+        assertEquals(c.voters(), List.of("a#0", "c#0", "d#0", "e#0"));
         c.cutOff.add("c#0");
         c.cutOff.add("d#0");
         c.pass(2000);
@@ -183,7 +183,7 @@
         b.leave(c.now);
         c.pass(100);
         assertTrue(b.left(c.now));
-        assertEquals(c.electors(), ConsensusNodes.FOUNDERS, "it may come back, and two would bear no loss");
+        assertEquals(c.voters(), ConsensusNodes.FOUNDERS, "it may come back, and two would bear no loss");
     }
 
     @Test
@@ -192,31 +192,31 @@
         c.start("d#1", null);
         c.all.get("b#0").leave(c.now);
         c.pass(1500);
-        List<String> electors = c.electors();
-        assertTrue(electors.contains("d#1") && !electors.contains("b#0"), "" + electors);
-        assertEquals(electors.size(), 3);
+        List<String> voterIds = c.voters();
+        assertTrue(voterIds.contains("d#1") && !voterIds.contains("b#0"), "" + voterIds);
+        assertEquals(voterIds.size(), 3);
     }
 
     @Test
     public void twoOfFiveReplacedAsPlannedLeaveRoomForTwoMoreLossesAtOnce() {
-        // Schedule 33 of the rig: seven seats, of which two that left were held by nobody.
+        // Schedule 33 of the rig: seven votes, of which two that left were held by nobody.
         ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
         c.start("n#1", null);
         c.pass(1000);
         c.start("m#2", null);
         c.pass(1000);
-        assertEquals(c.electors().size(), 7);
+        assertEquals(c.voters().size(), 7);
         for (String leaver : List.of("c#0", "a#0")) {
-            ConsensusNode council = c.all.get(leaver);
-            council.leave(c.now);
+            ConsensusNode consensusNode = c.all.get(leaver);
+            consensusNode.leave(c.now);
             c.pass(400);
-            assertTrue(council.left(c.now), leaver);
+            assertTrue(consensusNode.left(c.now), leaver);
             c.all.remove(leaver);
         }
-        assertEquals(c.electors().size(), 5);
+        assertEquals(c.voters().size(), 5);
         c.all.remove("d#0");
         c.all.remove("e#0");
-        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN);
+        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
     }
 
     @Test
@@ -224,37 +224,37 @@
         ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
         c.all.remove("d#0");
         c.pass(4000);
-        assertEquals(c.electors().size(), 5, "one that is away may come back");
+        assertEquals(c.voters().size(), 5, "one that is away may come back");
         c.all.remove("e#0");
         c.pass(4000);
-        assertEquals(c.electors(), List.of("a#0", "b#0", "c#0"));
+        assertEquals(c.voters(), List.of("a#0", "b#0", "c#0"));
         c.all.remove("c#0");
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
     }
 
     @Test
     public void oneThatNothingReachesIsSilentWhateverItSays() {
-        // Schedule 5355 of the rig: no newcomer got a seat for as long as a one-way cut lasted.
+        // Schedule 5355 of the rig: no learner got a vote for as long as a one-way cut lasted.
         ConsensusNodes c = new ConsensusNodes();
         c.deaf.add("c#0");
         c.pass(1000);
         c.start("d#1", null);
         c.pass(3500);
-        assertEquals(c.electors(), List.of("a#0", "b#0", "d#1"));
+        assertEquals(c.voters(), List.of("a#0", "b#0", "d#1"));
     }
 
     @Test
     public void oneThatLeavesGivesItsSeatToANewcomerThatHasAsked() {
-        // Of the same schedule: it went out, and left four with one lost and a newcomer that got no seat.
+        // Of the same schedule: it went out, and left four with one lost and a learner that got no vote.
         ConsensusNodes c = new ConsensusNodes(List.of("a#0", "b#0", "c#0", "d#0", "e#0"));
         c.deaf.add("e#0");
         c.pass(1200);
         c.start("n#1", null);
         c.pass(700);
-        assertEquals(c.electors().size(), 5, "it waits, for one may be dead");
+        assertEquals(c.voters().size(), 5, "it waits, for one may be dead");
         c.all.get("d#0").leave(c.now);
         c.pass(100);
-        assertEquals(c.electors(), List.of("a#0", "b#0", "c#0", "n#1", "e#0"));
+        assertEquals(c.voters(), List.of("a#0", "b#0", "c#0", "n#1", "e#0"));
     }
 
     @Test
@@ -265,9 +265,9 @@
         c.start("d#1", null);
         for (int i = 0; i < 40; i++) {
             c.pass(250);
-            assertTrue(c.electors().containsAll(ConsensusNodes.FOUNDERS), "" + c.electors());
+            assertTrue(c.voters().containsAll(ConsensusNodes.FOUNDERS), "" + c.voters());
         }
-        assertEquals(c.electors(), List.of("a#0", "b#0", "c#0", "d#1"), "c, which reaches all, seats it");
+        assertEquals(c.voters(), List.of("a#0", "b#0", "c#0", "d#1"), "c, which reaches all, gives it a vote");
     }
 
     @Test
@@ -278,7 +278,7 @@
         c.pass(1000);
         c.start("n#1", null);
         c.pass(3000);
-        assertEquals(c.electors(), List.of("a#0", "b#0", "c#0", "d#0", "n#1"));
+        assertEquals(c.voters(), List.of("a#0", "b#0", "c#0", "d#0", "n#1"));
     }
 
     @Test
@@ -290,11 +290,11 @@
         c.all.remove("e#0");
         c.start("n#1", null);
         c.pass(6000);
-        assertEquals(c.electors(), List.of("a#0", "b#0", "c#0", "d#0", "n#1"));
+        assertEquals(c.voters(), List.of("a#0", "b#0", "c#0", "d#0", "n#1"));
     }
 
     @Test
-    public void anOfficeThatSleptTakesNobodyForSilent() {
+    public void aControlNodeThatSleptTakesNobodyForSilent() {
         ConsensusNodes c = new ConsensusNodes();
         c.start("d#1", null);
         c.pass(1500);
@@ -305,14 +305,14 @@
         c.all.put("a#0", a);
         a.tick(c.now);
         c.deliver();
-        assertEquals(a.decided().electors().size(), 4);
+        assertEquals(a.decided().voters().size(), 4);
     }
 
     @Test
     public void whoIsBehindAsksUntilItHasTheNewest() {
         ConsensusNodes c = new ConsensusNodes();
         c.lost = message -> message instanceof Message.Decided;
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.Verdict.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
         c.lost = message -> message instanceof Message.Prepare;
         c.pass(1000);
         assertEquals(c.all.get("b#0").decided().version(), 5L);
--- a/src/test/java/whinlead/mesh/ConsensusNodeTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodeTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What offices agree on outlasts the losses that are borne, on the real councils under a driven clock. */
+/** What control nodes agree on outlasts the losses that are borne, on the real consensus nodes under a driven clock. */
 public class ConsensusNodeTest {
     private static final int SCHEDULES = 500;
     private static final int FOUND_WITHIN = 1000;
--- a/src/test/java/whinlead/mesh/ConsensusNodes.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodes.java
@@ -16,22 +16,22 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** Real councils that hear and answer each other at once, but for those that a test cuts off. */
+/** Real consensus nodes that hear and answer each other at once, but for those that a test cuts off. */
 final class ConsensusNodes {
     static final List<String> FOUNDERS = List.of("a#0", "b#0", "c#0");
     private static final double TICK = 25;
 
-    final List<ConsensusNode.Verdict> verdicts = new ArrayList<>();
+    final List<ConsensusNode.CallResult> verdicts = new ArrayList<>();
     final Map<String, ConsensusNode> all = new LinkedHashMap<>();
     /** By slot, what any of them has learned. */
     final TreeMap<Long, Decision> decisions = new TreeMap<>();
     /** Messages that are lost. */
     Predicate<Message> lost = message -> false;
-    /** Offices that no packet reaches or leaves. */
+    /** Control nodes that no packet reaches or leaves. */
     final Set<String> cutOff = new HashSet<>();
-    /** Offices whose packets arrive, and that nothing reaches. */
+    /** Control nodes whose packets arrive, and that nothing reaches. */
     final Set<String> deaf = new HashSet<>();
-    /** Offices that can't reach each other, by {@link #pair}, whatever else they reach. */
+    /** Control nodes that can't reach each other, by {@link #pair}, whatever else they reach. */
     final Set<Set<String>> cutPairs = new HashSet<>();
     double now;
     private final ArrayDeque<Runnable> mail = new ArrayDeque<>();
@@ -47,13 +47,13 @@
     }
 
     ConsensusNode start(String id, Decision known) {
-        ConsensusNode council = new ConsensusNode(id, new Acceptor.Memory(known, Ballot.NONE, null), id.hashCode(),
+        ConsensusNode consensusNode = new ConsensusNode(id, new Acceptor.State(known, Ballot.NONE, null), id.hashCode(),
                 new Driver(id));
-        all.put(id, council);
-        return council;
+        all.put(id, consensusNode);
+        return consensusNode;
     }
 
-    /** Two offices, in either order. */
+    /** Two control nodes, in either order. */
     static Set<String> pair(String one, String other) {
         return new HashSet<>(List.of(one, other));
     }
@@ -82,20 +82,20 @@
         }
 
         @Override
-        public void sync(Acceptor.Memory memory, String to, Message message) {
+        public void sync(Acceptor.State memory, String to, Message message) {
             if (!stalled.containsKey(id)) {
                 send(to, message);
             }
         }
 
         @Override
-        public void replaced(long call, ConsensusNode.Verdict verdict) {
+        public void replaced(long call, ConsensusNode.CallResult verdict) {
             verdicts.add(verdict);
         }
 
         @Override
         public void read(long call, Decision newest) {
-            verdicts.add(newest == null ? ConsensusNode.Verdict.UNCLEAR : ConsensusNode.Verdict.TAKEN);
+            verdicts.add(newest == null ? ConsensusNode.CallResult.UNCLEAR : ConsensusNode.CallResult.TAKEN);
         }
 
         @Override
@@ -131,14 +131,14 @@
         }
     }
 
-    List<String> electors() {
-        return all.values().iterator().next().decided().electors();
+    List<String> voters() {
+        return all.values().iterator().next().decided().voters();
     }
 
-    /** The verdict on a change that one office is sent. */
-    ConsensusNode.Verdict replace(String office, long version, long builtOn, String digest) {
+    /** The verdict on a change that one control node is sent. */
+    ConsensusNode.CallResult replace(String controlNode, long version, long builtOn, String digest) {
         verdicts.clear();
-        all.get(office).replace(now, 1, version, builtOn, digest, new byte[] {1});
+        all.get(controlNode).replace(now, 1, version, builtOn, digest, new byte[] {1});
         deliver();
         if (verdicts.isEmpty()) {
             pass(1000);
--- a/src/test/java/whinlead/mesh/CutOffControlNodeTest.java
+++ b/src/test/java/whinlead/mesh/CutOffControlNodeTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Point 1 on processes: an office that reaches no other, but sidecars and operators, hands out nothing old as
+ * Point 1 on processes: a control node that reaches no other, but sidecars and operators, hands out nothing old as
  * confirmed, takes and confirms no order, and lets no sidecar begin with what is old while something newer
  * can be reached.
  */
@@ -28,7 +28,7 @@
     private static final double CUT_MS = Double.parseDouble(System.getProperty("whinlead.cut-ms", "3000"));
     private static final double CONVERGE_MS = 2500;
     private static final double ACK_MS = 5000;
-    /** Within this an office that has noticed says that it reaches no majority. */
+    /** Within this a control node that has noticed says that it reaches no majority. */
     private static final double REFUSED_MS = 1000;
     /** What is confirmed may be of so long ago: an answer proves nothing older. */
     private static final double CONFIRMED_MS = 1000;
@@ -43,12 +43,12 @@
     @BeforeClass
     public void start() throws Exception {
         rig = new RelayedRig();
-        rig.startOffices();
-        rig.startCarriers();
+        rig.startControlNodes();
+        rig.startSidecars();
         rig.change(0, ++version, START_MS, RelayedRig.FOUNDERS);
         for (int i = 0; i < 2; i++) {
-            int carrier = i;
-            RelayedRig.await("carrier " + i + " has it", START_MS, () -> rig.serves(carrier, version));
+            int sidecar = i;
+            RelayedRig.await("sidecar " + i + " has it", START_MS, () -> rig.serves(sidecar, version));
         }
         rig.awaitReadable();
     }
@@ -76,7 +76,7 @@
         rig.between("o" + OUT, "o2", from, to);
     }
 
-    /** A change while it is out, and all that must hold of the office, until it has caught up. */
+    /** A change while it is out, and all that must hold of the control node, until it has caught up. */
     private void out(String name, Step begin, Step meanwhile, Step end) throws Exception {
         int old = version++;
         double ended;
@@ -101,12 +101,12 @@
         double acked = rig.change(old, version, ACK_MS, 1, 2);
         double at = RelayedRig.now();
         for (int i = 0; i < 2; i++) {
-            int carrier = i;
-            RelayedRig.await("carrier " + i + " has the change", CONVERGE_MS - (RelayedRig.now() - at),
-                    () -> rig.serves(carrier, version));
+            int sidecar = i;
+            RelayedRig.await("sidecar " + i + " has the change", CONVERGE_MS - (RelayedRig.now() - at),
+                    () -> rig.serves(sidecar, version));
         }
         RelayedRig.figure(name + ": change acknowledged", acked);
-        RelayedRig.figure(name + ": in force at both carriers after that", RelayedRig.now() - at);
+        RelayedRig.figure(name + ": in force at both sidecars after that", RelayedRig.now() - at);
     }
 
     // Once it has noticed, it says so at once; before that it may be slow, but is never wrong.
@@ -115,18 +115,18 @@
         while (Double.isNaN(noticed)) {
             double asked = RelayedRig.now();
             Talk.Message read = rig.read(OUT);
-            assertTrue(read.status() == 503 || read.text().equals(RelayedRig.tariff(version)), read.first());
+            assertTrue(read.status() == 503 || read.text().equals(RelayedRig.config(version)), read.first());
             if (read.status() == 503 && RelayedRig.now() - asked < REFUSED_MS) {
                 noticed = RelayedRig.now() - began;
             }
             assertTrue(RelayedRig.now() - began < 2 * CUT_MS, "it never noticed");
         }
-        RelayedRig.figure(name + ": noticed by the office after", noticed);
+        RelayedRig.figure(name + ": noticed by the control node after", noticed);
         double slowest = 0;
         for (int i = 0; i < 5; i++) {
             double asked = RelayedRig.now();
             assertEquals(rig.read(OUT).status(), 503);
-            assertEquals(rig.replace(OUT, version, RelayedRig.tariff(version + 1000)).status(), 503);
+            assertEquals(rig.replace(OUT, version, RelayedRig.config(version + 1000)).status(), 503);
             slowest = Math.max(slowest, RelayedRig.now() - asked);
         }
         RelayedRig.figure(name + ": read and replace refused, slowest pair of 5", slowest);
@@ -140,9 +140,9 @@
     }
 
     private void caughtUp(String name, double ended) throws Exception {
-        RelayedRig.await("the office has the newest", ACK_MS, () -> {
+        RelayedRig.await("the control node has the newest", ACK_MS, () -> {
             Talk.Message read = rig.read(OUT);
-            assertTrue(read.status() == 503 || read.text().equals(RelayedRig.tariff(version)), read.first());
+            assertTrue(read.status() == 503 || read.text().equals(RelayedRig.config(version)), read.first());
             return read.status() == 200;
         });
         RelayedRig.figure(name + ": newest read from it after the end", RelayedRig.now() - ended);
@@ -155,14 +155,14 @@
         assertEquals(wrong, List.of(), "confirmed an old configuration");
     }
 
-    // A restarted carrier whose first seed is the office that is out.
+    // A restarted sidecar whose first seed is the control node that is out.
     private void restartBeginsWithTheNewest(String name, int... seeds) throws Exception {
         rig.kill("c1");
-        rig.carrier(1, seeds);
+        rig.sidecar(1, seeds);
         double began = RelayedRig.now();
-        RelayedRig.await("the restarted carrier is ready", START_MS, () -> rig.ready(1));
+        RelayedRig.await("the restarted sidecar is ready", START_MS, () -> rig.ready(1));
         assertTrue(rig.serves(1, version), "ready with an old configuration");
-        RelayedRig.figure(name + ": carrier restarted with seeds " + Arrays.toString(seeds)
+        RelayedRig.figure(name + ": sidecar restarted with seeds " + Arrays.toString(seeds)
                 + " ready with the newest", RelayedRig.now() - began);
     }
 
@@ -180,18 +180,18 @@
         rig.between("c1", "o1", Mode.CUT, Mode.CUT);
         rig.between("c1", "o2", Mode.CUT, Mode.CUT);
         long before = reached();
-        rig.carrier(1, RelayedRig.FOUNDERS);
-        RelayedRig.await("it reaches the office", START_MS, () -> reached() > before);
+        rig.sidecar(1, RelayedRig.FOUNDERS);
+        RelayedRig.await("it reaches the control node", START_MS, () -> reached() > before);
         double began = RelayedRig.now();
         RelayedRig.await("it is ready all the same", START_MS, () -> rig.ready(1));
         double ready = RelayedRig.now() - began;
         assertTrue(rig.serves(1, version - 1), "and serves what can be had");
         assertFalse(rig.serves(1, version));
-        RelayedRig.figure("alone: carrier ready after it reached the cut-off office alone", ready);
+        RelayedRig.figure("alone: sidecar ready after it reached the cut-off control node alone", ready);
         assertTrue(ready > WAIT_MS - SLACK_MS, "not before it has looked for better: " + ready);
         rig.between("c1", "o1", Mode.OPEN, Mode.OPEN);
         rig.between("c1", "o2", Mode.OPEN, Mode.OPEN);
-        RelayedRig.figure("alone: newest in force after another office is back in reach",
+        RelayedRig.figure("alone: newest in force after another control node is back in reach",
                 RelayedRig.await("it takes the newest", CONVERGE_MS, () -> rig.serves(1, version)));
     }
 
@@ -235,7 +235,7 @@
             double thawed = RelayedRig.now();
             rig.signal("o" + OUT, "CONT");
             Talk.Message first = read.get((long) START_MS, TimeUnit.MILLISECONDS);
-            boolean newest = first.text().equals(RelayedRig.tariff(version));
+            boolean newest = first.text().equals(RelayedRig.config(version));
             assertTrue(first.status() == 503 || newest, first.first());
             int order = replace.get((long) START_MS, TimeUnit.MILLISECONDS).status();
             assertTrue(order == 503 || order == 412, "an order built on the old one: " + order);
@@ -251,7 +251,7 @@
 
     private Talk.Message asked(boolean order, int old) {
         try {
-            return order ? rig.replace(OUT, old, RelayedRig.tariff(old + 1000)) : rig.read(OUT);
+            return order ? rig.replace(OUT, old, RelayedRig.config(old + 1000)) : rig.read(OUT);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/whinlead/mesh/DataPlaneTest.java
+++ b/src/test/java/whinlead/mesh/DataPlaneTest.java
@@ -18,83 +18,83 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** The carriers' own decisions: who may go in, what a tenant gets, what may be sent again, whose word holds. */
+/** The sidecars' own decisions: who may go in, what a tenant gets, what may be sent again, whose word holds. */
 public class DataPlaneTest {
-    private static RpcCall.Card card(String phase, long seq) {
-        return new RpcCall.Card("svc", "hall-a", 4, phase, 0, seq);
+    private static RpcCall.EndpointStatus settings(String phase, long seq) {
+        return new RpcCall.EndpointStatus("svc", "hall-a", 4, phase, 0, seq);
     }
 
     @Test
     public void oneThatDrainsIsSentNothingSoonAfterItsAcknowledgement() {
-        EndpointGate hatch = new EndpointGate(1500);
-        assertEquals(hatch.enter(0, "svc", 0), EndpointGate.Entry.MOVED);
-        assertTrue(hatch.beat(0, "i-1", card("serving", 1)));
-        assertEquals(hatch.enter(10, "svc", 0), EndpointGate.Entry.OPEN);
-        assertEquals(hatch.enter(10, "other", 0), EndpointGate.Entry.MOVED);
-        assertTrue(hatch.beat(1000, "i-1", card("draining", 2)));
-        assertEquals(hatch.enter(1100, "svc", 0), EndpointGate.Entry.OPEN);
+        EndpointGate gate = new EndpointGate(1500);
+        assertEquals(gate.enter(0, "svc", 0), EndpointGate.Admission.MOVED);
+        assertTrue(gate.beat(0, "i-1", settings("serving", 1)));
+        assertEquals(gate.enter(10, "svc", 0), EndpointGate.Admission.OPEN);
+        assertEquals(gate.enter(10, "other", 0), EndpointGate.Admission.MOVED);
+        assertTrue(gate.beat(1000, "i-1", settings("draining", 2)));
+        assertEquals(gate.enter(1100, "svc", 0), EndpointGate.Admission.OPEN);
         // A late beat of before does not open it again, and one of the draining does not put its end off.
-        assertFalse(hatch.beat(1200, "i-1", card("serving", 1)));
-        assertFalse(hatch.beat(1300, "i-1", card("draining", 3)));
-        assertEquals(hatch.enter(1500, "svc", 0), EndpointGate.Entry.MOVED);
+        assertFalse(gate.beat(1200, "i-1", settings("serving", 1)));
+        assertFalse(gate.beat(1300, "i-1", settings("draining", 3)));
+        assertEquals(gate.enter(1500, "svc", 0), EndpointGate.Admission.MOVED);
     }
 
     @Test
     public void oneThatHasLeftStaysGoneAndAnotherLifeIsNew() {
-        EndpointGate hatch = new EndpointGate(1500);
-        hatch.beat(0, "i-1", card("serving", 1));
-        assertTrue(hatch.depart("i-1"));
-        assertFalse(hatch.beat(10, "i-1", card("serving", 2)));
-        assertEquals(hatch.enter(20, "svc", 0), EndpointGate.Entry.MOVED);
-        assertTrue(hatch.beat(30, "i-2", card("serving", 1)));
-        assertEquals(hatch.enter(40, "svc", 0), EndpointGate.Entry.OPEN);
-        assertFalse(hatch.depart("i-1"));
-        assertEquals(hatch.enter(50, "svc", 0), EndpointGate.Entry.OPEN);
+        EndpointGate gate = new EndpointGate(1500);
+        gate.beat(0, "i-1", settings("serving", 1));
+        assertTrue(gate.depart("i-1"));
+        assertFalse(gate.beat(10, "i-1", settings("serving", 2)));
+        assertEquals(gate.enter(20, "svc", 0), EndpointGate.Admission.MOVED);
+        assertTrue(gate.beat(30, "i-2", settings("serving", 1)));
+        assertEquals(gate.enter(40, "svc", 0), EndpointGate.Admission.OPEN);
+        assertFalse(gate.depart("i-1"));
+        assertEquals(gate.enter(50, "svc", 0), EndpointGate.Admission.OPEN);
     }
 
     @Test
     public void oneThatIsSilentIsGoneUntilItBeatsAgain() {
-        EndpointGate hatch = new EndpointGate(1000);
-        hatch.beat(0, "i-1", card("serving", 1));
-        assertFalse(hatch.tick(3000));
-        assertTrue(hatch.tick(3600));
-        assertEquals(hatch.enter(3600, "svc", 0), EndpointGate.Entry.MOVED);
-        assertTrue(hatch.beat(4000, "i-1", card("serving", 2)));
-        assertEquals(hatch.enter(4000, "svc", 0), EndpointGate.Entry.OPEN);
+        EndpointGate gate = new EndpointGate(1000);
+        gate.beat(0, "i-1", settings("serving", 1));
+        assertFalse(gate.tick(3000));
+        assertTrue(gate.tick(3600));
+        assertEquals(gate.enter(3600, "svc", 0), EndpointGate.Admission.MOVED);
+        assertTrue(gate.beat(4000, "i-1", settings("serving", 2)));
+        assertEquals(gate.enter(4000, "svc", 0), EndpointGate.Admission.OPEN);
     }
 
     @Test
     public void lowRanksFindItFullFirst() {
-        EndpointGate hatch = new EndpointGate(1500);
-        hatch.beat(0, "i-1", card("serving", 1));
+        EndpointGate gate = new EndpointGate(1500);
+        gate.beat(0, "i-1", settings("serving", 1));
         int[] taken = new int[3];
         for (int rank = 2; rank >= 0; rank--) {
-            while (hatch.enter(1, "svc", rank) == EndpointGate.Entry.OPEN) {
-                hatch.began(1);
+            while (gate.enter(1, "svc", rank) == EndpointGate.Admission.OPEN) {
+                gate.began(1);
                 taken[rank]++;
             }
         }
         assertTrue(taken[2] >= 4 && taken[1] > 0 && taken[0] > 0, taken[2] + " " + taken[1] + " " + taken[0]);
-        assertEquals(hatch.enter(1, "svc", 0), EndpointGate.Entry.FULL);
-        hatch.ended(2, true);
-        assertEquals(hatch.enter(2, "svc", 0), EndpointGate.Entry.OPEN);
+        assertEquals(gate.enter(1, "svc", 0), EndpointGate.Admission.FULL);
+        gate.ended(2, true);
+        assertEquals(gate.enter(2, "svc", 0), EndpointGate.Admission.OPEN);
     }
 
     @Test
     public void whereTheHighestRankComesTheOthersDoNotQueueAheadOfIt() {
-        EndpointGate hatch = new EndpointGate(1500);
-        hatch.beat(0, "i-1", card("serving", 1));
+        EndpointGate gate = new EndpointGate(1500);
+        gate.beat(0, "i-1", settings("serving", 1));
         for (int ms = 0; ms < 3000; ms += 50) {
-            assertEquals(hatch.enter(ms, "svc", 0), EndpointGate.Entry.OPEN);
+            assertEquals(gate.enter(ms, "svc", 0), EndpointGate.Admission.OPEN);
         }
         for (int i = 0; i < 4; i++) {
-            assertEquals(hatch.enter(3000, "svc", 2), EndpointGate.Entry.OPEN);
-            hatch.began(3000);
+            assertEquals(gate.enter(3000, "svc", 2), EndpointGate.Admission.OPEN);
+            gate.began(3000);
         }
-        assertEquals(hatch.enter(3000, "svc", 2), EndpointGate.Entry.FULL);
-        assertEquals(hatch.enter(3000, "svc", 0), EndpointGate.Entry.OPEN);
+        assertEquals(gate.enter(3000, "svc", 2), EndpointGate.Admission.FULL);
+        assertEquals(gate.enter(3000, "svc", 0), EndpointGate.Admission.OPEN);
         // Once none comes any more the others may queue again.
-        assertEquals(hatch.enter(30_000, "svc", 2), EndpointGate.Entry.OPEN);
+        assertEquals(gate.enter(30_000, "svc", 2), EndpointGate.Admission.OPEN);
     }
 
     @Test
@@ -185,7 +185,7 @@
     }
 
     @Test
-    public void listingsMergeToTheSameInAnyOrder() {
+    public void endpointRecordsMergeToTheSameInAnyOrder() {
         Random random = new Random(3);
         List<EndpointRecord> said = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
--- a/src/test/java/whinlead/mesh/HangupTest.java
+++ b/src/test/java/whinlead/mesh/HangupTest.java
@@ -25,7 +25,7 @@
     @Test
     public void whatIsUnderWayIsAnsweredAndTheSidecarStaysReady() throws Exception {
         try (MeshRig mesh = new MeshRig(1)) {
-            String configuration = LocalMeshRun.tariff("00000001", "svc").replace("\"DeadlineS\":2",
+            String configuration = LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2",
                     "\"DeadlineS\":20");
             MeshRig.await("a configuration is taken", () -> mesh.replace(0, "0", configuration).status()
                     == 200);
@@ -42,13 +42,13 @@
             MeshRig.await("it is at its endpoint", () -> app.ran().stream()
                     .anyMatch(m -> m.first().contains(StandInApp.SLOW)));
             for (int i = 0; i < SIGNALS; i++) {
-                hangUp(mesh.carriers.get(0));
+                hangUp(mesh.sidecars.get(0));
                 assertTrue(mesh.ready(0));
                 MeshRig.await("it serves after a signal", () -> mesh.get(0, "/a/x").status() == 200);
             }
             app.release();
             assertEquals(slow.get(WAIT_S, TimeUnit.SECONDS).status(), 200);
-            assertTrue(mesh.carriers.get(0).isAlive());
+            assertTrue(mesh.sidecars.get(0).isAlive());
         }
     }
 }
--- a/src/test/java/whinlead/mesh/LocalMesh.java
+++ b/src/test/java/whinlead/mesh/LocalMesh.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The real parts of a mesh in one process, over sockets on loopback: an office, a sidecar that takes clients
+ * The real parts of a mesh in one process, over sockets on loopback: a control node, a sidecar that takes clients
  * and has no endpoint, and a sidecar beside an endpoint whose answers come from a script. Each has a loop of
  * its own, whose end stands for the end of a process.
  */
@@ -68,11 +68,11 @@
         cards = new TestbedSettings(1);
         NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         EventLoop others = otherLoops.next();
-        new ControlNode(reader.parse(cards.office(0, Files.createTempDirectory("mesh").toString(), true)), others,
+        new ControlNode(reader.parse(cards.controlNode(0, Files.createTempDirectory("mesh").toString(), true)), others,
                 new ObjectMapper()).start();
-        near = new Sidecar(reader.parse(grace(cards.carrier(0, "client"), graceS)), nearLoop.next(),
+        near = new Sidecar(reader.parse(grace(cards.sidecar(0, "client"), graceS)), nearLoop.next(),
                 new ObjectMapper());
-        far = new Sidecar(reader.parse(grace(cards.carrier(1, "svc"), graceS)), others, new ObjectMapper());
+        far = new Sidecar(reader.parse(grace(cards.sidecar(1, "svc"), graceS)), others, new ObjectMapper());
         near.start();
         far.start();
         app = new StandInApp("i-1", "svc", cards.app(1), cards.beats(1), script);
@@ -90,7 +90,7 @@
 
     /** A configuration under this number, with this time for each route. */
     static String configuration(int version, double deadlineS) {
-        return LocalMeshRun.tariff(number(version), "svc").replace("\"DeadlineS\":2", "\"DeadlineS\":" + deadlineS);
+        return LocalMeshRun.config(number(version), "svc").replace("\"DeadlineS\":2", "\"DeadlineS\":" + deadlineS);
     }
 
     private static String number(int version) {
@@ -155,7 +155,7 @@
         MeshRig.await("it serves", () -> ask("GET /a/x").status() == 200);
     }
 
-    /** The office and the other sidecar are lost, with its endpoint. */
+    /** The control node and the other sidecar are lost, with its endpoint. */
     void loseAllOthers() throws Exception {
         app.close();
         otherLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/src/test/java/whinlead/mesh/MeshProcessTest.java
+++ b/src/test/java/whinlead/mesh/MeshProcessTest.java
@@ -22,7 +22,7 @@
 
 /** The mesh as processes on loopback, among stand-in endpoints: what clients, endpoints and operators see. */
 public class MeshProcessTest {
-    private static final String FIRST = LocalMeshRun.tariff("00000001", "svc").replace("\"DeadlineS\":2",
+    private static final String FIRST = LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2",
             "\"DeadlineS\":20");
     /** Far less than what the requests have left, and enough for a busy machine. */
     private static final double ENDED_MS = 3000;
@@ -32,17 +32,17 @@
     @BeforeClass
     public void start() throws Exception {
         mesh = new MeshRig(3);
-        MeshRig.await("an office takes the first configuration", () -> mesh.replace(0, "0", FIRST).status()
+        MeshRig.await("a control node takes the first configuration", () -> mesh.replace(0, "0", FIRST).status()
                 == 200);
         for (int i = 0; i < 3; i++) {
-            int office = i;
+            int controlNode = i;
             // Two are enough for the first configuration; the third may still be starting.
-            MeshRig.await("office " + i + " answers", () -> mesh.read(office).status() == 200);
+            MeshRig.await("control node " + i + " answers", () -> mesh.read(controlNode).status() == 200);
         }
         for (int i = 0; i < 3; i++) {
-            int carrier = i;
-            MeshRig.await("carrier " + i + " is ready", () -> mesh.ready(carrier));
-            MeshRig.await("carrier " + i + " serves", () -> mesh.get(carrier, "/a/first").status() == 200);
+            int sidecar = i;
+            MeshRig.await("sidecar " + i + " is ready", () -> mesh.ready(sidecar));
+            MeshRig.await("sidecar " + i + " serves", () -> mesh.get(sidecar, "/a/first").status() == 200);
         }
     }
 
@@ -53,7 +53,7 @@
 
     @Test
     public void operatorsGetClearAnswers() throws Exception {
-        assertEquals(mesh.replace(1, "0", FIRST).status(), 200, "repeated to another office");
+        assertEquals(mesh.replace(1, "0", FIRST).status(), 200, "repeated to another control node");
         assertEquals(mesh.replace(2, "0", FIRST.replace("00000001", "00000002")).status(), 412);
         Talk.Message old = mesh.replace(0, "00000001", FIRST.replace("\"Rank\":1", "\"Rank\":2"));
         assertEquals(old.status(), 400);
@@ -63,8 +63,8 @@
         assertEquals(bad.status(), 400);
         assertTrue(bad.text().contains("kind"), bad.text());
         assertEquals(mesh.replace(0, "x", FIRST).status(), 400);
-        for (int office = 0; office < 3; office++) {
-            assertEquals(mesh.read(office).text(), FIRST, "nothing was changed");
+        for (int controlNode = 0; controlNode < 3; controlNode++) {
+            assertEquals(mesh.read(controlNode).text(), FIRST, "nothing was changed");
         }
     }
 
@@ -189,21 +189,21 @@
 
     @Test(dependsOnMethods = {"operatorsGetClearAnswers", "requestsReachAnEndpointAsTheyWereSent",
         "whatIsNotAllowedIsTurnedAwayAndNotRun", "whatRunsForAClientThatLeavesIsEndedWhereItMayBeRepeated"})
-    public void anOfficeLostTakesNothingWithIt() throws Exception {
-        mesh.offices.get(0).destroyForcibly().waitFor();
+    public void aControlNodeLostTakesNothingWithIt() throws Exception {
+        mesh.controlNodes.get(0).destroyForcibly().waitFor();
         String second = FIRST.replace("00000001", "00000004").replace("/a/", "/c/");
-        MeshRig.await("two offices take a configuration", () -> mesh.replace(1, "00000001", second).status()
+        MeshRig.await("two control nodes take a configuration", () -> mesh.replace(1, "00000001", second).status()
                 == 200);
         for (int i = 0; i < 3; i++) {
-            int carrier = i;
-            MeshRig.await("carrier " + i + " has it", () -> mesh.get(carrier, "/c/x").status() == 200);
-            assertEquals(mesh.get(carrier, "/a/x").status(), 404);
+            int sidecar = i;
+            MeshRig.await("sidecar " + i + " has it", () -> mesh.get(sidecar, "/c/x").status() == 200);
+            assertEquals(mesh.get(sidecar, "/a/x").status(), 404);
         }
-        mesh.offices.set(0, mesh.office(0, true));
+        mesh.controlNodes.set(0, mesh.controlNode(0, true));
         MeshRig.await("the lost one has it too", () -> mesh.read(0).text().equals(second));
     }
 
-    @Test(dependsOnMethods = "anOfficeLostTakesNothingWithIt")
+    @Test(dependsOnMethods = "aControlNodeLostTakesNothingWithIt")
     public void oneThatDrainsIsSentNothingMore() throws Exception {
         StandInApp app = mesh.apps.get(2);
         assertEquals(app.depart(), 200);
@@ -222,7 +222,7 @@
     }
 
     @Test(dependsOnMethods = "oneThatDrainsIsSentNothingMore")
-    public void aCarrierThatIsStoppedEndsWhatItHolds() throws Exception {
+    public void aSidecarThatIsStoppedEndsWhatItHolds() throws Exception {
         CompletableFuture<Talk.Message> slow = CompletableFuture.supplyAsync(() -> {
             try (Talk talk = new Talk(mesh.cards.egress(2))) {
                 return talk.ask("GET /c" + StandInApp.SLOW, mesh.headers(), new byte[0]);
@@ -232,11 +232,11 @@
         });
         MeshRig.await("it is at an endpoint", () -> mesh.apps.stream().flatMap(a -> a.ran().stream())
                 .anyMatch(m -> m.first().contains(StandInApp.SLOW)));
-        mesh.carriers.get(2).destroy();
+        mesh.sidecars.get(2).destroy();
         MeshRig.await("it tells that it leaves", () -> !mesh.ready(2));
         mesh.apps.forEach(StandInApp::release);
         assertEquals(slow.get(20, TimeUnit.SECONDS).status(), 200);
-        assertTrue(mesh.carriers.get(2).waitFor(20, TimeUnit.SECONDS), "and ends");
+        assertTrue(mesh.sidecars.get(2).waitFor(20, TimeUnit.SECONDS), "and ends");
         assertEquals(mesh.get(0, "/c/x").status(), 200);
     }
 }
--- a/src/test/java/whinlead/mesh/MeshRig.java
+++ b/src/test/java/whinlead/mesh/MeshRig.java
@@ -15,33 +15,33 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 
-/** A mesh of processes on loopback: three offices, carriers, and an endpoint of one service beside each. */
+/** A mesh of processes on loopback: three control nodes, sidecars, and an endpoint of one service beside each. */
 final class MeshRig implements AutoCloseable {
     private static final long WAIT_S = 30;
     private static final long BEAT_MS = 200;
 
     final TestbedSettings cards;
     final List<StandInApp> apps = new ArrayList<>();
-    final List<Process> offices = new ArrayList<>();
-    final List<Process> carriers = new ArrayList<>();
+    final List<Process> controlNodes = new ArrayList<>();
+    final List<Process> sidecars = new ArrayList<>();
     private final Path folder;
     private int attempts;
 
-    MeshRig(int carrierCount) throws IOException {
+    MeshRig(int sidecarCount) throws IOException {
         cards = new TestbedSettings(3);
         folder = Files.createTempDirectory("mesh");
         for (int i = 0; i < 3; i++) {
-            offices.add(office(i, true));
+            controlNodes.add(controlNode(i, true));
         }
-        for (int i = 0; i < carrierCount; i++) {
+        for (int i = 0; i < sidecarCount; i++) {
             apps.add(new StandInApp("i-" + i, "svc", cards.app(i), cards.beats(i)));
-            carriers.add(run("carrier", "carrier-" + i, cards.carrier(i, "svc")));
+            sidecars.add(run("sidecar", "sidecar-" + i, cards.sidecar(i, "svc")));
             apps.get(i).beatEvery(BEAT_MS);
         }
     }
 
-    Process office(int i, boolean bootstrap) throws IOException {
-        return run("office", "office-" + i, cards.office(i, folder.resolve("disk-" + i).toString(), bootstrap));
+    Process controlNode(int i, boolean bootstrap) throws IOException {
+        return run("control", "control-" + i, cards.controlNode(i, folder.resolve("disk-" + i).toString(), bootstrap));
     }
 
     private Process run(String role, String name, List<String> lines) throws IOException {
@@ -70,17 +70,17 @@
         throw new AssertionError("not in " + WAIT_S + " s: " + what);
     }
 
-    Talk.Message replace(int office, String ifMatch, String body) throws IOException {
-        return Talk.ask(cards.control(office), "POST /whinlead/rpc?call=config.replace", Map.of("If-Match",
+    Talk.Message replace(int controlNode, String ifMatch, String body) throws IOException {
+        return Talk.ask(cards.control(controlNode), "POST /whinlead/rpc?call=config.replace", Map.of("If-Match",
                 ifMatch, "Content-Type", "application/json"), body.getBytes(StandardCharsets.UTF_8));
     }
 
-    Talk.Message read(int office) throws IOException {
-        return Talk.ask(cards.control(office), "POST /whinlead/rpc?call=config.read", Map.of(), new byte[0]);
+    Talk.Message read(int controlNode) throws IOException {
+        return Talk.ask(cards.control(controlNode), "POST /whinlead/rpc?call=config.read", Map.of(), new byte[0]);
     }
 
-    boolean ready(int carrier) throws IOException {
-        return Talk.ask(cards.readiness(carrier), "GET /whinlead/readiness", Map.of(), new byte[0]).status()
+    boolean ready(int sidecar) throws IOException {
+        return Talk.ask(cards.readiness(sidecar), "GET /whinlead/readiness", Map.of(), new byte[0]).status()
                 == 200;
     }
 
@@ -94,8 +94,8 @@
         return h;
     }
 
-    Talk.Message get(int carrier, String path) throws IOException {
-        return Talk.ask(cards.egress(carrier), "GET " + path, headers(), new byte[0]);
+    Talk.Message get(int sidecar, String path) throws IOException {
+        return Talk.ask(cards.egress(sidecar), "GET " + path, headers(), new byte[0]);
     }
 
     int ran() {
@@ -104,8 +104,8 @@
 
     @Override
     public void close() throws IOException {
-        offices.forEach(Process::destroyForcibly);
-        carriers.forEach(Process::destroyForcibly);
+        controlNodes.forEach(Process::destroyForcibly);
+        sidecars.forEach(Process::destroyForcibly);
         for (StandInApp app : apps) {
             app.close();
         }
--- a/src/test/java/whinlead/mesh/OlderPeer.java
+++ b/src/test/java/whinlead/mesh/OlderPeer.java
@@ -13,8 +13,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * A connection of a program before protocol versions: its letters by hand, fields by position. Such a program
- * ends a connection by which a kind of letter comes that it does not know; here that fails the test.
+ * A connection of a program before protocol versions: its messages by hand, fields by position. Such a program
+ * ends a connection by which a kind of message comes that it does not know; here that fails the test.
  */
 final class OlderPeer implements AutoCloseable {
     static final byte HELLO = 1;
@@ -26,19 +26,19 @@
     static final byte PING = 7;
     static final byte PONG = 8;
     static final byte PAPER = 9;
-    static final byte PARCEL = 10;
+    static final byte REQUEST = 10;
     static final byte DELIVERED = 11;
     static final byte USES = 13;
     static final byte SUMS = 14;
     private static final byte LAST_KIND = 16;
     private static final int WAIT_MS = 20_000;
 
-    /** Writes a letter's fields. */
+    /** Writes a message's fields. */
     interface Fields {
         void write(MessageBufferPacker packer) throws IOException;
     }
 
-    /** A letter's kind, and what stands behind it. */
+    /** A message's kind, and what stands behind it. */
     record Heard(byte kind, MessageUnpacker fields) { }
 
     private final Socket socket;
@@ -54,11 +54,11 @@
     }
 
     /** One that connects to ADDRESS:PORT and greets. */
-    static OlderPeer dial(String address, String id, boolean office) throws IOException {
+    static OlderPeer dial(String address, String id, boolean controlNode) throws IOException {
         int colon = address.lastIndexOf(':');
         OlderPeer peer = new OlderPeer(new Socket(address.substring(0, colon),
                 Integer.parseInt(address.substring(colon + 1))), id, true);
-        peer.say(HELLO, p -> p.packString(id).packBoolean(office));
+        peer.say(HELLO, p -> p.packString(id).packBoolean(controlNode));
         return peer;
     }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /** The next letter that is no question for a sign of life; these are answered. */
+    /** The next message that is no question for a sign of life; these are answered. */
     Heard hear() throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** The fields of the next letter of this kind. */
+    /** The fields of the next message of this kind. */
     MessageUnpacker hear(byte kind) throws IOException {
         Heard heard = hear();
         while (heard.kind() != kind) {
--- a/src/test/java/whinlead/mesh/OlderPeersTest.java
+++ b/src/test/java/whinlead/mesh/OlderPeersTest.java
@@ -31,7 +31,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A real office and a real sidecar beside peers of the program before protocol versions, both ways. */
+/** A real control node and a real sidecar beside peers of the program before protocol versions, both ways. */
 public class OlderPeersTest {
     private static final int WAIT_MS = 20_000;
     private static final byte PREPARE = 1;
@@ -40,7 +40,7 @@
     private static final byte ACCEPTED = 4;
     private static final byte QUERY = 8;
     private static final byte STATE = 9;
-    private static final String TARIFF = LocalMeshRun.tariff("00000001", "svc").replace("\"DeadlineS\":2",
+    private static final String CONFIG = LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2",
             "\"DeadlineS\":20");
 
     private EventLoopGroup loops;
@@ -60,31 +60,31 @@
         threads.shutdownNow();
     }
 
-    private void office(TestbedSettings cards) throws Exception {
-        String disk = Files.createTempDirectory("office").toString();
-        new ControlNode(new NodeSettingsReader(new ObjectMapper()).parse(cards.office(0, disk, true)), loop,
+    private void controlNode(TestbedSettings cards) throws Exception {
+        String disk = Files.createTempDirectory("control").toString();
+        new ControlNode(new NodeSettingsReader(new ObjectMapper()).parse(cards.controlNode(0, disk, true)), loop,
                 new ObjectMapper()).start();
     }
 
     private static int replace(TestbedSettings cards) throws IOException {
         return Talk.ask(cards.control(0), "POST /whinlead/rpc?call=config.replace", Map.of("If-Match", "0"),
-                TARIFF.getBytes(StandardCharsets.UTF_8)).status();
+                CONFIG.getBytes(StandardCharsets.UTF_8)).status();
     }
 
     @Test
-    public void anOlderSidecarGetsItsConfigurationAndSumsFromThisOffice() throws Exception {
+    public void anOlderSidecarGetsItsConfigurationAndSumsFromThisControlNode() throws Exception {
         TestbedSettings cards = new TestbedSettings(1);
-        office(cards);
+        controlNode(cards);
         MeshRig.await("the configuration is taken", () -> replace(cards) == 200);
         try (OlderPeer sidecar = OlderPeer.dial(cards.talk(0), cards.ingress(0), false)) {
             assertEquals(sidecar.hear().kind(), OlderPeer.POST);
-            sidecar.say(OlderPeer.POST, p -> listing(p, cards.ingress(0), "i-0"));
+            sidecar.say(OlderPeer.POST, p -> record(p, cards.ingress(0), "i-0"));
             sidecar.say(OlderPeer.ASK, p -> p.packLong(-1));
             assertEquals(sidecar.hear(OlderPeer.NOTICE).unpackLong(), 1);
             sidecar.say(OlderPeer.FETCH, p -> { });
-            MessageUnpacker news = sidecar.hear(OlderPeer.NEWS);
-            assertEquals(decision(news), TARIFF);
-            assertTrue(news.unpackBoolean(), "its office reaches a quorum: itself");
+            MessageUnpacker update = sidecar.hear(OlderPeer.NEWS);
+            assertEquals(decision(update), CONFIG);
+            assertTrue(update.unpackBoolean(), "its control node reaches a quorum: itself");
             sidecar.say(OlderPeer.USES, p -> p.packInt(1).packString("t-1").packFloat(2).packBoolean(true));
             MessageUnpacker sums = sidecar.hear(OlderPeer.SUMS);
             assertEquals(sums.unpackInt(), 1);
@@ -93,7 +93,7 @@
         }
     }
 
-    private static void listing(MessageBufferPacker p, String node, String endpoint) throws IOException {
+    private static void record(MessageBufferPacker p, String node, String endpoint) throws IOException {
         p.packInt(1).packString(node).packLong(1).packLong(1).packString("hall-a").packString(endpoint);
         p.packString("svc").packInt(0).packInt(6).packInt(0);
     }
@@ -108,23 +108,23 @@
             fields.unpackLong();
             fields.unpackString();
         }
-        assertTrue(OlderPeer.strings(fields).length > 0, "electors");
+        assertTrue(OlderPeer.strings(fields).length > 0, "voters");
         return new String(ConfigCodec.inflate(body), StandardCharsets.UTF_8);
     }
 
     @Test
-    public void anOlderOfficeVotesWithThisOneAndGetsItsVotes() throws Exception {
+    public void anOlderControlNodeVotesWithThisOneAndGetsItsVotes() throws Exception {
         TestbedSettings cards = new TestbedSettings(2);
-        String older = cards.officeIp(1) + "#0";
+        String older = cards.controlNodeIp(1) + "#0";
         try (ServerSocket server = OlderPeer.listen(cards.talk(1))) {
-            office(cards);
+            controlNode(cards);
             OlderPeer in = OlderPeer.accept(server, older);
             OlderPeer out = OlderPeer.dial(cards.talk(0), older, true);
             CompletableFuture<String> accepted = new CompletableFuture<>();
             CompletableFuture<Void> promised = new CompletableFuture<>();
             threads.execute(() -> vote(in, out, accepted, promised));
             MeshRig.await("the configuration is taken by both", () -> replace(cards) == 200);
-            assertEquals(accepted.get(WAIT_MS, TimeUnit.MILLISECONDS), TARIFF);
+            assertEquals(accepted.get(WAIT_MS, TimeUnit.MILLISECONDS), CONFIG);
             out.say(OlderPeer.PAPER, p -> p.packByte(PREPARE).packLong(2).packLong(1000).packString(older));
             promised.get(WAIT_MS, TimeUnit.MILLISECONDS);
             in.close();
@@ -178,38 +178,38 @@
     }
 
     @Test
-    public void thisSidecarServesBetweenAnOlderOfficeAndAnOlderSidecar() throws Exception {
+    public void thisSidecarServesBetweenAnOlderControlNodeAndAnOlderSidecar() throws Exception {
         TestbedSettings cards = new TestbedSettings(1);
-        try (ServerSocket officeServer = OlderPeer.listen(cards.talk(0));
+        try (ServerSocket controlNodeServer = OlderPeer.listen(cards.talk(0));
                 ServerSocket sidecarServer = OlderPeer.listen(cards.ingress(1));
                 StandInApp endpoint = new StandInApp("i-0", "svc", cards.app(0), cards.beats(0))) {
-            new Sidecar(new NodeSettingsReader(new ObjectMapper()).parse(cards.carrier(0, "svc")), loop,
+            new Sidecar(new NodeSettingsReader(new ObjectMapper()).parse(cards.sidecar(0, "svc")), loop,
                     new ObjectMapper()).start();
-            OlderPeer office = OlderPeer.accept(officeServer, "127.0.0.1#0");
-            configure(office, cards);
+            OlderPeer controlNode = OlderPeer.accept(controlNodeServer, "127.0.0.1#0");
+            configure(controlNode, cards);
             MeshRig.await("the sidecar is ready", () -> Talk.ask(cards.readiness(0),
                     "GET /whinlead/readiness", Map.of(), new byte[0]).status() == 200);
             OlderPeer far = passesOn(cards, sidecarServer);
             runsOf(cards, endpoint);
             far.close();
-            office.close();
+            controlNode.close();
         }
     }
 
-    private void configure(OlderPeer office, TestbedSettings cards) throws Exception {
-        assertEquals(office.hear(OlderPeer.ASK).unpackLong(), -1);
-        office.say(OlderPeer.POST, p -> listing(p, cards.ingress(1), "i-1"));
-        office.say(OlderPeer.NOTICE, p -> p.packLong(1));
-        office.hear(OlderPeer.FETCH);
-        byte[] body = ConfigCodec.deflate(TARIFF.getBytes(StandardCharsets.UTF_8));
-        office.say(OlderPeer.NEWS, p -> {
+    private void configure(OlderPeer controlNode, TestbedSettings cards) throws Exception {
+        assertEquals(controlNode.hear(OlderPeer.ASK).unpackLong(), -1);
+        controlNode.say(OlderPeer.POST, p -> record(p, cards.ingress(1), "i-1"));
+        controlNode.say(OlderPeer.NOTICE, p -> p.packLong(1));
+        controlNode.hear(OlderPeer.FETCH);
+        byte[] body = ConfigCodec.deflate(CONFIG.getBytes(StandardCharsets.UTF_8));
+        controlNode.say(OlderPeer.NEWS, p -> {
             p.packLong(1).packLong(1).packBinaryHeader(body.length).writePayload(body);
             p.packInt(0).packInt(1).packString("127.0.0.1#0").packBoolean(true);
         });
         threads.execute(() -> {
             try {
                 while (true) {
-                    office.hear();
+                    controlNode.hear();
                 }
             } catch (IOException e) {
                 // The test is over.
@@ -231,7 +231,7 @@
         try (Talk leaves = new Talk(cards.egress(0))) {
             leaves.say("GET /a/x HTTP/1.1", headers("leaves"), new byte[0]);
             far = accepted.get(WAIT_MS, TimeUnit.MILLISECONDS);
-            parcel(far, "leaves");
+            request(far, "leaves");
         }
         CompletableFuture<Integer> status = CompletableFuture.supplyAsync(() -> {
             try {
@@ -240,7 +240,7 @@
                 throw new IllegalStateException(e);
             }
         }, threads);
-        long stream = parcel(far, "stays");
+        long stream = request(far, "stays");
         far.say(OlderPeer.DELIVERED, p -> {
             p.packLong(stream).packInt(200).packInt(4).packString("Attempt-Id").packString("stays");
             p.packString("Server-Seal").packString("i-1.1").packBinaryHeader(2).writePayload(new byte[2]);
@@ -251,17 +251,17 @@
     }
 
     // The next request at the older sidecar; its number.
-    private static long parcel(OlderPeer far, String attempt) throws IOException {
-        MessageUnpacker parcel = far.hear(OlderPeer.PARCEL);
-        long stream = parcel.unpackLong();
-        assertEquals(parcel.unpackString(), "GET");
-        assertEquals(parcel.unpackString(), "/a/x");
-        assertTrue(String.join(" ", OlderPeer.strings(parcel)).contains(attempt), attempt);
-        assertEquals(OlderPeer.bytes(parcel).length, 0);
-        assertTrue(parcel.unpackInt() <= WAIT_MS, "time left");
-        assertEquals(parcel.unpackString(), "svc");
-        assertEquals(parcel.unpackString(), "i-1");
-        parcel.unpackInt();
+    private static long request(OlderPeer far, String attempt) throws IOException {
+        MessageUnpacker request = far.hear(OlderPeer.REQUEST);
+        long stream = request.unpackLong();
+        assertEquals(request.unpackString(), "GET");
+        assertEquals(request.unpackString(), "/a/x");
+        assertTrue(String.join(" ", OlderPeer.strings(request)).contains(attempt), attempt);
+        assertEquals(OlderPeer.bytes(request).length, 0);
+        assertTrue(request.unpackInt() <= WAIT_MS, "time left");
+        assertEquals(request.unpackString(), "svc");
+        assertEquals(request.unpackString(), "i-1");
+        request.unpackInt();
         return stream;
     }
 
@@ -269,7 +269,7 @@
     private static void runsOf(TestbedSettings cards, StandInApp endpoint) throws Exception {
         MeshRig.await("the endpoint is known", () -> endpoint.beat("serving") == 200);
         try (OlderPeer caller = OlderPeer.dial(cards.ingress(0), cards.ingress(1), false)) {
-            caller.say(OlderPeer.PARCEL, p -> {
+            caller.say(OlderPeer.REQUEST, p -> {
                 p.packLong(77).packString("GET").packString("/a/y").packInt(2).packString("Attempt-Id");
                 p.packString("older").packBinaryHeader(0).packInt(WAIT_MS).packString("svc");
                 p.packString("i-0").packInt(0);
--- a/src/test/java/whinlead/mesh/OrderOutcomesTest.java
+++ b/src/test/java/whinlead/mesh/OrderOutcomesTest.java
@@ -16,13 +16,13 @@
 import org.testng.annotations.Test;
 
 /**
- * One table of what an operator's order comes to, walked at every office: at those that took the orders
+ * One table of what an operator's order comes to, walked at every control node: at those that took the orders
  * before, after a restart of each, and without a quorum. The first column of statuses is what the users'
- * pages allow while a quorum is in contact, the second without one. All offices that are asked in one state
+ * pages allow while a quorum is in contact, the second without one. All control nodes that are asked in one state
  * have to give the same status.
  */
 public class OrderOutcomesTest {
-    private static final int OFFICES = 3;
+    private static final int CONTROL_NODES = 3;
     private static final long CURRENT = Decision.TAKEN_MOST + 20;
     private static final long OLDEST_REMEMBERED = CURRENT - Decision.TAKEN_MOST + 1;
     private static final long FORGOTTEN = 10;
@@ -97,7 +97,7 @@
     }
 
     private static byte[] body(long version, int rank) {
-        return LocalMeshRun.tariff(hex(version), "svc").replace("\"Rank\":1", "\"Rank\":" + rank)
+        return LocalMeshRun.config(hex(version), "svc").replace("\"Rank\":1", "\"Rank\":" + rank)
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -114,8 +114,8 @@
         return new Call(REPLACE, hex(builtOn), odd.getBytes(StandardCharsets.UTF_8));
     }
 
-    private int ask(int office, Call call) throws IOException {
-        return Talk.ask(mesh.cards.control(office), call.line(), Map.of("If-Match", call.ifMatch(),
+    private int ask(int controlNode, Call call) throws IOException {
+        return Talk.ask(mesh.cards.control(controlNode), call.line(), Map.of("If-Match", call.ifMatch(),
                 "Content-Type", "application/json"), call.body()).status();
     }
 
@@ -124,8 +124,8 @@
         mesh = new MeshRig(0);
         for (long version = 1; version <= CURRENT; version++) {
             Call call = order(version, version - 1);
-            int office = (int) (version % OFFICES);
-            MeshRig.await("version " + version + " is taken", () -> ask(office, call) == 200);
+            int controlNode = (int) (version % CONTROL_NODES);
+            MeshRig.await("version " + version + " is taken", () -> ask(controlNode, call) == 200);
         }
         awaitNewest();
     }
@@ -136,50 +136,50 @@
     }
 
     private void awaitNewest() throws Exception {
-        for (int i = 0; i < OFFICES; i++) {
-            int office = i;
-            MeshRig.await("office " + office + " reads", () -> ask(office, Row.READ.call) == 200);
+        for (int i = 0; i < CONTROL_NODES; i++) {
+            int controlNode = i;
+            MeshRig.await("control node " + controlNode + " reads", () -> ask(controlNode, Row.READ.call) == 200);
         }
     }
 
     private void walk(String state) throws IOException {
         for (Row row : Row.values()) {
             Set<Integer> statuses = new TreeSet<>();
-            for (int office = 0; office < OFFICES; office++) {
-                int status = ask(office, row.call);
+            for (int controlNode = 0; controlNode < CONTROL_NODES; controlNode++) {
+                int status = ask(controlNode, row.call);
                 statuses.add(status);
                 assertTrue(row.withQuorum.contains(status),
-                        state + ", " + row + " at " + office + ": " + status);
+                        state + ", " + row + " at " + controlNode + ": " + status);
             }
             assertEquals(statuses.size(), 1, state + ", " + row + ": " + statuses);
         }
     }
 
     @Test
-    public void theTableHoldsAtEveryOfficeAndAfterItsRestart() throws Exception {
+    public void theTableHoldsAtEveryControlNodeAndAfterItsRestart() throws Exception {
         walk("before");
-        for (int office = 0; office < OFFICES; office++) {
-            mesh.offices.get(office).destroyForcibly().waitFor();
-            mesh.offices.set(office, mesh.office(office, false));
+        for (int controlNode = 0; controlNode < CONTROL_NODES; controlNode++) {
+            mesh.controlNodes.get(controlNode).destroyForcibly().waitFor();
+            mesh.controlNodes.set(controlNode, mesh.controlNode(controlNode, false));
             awaitNewest();
         }
         walk("after a restart of each");
         Call next = other(CURRENT + 1, CURRENT);
-        for (int office = 0; office < OFFICES; office++) {
-            assertEquals(ask(office, next), 200, "a valid order, then its repeats, at " + office);
+        for (int controlNode = 0; controlNode < CONTROL_NODES; controlNode++) {
+            assertEquals(ask(controlNode, next), 200, "a valid order, then its repeats, at " + controlNode);
         }
         Call late = order(CURRENT + 1, CURRENT);
-        for (int office = 0; office < OFFICES; office++) {
-            assertTrue(REFUSED.contains(ask(office, late)), "the order that lost the race, at " + office);
+        for (int controlNode = 0; controlNode < CONTROL_NODES; controlNode++) {
+            assertTrue(REFUSED.contains(ask(controlNode, late)), "the order that lost the race, at " + controlNode);
         }
     }
 
-    @Test(dependsOnMethods = "theTableHoldsAtEveryOfficeAndAfterItsRestart")
+    @Test(dependsOnMethods = "theTableHoldsAtEveryControlNodeAndAfterItsRestart")
     public void theTableHoldsWithoutAQuorum() throws Exception {
-        for (int office = 1; office < OFFICES; office++) {
-            mesh.offices.get(office).destroyForcibly().waitFor();
+        for (int controlNode = 1; controlNode < CONTROL_NODES; controlNode++) {
+            mesh.controlNodes.get(controlNode).destroyForcibly().waitFor();
         }
-        MeshRig.await("the office that is left has noticed", () -> ask(0, Row.READ.call) == 503);
+        MeshRig.await("the control node that is left has noticed", () -> ask(0, Row.READ.call) == 503);
         for (Row row : Row.values()) {
             int status = ask(0, row.call);
             assertTrue(row.withoutQuorum.contains(status), row + ": " + status);
--- a/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
+++ b/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
@@ -27,48 +27,48 @@
             List.of(new Decision.Taken(12, "d")), List.of("10.0.0.1#0", "10.0.0.2#a"));
     private static final Ballot BALLOT = new Ballot(3, "10.0.0.1#0");
 
-    private static List<PeerMessage> letters() {
+    private static List<PeerMessage> messages() {
         return List.of(new PeerMessage.Hello("n", true),
-                new PeerMessage.Post(List.of(new EndpointRecord("n", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))),
-                new PeerMessage.Ask(-1), new PeerMessage.Notice(8), new PeerMessage.Fetch(), new PeerMessage.News(DECISION, true),
+                new PeerMessage.EndpointUpdate(List.of(new EndpointRecord("n", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))),
+                new PeerMessage.Subscribe(-1), new PeerMessage.ConfigAvailable(8), new PeerMessage.FetchConfig(), new PeerMessage.ConfigUpdate(DECISION, true),
                 new PeerMessage.Ping(1), new PeerMessage.Ping(1, -5), new PeerMessage.Pong(1, "10.0.0.1#0", 7),
-                new PeerMessage.Seek(), new PeerMessage.Offices(List.of("10.0.0.1")),
-                new PeerMessage.Paper(new Message.Prepare(8, BALLOT)),
-                new PeerMessage.Paper(new Message.Promise(8, BALLOT, null)),
-                new PeerMessage.Paper(new Message.Promise(8, BALLOT, new Message.Vote(BALLOT, DECISION))),
-                new PeerMessage.Paper(new Message.Accept(BALLOT, DECISION)),
-                new PeerMessage.Paper(new Message.Accepted(8, BALLOT)),
-                new PeerMessage.Paper(new Message.Nack(8, BALLOT, BALLOT)),
-                new PeerMessage.Paper(new Message.Lagging(8, -1)), new PeerMessage.Paper(new Message.Decided(DECISION)),
-                new PeerMessage.Paper(new Message.Query(5, 3)), new PeerMessage.Paper(new Message.State(5, 3, true)),
-                new PeerMessage.Paper(new Message.Query(5, 3, List.of("10.0.0.1#0", "10.0.0.2#a"))),
-                new PeerMessage.Paper(new Message.State(5, 3, true, List.of(
+                new PeerMessage.FindControlNodes(), new PeerMessage.ControlNodes(List.of("10.0.0.1")),
+                new PeerMessage.Consensus(new Message.Prepare(8, BALLOT)),
+                new PeerMessage.Consensus(new Message.Promise(8, BALLOT, null)),
+                new PeerMessage.Consensus(new Message.Promise(8, BALLOT, new Message.Vote(BALLOT, DECISION))),
+                new PeerMessage.Consensus(new Message.Accept(BALLOT, DECISION)),
+                new PeerMessage.Consensus(new Message.Accepted(8, BALLOT)),
+                new PeerMessage.Consensus(new Message.Nack(8, BALLOT, BALLOT)),
+                new PeerMessage.Consensus(new Message.Lagging(8, -1)), new PeerMessage.Consensus(new Message.Decided(DECISION)),
+                new PeerMessage.Consensus(new Message.Query(5, 3)), new PeerMessage.Consensus(new Message.State(5, 3, true)),
+                new PeerMessage.Consensus(new Message.Query(5, 3, List.of("10.0.0.1#0", "10.0.0.2#a"))),
+                new PeerMessage.Consensus(new Message.State(5, 3, true, List.of(
                         new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT),
                         new Message.Opinion("10.0.0.2#a", Message.Reachability.REACHED)))),
-                new PeerMessage.Paper(new Message.Join(6)), new PeerMessage.Uses(List.of(new TenantDemand("t", 0.5)), true),
-                new PeerMessage.Sums(3, List.of(new TenantDemand("t", 0.5))),
-                new PeerMessage.Returned(4, PeerMessage.Why.MOVED, 0.5, 2), new PeerMessage.Cancel(4, true));
+                new PeerMessage.Consensus(new Message.Join(6)), new PeerMessage.DemandReport(List.of(new TenantDemand("t", 0.5)), true),
+                new PeerMessage.DemandSums(3, List.of(new TenantDemand("t", 0.5))),
+                new PeerMessage.ForwardFailure(4, PeerMessage.FailureReason.MOVED, 0.5, 2), new PeerMessage.Cancel(4, true));
     }
 
     @Test
-    public void lettersComeBackAsTheyWere() throws IOException {
-        for (PeerMessage letter : letters()) {
-            assertEquals(PeerMessageCodec.read(PeerMessageCodec.write(letter)), letter);
+    public void messagesComeBackAsTheyWere() throws IOException {
+        for (PeerMessage message : messages()) {
+            assertEquals(PeerMessageCodec.read(PeerMessageCodec.write(message)), message);
         }
-        PeerMessage.Parcel p = (PeerMessage.Parcel) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.Parcel(1, "GET", "/a", List.of(
+        PeerMessage.ForwardRequest p = (PeerMessage.ForwardRequest) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.ForwardRequest(1, "GET", "/a", List.of(
                 "A", "b"), new byte[] {9}, 100, "s", "i", 2)));
         assertEquals(p.headers(), List.of("A", "b"));
         assertTrue(Arrays.equals(p.body(), new byte[] {9}));
         assertEquals(p.sentAt(), PeerMessage.UNSTAMPED);
-        PeerMessage.Parcel stamped = (PeerMessage.Parcel) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.Parcel(1, "GET", "/a",
+        PeerMessage.ForwardRequest stamped = (PeerMessage.ForwardRequest) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.ForwardRequest(1, "GET", "/a",
                 List.of(), new byte[0], 100, "s", "i", 2, Long.MAX_VALUE)));
         assertEquals(stamped.sentAt(), Long.MAX_VALUE);
-        PeerMessage.Delivered d = (PeerMessage.Delivered) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.Delivered(1, 200,
+        PeerMessage.ForwardResponse d = (PeerMessage.ForwardResponse) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.ForwardResponse(1, 200,
                 List.of("A", "b"), new byte[] {9}, 0.5, 2)));
         assertEquals(d.status(), 200);
-        Acceptor.Memory m = new Acceptor.Memory(DECISION, BALLOT, new Message.Vote(BALLOT, DECISION));
+        Acceptor.State m = new Acceptor.State(DECISION, BALLOT, new Message.Vote(BALLOT, DECISION));
         assertEquals(AcceptorRecord.read(AcceptorRecord.write(m)), m);
-        Acceptor.Memory none = new Acceptor.Memory(null, Ballot.NONE, null);
+        Acceptor.State none = new Acceptor.State(null, Ballot.NONE, null);
         assertEquals(AcceptorRecord.read(AcceptorRecord.write(none)), none);
     }
 
@@ -79,16 +79,16 @@
         startsAs(new Message.State(5, 3, true, List.of(new Message.Opinion("10.0.0.1#0",
                 Message.Reachability.SILENT))), new Message.State(5, 3, true));
         // A word that only a newer program knows says nothing: the last byte is its number.
-        byte[] newer = PeerMessageCodec.write(new PeerMessage.Paper(new Message.State(5, 3, true, List.of(
+        byte[] newer = PeerMessageCodec.write(new PeerMessage.Consensus(new Message.State(5, 3, true, List.of(
                 new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT)))));
         newer[newer.length - 1] = 100;
-        assertEquals(PeerMessageCodec.read(newer), new PeerMessage.Paper(new Message.State(5, 3, true, List.of(
+        assertEquals(PeerMessageCodec.read(newer), new PeerMessage.Consensus(new Message.State(5, 3, true, List.of(
                 new Message.Opinion("10.0.0.1#0", Message.Reachability.UNSURE)))));
     }
 
     private static void startsAs(Message longer, Message older) {
-        byte[] known = PeerMessageCodec.write(new PeerMessage.Paper(older));
-        byte[] written = PeerMessageCodec.write(new PeerMessage.Paper(longer));
+        byte[] known = PeerMessageCodec.write(new PeerMessage.Consensus(older));
+        byte[] written = PeerMessageCodec.write(new PeerMessage.Consensus(longer));
         assertTrue(written.length > known.length);
         assertEquals(Arrays.copyOf(written, known.length), known);
     }
@@ -103,12 +103,12 @@
     }
 
     @Test
-    public void bytesThatAreNoLetterAreOnlyThat() {
+    public void bytesThatAreNoMessageAreOnlyThat() {
         Random random = new Random(11);
-        List<PeerMessage> letters = letters();
+        List<PeerMessage> messages = messages();
         int read = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = PeerMessageCodec.write(letters.get(random.nextInt(letters.size())));
+            byte[] bytes = PeerMessageCodec.write(messages.get(random.nextInt(messages.size())));
             for (int k = 0; k <= random.nextInt(3); k++) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
--- a/src/test/java/whinlead/mesh/ReadinessTest.java
+++ b/src/test/java/whinlead/mesh/ReadinessTest.java
@@ -22,7 +22,7 @@
             mesh.serves();
             mesh.loseAllOthers();
             for (int i = 0; i < QUESTIONS; i++) {
-                assertTrue(mesh.ready(), "neither offices nor endpoints in reach");
+                assertTrue(mesh.ready(), "neither control nodes nor endpoints in reach");
             }
             assertTrue(mesh.ask("GET /a/x").status() >= 502, "and still it answers");
             assertTrue(mesh.ready());
--- a/src/test/java/whinlead/mesh/RelayedRig.java
+++ b/src/test/java/whinlead/mesh/RelayedRig.java
@@ -26,13 +26,13 @@
 
 /**
  * Processes of the mesh on loopback with a relay on each way from one to another. Processes are named
- * {@code o0} and on (offices; the first three found the electorate) and {@code c0} and on (carriers). Any
+ * {@code o0} and on (control nodes; the first three found the set of voters) and {@code c0} and on (sidecars). Any
  * thread, but one at a time for what starts and ends processes.
  */
 final class RelayedRig implements AutoCloseable {
-    static final int OFFICES = 5;
-    static final int CARRIERS = 2;
-    /** The offices that found the electorate. */
+    static final int CONTROL_NODES = 5;
+    static final int SIDECARS = 2;
+    /** The control nodes that found the set of voters. */
     static final int[] FOUNDERS = {0, 1, 2};
     private static final double START_MS = 30_000;
     /** A route of repeatable requests that may be sent to one endpoint, and last two seconds. */
@@ -54,15 +54,15 @@
         cards = new TestbedSettings(3);
         folder = Files.createTempDirectory("relayed");
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < OFFICES; i++) {
+        for (int i = 0; i < CONTROL_NODES; i++) {
             names.add("o" + i);
         }
-        for (int i = 0; i < CARRIERS; i++) {
+        for (int i = 0; i < SIDECARS; i++) {
             names.add("c" + i);
         }
         for (String a : names) {
             for (String b : names) {
-                // Offices dial no carrier.
+                // Control nodes dial no sidecar.
                 if (!a.equals(b) && !(a.startsWith("o") && b.startsWith("c"))) {
                     relays.put(a + ">" + b, new Relay(group.next(), address(real(b))));
                 }
@@ -91,39 +91,39 @@
 
     // --- processes
 
-    void office(int i, boolean bootstrap) throws IOException {
-        start("office", "o" + i, cards.office(i, disk(i).toString(), bootstrap));
+    void controlNode(int i, boolean bootstrap) throws IOException {
+        start("control", "o" + i, cards.controlNode(i, disk(i).toString(), bootstrap));
     }
 
-    /** Starts the offices that found the electorate, and waits until each runs. */
-    void startOffices() throws Exception {
+    /** Starts the control nodes that found the set of voters, and waits until each runs. */
+    void startControlNodes() throws Exception {
         for (int i : FOUNDERS) {
-            office(i, true);
+            controlNode(i, true);
         }
         for (int i : FOUNDERS) {
             runs(i);
         }
     }
 
-    /** Starts all carriers, with the founding offices as their seeds. */
-    void startCarriers() throws IOException {
-        for (int i = 0; i < CARRIERS; i++) {
-            carrier(i, FOUNDERS);
+    /** Starts all sidecars, with the founding control nodes as their seeds. */
+    void startSidecars() throws IOException {
+        for (int i = 0; i < SIDECARS; i++) {
+            sidecar(i, FOUNDERS);
         }
     }
 
-    /** A carrier whose seeds are these offices, in this order. */
-    void carrier(int i, int... seeds) throws IOException {
-        List<String> lines = cards.carrier(i, "svc");
+    /** A sidecar whose seeds are these control nodes, in this order. */
+    void sidecar(int i, int... seeds) throws IOException {
+        List<String> lines = cards.sidecar(i, "svc");
         List<String> at = new ArrayList<>();
         for (int s : seeds) {
             at.add(cards.control(s));
         }
         lines.replaceAll(l -> l.startsWith("Network.Seeds=") ? "Network.Seeds=" + String.join(",", at) : l);
-        start("carrier", "c" + i, lines);
+        start("sidecar", "c" + i, lines);
     }
 
-    /** An office's disk. */
+    /** A control node's disk. */
     Path disk(int i) {
         return folder.resolve("disk-" + i);
     }
@@ -182,9 +182,9 @@
         return Files.readString(folder.resolve(name + ".log"));
     }
 
-    /** Of an office's log, the electors of the last decision, or nothing. */
-    String electors(int office) throws IOException {
-        return log("o" + office).lines().filter(l -> l.startsWith("201 ")).reduce((a, b) -> b).orElse("");
+    /** Of a control node's log, the voters of the last decision, or nothing. */
+    String voters(int controlNode) throws IOException {
+        return log("o" + controlNode).lines().filter(l -> l.startsWith("201 ")).reduce((a, b) -> b).orElse("");
     }
 
     // --- ways
@@ -220,26 +220,26 @@
      * A configuration that alone serves {@code /v<version>/}. Each serves {@code /b/}, and {@code /once/}
      * whose requests may be repeated but not sent to a second endpoint.
      */
-    static String tariff(int version) {
-        return LocalMeshRun.tariff(epoch(version), "svc").replace("/a/", "/v" + version + "/")
+    static String config(int version) {
+        return LocalMeshRun.config(epoch(version), "svc").replace("/a/", "/v" + version + "/")
                 .replace("\"DeadlineS\":2", "\"DeadlineS\":20")
                 .replace("\"Routes\":{", "\"Routes\":{" + ONCE);
     }
 
-    Talk.Message replace(int office, int builtOn, String body) throws IOException {
-        return Talk.ask(cards.control(office), "POST /whinlead/rpc?call=config.replace", Map.of("If-Match",
+    Talk.Message replace(int controlNode, int builtOn, String body) throws IOException {
+        return Talk.ask(cards.control(controlNode), "POST /whinlead/rpc?call=config.replace", Map.of("If-Match",
                 epoch(builtOn), "Content-Type", "application/json"), body.getBytes(StandardCharsets.UTF_8));
     }
 
-    Talk.Message read(int office) throws IOException {
-        return Talk.ask(cards.control(office), "POST /whinlead/rpc?call=config.read", Map.of(), new byte[0]);
+    Talk.Message read(int controlNode) throws IOException {
+        return Talk.ask(cards.control(controlNode), "POST /whinlead/rpc?call=config.read", Map.of(), new byte[0]);
     }
 
-    /** Waits until each founding office reads out a configuration. */
+    /** Waits until each founding control node reads out a configuration. */
     void awaitReadable() throws Exception {
-        await("each office has it", START_MS, () -> {
-            for (int office : FOUNDERS) {
-                if (read(office).status() != 200) {
+        await("each control node has it", START_MS, () -> {
+            for (int controlNode : FOUNDERS) {
+                if (read(controlNode).status() != 200) {
                     return false;
                 }
             }
@@ -247,8 +247,8 @@
         });
     }
 
-    boolean ready(int carrier) throws IOException {
-        return Talk.ask(cards.readiness(carrier), "GET /whinlead/readiness", Map.of(), new byte[0]).status()
+    boolean ready(int sidecar) throws IOException {
+        return Talk.ask(cards.readiness(sidecar), "GET /whinlead/readiness", Map.of(), new byte[0]).status()
                 == 200;
     }
 
@@ -257,17 +257,17 @@
                 Integer.toString(deadlineMs), "Api-Key", "key-1");
     }
 
-    /** Whether this version's own route is there at the carrier. */
-    boolean serves(int carrier, int version) throws IOException {
-        return Talk.ask(cards.egress(carrier), "GET /v" + version + "/x", headers(2000), new byte[0]).status()
+    /** Whether this version's own route is there at the sidecar. */
+    boolean serves(int sidecar, int version) throws IOException {
+        return Talk.ask(cards.egress(sidecar), "GET /v" + version + "/x", headers(2000), new byte[0]).status()
                 != 404;
     }
 
-    /** Sends a change to these offices in turn until one says that it was taken; how long, in ms. */
-    double change(int builtOn, int version, double mostMs, int... offices) throws Exception {
+    /** Sends a change to these control nodes in turn until one says that it was taken; how long, in ms. */
+    double change(int builtOn, int version, double mostMs, int... controlNodes) throws Exception {
         int[] turn = {0};
-        return await("a change is taken", mostMs, () -> replace(offices[turn[0]++ % offices.length], builtOn,
-                tariff(version)).status() == 200);
+        return await("a change is taken", mostMs, () -> replace(controlNodes[turn[0]++ % controlNodes.length], builtOn,
+                config(version)).status() == 200);
     }
 
     /** Waits until it holds, asked again and again; the time that took in milliseconds, at most this. */
@@ -287,13 +287,13 @@
         throw new AssertionError("not in " + mostMs + " ms: " + what);
     }
 
-    /** Waits until an office runs; fails at once where it can't. */
-    void runs(int office) throws Exception {
-        await("office " + office + " runs", START_MS, () -> {
-            if (!process("o" + office).isAlive()) {
-                throw new AssertionError("office " + office + " ended: " + log("o" + office));
+    /** Waits until a control node runs; fails at once where it can't. */
+    void runs(int controlNode) throws Exception {
+        await("control node " + controlNode + " runs", START_MS, () -> {
+            if (!process("o" + controlNode).isAlive()) {
+                throw new AssertionError("control node " + controlNode + " ended: " + log("o" + controlNode));
             }
-            return log("o" + office).contains("102 ready");
+            return log("o" + controlNode).contains("102 ready");
         });
     }
 
--- a/src/test/java/whinlead/mesh/ReplacedControlNodeTest.java
+++ b/src/test/java/whinlead/mesh/ReplacedControlNodeTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Point 3 on processes: an office is replaced, planned and not, and the next loss comes at once; the others
+ * Point 3 on processes: a control node is replaced, planned and not, and the next loss comes at once; the others
  * go on taking changes.
  */
 public class ReplacedControlNodeTest {
@@ -22,7 +22,7 @@
     public void start() throws Exception {
         rig = new RelayedRig();
         version = 0;
-        rig.startOffices();
+        rig.startControlNodes();
         rig.change(version, ++version, START_MS, RelayedRig.FOUNDERS);
         rig.awaitReadable();
     }
@@ -32,31 +32,31 @@
         rig.close();
     }
 
-    private void change(String name, int... offices) throws Exception {
+    private void change(String name, int... controlNodes) throws Exception {
         int old = version++;
-        RelayedRig.figure(name, rig.change(old, version, ACK_MS, offices));
-        for (int office : offices) {
-            RelayedRig.await("office " + office + " reads it", ACK_MS,
-                    () -> rig.read(office).text().equals(RelayedRig.tariff(version)));
+        RelayedRig.figure(name, rig.change(old, version, ACK_MS, controlNodes));
+        for (int controlNode : controlNodes) {
+            RelayedRig.await("control node " + controlNode + " reads it", ACK_MS,
+                    () -> rig.read(controlNode).text().equals(RelayedRig.config(version)));
         }
     }
 
-    private boolean seated(int office) throws Exception {
-        return rig.log("o" + office).contains("204 seat: this office votes");
+    private boolean isVoter(int controlNode) throws Exception {
+        return rig.log("o" + controlNode).contains("204 vote: this control node votes");
     }
 
-    private boolean elects(int at, int office) throws Exception {
-        return rig.electors(at).contains(rig.cards.officeIp(office) + "#");
+    private boolean elects(int at, int controlNode) throws Exception {
+        return rig.voters(at).contains(rig.cards.controlNodeIp(controlNode) + "#");
     }
 
     @Test
     public void oneThatIsReplacedByPlanAndALossRightAfter() throws Exception {
         double began = RelayedRig.now();
-        rig.office(3, false);
+        rig.controlNode(3, false);
         rig.runs(3);
         double ready = RelayedRig.now();
-        RelayedRig.await("it has a seat", START_MS, () -> seated(3));
-        RelayedRig.figure("planned: new office ready after its start", ready - began);
+        RelayedRig.await("it has a vote", START_MS, () -> isVoter(3));
+        RelayedRig.figure("planned: new control node ready after its start", ready - began);
         RelayedRig.figure("planned: seated after its start", RelayedRig.now() - began);
         double told = RelayedRig.now();
         rig.process("o0").destroy();
@@ -64,18 +64,18 @@
         double ended = RelayedRig.now();
         // At once, with the word of its leaving perhaps still on its way to some.
         rig.kill("o2");
-        RelayedRig.await("the electorate is without it", ACK_MS, () -> !elects(1, 0) && !elects(3, 0));
+        RelayedRig.await("the set of voters is without it", ACK_MS, () -> !elects(1, 0) && !elects(3, 0));
         RelayedRig.figure("planned: process ended after SIGTERM", ended - told);
-        RelayedRig.figure("planned: electorate known without it after SIGTERM, at most",
+        RelayedRig.figure("planned: set of voters known without it after SIGTERM, at most",
                 RelayedRig.now() - told);
         change("planned: change taken after the next loss", 1, 3);
         // Unplanned, right behind: the one that was lost has no disk any more; another comes elsewhere.
         rig.loseDisk(2);
         double second = RelayedRig.now();
-        rig.office(4, false);
-        RelayedRig.await("the second new one has a seat", START_MS, () -> seated(4));
+        rig.controlNode(4, false);
+        RelayedRig.await("the second new one has a vote", START_MS, () -> isVoter(4));
         RelayedRig.figure("unplanned: seated after its start", RelayedRig.now() - second);
-        assertTrue(!elects(4, 2) && elects(4, 1) && elects(4, 3), rig.electors(4));
+        assertTrue(!elects(4, 2) && elects(4, 1) && elects(4, 3), rig.voters(4));
         rig.kill("o1");
         change("unplanned: change taken after the next loss", 3, 4);
     }
@@ -83,12 +83,12 @@
     @Test
     public void oneThatIsToldToEndWhileItsSuccessorStarts() throws Exception {
         double began = RelayedRig.now();
-        rig.office(3, false);
+        rig.controlNode(3, false);
         rig.process("o0").destroy();
         assertTrue(rig.process("o0").waitFor(GRACE_S, TimeUnit.SECONDS));
         RelayedRig.figure("together: old one ended", RelayedRig.now() - began);
         change("together: change taken", 1, 2);
-        RelayedRig.await("the new one has a seat", START_MS, () -> seated(3));
+        RelayedRig.await("the new one has a vote", START_MS, () -> isVoter(3));
         RelayedRig.await("in place of the old", START_MS, () -> !elects(1, 0) && elects(1, 3));
         RelayedRig.figure("together: core of three again after the start", RelayedRig.now() - began);
         rig.kill("o2");
--- a/src/test/java/whinlead/mesh/StateStoreCutTest.java
+++ b/src/test/java/whinlead/mesh/StateStoreCutTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A promise that was said outlasts losses of power, on the real ledger and a modelled disk. */
+/** A promise that was said outlasts losses of power, on the real state store and a modelled disk. */
 public class StateStoreCutTest {
     private static final int SCHEDULES = 200;
     private static final int FOUND_WITHIN = 1000;
--- a/src/test/java/whinlead/mesh/TenantQuotaTest.java
+++ b/src/test/java/whinlead/mesh/TenantQuotaTest.java
@@ -50,7 +50,7 @@
         }
     }
 
-    // Twelve usual seconds, then a hot tenant; each sidecar's words take their time to the office and back.
+    // Twelve usual seconds, then a hot tenant; each sidecar's words take their time to the control node and back.
     private static Day play(double limit, boolean spread, int seed) {
         Random random = new Random(seed);
         double usual = limit * USUAL;
--- a/src/test/java/whinlead/mesh/consensus/LearnersTest.java
+++ b/src/test/java/whinlead/mesh/consensus/LearnersTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void whatThisOfficeMissedItselfALearnerMayNotLack() {
+    public void whatThisControlNodeMissedItselfALearnerMayNotLack() {
         Learners learners = new Learners();
         learners.learned(0, 7);
         learners.learned(10_000, 90);
--- a/src/test/java/whinlead/mesh/consensus/SuspicionTrackerTest.java
+++ b/src/test/java/whinlead/mesh/consensus/SuspicionTrackerTest.java
@@ -123,6 +123,6 @@
         tracker.keep(List.of(OBSERVER, "c", SUSPECT));
         assertFalse(tracker.removable(now, SUSPECT));
         tracker.keep(List.of("b", "c", SUSPECT));
-        assertFalse(tracker.removable(now, SUSPECT), "an observer without a seat removes nobody");
+        assertFalse(tracker.removable(now, SUSPECT), "an observer without a vote removes nobody");
     }
 }
--- a/src/test/java/whinlead/mesh/control/SidecarContactTest.java
+++ b/src/test/java/whinlead/mesh/control/SidecarContactTest.java
@@ -10,25 +10,25 @@
 
 /** What a control node concludes from when it heard of sidecars, and what it repeats to the others. */
 public class SidecarContactTest {
-    /** How often a sidecar says its listing again. */
+    /** How often a sidecar says its endpoint record again. */
     private static final double SAY_MS = 3100;
     private static final String NODE = "10.0.0.1:80";
 
-    private static EndpointRecord listing(long seq, EndpointRecord.Phase phase) {
+    private static EndpointRecord record(long seq, EndpointRecord.Phase phase) {
         return new EndpointRecord(NODE, 1, seq, "zone", "endpoint", "service", phase, 6, 0);
     }
 
-    private static EndpointRegistry directory() {
-        EndpointRegistry directory = new EndpointRegistry();
-        directory.merge(listing(1, EndpointRecord.Phase.SERVING));
-        return directory;
+    private static EndpointRegistry registry() {
+        EndpointRegistry endpointRegistry = new EndpointRegistry();
+        endpointRegistry.merge(record(1, EndpointRecord.Phase.SERVING));
+        return endpointRegistry;
     }
 
-    // One control node is said the listing, and the other hears of it from that one alone, which loses each
+    // One control node is said the endpoint record, and the other hears of it from that one alone, which loses each
     // second repetition.
     @Test
     public void aSidecarThatOneControlNodeReachesIsNotSilentAtTheOthers() {
-        EndpointRegistry directory = directory();
+        EndpointRegistry endpointRegistry = registry();
         SidecarContact near = new SidecarContact();
         SidecarContact far = new SidecarContact();
         far.heard(0, NODE, false);
@@ -40,34 +40,34 @@
                 said = Math.max(0, said + SAY_MS);
                 near.heard(said, NODE, true);
             }
-            List<EndpointRecord> fresh = near.fresh(now, directory);
+            List<EndpointRecord> fresh = near.fresh(now, endpointRegistry);
             assertEquals(fresh.size(), 1, "repeated at " + now);
             if (i % 2 == 0) {
                 repeated++;
-                assertEquals(far.lost(now, directory), List.of(), "at " + now);
+                assertEquals(far.lost(now, endpointRegistry), List.of(), "at " + now);
                 far.heard(now, NODE, false);
             }
         }
         assertEquals(repeated, 30);
-        assertEquals(far.fresh(300_000, directory), List.of(), "what another said is not repeated");
+        assertEquals(far.fresh(300_000, endpointRegistry), List.of(), "what another said is not repeated");
     }
 
     @Test
     public void aSilentSidecarIsGoneByANumberThatItCanRefute() {
-        EndpointRegistry directory = directory();
+        EndpointRegistry endpointRegistry = registry();
         SidecarContact contact = new SidecarContact();
         contact.heard(1000, NODE, true);
-        assertEquals(contact.lost(1000 + SidecarContact.SILENT_MS, directory), List.of());
-        List<EndpointRecord> lost = contact.lost(1001 + SidecarContact.SILENT_MS, directory);
-        assertEquals(lost, List.of(listing(2, EndpointRecord.Phase.GONE)));
-        assertTrue(directory.merge(lost.get(0)));
-        assertEquals(contact.lost(99_000, directory), List.of(), "it is said once");
-        assertTrue(directory.merge(listing(3, EndpointRecord.Phase.SERVING)));
+        assertEquals(contact.lost(1000 + SidecarContact.SILENT_MS, endpointRegistry), List.of());
+        List<EndpointRecord> lost = contact.lost(1001 + SidecarContact.SILENT_MS, endpointRegistry);
+        assertEquals(lost, List.of(record(2, EndpointRecord.Phase.GONE)));
+        assertTrue(endpointRegistry.merge(lost.get(0)));
+        assertEquals(contact.lost(99_000, endpointRegistry), List.of(), "it is said once");
+        assertTrue(endpointRegistry.merge(record(3, EndpointRecord.Phase.SERVING)));
     }
 
     @Test
     public void oneOfWhomNothingWasEverHeardIsNotLost() {
-        assertEquals(new SidecarContact().lost(1_000_000, directory()), List.of());
-        assertEquals(new SidecarContact().fresh(1_000_000, directory()), List.of());
+        assertEquals(new SidecarContact().lost(1_000_000, registry()), List.of());
+        assertEquals(new SidecarContact().fresh(1_000_000, registry()), List.of());
     }
 }
--- a/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 
 /**
- * The two threads that share an office's memory, its loop and the one that writes to the disk, switched at
+ * The two threads that share a control node's memory, its loop and the one that writes to the disk, switched at
  * every point where one hands over to the other, in a seeded order; and as real threads that give way there.
  */
 public class StateWriterHandOverTest {
@@ -58,7 +58,7 @@
         private final Record record = new Record();
         private final Queue<Runnable> loop = new ArrayDeque<>();
         private final List<String> faults = new ArrayList<>();
-        private final StateWriter scribe = new StateWriter(this::write, this::queue, () -> 0);
+        private final StateWriter stateWriter = new StateWriter(this::write, this::queue, () -> 0);
         private int newest = -1;
         private boolean refuses;
 
@@ -92,8 +92,8 @@
                 task.run();
             } else if (random.nextInt(4) > 0) {
                 int memory = ++newest;
-                scribe.write(bytes(memory), () -> record.said(memory));
-            } else if (scribe.settled() && record.onDisk != newest) {
+                stateWriter.write(bytes(memory), () -> record.said(memory));
+            } else if (stateWriter.settled() && record.onDisk != newest) {
                 faults.add("settled with " + record.onDisk + " of " + newest);
             }
         }
@@ -104,12 +104,12 @@
                 if (random.nextBoolean()) {
                     loopActs();
                 } else {
-                    scribe.step();
+                    stateWriter.step();
                 }
             }
             refuses = false;
-            while (!scribe.settled()) {
-                scribe.step();
+            while (!stateWriter.settled()) {
+                stateWriter.step();
             }
             while (!loop.isEmpty()) {
                 loop.poll().run();
@@ -125,7 +125,7 @@
             assertEquals(schedule.faults, List.of(), "seed " + seed);
             assertEquals(schedule.record.wrong, 0, "seed " + seed);
             assertEquals(schedule.record.onDisk, schedule.newest, "seed " + seed);
-            assertFalse(schedule.scribe.failing(), "seed " + seed);
+            assertFalse(schedule.stateWriter.failing(), "seed " + seed);
         }
     }
 
@@ -143,17 +143,17 @@
             BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
             SplittableRandom disk = new SplittableRandom(run);
             SplittableRandom own = disk.split();
-            StateWriter scribe = new StateWriter(bytes -> {
+            StateWriter stateWriter = new StateWriter(bytes -> {
                 giveWay(disk);
                 record.written(memory(bytes));
                 giveWay(disk);
             }, loop::add, () -> 0);
-            scribe.start();
+            stateWriter.start();
             int next = 0;
             while (record.said < MEMORIES - 1) {
                 if (next < MEMORIES) {
                     int memory = next++;
-                    scribe.write(bytes(memory), () -> record.said(memory));
+                    stateWriter.write(bytes(memory), () -> record.said(memory));
                     giveWay(own);
                 }
                 Runnable task = next < MEMORIES ? loop.poll() : loop.poll(WAIT_S, TimeUnit.SECONDS);
--- a/src/test/java/whinlead/mesh/control/StateWriterTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterTest.java
@@ -25,7 +25,7 @@
     private double now;
     /** Happens while the disk is at work. */
     private Runnable meanwhile;
-    private StateWriter scribe;
+    private StateWriter stateWriter;
 
     @BeforeMethod
     public void make() {
@@ -35,7 +35,7 @@
         full = false;
         now = 0;
         meanwhile = () -> { };
-        scribe = new StateWriter(this::write, loop::add, () -> now);
+        stateWriter = new StateWriter(this::write, loop::add, () -> now);
     }
 
     private void write(byte[] memory) throws StateStoreException {
@@ -43,13 +43,13 @@
         meanwhile = () -> { };
         task.run();
         if (full) {
-            throw new StateStoreException("the ledger can't be written: disk is full");
+            throw new StateStoreException("the state store can't be written: disk is full");
         }
         onDisk.add((int) memory[0]);
     }
 
     private void hand(int memory, String then) {
-        scribe.write(new byte[] {(byte) memory}, () -> {
+        stateWriter.write(new byte[] {(byte) memory}, () -> {
             // Only once this memory, or a later one, is on disk.
             assertTrue(onDisk.stream().anyMatch(m -> m >= memory), then);
             said.add(then);
@@ -57,7 +57,7 @@
     }
 
     private void step() {
-        scribe.step();
+        stateWriter.step();
         while (!loop.isEmpty()) {
             loop.remove().run();
         }
@@ -81,17 +81,17 @@
             hand(3, "three");
             assertEquals(said, List.of());
             now = 3000;
-            assertEquals(scribe.stalledMs(), 3000.0);
-            assertFalse(scribe.failing(), "slow is not failing");
+            assertEquals(stateWriter.stalledMs(), 3000.0);
+            assertFalse(stateWriter.failing(), "slow is not failing");
         };
         step();
         assertEquals(said, List.of("one"));
         // Those that came meanwhile have waited since they came.
-        assertEquals(scribe.stalledMs(), 3000.0);
+        assertEquals(stateWriter.stalledMs(), 3000.0);
         step();
         assertEquals(onDisk, List.of(1, 3));
         assertEquals(said, List.of("one", "two", "three"));
-        assertEquals(scribe.stalledMs(), 0.0);
+        assertEquals(stateWriter.stalledMs(), 0.0);
     }
 
     @Test
@@ -110,18 +110,18 @@
         hand(1, "one");
         step();
         now = 500;
-        assertTrue(scribe.failing());
-        assertFalse(scribe.settled());
-        assertEquals(scribe.stalledMs(), 500.0);
+        assertTrue(stateWriter.failing());
+        assertFalse(stateWriter.settled());
+        assertEquals(stateWriter.stalledMs(), 500.0);
         step();
         assertEquals(onDisk, List.of());
         full = false;
         step();
         assertEquals(onDisk, List.of(1));
         assertEquals(said, List.of());
-        assertFalse(scribe.failing());
-        assertTrue(scribe.settled());
-        assertEquals(scribe.stalledMs(), 0.0);
+        assertFalse(stateWriter.failing());
+        assertTrue(stateWriter.settled());
+        assertEquals(stateWriter.stalledMs(), 0.0);
     }
 
     @Test
@@ -144,18 +144,18 @@
         };
         hand(1, "one");
         step();
-        assertTrue(scribe.failing());
+        assertTrue(stateWriter.failing());
         step();
         assertEquals(onDisk, List.of(1));
     }
 
     @Test
     public void whatIsSaidFailsAlone() {
-        scribe.write(new byte[] {1}, () -> {
+        stateWriter.write(new byte[] {1}, () -> {
             throw new IllegalStateException("a fault");
         });
         hand(1, "two");
-        scribe.step();
+        stateWriter.step();
         assertEquals(loop.size(), 2, "each is a task of its own");
     }
 
@@ -165,7 +165,7 @@
         int[] tries = new int[1];
         StateWriter alone = new StateWriter(memory -> {
             if (++tries[0] < 3) {
-                throw new StateStoreException("the ledger can't be written: disk is full");
+                throw new StateStoreException("the state store can't be written: disk is full");
             }
             written.countDown();
         }, Runnable::run, () -> 0);
--- a/src/test/java/whinlead/mesh/sidecar/DesignTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DesignTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The design on a carrier's ordinary path: the real module with the settings that a depot gives it. */
+/** The design on a sidecar's ordinary path: the real module with the settings that a service balancer gives it. */
 public class DesignTest {
     private static final int SIDECARS = 4;
     private static final double TOOK = 20;
--- a/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -38,7 +38,7 @@
     private static final String END = "\r\n\r\n";
 
     /** What was written to another sidecar, and when. */
-    private record Written(Path path, double at, PeerMessage.Parcel parcel) { }
+    private record Written(Path path, double at, PeerMessage.ForwardRequest forwardRequest) { }
 
     /** A path to another sidecar that connects after a time and reacts to requests as the test says. */
     private final class Path implements RequestForwarder.Path {
@@ -67,11 +67,11 @@
         }
 
         @Override
-        public boolean send(PeerMessage letter) {
-            if (letter instanceof PeerMessage.Parcel parcel) {
-                written.add(new Written(this, calendar.now(), parcel));
-                reaction.accept(this, parcel);
-            } else if (letter instanceof PeerMessage.Cancel cancel) {
+        public boolean send(PeerMessage message) {
+            if (message instanceof PeerMessage.ForwardRequest forwardRequest) {
+                written.add(new Written(this, calendar.now(), forwardRequest));
+                reaction.accept(this, forwardRequest);
+            } else if (message instanceof PeerMessage.Cancel cancel) {
                 cancels.add(cancel);
             }
             return true;
@@ -86,7 +86,7 @@
     private Calendar calendar;
     private RoutingTable routing;
     private double connectMs;
-    private BiConsumer<Path, PeerMessage.Parcel> reaction;
+    private BiConsumer<Path, PeerMessage.ForwardRequest> reaction;
     private List<Written> written;
     private List<PeerMessage.Cancel> cancels;
     private EmbeddedChannel channel;
@@ -96,19 +96,19 @@
     public void start() {
         calendar = new Calendar();
         connectMs = CONNECT_MS;
-        reaction = (path, parcel) -> { };
+        reaction = (path, forwardRequest) -> { };
         written = new ArrayList<>();
         cancels = new ArrayList<>();
         heard = new StringBuilder();
         RequestClasses classes = new RequestClasses();
-        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "here", (parcel, done) -> { },
+        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "here", (forwardRequest, done) -> { },
                 (node, ear) -> new Path(ear), () -> { });
-        ServiceBalancer depot = new ServiceBalancer(calendar, classes, card(), NODES, 1, round, null, new RetryBudget(10, 1000));
-        List<EndpointRecord> listings = new ArrayList<>();
+        ServiceBalancer balancer = new ServiceBalancer(calendar, classes, settings(), NODES, 1, round, null, new RetryBudget(10, 1000));
+        List<EndpointRecord> records = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            listings.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 4, 0));
+            records.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 4, 0));
         }
-        depot.update(listings);
+        balancer.update(records);
         routing = new RoutingTable(1, new MeshConfig("00000001", Map.of(
                 "once", route("/once/", MeshConfig.IDEMPOTENT, 1),
                 "twice", route("/twice/", MeshConfig.IDEMPOTENT, 2),
@@ -116,7 +116,7 @@
                 "sign", route("/sign/", MeshConfig.MUTATING, 2)),
                 Map.of("svc", new MeshConfig.Service("/health", 100)), new MeshConfig.Limits(16384, 1000, 3, 15),
                 null));
-        EgressListener egress = new EgressListener(null, calendar, () -> routing, (target, large) -> depot, () -> "own",
+        EgressListener egress = new EgressListener(null, calendar, () -> routing, (target, large) -> balancer, () -> "own",
                 () -> NODES, new TenantQuota(0, 20, 0.1, 5, 1), classes);
         channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
@@ -130,7 +130,7 @@
         return new MeshConfig.Route("h", prefix, kind, DEADLINE_MS / 1000, 0.5, 1, null, "svc", tries, true);
     }
 
-    private static NodeSettings card() {
+    private static NodeSettings settings() {
         return new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
                 new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(7000, 7001), List.of()),
                 new NodeSettings.Substrate(1),
@@ -173,7 +173,7 @@
     }
 
     private void resetsAfter(double millis) {
-        reaction = (path, parcel) -> calendar.after(millis, () -> path.to(ReconnectingConnection.State.DOWN));
+        reaction = (path, forwardRequest) -> calendar.after(millis, () -> path.to(ReconnectingConnection.State.DOWN));
     }
 
     @DataProvider
@@ -186,7 +186,7 @@
         List<String> paths = List.of("/once/", "/twice/", "/thrice/");
         for (int tries = 1; tries <= paths.size(); tries++) {
             start();
-            reaction = (path, parcel) -> calendar.after(after, () -> path.to(to));
+            reaction = (path, forwardRequest) -> calendar.after(after, () -> path.to(to));
             say(whole(paths.get(tries - 1), ""));
             answered(DEADLINE_MS);
             runTo(2 * DEADLINE_MS);
@@ -200,10 +200,10 @@
 
     @Test
     public void anAnswerAfterASilenceIsTakenWhereNobodyElseMayBeAsked() {
-        reaction = (path, parcel) -> {
+        reaction = (path, forwardRequest) -> {
             calendar.after(300, () -> path.to(ReconnectingConnection.State.SUSPECT));
             calendar.after(900, () -> path.to(ReconnectingConnection.State.UP));
-            calendar.after(1800, () -> path.ear.letter(new PeerMessage.Delivered(parcel.stream(), 200,
+            calendar.after(1800, () -> path.ear.message(new PeerMessage.ForwardResponse(forwardRequest.stream(), 200,
                     List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         };
         say(whole("/once/", ""));
@@ -214,9 +214,9 @@
 
     @Test
     public void whatWasTurnedAwayBesideAnEndpointDoesNotCountAsSentToIt() {
-        reaction = (path, parcel) -> calendar.after(1, () -> {
+        reaction = (path, forwardRequest) -> calendar.after(1, () -> {
             if (written.size() == 1) {
-                path.ear.letter(new PeerMessage.Returned(parcel.stream(), PeerMessage.Why.FULL, 0, 0));
+                path.ear.message(new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.FULL, 0, 0));
             } else {
                 path.to(ReconnectingConnection.State.DOWN);
             }
@@ -248,8 +248,8 @@
         runTo(DEADLINE_MS);
         assertEquals(written.size(), 3);
         for (Written w : written) {
-            assertTrue(w.parcel.leftMs() <= time - w.at, w.parcel.leftMs() + " ms at " + w.at);
-            assertTrue(w.parcel.leftMs() > time - w.at - 50, w.parcel.leftMs() + " ms at " + w.at);
+            assertTrue(w.forwardRequest.leftMs() <= time - w.at, w.forwardRequest.leftMs() + " ms at " + w.at);
+            assertTrue(w.forwardRequest.leftMs() > time - w.at - 50, w.forwardRequest.leftMs() + " ms at " + w.at);
         }
     }
 
@@ -283,7 +283,7 @@
         runTo(SECOND_MS);
         say("x");
         answered(time);
-        assertTrue(written.get(0).parcel.leftMs() <= time - SECOND_MS, written.toString());
+        assertTrue(written.get(0).forwardRequest.leftMs() <= time - SECOND_MS, written.toString());
         assertTrue(heard.toString().startsWith("HTTP/1.1 504"), heard.toString());
     }
 
@@ -346,7 +346,7 @@
             runTo(100);
             assertEquals(cancels, List.of());
             channel.close();
-            assertEquals(cancels, List.of(new PeerMessage.Cancel(written.get(0).parcel.stream(),
+            assertEquals(cancels, List.of(new PeerMessage.Cancel(written.get(0).forwardRequest.stream(),
                     !path.equals("/sign/"))));
             runTo(2 * DEADLINE_MS);
             assertEquals(cancels.size(), 1);
@@ -355,8 +355,8 @@
 
     @Test
     public void nothingIsCancelledOnceItIsAnswered() {
-        reaction = (path, parcel) -> calendar.after(5, () -> path.ear.letter(new PeerMessage.Delivered(
-                parcel.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
+        reaction = (path, forwardRequest) -> calendar.after(5, () -> path.ear.message(new PeerMessage.ForwardResponse(
+                forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         say(whole("/thrice/", ""));
         answered(100);
         channel.close();
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -59,11 +59,11 @@
     }
 
     private EndpointConnections.Sent ask(String id, String method) {
-        PeerMessage.Parcel parcel = new PeerMessage.Parcel(1, method, "/x", List.of("Host", "h", "Attempt-Id", id),
+        PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(1, method, "/x", List.of("Host", "h", "Attempt-Id", id),
                 new byte[0], LEFT_MS, "svc", "i-1", 0);
-        return line.send(parcel, "i-1", letter -> told.add(id + " " + (letter instanceof PeerMessage.Delivered d
+        return line.send(request, "i-1", message -> told.add(id + " " + (message instanceof PeerMessage.ForwardResponse d
                 ? d.status() + " " + new String(d.body(), StandardCharsets.US_ASCII)
-                : ((PeerMessage.Returned) letter).why())));
+                : ((PeerMessage.ForwardFailure) message).why())));
     }
 
     private void say(int connection, String text) {
@@ -150,8 +150,8 @@
         ask("a");
         say(0, served("a"));
         told.clear();
-        line.send(new PeerMessage.Parcel(2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], LEFT_MS, "svc", "i-1",
-                0), "i-1", letter -> told.add("b " + ((PeerMessage.Returned) letter).why()));
+        line.send(new PeerMessage.ForwardRequest(2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], LEFT_MS, "svc", "i-1",
+                0), "i-1", message -> told.add("b " + ((PeerMessage.ForwardFailure) message).why()));
         assertEquals(told, List.of("b UNREACHED"));
         ask("c");
         say(1, served("c"));
--- a/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
@@ -52,11 +52,11 @@
     }
 
     private void ask(String id, byte[] body) {
-        PeerMessage.Parcel parcel = new PeerMessage.Parcel(1, "POST", "/" + id, List.of("Attempt-Id", id), body,
+        PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(1, "POST", "/" + id, List.of("Attempt-Id", id), body,
                 WAIT_MS, "svc", "i-1", 0);
-        loop.execute(() -> line.send(parcel, "i-1", letter -> told.add(id + " "
-                + (letter instanceof PeerMessage.Delivered d ? d.status() + " " + d.body().length
-                        : ((PeerMessage.Returned) letter).why()))));
+        loop.execute(() -> line.send(request, "i-1", message -> told.add(id + " "
+                + (message instanceof PeerMessage.ForwardResponse d ? d.status() + " " + d.body().length
+                        : ((PeerMessage.ForwardFailure) message).why()))));
     }
 
     private String told() throws InterruptedException {
--- a/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
@@ -21,8 +21,8 @@
         time.running(0);
     }
 
-    private static PeerMessage.Parcel written(double at) {
-        return new PeerMessage.Parcel(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0,
+    private static PeerMessage.ForwardRequest written(double at) {
+        return new PeerMessage.ForwardRequest(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0,
                 (long) (at * 1000));
     }
 
@@ -61,7 +61,7 @@
 
     @Test
     public void aPeerThatStampsNothingIsTakenAtItsWord() {
-        PeerMessage.Parcel unstamped = new PeerMessage.Parcel(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc",
+        PeerMessage.ForwardRequest unstamped = new PeerMessage.ForwardRequest(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc",
                 "i-1", 0);
         assertEquals(time.left(FROZEN_MS, new TransitClock(), unstamped), LEFT_MS);
     }
--- a/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
@@ -62,10 +62,10 @@
         }
 
         @Override
-        public boolean send(PeerMessage letter) {
-            PeerMessage.Parcel parcel = (PeerMessage.Parcel) letter;
-            sent.add(parcel);
-            calendar.after(1, () -> ear.letter(new PeerMessage.Delivered(parcel.stream(), 200,
+        public boolean send(PeerMessage message) {
+            PeerMessage.ForwardRequest forwardRequest = (PeerMessage.ForwardRequest) message;
+            sent.add(forwardRequest);
+            calendar.after(1, () -> ear.message(new PeerMessage.ForwardResponse(forwardRequest.stream(), 200,
                     List.of("Server-Seal", "s"), new byte[0], 0, 0)));
             return true;
         }
@@ -77,7 +77,7 @@
     }
 
     private Calendar calendar;
-    private List<PeerMessage.Parcel> sent;
+    private List<PeerMessage.ForwardRequest> sent;
     private Map<String, MeshConfig.Route> routes;
     private double ratePerS;
     private RoutingTable routing;
@@ -87,9 +87,9 @@
     public void start() {
         calendar = new Calendar();
         sent = new ArrayList<>();
-        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "here", (parcel, done) -> { },
+        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "here", (forwardRequest, done) -> { },
                 (node, ear) -> new Answering(ear), () -> { });
-        NodeSettings card = new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
+        NodeSettings nodeSettings = new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
                 new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(1, 1), List.of()),
                 new NodeSettings.Substrate(1),
                 new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
@@ -98,12 +98,12 @@
         routes.put("first", route("/first/", 1, false));
         routes.put("call", route("/call/", 0, true));
         inForce(1);
-        sidecar = new ClientSide(calendar, card, round, () -> routing, 1);
-        List<EndpointRecord> listings = new ArrayList<>();
+        sidecar = new ClientSide(calendar, nodeSettings, round, () -> routing, 1);
+        List<EndpointRecord> records = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            listings.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 10, 0));
+            records.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 10, 0));
         }
-        sidecar.endpoints("svc", listings);
+        sidecar.endpoints("svc", records);
     }
 
     private static MeshConfig.Route route(String prefix, int rank, boolean open) {
@@ -151,7 +151,7 @@
         assertEquals(served, ADDED, "served as the first one");
         assertEquals(status("/first/", KEY), 200);
         // The module tells requests apart by class alone, and these are of one class.
-        assertEquals(sent.stream().map(PeerMessage.Parcel::rank).distinct().count(), 1);
+        assertEquals(sent.stream().map(PeerMessage.ForwardRequest::rank).distinct().count(), 1);
     }
 
     @Test
@@ -174,17 +174,17 @@
 
     @Test
     public void nobodyTakesThePlacesOfTheHighestRankAtAnEndpoint() {
-        EndpointGate hatch = new EndpointGate(1500);
-        hatch.beat(0, "i-1", new RpcCall.Card("svc", "z", 4, "serving", 0, 1));
+        EndpointGate gate = new EndpointGate(1500);
+        gate.beat(0, "i-1", new RpcCall.EndpointStatus("svc", "z", 4, "serving", 0, 1));
         for (int ms = 0; ms < 3000; ms += 50) {
-            hatch.enter(ms, "svc", 0);
+            gate.enter(ms, "svc", 0);
         }
         for (int rank = 3; rank > 0; rank--) {
-            while (hatch.enter(3000, "svc", rank) == EndpointGate.Entry.OPEN) {
-                hatch.began(3000);
+            while (gate.enter(3000, "svc", rank) == EndpointGate.Admission.OPEN) {
+                gate.began(3000);
             }
         }
-        assertEquals(hatch.enter(3000, "svc", 0), EndpointGate.Entry.OPEN);
-        assertNotEquals(hatch.enter(3000, "svc", 1), EndpointGate.Entry.OPEN);
+        assertEquals(gate.enter(3000, "svc", 0), EndpointGate.Admission.OPEN);
+        assertNotEquals(gate.enter(3000, "svc", 1), EndpointGate.Admission.OPEN);
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/OutdatedListsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/OutdatedListsTest.java
@@ -26,7 +26,7 @@
         lists = new OutdatedLists(turn::add, new EndpointRegistry(), refreshed::add);
     }
 
-    private static EndpointRecord listing(String node, long seq, String service, EndpointRecord.Phase phase) {
+    private static EndpointRecord record(String node, long seq, String service, EndpointRecord.Phase phase) {
         return new EndpointRecord(node, 1, seq, "zone", "endpoint-" + node, service, phase, 6, 0);
     }
 
@@ -37,21 +37,21 @@
     }
 
     @Test
-    public void aChangedListingConcernsItsOwnServiceOnly() {
-        lists.merge(listing("a", 1, "one", EndpointRecord.Phase.SERVING));
-        lists.merge(listing("b", 1, "two", EndpointRecord.Phase.SERVING));
+    public void aChangedEndpointRecordConcernsItsOwnServiceOnly() {
+        lists.merge(record("a", 1, "one", EndpointRecord.Phase.SERVING));
+        lists.merge(record("b", 1, "two", EndpointRecord.Phase.SERVING));
         endTurn();
         assertEquals(refreshed, List.of(Set.of("one", "two")));
-        lists.merge(listing("a", 2, "one", EndpointRecord.Phase.GONE));
+        lists.merge(record("a", 2, "one", EndpointRecord.Phase.GONE));
         endTurn();
         assertEquals(refreshed.get(1), Set.of("one"));
     }
 
     @Test
     public void anEndpointOfAnotherServiceConcernsBoth() {
-        lists.merge(listing("a", 1, "one", EndpointRecord.Phase.SERVING));
+        lists.merge(record("a", 1, "one", EndpointRecord.Phase.SERVING));
         endTurn();
-        lists.merge(listing("a", 2, "two", EndpointRecord.Phase.SERVING));
+        lists.merge(record("a", 2, "two", EndpointRecord.Phase.SERVING));
         endTurn();
         assertEquals(refreshed.get(1), Set.of("one", "two"));
     }
@@ -59,7 +59,7 @@
     @Test
     public void manyChangesOfOneTurnMakeAListAnewOnce() {
         for (int i = 0; i < 100; i++) {
-            lists.merge(listing("node-" + i, 1, "one", EndpointRecord.Phase.SERVING));
+            lists.merge(record("node-" + i, 1, "one", EndpointRecord.Phase.SERVING));
         }
         endTurn();
         assertEquals(refreshed, List.of(Set.of("one")));
@@ -67,10 +67,10 @@
 
     @Test
     public void whatIsNoNewsMakesNothingAnew() {
-        lists.merge(listing("a", 2, "one", EndpointRecord.Phase.SERVING));
+        lists.merge(record("a", 2, "one", EndpointRecord.Phase.SERVING));
         endTurn();
-        lists.merge(listing("a", 2, "one", EndpointRecord.Phase.SERVING));
-        lists.merge(listing("a", 1, "two", EndpointRecord.Phase.SERVING));
+        lists.merge(record("a", 2, "one", EndpointRecord.Phase.SERVING));
+        lists.merge(record("a", 1, "two", EndpointRecord.Phase.SERVING));
         assertTrue(turn.isEmpty());
     }
 
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Requests over real ties to a peer that plays the far sidecar. */
+/** Requests over real connections to a peer that plays the far sidecar. */
 public class RequestForwarderSocketTest {
     private static final int WAIT_MS = 10_000;
 
@@ -46,7 +46,7 @@
     }
 
     private RequestForwarder round() {
-        return new RequestForwarder(loop, "here", (parcel, done) -> { }, new PeerMessage.Hello("here", false),
+        return new RequestForwarder(loop, "here", (request, done) -> { }, new PeerMessage.Hello("here", false),
                 node -> server.getLocalSocketAddress(), () -> { });
     }
 
@@ -65,20 +65,20 @@
             socket.setSoTimeout(WAIT_MS);
         }
 
-        private PeerMessage.Parcel parcel() throws IOException {
+        private PeerMessage.ForwardRequest request() throws IOException {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             while (true) {
-                PeerMessage letter = PeerMessageCodec.read(in.readNBytes(in.readInt()));
-                if (letter instanceof PeerMessage.Parcel parcel) {
-                    return parcel;
-                } else if (letter instanceof PeerMessage.Ping ping) {
+                PeerMessage message = PeerMessageCodec.read(in.readNBytes(in.readInt()));
+                if (message instanceof PeerMessage.ForwardRequest request) {
+                    return request;
+                } else if (message instanceof PeerMessage.Ping ping) {
                     say(new PeerMessage.Pong(ping.number(), "far", -1));
                 }
             }
         }
 
-        private void say(PeerMessage letter) throws IOException {
-            byte[] written = PeerMessageCodec.write(letter);
+        private void say(PeerMessage message) throws IOException {
+            byte[] written = PeerMessageCodec.write(message);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(written.length);
             out.write(written);
@@ -86,7 +86,7 @@
         }
 
         private void answer(long stream, int status) throws IOException {
-            say(new PeerMessage.Delivered(stream, status, List.of(), new byte[0], 0, 0));
+            say(new PeerMessage.ForwardResponse(stream, status, List.of(), new byte[0], 0, 0));
         }
 
         @Override
@@ -97,13 +97,13 @@
 
     private void send(String id) {
         RequestForwarder from = round;
-        loop.execute(() -> from.send("there", new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id),
-                new byte[0], WAIT_MS, "svc", "i-1", 0), false, letter -> told.add(id + " " + what(letter))));
+        loop.execute(() -> from.send("there", new PeerMessage.ForwardRequest(0, "POST", "/x", List.of("Attempt-Id", id),
+                new byte[0], WAIT_MS, "svc", "i-1", 0), false, message -> told.add(id + " " + what(message))));
     }
 
-    private static String what(PeerMessage letter) {
-        return letter instanceof PeerMessage.Delivered d ? Integer.toString(d.status())
-                : ((PeerMessage.Returned) letter).why().toString();
+    private static String what(PeerMessage message) {
+        return message instanceof PeerMessage.ForwardResponse d ? Integer.toString(d.status())
+                : ((PeerMessage.ForwardFailure) message).why().toString();
     }
 
     private String next() throws InterruptedException {
@@ -113,23 +113,23 @@
     }
 
     @Test
-    public void whatWasOutOnALostTieIsNotSentAgainAndItsAnswerIsNobodys() throws Exception {
+    public void whatWasOutOnALostConnectionIsNotSentAgainAndItsAnswerIsNobodys() throws Exception {
         send("a");
         long lost;
         try (Peer first = new Peer(server)) {
-            lost = first.parcel().stream();
+            lost = first.request().stream();
         }
         assertEquals(next(), "a BROKEN");
         send("b");
         try (Peer second = new Peer(server)) {
-            PeerMessage.Parcel b = second.parcel();
-            assertEquals(b.headers().get(1), "b", "nothing of the lost tie comes before it");
+            PeerMessage.ForwardRequest b = second.request();
+            assertEquals(b.headers().get(1), "b", "nothing of the lost connection comes before it");
             second.answer(lost, 201);
             second.answer(b.stream(), 200);
             second.answer(b.stream(), 202);
             assertEquals(next(), "b 200");
             send("c");
-            second.answer(second.parcel().stream(), 203);
+            second.answer(second.request().stream(), 203);
             assertEquals(next(), "c 203");
         }
     }
@@ -138,11 +138,11 @@
     public void livesThatGiveTheSameNumbersGetTheirOwnAnswers() throws Exception {
         send("a");
         try (Peer former = new Peer(server)) {
-            PeerMessage.Parcel a = former.parcel();
+            PeerMessage.ForwardRequest a = former.request();
             round = round();
             send("b");
             try (Peer latter = new Peer(server)) {
-                PeerMessage.Parcel b = latter.parcel();
+                PeerMessage.ForwardRequest b = latter.request();
                 assertEquals(b.stream(), a.stream());
                 former.answer(a.stream(), 201);
                 assertEquals(next(), "a 201");
@@ -159,7 +159,7 @@
             DataInputStream in = new DataInputStream(peer.socket.getInputStream());
             assertEquals(PeerMessageCodec.read(in.readNBytes(in.readInt())), new PeerMessage.Hello("here", false));
             PeerMessage.Ping ping = (PeerMessage.Ping) PeerMessageCodec.read(in.readNBytes(in.readInt()));
-            PeerMessage.Parcel a = (PeerMessage.Parcel) PeerMessageCodec.read(in.readNBytes(in.readInt()));
+            PeerMessage.ForwardRequest a = (PeerMessage.ForwardRequest) PeerMessageCodec.read(in.readNBytes(in.readInt()));
             assertNotEquals(ping.sentAt(), PeerMessage.UNSTAMPED);
             long apart = a.sentAt() - ping.sentAt();
             assertTrue(apart >= 0 && apart < WAIT_MS * 1000L, "by one clock: " + apart);
@@ -171,8 +171,8 @@
         send("a");
         send("b");
         try (Peer peer = new Peer(server)) {
-            PeerMessage.Parcel a = peer.parcel();
-            PeerMessage.Parcel b = peer.parcel();
+            PeerMessage.ForwardRequest a = peer.request();
+            PeerMessage.ForwardRequest b = peer.request();
             peer.answer(b.stream(), 202);
             peer.answer(a.stream(), 201);
             assertEquals(next(), "b 202");
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -21,7 +21,7 @@
     /** A path that stands as it is told to. */
     private static final class Script implements RequestForwarder.Path {
         private final RequestForwarder.Ear ear;
-        private final List<PeerMessage.Parcel> sent = new ArrayList<>();
+        private final List<PeerMessage.ForwardRequest> sent = new ArrayList<>();
         private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
         private boolean open = true;
         private boolean breaks;
@@ -47,9 +47,9 @@
         }
 
         @Override
-        public boolean send(PeerMessage letter) {
+        public boolean send(PeerMessage message) {
             if (open) {
-                sent.add((PeerMessage.Parcel) letter);
+                sent.add((PeerMessage.ForwardRequest) message);
             }
             if (breaks) {
                 open = false;
@@ -77,7 +77,7 @@
         soon = new ArrayDeque<>();
         paths = new ArrayList<>();
         told = new ArrayList<>();
-        round = new RequestForwarder(calendar, soon::add, "here", (parcel, done) -> { }, (node, ear) -> {
+        round = new RequestForwarder(calendar, soon::add, "here", (request, done) -> { }, (node, ear) -> {
             Script path = new Script(ear);
             paths.add(path);
             return path;
@@ -91,10 +91,10 @@
     }
 
     private Transport.Sending send(String id, boolean repeatable) {
-        PeerMessage.Parcel draft = new PeerMessage.Parcel(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
+        PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
                 LEFT_MS, "svc", "i-1", 0);
-        Transport.Sending sending = round.send("there", draft, repeatable, letter -> told.add(id + " "
-                + (letter instanceof PeerMessage.Delivered d ? d.status() : ((PeerMessage.Returned) letter).why())));
+        Transport.Sending sending = round.send("there", draft, repeatable, message -> told.add(id + " "
+                + (message instanceof PeerMessage.ForwardResponse d ? d.status() : ((PeerMessage.ForwardFailure) message).why())));
         soon();
         return sending;
     }
@@ -103,7 +103,7 @@
         if (paths.isEmpty()) {
             send("first", true);
             paths.get(0).to(ReconnectingConnection.State.UP);
-            paths.get(0).ear.letter(answer(paths.get(0).sent.remove(0)));
+            paths.get(0).ear.message(answer(paths.get(0).sent.remove(0)));
             told.clear();
         } else {
             paths.get(0).to(ReconnectingConnection.State.UP);
@@ -111,12 +111,12 @@
         return paths.get(0);
     }
 
-    private static PeerMessage answer(PeerMessage.Parcel parcel) {
-        return new PeerMessage.Delivered(parcel.stream(), 200, List.of(), new byte[0], 0, 0);
+    private static PeerMessage answer(PeerMessage.ForwardRequest request) {
+        return new PeerMessage.ForwardResponse(request.stream(), 200, List.of(), new byte[0], 0, 0);
     }
 
-    private static String id(PeerMessage.Parcel parcel) {
-        return parcel.headers().get(1);
+    private static String id(PeerMessage.ForwardRequest request) {
+        return request.headers().get(1);
     }
 
     @Test
@@ -147,10 +147,10 @@
         Transport.Sending a = send("a", false);
         assertTrue(a.giveUp(), "it may run");
         send("b", false);
-        path.ear.letter(answer(path.sent.get(0)));
+        path.ear.message(answer(path.sent.get(0)));
         assertEquals(told, List.of());
-        path.ear.letter(answer(path.sent.get(1)));
-        path.ear.letter(answer(path.sent.get(1)));
+        path.ear.message(answer(path.sent.get(1)));
+        path.ear.message(answer(path.sent.get(1)));
         assertEquals(told, List.of("b 200"));
     }
 
@@ -166,10 +166,10 @@
         assertEquals(path.sent.size(), 2);
         send("c", false);
         // The numbers of before are not given again: what still comes of them is nobody's.
-        path.ear.letter(answer(path.sent.get(0)));
-        path.ear.letter(answer(path.sent.get(1)));
+        path.ear.message(answer(path.sent.get(0)));
+        path.ear.message(answer(path.sent.get(1)));
         assertEquals(told, List.of("a BROKEN", "b BROKEN"));
-        path.ear.letter(answer(path.sent.get(2)));
+        path.ear.message(answer(path.sent.get(2)));
         assertEquals(told.get(2), "c 200");
     }
 
@@ -183,8 +183,8 @@
         send("c", false);
         assertEquals(told, List.of("b BROKEN", "c UNREACHED"));
         path.to(ReconnectingConnection.State.UP);
-        path.ear.letter(answer(path.sent.get(1)));
-        path.ear.letter(answer(path.sent.get(0)));
+        path.ear.message(answer(path.sent.get(1)));
+        path.ear.message(answer(path.sent.get(0)));
         assertEquals(told, List.of("b BROKEN", "c UNREACHED", "a 200"));
         assertEquals(path.sent.size(), 2);
     }
--- a/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
@@ -45,7 +45,7 @@
         }
 
         @Override
-        public boolean send(PeerMessage letter) {
+        public boolean send(PeerMessage message) {
             return false;
         }
 
@@ -53,7 +53,7 @@
         public void close() { }
     }
 
-    private static NodeSettings card() {
+    private static NodeSettings settings() {
         return new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
                 new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(7000, 7001), List.of()),
                 new NodeSettings.Substrate(1),
@@ -63,13 +63,13 @@
     @Test
     public void servicesWithoutRequestsWakeTheSidecarOnceInTwoSeconds() {
         Counted timers = new Counted();
-        RequestForwarder round = new RequestForwarder(timers, Runnable::run, "here", (parcel, done) -> { },
+        RequestForwarder round = new RequestForwarder(timers, Runnable::run, "here", (request, done) -> { },
                 (node, ear) -> new Unused(), () -> { });
         Timers beat = new AlignedTimers(timers, RequestClasses.period());
         int services = 64;
         for (int i = 0; i < services; i++) {
-            ServiceBalancer depot = new ServiceBalancer(beat, new RequestClasses(), card(), 3, i, round, null, new RetryBudget(0.2, 60));
-            depot.update(List.of(new EndpointRecord("node", 1, 1, "z", "endpoint", "service-" + i,
+            ServiceBalancer balancer = new ServiceBalancer(beat, new RequestClasses(), settings(), 3, i, round, null, new RetryBudget(0.2, 60));
+            balancer.update(List.of(new EndpointRecord("node", 1, 1, "z", "endpoint", "service-" + i,
                     EndpointRecord.Phase.SERVING, 6, 0)));
         }
         timers.calendar.runTo(SPAN_MS);
--- a/src/test/java/whinlead/mesh/sidecar/StartupConfigTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/StartupConfigTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void anOfficeThatIsCutOffIsNotTheOneToBeginWith() {
+    public void aControlNodeThatIsCutOffIsNotTheOneToBeginWith() {
         StartupConfig b = new StartupConfig();
         assertNull(b.offered(0, OLD, false));
         assertNull(b.waited(StartupConfig.WAIT));
--- a/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
+++ b/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Ledgers that programs of several formats write in turn, by the statements of each. */
+/** State stores that programs of several formats write in turn, by the statements of each. */
 public class OtherFormatTest {
     private static final String ID = "10.0.0.1#0";
 
@@ -111,7 +111,7 @@
 
     @BeforeMethod
     public void make() throws IOException {
-        folder = Files.createTempDirectory("ledger");
+        folder = Files.createTempDirectory("state store");
     }
 
     @AfterMethod(alwaysRun = true)
@@ -223,7 +223,7 @@
         }
         all[at + 50] ^= 4;
         Files.write(file, all);
-        assertTrue(refused().contains("the ledger's entry is damaged"));
+        assertTrue(refused().contains("the state store's entry is damaged"));
     }
 
     @Test
@@ -233,7 +233,7 @@
             l.write(ID, memory(2));
         }
         execute("DELETE FROM checksum");
-        assertTrue(refused().contains("the ledger's entry is damaged"));
+        assertTrue(refused().contains("the state store's entry is damaged"));
     }
 
     // Neither the new memory nor its checksum alone may stay.
--- a/src/test/java/whinlead/mesh/storage/StateStoreTest.java
+++ b/src/test/java/whinlead/mesh/storage/StateStoreTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the ledger gives back, and what it refuses. */
+/** What the state store gives back, and what it refuses. */
 public class StateStoreTest {
     private static final int PAGE = 4096;
 
@@ -31,7 +31,7 @@
 
     @BeforeMethod
     public void make() throws IOException {
-        base = Files.createTempDirectory("ledger");
+        base = Files.createTempDirectory("state store");
         folder = base.resolve("a").resolve("b");
         file = folder.resolve("office.db");
     }
@@ -110,7 +110,7 @@
     }
 
     @Test
-    public void anEmptyFileIsANewLedger() throws StateStoreException, IOException {
+    public void anEmptyFileIsANewStateStore() throws StateStoreException, IOException {
         Files.createDirectories(folder);
         Files.createFile(file);
         try (StateStore l = StateStore.open(folder)) {
@@ -121,7 +121,7 @@
     }
 
     @Test
-    public void readsALedgerOfBeforeAndGuardsItFromThenOn() throws Exception {
+    public void readsAStateStoreOfBeforeAndGuardsItFromThenOn() throws Exception {
         Files.createDirectories(folder);
         try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + file);
                 Statement s = c.createStatement()) {
@@ -152,11 +152,11 @@
     public void aDamagedMemoryIsRefused() throws StateStoreException, IOException {
         written("a#0", memory(9));
         spoil(9);
-        assertEquals(refused(), "the ledger's entry is damaged; remove it to join as a new office");
+        assertEquals(refused(), "the state store's entry is damaged; remove it to join as a new control node");
     }
 
     @Test
-    public void aRowHiddenByADamagedPageIsNoNewLedger() throws StateStoreException, IOException {
+    public void aRowHiddenByADamagedPageIsNoNewStateStore() throws StateStoreException, IOException {
         written("a#0", memory(9));
         byte[] all = Files.readAllBytes(file);
         // The number of cells on the table's only page.
@@ -167,7 +167,7 @@
     }
 
     @Test
-    public void aLogWithoutItsFileIsNoNewLedger() throws StateStoreException, IOException {
+    public void aLogWithoutItsFileIsNoNewStateStore() throws StateStoreException, IOException {
         try (StateStore l = StateStore.open(folder)) {
             l.write("a#0", memory(1));
             folder = copy();
@@ -178,7 +178,7 @@
     }
 
     @Test
-    public void aLedgerOfALaterVersionIsRefused() throws Exception {
+    public void aStateStoreOfALaterVersionIsRefused() throws Exception {
         written("a#0", memory(1));
         try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + file);
                 Statement s = c.createStatement()) {
@@ -205,7 +205,7 @@
     }
 
     @Test
-    public void theNamesOfANewLedgerAreSynced() throws StateStoreException {
+    public void theNamesOfANewStateStoreAreSynced() throws StateStoreException {
         Recorder r = new Recorder();
         StateStore.open(folder, r).close();
         assertEquals(r.asked, List.of("folder " + base, "folder " + folder.getParent(), "folder " + folder));
@@ -225,7 +225,7 @@
     }
 
     @Test
-    public void aSyncThatFailsRefusesTheLedger() throws StateStoreException {
+    public void aSyncThatFailsRefusesTheStateStore() throws StateStoreException {
         written("a#0", memory(1));
         assertThrows(StateStoreException.class, () -> StateStore.open(base.resolve("other"), new Syncer() {
             @Override
