--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -42,7 +42,7 @@
     private static final byte POST = 2;
     private static final byte PING = 7;
     private static final byte PAPER = 9;
-    private static final byte PARCEL = 10;
+    private static final byte REQUEST = 10;
     private static final byte RETURNED = 12;
     private static final byte QUERY = 8;
     private static final byte LATER_KIND = 99;
@@ -50,7 +50,7 @@
     private EventLoopGroup loops;
     private Channel server;
 
-    /** Writes the fields of a letter, as a program of another version does. */
+    /** Writes the fields of a message, as a program of another version does. */
     private interface FieldCodec {
         void write(MessageBufferPacker packer) throws IOException;
     }
@@ -71,7 +71,7 @@
         return bytes(HELLO, p -> p.packString("n").packBoolean(false));
     }
 
-    private static void listing(MessageBufferPacker p, String node, int phase) throws IOException {
+    private static void record(MessageBufferPacker p, String node, int phase) throws IOException {
         p.packString(node).packLong(1).packLong(2).packString("z").packString("i").packString("s");
         p.packInt(phase).packInt(6).packInt(5);
     }
@@ -103,7 +103,7 @@
     @Test
     public void kindsOfALaterVersionAreNamedAndNoError() throws IOException {
         assertEquals(PeerMessageCodec.read(bytes(LATER_KIND, p -> p.packString("x"))),
-                new PeerMessage.Unknown("letter 99"));
+                new PeerMessage.Unknown("message 99"));
         assertEquals(PeerMessageCodec.read(bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1))),
                 new PeerMessage.Unknown("ballot message 99"));
     }
@@ -111,11 +111,11 @@
     @Test
     public void fieldsOfALaterVersionArePassedOver() throws IOException {
         // Each with all the fields that this version knows; what follows them is unknown.
-        for (PeerMessage letter : List.of(new PeerMessage.Hello("n", true), new PeerMessage.Ask(3), new PeerMessage.Fetch(),
+        for (PeerMessage message : List.of(new PeerMessage.Hello("n", true), new PeerMessage.Subscribe(3), new PeerMessage.FetchConfig(),
                 new PeerMessage.Ping(4, 5), new PeerMessage.Pong(4, "n", 5), new PeerMessage.Cancel(6, true),
-                new PeerMessage.Paper(new Message.Query(1, 2, List.of("n"))),
-                new PeerMessage.Returned(7, PeerMessage.Why.LATE, 0.5, 2))) {
-            assertEquals(PeerMessageCodec.read(followedBy(PeerMessageCodec.write(letter), "later")), letter);
+                new PeerMessage.Consensus(new Message.Query(1, 2, List.of("n"))),
+                new PeerMessage.ForwardFailure(7, PeerMessage.FailureReason.LATE, 0.5, 2))) {
+            assertEquals(PeerMessageCodec.read(followedBy(PeerMessageCodec.write(message), "later")), message);
         }
     }
 
@@ -123,12 +123,12 @@
     public void fieldsThatAFormerVersionDoesNotSendHaveTheirDefaults() throws IOException {
         assertEquals(PeerMessageCodec.read(bytes(PING, p -> p.packLong(4))), new PeerMessage.Ping(4, PeerMessage.UNSTAMPED));
         assertEquals(PeerMessageCodec.read(bytes(PAPER, p -> p.packByte(QUERY).packLong(1).packLong(2))),
-                new PeerMessage.Paper(new Message.Query(1, 2, List.of())));
+                new PeerMessage.Consensus(new Message.Query(1, 2, List.of())));
     }
 
-    private static byte[] followedBy(byte[] letter, String field) throws IOException {
+    private static byte[] followedBy(byte[] message, String field) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.writePayload(letter);
+            packer.writePayload(message);
             packer.packString(field);
             return packer.toByteArray();
         }
@@ -138,22 +138,22 @@
     public void valuesOfALaterVersionHaveStatedDefaults() throws IOException {
         byte[] post = bytes(POST, p -> {
             p.packInt(2);
-            listing(p, "a", 7);
-            listing(p, "b", EndpointRecord.Phase.DRAINING.ordinal());
+            record(p, "a", 7);
+            record(p, "b", EndpointRecord.Phase.DRAINING.ordinal());
         });
-        assertEquals(PeerMessageCodec.read(post), new PeerMessage.Post(List.of(
+        assertEquals(PeerMessageCodec.read(post), new PeerMessage.EndpointUpdate(List.of(
                 new EndpointRecord("b", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))), "a's is passed over");
         byte[] returned = bytes(RETURNED, p -> p.packLong(3).packInt(77).packDouble(0).packDouble(0));
-        PeerMessage.Returned read = (PeerMessage.Returned) PeerMessageCodec.read(returned);
+        PeerMessage.ForwardFailure read = (PeerMessage.ForwardFailure) PeerMessageCodec.read(returned);
         assertFalse(read.why().neverRan, "a reason that is not known promises nothing");
     }
 
     @Test
     public void whatIsMalformedIsRefusedByTheNameOfItsKind() throws IOException {
-        byte[] parcel = bytes(PARCEL, p -> p.packString("no number"));
+        byte[] request = bytes(REQUEST, p -> p.packString("no number"));
         MalformedMessageException refused = expectThrows(MalformedMessageException.class,
-                () -> PeerMessageCodec.read(parcel));
-        assertTrue(refused.getMessage().contains("PARCEL"), refused.getMessage());
+                () -> PeerMessageCodec.read(request));
+        assertTrue(refused.getMessage().contains("FORWARD_REQUEST"), refused.getMessage());
         assertThrows(MalformedMessageException.class, () -> PeerMessageCodec.read(hello(1, 2)));
     }
 
@@ -172,8 +172,8 @@
 
     @Test
     public void memoriesOfOtherFormatsAreReadUnlessTheyForbidIt() throws IOException {
-        Acceptor.Memory read = AcceptorRecord.read(memory());
-        assertEquals(read, new Acceptor.Memory(new Decision(7, 12, new byte[] {1, 2},
+        Acceptor.State read = AcceptorRecord.read(memory());
+        assertEquals(read, new Acceptor.State(new Decision(7, 12, new byte[] {1, 2},
                 List.of(new Decision.Taken(12, "digest")), List.of("10.0.0.1#0")),
                 new Ballot(3, "10.0.0.1#0"), null));
         byte[] ours = AcceptorRecord.write(read);
@@ -187,16 +187,16 @@
                 refused.getMessage());
     }
 
-    /** Answers to greetings and pings, as offices and sidecars do. */
-    private static final class Responder implements PeerConnection.Ear {
+    /** Answers to greetings and pings, as control nodes and sidecars do. */
+    private static final class Responder implements PeerConnection.MessageHandler {
         @Override
         public void up(PeerConnection link) { }
 
         @Override
-        public void letter(PeerConnection link, PeerMessage letter) {
-            if (letter instanceof PeerMessage.Hello hello) {
+        public void message(PeerConnection link, PeerMessage message) {
+            if (message instanceof PeerMessage.Hello hello) {
                 link.peer(hello.id());
-            } else if (letter instanceof PeerMessage.Ping ping) {
+            } else if (message instanceof PeerMessage.Ping ping) {
                 link.send(new PeerMessage.Pong(ping.number(), "version " + link.version(), -1));
             }
         }
@@ -218,14 +218,14 @@
         loops.shutdownGracefully(0, WAIT_MS, TimeUnit.MILLISECONDS).sync();
     }
 
-    /** A peer of another version: it says these letters, then asks for a sign of life. */
-    private PeerMessage answerAfter(byte[]... letters) throws IOException {
+    /** A peer of another version: it says these messages, then asks for a sign of life. */
+    private PeerMessage answerAfter(byte[]... messages) throws IOException {
         InetSocketAddress address = (InetSocketAddress) server.localAddress();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(WAIT_MS);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            for (byte[] letter : letters) {
-                say(out, letter);
+            for (byte[] message : messages) {
+                say(out, message);
             }
             say(out, PeerMessageCodec.write(new PeerMessage.Ping(4)));
             DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -235,14 +235,14 @@
 
     // The ping behind these may be unread when the other side closes: then the end is a reset. Silence until
     // the wait is over is neither.
-    private void assertEnds(byte[]... letters) {
-        IOException end = expectThrows(IOException.class, () -> answerAfter(letters));
+    private void assertEnds(byte[]... messages) {
+        IOException end = expectThrows(IOException.class, () -> answerAfter(messages));
         assertTrue(end instanceof EOFException || end instanceof SocketException, end.toString());
     }
 
-    private static void say(DataOutputStream out, byte[] letter) throws IOException {
-        out.writeInt(letter.length);
-        out.write(letter);
+    private static void say(DataOutputStream out, byte[] message) throws IOException {
+        out.writeInt(message.length);
+        out.write(message);
         out.flush();
     }
 
@@ -259,8 +259,8 @@
 
     @Test
     public void whatNobodyWouldRepeatEndsTheConnectionIfMalformed() throws IOException {
-        byte[] parcel = bytes(PARCEL, p -> p.packString("no number"));
-        assertEnds(unversionedHello(), parcel);
+        byte[] request = bytes(REQUEST, p -> p.packString("no number"));
+        assertEnds(unversionedHello(), request);
     }
 
     @Test
--- a/src/test/java/whinlead/mesh/wire/TimerGridTest.java
+++ b/src/test/java/whinlead/mesh/wire/TimerGridTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** When ties look at their links, and a process's other periodic timers fire. */
+/** When connections look at their links, and a process's other periodic timers fire. */
 public class TimerGridTest {
     private static final long MILLI = 1_000_000;
     private static final long EVERY = 300 * MILLI;
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void allTiesOfAProcessLookAtTheSameMoments() {
+    public void allConnectionsOfAProcessLookAtTheSameMoments() {
         assertEquals(moments(EVERY, EVERY).size(), 1);
     }
 
--- a/src/test/java/whinlead/replication/raft/GroupHostTest.java
+++ b/src/test/java/whinlead/replication/raft/GroupHostTest.java
@@ -91,7 +91,7 @@
             if (to != null && !dead) {
                 world.after(1, () -> {
                     if (!to.dead) {
-                        to.host.received(group, Frames.parcel(frame), back -> to.deliver(group, this, back));
+                        to.host.received(group, Frames.message(frame), back -> to.deliver(group, this, back));
                     }
                 });
             }
--- a/src/test/java/whinlead/replication/raft/SeatTest.java
+++ b/src/test/java/whinlead/replication/raft/SeatTest.java
@@ -76,13 +76,13 @@
         }
 
         @Override
-        public void send(String to, GroupMessage parcel) {
-            deliver(addresses.get(to), parcel);
+        public void send(String to, GroupMessage message) {
+            deliver(addresses.get(to), message);
         }
 
-        private void deliver(Process to, GroupMessage parcel) {
+        private void deliver(Process to, GroupMessage message) {
             if (to != null && !dead) {
-                world.after(1, () -> to.run(() -> to.seat.received(parcel, back -> to.deliver(this, back))));
+                world.after(1, () -> to.run(() -> to.seat.received(message, back -> to.deliver(this, back))));
             }
         }
 
--- a/src/test/java/whinlead/run/EndpointPoolTest.java
+++ b/src/test/java/whinlead/run/EndpointPoolTest.java
@@ -80,14 +80,14 @@
     }
 
     private static boolean connected(EventLoop loop, EndpointPool pool, String id) throws Exception {
-        return loop.submit(() -> pool.carrier(
+        return loop.submit(() -> pool.transport(
                 new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
                 .connected(id)).get();
     }
 
     private static Contract.Outcome send(EventLoop loop, EndpointPool pool) throws Exception {
         CompletableFuture<Contract.Outcome> ended = new CompletableFuture<>();
-        loop.execute(() -> pool.carrier(
+        loop.execute(() -> pool.transport(
                 new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
                 .send("s", 0, 1000, (outcome, answer, report) -> ended.complete(outcome)));
         return ended.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
--- a/src/test/java/whinlead/run/FaultTest.java
+++ b/src/test/java/whinlead/run/FaultTest.java
@@ -65,7 +65,7 @@
             loop.submit(() -> {
                 engine.start(() -> { }, list);
                 HttpAsk http = new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
-                engine.take(new Request(0, -1, 300, false), pool.carrier(http), caller);
+                engine.take(new Request(0, -1, 300, false), pool.transport(http), caller);
             }).get();
             assertTrue(log.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS).startsWith("decision failed"));
             assertEquals("failed", ends.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
--- a/src/test/java/whinlead/testbed/mesh/hardening/DiskTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/DiskTest.java
@@ -30,7 +30,7 @@
     }
 
     private static Disk.Entry entry(long round) {
-        return new Disk.Entry("a#0", new Acceptor.Memory(Decision.founding(List.of("a#0")),
+        return new Disk.Entry("a#0", new Acceptor.State(Decision.founding(List.of("a#0")),
                 new Ballot(round, "a#0"), null));
     }
 
--- a/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Some hundred schedules of each of the worst days on the real councils, and the faults that they find. */
+/** Some hundred schedules of each of the worst days on the real consensus nodes, and the faults that they find. */
 public class HardeningTest {
     private static final int FOUND_WITHIN = 1000;
     private static final int THREADS = 3;
