--- a/src/main/java/whinlead/admit/Clients.java
+++ b/src/main/java/whinlead/admit/Clients.java
@@ -18,7 +18,7 @@
     /** Good requests after which a client is known, as they add up with decay. */
     private static final double KNOWN_FROM = 3;
     /** No more are saved up, so that one that turns bad is a stranger soon. */
-    private static final double GOOD_MOST = 20;
+    private static final double MAX_GOOD = 20;
     /** What a bad request leaves. */
     private static final double BAD_KEEP = 0.5;
     /** A known client may open connections so many times as fast. */
@@ -56,7 +56,7 @@
 
         /** It has asked a request, which was good or bad. */
         void asked(boolean well, double now) {
-            good = well ? Math.min(GOOD_MOST, good(now) + 1) : good(now) * BAD_KEEP;
+            good = well ? Math.min(MAX_GOOD, good(now) + 1) : good(now) * BAD_KEEP;
             goodAt = now;
         }
 
--- a/src/main/java/whinlead/admit/Gate.java
+++ b/src/main/java/whinlead/admit/Gate.java
@@ -61,11 +61,11 @@
 
     /** The need of known clients is the most that they had open, of which so much stays after this time. */
     private static final double NEED_HALF_LIFE_MS = 60_000;
-    private static final double PAUSE_LEAST_MS = 10;
-    private static final double PAUSE_MOST_MS = 500;
+    private static final double MIN_PAUSE_MS = 10;
+    private static final double MAX_PAUSE_MS = 500;
     /** One place more a second after a shortage: whoever took the descriptors may want more still. */
     private static final double REGAIN_MS = 1000;
-    private static final int PLACES_LEAST = 4;
+    private static final int MIN_PLACES = 4;
 
     private final Limits limits;
     private final Admission<C> admission;
@@ -186,8 +186,8 @@
      */
     public C noDescriptor(double now) {
         boolean again = now - loweredAt < pause + REGAIN_MS;
-        pause = again ? Math.min(PAUSE_MOST_MS, pause * 2) : PAUSE_LEAST_MS;
-        lowered = Math.max(PLACES_LEAST, admission.open() - 1);
+        pause = again ? Math.min(MAX_PAUSE_MS, pause * 2) : MIN_PAUSE_MS;
+        lowered = Math.max(MIN_PLACES, admission.open() - 1);
         loweredAt = now;
         return note(Why.NO_DESCRIPTOR, admission.choose(now, c -> true, lowered));
     }
--- a/src/main/java/whinlead/capture/CaptureInput.java
+++ b/src/main/java/whinlead/capture/CaptureInput.java
@@ -45,7 +45,7 @@
                         + CaptureOutput.VERSION);
             }
             int count = in.readInt();
-            if (count < 1 || count > CaptureOutput.CLASSES_MOST) {
+            if (count < 1 || count > CaptureOutput.MAX_CLASSES) {
                 throw new IllegalArgumentException("a head of " + count + " classes");
             }
             for (int i = 0; i < count; i++) {
--- a/src/main/java/whinlead/capture/CaptureOutput.java
+++ b/src/main/java/whinlead/capture/CaptureOutput.java
@@ -19,7 +19,7 @@
     /** In the place of a class: an entry that tells how many were lost before it. */
     static final int LOST = 0xFF;
     /** The most classes, and the longest name in bytes. */
-    static final int CLASSES_MOST = 200;
+    static final int MAX_CLASSES = 200;
 
     private final DataOutputStream out;
     private final int classes;
@@ -30,8 +30,8 @@
      * @throws IllegalArgumentException if there is no class, or more than a head can name
      */
     public CaptureOutput(OutputStream to, List<String> classNames) throws IOException {
-        if (classNames.isEmpty() || classNames.size() > CLASSES_MOST) {
-            throw new IllegalArgumentException("a capture names 1 to " + CLASSES_MOST + " classes");
+        if (classNames.isEmpty() || classNames.size() > MAX_CLASSES) {
+            throw new IllegalArgumentException("a capture names 1 to " + MAX_CLASSES + " classes");
         }
         out = new DataOutputStream(to);
         classes = classNames.size();
--- a/src/main/java/whinlead/capture/Recorder.java
+++ b/src/main/java/whinlead/capture/Recorder.java
@@ -36,7 +36,7 @@
     public record Bounds(int queue, double window, long bytes) { }
 
     /** An entry that waits for its turn takes some 80 bytes: at most so many times the queue wait. */
-    private static final int SORTED_MOST = 4;
+    private static final int MAX_SORTED = 4;
     private static final long IDLE_NANOS = 20_000_000;
     private static final double MICROS = 1000;
 
@@ -107,7 +107,7 @@
                 // What has ended now arrived within the window before: earlier ones are all there.
                 long settled = e.at() - Math.round(bounds.window() * MICROS);
                 while (!sorted.isEmpty() && (sorted.peek().at() < settled
-                        || sorted.size() > SORTED_MOST * bounds.queue())) {
+                        || sorted.size() > MAX_SORTED * bounds.queue())) {
                     write(sorted.poll());
                 }
             }
--- a/src/main/java/whinlead/decide/Controller.java
+++ b/src/main/java/whinlead/decide/Controller.java
@@ -9,7 +9,7 @@
     private static final double STEP_WHOLE_AT = 0.5;
     // What a good or an idle period takes off: this part of what passes, and a little for one wholly shut.
     private static final double STEP_DOWN = 0.08;
-    private static final double STEP_DOWN_LEAST = 0.004;
+    private static final double MIN_STEP_DOWN = 0.004;
     // What stays of the evidence from period to period, so that 0 to 2 outcomes a period still add up.
     private static final double KEEP = 0.7;
     // Outcomes of the whole subset that stand in for a server's own: one bad answer is no trend.
@@ -58,7 +58,7 @@
         } else {
             // Slower by as much as the answers take longer than usual.
             double fall = STEP_DOWN * lateness.pace;
-            n.percentage = Math.max(0, n.percentage - fall * (1 - n.percentage) - STEP_DOWN_LEAST);
+            n.percentage = Math.max(0, n.percentage - fall * (1 - n.percentage) - MIN_STEP_DOWN);
         }
         n.evidence.fade(KEEP);
     }
@@ -75,7 +75,7 @@
     // Out of the subset no period is spent on a server; it falls on its return by as many as it was away.
     static void idle(Node n, double periods) {
         if (periods >= 1) {
-            double most = STEP_DOWN_LEAST / STEP_DOWN;
+            double most = MIN_STEP_DOWN / STEP_DOWN;
             double passing = (1 - n.percentage + most) * Math.pow(1 + STEP_DOWN, periods) - most;
             n.percentage = Math.max(0, 1 - passing);
             n.evidence = new Evidence();
--- a/src/main/java/whinlead/decide/Crowding.java
+++ b/src/main/java/whinlead/decide/Crowding.java
@@ -6,13 +6,13 @@
     private static final double SLACK = 0.5;
     // A server that reports a busy share under this may hold more than that, up to so many times as much.
     private static final double ROOM_BELOW = 0.75;
-    private static final double ROOM_MOST = 2.5;
+    private static final double MAX_ROOM = 2.5;
     // A server none of whose late outcomes was bad may double what it holds, as a sender in slow start may.
     private static final double SOUND = 2;
     // From this percentage on a server that holds nothing is taken to be dead.
     private static final double SHUT = 0.97;
     // A server is taken to hold so many when well, whatever it answered: one attempt out is no crowd.
-    private static final double WELL_LEAST = 1;
+    private static final double MIN_WELL = 1;
     // For so many periods nothing is known of a new server; all sidecars may hold a first window (RFC 6928).
     private static final int FRESH = 20;
     private static final double WINDOW = 10;
@@ -28,7 +28,7 @@
     Crowding(Controller controller, double shortestAim, boolean unreported, int sidecars) {
         this.controller = controller;
         this.unreported = unreported;
-        this.first = unreported ? Math.max(WELL_LEAST, WINDOW / sidecars) : WELL_LEAST;
+        this.first = unreported ? Math.max(MIN_WELL, WINDOW / sidecars) : MIN_WELL;
         this.reportStands = shortestAim;
     }
 
@@ -50,7 +50,7 @@
         return Math.max(share(well * room(n), n.out.counted()), uneven(now, n) * (1 - sound(n)));
     }
 
-    double least(Node n) { return n.periods < FRESH ? first : WELL_LEAST; }
+    double least(Node n) { return n.periods < FRESH ? first : MIN_WELL; }
 
     // By how much a server's answers vouch for it. Where servers report, their own word tells sooner.
     double sound(Node n) { return unreported ? controller.soundness(n) : 0; }
@@ -68,7 +68,7 @@
     // How many times what it holds when well a server has room for, by its own word or its answers. Guards
     // against a draw that holds itself down: what is refused brings no answers, and fewer let less through.
     private double room(Node n) {
-        double told = ROOM_BELOW / Math.max(ROOM_BELOW / ROOM_MOST, n.reported.util);
+        double told = ROOM_BELOW / Math.max(ROOM_BELOW / MAX_ROOM, n.reported.util);
         return Math.max(1 + (SOUND - 1) * sound(n), told);
     }
 
--- a/src/main/java/whinlead/decide/Decide.java
+++ b/src/main/java/whinlead/decide/Decide.java
@@ -13,9 +13,9 @@
 public final class Decide implements Contract.Events {
     // A period, as a share of the shortest aim, and the least: several steps fit in a client's wait.
     private static final double PERIOD_OF_AIM = 0.1;
-    private static final double PERIOD_LEAST = 10;
+    private static final double MIN_PERIOD = 10;
     // Retry-after, as shares of the aim: the least, and what a percentage of 100 adds.
-    private static final double AFTER_LEAST = 0.15;
+    private static final double MIN_AFTER = 0.15;
     private static final double AFTER_FULL = 0.3;
 
     private final Contract.Settings settings;
@@ -44,7 +44,7 @@
         this.random = new SplittableRandom(seed);
         double aim = settings.classes().stream().mapToDouble(Contract.RequestClass::aim).min()
                 .orElse(Double.MAX_VALUE);
-        this.period = Math.max(PERIOD_LEAST, aim * PERIOD_OF_AIM);
+        this.period = Math.max(MIN_PERIOD, aim * PERIOD_OF_AIM);
         this.list = new ServerList(settings, random, out);
         this.subset = new Subset(settings.sidecars(), period);
         this.worth = new Worth(settings, random);
@@ -155,7 +155,7 @@
         if (c.mayRefuse(now)) {
             relief.refused++;
             out.refuse(c.request, Math.min(settings.limits().maxRetryAfter(), c.type.aim()
-                    * (AFTER_LEAST + AFTER_FULL * subset.shut()) * (0.75 + 0.5 * random.nextDouble())));
+                    * (MIN_AFTER + AFTER_FULL * subset.shut()) * (0.75 + 0.5 * random.nextDouble())));
         } else {
             out.fail(c.request);
         }
--- a/src/main/java/whinlead/decide/Lateness.java
+++ b/src/main/java/whinlead/decide/Lateness.java
@@ -21,7 +21,7 @@
     // to the recent one, at most by this part a period, and up to this share of the aim.
     private static final double RAISE_FROM = 0.5;
     private static final double RAISE = 0.1;
-    private static final double RAISED_MOST = 0.4;
+    private static final double MAX_RAISED = 0.4;
     // What stays, from period to period, of how late this sidecar's own loop was.
     private static final double STALL_KEEP = 0.9;
 
@@ -60,7 +60,7 @@
         double raise = RAISE * Math.max(0, (refused - RAISE_FROM) / (1 - RAISE_FROM));
         for (int i = 0; i < usual.length; i++) {
             usual[i] = recent[i] < usual[i] ? recent[i] : usual[i] + (recent[i] - usual[i]) * DRIFT;
-            usual[i] += Math.max(0, Math.min(recent[i], aim[i] * RAISED_MOST) - usual[i]) * raise;
+            usual[i] += Math.max(0, Math.min(recent[i], aim[i] * MAX_RAISED) - usual[i]) * raise;
         }
         usualSum = 1 + (usualSum - 1) * KEEP;
         tookSum = 1 + (tookSum - 1) * KEEP;
--- a/src/main/java/whinlead/decide/Reported.java
+++ b/src/main/java/whinlead/decide/Reported.java
@@ -11,8 +11,8 @@
     private static final double UTIL_EASY = 0.3;
     static final int OUTCOMES = 3;
     // A busy share under or over these is nonsense, or too small to divide by.
-    private static final double UTIL_LEAST = 0.1;
-    private static final double UTIL_MOST = 1.5;
+    private static final double MIN_UTIL = 0.1;
+    private static final double MAX_UTIL = 1.5;
     // A sidecar that itself sends one in this many of a server's requests knows its load without reports.
     private static final double SEEN_ENOUGH = 4;
     // Weight of a report in the size of a server.
@@ -33,13 +33,13 @@
     // the paper's overloaded node reckons it: the load of all the others, so it counts less the more of it is
     // our own. Requests a second by busy share are the server's size.
     double strain(Contract.Report r, double sendRate) {
-        if (r == null || !(r.util() >= 0 && r.util() <= UTIL_MOST && r.perSecond() > 0)
+        if (r == null || !(r.util() >= 0 && r.util() <= MAX_UTIL && r.perSecond() > 0)
                 || r.perSecond() == Double.POSITIVE_INFINITY) {
             return 0;
         }
         any = true;
         util += (r.util() - util) * SIZE_WEIGHT;
-        if (r.util() >= UTIL_LEAST) {
+        if (r.util() >= MIN_UTIL) {
             capacity += (r.perSecond() / r.util() - capacity) * (capacity > 0 ? SIZE_WEIGHT : 1);
         }
         double over = Math.min(1, Math.max(0, (r.util() - UTIL_WANTED) / (1 - UTIL_WANTED)));
--- a/src/main/java/whinlead/decide/ServerList.java
+++ b/src/main/java/whinlead/decide/ServerList.java
@@ -13,7 +13,7 @@
     private static final double ASK_LONGEST = 4000;
     // All sidecars' calls are spread over so much time each, at most over this share of `askWithin`.
     private static final double ASK_EACH = 10;
-    private static final double ASK_SPREAD_MOST = 0.4;
+    private static final double MAX_ASK_SPREAD = 0.4;
 
     private final SplittableRandom random;
     private final Contract.Actions out;
@@ -27,7 +27,7 @@
         this.random = random;
         this.out = out;
         this.salt = random.nextLong();
-        this.spread = Math.min(settings.obligations().askWithin() * ASK_SPREAD_MOST,
+        this.spread = Math.min(settings.obligations().askWithin() * MAX_ASK_SPREAD,
                 settings.sidecars() * ASK_EACH);
     }
 
--- a/src/main/java/whinlead/front/consult/ConsultConnection.java
+++ b/src/main/java/whinlead/front/consult/ConsultConnection.java
@@ -33,8 +33,8 @@
     private static final String CANCEL = "/v1/cancel";
     /** For a proxy that can only be told yes or no: nginx's auth_request takes 403 for no. */
     private static final String DENY = "deny";
-    private static final int DENY_LEAST = 400;
-    private static final int DENY_MOST = 599;
+    private static final int MIN_DENY = 400;
+    private static final int MAX_DENY = 599;
 
     private final Consultations consultations;
     private final ConsultRequest.Names names;
@@ -130,8 +130,8 @@
         if (!uri.parameters().containsKey(DENY)) {
             return null;
         }
-        double code = Decimals.parse(uri.parameters().get(DENY).get(0), DENY_MOST);
-        if (!(code >= DENY_LEAST) || code != Math.rint(code)) {
+        double code = Decimals.parse(uri.parameters().get(DENY).get(0), MAX_DENY);
+        if (!(code >= MIN_DENY) || code != Math.rint(code)) {
             throw new ConsultRequest.Bad("deny is no status of a refusal");
         }
         return HttpResponseStatus.valueOf((int) code);
--- a/src/main/java/whinlead/front/consult/ConsultRequest.java
+++ b/src/main/java/whinlead/front/consult/ConsultRequest.java
@@ -62,12 +62,12 @@
     public record Ended(int attempt, String endpoint, Contract.Outcome outcome, Contract.Report report) { }
 
     /** Longer names than any caller has; they are kept. */
-    private static final int NAME_MOST = 256;
+    private static final int MAX_NAME = 256;
     /** An hour, as on the platform's own front. */
-    private static final double TIMEOUT_MOST_MS = 3_600_000;
+    private static final double MAX_TIMEOUT_MS = 3_600_000;
     private static final double MILLIS = 1000;
-    private static final int ATTEMPTS_MOST = 1000;
-    private static final int STATUS_MOST = 999;
+    private static final int MAX_ATTEMPTS = 1000;
+    private static final int MAX_STATUS = 999;
     private static final int SERVER_ERRORS = 500;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final int UNAVAILABLE = 503;
@@ -105,7 +105,7 @@
     /** The request's id. */
     public String id() throws Bad {
         String id = text(Field.ID);
-        if (id.isEmpty() || id.length() > NAME_MOST
+        if (id.isEmpty() || id.length() > MAX_NAME
                 || !id.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
             throw new Bad(name(Field.ID) + " is missing or malformed");
         }
@@ -123,9 +123,9 @@
         double wait = names.deadlines.get(k);
         String timeout = text(Field.TIMEOUT);
         if (!timeout.isEmpty()) {
-            wait = Decimals.parse(timeout, TIMEOUT_MOST_MS)
+            wait = Decimals.parse(timeout, MAX_TIMEOUT_MS)
                     * (headers == null || headers.timeoutInMillis() ? 1 : MILLIS);
-            if (!(wait > 0 && wait <= TIMEOUT_MOST_MS)) {
+            if (!(wait > 0 && wait <= MAX_TIMEOUT_MS)) {
                 throw new Bad(name(Field.TIMEOUT) + " is malformed");
             }
         }
@@ -140,7 +140,7 @@
 
     /** The attempt that it is about. */
     public int attempt() throws Bad {
-        return whole(Field.ATTEMPT, ATTEMPTS_MOST);
+        return whole(Field.ATTEMPT, MAX_ATTEMPTS);
     }
 
     /** How that attempt ended. */
@@ -170,7 +170,7 @@
     // By what a proxy knows: whether it got a connection, whether a head came back on it, and its status.
     // Without a word on the first two they are taken to be so, by which nothing is held to be proven.
     private Contract.Outcome byStatus() throws Bad {
-        int status = whole(Field.STATUS, STATUS_MOST);
+        int status = whole(Field.STATUS, MAX_STATUS);
         if (never(Field.CONNECTED)) {
             return Contract.Outcome.CONNECT_FAILED;
         }
@@ -200,7 +200,7 @@
     }
 
     private static String clip(String text) {
-        return text.length() > NAME_MOST ? text.substring(0, NAME_MOST) : text;
+        return text.length() > MAX_NAME ? text.substring(0, MAX_NAME) : text;
     }
 
     /** The classes and tenants by name. */
--- a/src/main/java/whinlead/front/consult/ConsultServer.java
+++ b/src/main/java/whinlead/front/consult/ConsultServer.java
@@ -26,10 +26,10 @@
  */
 public final class ConsultServer {
     /** Of a body or of all headers; more than any call needs. */
-    private static final int MESSAGE_MOST = 16 * 1024;
-    private static final int LINE_MOST = 4096;
+    private static final int MAX_MESSAGE = 16 * 1024;
+    private static final int MAX_LINE = 4096;
     /** Longer than the idle times of proxies' connection pools, nginx's of a minute say. */
-    private static final long IDLE_MOST_S = 75;
+    private static final long MAX_IDLE_S = 75;
 
     private final EventLoop loop;
     private final Class<? extends ServerChannel> channels;
@@ -78,9 +78,9 @@
         InetAddress from = ((InetSocketAddress) channel.remoteAddress()).getAddress();
         Peer peer = peers.joined(from);
         channel.closeFuture().addListener(f -> peers.left(from));
-        channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_MOST_S, TimeUnit.SECONDS),
-                new HttpServerCodec(LINE_MOST, MESSAGE_MOST, MESSAGE_MOST),
-                new HttpObjectAggregator(MESSAGE_MOST),
+        channel.pipeline().addLast(new IdleStateHandler(0, 0, MAX_IDLE_S, TimeUnit.SECONDS),
+                new HttpServerCodec(MAX_LINE, MAX_MESSAGE, MAX_MESSAGE),
+                new HttpObjectAggregator(MAX_MESSAGE),
                 new ConsultConnection(consultations, names, headers, mapper, peer));
     }
 }
--- a/src/main/java/whinlead/front/extproc/ExtProcServer.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcServer.java
@@ -41,9 +41,9 @@
  */
 public final class ExtProcServer {
     /** Envoy's own bound on all headers of a request is 60 KiB. */
-    private static final int MESSAGE_MOST = 64 * 1024;
-    private static final int METADATA_MOST = 8 * 1024;
-    private static final long HANDSHAKE_MOST_S = 5;
+    private static final int MAX_MESSAGE = 64 * 1024;
+    private static final int MAX_METADATA = 8 * 1024;
+    private static final long MAX_HANDSHAKE_S = 5;
     /** Envoy keeps its connections for as long as it has requests. */
     private static final long IDLE_MOST_MINUTES = 10;
     private static final Context.Key<InetAddress> FROM = Context.key("from");
@@ -102,9 +102,9 @@
         };
         Server server = NettyServerBuilder.forAddress(address).bossEventLoopGroup(loop)
                 .workerEventLoopGroup(loop).channelFactory(() -> new BoundedListener(connections))
-                .executor(onLoop).maxInboundMessageSize(MESSAGE_MOST).maxInboundMetadataSize(METADATA_MOST)
+                .executor(onLoop).maxInboundMessageSize(MAX_MESSAGE).maxInboundMetadataSize(MAX_METADATA)
                 .maxConcurrentCallsPerConnection(streams)
-                .handshakeTimeout(HANDSHAKE_MOST_S, TimeUnit.SECONDS)
+                .handshakeTimeout(MAX_HANDSHAKE_S, TimeUnit.SECONDS)
                 .maxConnectionIdle(IDLE_MOST_MINUTES, TimeUnit.MINUTES)
                 .addService(ServerInterceptors.intercept(new Service(), new Sender())).build().start();
         return (InetSocketAddress) server.getListenSockets().get(0);
--- a/src/main/java/whinlead/front/http1/ClientConnection.java
+++ b/src/main/java/whinlead/front/http1/ClientConnection.java
@@ -217,7 +217,7 @@
         }
         if (message instanceof HttpContent part) {
             ByteBuf bytes = part.content();
-            if (body.size() + bytes.readableBytes() > HttpAsk.BODY_MOST) {
+            if (body.size() + bytes.readableBytes() > HttpAsk.MAX_BODY) {
                 reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                 return;
             }
--- a/src/main/java/whinlead/front/http1/ClientServer.java
+++ b/src/main/java/whinlead/front/http1/ClientServer.java
@@ -31,19 +31,19 @@
  */
 public final class ClientServer {
     /** A request comes whole within this time, or is answered 408: bad clients are owed a word within 3 s. */
-    private static final double RECEIVE_MOST_MS = 2500;
+    private static final double MAX_RECEIVE_MS = 2500;
     /** A client that does not read its answer for so long is gone. */
-    private static final double WRITE_MOST_MS = 2500;
+    private static final double MAX_WRITE_MS = 2500;
     /** A connection without an open request is closed from then on, when there are many. */
     private static final double IDLE_LONG_MS = 2000;
     /** A request that crosses the closing of its connection is lost; a client asks again sooner or later. */
-    private static final double IDLE_LEAST_MS = 20;
+    private static final double MIN_IDLE_MS = 20;
     /** Of the connections allowed, those that may be new and silent while known ones are closed for them. */
     private static final double UNKNOWN_PART = 0.25;
     /** A good request has come whole long before; one that has not makes room for a new connection. */
-    private static final double SLOW_LEAST_MS = 1000;
+    private static final double MIN_SLOW_MS = 1000;
     /** An idle connection is closed after a minute in any case. */
-    private static final double IDLE_MOST_MS = 60_000;
+    private static final double MAX_IDLE_MS = 60_000;
     /** The share of the connections allowed from which idle ones are many. */
     private static final int MANY_SHARE = 4;
     private static final long SWEEP_MS = 200;
@@ -99,8 +99,8 @@
         this.budget = budget;
         this.places = places;
         this.most = budget.may(Budget.Purpose.CLIENTS);
-        this.gate = new Gate<>(clients, new Admission.Limits(UNKNOWN_PART, IDLE_LONG_MS, IDLE_LEAST_MS,
-                SLOW_LEAST_MS), most);
+        this.gate = new Gate<>(clients, new Admission.Limits(UNKNOWN_PART, IDLE_LONG_MS, MIN_IDLE_MS,
+                MIN_SLOW_MS), most);
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -211,14 +211,14 @@
         for (ClientConnection c : List.copyOf(connections)) {
             double age = now - c.since();
             switch (c.phase()) {
-                case SILENT -> closeIf(c, age > RECEIVE_MOST_MS);
-                case IDLE -> closeIf(c, age > IDLE_MOST_MS);
+                case SILENT -> closeIf(c, age > MAX_RECEIVE_MS);
+                case IDLE -> closeIf(c, age > MAX_IDLE_MS);
                 case RECEIVING -> {
-                    if (age > RECEIVE_MOST_MS) {
+                    if (age > MAX_RECEIVE_MS) {
                         c.tooSlow();
                     }
                 }
-                case ANSWERING, ENDING -> closeIf(c, age > WRITE_MOST_MS);
+                case ANSWERING, ENDING -> closeIf(c, age > MAX_WRITE_MS);
                 case OPEN -> { }
             }
         }
--- a/src/main/java/whinlead/front/http1/DrainTimes.java
+++ b/src/main/java/whinlead/front/http1/DrainTimes.java
@@ -12,7 +12,7 @@
     /** New connections go on coming for up to 400 ms after SIGTERM; the rest is for a late loop. */
     private static final double ACCEPT = 500;
     /** The longest deadline counts as this where it is longer ... */
-    private static final double DEADLINE_MOST = 3000;
+    private static final double MAX_DEADLINE = 3000;
     /** ... and the kill comes so much after that. */
     private static final double KILL_AFTER = 700;
     /**
@@ -32,6 +32,6 @@
 
     /** The earliest kill. */
     static double kill(double longestDeadline) {
-        return Math.min(DEADLINE_MOST, longestDeadline) + KILL_AFTER;
+        return Math.min(MAX_DEADLINE, longestDeadline) + KILL_AFTER;
     }
 }
--- a/src/main/java/whinlead/front/http1/RequestCheck.java
+++ b/src/main/java/whinlead/front/http1/RequestCheck.java
@@ -55,9 +55,9 @@
             HttpHeaderNames.HOST, HttpHeaderNames.CONTENT_LENGTH, HttpHeaderNames.TRANSFER_ENCODING,
             HttpHeaderNames.CONTENT_TYPE);
     /** Longer names than any client has; they are kept and passed on. */
-    private static final int NAME_MOST = 256;
+    private static final int MAX_NAME = 256;
     /** An hour: no client waits longer, and timers far out would only pile up. */
-    private static final double TIMEOUT_MOST_S = 3600;
+    private static final double MAX_TIMEOUT_S = 3600;
     private static final double MILLIS = 1000;
 
     private final List<Contract.RequestClass> classes;
@@ -95,7 +95,7 @@
         require(encoding == null || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding)
                 && request.protocolVersion().minorVersion() > 0);
         require(request.protocolVersion().majorVersion() == 1 && visible(request.uri(), Integer.MAX_VALUE));
-        if (HttpUtil.getContentLength(request, 0L) > HttpAsk.BODY_MOST) {
+        if (HttpUtil.getContentLength(request, 0L) > HttpAsk.MAX_BODY) {
             throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
     }
@@ -108,16 +108,16 @@
         HttpHeaders headers = request.headers();
         String id = headers.get(ID, "");
         Integer k = classIndex.get(headers.get(CLASS, ""));
-        require(k != null && visible(id, NAME_MOST));
+        require(k != null && visible(id, MAX_NAME));
         Contract.RequestClass type = classes.get(k);
         HttpMethod method = type.effect() == Contract.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
         if (!request.method().equals(method)) {
             throw new Rejected(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
         String key = headers.get(KEY);
-        require(key == null ? type.effect() != Contract.Effect.KEYED : visible(key, NAME_MOST));
+        require(key == null ? type.effect() != Contract.Effect.KEYED : visible(key, MAX_NAME));
         String timeout = headers.get(HttpAsk.TIMEOUT);
-        double wait = timeout == null ? type.deadline() : Decimals.parse(timeout, TIMEOUT_MOST_S) * MILLIS;
+        double wait = timeout == null ? type.deadline() : Decimals.parse(timeout, MAX_TIMEOUT_S) * MILLIS;
         require(wait > 0);
         Request ask = new Request(k, tenantIndex.getOrDefault(headers.get(TENANT, ""), -1), wait,
                 "1".equals(headers.get(REPEAT)));
--- a/src/main/java/whinlead/front/spop/SpopConnection.java
+++ b/src/main/java/whinlead/front/spop/SpopConnection.java
@@ -25,9 +25,9 @@
  */
 final class SpopConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final String VERSION = "2.0";
-    private static final int FRAME_LEAST = 256;
+    private static final int MIN_FRAME = 256;
     /** A peer that connects and says nothing. */
-    private static final long HELLO_MOST_S = 5;
+    private static final long MAX_HELLO_S = 5;
 
     // Its arguments are counted and checked as the header form is.
     private static final HeaderNames HEADERS = new HeaderNames();
@@ -38,7 +38,7 @@
     private final boolean room;
     private boolean greeted;
     private boolean ended;
-    private int frameMost = SpopServer.FRAME_MOST;
+    private int frameMost = SpopServer.MAX_FRAME;
     private Future<?> silent;
 
     SpopConnection(Consultations consultations, ConsultRequest.Names names, Peer peer, boolean room) {
@@ -50,7 +50,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        silent = ctx.executor().schedule(() -> ctx.close(), HELLO_MOST_S, TimeUnit.SECONDS);
+        silent = ctx.executor().schedule(() -> ctx.close(), MAX_HELLO_S, TimeUnit.SECONDS);
     }
 
     @Override
@@ -97,10 +97,10 @@
             throw new SpopFrame.Invalid(SpopFrame.Status.NO_FRAME_SIZE, "no frame size");
         }
         double theirs = Decimals.parse(size, Integer.MAX_VALUE);
-        if (!(theirs >= FRAME_LEAST)) {
-            throw new SpopFrame.Invalid(SpopFrame.Status.BAD_FRAME_SIZE, "frame size under " + FRAME_LEAST);
+        if (!(theirs >= MIN_FRAME)) {
+            throw new SpopFrame.Invalid(SpopFrame.Status.BAD_FRAME_SIZE, "frame size under " + MIN_FRAME);
         }
-        frameMost = (int) Math.min(theirs, SpopServer.FRAME_MOST);
+        frameMost = (int) Math.min(theirs, SpopServer.MAX_FRAME);
         greeted = true;
         silent.cancel(false);
         ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.AGENT_HELLO, 0, 0);
@@ -193,7 +193,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof TooLongFrameException && !ended) {
-            disconnect(ctx, SpopFrame.Status.TOO_BIG, "a frame over " + SpopServer.FRAME_MOST + " bytes");
+            disconnect(ctx, SpopFrame.Status.TOO_BIG, "a frame over " + SpopServer.MAX_FRAME + " bytes");
         } else {
             ctx.close();
         }
--- a/src/main/java/whinlead/front/spop/SpopServer.java
+++ b/src/main/java/whinlead/front/spop/SpopServer.java
@@ -21,7 +21,7 @@
  */
 public final class SpopServer {
     /** What HAProxy's buffers of 16 KiB allow. */
-    static final int FRAME_MOST = 16_380;
+    static final int MAX_FRAME = 16_380;
 
     private final EventLoop loop;
     private final Class<? extends ServerChannel> channels;
@@ -66,7 +66,7 @@
             peers.left(from);
         });
         channel.pipeline().addLast(
-                new LengthFieldBasedFrameDecoder(FRAME_MOST + Integer.BYTES, 0, Integer.BYTES, 0,
+                new LengthFieldBasedFrameDecoder(MAX_FRAME + Integer.BYTES, 0, Integer.BYTES, 0,
                 Integer.BYTES),
                 new SpopConnection(consultations, names, peer, open <= most));
     }
--- a/src/main/java/whinlead/http/Decimals.java
+++ b/src/main/java/whinlead/http/Decimals.java
@@ -7,7 +7,7 @@
  */
 public final class Decimals {
     /** Digits before the point, and after it; a long holds each. */
-    private static final int DIGITS_MOST = 12;
+    private static final int MAX_DIGITS = 12;
     private static final long THOUSAND = 1000;
 
     private Decimals() { }
@@ -27,7 +27,7 @@
 
     // The number that these characters are; negative if they are not so many digits.
     private static long digits(String text, int from, int to) {
-        if (to <= from || to - from > DIGITS_MOST) {
+        if (to <= from || to - from > MAX_DIGITS) {
             return -1;
         }
         long value = 0;
--- a/src/main/java/whinlead/http/HttpAsk.java
+++ b/src/main/java/whinlead/http/HttpAsk.java
@@ -19,7 +19,7 @@
     /** The time that the sender waits, in seconds. */
     public static final AsciiString TIMEOUT = AsciiString.cached("Request-Timeout");
     /** Bytes of a body, of a request or an answer; the platform's are far smaller. */
-    public static final int BODY_MOST = 64 * 1024;
+    public static final int MAX_BODY = 64 * 1024;
 
     /**
      * The request for one attempt.
--- a/src/main/java/whinlead/membership/Discovery.java
+++ b/src/main/java/whinlead/membership/Discovery.java
@@ -42,9 +42,9 @@
     /** An empty line is due every 2 s; a watch silent for longer than two of them is broken. */
     private static final long SILENT_MS = 5000;
     /** A whole list of some thousand endpoints is still one line. */
-    private static final int LINE_MOST = 1 << 20;
+    private static final int MAX_LINE = 1 << 20;
     private static final double BACKOFF_FIRST_MS = 100;
-    private static final double BACKOFF_MOST_MS = 4000;
+    private static final double MAX_BACKOFF_MS = 4000;
 
     private final EventLoop loop;
     private final ObjectMapper mapper;
@@ -83,7 +83,7 @@
             @Override
             protected void initChannel(SocketChannel channel) {
                 channel.pipeline().addLast(new ReadTimeoutHandler(SILENT_MS, TimeUnit.MILLISECONDS),
-                        new HttpClientCodec(), call, new LineBasedFrameDecoder(LINE_MOST), new Lines(call));
+                        new HttpClientCodec(), call, new LineBasedFrameDecoder(MAX_LINE), new Lines(call));
             }
         }).connect(address);
         call.channel = connecting.channel();
@@ -121,7 +121,7 @@
         current = null;
         if (pushed) {
             double wait = backoff * (0.5 + random.nextDouble());
-            backoff = Math.min(BACKOFF_MOST_MS, backoff * 2);
+            backoff = Math.min(MAX_BACKOFF_MS, backoff * 2);
             loop.schedule(this::watch, (long) wait, TimeUnit.MILLISECONDS);
         } else {
             membership.outOfReach();
--- a/src/main/java/whinlead/membership/EndpointList.java
+++ b/src/main/java/whinlead/membership/EndpointList.java
@@ -23,7 +23,7 @@
         }
     }
 
-    private static final int PORT_MOST = 65535;
+    private static final int MAX_PORT = 65535;
 
     /**
      * Reads discovery's form. One bad entry makes the whole list bad: half a list would lose a drain unseen.
@@ -89,7 +89,7 @@
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (port < 0 || port > PORT_MOST) {
+            if (port < 0 || port > MAX_PORT) {
                 throw new IllegalArgumentException("'" + text + "' has no such port");
             }
             return new InetSocketAddress(InetAddress.getByAddress(ip), port);
--- a/src/main/java/whinlead/membership/Roster.java
+++ b/src/main/java/whinlead/membership/Roster.java
@@ -11,7 +11,7 @@
  */
 public final class Roster {
     /** The most endpoints known at once; more is a source gone wrong, and each costs memory. */
-    public static final int ENDPOINTS_MOST = 10_000;
+    public static final int MAX_ENDPOINTS = 10_000;
     /**
      * So many lists in a row of a version before the last one: the source counts anew, as after a restart
      * with nothing kept. One alone may be late, or of a replica that lags, and would bring back what is gone.
@@ -67,8 +67,8 @@
             }
             known += (here.contains(id) ? 1 : 0) - (!list.whole() && ids.contains(id) ? 1 : 0);
         }
-        if (known > ENDPOINTS_MOST) {
-            return "more than " + ENDPOINTS_MOST + " endpoints";
+        if (known > MAX_ENDPOINTS) {
+            return "more than " + MAX_ENDPOINTS + " endpoints";
         }
         if (list.whole()) {
             ids.clear();
--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -40,7 +40,7 @@
     /** How often a control node without a vote asks for one, in milliseconds. */
     private static final double JOIN_INTERVAL = 250;
     /** How often it asks at most, as what it has on disk gets newer, in milliseconds. */
-    private static final double JOIN_INTERVAL_LEAST = 100;
+    private static final double MIN_JOIN_INTERVAL = 100;
 
     private final String self;
     private final Acceptor acceptor;
@@ -129,7 +129,7 @@
             storedSlot = slot;
             if (!isVoter()) {
                 // What it waited for to ask for a vote.
-                joinAt = Math.min(joinAt, Math.max(now, joinedAt + JOIN_INTERVAL_LEAST));
+                joinAt = Math.min(joinAt, Math.max(now, joinedAt + MIN_JOIN_INTERVAL));
             }
         }
     }
--- a/src/main/java/whinlead/mesh/consensus/ConsensusRound.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusRound.java
@@ -14,7 +14,7 @@
 
     /** A wait after a ballot that was outbid: doubled each time up to the most. */
     private static final double BACKOFF = 8;
-    private static final double BACKOFF_MOST = 250;
+    private static final double MAX_BACKOFF = 250;
 
     private final String proposerName;
     private final SplittableRandom random;
@@ -100,7 +100,7 @@
                 proposer = null;
                 number = Math.max(number, current.higher().round());
                 resumeAt = now + backoff * (0.5 + random.nextDouble());
-                backoff = Math.min(BACKOFF_MOST, backoff * 2);
+                backoff = Math.min(MAX_BACKOFF, backoff * 2);
                 return Progress.OUTBID;
             }
             default -> {
--- a/src/main/java/whinlead/mesh/consensus/Decision.java
+++ b/src/main/java/whinlead/mesh/consensus/Decision.java
@@ -14,7 +14,7 @@
  */
 public record Decision(long slot, long version, byte[] body, List<Taken> taken, List<String> voters) {
     /** How many versions are remembered; of one before them nobody can tell any more whether it was taken. */
-    public static final int TAKEN_MOST = 256;
+    public static final int MAX_TAKEN = 256;
 
     /** A version and the digest of what was sent under it. */
     public record Taken(long version, String digest) { }
@@ -35,7 +35,7 @@
         List<Taken> list = new ArrayList<>(taken);
         list.add(new Taken(newVersion, digest));
         return new Decision(slot + 1, newVersion, newBody,
-                list.subList(Math.max(0, list.size() - TAKEN_MOST), list.size()), voters);
+                list.subList(Math.max(0, list.size() - MAX_TAKEN), list.size()), voters);
     }
 
     /** The next one, with other voters. */
@@ -50,7 +50,7 @@
 
     /** Whether what is not {@link #taken} under this version surely never was: versions only rise. */
     public boolean remembers(long aVersion) {
-        return taken.size() < TAKEN_MOST || aVersion >= taken.get(0).version();
+        return taken.size() < MAX_TAKEN || aVersion >= taken.get(0).version();
     }
 
     /** Without what only those that decide need. */
--- a/src/main/java/whinlead/mesh/consensus/Membership.java
+++ b/src/main/java/whinlead/mesh/consensus/Membership.java
@@ -10,7 +10,7 @@
  */
 final class Membership {
     /** So many voters are not made fewer: two would keep what is agreed on no third disk. */
-    private static final int VOTERS_LEAST = 3;
+    private static final int MIN_VOTERS = 3;
     /** A voter whose answered question left so many milliseconds ago may be out of reach now. */
     private static final double CONTACT_LIMIT = 1000;
 
@@ -121,7 +121,7 @@
     }
 
     private boolean mayShrink(Decision decided) {
-        return decided.voters().size() > VOTERS_LEAST;
+        return decided.voters().size() > MIN_VOTERS;
     }
 
     private boolean allReached(double now, Decision decided) {
--- a/src/main/java/whinlead/mesh/control/ConfigCodec.java
+++ b/src/main/java/whinlead/mesh/control/ConfigCodec.java
@@ -13,7 +13,7 @@
 /** Configurations as they are kept and sent: deflated, for links are narrow and routes alike. For any thread. */
 public final class ConfigCodec {
     /** The largest configuration, in bytes. */
-    private static final int MOST = 16 << 20;
+    private static final int MAX_BYTES = 16 << 20;
     /** Of a digest, what is kept. */
     private static final int DIGEST_BYTES = 16;
 
@@ -37,9 +37,9 @@
      */
     public static byte[] inflate(byte[] body) throws IOException {
         try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(body))) {
-            byte[] all = in.readNBytes(MOST);
+            byte[] all = in.readNBytes(MAX_BYTES);
             if (in.read() >= 0) {
-                throw new IOException("a configuration over " + MOST + " bytes");
+                throw new IOException("a configuration over " + MAX_BYTES + " bytes");
             }
             return all;
         }
--- a/src/main/java/whinlead/mesh/control/ControlNode.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -64,7 +64,7 @@
     private static final double END_S = 0.8;
     private static final double NANOS = 1e6;
     /** Control nodes that are known at most, present and past. */
-    private static final int CONTROL_NODES_MOST = 16;
+    private static final int MAX_CONTROL_NODES = 16;
     private static final int LATER = 503;
     private static final int CONFLICT = 412;
     private static final int BAD = 400;
@@ -251,12 +251,12 @@
         if (ip.isEmpty() || ip.equals(nodeSettings.self().ip()) || controlNodes.containsKey(ip)) {
             return;
         }
-        if (controlNodes.size() >= CONTROL_NODES_MOST) {
+        if (controlNodes.size() >= MAX_CONTROL_NODES) {
             controlNodes.entrySet().stream().filter(e -> !e.getValue().up()).findFirst().ifPresent(e -> {
                 controlNodes.remove(e.getKey());
                 e.getValue().close();
             });
-            if (controlNodes.size() >= CONTROL_NODES_MOST) {
+            if (controlNodes.size() >= MAX_CONTROL_NODES) {
                 return;
             }
         }
--- a/src/main/java/whinlead/mesh/control/StateWriter.java
+++ b/src/main/java/whinlead/mesh/control/StateWriter.java
@@ -18,7 +18,7 @@
     /** Between two tries of a disk that refuses, unless there is a later memory, in milliseconds. */
     static final long PAUSE_MS = 250;
     /** What may wait for a disk that stalls; the oldest beyond are dropped, as messages lost on the way. */
-    static final int WAITING_MOST = 1000;
+    static final int MAX_WAITING = 1000;
     private static final double NANOS = 1e6;
 
     /** Where it writes: a state store. */
@@ -74,7 +74,7 @@
     void write(byte[] memory, Runnable then) {
         synchronized (lock) {
             newest = memory;
-            if (waiting.size() >= WAITING_MOST) {
+            if (waiting.size() >= MAX_WAITING) {
                 waiting.remove();
             }
             waiting.add(then);
--- a/src/main/java/whinlead/mesh/quota/DemandTotals.java
+++ b/src/main/java/whinlead/mesh/quota/DemandTotals.java
@@ -18,10 +18,10 @@
     /** What a sidecar said counts for so long. */
     private static final double STANDS = 3000;
     /** Sidecars and, of each, tenants that are kept at most. */
-    private static final int NODES_MOST = 4096;
-    private static final int TENANTS_MOST = 1024;
+    private static final int MAX_NODES = 4096;
+    private static final int MAX_TENANTS = 1024;
     /** Up to so many tenants, all are told: one that is asked for elsewhere must not be taken for idle. */
-    private static final int ALL_MOST = 256;
+    private static final int MAX_ALL = 256;
 
     private record Said(double at, List<TenantDemand> uses) { }
 
@@ -42,8 +42,8 @@
                 count(s, -1);
             }
         }
-        if (said.size() < NODES_MOST || said.containsKey(node)) {
-            Said s = new Said(now, List.copyOf(uses.subList(0, Math.min(uses.size(), TENANTS_MOST))));
+        if (said.size() < MAX_NODES || said.containsKey(node)) {
+            Said s = new Said(now, List.copyOf(uses.subList(0, Math.min(uses.size(), MAX_TENANTS))));
             Said before = said.put(node, s);
             if (before != null) {
                 count(before, -1);
@@ -79,7 +79,7 @@
         own.uses().forEach(u -> named.add(u.tenant()));
         List<TenantDemand> list = new ArrayList<>();
         totals.forEach((tenant, t) -> {
-            if (totals.size() <= ALL_MOST || named.contains(tenant)) {
+            if (totals.size() <= MAX_ALL || named.contains(tenant)) {
                 list.add(new TenantDemand(tenant, Math.max(0, t.perSecond)));
             }
         });
--- a/src/main/java/whinlead/mesh/quota/TenantQuota.java
+++ b/src/main/java/whinlead/mesh/quota/TenantQuota.java
@@ -29,7 +29,7 @@
     /** The time over which what is asked for is averaged. */
     private static final double AVERAGE = 1500;
     /** Tenants that are counted at most; beyond, the longest unused goes. */
-    private static final int MOST = 4096;
+    private static final int MAX_TENANTS = 4096;
     /** Of the limit, what goes to where the requests are; the rest is for those who have none yet. */
     private static final double FOLLOWS = 0.9;
     /** Old sums still tell where the requests are for so long. */
@@ -38,11 +38,11 @@
     private static final double CALM = 0.25;
     /** What a calm tenant may overdraw its bucket by: so many seconds of the bucket's rate, and at least. */
     private static final double OVERDRAFT_S = 0.2;
-    private static final double OVERDRAFT_LEAST = 2;
+    private static final double MIN_OVERDRAFT = 2;
     /** All debts of a tenant together: what it may ask for in so many seconds, less the rules' slack. */
     private static final double DEBT_S = 9;
     /** Less than this many requests a second is not worth telling. */
-    private static final double TOLD_LEAST = 0.02;
+    private static final double MIN_TOLD = 0.02;
 
     private static final class Bucket {
         private double tokens;
@@ -65,7 +65,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Bucket> eldest) {
-            return size() > MOST;
+            return size() > MAX_TENANTS;
         }
     }
 
@@ -103,7 +103,7 @@
         Map<String, Double> now1 = new HashMap<>();
         buckets.forEach((tenant, b) -> {
             double asked = b.asked(now);
-            if (asked > TOLD_LEAST) {
+            if (asked > MIN_TOLD) {
                 uses.add(new TenantDemand(tenant, asked));
                 now1.put(tenant, asked);
             }
@@ -148,7 +148,7 @@
         b.tokens = Math.min(age > STALE ? Math.max(1, most) : most, b.tokens + (now - b.at) * rate);
         b.at = now;
         boolean calm = age < FRESH && total < ratePerS + slack / windowS * CALM;
-        double overdraft = calm ? Math.max(OVERDRAFT_LEAST, OVERDRAFT_S * (ratePerS + slack) * share) : 0;
+        double overdraft = calm ? Math.max(MIN_OVERDRAFT, OVERDRAFT_S * (ratePerS + slack) * share) : 0;
         if (b.tokens - 1 >= -overdraft) {
             // A small tenant's debts need not be kept whole: the rules' slack covers them.
             double debt = calm ? share * Math.max(0, ratePerS * DEBT_S - slack) : 0;
--- a/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
@@ -13,7 +13,7 @@
  */
 public final class EndpointRegistry {
     /** Beyond so many nodes learners are left out: a peer's fault must not fill the memory. */
-    public static final int MOST = 4096;
+    public static final int MAX_NODES = 4096;
     private final Map<String, EndpointRecord> records = new LinkedHashMap<>();
     /** By service and then by node: endpoint records of sidecars that have not gone and that have an endpoint. */
     private final Map<String, Map<String, EndpointRecord>> endpoints = new HashMap<>();
@@ -22,7 +22,7 @@
     /** Takes an endpoint record in; true if it is news. */
     public boolean merge(EndpointRecord record) {
         EndpointRecord known = records.get(record.node());
-        if (known == null && records.size() >= MOST || !record.newerThan(known)) {
+        if (known == null && records.size() >= MAX_NODES || !record.newerThan(known)) {
             return false;
         }
         records.put(record.node(), record);
--- a/src/main/java/whinlead/mesh/rpc/RpcConnection.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcConnection.java
@@ -25,14 +25,14 @@
 /**
  * One caller's connection: reads whole calls and writes their answers in the order of the calls, whatever
  * order they come in (HTTP/1.1 pipelining). Reading stops while {@link #UNDER_WAY} calls, or bodies of
- * {@link #BODY_MOST} bytes, wait for their answers; it needs a flow control handler in front for that. On the
+ * {@link #MAX_BODY} bytes, wait for their answers; it needs a flow control handler in front for that. On the
  * loop's thread; answers may come from any.
  */
 final class RpcConnection extends ChannelInboundHandlerAdapter {
     /** Calls of one connection that are under way at a time. */
     static final int UNDER_WAY = 16;
     /** The largest body that is read, in bytes. */
-    static final int BODY_MOST = 8 << 20;
+    static final int MAX_BODY = 8 << 20;
     private static final int BAD = 400;
     private static final int TOO_LARGE = 413;
 
@@ -106,7 +106,7 @@
     private void begin(HttpRequest r) {
         head = r;
         body = Unpooled.buffer(0);
-        tooLarge = HttpUtil.getContentLength(r, 0L) > BODY_MOST;
+        tooLarge = HttpUtil.getContentLength(r, 0L) > MAX_BODY;
         awaitsContinue = HttpUtil.is100ContinueExpected(r);
         if (tooLarge && awaitsContinue) {
             refuse(TOO_LARGE, "the body is too large");
@@ -125,7 +125,7 @@
     }
 
     private void more(HttpContent c) {
-        tooLarge |= body.readableBytes() + (long) c.content().readableBytes() > BODY_MOST;
+        tooLarge |= body.readableBytes() + (long) c.content().readableBytes() > MAX_BODY;
         if (!tooLarge) {
             body.writeBytes(c.content());
         }
@@ -193,7 +193,7 @@
     }
 
     private void reading() {
-        boolean want = turns.size() < UNDER_WAY && bytesUnderWay < BODY_MOST;
+        boolean want = turns.size() < UNDER_WAY && bytesUnderWay < MAX_BODY;
         if (want != channel.config().isAutoRead()) {
             channel.config().setAutoRead(want);
         }
--- a/src/main/java/whinlead/mesh/settings/NodeSettings.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettings.java
@@ -51,15 +51,15 @@
      */
     public record Network(@JsonProperty("Bind") Bind bind, @JsonProperty("PortRange") List<Integer> portRange,
             @JsonProperty("Seeds") List<String> seeds) {
-        private static final int PORT_MOST = 65535;
+        private static final int MAX_PORT = 65535;
 
         /** Checks the ports and that there is someone to ask. */
         public Network {
             present(bind, "Network.Bind");
             present(seeds, "Network.Seeds");
             if (portRange == null || portRange.size() != 2 || portRange.get(0) < 1
-                    || portRange.get(1) < portRange.get(0) || portRange.get(1) > PORT_MOST) {
-                throw new NodeSettingsException("Network.PortRange is not FIRST,LAST within 1 to " + PORT_MOST);
+                    || portRange.get(1) < portRange.get(0) || portRange.get(1) > MAX_PORT) {
+                throw new NodeSettingsException("Network.PortRange is not FIRST,LAST within 1 to " + MAX_PORT);
             }
         }
 
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -35,7 +35,7 @@
     private static final ReconnectingConnection.Timeouts PACE = new ReconnectingConnection.Timeouts(300, 900, 3000, 150);
     /** Until another control node is asked for what one has not sent, in milliseconds. */
     private static final double FETCH_MS = 500;
-    private static final int CONTROL_NODES_MOST = 16;
+    private static final int MAX_CONTROL_NODES = 16;
     /** The same for a control node that could confirm what another has sent, where nothing is in force yet. */
     private static final double CONFIRM_MS = 200;
     /** Without a control node in reach, or one that confirms, another sidecar is asked for control nodes so often. */
@@ -143,11 +143,11 @@
         if (ip.isEmpty() || controlNodes.containsKey(ip)) {
             return;
         }
-        if (controlNodes.size() >= CONTROL_NODES_MOST) {
+        if (controlNodes.size() >= MAX_CONTROL_NODES) {
             controlNodes.entrySet().stream().filter(e -> !e.getValue().up()).findFirst()
                     .ifPresent(e -> drop(e.getKey()));
         }
-        if (controlNodes.size() >= CONTROL_NODES_MOST) {
+        if (controlNodes.size() >= MAX_CONTROL_NODES) {
             return;
         }
         ReconnectingConnection connection = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, nodeSettings.network().talkPort())), hello,
--- a/src/main/java/whinlead/mesh/sidecar/EgressListener.java
+++ b/src/main/java/whinlead/mesh/sidecar/EgressListener.java
@@ -32,7 +32,7 @@
  */
 final class EgressListener implements ClientConnection.Taker {
     /** Bodies that are held at a time, in bytes; beyond, clients are told to come back. */
-    private static final long HOLD_MOST = 40L << 20;
+    private static final long MAX_HOLD = 40L << 20;
     private static final MeshConfig.Limits FIRST = new MeshConfig.Limits(16384, 64 << 20, 3, 15);
     private static final int UNKNOWN_KEY = 401;
     private static final int NO_ROUTE = 404;
@@ -138,7 +138,7 @@
 
     @Override
     public boolean hold(int bytes) {
-        if (held + bytes > HOLD_MOST) {
+        if (held + bytes > MAX_HOLD) {
             return false;
         }
         held += bytes;
--- a/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
@@ -44,7 +44,7 @@
  */
 public final class EndpointConnections {
     /** The largest answer that is held, in bytes. */
-    private static final int ANSWER_MOST = 16 << 20;
+    private static final int MAX_ANSWER = 16 << 20;
     private static final int CONNECT_MS = 800;
     /** Taken off what the endpoint is told: for its answer's way back. */
     private static final int BACK_MS = 15;
@@ -302,7 +302,7 @@
         }
 
         private void more(HttpContent c) {
-            if (body.readableBytes() + c.content().readableBytes() > ANSWER_MOST) {
+            if (body.readableBytes() + c.content().readableBytes() > MAX_ANSWER) {
                 spoilt(PeerMessage.FailureReason.BROKEN);
                 return;
             }
--- a/src/main/java/whinlead/mesh/sidecar/Readiness.java
+++ b/src/main/java/whinlead/mesh/sidecar/Readiness.java
@@ -22,7 +22,7 @@
 /** Tells the platform whether this sidecar takes clients. On its loop's thread. */
 final class Readiness {
     private static final String PATH = "/whinlead/readiness";
-    private static final int MOST = 4096;
+    private static final int MAX_REQUEST_BYTES = 4096;
 
     private final EventLoop loop;
     private final BooleanSupplier ready;
@@ -37,7 +37,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST),
+                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
                                 new Asked());
                     }
                 }).bind(address);
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -24,7 +24,7 @@
 public final class ServiceBalancer {
     /** The module may try so many endpoints; what truly arrives is bounded by the route and the budget. */
     private static final int ATTEMPTS = 4;
-    private static final double RETRY_AFTER_MOST = 2000;
+    private static final double MAX_RETRY_AFTER = 2000;
     /** A cold endpoint is taken to do this part of what a warm one does, for so long. */
     private static final double COLD_SHARE = 0.5;
     private static final double COLD_MS = 3000;
@@ -62,7 +62,7 @@
     /** What the module of a service starts from, at one of so many sidecars. */
     public static Contract.Settings settings(RequestClasses classes, double drainS, int sidecars) {
         return new Contract.Settings(classes.all(), List.of(), 1,
-                new Contract.Limits(ATTEMPTS, false, false, false, false, true, RETRY_AFTER_MOST, 1),
+                new Contract.Limits(ATTEMPTS, false, false, false, false, true, MAX_RETRY_AFTER, 1),
                 new Contract.Obligations(drainS * 1000, FALL_MULTIPLE, COLD_MS, COLD_SHARE, COLD_MS, COLD_MS),
                 Contract.Reporting.WITH_ANSWERS, false, Math.max(1, sidecars), 0);
     }
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -46,7 +46,7 @@
     /** How often the control nodes are told what is asked for here, in milliseconds. */
     private static final double USES_MS = 350;
     /** Services that modules are kept for. */
-    private static final int BALANCERS_MOST = 256;
+    private static final int MAX_BALANCERS = 256;
     private static final int BACKLOG = 512;
     private static final int NONE = 404;
     private static final double NANOS_IN_MILLI = 1e6;
@@ -206,8 +206,8 @@
         Map<String, ServiceBalancer> kind = large ? largeBalancers : balancers;
         ServiceBalancer known = kind.get(target);
         if (known == null) {
-            if (kind.size() >= BALANCERS_MOST) {
-                throw new IllegalStateException("over " + BALANCERS_MOST + " services");
+            if (kind.size() >= MAX_BALANCERS) {
+                throw new IllegalStateException("over " + MAX_BALANCERS + " services");
             }
             NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
             RetryBudget paid = retryBudgets.computeIfAbsent(target,
@@ -279,7 +279,7 @@
             Event.READY.log(node);
         }
         // Ahead of the first request: a new module and its endpoints take a moment.
-        routing.config().services().keySet().stream().limit(BALANCERS_MOST).forEach(s -> balancer(s, false));
+        routing.config().services().keySet().stream().limit(MAX_BALANCERS).forEach(s -> balancer(s, false));
     }
 
     private void say(boolean changed) {
--- a/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
+++ b/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
@@ -18,7 +18,7 @@
     /** How long an idle balancer sleeps at most. */
     static final double SLEEP_MS = 2000;
     /** A shorter sleep would not be told apart from a period. */
-    private static final double SLEEP_LEAST_MS = SLEEP_MS / 2;
+    private static final double MIN_SLEEP_MS = SLEEP_MS / 2;
     /** By how much a timer may seem early, for clocks round. */
     private static final double ROUNDING_MS = 0.01;
 
@@ -139,7 +139,7 @@
     // At a multiple of the sleep, which is the same moment for all balancers of this process.
     private void sleep(double now) {
         if (sleepEndsAt == Double.POSITIVE_INFINITY) {
-            sleepEndsAt = Math.ceil((now + SLEEP_LEAST_MS) / SLEEP_MS) * SLEEP_MS;
+            sleepEndsAt = Math.ceil((now + MIN_SLEEP_MS) / SLEEP_MS) * SLEEP_MS;
             timers.wake(sleepEndsAt);
         }
     }
--- a/src/main/java/whinlead/mesh/wire/FieldCodec.java
+++ b/src/main/java/whinlead/mesh/wire/FieldCodec.java
@@ -12,7 +12,7 @@
 /** How the values are written and read that messages of several kinds hold. For any thread. */
 final class FieldCodec {
     /** Lists longer than this are no message of ours. */
-    private static final int LIST_MOST = 1 << 16;
+    private static final int MAX_LIST = 1 << 16;
     private static final EndpointRecord.Phase[] PHASES = EndpointRecord.Phase.values();
 
     private FieldCodec() { }
@@ -83,7 +83,7 @@
     }
 
     static int size(int n) throws IOException {
-        if (n < 0 || n > LIST_MOST) {
+        if (n < 0 || n > MAX_LIST) {
             throw new IOException("a list of " + n);
         }
         return n;
--- a/src/main/java/whinlead/mesh/wire/PeerConnection.java
+++ b/src/main/java/whinlead/mesh/wire/PeerConnection.java
@@ -18,7 +18,7 @@
  */
 public final class PeerConnection {
     /** The longest message: a request's body at most, and what goes around it. */
-    public static final int MESSAGE_MOST = 24 << 20;
+    public static final int MAX_MESSAGE_BYTES = 24 << 20;
     private static final int LENGTH_BYTES = 4;
 
     /** Hears what comes. */
@@ -49,7 +49,7 @@
             @Override
             protected void initChannel(Channel ch) {
                 ch.config().setOption(ChannelOption.TCP_NODELAY, true);
-                ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(MESSAGE_MOST, 0, LENGTH_BYTES, 0,
+                ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0,
                         LENGTH_BYTES), new Reader(ear));
             }
         };
--- a/src/main/java/whinlead/mesh/wire/TransitClock.java
+++ b/src/main/java/whinlead/mesh/wire/TransitClock.java
@@ -19,7 +19,7 @@
     /** How long a least difference is remembered, at least. */
     static final double WINDOW_MS = 10_000;
     /** What a silence adds to the window's age, at most; connections at rest are pinged more often. */
-    static final double SILENCE_MOST_MS = 2000;
+    static final double MAX_SILENCE_MS = 2000;
     private static final double MICROS = 1000;
 
     private double least = Double.POSITIVE_INFINITY;
@@ -62,7 +62,7 @@
         if (Double.isNaN(arrivedAt)) {
             firstArrivalAt = now;
         } else {
-            age += Math.min(now - arrivedAt, SILENCE_MOST_MS);
+            age += Math.min(now - arrivedAt, MAX_SILENCE_MS);
         }
         arrivedAt = now;
         if (age >= WINDOW_MS) {
--- a/src/main/java/whinlead/mesh/wire/VersionEvents.java
+++ b/src/main/java/whinlead/mesh/wire/VersionEvents.java
@@ -12,7 +12,7 @@
     /** The events of this process. */
     static final VersionEvents PROCESS = new VersionEvents();
     /** Things that are logged; what comes after them is passed over in silence. */
-    static final int LOGGED_MOST = 64;
+    static final int MAX_LOGGED = 64;
 
     private final Set<String> logged = ConcurrentHashMap.newKeySet();
 
@@ -32,7 +32,7 @@
     }
 
     private void once(Event event, String detail) {
-        if (logged.size() < LOGGED_MOST && logged.add(event + detail)) {
+        if (logged.size() < MAX_LOGGED && logged.add(event + detail)) {
             event.log(detail);
         }
     }
--- a/src/main/java/whinlead/replication/GroupRoute.java
+++ b/src/main/java/whinlead/replication/GroupRoute.java
@@ -29,7 +29,7 @@
     /** A member that hears of a question has asked its leader and answered by then, on half a core too. */
     private static final double PATIENCE_MS = 150;
     /** Questions without an answer; the oldest are forgotten, for they have been asked again since. */
-    private static final int OPEN_MOST = 10_000;
+    private static final int MAX_OPEN = 10_000;
 
     private record Question(String to, Consumer<Reply> answer) { }
 
@@ -73,7 +73,7 @@
         if (Double.isNaN(owes)) {
             owes = now;
         }
-        if (open.size() >= OPEN_MOST) {
+        if (open.size() >= MAX_OPEN) {
             open.remove(open.keySet().iterator().next());
         }
         open.put(++lastToken, new Question(to, answer));
--- a/src/main/java/whinlead/replication/ReplicatedState.java
+++ b/src/main/java/whinlead/replication/ReplicatedState.java
@@ -38,7 +38,7 @@
     }
 
     /** So many attempts at one request, those taken back included; beyond them it is turned away. */
-    public static final int ATTEMPTS_MOST = 16;
+    public static final int MAX_ATTEMPTS = 16;
     /**
      * Of the requests that it holds, one in so many may be there because it was refused: an overload, which
      * is when most are, must not fill it and so keep the rest from going out.
@@ -237,7 +237,7 @@
                 return new Reply.Full();
             }
             r = open(c.id(), c.caller(), c.guard(), c.left());
-        } else if (r.attempts.size() >= ATTEMPTS_MOST) {
+        } else if (r.attempts.size() >= MAX_ATTEMPTS) {
             return new Reply.Full();
         }
         return new Reply.Granted(r.add(c.attempt(), false));
@@ -268,7 +268,7 @@
         int at = r.attempts.indexOf(c.attempt());
         if (at >= 0) {
             r.known.set(at, true);
-        } else if (r.attempts.size() < ATTEMPTS_MOST) {
+        } else if (r.attempts.size() < MAX_ATTEMPTS) {
             r.add(c.attempt(), true);
         }
     }
--- a/src/main/java/whinlead/replication/disk/DiskLog.java
+++ b/src/main/java/whinlead/replication/disk/DiskLog.java
@@ -41,7 +41,7 @@
 public final class DiskLog implements MemberDisk, Closeable {
     private static final int VERSION = 1;
     /** A file is written anew when it is over this and four times as long as when that was last done. */
-    private static final long LEAST_ANEW = 1 << 20;
+    private static final long MIN_ANEW = 1 << 20;
     private static final int GROWTH = 4;
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
@@ -172,7 +172,7 @@
         }
         int length = all.getInt();
         int sum = all.getInt();
-        if (length <= 0 || length > RecordWriter.RECORD_MOST || length > all.remaining()) {
+        if (length <= 0 || length > RecordWriter.MAX_RECORD || length > all.remaining()) {
             return null;
         }
         ByteBuffer bytes = all.slice(all.position(), length);
@@ -305,7 +305,7 @@
 
     @Override
     public void shortened(LogMirror held) throws IOException {
-        if (writer.size() > Math.max(LEAST_ANEW, GROWTH * sizeAnew)) {
+        if (writer.size() > Math.max(MIN_ANEW, GROWTH * sizeAnew)) {
             guarded(() -> writeAnew(held));
         }
     }
--- a/src/main/java/whinlead/replication/disk/RecordWriter.java
+++ b/src/main/java/whinlead/replication/disk/RecordWriter.java
@@ -20,7 +20,7 @@
     /** Before each record: its length and its checksum. */
     static final int FRAME = 2 * Integer.BYTES;
     /** A longer record is none: a piece of a snapshot, the longest there is, has a thousand requests. */
-    static final int RECORD_MOST = 16 << 20;
+    static final int MAX_RECORD = 16 << 20;
     private static final int BUFFER = 64 << 10;
 
     private final FileChannel file;
@@ -39,7 +39,7 @@
 
     void write(Wire.Record record) throws IOException {
         byte[] bytes = record.toByteArray();
-        if (bytes.length > RECORD_MOST) {
+        if (bytes.length > MAX_RECORD) {
             throw new IOException("a record of " + bytes.length + " bytes");
         }
         CRC32C sum = new CRC32C();
--- a/src/main/java/whinlead/replication/net/GroupLink.java
+++ b/src/main/java/whinlead/replication/net/GroupLink.java
@@ -36,7 +36,7 @@
  */
 public final class GroupLink {
     /** A full batch of entries, or a piece of a snapshot, is far smaller. */
-    private static final int MESSAGE_MOST = 8 << 20;
+    private static final int MAX_MESSAGE = 8 << 20;
     /** From each member one, and as many while they are opened again, and an operator's. */
     private static final int CONNECTIONS_EACH = 3;
 
@@ -89,7 +89,7 @@
                 .workerEventLoopGroup(loop)
                 .channelFactory(() -> new BoundedListener(CONNECTIONS_EACH * close.size()
                 + processes.size() + CONNECTIONS_EACH))
-                .executor(onLoop).maxInboundMessageSize(MESSAGE_MOST).addService(new Service()).build();
+                .executor(onLoop).maxInboundMessageSize(MAX_MESSAGE).addService(new Service()).build();
         server.start();
     }
 
@@ -102,7 +102,7 @@
     private Line line(String other) {
         return lines.computeIfAbsent(other, to -> new Line(NettyChannelBuilder.forAddress(processes.get(to))
                 .eventLoopGroup(loop).channelType(NioSocketChannel.class).usePlaintext().executor(onLoop)
-                .offloadExecutor(onLoop).maxInboundMessageSize(MESSAGE_MOST).build(), timers,
+                .offloadExecutor(onLoop).maxInboundMessageSize(MAX_MESSAGE).build(), timers,
                 close.contains(to),
                 () -> frame().setPing(1).build(), this::received, () -> host.down(to)));
     }
--- a/src/main/java/whinlead/replication/net/Line.java
+++ b/src/main/java/whinlead/replication/net/Line.java
@@ -19,7 +19,7 @@
     private static final double PING_EVERY_MS = 300;
     private static final double SILENCE_MS = 1000;
     /** What waits for a line that does not take it; more is lost. */
-    private static final long WAITING_MOST = 4L << 20;
+    private static final long MAX_WAITING = 4L << 20;
 
     /** Nothing was said for so long: a line that need not be up is let go. */
     private static final double QUIET_MS = 10_000;
@@ -90,7 +90,7 @@
         private void send(Wire.Frame frame) {
             if (!out.isReady()) {
                 waiting += frame.getSerializedSize();
-                if (waiting > WAITING_MOST) {
+                if (waiting > MAX_WAITING) {
                     return;
                 }
             }
--- a/src/main/java/whinlead/run/AdmissionConfig.java
+++ b/src/main/java/whinlead/run/AdmissionConfig.java
@@ -19,15 +19,15 @@
             "move_descriptors");
     private static final int IPV4_PREFIX = 32;
     private static final int IPV6_PREFIX = 64;
-    private static final int IPV6_PREFIX_MOST = 128;
+    private static final int MAX_IPV6_PREFIX = 128;
     /** No more descriptors than the platform allows could be used. */
-    private static final int CONNECTIONS_MOST = 1024;
-    private static final int PER_SECOND_MOST = 1_000_000;
+    private static final int MAX_CONNECTIONS = 1024;
+    private static final int MAX_PER_SECOND = 1_000_000;
     /** Some 200 bytes each. */
     private static final int REMEMBERED = 4096;
-    private static final int REMEMBERED_MOST = 65_536;
+    private static final int MAX_REMEMBERED = 65_536;
     private static final int HALF_LIFE_MS = 60_000;
-    private static final int HALF_LIFE_MOST_MS = 86_400_000;
+    private static final int MAX_HALF_LIFE_MS = 86_400_000;
 
     /** No limits by client, and shares that stay: what holds where no file says otherwise. */
     static AdmissionConfig usual() {
@@ -54,19 +54,19 @@
         if (!moves.isMissingNode() && !moves.isBoolean()) {
             throw new IllegalArgumentException("admission.move_descriptors is neither true nor false");
         }
-        int connections = whole(json, "connections", CONNECTIONS_MOST, 1, CONNECTIONS_MOST);
-        int known = whole(json, "connections_known", connections, 1, CONNECTIONS_MOST);
+        int connections = whole(json, "connections", MAX_CONNECTIONS, 1, MAX_CONNECTIONS);
+        int known = whole(json, "connections_known", connections, 1, MAX_CONNECTIONS);
         if (known < connections) {
             throw new IllegalArgumentException("admission.connections_known is under connections");
         }
-        int perSecond = whole(json, "new_per_second", PER_SECOND_MOST, 1, PER_SECOND_MOST);
+        int perSecond = whole(json, "new_per_second", MAX_PER_SECOND, 1, MAX_PER_SECOND);
         return new AdmissionConfig(new Gate.Limits(new Client.Prefixes(
                 whole(json, "ipv4_prefix", IPV4_PREFIX, 0, IPV4_PREFIX),
-                whole(json, "ipv6_prefix", IPV6_PREFIX, 0, IPV6_PREFIX_MOST)), connections, known, perSecond,
-                whole(json, "burst", perSecond, 1, PER_SECOND_MOST),
-                whole(json, "reserve", 0, 0, CONNECTIONS_MOST),
-                whole(json, "remembered", REMEMBERED, 1, REMEMBERED_MOST),
-                whole(json, "known_half_life_ms", HALF_LIFE_MS, 1, HALF_LIFE_MOST_MS)),
+                whole(json, "ipv6_prefix", IPV6_PREFIX, 0, MAX_IPV6_PREFIX)), connections, known, perSecond,
+                whole(json, "burst", perSecond, 1, MAX_PER_SECOND),
+                whole(json, "reserve", 0, 0, MAX_CONNECTIONS),
+                whole(json, "remembered", REMEMBERED, 1, MAX_REMEMBERED),
+                whole(json, "known_half_life_ms", HALF_LIFE_MS, 1, MAX_HALF_LIFE_MS)),
                 moves.asBoolean(false));
     }
 
--- a/src/main/java/whinlead/run/CaptureConfig.java
+++ b/src/main/java/whinlead/run/CaptureConfig.java
@@ -22,11 +22,11 @@
  */
 record CaptureConfig(Path folder, int files, long bytes, int queue) {
     private static final Set<String> FIELDS = Set.of("folder", "files", "file_mb", "queue");
-    private static final int FILES_MOST = 1000;
+    private static final int MAX_FILES = 1000;
     private static final int MEGABYTE = 1 << 20;
-    private static final int MEGABYTES_MOST = 1024;
-    private static final int QUEUE_LEAST = 16;
-    private static final int QUEUE_MOST = 65_536;
+    private static final int MAX_MEGABYTES = 1024;
+    private static final int MIN_QUEUE = 16;
+    private static final int MAX_QUEUE = 65_536;
     /** After its deadline a request is over but for what the engine needs to say so. */
     private static final double ENDED_MS = 1000;
 
@@ -46,9 +46,9 @@
         if (!json.path("folder").isTextual() || !Files.isDirectory(folder) || !Files.isWritable(folder)) {
             throw new IllegalArgumentException("capture.folder is no folder that can be written to");
         }
-        return new CaptureConfig(folder, whole(json, "files", 4, 1, FILES_MOST),
-                (long) whole(json, "file_mb", 16, 1, MEGABYTES_MOST) * MEGABYTE,
-                whole(json, "queue", 8192, QUEUE_LEAST, QUEUE_MOST));
+        return new CaptureConfig(folder, whole(json, "files", 4, 1, MAX_FILES),
+                (long) whole(json, "file_mb", 16, 1, MAX_MEGABYTES) * MEGABYTE,
+                whole(json, "queue", 8192, MIN_QUEUE, MAX_QUEUE));
     }
 
     private static int whole(JsonNode json, String field, int absent, int least, int most) {
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -48,7 +48,7 @@
     private static final int ENDPOINT_SHARE = 6;
     private static final int SHARES = 16;
     /** Of its first share, what a purpose keeps whatever another needs. */
-    private static final int LEAST_PART = 2;
+    private static final int MIN_PART = 2;
     private static final long BUDGET_TICK_MS = 200;
     /** The platform lets clients hold one in so many of the descriptors for requests. */
     private static final int REQUEST_PART = 3;
@@ -232,7 +232,7 @@
 
     private static Budget.Share share(Config config, int sixteenths, AdmissionConfig admission) {
         int first = Math.max(1, config.sockets() * sixteenths / SHARES);
-        return new Budget.Share(first, admission.moves() ? Math.max(1, first / LEAST_PART) : first);
+        return new Budget.Share(first, admission.moves() ? Math.max(1, first / MIN_PART) : first);
     }
 
     /** Runs while the process ends on SIGTERM: it goes on for as long as this has not returned. */
--- a/src/main/java/whinlead/run/ProcessorConfig.java
+++ b/src/main/java/whinlead/run/ProcessorConfig.java
@@ -32,22 +32,22 @@
     private static final Set<String> FIELDS = Set.of("http", "spop", "envoy", "headers", "class", "bounds");
     private static final int CONNECTIONS = 32;
     /** Of the 1,024 descriptors that the platform allows 832 are spoken for. */
-    private static final int CONNECTIONS_MOST = 64;
+    private static final int MAX_CONNECTIONS = 64;
     private static final int STREAMS = 1000;
-    private static final int STREAMS_MOST = 20_000;
-    private static final int NAME_MOST = 64;
+    private static final int MAX_STREAMS = 20_000;
+    private static final int MAX_NAME = 64;
     /** What a caller's header may tell; the rest is between the program and the proxy. */
     private static final Set<Field> MAPPED = EnumSet.of(Field.ID, Field.CLASS, Field.TENANT, Field.TIMEOUT,
             Field.REPEAT, Field.NOT_STARTED, Field.LOAD);
     private static final int OPEN = 2000;
-    private static final int OPEN_MOST = 20_000;
+    private static final int MAX_OPEN = 20_000;
     private static final int OPEN_PER_CALLER = 1000;
     private static final int REMEMBERED = 10_000;
-    private static final int REMEMBERED_MOST = 100_000;
+    private static final int MAX_REMEMBERED = 100_000;
     private static final int REMEMBER_MS = 60_000;
-    private static final int REMEMBER_MOST_MS = 3_600_000;
+    private static final int MAX_REMEMBER_MS = 3_600_000;
     private static final int PICK_UP_MS = 250;
-    private static final int PICK_UP_MOST_MS = 10_000;
+    private static final int MAX_PICK_UP_MS = 10_000;
 
     /**
      * Reads the file.
@@ -77,13 +77,13 @@
             throw new IllegalArgumentException("processor has none of http, spop and envoy");
         }
         return new ProcessorConfig(http, spop, envoy,
-                OperatorFile.whole(json.path("envoy"), "envoy", "streams", STREAMS, 1, STREAMS_MOST),
+                OperatorFile.whole(json.path("envoy"), "envoy", "streams", STREAMS, 1, MAX_STREAMS),
                 headers(json.path("headers")),
-                json.path("class").asText(), new Bounds(bound(bounds, "open", OPEN, OPEN_MOST),
-                        bound(bounds, "open_per_caller", OPEN_PER_CALLER, OPEN_MOST),
-                        bound(bounds, "remembered", REMEMBERED, REMEMBERED_MOST),
-                        bound(bounds, "remember_ms", REMEMBER_MS, REMEMBER_MOST_MS),
-                        bound(bounds, "pick_up_ms", PICK_UP_MS, PICK_UP_MOST_MS)));
+                json.path("class").asText(), new Bounds(bound(bounds, "open", OPEN, MAX_OPEN),
+                        bound(bounds, "open_per_caller", OPEN_PER_CALLER, MAX_OPEN),
+                        bound(bounds, "remembered", REMEMBERED, MAX_REMEMBERED),
+                        bound(bounds, "remember_ms", REMEMBER_MS, MAX_REMEMBER_MS),
+                        bound(bounds, "pick_up_ms", PICK_UP_MS, MAX_PICK_UP_MS)));
     }
 
     private static Map<Field, String> headers(JsonNode json) {
@@ -94,7 +94,7 @@
             for (Field field : MAPPED) {
                 JsonNode name = json.path(key(field));
                 if (!name.isMissingNode()) {
-                    if (!name.isTextual() || !name.asText().matches("[A-Za-z0-9-]{1," + NAME_MOST + "}")) {
+                    if (!name.isTextual() || !name.asText().matches("[A-Za-z0-9-]{1," + MAX_NAME + "}")) {
                         throw new IllegalArgumentException("headers." + key(field)
                                 + " is no name of a header");
                     }
@@ -116,7 +116,7 @@
         }
         OperatorFile.only(front, name, fields);
         return new Listener(EndpointList.address(front.path("listen").asText()),
-                OperatorFile.whole(front, name, "connections", CONNECTIONS, 1, CONNECTIONS_MOST));
+                OperatorFile.whole(front, name, "connections", CONNECTIONS, 1, MAX_CONNECTIONS));
     }
 
     private static int bound(JsonNode json, String field, int absent, int most) {
--- a/src/main/java/whinlead/run/ReplicationCommand.java
+++ b/src/main/java/whinlead/run/ReplicationCommand.java
@@ -67,7 +67,7 @@
     @Command(name = "status", mixinStandardHelpOptions = true,
             description = "How each member of a group stands, by its own word.")
     static final class Status implements Callable<Integer> {
-        private static final long ANSWER_MOST_MS = 2000;
+        private static final long MAX_ANSWER_MS = 2000;
         @Parameters(paramLabel = "FILE", description = "As deploy/copies.json.")
         private String file;
 
@@ -143,7 +143,7 @@
 
         private static Wire.StatusReply ask(ManagedChannel channel, String group, String request) {
             try {
-                return CopiesGrpc.newBlockingStub(channel).withDeadlineAfter(ANSWER_MOST_MS,
+                return CopiesGrpc.newBlockingStub(channel).withDeadlineAfter(MAX_ANSWER_MS,
                         TimeUnit.MILLISECONDS)
                         .status(Wire.StatusRequest.newBuilder().setSeatIn(group).setRequest(request).build());
             } catch (StatusRuntimeException e) {
@@ -156,9 +156,9 @@
     @Command(name = "replace", mixinStandardHelpOptions = true,
             description = "Has another process take a member's seat now.")
     static final class Replace implements Callable<Integer> {
-        private static final long ANSWER_MOST_MS = 2000;
+        private static final long MAX_ANSWER_MS = 2000;
         private static final long LOOK_EVERY_MS = 250;
-        private static final long DONE_MOST_MS = 60_000;
+        private static final long MAX_DONE_MS = 60_000;
         @Parameters(index = "0", paramLabel = "FILE", description = "As deploy/copies.json.")
         private String file;
         @Parameters(index = "1", paramLabel = "GROUP")
@@ -184,7 +184,7 @@
                         Wire.ReplaceRequest ask = Wire.ReplaceRequest.newBuilder().setSeatIn(group).setName(gone)
                                 .build();
                         refused = CopiesGrpc.newBlockingStub(channel)
-                                .withDeadlineAfter(ANSWER_MOST_MS, TimeUnit.MILLISECONDS).replace(ask).getRefused();
+                                .withDeadlineAfter(MAX_ANSWER_MS, TimeUnit.MILLISECONDS).replace(ask).getRefused();
                     }
                 }
                 if (!refused.isEmpty()) {
@@ -199,7 +199,7 @@
 
         // All seats are taken, and none by the one that is gone.
         private boolean done(Collection<ManagedChannel> all, int size) throws InterruptedException {
-            for (long waited = 0; waited < DONE_MOST_MS; waited += LOOK_EVERY_MS) {
+            for (long waited = 0; waited < MAX_DONE_MS; waited += LOOK_EVERY_MS) {
                 for (ManagedChannel channel : all) {
                     Wire.StatusReply r = Status.ask(channel, group, "");
                     List<String> names = r == null || !r.getLeads() ? List.of()
@@ -211,7 +211,7 @@
                 }
                 TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
             }
-            System.err.println("whinlead: not done within " + DONE_MOST_MS / 1000
+            System.err.println("whinlead: not done within " + MAX_DONE_MS / 1000
                     + " s; see copies status");
             return false;
         }
--- a/src/main/java/whinlead/run/Warmup.java
+++ b/src/main/java/whinlead/run/Warmup.java
@@ -46,7 +46,7 @@
      */
     private static final int REQUESTS = 600;
     /** A restarted sidecar is missed: on a very short core it had better serve cold than late. */
-    private static final long MOST_MS = 1500;
+    private static final long MAX_MS = 1500;
     /** Ends with a byte that no head ends with. */
     private static final byte[] BODY = "-".repeat(255).concat("~").getBytes(StandardCharsets.US_ASCII);
     /** In "HTTP/1.1 200". */
@@ -74,7 +74,7 @@
         Clock clock = new Clock();
         int sockets = 8;
         EndpointPool pool =
-                new EndpointPool(loop, NioSocketChannel.class, clock, (int) MOST_MS, MOST_MS,
+                new EndpointPool(loop, NioSocketChannel.class, clock, (int) MAX_MS, MAX_MS,
                         Budget.fixed(Budget.Purpose.ENDPOINTS, sockets));
         Engine engine = new Engine(new LoopTimers(loop, clock), settings,
                 actions -> new Decide(settings, 0, actions), pool::update, line -> { });
@@ -86,7 +86,7 @@
         if (endpoint.isSuccess() && front.isSuccess()) {
             ask(engine, server, endpoint.channel().localAddress(), front.channel().localAddress());
         }
-        loop.parent().shutdownGracefully(0, MOST_MS, TimeUnit.MILLISECONDS);
+        loop.parent().shutdownGracefully(0, MAX_MS, TimeUnit.MILLISECONDS);
         return served;
     }
 
@@ -99,7 +99,7 @@
         });
         new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(pipeline(false)).connect(front);
         try {
-            if (!done.await(MOST_MS, TimeUnit.MILLISECONDS)) {
+            if (!done.await(MAX_MS, TimeUnit.MILLISECONDS)) {
                 loop.execute(() -> left = 0);
             }
         } catch (InterruptedException e) {
--- a/src/main/java/whinlead/testbed/ConsultSpeed.java
+++ b/src/main/java/whinlead/testbed/ConsultSpeed.java
@@ -39,7 +39,7 @@
     private static final double MICROS = 1000;
     private static final long PATIENCE_S = 30;
     /** A decision is to cost less than carrying it does. */
-    private static final double SHARE_LEAST = 0.5;
+    private static final double MIN_SHARE = 0.5;
 
     /** Consultations by a second of processor time, and microseconds of an ask. */
     private record Cost(double perSecond, double median, double p99, double notSent) { }
@@ -80,7 +80,7 @@
         });
         for (AgentFront front : AgentFront.values()) {
             promises.over(front + ", deciding, of at once", rates.get(front + ", deciding")
-                    / rates.get(front + ", at once"), SHARE_LEAST);
+                    / rates.get(front + ", at once"), MIN_SHARE);
             promises.figure(front + ", bytes of an open consultation, its caller's part too",
                     held(loop, front));
         }
--- a/src/main/java/whinlead/testbed/CopiesCostRehearsal.java
+++ b/src/main/java/whinlead/testbed/CopiesCostRehearsal.java
@@ -19,7 +19,7 @@
 final class CopiesCostRehearsal implements Callable<Integer> {
     private static final int[] MEMBERS = {0, 1, 3, 5};
     /** Idempotent requests cost nothing of this: as many by a second of processor time, but for noise. */
-    private static final double SAME_LEAST = 0.85;
+    private static final double MIN_SAME = 0.85;
 
     private enum Kind {
         IDEMPOTENT("job-status"), UNSAFE("job-submit"), KEYED("job-keyed");
@@ -55,7 +55,7 @@
                     c.perSecond() / off));
             if (kind == Kind.IDEMPOTENT) {
                 promises.over(kind + ", 3 members, of a sidecar without", all.get(3).perSecond() / off,
-                        SAME_LEAST);
+                        MIN_SAME);
             }
         }
         return promises.kept() ? 0 : 1;
--- a/src/main/java/whinlead/testbed/CopiesRehearsal.java
+++ b/src/main/java/whinlead/testbed/CopiesRehearsal.java
@@ -22,7 +22,7 @@
     /** One in so many schedules is played by five members, the others by three. */
     private static final int LARGE = 3;
     /** Of the library's faults one may be left that no schedule has shown yet. */
-    private static final double STOPPED_MOST = 0.001;
+    private static final double MAX_STOPPED = 0.001;
     private static final int SMALL_GROUP = 3;
     private static final int LARGE_GROUP = 5;
 
@@ -154,7 +154,7 @@
         } else {
             promises.rules("broken promises", all.broken());
             promises.under("share of groups that did not come back",
-                    all.seen().getOrDefault(CopiesDay.STOPPED, 0) / (double) schedules, STOPPED_MOST);
+                    all.seen().getOrDefault(CopiesDay.STOPPED, 0) / (double) schedules, MAX_STOPPED);
         }
         return promises.kept() ? 0 : 1;
     }
--- a/src/main/java/whinlead/testbed/EnvoyWire.java
+++ b/src/main/java/whinlead/testbed/EnvoyWire.java
@@ -31,7 +31,7 @@
  * attempt that no stream has is a stream that ends without a response, as Envoy can't name one.
  */
 final class EnvoyWire implements AgentClient.Wire {
-    private static final int STREAMS_MOST = 64;
+    private static final int MAX_STREAMS = 64;
     private static final int FRAME_HEADER = 9;
     private static final int FRAME_LENGTH = 100;
     private static final String ELSEWHERE = "127.0.0.1:9";
@@ -143,7 +143,7 @@
 
     @Override
     public boolean free() {
-        return open < STREAMS_MOST;
+        return open < MAX_STREAMS;
     }
 
     @Override
--- a/src/main/java/whinlead/testbed/OpenLoopClients.java
+++ b/src/main/java/whinlead/testbed/OpenLoopClients.java
@@ -33,7 +33,7 @@
  * the timer's loop.
  */
 final class OpenLoopClients {
-    private static final int BODY_MOST = 64 * 1024;
+    private static final int MAX_BODY = 64 * 1024;
     private static final double MILLIS = 1000;
     /** Arrivals are sent in steps of so much time. */
     private static final double STEP_MS = 1;
@@ -43,12 +43,12 @@
      */
     private static final double RAMP_MS = 1000;
     /** Connections at once; a sidecar with 1,024 descriptors holds 448 of clients and closes ones beyond. */
-    private static final int CONNECTIONS_MOST = 256;
+    private static final int MAX_CONNECTIONS = 256;
     private static final int OK = 200;
     private static final int TOO_MANY = 429;
     private static final int UNAVAILABLE = 503;
     /** A sidecar's answer may be so much late before the rule is broken: 20 ms, and 50 ms for sockets. */
-    private static final double LATE_MOST_MS = 70;
+    private static final double MAX_LATE_MS = 70;
 
     private static final class Source {
         final Load load;
@@ -161,14 +161,14 @@
         Try t = new Try(nextId, load, tries, at + k.deadline());
         nextId += idStep;
         open++;
-        ledger.asked(t.id(), load.classIndex(), at, t.deadline() + LATE_MOST_MS);
+        ledger.asked(t.id(), load.classIndex(), at, t.deadline() + MAX_LATE_MS);
         Connection c = idle.pollLast();
         while (c != null && !c.channel.isActive()) {
             c = idle.pollLast();
         }
         if (c != null) {
             c.send(t);
-        } else if (connections < CONNECTIONS_MOST) {
+        } else if (connections < MAX_CONNECTIONS) {
             connect(t);
         } else {
             waiting.addLast(t);
@@ -192,7 +192,7 @@
         ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(BODY_MOST), c);
+                channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY), c);
             }
         }).connect(sidecar);
         c.channel = connecting.channel();
--- a/src/main/java/whinlead/testbed/PlanRehearsal.java
+++ b/src/main/java/whinlead/testbed/PlanRehearsal.java
@@ -24,13 +24,13 @@
         + "follow the same description.")
 final class PlanRehearsal implements Callable<Integer> {
     /** As the users ask it: the mean over scenarios, and none further, in shares of the worth. */
-    private static final double MEAN_MOST = 0.03;
-    private static final double EACH_MOST = 0.06;
+    private static final double MAX_MEAN = 0.03;
+    private static final double MAX_EACH = 0.06;
     /** What the solver is asked, and its bounds. */
     private static final double GOAL = 0.97;
-    private static final int FRONTS_MOST = 20;
+    private static final int MAX_FRONTS = 20;
     private static final int SEEDS = 6;
-    private static final int RUNS_MOST = 500;
+    private static final int MAX_RUNS = 500;
     private static final String DESCRIPTION = "/whinlead/plan/rehearsal.json";
 
     @Option(names = "--scenario", description = "Only those whose name holds this.")
@@ -86,12 +86,12 @@
             promises.figure(s.name() + ", refused share, measured", done.refused());
             promises.figure(s.name() + ", late share, predicted", said.late());
             promises.figure(s.name() + ", late share, measured", done.late());
-            promises.under(s.name() + ", worth served, apart", off, EACH_MOST);
+            promises.under(s.name() + ", worth served, apart", off, MAX_EACH);
             sum += off;
             played++;
         }
         if (played > 0) {
-            promises.under("worth served, apart, mean of " + played + " scenarios", sum / played, MEAN_MOST);
+            promises.under("worth served, apart, mean of " + played + " scenarios", sum / played, MAX_MEAN);
         }
         if ("solver".contains(only)) {
             solver(promises, d);
@@ -103,7 +103,7 @@
     private void solver(Promises promises, Description d) throws IOException {
         Solver.Answer found = new Solver((n, seeds) -> LongStream.of(seeds).parallel()
                 .mapToDouble(s -> solved(d, n).predict(s).worth()).toArray(), GOAL,
-                new Solver.Bounds(2, FRONTS_MOST, SEEDS, 4 * SEEDS, RUNS_MOST, 1)).solve();
+                new Solver.Bounds(2, MAX_FRONTS, SEEDS, 4 * SEEDS, MAX_RUNS, 1)).solve();
         promises.figure("solver, fronts for " + GOAL + " of the worth", found.fronts());
         for (int n : new int[] {found.fronts(), found.fronts() - 1}) {
             PlanDay day = solved(d, n);
--- a/src/main/java/whinlead/testbed/Policies.java
+++ b/src/main/java/whinlead/testbed/Policies.java
@@ -13,7 +13,7 @@
     private static final double AIMD_AIM_SHARE = 0.5;
     private static final double AIMD_CUT = 0.9;
     private static final double AIMD_FIRST = 20;
-    private static final double AIMD_MOST = 1000;
+    private static final double MAX_AIMD = 1000;
     private static final double RETRY_AFTER_MS = 100;
 
     private Policies() { }
@@ -53,7 +53,7 @@
             @Override
             void learn(Server s, Contract.RequestClass type, Contract.Outcome outcome, double took) {
                 boolean good = outcome == Contract.Outcome.SERVED && took < type.aim() * AIMD_AIM_SHARE;
-                s.limit = good ? s.holds * 2 >= s.limit ? Math.min(AIMD_MOST, s.limit + 1 / s.limit) : s.limit
+                s.limit = good ? s.holds * 2 >= s.limit ? Math.min(MAX_AIMD, s.limit + 1 / s.limit) : s.limit
                         : Math.max(1, s.limit * AIMD_CUT);
             }
         };
--- a/src/main/java/whinlead/testbed/ProcessorRig.java
+++ b/src/main/java/whinlead/testbed/ProcessorRig.java
@@ -35,10 +35,10 @@
 
 /** The program's engine with one front, in this process and on a loop of its own, to be looked into. */
 final class ProcessorRig implements AutoCloseable {
-    private static final int CONNECTIONS_MOST = 448;
+    private static final int MAX_CONNECTIONS = 448;
     private static final int CONNECT_MS = 1000;
     private static final int IDLE_MS = 10_000;
-    private static final int STREAMS_MOST = 20_000;
+    private static final int MAX_STREAMS = 20_000;
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -57,7 +57,7 @@
             Bounds bounds, EndpointList known) throws IOException {
         this.settings = settings;
         pool = new EndpointPool(loop, NioSocketChannel.class, clock, CONNECT_MS, IDLE_MS,
-                Budget.fixed(Budget.Purpose.ENDPOINTS, CONNECTIONS_MOST));
+                Budget.fixed(Budget.Purpose.ENDPOINTS, MAX_CONNECTIONS));
         engine = new Engine(timers, settings, module, this::follow, log::add);
         consultations = new Consultations(engine, timers, settings, bounds, log::add);
         ask(() -> {
@@ -77,11 +77,11 @@
         ConsultRequest.Names names = new ConsultRequest.Names(settings);
         address = switch (front) {
             case HTTP -> bound(new ConsultServer(loop, NioServerSocketChannel.class, consultations, names,
-                    new HeaderNames(), new ObjectMapper(), CONNECTIONS_MOST).listen(at));
+                    new HeaderNames(), new ObjectMapper(), MAX_CONNECTIONS).listen(at));
             case SPOP -> bound(new SpopServer(loop, NioServerSocketChannel.class, consultations, names,
-                    CONNECTIONS_MOST).listen(at));
-            case ENVOY -> new ExtProcServer(loop, timers, consultations, names, Map.of(), CONNECTIONS_MOST,
-                    STREAMS_MOST).listen(at);
+                    MAX_CONNECTIONS).listen(at));
+            case ENVOY -> new ExtProcServer(loop, timers, consultations, names, Map.of(), MAX_CONNECTIONS,
+                    MAX_STREAMS).listen(at);
         };
         return this;
     }
@@ -89,7 +89,7 @@
     /** An application asks it, and it sends to the endpoints itself. */
     ProcessorRig plain() throws IOException {
         ClientServer server = ask(() -> new ClientServer(loop, clock, engine, pool::transport, settings,
-                CONNECTIONS_MOST));
+                MAX_CONNECTIONS));
         address = bound(server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
         loop.execute(server::ready);
         return this;
--- a/src/main/java/whinlead/testbed/Rehearse.java
+++ b/src/main/java/whinlead/testbed/Rehearse.java
@@ -61,7 +61,7 @@
                 if (d.name().contains(day)) {
                     Ledger ledger = driven ? d.play(Decide::new, JITTER, seed)
                             : new SocketDay(d.settings(), d.endpoints(), d.loads(), d.length(), seed).play();
-                    promises.under(d.name() + ", refused", d.refused(ledger), RoomDay.REFUSED_MOST);
+                    promises.under(d.name() + ", refused", d.refused(ledger), RoomDay.MAX_REFUSED);
                     promises.under(d.name() + ", milliseconds refused after a change",
                             d.refusedFor(ledger), RoomDay.BOUND_MS);
                     promises.rules(d.name() + ", broken rules", ledger.broken());
@@ -116,7 +116,7 @@
             + "proxies that ask: the same outcomes and drop percentages.")
     static final class Alike implements Callable<Integer> {
         /** Twice what other draws of the module's own changed HTTP/1.1's by; that is printed too. */
-        private static final double APART_MOST = 0.05;
+        private static final double MAX_APART = 0.05;
 
         @Option(names = "--seed", description = "Seed of arrivals and endpoints.")
         private long seed = 9;
@@ -149,8 +149,8 @@
                 promises.figure(of + ", drop percentage of " + d.getKey(), d.getValue());
                 dropped = Math.max(dropped, Math.abs(d.getValue() - plain.dropped().get(d.getKey())));
             }
-            promises.under(of + ", shares apart from HTTP/1.1", apart, APART_MOST);
-            promises.under(of + ", drop percentages apart from HTTP/1.1", dropped, APART_MOST);
+            promises.under(of + ", shares apart from HTTP/1.1", apart, MAX_APART);
+            promises.under(of + ", drop percentages apart from HTTP/1.1", dropped, MAX_APART);
         }
     }
 
--- a/src/main/java/whinlead/testbed/ReplayCommand.java
+++ b/src/main/java/whinlead/testbed/ReplayCommand.java
@@ -21,9 +21,9 @@
         + "before stand-in fronts that follow a description, beside the planner's answer.")
 public final class ReplayCommand implements Callable<Integer> {
     /** A run of so many milliseconds at most, in real time. */
-    private static final double LENGTH_MOST = 600_000;
+    private static final double MAX_LENGTH = 600_000;
     /** Sidecars on one machine, each a process. */
-    private static final int SIDECARS_MOST = 8;
+    private static final int MAX_SIDECARS = 8;
 
     @Parameters(index = "0", paramLabel = "FLEET", description = "The description, as deploy/fleet.json.")
     private Path file;
@@ -40,11 +40,11 @@
     public Integer call() throws IOException {
         Description d = Description.read(file);
         CaptureLoad load = new CaptureLoad(capture, d.fleet());
-        if (!(speed > 0) || load.length(speed) > LENGTH_MOST) {
+        if (!(speed > 0) || load.length(speed) > MAX_LENGTH) {
             throw new IllegalArgumentException("--speed: a replay takes ten minutes at most");
         }
-        if (d.fleet().shares().size() > SIDECARS_MOST) {
-            throw new IllegalArgumentException("sidecars.shares: a replay has " + SIDECARS_MOST
+        if (d.fleet().shares().size() > MAX_SIDECARS) {
+            throw new IllegalArgumentException("sidecars.shares: a replay has " + MAX_SIDECARS
                     + " sidecars at most");
         }
         PlanDay day = new PlanDay(d.fleet(), new Load(0, List.of(), List.of(), load.length(speed)), habit);
--- a/src/main/java/whinlead/testbed/RoomDay.java
+++ b/src/main/java/whinlead/testbed/RoomDay.java
@@ -20,7 +20,7 @@
     public record Span(double from, double to) { }
 
     /** What may be refused of the requests of a judged span. */
-    public static final double REFUSED_MOST = 0.01;
+    public static final double MAX_REFUSED = 0.01;
     /** From the end of a change until nearly nothing is refused any more. */
     public static final double RECOVERED_MS = 5000;
     /**
@@ -65,7 +65,7 @@
             double change = Math.max(0, s.from() - RECOVERED_MS);
             for (double at = change; at < s.to(); at += SLICE_MS) {
                 double end = Math.min(at + SLICE_MS, s.to());
-                if (ledger.count(at, end).refusedShare() >= REFUSED_MOST) {
+                if (ledger.count(at, end).refusedShare() >= MAX_REFUSED) {
                     longest = Math.max(longest, end - change);
                 }
             }
--- a/src/main/java/whinlead/testbed/SidecarProcess.java
+++ b/src/main/java/whinlead/testbed/SidecarProcess.java
@@ -20,9 +20,9 @@
 
 /** A real sidecar in a process of its own, started from the program that runs, on a free loopback port. */
 final class SidecarProcess implements FrontProcess {
-    private static final long READY_MOST_MS = 30_000;
+    private static final long MAX_READY_MS = 30_000;
     private static final long POLL_MS = 20;
-    private static final long STOP_MOST_S = 10;
+    private static final long MAX_STOP_S = 10;
     private static final int OK = 200;
     /** The limits that the platform's line `run` sets. */
     static final List<String> LIMITS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
@@ -101,7 +101,7 @@
 
     private void awaitReady(String listen) throws IOException {
         URL ready = URI.create("http://" + listen + "/health/ready").toURL();
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MOST_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_READY_MS);
         while (System.nanoTime() < end) {
             if (!process.isAlive()) {
                 throw new IOException("the sidecar ended: "
@@ -168,7 +168,7 @@
         Runtime.getRuntime().removeShutdownHook(killer);
         process.destroyForcibly();
         try {
-            process.waitFor(STOP_MOST_S, TimeUnit.SECONDS);
+            process.waitFor(MAX_STOP_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/whinlead/testbed/SignalRehearsal.java
+++ b/src/main/java/whinlead/testbed/SignalRehearsal.java
@@ -37,9 +37,9 @@
 final class SignalRehearsal implements Callable<Integer> {
     /** On a core that is shared, so many others that never wait. */
     private static final int BUSY = 4;
-    private static final long ANSWER_MOST_S = 60;
-    private static final int CONNECT_MOST_MS = 1000;
-    private static final int ANSWER_MOST_MS = 10_000;
+    private static final long MAX_ANSWER_S = 60;
+    private static final int MAX_CONNECT_MS = 1000;
+    private static final int MAX_ANSWER_MS = 10_000;
     /** Between requests: more at once than a sidecar's connections allow would be turned away for that. */
     private static final long PAUSE_MS = 3;
     private static final int PORT = 9000;
@@ -194,7 +194,7 @@
                 awaitReload();
             } else {
                 signal("TERM");
-                if (!process.waitFor(ANSWER_MOST_S, TimeUnit.SECONDS)
+                if (!process.waitFor(MAX_ANSWER_S, TimeUnit.SECONDS)
                         || process.exitValue() != ENDED_BY_TERM) {
                     faults.get("not ended by SIGTERM").incrementAndGet();
                 }
@@ -203,10 +203,10 @@
         }
 
         private void awaitReload() throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(ANSWER_MOST_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_ANSWER_S);
             boolean came = false;
             while (!came && process.isAlive() && System.nanoTime() < end) {
-                came = after.came.await(CONNECT_MOST_MS, TimeUnit.MILLISECONDS);
+                came = after.came.await(MAX_CONNECT_MS, TimeUnit.MILLISECONDS);
             }
             if (!process.isAlive()) {
                 faults.get("ended by SIGHUP").incrementAndGet();
@@ -224,7 +224,7 @@
             while (process.isAlive()) {
                 try (Socket s = new Socket()) {
                     try {
-                        s.connect(listen, CONNECT_MOST_MS);
+                        s.connect(listen, MAX_CONNECT_MS);
                     } catch (IOException notThere) {
                         TimeUnit.MILLISECONDS.sleep(1);
                         continue;
@@ -243,7 +243,7 @@
         }
 
         private boolean answered(Socket s) throws IOException {
-            s.setSoTimeout(ANSWER_MOST_MS);
+            s.setSoTimeout(MAX_ANSWER_MS);
             s.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: a\r\nRequest-Id: " + System.nanoTime()
                     + "\r\nRequest-Class: read\r\nRequest-Timeout: 2\r\nConnection: close\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
@@ -257,7 +257,7 @@
             before.close();
             after.close();
             try {
-                process.waitFor(ANSWER_MOST_S, TimeUnit.SECONDS);
+                process.waitFor(MAX_ANSWER_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/whinlead/testbed/SocketEndpoint.java
+++ b/src/main/java/whinlead/testbed/SocketEndpoint.java
@@ -31,7 +31,7 @@
  * writes to are owned by the timer's loop.
  */
 final class SocketEndpoint {
-    private static final int BODY_MOST = 64 * 1024;
+    private static final int MAX_BODY = 64 * 1024;
     private static final byte[] BODY = "served".getBytes(StandardCharsets.US_ASCII);
 
     private final EndpointScript script;
@@ -90,7 +90,7 @@
                             reset(channel);
                             return;
                         }
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST),
+                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY),
                                 new Visits());
                     }
                 }).bind(where);
--- a/src/main/java/whinlead/testbed/SpopWire.java
+++ b/src/main/java/whinlead/testbed/SpopWire.java
@@ -16,8 +16,8 @@
 
 /** A stand-in HAProxy's connection to the SPOP agent, with calls in the pipeline. */
 final class SpopWire extends SimpleChannelInboundHandler<ByteBuf> implements AgentClient.Wire {
-    private static final int FRAME_MOST = 16_380;
-    private static final int PIPELINE_MOST = 32;
+    private static final int MAX_FRAME = 16_380;
+    private static final int MAX_PIPELINE = 32;
     private static final int SET_VAR_ARGS = 3;
 
     private final Map<Long, Consumer<Map<String, String>>> due = new HashMap<>();
@@ -29,7 +29,7 @@
     public void connect(EventLoop loop, SocketAddress to, Runnable whenReady, Runnable closed) {
         ready = whenReady;
         channel = AgentClient.connection(loop, to, c -> c.pipeline().addLast(new LengthFieldBasedFrameDecoder(
-                FRAME_MOST + Integer.BYTES, 0, Integer.BYTES, 0, Integer.BYTES), this), closed);
+                MAX_FRAME + Integer.BYTES, 0, Integer.BYTES, 0, Integer.BYTES), this), closed);
     }
 
     @Override
@@ -41,14 +41,14 @@
     public void channelActive(ChannelHandlerContext ctx) {
         ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.HAPROXY_HELLO, 0, 0);
         SpopFrame.pair(out, "supported-versions", "2.0");
-        SpopFrame.pair(out, "max-frame-size", FRAME_MOST);
+        SpopFrame.pair(out, "max-frame-size", MAX_FRAME);
         SpopFrame.pair(out, "capabilities", "pipelining");
         ctx.writeAndFlush(SpopFrame.end(out));
     }
 
     @Override
     public boolean free() {
-        return due.size() < PIPELINE_MOST;
+        return due.size() < MAX_PIPELINE;
     }
 
     @Override
--- a/src/main/java/whinlead/testbed/StandInDiscovery.java
+++ b/src/main/java/whinlead/testbed/StandInDiscovery.java
@@ -32,7 +32,7 @@
  * changes, and an empty line every 2 s. Owned by the timer's loop.
  */
 final class StandInDiscovery {
-    private static final int REQUEST_MOST = 4096;
+    private static final int MAX_REQUEST = 4096;
     private static final long BEAT_S = 2;
 
     private final LoopTimer timer;
@@ -52,7 +52,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpServerCodec(),
-                                new HttpObjectAggregator(REQUEST_MOST), new Watch());
+                                new HttpObjectAggregator(MAX_REQUEST), new Watch());
                     }
                 }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
                 .channel();
--- a/src/main/java/whinlead/testbed/fleet/CopiesCost.java
+++ b/src/main/java/whinlead/testbed/fleet/CopiesCost.java
@@ -45,9 +45,9 @@
     public record Cost(double perSecond, double median, double p99, double bytes, double notSent) { }
 
     private static final int CALLERS = 16;
-    private static final long READY_MOST_MS = 60_000;
+    private static final long MAX_READY_MS = 60_000;
     private static final long TICK_MS = 50;
-    private static final long CALL_MOST_MS = 4000;
+    private static final long MAX_CALL_MS = 4000;
     private static final long REMEMBER_MS = 2000;
     private static final long HIGHEST_MICROS = 10_000_000;
     private static final int DIGITS = 3;
@@ -110,7 +110,7 @@
             String kind)
             throws IOException {
         await(() -> FleetFiles.ready(http, address,
-                CALL_MOST_MS) && (members == 0 || channels.stream().allMatch(c -> votes(c))));
+                MAX_CALL_MS) && (members == 0 || channels.stream().allMatch(c -> votes(c))));
         Callers warm = new Callers(address, kind, CALLERS);
         pause(seconds);
         double cpu = process.cpu();
@@ -134,7 +134,7 @@
     }
 
     private static void await(Check check) throws IOException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MOST_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_READY_MS);
         while (!check.holds()) {
             if (System.nanoTime() > end) {
                 throw new IOException("the processes don't come up");
@@ -154,7 +154,7 @@
 
     private static Wire.StatusReply status(ManagedChannel channel) {
         try {
-            return CopiesGrpc.newBlockingStub(channel).withDeadlineAfter(CALL_MOST_MS, TimeUnit.MILLISECONDS)
+            return CopiesGrpc.newBlockingStub(channel).withDeadlineAfter(MAX_CALL_MS, TimeUnit.MILLISECONDS)
                     .status(Wire.StatusRequest.getDefaultInstance());
         } catch (StatusRuntimeException e) {
             channel.resetConnectBackoff();
@@ -194,7 +194,7 @@
         private HttpRequest call(String what, ObjectNode said) {
             return HttpRequest.newBuilder(URI.create("http://" + address + ":" + FleetFiles.CONSULT
                     + "/v1/" + what))
-                    .timeout(Duration.ofMillis(CALL_MOST_MS)).header("Content-Type", "application/json")
+                    .timeout(Duration.ofMillis(MAX_CALL_MS)).header("Content-Type", "application/json")
                     .POST(HttpRequest.BodyPublishers.ofString(said.toString())).build();
         }
 
--- a/src/main/java/whinlead/testbed/fleet/FaultScript.java
+++ b/src/main/java/whinlead/testbed/fleet/FaultScript.java
@@ -62,11 +62,11 @@
     private static final int KILLS = 3;
     private static final int STOPS = 1;
     private static final int LINKS = 2;
-    private static final int KILL_LEAST_MS = 100;
+    private static final int MIN_KILL_MS = 100;
     private static final int KILL_SPREAD_MS = 2000;
     private static final int STOP_SPREAD_MS = 5000;
     private static final int LINK_SPREAD_MS = 4000;
-    private static final int LEAST_MS = 300;
+    private static final int MIN_MS = 300;
 
     private final Random dice;
     private final int members;
@@ -91,8 +91,8 @@
             shuffle();
         }
         Kind kind = pack.pop();
-        int lasts = kind.kills() ? KILL_LEAST_MS + dice.nextInt(KILL_SPREAD_MS)
-                : LEAST_MS + dice.nextInt(kind == Kind.STOP ? STOP_SPREAD_MS : LINK_SPREAD_MS);
+        int lasts = kind.kills() ? MIN_KILL_MS + dice.nextInt(KILL_SPREAD_MS)
+                : MIN_MS + dice.nextInt(kind == Kind.STOP ? STOP_SPREAD_MS : LINK_SPREAD_MS);
         return new Fault(kind, dice.nextInt(members), lasts);
     }
 
--- a/src/main/java/whinlead/testbed/fleet/FleetProcess.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetProcess.java
@@ -20,7 +20,7 @@
             "-Xms48m", "-Xmx48m", "-Xss512k", "-XX:MaxDirectMemorySize=32m", "-Dio.netty.jfr.enabled=false",
             "-Dio.netty.leakDetection.level=disabled");
     private static final String MAIN = "whinlead.run.Main";
-    private static final int END_MOST_S = 10;
+    private static final int MAX_END_S = 10;
     private static final double MILLIS = 1000;
     private static final int BLOCK = 512;
 
@@ -90,7 +90,7 @@
         if (process != null) {
             process.destroyForcibly();
             try {
-                process.waitFor(END_MOST_S, TimeUnit.SECONDS);
+                process.waitFor(MAX_END_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/whinlead/testbed/mesh/Relay.java
+++ b/src/main/java/whinlead/testbed/mesh/Relay.java
@@ -54,9 +54,9 @@
     /** Of loopback, but no process of a mesh: its ports are alike on all, and could be one of a relay's. */
     private static final String HOST = "127.0.1.1";
     /** Kept for one direction of a connection at most, in bytes; what is more waits with its sender. */
-    private static final int KEPT_MOST = 1 << 20;
+    private static final int MAX_KEPT = 1 << 20;
     /** Connections at a time; more are reset. */
-    private static final int PAIRS_MOST = 64;
+    private static final int MAX_PAIRS = 64;
     private static final int CONNECT_MS = 800;
     /** With a queue of one, Linux holds two connections that nobody accepts, and drops what dials then. */
     private static final int BACKLOG = 1;
@@ -159,7 +159,7 @@
     private void accepted(Channel near) {
         if (filled.remove(near.remoteAddress())) {
             near.close();
-        } else if (modes.containsValue(Mode.RESET) || pairs.size() >= PAIRS_MOST) {
+        } else if (modes.containsValue(Mode.RESET) || pairs.size() >= MAX_PAIRS) {
             reset(near);
         } else {
             Pair pair = new Pair(near);
@@ -264,7 +264,7 @@
                 into.writeAndFlush(into.alloc().buffer(0)).addListener(ChannelFutureListener.CLOSE);
             }
             if (from != null) {
-                from.config().setAutoRead(mode != Mode.CUT && keptBytes < KEPT_MOST);
+                from.config().setAutoRead(mode != Mode.CUT && keptBytes < MAX_KEPT);
             }
         }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
@@ -41,14 +41,14 @@
 
     private static final double LEAST = 300;
     private static final double MOST = 6000;
-    private static final double RESTART_MOST = 2000;
+    private static final double MAX_RESTART = 2000;
     private static final double SLOW = 30;
     /** One machine in so many that come back finds its disk full for a while. */
     private static final int FULL_TOO = 4;
     /** One that was told to leave ends by itself after so long: {@code GraceS}, less what it keeps. */
     private static final double GRACE = 5200;
     /** Between a new machine's start and the old one's SIGTERM, at most, in milliseconds. */
-    private static final double HANDOVER_MOST = 2000;
+    private static final double MAX_HANDOVER = 2000;
     /** Between two looks, in milliseconds. */
     private static final double LOOK = 25;
     /** A successor without a vote for so long is not waited for, in milliseconds. */
@@ -132,11 +132,11 @@
                 } else {
                     m.down();
                 }
-                core.agenda().in(Math.min(lasts, RESTART_MOST), () -> {
+                core.agenda().in(Math.min(lasts, MAX_RESTART), () -> {
                     m.boot();
                     if (core.random().nextInt(FULL_TOO) == 0) {
                         m.disk().refuse(true);
-                        passes(m, core.between(LEAST, RESTART_MOST), () -> m.disk().refuse(false));
+                        passes(m, core.between(LEAST, MAX_RESTART), () -> m.disk().refuse(false));
                     } else {
                         back(m.address());
                     }
@@ -165,7 +165,7 @@
             case REPLACED -> {
                 core.remove(m);
                 double removedAt = core.now();
-                core.agenda().in(Math.min(lasts, RESTART_MOST), () -> {
+                core.agenda().in(Math.min(lasts, MAX_RESTART), () -> {
                     measureSeat(newcomer(), m, removedAt, core.now());
                     back(m.address());
                 });
@@ -218,7 +218,7 @@
     private void replaceAsPlanned(Machine old) {
         double startedAt = core.now();
         newcomer();
-        core.agenda().in(core.between(0, HANDOVER_MOST), () -> {
+        core.agenda().in(core.between(0, MAX_HANDOVER), () -> {
             lostUntil.put(old.address(), Math.max(startedAt + distance, core.now()));
             core.eased(old.address());
             core.tell(old.address() + " is told to leave");
--- a/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
@@ -16,7 +16,7 @@
     private static final double CALM = 20_000;
     private static final double LENGTH = 34_000;
     private static final double PATIENCE = 6000;
-    private static final int UNDER_WAY_MOST = 8;
+    private static final int MAX_UNDER_WAY = 8;
     private static final int LARGE = 5;
     /** In one of so many schedules there are hundreds of changes. */
     private static final int MANY = 20;
@@ -89,8 +89,8 @@
             return;
         }
         if (burst == 0) {
-            int most = core.random().nextInt(3) == 0 ? UNDER_WAY_MOST : 2;
-            for (int i = 1 + core.random().nextInt(most); i > 0 && underWay < UNDER_WAY_MOST; i--) {
+            int most = core.random().nextInt(3) == 0 ? MAX_UNDER_WAY : 2;
+            for (int i = 1 + core.random().nextInt(most); i > 0 && underWay < MAX_UNDER_WAY; i--) {
                 // Some build on what is not the newest.
                 send(core.random().nextInt(8) == 0 ? Math.max(0, base - 1) : base);
             }
@@ -117,7 +117,7 @@
     private void took(Operators.Order o) {
         core.checker().count("orders acknowledged");
         base = Math.max(base, o.change().version());
-        if (core.random().nextInt(3) == 0 && taken.size() < UNDER_WAY_MOST) {
+        if (core.random().nextInt(3) == 0 && taken.size() < MAX_UNDER_WAY) {
             taken.add(o);
             core.machines().forEach(m -> core.agenda().in(core.between(0, 1500), () -> again(o,
                     m.address())));
--- a/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -28,7 +28,7 @@
     private static final double TICK = 25;
     private static final double PING = 300;
     /** Own clocks begin anywhere. */
-    private static final double OFFSET_MOST = 1e7;
+    private static final double MAX_OFFSET = 1e7;
     /** Two clocks' rounding. */
     private static final double ROUNDING = 0.01;
 
@@ -115,7 +115,7 @@
         up = true;
         frozen = false;
         life++;
-        offset = core.random().nextDouble() * OFFSET_MOST;
+        offset = core.random().nextDouble() * MAX_OFFSET;
         Disk.Entry entry = core.bug() == Bug.RESTARTS_OLDER ? disk.readBefore() : disk.read();
         if (entry == null) {
             // A new disk is a new voter: what the old one may have promised, this one can't know.
--- a/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
@@ -14,8 +14,8 @@
 final class Operators {
     private static final double SILENCE = 1000;
     private static final double PAUSE = 50;
-    private static final double PAUSE_MOST = 800;
-    private static final double WAY_MOST = 4;
+    private static final double MAX_PAUSE = 800;
+    private static final double MAX_WAY = 4;
     /** One order in so many goes anywhere all the same. */
     private static final int STAYS = 12;
 
@@ -131,7 +131,7 @@
             if (o.tries == mine && o.end == null) {
                 o.tries++;
                 core.agenda().in(o.pause, () -> attempt(o, another(at)));
-                o.pause = Math.min(PAUSE_MOST, o.pause * 2);
+                o.pause = Math.min(MAX_PAUSE, o.pause * 2);
             }
         };
         core.agenda().in(SILENCE, next);
@@ -193,6 +193,6 @@
     }
 
     private double way() {
-        return core.between(PAUSE / 100, WAY_MOST);
+        return core.between(PAUSE / 100, MAX_WAY);
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/PairCutPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/PairCutPlay.java
@@ -22,10 +22,10 @@
     private static final int SMALL = 3;
     private static final double FIRST = 1500;
     private static final double LOOK = 25;
-    private static final double CUT_LEAST = 3500;
-    private static final double CUT_MOST = 8000;
-    private static final double PAUSE_LEAST = 100;
-    private static final double PAUSE_MOST = 1500;
+    private static final double MIN_CUT = 3500;
+    private static final double MAX_CUT = 8000;
+    private static final double MIN_PAUSE = 100;
+    private static final double MAX_PAUSE = 1500;
     /** Time after the last cut for what is still lost to return. */
     private static final double CALM = 5000;
     /** In one schedule of so many, orders come without a pause, so many at a time. */
@@ -110,7 +110,7 @@
         }
         cuts.remove(0);
         begin(one, other, cut.direction());
-        core.agenda().in(core.between(CUT_LEAST, CUT_MOST), this::end);
+        core.agenda().in(core.between(MIN_CUT, MAX_CUT), this::end);
     }
 
     private void begin(String one, String other, Direction direction) {
@@ -134,7 +134,7 @@
         first = null;
         second = null;
         faults.occupy(0);
-        core.agenda().in(core.between(PAUSE_LEAST, PAUSE_MOST), this::cutNext);
+        core.agenda().in(core.between(MIN_PAUSE, MAX_PAUSE), this::cutNext);
     }
 
     private void look() {
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -84,12 +84,12 @@
     private static final int FAULTS = 10;
     private static final int FARS = 3;
     /** Routes allow one endpoint, and so on up to this many, by turns. */
-    private static final int TRIES_MOST = 2;
+    private static final int MAX_TRIES = 2;
     /** The client of one request in so many leaves before its time is up. */
     private static final int LEAVES = 7;
     private static final double TICK = 100;
     /** A request that begins so long after its time was up breaks the promise. */
-    private static final double LATE_MOST = 650;
+    private static final double MAX_LATE = 650;
     private static final String BODY = "of ";
     /** A failure in the last moments of a request's time is told as 504, before that as 502. */
     private static final double TIMED_OUT = 50;
@@ -268,7 +268,7 @@
         double now = calendar.now();
         time("a start after its request's time was up" + (r.comparable ? ""
                 : ", by a connection whose first message had waited"), now - r.endAt);
-        if (r.comparable && now - r.endAt > LATE_MOST) {
+        if (r.comparable && now - r.endAt > MAX_LATE) {
             broke(r.id + " began " + (now - r.endAt) + " ms after its time was up");
         }
         if (r.failed) {
@@ -290,7 +290,7 @@
         private final boolean mutating = random.nextInt(3) > 0;
         private final double timeout = 300 + random.nextInt(2500);
         private final double endAt = calendar.now() + timeout;
-        private final int tries = 1 + requests.size() % TRIES_MOST;
+        private final int tries = 1 + requests.size() % MAX_TRIES;
         private final EndpointAttempts attempts = new EndpointAttempts(tries);
         private final Set<Far> endpoints = new HashSet<>();
         private int runs;
@@ -430,7 +430,7 @@
                 underWay.cancel(answer, cancel);
             } else if (message instanceof PeerMessage.ForwardRequest request) {
                 int left = time.left(process.now(), transit, request);
-                requests.get(request.headers().get(1)).comparable = firstWaited < LATE_MOST;
+                requests.get(request.headers().get(1)).comparable = firstWaited < MAX_LATE;
                 if (bug == Bug.COUNTS_FROM_ARRIVAL) {
                     run(request, answer);
                 } else if (left > 0) {
--- a/src/main/java/whinlead/testbed/mesh/scale/Relay.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Relay.java
@@ -93,7 +93,7 @@
 
     private static void handlers(Channel from, Channel to, Map<String, Count> counts) {
         from.config().setOption(ChannelOption.TCP_NODELAY, true);
-        from.pipeline().addLast(new LengthFieldBasedFrameDecoder(PeerConnection.MESSAGE_MOST, 0, LENGTH_BYTES, 0, 0),
+        from.pipeline().addLast(new LengthFieldBasedFrameDecoder(PeerConnection.MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, 0),
                 new Way(to, counts));
     }
 
--- a/src/main/java/whinlead/testbed/mesh/scale/ScaleRehearsal.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/ScaleRehearsal.java
@@ -25,9 +25,9 @@
         + "sidecars, services, routes, tenants or changes a minute.")
 public final class ScaleRehearsal implements Callable<Integer> {
     /** What all processes of a run may use together. */
-    private static final double CORES_MOST = 4;
-    private static final double MB_MOST = 10_240;
-    private static final int SIDECARS_MOST = 600;
+    private static final double MAX_CORES = 4;
+    private static final double MAX_MB = 10_240;
+    private static final int MAX_SIDECARS = 600;
 
     @Option(names = "--sidecars", split = ",",
             description = "How many, the real one too; 25,50,100,200, or 25 where another size varies.")
@@ -127,8 +127,8 @@
             }
         }
         for (double[] p : all) {
-            if (p[0] < 2 || p[0] > SIDECARS_MOST || p[1] < 1 || p[2] < p[1] || p[4] > p[3]) {
-                throw new ParameterException(spec.commandLine(), "2 to " + SIDECARS_MOST
+            if (p[0] < 2 || p[0] > MAX_SIDECARS || p[1] < 1 || p[2] < p[1] || p[4] > p[3]) {
+                throw new ParameterException(spec.commandLine(), "2 to " + MAX_SIDECARS
                         + " sidecars, as many routes as services at least, no more asked for than tenants");
             }
         }
@@ -169,11 +169,11 @@
 
     private static boolean broken(Map<String, Double> figures) {
         boolean over = figures.entrySet().stream().anyMatch(e -> e.getKey().endsWith("all processes, cores")
-                && e.getValue() > CORES_MOST || e.getKey().endsWith("all processes, MB")
-                && e.getValue() > MB_MOST);
+                && e.getValue() > MAX_CORES || e.getKey().endsWith("all processes, MB")
+                && e.getValue() > MAX_MB);
         if (over) {
             System.out.printf(Locale.ROOT, "stopped: over %.0f cores or %.0f MB (promised) BROKEN%n",
-                    CORES_MOST, MB_MOST);
+                    MAX_CORES, MAX_MB);
         }
         return over;
     }
--- a/src/main/java/whinlead/testbed/mesh/scale/Weights.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Weights.java
@@ -29,7 +29,7 @@
         figures.put("configuration deflated, bytes", (double) body.length);
         figures.put("news of it to a sidecar, bytes", message(new PeerMessage.ConfigUpdate(decision(body, 0), true)));
         figures.put("decision between control nodes, bytes, nothing remembered", told(body, 0));
-        figures.put("decision between control nodes, bytes, all that is remembered", told(body, Decision.TAKEN_MOST));
+        figures.put("decision between control nodes, bytes, all that is remembered", told(body, Decision.MAX_TAKEN));
         EndpointRecord record = new EndpointRecord("10.123.45.67:8366", 1_790_000_000_000L, 12, "hall-a",
                 "endpoint-1234-17", Sizes.service(0), EndpointRecord.Phase.SERVING, 6, 0);
         figures.put("one endpoint record, bytes", message(new PeerMessage.EndpointUpdate(List.of(record))));
--- a/src/main/java/whinlead/transport/EndpointPool.java
+++ b/src/main/java/whinlead/transport/EndpointPool.java
@@ -54,7 +54,7 @@
     private static final double IDLE_SHARE = 0.75;
     private static final long SWEEP_MS = 1000;
     /** No endpoint is taken to close connections that have been idle for less. */
-    private static final double IDLE_LEAST_MS = 50;
+    private static final double MIN_IDLE_MS = 50;
     /**
      * Of the idle time after which an endpoint was found to have closed, and what a second adds to it
      * again.
@@ -62,7 +62,7 @@
     private static final double IDLE_CUT = 0.5;
     private static final double IDLE_REGAIN = 1.2;
     /** Interim answers ahead of the real one; more are not meant to end. */
-    private static final int INTERIM_MOST = 8;
+    private static final int MAX_INTERIM = 8;
     /** An answer that has begun and brings nothing for so long will not end. */
     private static final double STALL_MS = 500;
     /** How long a connection rests after an answer, for bytes behind it to show themselves. */
@@ -411,8 +411,8 @@
                 attempt = null;
                 // Guards against an endpoint that closes idle connections long before the time that it is
                 // said to.
-                if (!a.over && readAt == 0 && idleFor > IDLE_LEAST_MS) {
-                    endpoint.idleMost = Math.max(IDLE_LEAST_MS, idleFor * IDLE_CUT);
+                if (!a.over && readAt == 0 && idleFor > MIN_IDLE_MS) {
+                    endpoint.idleMost = Math.max(MIN_IDLE_MS, idleFor * IDLE_CUT);
                 }
                 a.end(written ? Contract.Outcome.RESET : Contract.Outcome.CONNECT_FAILED, null, null);
             }
@@ -437,7 +437,7 @@
             }
             if (message instanceof HttpContent part) {
                 ByteBuf bytes = part.content();
-                if (body.size() + bytes.readableBytes() > HttpAsk.BODY_MOST) {
+                if (body.size() + bytes.readableBytes() > HttpAsk.MAX_BODY) {
                     spoilt();
                     return;
                 }
@@ -460,13 +460,13 @@
             head = response;
             if (isInterim(response)) {
                 interim++;
-                return interim <= INTERIM_MOST;
+                return interim <= MAX_INTERIM;
             }
             String encoding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
             if (encoding != null) {
                 return HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding);
             }
-            return HttpUtil.isContentLengthSet(response) && HttpUtil.getContentLength(response) <= HttpAsk.BODY_MOST;
+            return HttpUtil.isContentLengthSet(response) && HttpUtil.getContentLength(response) <= HttpAsk.MAX_BODY;
         }
 
         @Override
--- a/src/test/java/whinlead/decide/ListHerdTest.java
+++ b/src/test/java/whinlead/decide/ListHerdTest.java
@@ -13,7 +13,7 @@
 class ListHerdTest {
     /** Discovery can take one call of every sidecar in this time, and turns away what would wait longer. */
     private static final double ALL_CALLS = 4000;
-    private static final double WAIT_MOST = 1000;
+    private static final double MAX_WAIT = 1000;
 
     private final DrivenClock clock = new DrivenClock();
     private double busyUntil;
@@ -41,9 +41,9 @@
             double now = clock.now();
             calls++;
             times.add(now);
-            double turn = Math.min(WAIT_MOST / 2, ALL_CALLS / of);
+            double turn = Math.min(MAX_WAIT / 2, ALL_CALLS / of);
             double done = Math.max(busyUntil, now) + turn;
-            if (now < down || done - now > WAIT_MOST) {
+            if (now < down || done - now > MAX_WAIT) {
                 clock.at(now + 1, () -> module.servers(clock.now(), Contract.ListKind.FAILED, List.of()));
                 return;
             }
--- a/src/test/java/whinlead/front/spop/SpopConnectionTest.java
+++ b/src/test/java/whinlead/front/spop/SpopConnectionTest.java
@@ -45,7 +45,7 @@
     }
 
     private EmbeddedChannel channel(boolean room) {
-        return new EmbeddedChannel(new LengthFieldBasedFrameDecoder(SpopServer.FRAME_MOST + 4, 0, 4, 0, 4),
+        return new EmbeddedChannel(new LengthFieldBasedFrameDecoder(SpopServer.MAX_FRAME + 4, 0, 4, 0, 4),
                 new SpopConnection(all, new ConsultRequest.Names(settings), peer, room));
     }
 
--- a/src/test/java/whinlead/membership/RosterTest.java
+++ b/src/test/java/whinlead/membership/RosterTest.java
@@ -58,7 +58,7 @@
 
     @Test
     void thousandsAreTakenAndBeyondTheBoundNoneByListsOrByChanges() {
-        String[] most = new String[Roster.ENDPOINTS_MOST];
+        String[] most = new String[Roster.MAX_ENDPOINTS];
         for (int i = 0; i < most.length; i++) {
             most[i] = "s" + i;
         }
--- a/src/test/java/whinlead/mesh/ConsensusContactTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusContactTest.java
@@ -126,7 +126,7 @@
         }
         for (int v = 1; v <= 300; v++) {
             ConsensusNode.CallResult verdict = c.replace("b#0", v, v - 1, "d" + v);
-            assertEquals(verdict, v > 300 - Decision.TAKEN_MOST ? ConsensusNode.CallResult.TAKEN
+            assertEquals(verdict, v > 300 - Decision.MAX_TAKEN ? ConsensusNode.CallResult.TAKEN
                     : ConsensusNode.CallResult.UNCLEAR, "version " + v);
         }
         assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.CallResult.MISMATCH);
--- a/src/test/java/whinlead/mesh/DataPlaneTest.java
+++ b/src/test/java/whinlead/mesh/DataPlaneTest.java
@@ -207,10 +207,10 @@
     @Test
     public void aDirectoryIsBounded() {
         EndpointRegistry d = new EndpointRegistry();
-        for (int i = 0; i < EndpointRegistry.MOST + 10; i++) {
+        for (int i = 0; i < EndpointRegistry.MAX_NODES + 10; i++) {
             d.merge(new EndpointRecord("n" + i, 1, 1, "z", "", "", EndpointRecord.Phase.SERVING, 1, 0));
         }
-        assertEquals(d.all().size(), EndpointRegistry.MOST);
+        assertEquals(d.all().size(), EndpointRegistry.MAX_NODES);
         assertTrue(d.merge(new EndpointRecord("n0", 1, 2, "z", "", "", EndpointRecord.Phase.GONE, 1, 0)));
     }
 }
--- a/src/test/java/whinlead/mesh/OrderRulingTest.java
+++ b/src/test/java/whinlead/mesh/OrderRulingTest.java
@@ -10,8 +10,8 @@
 
 /** Every order, by its version, the version that it builds on and its content, against a full memory. */
 public class OrderRulingTest {
-    private static final int CURRENT = Decision.TAKEN_MOST + 20;
-    private static final int OLDEST_REMEMBERED = CURRENT - Decision.TAKEN_MOST + 1;
+    private static final int CURRENT = Decision.MAX_TAKEN + 20;
+    private static final int OLDEST_REMEMBERED = CURRENT - Decision.MAX_TAKEN + 1;
     private static final Set<OrderRuling> REFUSED = EnumSet.of(OrderRuling.MISMATCH, OrderRuling.OLD_VERSION);
 
     private static Decision newest() {
--- a/src/test/java/whinlead/mesh/control/StateWriterTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterTest.java
@@ -96,11 +96,11 @@
 
     @Test
     public void whatAStalledDiskHoldsUpIsBounded() {
-        for (int i = 0; i < StateWriter.WAITING_MOST + 2; i++) {
+        for (int i = 0; i < StateWriter.MAX_WAITING + 2; i++) {
             hand(1, "" + i);
         }
         step();
-        assertEquals(said.size(), StateWriter.WAITING_MOST);
+        assertEquals(said.size(), StateWriter.MAX_WAITING);
         assertEquals(said.get(0), "2", "the oldest are as if lost on the way");
     }
 
--- a/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
+++ b/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
@@ -74,9 +74,9 @@
 
     @Test
     public void aBodyThatIsTooLargeIsAnsweredInItsTurn() {
-        say(READ + HEAD + "Content-Length: " + (RpcConnection.BODY_MOST + 1) + "\r\n\r\n");
+        say(READ + HEAD + "Content-Length: " + (RpcConnection.MAX_BODY + 1) + "\r\n\r\n");
         String piece = "x".repeat(1 << 16);
-        for (int left = RpcConnection.BODY_MOST + 1; left > 0; left -= piece.length()) {
+        for (int left = RpcConnection.MAX_BODY + 1; left > 0; left -= piece.length()) {
             say(piece.substring(0, Math.min(left, piece.length())));
         }
         say(READ);
--- a/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
@@ -23,7 +23,7 @@
 public class ClientConnectionTest {
     private static final int UNDER_WAY = 16;
     private static final String HOST = "Host: h\r\n";
-    private static final double MOST_MS = 2000;
+    private static final double MAX_MS = 2000;
     private static final double IDLE_MS = 15_000;
 
     private final class Taking implements ClientConnection.Taker {
@@ -60,7 +60,7 @@
 
         @Override
         public double mostMs(HttpRequest head) {
-            return MOST_MS;
+            return MAX_MS;
         }
 
         @Override
@@ -190,12 +190,12 @@
     @Test
     public void aBodyThatDribblesIsRefusedOnceItsTimeIsUp() {
         say(post("/a", "", 50, ""));
-        for (int ms = 100; ms < MOST_MS; ms += 100) {
+        for (int ms = 100; ms < MAX_MS; ms += 100) {
             calendar.runTo(ms);
             say("x");
         }
         assertEquals(heard(), "");
-        calendar.runTo(MOST_MS);
+        calendar.runTo(MAX_MS);
         assertTrue(heard().matches("(?s)HTTP/1.1 408.*onnection: close.*"));
         assertEquals(taken, List.of());
         assertEquals(held, 0);
@@ -205,13 +205,13 @@
     @Test
     public void theTimeThatABodyTookCountsAndTheNextHasItsOwn() {
         say(post("/a", "", 2, "x"));
-        calendar.runTo(MOST_MS - 500);
+        calendar.runTo(MAX_MS - 500);
         say("x" + post("/b", "", 2, ""));
-        assertEquals(turns.get(0).readingMs(), MOST_MS - 500);
-        calendar.runTo(2 * MOST_MS - 501);
+        assertEquals(turns.get(0).readingMs(), MAX_MS - 500);
+        calendar.runTo(2 * MAX_MS - 501);
         say("xx");
-        assertEquals(turns.get(1).readingMs(), MOST_MS - 1);
-        calendar.runTo(4 * MOST_MS);
+        assertEquals(turns.get(1).readingMs(), MAX_MS - 1);
+        calendar.runTo(4 * MAX_MS);
         assertTrue(channel.isActive());
     }
 
--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -275,9 +275,9 @@
         events.passedOver("the same thing");
         events.passedOver("the same thing");
         assertEquals(events.logged(), 1);
-        for (int i = 0; i < 2 * VersionEvents.LOGGED_MOST; i++) {
+        for (int i = 0; i < 2 * VersionEvents.MAX_LOGGED; i++) {
             events.passedOver("thing " + i);
         }
-        assertEquals(events.logged(), VersionEvents.LOGGED_MOST);
+        assertEquals(events.logged(), VersionEvents.MAX_LOGGED);
     }
 }
--- a/src/test/java/whinlead/replication/ReplicatedStateTest.java
+++ b/src/test/java/whinlead/replication/ReplicatedStateTest.java
@@ -251,7 +251,7 @@
             }
             assertTrue(standing.stream().map(Attempt::owner).distinct().count() <= 1,
                     () -> "two let it out: " + e);
-            assertTrue(e.attempts().size() <= ReplicatedState.ATTEMPTS_MOST);
+            assertTrue(e.attempts().size() <= ReplicatedState.MAX_ATTEMPTS);
             if (e.ending() == Ending.REFUSED) {
                 assertTrue(standing.isEmpty(), () -> "refused, but it may have run: " + e);
             }
--- a/src/test/java/whinlead/testbed/PlanDayTest.java
+++ b/src/test/java/whinlead/testbed/PlanDayTest.java
@@ -18,7 +18,7 @@
  * that differs is played again: a planner that is wrong is so each time.
  */
 class PlanDayTest {
-    private static final int PLAYS_MOST = 3;
+    private static final int MAX_PLAYS = 3;
 
     private interface Play {
         PlanDay.Result once() throws IOException;
@@ -26,7 +26,7 @@
 
     private static void agrees(PlanDay.Result said, double apart, Play play) throws IOException {
         List<PlanDay.Result> done = new ArrayList<>();
-        while (done.size() < PLAYS_MOST) {
+        while (done.size() < MAX_PLAYS) {
             done.add(play.once());
             if (Math.abs(said.worth() - done.get(done.size() - 1).worth()) <= apart) {
                 return;
--- a/src/test/java/whinlead/testbed/RoomTest.java
+++ b/src/test/java/whinlead/testbed/RoomTest.java
@@ -34,7 +34,7 @@
     void withRoomNearlyNothingIsRefused(RoomDay day) {
         Ledger ledger = day.play(Decide::new, JITTER, 7);
         assertEquals(Map.of(), ledger.broken(), day.name());
-        assertTrue(day.refused(ledger) < RoomDay.REFUSED_MOST, () -> day.name() + ": " + day.refused(ledger));
+        assertTrue(day.refused(ledger) < RoomDay.MAX_REFUSED, () -> day.name() + ": " + day.refused(ledger));
         assertTrue(day.refusedFor(ledger) < RoomDay.BOUND_MS,
                 () -> day.name() + ", milliseconds after a change: " + day.refusedFor(ledger));
     }
