--- a/src/test/java/whinlead/mesh/AtMostOnceTest.java
+++ b/src/test/java/whinlead/mesh/AtMostOnceTest.java
@@ -167,7 +167,7 @@
     }
 
     // The answer of one that may not be repeated is late, or the way there is: then it may run after all.
-    @Test(dependsOnMethods = {"aTieResetWithARequestUnderWay",
+    @Test(dependsOnMethods = {"aConnectionResetWithARequestUnderWay",
         "anEndpointThatResetsRanItOnceAndNobodySaysOtherwise"}, alwaysRun = true)
     public void aConnectionHeldBackAndLetGo() throws Exception {
         for (Relay.Way way : Relay.Way.values()) {
@@ -217,7 +217,7 @@
     }
 
     // What waits for its connection's dial must not leave once its caller was answered.
-    @Test(dependsOnMethods = "aTieHeldBackAndLetGo", alwaysRun = true)
+    @Test(dependsOnMethods = "aConnectionHeldBackAndLetGo", alwaysRun = true)
     public void aConnectionThatCantBeDialled() throws Exception {
         rig.relay("c0", "c1").set(Mode.CUT);
         rig.relay("c0", "c1").reset();
@@ -244,7 +244,7 @@
      */
     private record End(String id, boolean once, int status, String echoed) { }
 
-    @Test(dependsOnMethods = "aTieThatCantBeDialled", alwaysRun = true)
+    @Test(dependsOnMethods = "aConnectionThatCantBeDialled", alwaysRun = true)
     public void aStormOfResetsCutsHoldsAndAKill() throws Exception {
         near = new StandInApp("i-0", "svc", rig.cards.app(0), rig.cards.beats(0));
         near.beatEvery(BEAT_MS);
