--- a/src/main/java/whinlead/Contract.java
+++ b/src/main/java/whinlead/Contract.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module {@code whinlead.decide.Decide}: the settings it starts from, the events it is told
- * and the actions it takes. A sidecar embeds this file and that package and nothing else.
+ * The whole interface of the decision module {@code whinlead.decide.Decide}: the settings it starts from, the events it
+ * is told and the actions it takes. A sidecar embeds this file and that package and nothing else.
  *
- * <p>Times are milliseconds on the embedder's own clock, which may start anywhere and never runs backwards.
- * The module reads no clock, starts no thread and does no I/O: it acts only inside an event.
+ * <p>Times are milliseconds on the embedder's own clock, which may start anywhere and never runs backwards. The module
+ * reads no clock, starts no thread and does no I/O: it acts only inside an event.
  */
 public interface Contract {
 
@@ -22,12 +22,22 @@
     }
 
     /** Which servers discard the repeats of a keyed request. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How an attempt ended. */
     enum Outcome {
-        SERVED(false), ERROR(false), FULL(true), TIMED_OUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), NEVER_SENT(true);
+        SERVED(false),
+        ERROR(false),
+        FULL(true),
+        TIMED_OUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        NEVER_SENT(true);
 
         /** True if this outcome proves that the attempt never ran. */
         public final boolean neverRan;
@@ -38,7 +48,11 @@
     }
 
     /** What the list says of a server. */
-    enum Standing { UP, DRAINING, GONE }
+    enum Standing {
+        UP,
+        DRAINING,
+        GONE
+    }
 
     /** What a list event holds. */
     enum ListKind {
@@ -53,33 +67,64 @@
     }
 
     /** How load reports reach the sidecar. */
-    enum Reporting { NONE, WITH_ANSWERS, WITH_PROBES }
+    enum Reporting {
+        NONE,
+        WITH_ANSWERS,
+        WITH_PROBES
+    }
 
     /** A class of requests. */
-    record RequestClass(String name, double worth, double lateWorth, double aim, double deadline, Effect effect,
-                        Group group, double window, boolean stream) { }
+    record RequestClass(
+            String name,
+            double worth,
+            double lateWorth,
+            double aim,
+            double deadline,
+            Effect effect,
+            Group group,
+            double window,
+            boolean stream) {}
 
     /** A tenant and the requests a second that are within its share, over all sidecars. */
-    record Tenant(String name, double share, double quotaPerSecond) { }
+    record Tenant(String name, double share, double quotaPerSecond) {}
 
     /** What the deployment lets the module do; {@code probeCost} is its price for one probe a request. */
-    record Limits(int attempts, boolean copies, boolean cancel, boolean probes, boolean peers, boolean retryAfter,
-                  double maxRetryAfter, double probeCost) { }
+    record Limits(
+            int attempts,
+            boolean copies,
+            boolean cancel,
+            boolean probes,
+            boolean peers,
+            boolean retryAfter,
+            double maxRetryAfter,
+            double probeCost) {}
 
     /** The figures of the rules on drains and on cold servers. */
-    record Obligations(double drainGrace, double fallMultiple, double fallTime, double coldShare, double coldTime,
-                       double askWithin) { }
+    record Obligations(
+            double drainGrace,
+            double fallMultiple,
+            double fallTime,
+            double coldShare,
+            double coldTime,
+            double askWithin) {}
 
     /** Everything the module is told at start. */
-    record Settings(List<RequestClass> classes, List<Tenant> tenants, double overShareWorth, Limits limits,
-                    Obligations obligations, Reporting reporting, boolean listMustBeAsked, int sidecars,
-                    int ordinal) { }
+    record Settings(
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            double overShareWorth,
+            Limits limits,
+            Obligations obligations,
+            Reporting reporting,
+            boolean listMustBeAsked,
+            int sidecars,
+            int ordinal) {}
 
     /** An entry of the server list. {@code startedAt} of 0 or less than the clock's start means long ago. */
-    record Server(String id, Standing standing, double size, String zone, int cell, double startedAt) { }
+    record Server(String id, Standing standing, double size, String zone, int cell, double startedAt) {}
 
     /** A load report; a value that it lacks is NaN. */
-    record Report(double inflight, double queue, double util, double latency, double perSecond, double errors) { }
+    record Report(double inflight, double queue, double util, double latency, double perSecond, double errors) {}
 
     /** A request. The same object stands for it in every event and action; {@link #state} is the module's own. */
     final class Request {
@@ -129,8 +174,14 @@
          * An attempt ended. With {@code finished} the client has had its final answer; else it is still owed.
          * {@code report} may be null.
          */
-        void outcome(double now, Request request, int attempt, Outcome outcome, double took, boolean finished,
-                     Report report);
+        void outcome(
+                double now,
+                Request request,
+                int attempt,
+                Outcome outcome,
+                double took,
+                boolean finished,
+                Report report);
 
         /** The answer to an attempt began to stream to the client, which ends the module's duty to it. */
         void streaming(double now, Request request, int attempt);
--- a/src/main/java/whinlead/SettingsReader.java
+++ b/src/main/java/whinlead/SettingsReader.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The settings of an instance, read from path and value pairs. The simulator's first message and the real
- * sidecar's configuration hold the same ones, so both adapters read them here. Unknown keys are ignored.
+ * The settings of an instance, read from path and value pairs. The simulator's first message and the real sidecar's
+ * configuration hold the same ones, so both adapters read them here. Unknown keys are ignored.
  */
 public final class SettingsReader {
     private final Map<String, String> pairs;
@@ -31,37 +31,40 @@
         int t = pairs.containsKey("tenants.count") ? whole("tenants.count", 0) : 0;
         for (int i = 0; i < t; i++) {
             String at = "tenants." + i + ".";
-            tenants.add(new Contract.Tenant(word(at + "name"), number(at + "share", 0, 1),
-                    number(at + "quota_per_s", 0, 1e12)));
+            tenants.add(new Contract.Tenant(
+                    word(at + "name"), number(at + "share", 0, 1), number(at + "quota_per_s", 0, 1e12)));
         }
         int sidecars = whole("peers_total", 1);
         int ordinal = whole("ordinal", 0);
         if (ordinal >= sidecars) {
             throw fault("ordinal", "is not below peers_total");
         }
-        Contract.Reporting reporting = switch (word("reporting.how")) {
-            case "off" -> Contract.Reporting.NONE;
-            case "inline" -> Contract.Reporting.WITH_ANSWERS;
-            case "on_probe" -> Contract.Reporting.WITH_PROBES;
-            default -> throw fault("reporting.how", "is not one of off, inline, on_probe");
-        };
-        boolean ask = switch (word("discovery")) {
-            case "ask" -> true;
-            case "push" -> false;
-            default -> throw fault("discovery", "is not one of ask, push");
-        };
+        Contract.Reporting reporting =
+                switch (word("reporting.how")) {
+                    case "off" -> Contract.Reporting.NONE;
+                    case "inline" -> Contract.Reporting.WITH_ANSWERS;
+                    case "on_probe" -> Contract.Reporting.WITH_PROBES;
+                    default -> throw fault("reporting.how", "is not one of off, inline, on_probe");
+                };
+        boolean ask =
+                switch (word("discovery")) {
+                    case "ask" -> true;
+                    case "push" -> false;
+                    default -> throw fault("discovery", "is not one of ask, push");
+                };
         double over = t == 0 ? 1 : number("over_share_worth", 0, 1);
-        return new Contract.Settings(classes, tenants, over, limits(), obligations(), reporting, ask, sidecars,
-                ordinal);
+        return new Contract.Settings(
+                classes, tenants, over, limits(), obligations(), reporting, ask, sidecars, ordinal);
     }
 
     private Contract.RequestClass requestClass(String at) {
-        Contract.Effect effect = switch (word(at + "effect")) {
-            case "idempotent" -> Contract.Effect.SAFE;
-            case "deduplicated" -> Contract.Effect.KEYED;
-            case "at_most_once" -> Contract.Effect.UNSAFE;
-            default -> throw fault(at + "effect", "is not one of idempotent, deduplicated, at_most_once");
-        };
+        Contract.Effect effect =
+                switch (word(at + "effect")) {
+                    case "idempotent" -> Contract.Effect.SAFE;
+                    case "deduplicated" -> Contract.Effect.KEYED;
+                    case "at_most_once" -> Contract.Effect.UNSAFE;
+                    default -> throw fault(at + "effect", "is not one of idempotent, deduplicated, at_most_once");
+                };
         Contract.Group group = Contract.Group.ALL;
         double window = 0;
         if (effect == Contract.Effect.KEYED) {
@@ -78,22 +81,37 @@
         if (aim > deadline) {
             throw fault(at + "slo", "is over the deadline of its class");
         }
-        return new Contract.RequestClass(word(at + "name"), number(at + "value", 0, 1e12),
-                number(at + "late_worth", 0, 1), aim, deadline, effect, group, window,
+        return new Contract.RequestClass(
+                word(at + "name"),
+                number(at + "value", 0, 1e12),
+                number(at + "late_worth", 0, 1),
+                aim,
+                deadline,
+                effect,
+                group,
+                window,
                 pairs.containsKey(at + "stream") && flag(at + "stream"));
     }
 
     private Contract.Limits limits() {
-        return new Contract.Limits(whole("limits.attempts_cap", 1), flag("limits.may_duplicate"),
-                flag("limits.cancel"), flag("limits.probes"), flag("limits.peers"), flag("limits.retry_after"),
+        return new Contract.Limits(
+                whole("limits.attempts_cap", 1),
+                flag("limits.may_duplicate"),
+                flag("limits.cancel"),
+                flag("limits.probes"),
+                flag("limits.peers"),
+                flag("limits.retry_after"),
                 number("limits.max_retry_after", 0, 1e12),
                 pairs.containsKey("costs.probe") ? number("costs.probe", 0, 1e12) : 0);
     }
 
     private Contract.Obligations obligations() {
-        return new Contract.Obligations(number("obligations.drain_grace", 0, 1e12),
-                number("obligations.fall_multiple", 1e-9, 1e12), number("obligations.overload_for", 1e-3, 1e12),
-                number("obligations.cold_share", 0, 1), number("obligations.cold", 0, 1e12),
+        return new Contract.Obligations(
+                number("obligations.drain_grace", 0, 1e12),
+                number("obligations.fall_multiple", 1e-9, 1e12),
+                number("obligations.overload_for", 1e-3, 1e12),
+                number("obligations.cold_share", 0, 1),
+                number("obligations.cold", 0, 1e12),
                 pairs.containsKey("obligations.ask_within") ? number("obligations.ask_within", 0, 1e12) : 0);
     }
 
--- a/src/main/java/whinlead/admit/Admission.java
+++ b/src/main/java/whinlead/admit/Admission.java
@@ -6,10 +6,9 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses the connection that makes room, by what each does and for how long. It knows no socket, clock or
- * thread: it is told what connections come to do, and asked for one to close. Those that never carried a
- * request are unknown; an idle one has carried a good request and is known. What holds a taken request is
- * never chosen.
+ * Chooses the connection that makes room, by what each does and for how long. It knows no socket, clock or thread: it
+ * is told what connections come to do, and asked for one to close. Those that never carried a request are unknown; an
+ * idle one has carried a good request and is known. What holds a taken request is never chosen.
  *
  * @param <C> a connection, told apart by identity or as its class has it
  */
@@ -29,8 +28,8 @@
     /**
      * Who goes first. Times are milliseconds.
      *
-     * @param unknownPart of the places, as a share, those that silent connections may have while known ones
-     *     are closed for them; a new one has so many arrivals of time to say something
+     * @param unknownPart of the places, as a share, those that silent connections may have while known ones are closed
+     *     for them; a new one has so many arrivals of time to say something
      * @param idleLong an idle connection goes before all others from then on
      * @param idleLeast one that has been idle for less is not closed: its next request may be on its way
      * @param slowLeast a good request has come whole long before
@@ -38,7 +37,9 @@
     public record Limits(double unknownPart, double idleLong, double idleLeast, double slowLeast) {
         /** Checks the ranges. */
         public Limits {
-            if (!(unknownPart >= 0 && unknownPart <= 1) || !(idleLeast >= 0) || !(idleLong >= idleLeast)
+            if (!(unknownPart >= 0 && unknownPart <= 1)
+                    || !(idleLeast >= 0)
+                    || !(idleLong >= idleLeast)
                     || !(slowLeast >= 0)) {
                 throw new IllegalArgumentException("limits out of range");
             }
--- a/src/main/java/whinlead/admit/Budget.java
+++ b/src/main/java/whinlead/admit/Budget.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * Shares out the process's file descriptors by purpose, and moves them from one that does not need its share
- * to one that was refused some, with hysteresis. All purposes together never hold more than their first
- * shares were: what a purpose is given, another has given up and no longer uses. No socket, clock or thread:
- * it is told what is used and refused, and asked what may be opened.
+ * Shares out the process's file descriptors by purpose, and moves them from one that does not need its share to one
+ * that was refused some, with hysteresis. All purposes together never hold more than their first shares were: what a
+ * purpose is given, another has given up and no longer uses. No socket, clock or thread: it is told what is used and
+ * refused, and asked what may be opened.
  */
 public final class Budget {
     /** What descriptors are for. */
@@ -147,8 +147,7 @@
 
     private void giveBack(State s, int most) {
         for (State o : states.values()) {
-            int step = Math.min(Math.max(1, most), Math.min(s.cap - s.share.first(),
-                    o.share.first() - o.cap));
+            int step = Math.min(Math.max(1, most), Math.min(s.cap - s.share.first(), o.share.first() - o.cap));
             if (o != s && step > 0) {
                 s.cap -= step;
                 o.cap += step;
--- a/src/main/java/whinlead/admit/Client.java
+++ b/src/main/java/whinlead/admit/Client.java
@@ -1,8 +1,7 @@
 package whinlead.admit;
 
 /**
- * Who counts as one client: the leading bits of an address, IPv4 ones in their mapped form (RFC 4291, section
- * 2.5.5.2).
+ * Who counts as one client: the leading bits of an address, IPv4 ones in their mapped form (RFC 4291, section 2.5.5.2).
  *
  * @param high the first 64 bits
  * @param low the last 64 bits
@@ -46,8 +45,8 @@
         if (high == 0 && low >>> Integer.SIZE == MAPPED >>> Integer.SIZE) {
             return v4(low & 0xffffffffL, prefixes);
         }
-        return new Client(high & leading(Math.min(prefixes.v6(), HALF)),
-                low & leading(Math.max(0, prefixes.v6() - HALF)));
+        return new Client(
+                high & leading(Math.min(prefixes.v6(), HALF)), low & leading(Math.max(0, prefixes.v6() - HALF)));
     }
 
     private static Client v4(long address, Prefixes prefixes) {
--- a/src/main/java/whinlead/admit/Clients.java
+++ b/src/main/java/whinlead/admit/Clients.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * What is known of each client: what it has open, how fast it comes, and whether it lately asked good
- * requests. Bounded: those with nothing open are kept in a segmented LRU (Karedla, Love and Wherry, 1994), in
- * which a flood of strangers pushes out strangers first. It knows no clock: every time is milliseconds from
- * one fixed instant, and they never fall.
+ * What is known of each client: what it has open, how fast it comes, and whether it lately asked good requests.
+ * Bounded: those with nothing open are kept in a segmented LRU (Karedla, Love and Wherry, 1994), in which a flood of
+ * strangers pushes out strangers first. It knows no clock: every time is milliseconds from one fixed instant, and they
+ * never fall.
  */
 final class Clients {
     /** Of those kept without a connection, the part that may be known ones. */
@@ -23,6 +23,7 @@
     private static final double BAD_KEEP = 0.5;
     /** A known client may open connections so many times as fast. */
     private static final double KNOWN_FASTER = 4;
+
     private static final double SECOND = 1000;
 
     /** One client. */
@@ -63,8 +64,8 @@
         // A token bucket: one for each new connection.
         private boolean pays(double now) {
             double faster = known(now) ? KNOWN_FASTER : 1;
-            tokens = Math.min(gateLimits.burst() * faster,
-                    tokens + (now - tokensAt) / SECOND * gateLimits.perSecond() * faster);
+            tokens = Math.min(
+                    gateLimits.burst() * faster, tokens + (now - tokensAt) / SECOND * gateLimits.perSecond() * faster);
             tokensAt = now;
             if (tokens < 1) {
                 return false;
--- a/src/main/java/whinlead/admit/Gate.java
+++ b/src/main/java/whinlead/admit/Gate.java
@@ -3,13 +3,12 @@
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.Map;
-import java.util.function.Predicate;
 
 /**
- * Admits the connections of one listener, or of several that share their places: caps and rates by client, a
- * reserve for known clients, who makes room, and what to do when the process has no descriptor left. It is
- * told what happens, with the time, and answers with the connection to close; no socket, clock or thread.
- * What holds a taken request is never chosen.
+ * Admits the connections of one listener, or of several that share their places: caps and rates by client, a reserve
+ * for known clients, who makes room, and what to do when the process has no descriptor left. It is told what happens,
+ * with the time, and answers with the connection to close; no socket, clock or thread. What holds a taken request is
+ * never chosen.
  *
  * @param <C> a connection, told apart by identity or as its class has it
  */
@@ -40,31 +39,45 @@
      * @param remembered clients remembered that have nothing open; at least 1
      * @param knownHalfLife milliseconds in which good requests come to count half
      */
-    public record Limits(Client.Prefixes prefixes, int perClient, int perKnownClient, double perSecond,
-            double burst, int reserve, int remembered, double knownHalfLife) {
+    public record Limits(
+            Client.Prefixes prefixes,
+            int perClient,
+            int perKnownClient,
+            double perSecond,
+            double burst,
+            int reserve,
+            int remembered,
+            double knownHalfLife) {
         private static final double UNLIMITED = 1e9;
 
         /** Checks the ranges. */
         public Limits {
-            if (perClient < 1 || perKnownClient < perClient || !(perSecond > 0) || !(burst >= 1)
-                    || reserve < 0 || remembered < 1 || !(knownHalfLife > 0)) {
+            if (perClient < 1
+                    || perKnownClient < perClient
+                    || !(perSecond > 0)
+                    || !(burst >= 1)
+                    || reserve < 0
+                    || remembered < 1
+                    || !(knownHalfLife > 0)) {
                 throw new IllegalArgumentException("limits of clients out of range");
             }
         }
 
         /** No limit on any client, and none remembered: all that counts is what each connection does. */
         public static Limits none() {
-            return new Limits(new Client.Prefixes(0, 0), Integer.MAX_VALUE, Integer.MAX_VALUE, UNLIMITED,
-                    UNLIMITED, 0, 1, 1);
+            return new Limits(
+                    new Client.Prefixes(0, 0), Integer.MAX_VALUE, Integer.MAX_VALUE, UNLIMITED, UNLIMITED, 0, 1, 1);
         }
     }
 
     /** The need of known clients is the most that they had open, of which so much stays after this time. */
     private static final double NEED_HALF_LIFE_MS = 60_000;
+
     private static final double MIN_PAUSE_MS = 10;
     private static final double MAX_PAUSE_MS = 500;
     /** One place more a second after a shortage: whoever took the descriptors may want more still. */
     private static final double REGAIN_MS = 1000;
+
     private static final int MIN_PLACES = 4;
 
     private final Limits limits;
@@ -138,7 +151,10 @@
     }
 
     private int strangersOpen(double now) {
-        return clients.active().stream().filter(e -> !e.known(now)).mapToInt(Clients.Entry::open).sum();
+        return clients.active().stream()
+                .filter(e -> !e.known(now))
+                .mapToInt(Clients.Entry::open)
+                .sum();
     }
 
     // Never more than what known clients lately had: places kept for nobody would be lost to all.
@@ -179,8 +195,8 @@
     }
 
     /**
-     * One could not be accepted, for the process or the system has no descriptor left (EMFILE, ENFILE).
-     * Nothing is to be accepted for {@link #pause()}: a loop that only fails serves nobody.
+     * One could not be accepted, for the process or the system has no descriptor left (EMFILE, ENFILE). Nothing is to
+     * be accepted for {@link #pause()}: a loop that only fails serves nobody.
      *
      * @return the one to close now, or null
      */
--- a/src/main/java/whinlead/benchlink/BootInfo.java
+++ b/src/main/java/whinlead/benchlink/BootInfo.java
@@ -1,9 +1,9 @@
 package whinlead.benchlink;
 
-import whinlead.Contract;
-import whinlead.SettingsReader;
 import java.util.HashMap;
 import java.util.Map;
+import whinlead.Contract;
+import whinlead.SettingsReader;
 
 /** Splits the pairs of an instance's first message. */
 final class BootInfo {
--- a/src/main/java/whinlead/benchlink/Instance.java
+++ b/src/main/java/whinlead/benchlink/Instance.java
@@ -1,9 +1,9 @@
 package whinlead.benchlink;
 
-import whinlead.Contract;
-import whinlead.decide.Decide;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
+import whinlead.Contract;
+import whinlead.decide.Decide;
 
 /** One sidecar: its module, its open requests, and its actions put on the wire. */
 final class Instance implements Contract.Actions {
@@ -66,7 +66,14 @@
         if (t != null) {
             t.owed++;
         }
-        begin("forward").space().integer(r.id).space().word(server).space().millis(within).line();
+        begin("forward")
+                .space()
+                .integer(r.id)
+                .space()
+                .word(server)
+                .space()
+                .millis(within)
+                .line();
     }
 
     @Override
@@ -98,7 +105,10 @@
 
     @Override
     public void tellPeers(byte[] text) {
-        begin("notify").word(" * ").word(Base64.getEncoder().encodeToString(text)).line();
+        begin("notify")
+                .word(" * ")
+                .word(Base64.getEncoder().encodeToString(text))
+                .line();
     }
 
     @Override
--- a/src/main/java/whinlead/benchlink/Link.java
+++ b/src/main/java/whinlead/benchlink/Link.java
@@ -1,6 +1,5 @@
 package whinlead.benchlink;
 
-import whinlead.Contract;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -8,14 +7,22 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
+import whinlead.Contract;
 
 /** Reads batches of events, hands each to the module of its instance, and writes the replies. Decides nothing. */
 final class Link {
-    private static final byte[][] OUTCOMES = bytes("done", "err", "busy", "etimedout", "econnrefused", "econnreset",
-            "ecanceled", "skipped");
-    private static final Contract.Outcome[] OUTCOME = {Contract.Outcome.SERVED, Contract.Outcome.ERROR,
-        Contract.Outcome.FULL, Contract.Outcome.TIMED_OUT, Contract.Outcome.CONNECT_FAILED, Contract.Outcome.RESET,
-        Contract.Outcome.CANCELLED, Contract.Outcome.NEVER_SENT};
+    private static final byte[][] OUTCOMES =
+            bytes("done", "err", "busy", "etimedout", "econnrefused", "econnreset", "ecanceled", "skipped");
+    private static final Contract.Outcome[] OUTCOME = {
+        Contract.Outcome.SERVED,
+        Contract.Outcome.ERROR,
+        Contract.Outcome.FULL,
+        Contract.Outcome.TIMED_OUT,
+        Contract.Outcome.CONNECT_FAILED,
+        Contract.Outcome.RESET,
+        Contract.Outcome.CANCELLED,
+        Contract.Outcome.NEVER_SENT
+    };
     private static final byte[][] MODES = bytes("U", "L", "D");
     private static final Contract.Standing[] STANDING = Contract.Standing.values();
     private static final byte[][] SCOPES = bytes("D", "F", "C", "X");
--- a/src/main/java/whinlead/benchlink/Main.java
+++ b/src/main/java/whinlead/benchlink/Main.java
@@ -7,7 +7,7 @@
 
 /** The command line: {@code benchlink} speaks the simulator's wire on standard input and output. */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     /** Runs the adapter; exits with 2 on bad usage and 1 on input that does not follow the wire. */
     public static void main(String[] args) {
--- a/src/main/java/whinlead/capture/CaptureInput.java
+++ b/src/main/java/whinlead/capture/CaptureInput.java
@@ -1,6 +1,5 @@
 package whinlead.capture;
 
-import whinlead.engine.RequestListener;
 import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.DataInputStream;
@@ -11,10 +10,11 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import whinlead.engine.RequestListener;
 
 /**
- * Reads a capture one entry at a time, however long it is. A torn last entry is left out and told, one whose
- * time is before the last one's counts as a jump of the clock and gets that one's. For one thread.
+ * Reads a capture one entry at a time, however long it is. A torn last entry is left out and told, one whose time is
+ * before the last one's counts as a jump of the clock and gets that one's. For one thread.
  */
 public final class CaptureInput implements Closeable {
     private static final RequestListener.End[] ENDS = RequestListener.End.values();
@@ -41,8 +41,8 @@
             }
             int version = in.readInt();
             if (version != CaptureOutput.VERSION) {
-                throw new IllegalArgumentException("a capture of version " + version + ", not "
-                        + CaptureOutput.VERSION);
+                throw new IllegalArgumentException(
+                        "a capture of version " + version + ", not " + CaptureOutput.VERSION);
             }
             int count = in.readInt();
             if (count < 1 || count > CaptureOutput.MAX_CLASSES) {
--- a/src/main/java/whinlead/capture/CaptureOutput.java
+++ b/src/main/java/whinlead/capture/CaptureOutput.java
@@ -7,12 +7,13 @@
 import java.util.List;
 
 /**
- * Writes a capture: a head with the names of the classes, then entries of one size, so that a torn last one
- * shows. For one thread.
+ * Writes a capture: a head with the names of the classes, then entries of one size, so that a torn last one shows. For
+ * one thread.
  */
 public final class CaptureOutput implements Closeable {
     /** "WLCP"; what follows is the version. */
     static final int MAGIC = 0x574C4350;
+
     static final int VERSION = 1;
     /** Bytes of an entry. */
     static final int ENTRY = 24;
@@ -48,7 +49,14 @@
         if (e.kind() < 0 || e.kind() >= classes) {
             throw new IllegalArgumentException("class " + e.kind() + " is not in the head");
         }
-        put(e.at(), e.kind(), e.repeat() ? 1 : 0, e.tenant(), e.timeout(), e.size(), e.end().ordinal());
+        put(
+                e.at(),
+                e.kind(),
+                e.repeat() ? 1 : 0,
+                e.tenant(),
+                e.timeout(),
+                e.size(),
+                e.end().ordinal());
     }
 
     /** Notes that so many were lost since the last one. */
@@ -56,8 +64,7 @@
         put(at, LOST, 0, -1, 0, count, 0);
     }
 
-    private void put(long at, int kind, int flags, int tenant, int timeout, int size,
-            int end) throws IOException {
+    private void put(long at, int kind, int flags, int tenant, int timeout, int size, int end) throws IOException {
         out.writeLong(at);
         out.writeByte(kind);
         out.writeByte(flags);
--- a/src/main/java/whinlead/capture/Entry.java
+++ b/src/main/java/whinlead/capture/Entry.java
@@ -13,5 +13,4 @@
  * @param repeat whether its client said that it is a repeat
  * @param end what its client was told
  */
-public record Entry(long at, int kind, int tenant, int timeout, int size, boolean repeat,
-        RequestListener.End end) { }
+public record Entry(long at, int kind, int tenant, int timeout, int size, boolean repeat, RequestListener.End end) {}
--- a/src/main/java/whinlead/capture/Recorder.java
+++ b/src/main/java/whinlead/capture/Recorder.java
@@ -1,7 +1,5 @@
 package whinlead.capture;
 
-import whinlead.engine.Request;
-import whinlead.engine.RequestListener;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -12,11 +10,13 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
+import whinlead.engine.Request;
+import whinlead.engine.RequestListener;
 
 /**
- * Captures what a sidecar serves. The engine's thread puts an entry into a ring and never waits; where the
- * writer lags, entries are lost and counted. A thread of its own puts them in the order of their arrival,
- * for they come as they end, and writes them to files of which the oldest goes.
+ * Captures what a sidecar serves. The engine's thread puts an entry into a ring and never waits; where the writer lags,
+ * entries are lost and counted. A thread of its own puts them in the order of their arrival, for they come as they end,
+ * and writes them to files of which the oldest goes.
  */
 public final class Recorder implements RequestListener, AutoCloseable {
     /** Opens the next file; the writer closes it. */
@@ -33,10 +33,11 @@
      * @param window milliseconds after its arrival by which a request has ended
      * @param bytes of a file
      */
-    public record Bounds(int queue, double window, long bytes) { }
+    public record Bounds(int queue, double window, long bytes) {}
 
     /** An entry that waits for its turn takes some 80 bytes: at most so many times the queue wait. */
     private static final int MAX_SORTED = 4;
+
     private static final long IDLE_NANOS = 20_000_000;
     private static final double MICROS = 1000;
 
@@ -49,6 +50,7 @@
     private final AtomicLong put = new AtomicLong();
     /** Written by the writer; read by the engine's thread. */
     private final AtomicLong taken = new AtomicLong();
+
     private final AtomicLong lost = new AtomicLong();
     private final PriorityQueue<Entry> sorted = new PriorityQueue<>(Comparator.comparingLong(Entry::at));
     private final Thread thread;
@@ -82,9 +84,16 @@
         }
         // What was taken before the first one that ended came before the capture.
         long micros = Math.max(0, Math.round((at - began) * MICROS));
-        ring.set((int) (next % bounds.queue()), new Entry(micros, ask.classIndex(), ask.tenantIndex(),
-                (int) Math.round(ask.timeout()), ask.size(), ask.repeat(),
-                end));
+        ring.set(
+                (int) (next % bounds.queue()),
+                new Entry(
+                        micros,
+                        ask.classIndex(),
+                        ask.tenantIndex(),
+                        (int) Math.round(ask.timeout()),
+                        ask.size(),
+                        ask.repeat(),
+                        end));
         put.set(next + 1);
     }
 
@@ -106,8 +115,8 @@
                 sorted.add(e);
                 // What has ended now arrived within the window before: earlier ones are all there.
                 long settled = e.at() - Math.round(bounds.window() * MICROS);
-                while (!sorted.isEmpty() && (sorted.peek().at() < settled
-                        || sorted.size() > MAX_SORTED * bounds.queue())) {
+                while (!sorted.isEmpty()
+                        && (sorted.peek().at() < settled || sorted.size() > MAX_SORTED * bounds.queue())) {
                     write(sorted.poll());
                 }
             }
--- a/src/main/java/whinlead/capture/Summary.java
+++ b/src/main/java/whinlead/capture/Summary.java
@@ -1,9 +1,9 @@
 package whinlead.capture;
 
-import whinlead.engine.RequestListener;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import whinlead.engine.RequestListener;
 
 /**
  * What a capture holds.
@@ -19,9 +19,17 @@
  * @param jumps how often its clock went back
  * @param torn whether its last entry was torn
  */
-public record Summary(List<String> classes, List<Long> counts, long requests, double seconds, long peak,
+public record Summary(
+        List<String> classes,
+        List<Long> counts,
+        long requests,
+        double seconds,
+        long peak,
         long repeats,
-        List<Long> ends, long lost, long jumps, boolean torn) {
+        List<Long> ends,
+        long lost,
+        long jumps,
+        boolean torn) {
     private static final long SECOND = 1_000_000;
 
     /** Reads a capture to its end. */
@@ -46,9 +54,17 @@
             second = e.at() / SECOND;
             peak = Math.max(peak, here);
         }
-        return new Summary(in.classes(), list(counts), requests, (double) (last - first) / SECOND, peak,
+        return new Summary(
+                in.classes(),
+                list(counts),
+                requests,
+                (double) (last - first) / SECOND,
+                peak,
                 repeats,
-                list(ends), in.lost(), in.jumps(), in.torn());
+                list(ends),
+                in.lost(),
+                in.jumps(),
+                in.torn());
     }
 
     private static List<Long> list(long[] values) {
--- a/src/main/java/whinlead/consult/Consultation.java
+++ b/src/main/java/whinlead/consult/Consultation.java
@@ -1,16 +1,16 @@
 package whinlead.consult;
 
+import java.util.ArrayList;
+import java.util.List;
 import whinlead.Contract;
-import whinlead.engine.ResponseSink;
-import whinlead.engine.Transport;
 import whinlead.engine.Engine;
+import whinlead.engine.ResponseSink;
 import whinlead.engine.Timers;
-import java.util.ArrayList;
-import java.util.List;
+import whinlead.engine.Transport;
 
 /**
- * One request that a caller asks about, sends itself and reports on: its {@link ResponseSink} and its {@link
- * Transport} at once. At most one attempt of it is out. Its states:
+ * One request that a caller asks about, sends itself and reports on: its {@link ResponseSink} and its {@link Transport}
+ * at once. At most one attempt of it is out. Its states:
  *
  * <pre>
  * asked ---> told to send ---> reported ---> told to send again, or waiting for the caller to come for it
@@ -32,11 +32,13 @@
     private Consultations.Reply waiting;
     /** The attempt that is out or waits to be picked up. */
     private Directive.Send current;
+
     private Outcomes<Void> told;
     /** The engine's number of it; its caller may know it by another, for other members count too. */
     private int engineAttempt;
     /** Runs while {@link #current} waits for its caller; null once it was told. */
     private Timers.Timer pickUp;
+
     private boolean everTold;
     private Directive end;
     private boolean unheard;
@@ -46,10 +48,17 @@
     private Consultations.Reply copying;
     /** Who is to be told of the end once others know it; null while it has not ended or all know. */
     private List<Consultations.Reply> closing;
+
     private boolean foreign;
 
-    Consultation(Consultations owner, String id, Peer peer, Contract.Effect effect, double endBy,
-            Keeper.Kept kept, Consultations.Reply first) {
+    Consultation(
+            Consultations owner,
+            String id,
+            Peer peer,
+            Contract.Effect effect,
+            double endBy,
+            Keeper.Kept kept,
+            Consultations.Reply first) {
         this.kept = kept;
         this.owner = owner;
         this.id = id;
@@ -166,8 +175,12 @@
         copying = null;
         if (verdict instanceof Keeper.Verdict.Granted granted) {
             double took = owner.timers().now() - asked;
-            current = new Directive.Send(current.endpoint(), current.address(), granted.attempt(),
-                    Math.max(0, current.within() - took), Math.max(0, current.valid() - took));
+            current = new Directive.Send(
+                    current.endpoint(),
+                    current.address(),
+                    granted.attempt(),
+                    Math.max(0, current.within() - took),
+                    Math.max(0, current.valid() - took));
             everTold = true;
             reply.told(current);
         } else if (verdict instanceof Keeper.Verdict.Draining) {
@@ -178,9 +191,9 @@
             // It was told to nobody, whatever the module makes of that.
             copying = reply;
             held.abandon();
-            end = verdict instanceof Keeper.Verdict.Over over ? over.end()
-                    : verdict instanceof Keeper.Verdict.Unknown ? new Directive.Failed()
-                    : new Directive.AlreadyOut();
+            end = verdict instanceof Keeper.Verdict.Over over
+                    ? over.end()
+                    : verdict instanceof Keeper.Verdict.Unknown ? new Directive.Failed() : new Directive.AlreadyOut();
             if (current != null) {
                 ends(Contract.Outcome.NEVER_SENT, null);
             }
@@ -264,8 +277,8 @@
     }
 
     /** A caller tells how an attempt ended; {@code reply} may be null. */
-    void reported(int attempt, String endpoint, Contract.Outcome outcome, Contract.Report report,
-            Consultations.Reply reply) {
+    void reported(
+            int attempt, String endpoint, Contract.Outcome outcome, Contract.Report report, Consultations.Reply reply) {
         if (!out() || attempt != current.attempt()) {
             owner.note(Tally.Kind.STRAY, id);
             if (end == null && closing != null && reply != null) {
--- a/src/main/java/whinlead/consult/Consultations.java
+++ b/src/main/java/whinlead/consult/Consultations.java
@@ -1,20 +1,20 @@
 package whinlead.consult;
 
-import whinlead.Contract;
-import whinlead.engine.Request;
-import whinlead.engine.Engine;
-import whinlead.engine.Timers;
-import whinlead.membership.EndpointList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import whinlead.Contract;
+import whinlead.engine.Engine;
+import whinlead.engine.Request;
+import whinlead.engine.Timers;
+import whinlead.membership.EndpointList;
 
 /**
- * Requests that other proxies ask about and send themselves. Each is one request of the engine's, known by
- * its id across calls and connections: a second ask for one that is open joins it, and one that must not run
- * again is known for a while after its end. It decides nothing: who sends where, whether again, and what is
- * refused comes from the module. On the engine's thread.
+ * Requests that other proxies ask about and send themselves. Each is one request of the engine's, known by its id
+ * across calls and connections: a second ask for one that is open joins it, and one that must not run again is known
+ * for a while after its end. It decides nothing: who sends where, whether again, and what is refused comes from the
+ * module. On the engine's thread.
  */
 public final class Consultations {
     /** Hears, at most once, what a caller is to do. */
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Of the grace after which nothing new may reach a draining endpoint: the rest is for the list's way here
-     * and for the clocks of callers.
+     * Of the grace after which nothing new may reach a draining endpoint: the rest is for the list's way here and for
+     * the clocks of callers.
      */
     private static final double VALID_SHARE = 0.25;
     /** What a caller over its bound is told to wait: some ends of what it holds, most likely. */
@@ -44,14 +44,19 @@
     private final Tally tally = new Tally();
 
     /** None open. {@link #update} is to hear of every list. */
-    public Consultations(Engine engine, Timers timers, Contract.Settings settings, Bounds bounds,
-            Consumer<String> log) {
+    public Consultations(
+            Engine engine, Timers timers, Contract.Settings settings, Bounds bounds, Consumer<String> log) {
         this(engine, timers, settings, bounds, null, log);
     }
 
     /** The same with a keeper of what must outlive this process, or null for none. */
-    public Consultations(Engine engine, Timers timers, Contract.Settings settings, Bounds bounds,
-            Keeper keeper, Consumer<String> log) {
+    public Consultations(
+            Engine engine,
+            Timers timers,
+            Contract.Settings settings,
+            Bounds bounds,
+            Keeper keeper,
+            Consumer<String> log) {
         this.keeper = keeper;
         this.engine = engine;
         this.timers = timers;
@@ -99,7 +104,8 @@
         } else {
             Contract.Effect effect = settings.classes().get(ask.classIndex()).effect();
             double endBy = timers.now() + ask.timeout();
-            Keeper.Kept kept = keeper == null || effect == Contract.Effect.SAFE ? null
+            Keeper.Kept kept = keeper == null || effect == Contract.Effect.SAFE
+                    ? null
                     : keeper.open(id, peer.name(), effect == Contract.Effect.KEYED, ask.repeat(), endBy);
             Consultation c = new Consultation(this, id, peer, effect, endBy, kept, reply);
             open.put(id, c);
@@ -115,8 +121,8 @@
      * @param report of the endpoint's load, or null
      * @param reply null if the caller asks again for what is next
      */
-    public void outcome(String id, int attempt, String endpoint, Contract.Outcome outcome,
-            Contract.Report report, Reply reply) {
+    public void outcome(
+            String id, int attempt, String endpoint, Contract.Outcome outcome, Contract.Report report, Reply reply) {
         Consultation c = open.get(id);
         if (c != null) {
             c.reported(attempt, endpoint, outcome, report, reply);
@@ -133,7 +139,8 @@
     }
 
     private static Keeper.How how(Contract.Outcome outcome) {
-        return outcome == Contract.Outcome.SERVED ? Keeper.How.SERVED
+        return outcome == Contract.Outcome.SERVED
+                ? Keeper.How.SERVED
                 : outcome.neverRan ? Keeper.How.NEVER_RAN : Keeper.How.MAY_HAVE_RAN;
     }
 
@@ -239,8 +246,7 @@
         if (!c.fragile()) {
             return unheard;
         }
-        return c.end() instanceof Directive.Refused ? Math.max(unheard, c.endBy() - timers.now())
-                : bounds.remember();
+        return c.end() instanceof Directive.Refused ? Math.max(unheard, c.endBy() - timers.now()) : bounds.remember();
     }
 
     /** The same, once the engine has heard what it is being told. */
--- a/src/main/java/whinlead/consult/Directive.java
+++ b/src/main/java/whinlead/consult/Directive.java
@@ -11,11 +11,10 @@
      * @param address ADDRESS:PORT
      * @param attempt to be named in the report; 0 for the first
      * @param within milliseconds after which the attempt is given up, and then may have run
-     * @param valid milliseconds in which it has to be sent; after that it is to be reported as not sent,
-     *     since the endpoint may have been told to drain
+     * @param valid milliseconds in which it has to be sent; after that it is to be reported as not sent, since the
+     *     endpoint may have been told to drain
      */
-    record Send(String endpoint, String address, int attempt, double within, double valid)
-            implements Directive {
+    record Send(String endpoint, String address, int attempt, double within, double valid) implements Directive {
         @Override
         public String word() {
             return "send";
--- a/src/main/java/whinlead/consult/Ends.java
+++ b/src/main/java/whinlead/consult/Ends.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * Remembers for a while how requests ended that must not run again: a proxy may send one anew, on its own,
- * after it had its end. Bounded; the oldest goes first.
+ * Remembers for a while how requests ended that must not run again: a proxy may send one anew, on its own, after it had
+ * its end. Bounded; the oldest goes first.
  */
 final class Ends {
-    private record End(Directive directive, double until) { }
+    private record End(Directive directive, double until) {}
 
     // In the order of their ends. One kept for less than those before it waits for them to go, but counts no
     // more.
--- a/src/main/java/whinlead/consult/Peers.java
+++ b/src/main/java/whinlead/consult/Peers.java
@@ -5,8 +5,8 @@
 import java.util.function.Function;
 
 /**
- * The callers of one front, by what tells them apart, an address say. One that left with requests open keeps
- * its place until it has none, or it could open as many again by coming back.
+ * The callers of one front, by what tells them apart, an address say. One that left with requests open keeps its place
+ * until it has none, or it could open as many again by coming back.
  *
  * @param <K> what tells them apart
  */
@@ -30,7 +30,9 @@
     public void left(K key) {
         if (connections.merge(key, -1, Integer::sum) == 0) {
             connections.remove(key);
-            peers.entrySet().removeIf(e -> !connections.containsKey(e.getKey()) && e.getValue().open() == 0);
+            peers.entrySet()
+                    .removeIf(e ->
+                            !connections.containsKey(e.getKey()) && e.getValue().open() == 0);
         }
     }
 }
--- a/src/main/java/whinlead/decide/Call.java
+++ b/src/main/java/whinlead/decide/Call.java
@@ -1,8 +1,8 @@
 package whinlead.decide;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.List;
+import whinlead.Contract;
 
 /** A request, its attempts, and what may still be done for it. */
 final class Call {
@@ -31,8 +31,7 @@
 
     // A keyed request that may have run, whose repeat only some servers discard.
     boolean grouped() {
-        return mayHaveRun != null && type.effect() == Contract.Effect.KEYED
-                && type.group() != Contract.Group.ALL;
+        return mayHaveRun != null && type.effect() == Contract.Effect.KEYED && type.group() != Contract.Group.ALL;
     }
 
     // Not where it has been, and for a keyed request that may have run only within its group and window.
@@ -46,15 +45,18 @@
             return true;
         }
         Contract.Server a = mayHaveRun.node.entry;
-        return now < mayHaveRun.sentAt + type.window() && switch (type.group()) {
-            case ALL -> true;
-            case ZONE -> a.zone().equals(n.entry.zone());
-            case CELL -> a.cell() == n.entry.cell();
-        };
+        return now < mayHaveRun.sentAt + type.window()
+                && switch (type.group()) {
+                    case ALL -> true;
+                    case ZONE -> a.zone().equals(n.entry.zone());
+                    case CELL -> a.cell() == n.entry.cell();
+                };
     }
 
     // A refusal is true only where it is known that a retry does no harm.
-    boolean mayRefuse(double now) { return now < endAt && (mayHaveRun == null || clientMayRepeat()); }
+    boolean mayRefuse(double now) {
+        return now < endAt && (mayHaveRun == null || clientMayRepeat());
+    }
 
     boolean clientMayRepeat() {
         return type.effect() == Contract.Effect.SAFE
--- a/src/main/java/whinlead/decide/Ceiling.java
+++ b/src/main/java/whinlead/decide/Ceiling.java
@@ -1,9 +1,9 @@
 package whinlead.decide;
 
 /**
- * The whole subset's percentage, drawn before any server's where they tell nothing of their load: the walk
- * multiplies what passes, so that a burst fills all servers before each one's percentage is near 100. After
- * BBR's bandwidth-delay product: the highest rate answered times the usual time.
+ * The whole subset's percentage, drawn before any server's where they tell nothing of their load: the walk multiplies
+ * what passes, so that a burst fills all servers before each one's percentage is near 100. After BBR's bandwidth-delay
+ * product: the highest rate answered times the usual time.
  */
 final class Ceiling {
     // Weight of a period in what the subset holds when well; what stays of the highest, for minutes.
@@ -18,7 +18,9 @@
 
     private double answered, well, highest;
 
-    void answered(double usual, double aim) { answered += Math.max(usual, aim * FLOOR); }
+    void answered(double usual, double aim) {
+        answered += Math.max(usual, aim * FLOOR);
+    }
 
     void period(double span) {
         well += (answered / span - well) * WEIGHT;
--- a/src/main/java/whinlead/decide/ColdBudget.java
+++ b/src/main/java/whinlead/decide/ColdBudget.java
@@ -1,7 +1,7 @@
 package whinlead.decide;
 
-import whinlead.Contract;
 import java.util.Arrays;
+import whinlead.Contract;
 
 /** Against pushing a cold server over: tokens by what a warm one gets from here, and by what it answers. */
 final class ColdBudget {
@@ -64,13 +64,17 @@
     }
 
     // As in slow start: what it answers, it has room for, whoever else sends to it.
-    void answered(Node n) { n.bucket.tokens = Math.min(SAVE, n.bucket.tokens + byAnswer); }
+    void answered(Node n) {
+        n.bucket.tokens = Math.min(SAVE, n.bucket.tokens + byAnswer);
+    }
 
     // Learns what a warm server gets from here. With no warm one left the last figure stands: in a rolling
     // deploy budgets would else shrink.
     void period(double now, Node[] subset) {
-        Arrays.stream(subset).filter(n -> n.percentage < WARM_SHUT && warmth(now, n) >= 1)
-                .mapToDouble(n -> n.sendRate).average()
+        Arrays.stream(subset)
+                .filter(n -> n.percentage < WARM_SHUT && warmth(now, n) >= 1)
+                .mapToDouble(n -> n.sendRate)
+                .average()
                 .ifPresent(mean -> warmRate += (mean - warmRate) * WARM_WEIGHT);
     }
 }
--- a/src/main/java/whinlead/decide/Controller.java
+++ b/src/main/java/whinlead/decide/Controller.java
@@ -22,7 +22,9 @@
     private final Lateness lateness;
     private final Evidence pool = new Evidence();
 
-    Controller(Lateness lateness) { this.lateness = lateness; }
+    Controller(Lateness lateness) {
+        this.lateness = lateness;
+    }
 
     void note(Node n, double badness) {
         n.evidence.note(badness, 1);
@@ -64,9 +66,13 @@
     }
 
     // From 1, where no late outcome of the server or the subset was bad, to 0.
-    double soundness(Node n) { return Math.max(0, 1 - Math.max(n.evidence.share(), pool.share()) / TARGET); }
+    double soundness(Node n) {
+        return Math.max(0, 1 - Math.max(n.evidence.share(), pool.share()) / TARGET);
+    }
 
-    boolean timely(Node n) { return n.evidence.share() < TARGET; }
+    boolean timely(Node n) {
+        return n.evidence.share() < TARGET;
+    }
 
     void period() {
         pool.fade(POOL_KEEP);
--- a/src/main/java/whinlead/decide/Crowding.java
+++ b/src/main/java/whinlead/decide/Crowding.java
@@ -50,13 +50,19 @@
         return Math.max(share(well * room(n), n.out.counted()), uneven(now, n) * (1 - sound(n)));
     }
 
-    double least(Node n) { return n.periods < FRESH ? first : MIN_WELL; }
+    double least(Node n) {
+        return n.periods < FRESH ? first : MIN_WELL;
+    }
 
     // By how much a server's answers vouch for it. Where servers report, their own word tells sooner.
-    double sound(Node n) { return unreported ? controller.soundness(n) : 0; }
+    double sound(Node n) {
+        return unreported ? controller.soundness(n) : 0;
+    }
 
     // The share to take elsewhere from one that holds more than the mean.
-    double uneven(double now, Node n) { return share(mean, held(now, n)); }
+    double uneven(double now, Node n) {
+        return share(mean, held(now, n));
+    }
 
     private static double share(double wanted, double held) {
         double ratio = Math.min(1, (wanted + SLACK) / (held + SLACK));
@@ -75,6 +81,7 @@
     // What a server holds: as it reported within an aim, with what we sent and got back since, else our own.
     double held(double now, Node n) {
         return now - n.reported.heldAt < reportStands
-                ? Math.max(n.out.count, n.reported.held + n.reported.since) : n.out.counted();
+                ? Math.max(n.out.count, n.reported.held + n.reported.since)
+                : n.out.counted();
     }
 }
--- a/src/main/java/whinlead/decide/Decide.java
+++ b/src/main/java/whinlead/decide/Decide.java
@@ -1,14 +1,14 @@
 // The decisions of whinlead, one rule a file; their interface is Contract.java, a folder up.
 package whinlead.decide;
 
-import whinlead.Contract;
 import java.util.List;
 import java.util.SplittableRandom;
+import whinlead.Contract;
 
 /**
- * Decides for one sidecar. For each server a drop percentage is learned from its outcomes. A request walks a
- * small random subset in random order; the first server whose draw passes gets it, and if none passes it is
- * refused at once. docs/design.md names what is kept of the source and when each exception acts.
+ * Decides for one sidecar. For each server a drop percentage is learned from its outcomes. A request walks a small
+ * random subset in random order; the first server whose draw passes gets it, and if none passes it is refused at once.
+ * docs/design.md names what is kept of the source and when each exception acts.
  */
 public final class Decide implements Contract.Events {
     // A period, as a share of the shortest aim, and the least: several steps fit in a client's wait.
@@ -42,7 +42,9 @@
         this.settings = settings;
         this.out = out;
         this.random = new SplittableRandom(seed);
-        double aim = settings.classes().stream().mapToDouble(Contract.RequestClass::aim).min()
+        double aim = settings.classes().stream()
+                .mapToDouble(Contract.RequestClass::aim)
+                .min()
                 .orElse(Double.MAX_VALUE);
         this.period = Math.max(MIN_PERIOD, aim * PERIOD_OF_AIM);
         this.list = new ServerList(settings, random, out);
@@ -145,8 +147,7 @@
     // The draws against a server: its percentage, and what it fails of this class.
     private boolean passes(double now, Call c, Node n) {
         double p = 1 - (1 - Math.max(n.percentage, 1 - cold.warmth(now, n))) * (1 - crowding.share(now, n));
-        return random.nextDouble() >= worth.dropShare(c.level, p)
-                && n.failing.passes(c.request.classIndex, random);
+        return random.nextDouble() >= worth.dropShare(c.level, p) && n.failing.passes(c.request.classIndex, random);
     }
 
     // Final answer without a further attempt: a refusal where it is true that a retry does no harm.
@@ -154,16 +155,27 @@
         c.ended = true;
         if (c.mayRefuse(now)) {
             relief.refused++;
-            out.refuse(c.request, Math.min(settings.limits().maxRetryAfter(), c.type.aim()
-                    * (MIN_AFTER + AFTER_FULL * subset.shut()) * (0.75 + 0.5 * random.nextDouble())));
+            out.refuse(
+                    c.request,
+                    Math.min(
+                            settings.limits().maxRetryAfter(),
+                            c.type.aim()
+                                    * (MIN_AFTER + AFTER_FULL * subset.shut())
+                                    * (0.75 + 0.5 * random.nextDouble())));
         } else {
             out.fail(c.request);
         }
     }
 
     @Override
-    public void outcome(double now, Contract.Request request, int attempt, Contract.Outcome outcome,
-                        double took, boolean finished, Contract.Report report) {
+    public void outcome(
+            double now,
+            Contract.Request request,
+            int attempt,
+            Contract.Outcome outcome,
+            double took,
+            boolean finished,
+            Contract.Report report) {
         Call c = (Call) request.state;
         Attempt a = c == null ? null : c.out(attempt);
         if (a == null) {
@@ -194,7 +206,8 @@
 
     private void grade(Node n, Attempt a, Contract.Outcome outcome, double took, int k, double strain) {
         // While the server answers other classes in time, a time-out tells of its own, as an error does.
-        boolean silent = outcome == Contract.Outcome.TIMED_OUT && !a.passedByOwn
+        boolean silent = outcome == Contract.Outcome.TIMED_OUT
+                && !a.passedByOwn
                 && (a.passed && controller.timely(n) || n.failing.mostly(k));
         switch (silent ? Contract.Outcome.ERROR : outcome) {
             case SERVED -> {
@@ -212,7 +225,7 @@
             // Tells of one server, or of the way to it, and not of load.
             case CONNECT_FAILED -> n.evidence.note(1, 1);
             case ERROR -> n.failing.note(k, settings.classes().size(), true);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -238,8 +251,7 @@
     }
 
     @Override
-    public void probed(double now, String server, Contract.Outcome outcome, double took,
-                       Contract.Report report) {
+    public void probed(double now, String server, Contract.Outcome outcome, double took, Contract.Report report) {
         Node n = list.nodes.get(server);
         if (n != null) {
             n.reported.probed(now, report);
@@ -247,10 +259,12 @@
     }
 
     /** A known server's drop percentage, as a share. */
-    public double dropShare(String server) { return list.nodes.get(server).percentage; }
+    public double dropShare(String server) {
+        return list.nodes.get(server).percentage;
+    }
 
     @Override
-    public void message(double now, int from, byte[] text) { }
+    public void message(double now, int from, byte[] text) {}
 
     @Override
     public void wake(double now) {
--- a/src/main/java/whinlead/decide/Evidence.java
+++ b/src/main/java/whinlead/decide/Evidence.java
@@ -10,7 +10,9 @@
     }
 
     // Of what may tell of a queue: lines break on their own too.
-    double share() { return (bad - broken) / Math.max(1, all); }
+    double share() {
+        return (bad - broken) / Math.max(1, all);
+    }
 
     void fade(double keep) {
         bad *= keep;
--- a/src/main/java/whinlead/decide/Failing.java
+++ b/src/main/java/whinlead/decide/Failing.java
@@ -22,7 +22,9 @@
     }
 
     // True once most of this class failed lately: one more without an answer tells nothing of the others.
-    boolean mostly(int classIndex) { return shares != null && shares[classIndex] > MOSTLY; }
+    boolean mostly(int classIndex) {
+        return shares != null && shares[classIndex] > MOSTLY;
+    }
 
     boolean passes(int classIndex, SplittableRandom random) {
         return shares == null || random.nextDouble() >= shares[classIndex];
--- a/src/main/java/whinlead/decide/Lateness.java
+++ b/src/main/java/whinlead/decide/Lateness.java
@@ -1,7 +1,7 @@
 package whinlead.decide;
 
-import whinlead.Contract;
 import java.util.List;
+import whinlead.Contract;
 
 /** What is late, by degrees: against the aim alone a queue is seen when it has cost the answers in it. */
 final class Lateness {
@@ -39,7 +39,9 @@
     }
 
     // How long an answer of this class usually takes, and no less than what can be told apart.
-    double usual(int k) { return Math.max(usual[k], aim[k] * FLOOR + stall); }
+    double usual(int k) {
+        return Math.max(usual[k], aim[k] * FLOOR + stall);
+    }
 
     // From 0, as fast as usual, to 1.
     double of(double took, int k) {
--- a/src/main/java/whinlead/decide/Outstanding.java
+++ b/src/main/java/whinlead/decide/Outstanding.java
@@ -20,7 +20,9 @@
     }
 
     // Those that count against the server.
-    int counted() { return count - stuck; }
+    int counted() {
+        return count - stuck;
+    }
 
     void add(Attempt a) {
         a.older = mark.older;
--- a/src/main/java/whinlead/decide/Probes.java
+++ b/src/main/java/whinlead/decide/Probes.java
@@ -16,11 +16,14 @@
 
     Probes(Contract.Settings settings, double shortestAim) {
         this.perRequest = settings.limits().probes() && settings.reporting() == Contract.Reporting.WITH_PROBES
-                ? Math.min(MOST, SPEND / Math.max(1e-9, settings.limits().probeCost())) : 0;
+                ? Math.min(MOST, SPEND / Math.max(1e-9, settings.limits().probeCost()))
+                : 0;
         this.reportStands = shortestAim / 2;
     }
 
-    void arrived() { earned += perRequest; }
+    void arrived() {
+        earned += perRequest;
+    }
 
     void period(double now, Node[] subset, Crowding crowding, Contract.Actions out) {
         rate += (earned - rate) * WEIGHT;
--- a/src/main/java/whinlead/decide/Relief.java
+++ b/src/main/java/whinlead/decide/Relief.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Tells when what is refused is refused for another reason than load: far less is answered than lately was,
- * and no server calls itself busy. Guards against a state that holds itself up: what was learned at a faster
- * time calls every answer late, and few come to tell otherwise. After BBR's highest rate of delivery.
+ * Tells when what is refused is refused for another reason than load: far less is answered than lately was, and no
+ * server calls itself busy. Guards against a state that holds itself up: what was learned at a faster time calls every
+ * answer late, and few come to tell otherwise. After BBR's highest rate of delivery.
  */
 final class Relief {
     // Weight of a period in the share refused and in the rate answered; what stays of the highest rate.
@@ -26,7 +26,11 @@
         highest = Math.max(rate, highest * HIGHEST_KEEP);
         asked = refused = answered = 0;
         boolean load = rate >= FAR_LESS * highest
-                || Arrays.stream(subset).mapToDouble(n -> n.reported.ease()).average().orElse(0) < EASE;
+                || Arrays.stream(subset)
+                                .mapToDouble(n -> n.reported.ease())
+                                .average()
+                                .orElse(0)
+                        < EASE;
         return load ? 0 : refusedShare;
     }
 }
--- a/src/main/java/whinlead/decide/Reported.java
+++ b/src/main/java/whinlead/decide/Reported.java
@@ -33,7 +33,8 @@
     // the paper's overloaded node reckons it: the load of all the others, so it counts less the more of it is
     // our own. Requests a second by busy share are the server's size.
     double strain(Contract.Report r, double sendRate) {
-        if (r == null || !(r.util() >= 0 && r.util() <= MAX_UTIL && r.perSecond() > 0)
+        if (r == null
+                || !(r.util() >= 0 && r.util() <= MAX_UTIL && r.perSecond() > 0)
                 || r.perSecond() == Double.POSITIVE_INFINITY) {
             return 0;
         }
@@ -48,7 +49,9 @@
     }
 
     // From 1, where it has little to do or tells nothing, to 0.
-    double ease() { return any ? Math.max(0, Math.min(1, (UTIL_ROOM - util) / (UTIL_ROOM - UTIL_EASY))) : 1; }
+    double ease() {
+        return any ? Math.max(0, Math.min(1, (UTIL_ROOM - util) / (UTIL_ROOM - UTIL_EASY))) : 1;
+    }
 
     void probed(double now, Contract.Report r) {
         if (r != null && r.inflight() >= 0 && r.inflight() < Double.POSITIVE_INFINITY) {
--- a/src/main/java/whinlead/decide/Retries.java
+++ b/src/main/java/whinlead/decide/Retries.java
@@ -11,9 +11,13 @@
     private final int attemptsMost;
     private double tokens = SAVE / 2;
 
-    Retries(Contract.Limits limits) { this.attemptsMost = limits.attempts(); }
+    Retries(Contract.Limits limits) {
+        this.attemptsMost = limits.attempts();
+    }
 
-    void arrived() { tokens = Math.min(SAVE, tokens + EARN); }
+    void arrived() {
+        tokens = Math.min(SAVE, tokens + EARN);
+    }
 
     // Whether it may go out again, which is paid for, but after a failed connect: that put load on nobody.
     boolean take(double now, Call c, Contract.Outcome last) {
--- a/src/main/java/whinlead/decide/ServerList.java
+++ b/src/main/java/whinlead/decide/ServerList.java
@@ -1,10 +1,10 @@
 package whinlead.decide;
 
-import whinlead.Contract;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import whinlead.Contract;
 
 /** The servers that the list names, and when to ask for the list again. */
 final class ServerList {
@@ -27,8 +27,7 @@
         this.random = random;
         this.out = out;
         this.salt = random.nextLong();
-        this.spread = Math.min(settings.obligations().askWithin() * MAX_ASK_SPREAD,
-                settings.sidecars() * ASK_EACH);
+        this.spread = Math.min(settings.obligations().askWithin() * MAX_ASK_SPREAD, settings.sidecars() * ASK_EACH);
     }
 
     void start(double now, boolean mustBeAsked) {
--- a/src/main/java/whinlead/decide/Strain.java
+++ b/src/main/java/whinlead/decide/Strain.java
@@ -16,7 +16,9 @@
     private double late;
     double percentage;
 
-    Strain(double shortestAim) { this.target = shortestAim * TARGET; }
+    Strain(double shortestAim) {
+        this.target = shortestAim * TARGET;
+    }
 
     // With this share of the places free, where so much of the traffic is worth less than the most.
     double share(double room, double lesser) {
@@ -26,8 +28,7 @@
     void period(double lateNow, Contract.Actions out) {
         late += (Math.max(0, lateNow) - late) * WEIGHT;
         boolean shed = percentage > 0;
-        percentage = late > target ? percentage + (1 - percentage) * STEP_UP
-                : Math.max(0, percentage - STEP_DOWN);
+        percentage = late > target ? percentage + (1 - percentage) * STEP_UP : Math.max(0, percentage - STEP_DOWN);
         if (shed != percentage > 0) {
             out.log(shed ? "own loop in time again" : "own loop late: shedding for it");
         }
--- a/src/main/java/whinlead/decide/Subset.java
+++ b/src/main/java/whinlead/decide/Subset.java
@@ -33,8 +33,10 @@
     }
 
     void pick(double now, Collection<Node> nodes) {
-        usable = nodes.stream().filter(n -> n.usable).sorted(Comparator.<Node>comparingLong(n -> n.rank)
-                .thenComparing(n -> n.entry.id())).toArray(Node[]::new);
+        usable = nodes.stream()
+                .filter(n -> n.usable)
+                .sorted(Comparator.<Node>comparingLong(n -> n.rank).thenComparing(n -> n.entry.id()))
+                .toArray(Node[]::new);
         Arrays.stream(ranked).forEach(n -> n.leftAt = now);
         size = wanted();
         ranked = Arrays.copyOf(usable, Math.min(usable.length, size));
@@ -44,17 +46,26 @@
     }
 
     // Of so many sidecars one uses a server, where their subsets are as large as this.
-    double spread() { return (double) usable.length / ranked.length; }
+    double spread() {
+        return (double) usable.length / ranked.length;
+    }
 
     // The mean percentage, as a share; 1 where there is no server.
-    double shut() { return Arrays.stream(walked).mapToDouble(n -> n.percentage).average().orElse(1); }
+    double shut() {
+        return Arrays.stream(walked).mapToDouble(n -> n.percentage).average().orElse(1);
+    }
 
     // Each server's size against the largest of the subset: by its reports, else by the list.
     void weigh() {
-        double largest = Arrays.stream(ranked).mapToDouble(n -> n.entry.size()).max().orElse(0);
-        double capacity = Arrays.stream(ranked).mapToDouble(n -> n.reported.capacity).max().orElse(0);
+        double largest =
+                Arrays.stream(ranked).mapToDouble(n -> n.entry.size()).max().orElse(0);
+        double capacity = Arrays.stream(ranked)
+                .mapToDouble(n -> n.reported.capacity)
+                .max()
+                .orElse(0);
         for (Node n : ranked) {
-            n.weight = n.reported.capacity > 0 ? n.reported.capacity / capacity
+            n.weight = n.reported.capacity > 0
+                    ? n.reported.capacity / capacity
                     : largest > 0 ? n.entry.size() / largest : 1;
         }
     }
--- a/src/main/java/whinlead/decide/Unreachable.java
+++ b/src/main/java/whinlead/decide/Unreachable.java
@@ -19,5 +19,7 @@
         }
     }
 
-    boolean shuns(double now, int out) { return failed > 0 && (now < until || out > 0); }
+    boolean shuns(double now, int out) {
+        return failed > 0 && (now < until || out > 0);
+    }
 }
--- a/src/main/java/whinlead/decide/Worth.java
+++ b/src/main/java/whinlead/decide/Worth.java
@@ -1,8 +1,8 @@
 package whinlead.decide;
 
-import whinlead.Contract;
 import java.util.Arrays;
 import java.util.SplittableRandom;
+import whinlead.Contract;
 
 /** Lowest worth first: the levels of worth, their mix in the traffic, and each level's share of a drop. */
 final class Worth {
@@ -61,7 +61,9 @@
     }
 
     // The share of the traffic that is worth less than the most.
-    double lesser() { return below[below.length - 2]; }
+    double lesser() {
+        return below[below.length - 2];
+    }
 
     void period() {
         double total = Arrays.stream(mix).sum();
--- a/src/main/java/whinlead/engine/Engine.java
+++ b/src/main/java/whinlead/engine/Engine.java
@@ -1,9 +1,5 @@
 package whinlead.engine;
 
-import whinlead.Contract;
-import whinlead.membership.EndpointList;
-import whinlead.membership.Membership;
-import whinlead.membership.Source;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,19 +7,21 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import whinlead.Contract;
+import whinlead.membership.EndpointList;
+import whinlead.membership.Membership;
+import whinlead.membership.Source;
 
 /**
- * Drives the module and carries out what it decides. It owns the requests taken, their attempts and timers,
- * and sees to it that each request ends exactly once and nothing is sent for it afterwards. It knows no
- * protocol: fronts bring requests with a {@link ResponseSink} for the end and a {@link Transport} for the attempts.
- * Everything here runs on the one thread that owns it, which is that of its timers.
+ * Drives the module and carries out what it decides. It owns the requests taken, their attempts and timers, and sees to
+ * it that each request ends exactly once and nothing is sent for it afterwards. It knows no protocol: fronts bring
+ * requests with a {@link ResponseSink} for the end and a {@link Transport} for the attempts. Everything here runs on
+ * the one thread that owns it, which is that of its timers.
  */
 public final class Engine implements Contract.Actions, Membership {
     /** Taken off what the client waits, for its request's way here, our answer's way back and a late loop. */
     private static final double ANSWER_MARGIN = 25;
-    /**
-     * How long after its deadline a request is failed that the module, told of the deadline, has not ended.
-     */
+    /** How long after its deadline a request is failed that the module, told of the deadline, has not ended. */
     private static final double MODULE_GRACE = 5;
 
     private final Timers timers;
@@ -44,8 +42,11 @@
      * @param module makes the module that decides, given what carries its decisions out
      * @param endpoints hears of every list, before the module does
      */
-    public Engine(Timers timers, Contract.Settings settings,
-            Function<Contract.Actions, Contract.Events> module, Consumer<EndpointList> endpoints,
+    public Engine(
+            Timers timers,
+            Contract.Settings settings,
+            Function<Contract.Actions, Contract.Events> module,
+            Consumer<EndpointList> endpoints,
             Consumer<String> log) {
         this.timers = timers;
         this.settings = settings;
@@ -59,9 +60,7 @@
         journal = keeper;
     }
 
-    /**
-     * Starts the module, with the list as last known, or null, and the source that it is to be watched at.
-     */
+    /** Starts the module, with the list as last known, or null, and the source that it is to be watched at. */
     public void start(Source watched, EndpointList known) {
         source = watched;
         tell(() -> module.start(timers.now()));
@@ -92,8 +91,11 @@
      */
     public <A> Held<A> take(Request ask, Transport<A> transport, ResponseSink<A> caller) {
         double left = Math.max(0, ask.timeout() - ANSWER_MARGIN);
-        Held<A> h = new Held<>(new Contract.Request(nextId++, ask.classIndex(), ask.tenantIndex(), left,
-                ask.repeat(), ask.room()), transport, caller, ask);
+        Held<A> h = new Held<>(
+                new Contract.Request(nextId++, ask.classIndex(), ask.tenantIndex(), left, ask.repeat(), ask.room()),
+                transport,
+                caller,
+                ask);
         open.put(h.request.id, h);
         tell(() -> {
             double now = timers.now();
@@ -107,9 +109,7 @@
         return h;
     }
 
-    /**
-     * Fails whatever is still held: the process is about to be killed, and no answer at all would lose it.
-     */
+    /** Fails whatever is still held: the process is about to be killed, and no answer at all would lose it. */
     public void failAll() {
         // One that can't be told must not keep the rest from it.
         List.copyOf(open.values()).forEach(h -> run(h::endUnserved));
@@ -238,8 +238,8 @@
         }
 
         /**
-         * The answer to an attempt has begun to reach the client by another way than the caller, which ends
-         * what the request is owed; the outcome of the attempt is still to come.
+         * The answer to an attempt has begun to reach the client by another way than the caller, which ends what the
+         * request is owed; the outcome of the attempt is still to come.
          *
          * @param attempt as the transport was told it
          */
--- a/src/main/java/whinlead/engine/Request.java
+++ b/src/main/java/whinlead/engine/Request.java
@@ -7,8 +7,7 @@
  * @param tenantIndex position of its tenant in the settings, or -1
  * @param timeout how long the client waits from now on, in milliseconds; more than 0
  * @param repeat whether the client says that it has asked before
- * @param room share of the places at its front that are free, itself counted, from 0 to 1; 1 where nothing
- *     bounds them
+ * @param room share of the places at its front that are free, itself counted, from 0 to 1; 1 where nothing bounds them
  * @param size bytes of its body, 0 where the front has none of it
  */
 public record Request(int classIndex, int tenantIndex, double timeout, boolean repeat, double room, int size) {
--- a/src/main/java/whinlead/engine/RequestListener.java
+++ b/src/main/java/whinlead/engine/RequestListener.java
@@ -3,10 +3,15 @@
 /** Is told of every request once, when it is over; on the engine's thread, which it must not hold up. */
 public interface RequestListener {
     /** How a request ended for its client. */
-    enum End { SERVED, REFUSED, FAILED, LEFT }
+    enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        LEFT
+    }
 
     /** Notes nothing. */
-    RequestListener NONE = (ask, at, end) -> { };
+    RequestListener NONE = (ask, at, end) -> {};
 
     /**
      * A request is over.
--- a/src/main/java/whinlead/engine/ResponseSink.java
+++ b/src/main/java/whinlead/engine/ResponseSink.java
@@ -1,8 +1,8 @@
 package whinlead.engine;
 
 /**
- * Where the one end of a request goes. Of these methods exactly one is called, once, on the engine's thread,
- * unless the request was abandoned before; it may be called before {@link Engine#take} has returned.
+ * Where the one end of a request goes. Of these methods exactly one is called, once, on the engine's thread, unless the
+ * request was abandoned before; it may be called before {@link Engine#take} has returned.
  *
  * @param <A> what an endpoint's answer is to this front
  */
--- a/src/main/java/whinlead/engine/Timers.java
+++ b/src/main/java/whinlead/engine/Timers.java
@@ -1,8 +1,8 @@
 package whinlead.engine;
 
 /**
- * The engine's time and timers, so that it runs by a real loop or by a driven clock. Tasks run on the one
- * thread that owns the engine, never inside {@link #after}.
+ * The engine's time and timers, so that it runs by a real loop or by a driven clock. Tasks run on the one thread that
+ * owns the engine, never inside {@link #after}.
  */
 public interface Timers {
     /** Milliseconds since Unix time began; never falls. */
--- a/src/main/java/whinlead/engine/Transport.java
+++ b/src/main/java/whinlead/engine/Transport.java
@@ -3,8 +3,8 @@
 import whinlead.Contract;
 
 /**
- * How the attempts of one request reach the endpoints that the module chose: a transport of our own, or
- * somebody else who sends them and reports. It sends what it is told once and never again.
+ * How the attempts of one request reach the endpoints that the module chose: a transport of our own, or somebody else
+ * who sends them and reports. It sends what it is told once and never again.
  *
  * @param <A> what an endpoint's answer is to the front
  */
@@ -28,8 +28,8 @@
     /** An attempt under way. */
     interface Sending {
         /**
-         * Gives it up; its end is told no more. True if the endpoint may have had the whole request, so that
-         * it may run.
+         * Gives it up; its end is told no more. True if the endpoint may have had the whole request, so that it may
+         * run.
          */
         boolean giveUp();
     }
--- a/src/main/java/whinlead/front/consult/ConsultConnection.java
+++ b/src/main/java/whinlead/front/consult/ConsultConnection.java
@@ -1,9 +1,5 @@
 package whinlead.front.consult;
 
-import whinlead.consult.Consultations;
-import whinlead.consult.Directive;
-import whinlead.consult.Peer;
-import whinlead.http.Decimals;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -24,6 +20,10 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.handler.timeout.IdleStateEvent;
 import java.nio.charset.StandardCharsets;
+import whinlead.consult.Consultations;
+import whinlead.consult.Directive;
+import whinlead.consult.Peer;
+import whinlead.http.Decimals;
 
 /** One connection of a caller of the consult API, and the one call on it. */
 final class ConsultConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -33,6 +33,7 @@
     private static final String CANCEL = "/v1/cancel";
     /** For a proxy that can only be told yes or no: nginx's auth_request takes 403 for no. */
     private static final String DENY = "deny";
+
     private static final int MIN_DENY = 400;
     private static final int MAX_DENY = 599;
 
@@ -43,8 +44,12 @@
     private final Peer peer;
     private boolean answerDue;
 
-    ConsultConnection(Consultations consultations, ConsultRequest.Names names, HeaderNames headers,
-            ObjectMapper mapper, Peer peer) {
+    ConsultConnection(
+            Consultations consultations,
+            ConsultRequest.Names names,
+            HeaderNames headers,
+            ObjectMapper mapper,
+            Peer peer) {
         this.consultations = consultations;
         this.names = names;
         this.headers = headers;
@@ -72,8 +77,7 @@
         }
     }
 
-    private void call(ChannelHandlerContext ctx, FullHttpRequest request, boolean keep)
-            throws ConsultRequest.Bad {
+    private void call(ChannelHandlerContext ctx, FullHttpRequest request, boolean keep) throws ConsultRequest.Bad {
         QueryStringDecoder uri = new QueryStringDecoder(request.uri());
         if (!request.method().equals(HttpMethod.POST) && !request.method().equals(HttpMethod.GET)) {
             write(ctx, response(HttpResponseStatus.METHOD_NOT_ALLOWED, null), keep);
@@ -120,7 +124,8 @@
             if (json == null || !json.isObject()) {
                 throw new ConsultRequest.Bad("the body is no JSON object");
             }
-            return ConsultRequest.json(f -> json.hasNonNull(f.json()) ? json.get(f.json()).asText() : null);
+            return ConsultRequest.json(
+                    f -> json.hasNonNull(f.json()) ? json.get(f.json()).asText() : null);
         } catch (JsonProcessingException e) {
             throw new ConsultRequest.Bad("the body is no JSON object");
         }
@@ -142,8 +147,11 @@
         HttpResponseStatus status;
         double retryAfter = 0;
         if (directive instanceof Directive.Send send) {
-            body.put("do", directive.word()).put("endpoint", send.endpoint()).put("address", send.address())
-                    .put("attempt", send.attempt()).put("within_ms", Math.floor(send.within()))
+            body.put("do", directive.word())
+                    .put("endpoint", send.endpoint())
+                    .put("address", send.address())
+                    .put("attempt", send.attempt())
+                    .put("within_ms", Math.floor(send.within()))
                     .put("valid_ms", Math.floor(send.valid()));
             status = HttpResponseStatus.OK;
         } else if (directive instanceof Directive.Served) {
@@ -174,9 +182,11 @@
         FullHttpResponse response = response(no ? deny : status, body);
         response.headers().set("Consult-Do", body.get("do").asText());
         if (directive instanceof Directive.Send send) {
-            response.headers().set("Consult-Endpoint", send.endpoint()).set("Consult-Address", send.address())
-                    .set("Consult-Attempt", send.attempt()).set("Consult-Within",
-                    Decimals.seconds(send.within()))
+            response.headers()
+                    .set("Consult-Endpoint", send.endpoint())
+                    .set("Consult-Address", send.address())
+                    .set("Consult-Attempt", send.attempt())
+                    .set("Consult-Within", Decimals.seconds(send.within()))
                     .set("Consult-Valid", Decimals.seconds(send.valid()));
         }
         if (retryAfter > 0) {
@@ -187,8 +197,8 @@
 
     private static FullHttpResponse response(HttpResponseStatus status, JsonNode body) {
         byte[] bytes = body == null ? new byte[0] : body.toString().getBytes(StandardCharsets.UTF_8);
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(bytes));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(bytes));
         if (body != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         }
--- a/src/main/java/whinlead/front/consult/ConsultRequest.java
+++ b/src/main/java/whinlead/front/consult/ConsultRequest.java
@@ -1,28 +1,35 @@
 package whinlead.front.consult;
 
-import whinlead.Contract;
-import whinlead.engine.Request;
-import whinlead.http.Decimals;
-import whinlead.http.LoadReport;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import whinlead.Contract;
+import whinlead.engine.Request;
+import whinlead.http.Decimals;
+import whinlead.http.LoadReport;
 
 /**
- * What a caller of the consult API says, checked: of a request, and of an attempt at it. JSON and header form
- * are the same fields under other names ({@code docs/consult-api.md}).
+ * What a caller of the consult API says, checked: of a request, and of an attempt at it. JSON and header form are the
+ * same fields under other names ({@code docs/consult-api.md}).
  */
 public final class ConsultRequest {
     /** What can be said, with its name in JSON and as a header. */
     public enum Field {
-        ID("id", "Request-Id"), CLASS("class", "Request-Class"), TENANT("tenant", "Tenant"),
+        ID("id", "Request-Id"),
+        CLASS("class", "Request-Class"),
+        TENANT("tenant", "Tenant"),
         /** Milliseconds in JSON, seconds as a header, as the platform has it. */
-        TIMEOUT("timeout_ms", "Request-Timeout"), REPEAT("repeat", "Client-Retry"),
-        ATTEMPT("attempt", "Consult-Attempt"), ENDPOINT("endpoint", "Consult-Endpoint"),
-        OUTCOME("outcome", "Consult-Outcome"), STATUS("status", "Consult-Status"),
-        NOT_STARTED("not_started", "Consult-Not-Started"), CONNECTED("connected", "Consult-Connect-Time"),
-        ANSWERED("answered", "Consult-Header-Time"), LOAD("load", "Server-Load");
+        TIMEOUT("timeout_ms", "Request-Timeout"),
+        REPEAT("repeat", "Client-Retry"),
+        ATTEMPT("attempt", "Consult-Attempt"),
+        ENDPOINT("endpoint", "Consult-Endpoint"),
+        OUTCOME("outcome", "Consult-Outcome"),
+        STATUS("status", "Consult-Status"),
+        NOT_STARTED("not_started", "Consult-Not-Started"),
+        CONNECTED("connected", "Consult-Connect-Time"),
+        ANSWERED("answered", "Consult-Header-Time"),
+        LOAD("load", "Server-Load");
 
         private final String json;
         private final String header;
@@ -59,12 +66,13 @@
      * @param endpoint where the caller says that it sent it, or null
      * @param report of the endpoint's load, or null
      */
-    public record Ended(int attempt, String endpoint, Contract.Outcome outcome, Contract.Report report) { }
+    public record Ended(int attempt, String endpoint, Contract.Outcome outcome, Contract.Report report) {}
 
     /** Longer names than any caller has; they are kept. */
     private static final int MAX_NAME = 256;
     /** An hour, as on the platform's own front. */
     private static final double MAX_TIMEOUT_MS = 3_600_000;
+
     private static final double MILLIS = 1000;
     private static final int MAX_ATTEMPTS = 1000;
     private static final int MAX_STATUS = 999;
@@ -73,6 +81,7 @@
     private static final int UNAVAILABLE = 503;
     /** What proxies write for a time that never came; 0 is one that came at once. */
     private static final List<String> NEVER = List.of("", "false", "-", "-1");
+
     private static final List<String> YES = List.of("1", "true");
 
     private final Function<Field, String> said;
@@ -105,8 +114,7 @@
     /** The request's id. */
     public String id() throws Bad {
         String id = text(Field.ID);
-        if (id.isEmpty() || id.length() > MAX_NAME
-                || !id.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
+        if (id.isEmpty() || id.length() > MAX_NAME || !id.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
             throw new Bad(name(Field.ID) + " is missing or malformed");
         }
         return id;
@@ -117,8 +125,7 @@
         String type = text(Field.CLASS).isEmpty() ? names.usual : text(Field.CLASS);
         Integer k = names.classes.get(type);
         if (k == null) {
-            throw new Bad(type.isEmpty() ? name(Field.CLASS) + " is missing"
-                    : "class '" + clip(type) + "' is unknown");
+            throw new Bad(type.isEmpty() ? name(Field.CLASS) + " is missing" : "class '" + clip(type) + "' is unknown");
         }
         double wait = names.deadlines.get(k);
         String timeout = text(Field.TIMEOUT);
@@ -134,8 +141,8 @@
 
     /** Whether it tells how an attempt ended. */
     public boolean tellsAnEnd() {
-        return !text(Field.ATTEMPT).isEmpty() && !(text(Field.OUTCOME).isEmpty()
-                && text(Field.STATUS).isEmpty());
+        return !text(Field.ATTEMPT).isEmpty()
+                && !(text(Field.OUTCOME).isEmpty() && text(Field.STATUS).isEmpty());
     }
 
     /** The attempt that it is about. */
@@ -147,7 +154,10 @@
     public Ended ended() throws Bad {
         String endpoint = text(Field.ENDPOINT);
         String load = text(Field.LOAD);
-        return new Ended(attempt(), endpoint.isEmpty() ? null : endpoint, outcome(),
+        return new Ended(
+                attempt(),
+                endpoint.isEmpty() ? null : endpoint,
+                outcome(),
                 load.isEmpty() ? null : LoadReport.parse(load));
     }
 
--- a/src/main/java/whinlead/front/consult/ConsultServer.java
+++ b/src/main/java/whinlead/front/consult/ConsultServer.java
@@ -1,8 +1,5 @@
 package whinlead.front.consult;
 
-import whinlead.consult.Consultations;
-import whinlead.consult.Peer;
-import whinlead.consult.Peers;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -19,14 +16,18 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
+import whinlead.consult.Consultations;
+import whinlead.consult.Peer;
+import whinlead.consult.Peers;
 
 /**
- * The plain consult API: HTTP/1.1, one call a message, for nginx and for proxies of people's own. A caller is
- * told apart by its address, and what it has open outlives its connections: the deadline ends it.
+ * The plain consult API: HTTP/1.1, one call a message, for nginx and for proxies of people's own. A caller is told
+ * apart by its address, and what it has open outlives its connections: the deadline ends it.
  */
 public final class ConsultServer {
     /** Of a body or of all headers; more than any call needs. */
     private static final int MAX_MESSAGE = 16 * 1024;
+
     private static final int MAX_LINE = 4096;
     /** Longer than the idle times of proxies' connection pools, nginx's of a minute say. */
     private static final long MAX_IDLE_S = 75;
@@ -46,8 +47,14 @@
      *
      * @param most connections from callers at once; ones beyond are closed
      */
-    public ConsultServer(EventLoop loop, Class<? extends ServerChannel> channels, Consultations consultations,
-            ConsultRequest.Names names, HeaderNames headers, ObjectMapper mapper, int most) {
+    public ConsultServer(
+            EventLoop loop,
+            Class<? extends ServerChannel> channels,
+            Consultations consultations,
+            ConsultRequest.Names names,
+            HeaderNames headers,
+            ObjectMapper mapper,
+            int most) {
         this.loop = loop;
         this.channels = channels;
         this.consultations = consultations;
@@ -60,13 +67,16 @@
 
     /** Listens on this address only. */
     public ChannelFuture listen(SocketAddress address) {
-        return new ServerBootstrap().group(loop).channel(channels)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(channels)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         accept(channel);
                     }
-                }).bind(address);
+                })
+                .bind(address);
     }
 
     private void accept(Channel channel) {
@@ -78,9 +88,11 @@
         InetAddress from = ((InetSocketAddress) channel.remoteAddress()).getAddress();
         Peer peer = peers.joined(from);
         channel.closeFuture().addListener(f -> peers.left(from));
-        channel.pipeline().addLast(new IdleStateHandler(0, 0, MAX_IDLE_S, TimeUnit.SECONDS),
-                new HttpServerCodec(MAX_LINE, MAX_MESSAGE, MAX_MESSAGE),
-                new HttpObjectAggregator(MAX_MESSAGE),
-                new ConsultConnection(consultations, names, headers, mapper, peer));
+        channel.pipeline()
+                .addLast(
+                        new IdleStateHandler(0, 0, MAX_IDLE_S, TimeUnit.SECONDS),
+                        new HttpServerCodec(MAX_LINE, MAX_MESSAGE, MAX_MESSAGE),
+                        new HttpObjectAggregator(MAX_MESSAGE),
+                        new ConsultConnection(consultations, names, headers, mapper, peer));
     }
 }
--- a/src/main/java/whinlead/front/consult/HeaderNames.java
+++ b/src/main/java/whinlead/front/consult/HeaderNames.java
@@ -1,9 +1,9 @@
 package whinlead.front.consult;
 
-import whinlead.front.consult.ConsultRequest.Field;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
+import whinlead.front.consult.ConsultRequest.Field;
 
 /** By which headers callers tell of their requests. Case does not matter. */
 public final class HeaderNames {
--- a/src/main/java/whinlead/front/extproc/ExtProcAnswers.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcAnswers.java
@@ -1,7 +1,5 @@
 package whinlead.front.extproc;
 
-import whinlead.consult.Directive;
-import whinlead.http.Decimals;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.Struct;
 import com.google.protobuf.Value;
@@ -15,11 +13,14 @@
 import io.envoyproxy.envoy.service.ext_proc.v3.TrailersResponse;
 import io.envoyproxy.envoy.type.v3.HttpStatus;
 import io.envoyproxy.envoy.type.v3.StatusCode;
+import whinlead.consult.Directive;
+import whinlead.http.Decimals;
 
 /** What Envoy is told, in its own messages. */
 final class ExtProcAnswers {
     /** Where to send it, for a cluster of type ORIGINAL_DST that goes by this header. */
     private static final String DESTINATION = "x-whinlead-destination";
+
     private static final String ENDPOINT = "x-whinlead-endpoint";
     private static final String ATTEMPT = "x-whinlead-attempt";
     private static final String DO = "consult-do";
@@ -28,26 +29,34 @@
     /** By which Envoy picks the subset of a cluster. */
     private static final String SUBSET_NAMESPACE = "envoy.lb";
 
-    private ExtProcAnswers() { }
+    private ExtProcAnswers() {}
 
     /** Send it there. */
     static ProcessingResponse send(Directive.Send send) {
         HeaderMutation headers = HeaderMutation.newBuilder()
                 .addSetHeaders(EnvoyHeaders.set(DESTINATION, send.address()))
                 .addSetHeaders(EnvoyHeaders.set(ENDPOINT, send.endpoint()))
-                .addSetHeaders(EnvoyHeaders.set(ATTEMPT, Integer.toString(send.attempt()))).build();
-        Struct own = Struct.newBuilder().putFields("destination", text(send.address()))
+                .addSetHeaders(EnvoyHeaders.set(ATTEMPT, Integer.toString(send.attempt())))
+                .build();
+        Struct own = Struct.newBuilder()
+                .putFields("destination", text(send.address()))
                 .putFields("endpoint", text(send.endpoint()))
                 .putFields("attempt", number(send.attempt()))
                 .putFields("within_ms", number(Math.floor(send.within())))
-                .putFields("valid_ms", number(Math.floor(send.valid()))).build();
-        Struct subset = Struct.newBuilder().putFields("endpoint", text(send.endpoint())).build();
+                .putFields("valid_ms", number(Math.floor(send.valid())))
+                .build();
+        Struct subset =
+                Struct.newBuilder().putFields("endpoint", text(send.endpoint())).build();
         return ProcessingResponse.newBuilder()
                 .setRequestHeaders(HeadersResponse.newBuilder()
                         .setResponse(CommonResponse.newBuilder().setHeaderMutation(headers)))
                 .setDynamicMetadata(Struct.newBuilder()
-                        .putFields(NAMESPACE, Value.newBuilder().setStructValue(own).build())
-                        .putFields(SUBSET_NAMESPACE, Value.newBuilder().setStructValue(subset).build()))
+                        .putFields(
+                                NAMESPACE,
+                                Value.newBuilder().setStructValue(own).build())
+                        .putFields(
+                                SUBSET_NAMESPACE,
+                                Value.newBuilder().setStructValue(subset).build()))
                 .build();
     }
 
@@ -63,12 +72,18 @@
     static ProcessingResponse goOn(RequestCase what) {
         ProcessingResponse.Builder b = ProcessingResponse.newBuilder();
         return switch (what) {
-            case REQUEST_HEADERS -> b.setRequestHeaders(HeadersResponse.getDefaultInstance()).build();
-            case RESPONSE_HEADERS -> b.setResponseHeaders(HeadersResponse.getDefaultInstance()).build();
-            case REQUEST_BODY -> b.setRequestBody(BodyResponse.getDefaultInstance()).build();
-            case RESPONSE_BODY -> b.setResponseBody(BodyResponse.getDefaultInstance()).build();
-            case REQUEST_TRAILERS -> b.setRequestTrailers(TrailersResponse.getDefaultInstance()).build();
-            default -> b.setResponseTrailers(TrailersResponse.getDefaultInstance()).build();
+            case REQUEST_HEADERS ->
+                b.setRequestHeaders(HeadersResponse.getDefaultInstance()).build();
+            case RESPONSE_HEADERS ->
+                b.setResponseHeaders(HeadersResponse.getDefaultInstance()).build();
+            case REQUEST_BODY ->
+                b.setRequestBody(BodyResponse.getDefaultInstance()).build();
+            case RESPONSE_BODY ->
+                b.setResponseBody(BodyResponse.getDefaultInstance()).build();
+            case REQUEST_TRAILERS ->
+                b.setRequestTrailers(TrailersResponse.getDefaultInstance()).build();
+            default ->
+                b.setResponseTrailers(TrailersResponse.getDefaultInstance()).build();
         };
     }
 
@@ -86,23 +101,27 @@
     }
 
     private static ProcessingResponse immediate(StatusCode status, Directive directive, double retryAfter) {
-        HeaderMutation.Builder headers = HeaderMutation.newBuilder()
-                .addSetHeaders(EnvoyHeaders.set(DO, directive.word()));
+        HeaderMutation.Builder headers =
+                HeaderMutation.newBuilder().addSetHeaders(EnvoyHeaders.set(DO, directive.word()));
         if (retryAfter > 0) {
             headers.addSetHeaders(EnvoyHeaders.set(RETRY_AFTER, Decimals.seconds(retryAfter)));
         }
-        return immediate(ImmediateResponse.newBuilder().setHeaders(headers)
-                .setDetails("whinlead_" + directive.word()), status);
+        return immediate(
+                ImmediateResponse.newBuilder().setHeaders(headers).setDetails("whinlead_" + directive.word()), status);
     }
 
     /** Its headers can't be understood. */
     static ProcessingResponse bad(String why) {
-        return immediate(ImmediateResponse.newBuilder().setBody(ByteString.copyFromUtf8(why))
-                .setDetails("whinlead_bad"), StatusCode.BadRequest);
+        return immediate(
+                ImmediateResponse.newBuilder()
+                        .setBody(ByteString.copyFromUtf8(why))
+                        .setDetails("whinlead_bad"),
+                StatusCode.BadRequest);
     }
 
     private static ProcessingResponse immediate(ImmediateResponse.Builder response, StatusCode status) {
-        return ProcessingResponse.newBuilder().setImmediateResponse(response
-                .setStatus(HttpStatus.newBuilder().setCode(status))).build();
+        return ProcessingResponse.newBuilder()
+                .setImmediateResponse(response.setStatus(HttpStatus.newBuilder().setCode(status)))
+                .build();
     }
 }
--- a/src/main/java/whinlead/front/extproc/ExtProcServer.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcServer.java
@@ -1,13 +1,5 @@
 package whinlead.front.extproc;
 
-import whinlead.consult.Consultations;
-import whinlead.consult.Peer;
-import whinlead.consult.Peers;
-import whinlead.engine.Timers;
-import whinlead.front.consult.ConsultRequest;
-import whinlead.front.consult.ConsultRequest.Field;
-import whinlead.front.consult.HeaderNames;
-import whinlead.loop.BoundedListener;
 import io.envoyproxy.envoy.service.ext_proc.v3.ExternalProcessorGrpc;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
@@ -33,19 +25,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import whinlead.consult.Consultations;
+import whinlead.consult.Peer;
+import whinlead.consult.Peers;
+import whinlead.engine.Timers;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.front.consult.ConsultRequest.Field;
+import whinlead.front.consult.HeaderNames;
+import whinlead.loop.BoundedListener;
 
 /**
- * Envoy's external processing over gRPC ({@code envoy.service.ext_proc.v3.ExternalProcessor}), all of it on
- * the engine's loop. A stream is one try of Envoy's at a request, which is known by its id across streams and
- * connections. A caller is told apart by its address.
+ * Envoy's external processing over gRPC ({@code envoy.service.ext_proc.v3.ExternalProcessor}), all of it on the
+ * engine's loop. A stream is one try of Envoy's at a request, which is known by its id across streams and connections.
+ * A caller is told apart by its address.
  */
 public final class ExtProcServer {
     /** Envoy's own bound on all headers of a request is 60 KiB. */
     private static final int MAX_MESSAGE = 64 * 1024;
+
     private static final int MAX_METADATA = 8 * 1024;
     private static final long MAX_HANDSHAKE_S = 5;
     /** Envoy keeps its connections for as long as it has requests. */
     private static final long IDLE_MOST_MINUTES = 10;
+
     private static final Context.Key<InetAddress> FROM = Context.key("from");
 
     private final EventLoop loop;
@@ -69,14 +71,19 @@
      * @param connections from callers at once; ones beyond are closed
      * @param streams of one connection at once; gRPC has the caller keep ones beyond back
      */
-    public ExtProcServer(EventLoop loop, Timers timers, Consultations consultations,
-            ConsultRequest.Names names, Map<Field, String> headers, int connections, int streams) {
+    public ExtProcServer(
+            EventLoop loop,
+            Timers timers,
+            Consultations consultations,
+            ConsultRequest.Names names,
+            Map<Field, String> headers,
+            int connections,
+            int streams) {
         this.loop = loop;
         this.timers = timers;
         this.consultations = consultations;
         this.names = names;
-        Map<Field, String> all = new EnumMap<>(Map.of(Field.ID, "x-request-id", Field.NOT_STARTED,
-                "not-started"));
+        Map<Field, String> all = new EnumMap<>(Map.of(Field.ID, "x-request-id", Field.NOT_STARTED, "not-started"));
         all.putAll(headers);
         this.headers = new HeaderNames().with(all);
         this.connections = connections;
@@ -100,25 +107,29 @@
                 loop.execute(task);
             }
         };
-        Server server = NettyServerBuilder.forAddress(address).bossEventLoopGroup(loop)
-                .workerEventLoopGroup(loop).channelFactory(() -> new BoundedListener(connections))
-                .executor(onLoop).maxInboundMessageSize(MAX_MESSAGE).maxInboundMetadataSize(MAX_METADATA)
+        Server server = NettyServerBuilder.forAddress(address)
+                .bossEventLoopGroup(loop)
+                .workerEventLoopGroup(loop)
+                .channelFactory(() -> new BoundedListener(connections))
+                .executor(onLoop)
+                .maxInboundMessageSize(MAX_MESSAGE)
+                .maxInboundMetadataSize(MAX_METADATA)
                 .maxConcurrentCallsPerConnection(streams)
                 .handshakeTimeout(MAX_HANDSHAKE_S, TimeUnit.SECONDS)
                 .maxConnectionIdle(IDLE_MOST_MINUTES, TimeUnit.MINUTES)
-                .addService(ServerInterceptors.intercept(new Service(), new Sender())).build().start();
+                .addService(ServerInterceptors.intercept(new Service(), new Sender()))
+                .build()
+                .start();
         return (InetSocketAddress) server.getListenSockets().get(0);
     }
 
     /** Notes where a call comes from. */
     private static final class Sender implements ServerInterceptor {
         @Override
-        public <Q, A> ServerCall.Listener<Q> interceptCall(ServerCall<Q, A> call, Metadata metadata,
-                ServerCallHandler<Q, A> next) {
-            InetSocketAddress from = (InetSocketAddress) call.getAttributes()
-                    .get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
-            return Contexts.interceptCall(Context.current().withValue(FROM, from.getAddress()), call,
-                    metadata, next);
+        public <Q, A> ServerCall.Listener<Q> interceptCall(
+                ServerCall<Q, A> call, Metadata metadata, ServerCallHandler<Q, A> next) {
+            InetSocketAddress from = (InetSocketAddress) call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
+            return Contexts.interceptCall(Context.current().withValue(FROM, from.getAddress()), call, metadata, next);
         }
     }
 
@@ -126,8 +137,14 @@
         @Override
         public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> answers) {
             InetAddress from = FROM.get();
-            return new ExtProcStream(consultations, timers, names, headers, peers.joined(from),
-                    () -> peers.left(from), (ServerCallStreamObserver<ProcessingResponse>) answers);
+            return new ExtProcStream(
+                    consultations,
+                    timers,
+                    names,
+                    headers,
+                    peers.joined(from),
+                    () -> peers.left(from),
+                    (ServerCallStreamObserver<ProcessingResponse>) answers);
         }
     }
 }
--- a/src/main/java/whinlead/front/extproc/ExtProcStream.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcStream.java
@@ -1,5 +1,11 @@
 package whinlead.front.extproc;
 
+import io.envoyproxy.envoy.config.core.v3.HeaderMap;
+import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
+import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
+import io.grpc.Status;
+import io.grpc.stub.ServerCallStreamObserver;
+import io.grpc.stub.StreamObserver;
 import whinlead.Contract;
 import whinlead.consult.Consultations;
 import whinlead.consult.Directive;
@@ -8,23 +14,22 @@
 import whinlead.front.consult.ConsultRequest;
 import whinlead.front.consult.ConsultRequest.Field;
 import whinlead.front.consult.HeaderNames;
-import io.envoyproxy.envoy.config.core.v3.HeaderMap;
-import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
-import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
-import io.grpc.Status;
-import io.grpc.stub.ServerCallStreamObserver;
-import io.grpc.stub.StreamObserver;
 
 /**
- * One stream of Envoy's: a try at a request. Its headers ask; the headers of the response report how the
- * attempt ended, and a stream that ends without them that nobody knows. The next message is taken once Envoy
- * has room for the answers to those before, so that one that does not read holds nothing up but itself.
+ * One stream of Envoy's: a try at a request. Its headers ask; the headers of the response report how the attempt ended,
+ * and a stream that ends without them that nobody knows. The next message is taken once Envoy has room for the answers
+ * to those before, so that one that does not read holds nothing up but itself.
  */
 final class ExtProcStream implements StreamObserver<ProcessingRequest> {
-    private enum State { NEW, SENT, ENDED }
+    private enum State {
+        NEW,
+        SENT,
+        ENDED
+    }
 
     /** After an attempt's time, for a report that is under way. */
     private static final double LINGER_MS = 1000;
+
     private static final String STATUS = ":status";
 
     private final Consultations consultations;
@@ -40,8 +45,14 @@
     private Directive.Send sent;
     private Timers.Timer silence;
 
-    ExtProcStream(Consultations consultations, Timers timers, ConsultRequest.Names names, HeaderNames headers,
-            Peer peer, Runnable left, ServerCallStreamObserver<ProcessingResponse> answers) {
+    ExtProcStream(
+            Consultations consultations,
+            Timers timers,
+            ConsultRequest.Names names,
+            HeaderNames headers,
+            Peer peer,
+            Runnable left,
+            ServerCallStreamObserver<ProcessingResponse> answers) {
         this.consultations = consultations;
         this.timers = timers;
         this.names = names;
@@ -119,7 +130,8 @@
         ResponseDetails details = ResponseDetails.of(message);
         ConsultRequest.Ended ended;
         try {
-            ended = ConsultRequest.headers(f -> reported(f, told, details), headers).ended();
+            ended = ConsultRequest.headers(f -> reported(f, told, details), headers)
+                    .ended();
         } catch (ConsultRequest.Bad e) {
             breach(e.getMessage());
             return;
@@ -129,8 +141,7 @@
         consultations.outcome(id, attempt.attempt(), ended.endpoint(), ended.outcome(), ended.report(), null);
         Directive over = consultations.ended(id);
         boolean served = ended.outcome() == Contract.Outcome.SERVED;
-        if (over instanceof Directive.Refused && !served
-                || over instanceof Directive.Failed && !details.ofEndpoint()) {
+        if (over instanceof Directive.Refused && !served || over instanceof Directive.Failed && !details.ofEndpoint()) {
             // What Envoy would answer on its own does not tell whether another try does harm. An endpoint's
             // answer that comes after the end is an answer still.
             end(ExtProcAnswers.over(over));
--- a/src/main/java/whinlead/front/extproc/ResponseDetails.java
+++ b/src/main/java/whinlead/front/extproc/ResponseDetails.java
@@ -5,8 +5,8 @@
 import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
 
 /**
- * What Envoy's attributes tell of a response ({@code response_attributes} of the filter), where it is asked
- * for them: whether it is the endpoint's, what went wrong if not, and where the request was sent.
+ * What Envoy's attributes tell of a response ({@code response_attributes} of the filter), where it is asked for them:
+ * whether it is the endpoint's, what went wrong if not, and where the request was sent.
  *
  * @param code {@code response.code_details}; empty if not told
  * @param address {@code upstream.address}; empty if not told
@@ -17,9 +17,9 @@
 
     static ResponseDetails of(ProcessingRequest message) {
         for (Struct attributes : message.getAttributesMap().values()) {
-            return new ResponseDetails(text(attributes, "response.code_details"),
-                    text(attributes, "upstream.address"),
-                    (int) value(attributes, "upstream.request_attempt_count").getNumberValue());
+            return new ResponseDetails(
+                    text(attributes, "response.code_details"), text(attributes, "upstream.address"), (int)
+                            value(attributes, "upstream.request_attempt_count").getNumberValue());
         }
         return new ResponseDetails("", "", 0);
     }
@@ -43,8 +43,8 @@
     }
 
     /**
-     * The consult API's word for how the attempt ended, by Envoy's response code details; null if the status
-     * tells. What a router that tries again on its own tells of its last try proves nothing of those before.
+     * The consult API's word for how the attempt ended, by Envoy's response code details; null if the status tells.
+     * What a router that tries again on its own tells of its last try proves nothing of those before.
      */
     String outcome() {
         if (ofEndpoint()) {
--- a/src/main/java/whinlead/front/http1/ClientConnection.java
+++ b/src/main/java/whinlead/front/http1/ClientConnection.java
@@ -1,11 +1,5 @@
 package whinlead.front.http1;
 
-import whinlead.engine.ResponseSink;
-import whinlead.engine.Clock;
-import whinlead.engine.Engine;
-import whinlead.http.Decimals;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -33,11 +27,16 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.engine.ResponseSink;
+import whinlead.http.Decimals;
+import whinlead.http.HttpAnswer;
+import whinlead.http.HttpAsk;
 
 /**
- * One connection from the application and the one request that it may carry at a time. A bad request is
- * answered as soon as its head shows that, and ends the connection: nobody knows where the next one would
- * begin.
+ * One connection from the application and the one request that it may carry at a time. A bad request is answered as
+ * soon as its head shows that, and ends the connection: nobody knows where the next one would begin.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseSink<HttpAnswer> {
     /** What the connection is about; {@link #since} tells for how long. */
@@ -123,18 +122,14 @@
 
     /** Sets up the pipeline of a connection just accepted. */
     void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(new Bytes(), decoder, new HttpResponseEncoder(),
-                new HttpServerExpectContinueHandler(), this);
+        pipeline.addLast(new Bytes(), decoder, new HttpResponseEncoder(), new HttpServerExpectContinueHandler(), this);
     }
 
     Phase phase() {
         return phase;
     }
 
-    /**
-     * When it came into its phase; a first request is to come whole within a time that begins with the
-     * connection.
-     */
+    /** When it came into its phase; a first request is to come whole within a time that begins with the connection. */
     double since() {
         return since;
     }
@@ -144,10 +139,7 @@
         return phase != Phase.SILENT && phase != Phase.IDLE;
     }
 
-    /**
-     * Ends it at once, also for whoever looks for the next one to end: its channel tells so only in a later
-     * turn.
-     */
+    /** Ends it at once, also for whoever looks for the next one to end: its channel tells so only in a later turn. */
     void close() {
         enter(Phase.ENDING);
         channel.close();
@@ -229,7 +221,9 @@
     private void check(HttpRequest request) throws RequestCheck.Rejected {
         head = request;
         RequestCheck.framing(request);
-        checked = RequestCheck.path(request).equals(READY_PATH) ? null : server.check().application(request);
+        checked = RequestCheck.path(request).equals(READY_PATH)
+                ? null
+                : server.check().application(request);
     }
 
     // Only when all that came in one pass has been looked at is it clear that nothing follows the request.
@@ -251,8 +245,7 @@
         if (!head.method().equals(HttpMethod.GET)) {
             reject(HttpResponseStatus.METHOD_NOT_ALLOWED);
         } else {
-            write(response(server.serving() ? HttpResponseStatus.OK
-                    : HttpResponseStatus.SERVICE_UNAVAILABLE));
+            write(response(server.serving() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE));
         }
     }
 
@@ -270,8 +263,10 @@
             return;
         }
         enter(Phase.OPEN);
-        Engine.Held<HttpAnswer> taken = server.take(request.ask(),
-                new HttpAsk(request.method(), request.uri(), request.headers(), body.toByteArray()), this);
+        Engine.Held<HttpAnswer> taken = server.take(
+                request.ask(),
+                new HttpAsk(request.method(), request.uri(), request.headers(), body.toByteArray()),
+                this);
         body.reset();
         // The answer may have gone out already.
         if (phase == Phase.OPEN) {
@@ -319,8 +314,8 @@
     }
 
     private static FullHttpResponse response(HttpResponseStatus status, byte[] body) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(body));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         return response;
     }
--- a/src/main/java/whinlead/front/http1/ClientServer.java
+++ b/src/main/java/whinlead/front/http1/ClientServer.java
@@ -1,16 +1,5 @@
 package whinlead.front.http1;
 
-import whinlead.Contract;
-import whinlead.admit.Admission;
-import whinlead.admit.Budget;
-import whinlead.admit.Gate;
-import whinlead.engine.Request;
-import whinlead.engine.ResponseSink;
-import whinlead.engine.Transport;
-import whinlead.engine.Clock;
-import whinlead.engine.Engine;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -25,10 +14,19 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import whinlead.Contract;
+import whinlead.admit.Admission;
+import whinlead.admit.Budget;
+import whinlead.admit.Gate;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
+import whinlead.engine.Transport;
+import whinlead.http.HttpAnswer;
+import whinlead.http.HttpAsk;
 
-/**
- * Listens for the application: how many connections it may have and for how long, readiness and the drain.
- */
+/** Listens for the application: how many connections it may have and for how long, readiness and the drain. */
 public final class ClientServer {
     /** A request comes whole within this time, or is answered 408: bad clients are owed a word within 3 s. */
     private static final double MAX_RECEIVE_MS = 2500;
@@ -46,6 +44,7 @@
     private static final double MAX_IDLE_MS = 60_000;
     /** The share of the connections allowed from which idle ones are many. */
     private static final int MANY_SHARE = 4;
+
     private static final long SWEEP_MS = 200;
 
     private final EventLoop loop;
@@ -73,40 +72,62 @@
      * @param transport carries requests to endpoints
      * @param most connections from the application at once; beyond that, room is made
      */
-    public ClientServer(EventLoop loop, Clock clock, Engine engine,
-            Function<HttpAsk, Transport<HttpAnswer>> transport, Contract.Settings settings, int most) {
-        this(loop, clock, engine, transport, settings, Gate.Limits.none(),
-                Budget.fixed(Budget.Purpose.CLIENTS, most), 0);
+    public ClientServer(
+            EventLoop loop,
+            Clock clock,
+            Engine engine,
+            Function<HttpAsk, Transport<HttpAnswer>> transport,
+            Contract.Settings settings,
+            int most) {
+        this(
+                loop,
+                clock,
+                engine,
+                transport,
+                settings,
+                Gate.Limits.none(),
+                Budget.fixed(Budget.Purpose.CLIENTS, most),
+                0);
     }
 
     /**
      * A server whose connections are limited by client, too.
      *
      * @param budget says how many connections there may be at once
-     * @param places requests that clients may have open at once, beyond which none of theirs gets here; 0 if
-     *     nothing is known of it
+     * @param places requests that clients may have open at once, beyond which none of theirs gets here; 0 if nothing is
+     *     known of it
      */
-    public ClientServer(EventLoop loop, Clock clock, Engine engine,
-            Function<HttpAsk, Transport<HttpAnswer>> transport, Contract.Settings settings,
-            Gate.Limits clients, Budget budget, int places) {
+    public ClientServer(
+            EventLoop loop,
+            Clock clock,
+            Engine engine,
+            Function<HttpAsk, Transport<HttpAnswer>> transport,
+            Contract.Settings settings,
+            Gate.Limits clients,
+            Budget budget,
+            int places) {
         this.loop = loop;
         this.clock = clock;
         this.engine = engine;
         this.transport = transport;
         this.check = new RequestCheck(settings);
-        this.longestDeadline = settings.classes().stream().mapToDouble(Contract.RequestClass::deadline)
-                .max().orElse(0);
+        this.longestDeadline = settings.classes().stream()
+                .mapToDouble(Contract.RequestClass::deadline)
+                .max()
+                .orElse(0);
         this.budget = budget;
         this.places = places;
         this.most = budget.may(Budget.Purpose.CLIENTS);
-        this.gate = new Gate<>(clients, new Admission.Limits(UNKNOWN_PART, IDLE_LONG_MS, MIN_IDLE_MS,
-                MIN_SLOW_MS), most);
+        this.gate =
+                new Gate<>(clients, new Admission.Limits(UNKNOWN_PART, IDLE_LONG_MS, MIN_IDLE_MS, MIN_SLOW_MS), most);
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Listens on this address only. Until it is ready, whoever connects waits: no list is known yet. */
     public ChannelFuture listen(SocketAddress address) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -121,7 +142,8 @@
                     protected void initChannel(Channel channel) {
                         new ClientConnection(ClientServer.this, clock).addTo(channel.pipeline());
                     }
-                }).bind(address);
+                })
+                .bind(address);
     }
 
     /** From now on it accepts, and {@code /health/ready} answers 200. On the loop. */
@@ -152,8 +174,7 @@
     /** Has the engine take a request. */
     Engine.Held<HttpAnswer> take(Request ask, HttpAsk http, ResponseSink<HttpAnswer> caller) {
         double room = places == 0 ? 1 : Math.max(0, 1 - (double) openIds.size() / places);
-        return engine.take(ask.at(room, http.body().length),
-                transport.apply(http), caller);
+        return engine.take(ask.at(room, http.body().length), transport.apply(http), caller);
     }
 
     /** Notes a request; false if one with this id is open already. */
@@ -167,17 +188,20 @@
 
     /** A connection has come, or come into a phase. */
     void entered(ClientConnection connection, ClientConnection.Phase phase, double since) {
-        gate.entered(connection, switch (phase) {
-            case SILENT -> Admission.Phase.SILENT;
-            case IDLE -> Admission.Phase.IDLE;
-            case RECEIVING -> Admission.Phase.RECEIVING;
-            case OPEN, ANSWERING, ENDING -> Admission.Phase.HELD;
-        }, since);
+        gate.entered(
+                connection,
+                switch (phase) {
+                    case SILENT -> Admission.Phase.SILENT;
+                    case IDLE -> Admission.Phase.IDLE;
+                    case RECEIVING -> Admission.Phase.RECEIVING;
+                    case OPEN, ANSWERING, ENDING -> Admission.Phase.HELD;
+                },
+                since);
     }
 
     /**
-     * One has come: beyond those allowed it makes one close. Guards against running out of descriptors, and
-     * against silent connections that starve good clients, as they would if accepting stopped.
+     * One has come: beyond those allowed it makes one close. Guards against running out of descriptors, and against
+     * silent connections that starve good clients, as they would if accepting stopped.
      */
     void opened(ClientConnection connection, SocketAddress from) {
         connections.add(connection);
@@ -219,7 +243,7 @@
                     }
                 }
                 case ANSWERING, ENDING -> closeIf(c, age > MAX_WRITE_MS);
-                case OPEN -> { }
+                case OPEN -> {}
             }
         }
         // Guards against clients that ask once and stay: the room they take is wanted by those that ask
@@ -238,10 +262,9 @@
     }
 
     /**
-     * Stops in the order that loses nothing: new connections are taken for as long as they may still come,
-     * and those that clients have are served on, for to them a closed one is an outage until the next
-     * start. Then idle ones close and every answer closes its own; what is still held is failed while it
-     * can be.
+     * Stops in the order that loses nothing: new connections are taken for as long as they may still come, and those
+     * that clients have are served on, for to them a closed one is an outage until the next start. Then idle ones close
+     * and every answer closes its own; what is still held is failed while it can be.
      */
     public void drain(Runnable whenDrained) {
         if (listener == null) {
@@ -251,21 +274,30 @@
         }
         drained = whenDrained;
         DrainTimes times = DrainTimes.of(longestDeadline);
-        loop.schedule(() -> {
-            accepting = false;
-            listener.close();
-            finishDrain();
-        }, (long) times.acceptUntil(), TimeUnit.MILLISECONDS);
-        loop.schedule(() -> {
-            draining = true;
-            closeAll(ClientConnection.Phase.IDLE);
-            closeAll(ClientConnection.Phase.SILENT);
-            finishDrain();
-        }, (long) times.closeIdle(), TimeUnit.MILLISECONDS);
-        loop.schedule(() -> {
-            failing = true;
-            engine.failAll();
-        }, (long) times.failAll(), TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    accepting = false;
+                    listener.close();
+                    finishDrain();
+                },
+                (long) times.acceptUntil(),
+                TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    draining = true;
+                    closeAll(ClientConnection.Phase.IDLE);
+                    closeAll(ClientConnection.Phase.SILENT);
+                    finishDrain();
+                },
+                (long) times.closeIdle(),
+                TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    failing = true;
+                    engine.failAll();
+                },
+                (long) times.failAll(),
+                TimeUnit.MILLISECONDS);
     }
 
     private void closeAll(ClientConnection.Phase phase) {
@@ -275,8 +307,7 @@
     }
 
     private void finishDrain() {
-        boolean done = draining ? connections.stream().noneMatch(ClientConnection::busy)
-                : connections.isEmpty();
+        boolean done = draining ? connections.stream().noneMatch(ClientConnection::busy) : connections.isEmpty();
         if (drained != null && !accepting && done) {
             Runnable r = drained;
             drained = null;
--- a/src/main/java/whinlead/front/http1/DrainTimes.java
+++ b/src/main/java/whinlead/front/http1/DrainTimes.java
@@ -1,8 +1,8 @@
 package whinlead.front.http1;
 
 /**
- * When what is done at a planned end, in milliseconds after the signal. A stopped process is killed no sooner
- * than {@link #kill}, and what it holds then is lost. Pure.
+ * When what is done at a planned end, in milliseconds after the signal. A stopped process is killed no sooner than
+ * {@link #kill}, and what it holds then is lost. Pure.
  *
  * @param acceptUntil new connections are taken until then
  * @param closeIdle kept ones that are idle close then, and from then on every answer closes its own
@@ -16,9 +16,8 @@
     /** ... and the kill comes so much after that. */
     private static final double KILL_AFTER = 700;
     /**
-     * Kept for the last answers. With 200 ms of it a node of the standing test lost 59 requests: on a quarter
-     * of a core the signal takes 40 ms to the loop and 66 answers 70 ms, and a loop that has this much to do
-     * is late.
+     * Kept for the last answers. With 200 ms of it a node of the standing test lost 59 requests: on a quarter of a core
+     * the signal takes 40 ms to the loop and 66 answers 70 ms, and a loop that has this much to do is late.
      */
     private static final double LAST_ANSWERS = 500;
     /** Before that, the time for what was taken last; most answers come in far less. */
--- a/src/main/java/whinlead/front/http1/NoDescriptor.java
+++ b/src/main/java/whinlead/front/http1/NoDescriptor.java
@@ -1,17 +1,17 @@
 package whinlead.front.http1;
 
-import whinlead.admit.Gate;
-import whinlead.engine.Clock;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import whinlead.admit.Gate;
+import whinlead.engine.Clock;
 
 /**
- * On a listener: when a connection can't be accepted, which is for want of a descriptor (EMFILE, ENFILE), the
- * gate says which connection makes room and for how long nothing is to be accepted. Netty alone would stop
- * for a second each time, in which no good client comes in either.
+ * On a listener: when a connection can't be accepted, which is for want of a descriptor (EMFILE, ENFILE), the gate says
+ * which connection makes room and for how long nothing is to be accepted. Netty alone would stop for a second each
+ * time, in which no good client comes in either.
  */
 final class NoDescriptor<C> extends ChannelInboundHandlerAdapter {
     private final Gate<C> gate;
@@ -32,8 +32,9 @@
         }
         C close = gate.noDescriptor(clock.now());
         ctx.channel().config().setAutoRead(false);
-        ctx.channel().eventLoop().schedule(() -> ctx.channel().config().setAutoRead(true),
-                (long) gate.pause(), TimeUnit.MILLISECONDS);
+        ctx.channel()
+                .eventLoop()
+                .schedule(() -> ctx.channel().config().setAutoRead(true), (long) gate.pause(), TimeUnit.MILLISECONDS);
         if (close != null) {
             closer.accept(close);
         }
--- a/src/main/java/whinlead/front/http1/RequestCheck.java
+++ b/src/main/java/whinlead/front/http1/RequestCheck.java
@@ -1,9 +1,5 @@
 package whinlead.front.http1;
 
-import whinlead.Contract;
-import whinlead.engine.Request;
-import whinlead.http.Decimals;
-import whinlead.http.HttpAsk;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
@@ -17,10 +13,14 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import whinlead.Contract;
+import whinlead.engine.Request;
+import whinlead.http.Decimals;
+import whinlead.http.HttpAsk;
 
 /**
- * Checks the head of a client's request, before its body is read. What it lets through is made anew from the
- * checked fields alone, so that nothing else of a client's reaches the module or an endpoint.
+ * Checks the head of a client's request, before its body is read. What it lets through is made anew from the checked
+ * fields alone, so that nothing else of a client's reaches the module or an endpoint.
  */
 final class RequestCheck {
     /**
@@ -28,7 +28,7 @@
      *
      * @param headers what an endpoint is told, but for the time and the length
      */
-    record Checked(String id, Request ask, HttpMethod method, String uri, HttpHeaders headers) { }
+    record Checked(String id, Request ask, HttpMethod method, String uri, HttpHeaders headers) {}
 
     /** The answer that a bad request gets. */
     static final class Rejected extends Exception {
@@ -51,13 +51,22 @@
     private static final AsciiString TENANT = AsciiString.cached("Tenant");
     private static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
     private static final AsciiString REPEAT = AsciiString.cached("Client-Retry");
-    private static final List<CharSequence> ONCE = List.of(ID, CLASS, HttpAsk.TIMEOUT, KEY, TENANT, REPEAT,
-            HttpHeaderNames.HOST, HttpHeaderNames.CONTENT_LENGTH, HttpHeaderNames.TRANSFER_ENCODING,
+    private static final List<CharSequence> ONCE = List.of(
+            ID,
+            CLASS,
+            HttpAsk.TIMEOUT,
+            KEY,
+            TENANT,
+            REPEAT,
+            HttpHeaderNames.HOST,
+            HttpHeaderNames.CONTENT_LENGTH,
+            HttpHeaderNames.TRANSFER_ENCODING,
             HttpHeaderNames.CONTENT_TYPE);
     /** Longer names than any client has; they are kept and passed on. */
     private static final int MAX_NAME = 256;
     /** An hour: no client waits longer, and timers far out would only pile up. */
     private static final double MAX_TIMEOUT_S = 3600;
+
     private static final double MILLIS = 1000;
 
     private final List<Contract.RequestClass> classes;
@@ -81,10 +90,7 @@
         return query < 0 ? request.uri() : request.uri().substring(0, query);
     }
 
-    /**
-     * Guards against a request whose end another reader could see elsewhere, hiding a second one in its
-     * body.
-     */
+    /** Guards against a request whose end another reader could see elsewhere, hiding a second one in its body. */
     static void framing(HttpRequest request) throws Rejected {
         HttpHeaders headers = request.headers();
         for (CharSequence name : ONCE) {
@@ -92,8 +98,9 @@
             require(!values.hasNext() || values.next() == null || !values.hasNext());
         }
         String encoding = headers.get(HttpHeaderNames.TRANSFER_ENCODING);
-        require(encoding == null || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding)
-                && request.protocolVersion().minorVersion() > 0);
+        require(encoding == null
+                || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding)
+                        && request.protocolVersion().minorVersion() > 0);
         require(request.protocolVersion().majorVersion() == 1 && visible(request.uri(), Integer.MAX_VALUE));
         if (HttpUtil.getContentLength(request, 0L) > HttpAsk.MAX_BODY) {
             throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
@@ -119,8 +126,8 @@
         String timeout = headers.get(HttpAsk.TIMEOUT);
         double wait = timeout == null ? type.deadline() : Decimals.parse(timeout, MAX_TIMEOUT_S) * MILLIS;
         require(wait > 0);
-        Request ask = new Request(k, tenantIndex.getOrDefault(headers.get(TENANT, ""), -1), wait,
-                "1".equals(headers.get(REPEAT)));
+        Request ask = new Request(
+                k, tenantIndex.getOrDefault(headers.get(TENANT, ""), -1), wait, "1".equals(headers.get(REPEAT)));
         return new Checked(id, ask, method, request.uri(), onward(headers, id, key));
     }
 
--- a/src/main/java/whinlead/front/spop/SpopConnection.java
+++ b/src/main/java/whinlead/front/spop/SpopConnection.java
@@ -1,11 +1,5 @@
 package whinlead.front.spop;
 
-import whinlead.consult.Consultations;
-import whinlead.consult.Directive;
-import whinlead.consult.Peer;
-import whinlead.front.consult.ConsultRequest;
-import whinlead.front.consult.HeaderNames;
-import whinlead.http.Decimals;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
@@ -16,12 +10,18 @@
 import java.util.Arrays;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import whinlead.consult.Consultations;
+import whinlead.consult.Directive;
+import whinlead.consult.Peer;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.front.consult.HeaderNames;
+import whinlead.http.Decimals;
 
 /**
- * One connection of HAProxy's. It knows four messages, whose arguments have the names of the consult API's
- * JSON but for {@code timeout}, in seconds: {@code ask}, {@code outcome}, {@code streaming} and {@code
- * cancel}. An answer sets variables: {@code do}, {@code endpoint}, {@code ip}, {@code port}, {@code attempt},
- * {@code retry_after}, or {@code error}.
+ * One connection of HAProxy's. It knows four messages, whose arguments have the names of the consult API's JSON but for
+ * {@code timeout}, in seconds: {@code ask}, {@code outcome}, {@code streaming} and {@code cancel}. An answer sets
+ * variables: {@code do}, {@code endpoint}, {@code ip}, {@code port}, {@code attempt}, {@code retry_after}, or
+ * {@code error}.
  */
 final class SpopConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final String VERSION = "2.0";
@@ -124,11 +124,12 @@
         }
         messages.forEach((name, arguments) -> {
             try {
-                message(name, ConsultRequest.headers(f -> arguments.get(name(f)), HEADERS),
+                message(
+                        name,
+                        ConsultRequest.headers(f -> arguments.get(name(f)), HEADERS),
                         directive -> acknowledge(ctx, frame, directive));
             } catch (ConsultRequest.Bad e) {
-                ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.ACK, frame.stream(),
-                        frame.frame());
+                ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.ACK, frame.stream(), frame.frame());
                 SpopFrame.setVariable(out, "do", "bad");
                 SpopFrame.setVariable(out, "error", e.getMessage());
                 ctx.writeAndFlush(SpopFrame.end(out));
@@ -140,8 +141,7 @@
         return field == ConsultRequest.Field.TIMEOUT ? "timeout" : field.json();
     }
 
-    private void message(String name, ConsultRequest call, Consultations.Reply reply)
-            throws ConsultRequest.Bad {
+    private void message(String name, ConsultRequest call, Consultations.Reply reply) throws ConsultRequest.Bad {
         switch (name) {
             case "ask" -> consultations.ask(peer, call.id(), call.ask(names), reply);
             case "outcome" -> {
@@ -164,8 +164,7 @@
         if (ended) {
             return;
         }
-        ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.ACK, frame.stream(),
-                frame.frame());
+        ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.ACK, frame.stream(), frame.frame());
         SpopFrame.setVariable(out, "do", directive.word());
         if (directive instanceof Directive.Send send) {
             int colon = send.address().lastIndexOf(':');
--- a/src/main/java/whinlead/front/spop/SpopFrame.java
+++ b/src/main/java/whinlead/front/spop/SpopFrame.java
@@ -6,15 +6,20 @@
 import java.util.Map;
 
 /**
- * One frame of HAProxy's Stream Processing Offload Protocol 2.0 (HAProxy's {@code doc/SPOE.txt}, section 3).
- * By hand, since no kept library for Java has it; Netty's codec for HAProxy is that of the PROXY protocol.
+ * One frame of HAProxy's Stream Processing Offload Protocol 2.0 (HAProxy's {@code doc/SPOE.txt}, section 3). By hand,
+ * since no kept library for Java has it; Netty's codec for HAProxy is that of the PROXY protocol.
  *
  * @param payload the reader's until the frame's bytes are released
  */
 public record SpopFrame(Type type, boolean fin, boolean abort, long stream, long frame, ByteBuf payload) {
     /** The kinds that either side sends, with their numbers on the wire. */
     public enum Type {
-        HAPROXY_HELLO(1), HAPROXY_DISCONNECT(2), NOTIFY(3), AGENT_HELLO(101), AGENT_DISCONNECT(102), ACK(103);
+        HAPROXY_HELLO(1),
+        HAPROXY_DISCONNECT(2),
+        NOTIFY(3),
+        AGENT_HELLO(101),
+        AGENT_DISCONNECT(102),
+        ACK(103);
 
         private final int code;
 
@@ -34,8 +39,15 @@
 
     /** Why a connection ends, with its number on the wire. */
     public enum Status {
-        NORMAL(0), TOO_BIG(3), INVALID(4), NO_VERSION(5), NO_FRAME_SIZE(6), BAD_VERSION(8), BAD_FRAME_SIZE(9),
-        FRAGMENTED(10), RESOURCES(13);
+        NORMAL(0),
+        TOO_BIG(3),
+        INVALID(4),
+        NO_VERSION(5),
+        NO_FRAME_SIZE(6),
+        BAD_VERSION(8),
+        BAD_FRAME_SIZE(9),
+        FRAGMENTED(10),
+        RESOURCES(13);
 
         private final int code;
 
@@ -67,6 +79,7 @@
     private static final int ABORT = 2;
     /** From this value on a number takes more than one byte. */
     private static final int ONE_BYTE = 240;
+
     private static final int MORE = 128;
     private static final int NUMBER_BITS = 64;
     private static final int TYPE_MASK = 0x0f;
--- a/src/main/java/whinlead/front/spop/SpopServer.java
+++ b/src/main/java/whinlead/front/spop/SpopServer.java
@@ -1,9 +1,5 @@
 package whinlead.front.spop;
 
-import whinlead.consult.Consultations;
-import whinlead.consult.Peer;
-import whinlead.consult.Peers;
-import whinlead.front.consult.ConsultRequest;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -14,10 +10,14 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
+import whinlead.consult.Consultations;
+import whinlead.consult.Peer;
+import whinlead.consult.Peers;
+import whinlead.front.consult.ConsultRequest;
 
 /**
- * An agent for HAProxy's filter {@code spoe}: protocol 2.0, pipelining, no fragments. What a caller has open
- * outlives its connections, which HAProxy opens and closes as it likes; the deadline ends it.
+ * An agent for HAProxy's filter {@code spoe}: protocol 2.0, pipelining, no fragments. What a caller has open outlives
+ * its connections, which HAProxy opens and closes as it likes; the deadline ends it.
  */
 public final class SpopServer {
     /** What HAProxy's buffers of 16 KiB allow. */
@@ -37,8 +37,12 @@
      *
      * @param most connections at once; ones beyond are told so and closed
      */
-    public SpopServer(EventLoop loop, Class<? extends ServerChannel> channels, Consultations consultations,
-            ConsultRequest.Names names, int most) {
+    public SpopServer(
+            EventLoop loop,
+            Class<? extends ServerChannel> channels,
+            Consultations consultations,
+            ConsultRequest.Names names,
+            int most) {
         this.loop = loop;
         this.channels = channels;
         this.consultations = consultations;
@@ -48,13 +52,16 @@
 
     /** Listens on this address only. */
     public ChannelFuture listen(SocketAddress address) {
-        return new ServerBootstrap().group(loop).channel(channels)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(channels)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         accept(channel);
                     }
-                }).bind(address);
+                })
+                .bind(address);
     }
 
     private void accept(Channel channel) {
@@ -65,9 +72,9 @@
             open--;
             peers.left(from);
         });
-        channel.pipeline().addLast(
-                new LengthFieldBasedFrameDecoder(MAX_FRAME + Integer.BYTES, 0, Integer.BYTES, 0,
-                Integer.BYTES),
-                new SpopConnection(consultations, names, peer, open <= most));
+        channel.pipeline()
+                .addLast(
+                        new LengthFieldBasedFrameDecoder(MAX_FRAME + Integer.BYTES, 0, Integer.BYTES, 0, Integer.BYTES),
+                        new SpopConnection(consultations, names, peer, open <= most));
     }
 }
--- a/src/main/java/whinlead/http/Decimals.java
+++ b/src/main/java/whinlead/http/Decimals.java
@@ -1,16 +1,16 @@
 package whinlead.http;
 
 /**
- * Numbers as peers write them and as they are written to peers: plain decimals only, for Java alone would
- * also take {@code 1d} or {@code 0x1p3}. By hand, for patterns and formats took a quarter of what a request
- * allocates.
+ * Numbers as peers write them and as they are written to peers: plain decimals only, for Java alone would also take
+ * {@code 1d} or {@code 0x1p3}. By hand, for patterns and formats took a quarter of what a request allocates.
  */
 public final class Decimals {
     /** Digits before the point, and after it; a long holds each. */
     private static final int MAX_DIGITS = 12;
+
     private static final long THOUSAND = 1000;
 
-    private Decimals() { }
+    private Decimals() {}
 
     /** The number, or NaN if it is malformed or over {@code most}. */
     public static double parse(String text, double most) {
@@ -44,6 +44,7 @@
     /** This time in seconds with three decimals. */
     public static String seconds(double millis) {
         long rounded = Math.round(millis);
-        return rounded / THOUSAND + "." + Long.toString(THOUSAND + rounded % THOUSAND).substring(1);
+        return rounded / THOUSAND + "."
+                + Long.toString(THOUSAND + rounded % THOUSAND).substring(1);
     }
 }
--- a/src/main/java/whinlead/http/HttpAnswer.java
+++ b/src/main/java/whinlead/http/HttpAnswer.java
@@ -5,4 +5,4 @@
  *
  * @param contentType its header of that name, or null
  */
-public record HttpAnswer(byte[] body, String contentType) { }
+public record HttpAnswer(byte[] body, String contentType) {}
--- a/src/main/java/whinlead/http/HttpAsk.java
+++ b/src/main/java/whinlead/http/HttpAsk.java
@@ -34,8 +34,7 @@
         if (body.length > 0 || method.equals(HttpMethod.POST)) {
             own.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
-        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body),
-                own,
-                EmptyHttpHeaders.INSTANCE);
+        return new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body), own, EmptyHttpHeaders.INSTANCE);
     }
 }
--- a/src/main/java/whinlead/loop/LoopTimers.java
+++ b/src/main/java/whinlead/loop/LoopTimers.java
@@ -1,10 +1,10 @@
 package whinlead.loop;
 
-import whinlead.engine.Clock;
-import whinlead.engine.Timers;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import whinlead.engine.Clock;
+import whinlead.engine.Timers;
 
 /** The timers of an event loop, on whose thread they run. */
 public final class LoopTimers implements Timers {
--- a/src/main/java/whinlead/membership/Discovery.java
+++ b/src/main/java/whinlead/membership/Discovery.java
@@ -1,6 +1,5 @@
 package whinlead.membership;
 
-import whinlead.Contract;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.Bootstrap;
@@ -31,10 +30,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
+import whinlead.Contract;
 
 /**
- * The watch on the list of endpoints. Where discovery is asked, the module decides when to ask again after a
- * failure; where lists are pushed it does not ask at all, and the watch on the local agent is renewed here.
+ * The watch on the list of endpoints. Where discovery is asked, the module decides when to ask again after a failure;
+ * where lists are pushed it does not ask at all, and the watch on the local agent is renewed here.
  */
 public final class Discovery implements Source {
     private static final String PATH = "/registry/instances";
@@ -43,6 +43,7 @@
     private static final long SILENT_MS = 5000;
     /** A whole list of some thousand endpoints is still one line. */
     private static final int MAX_LINE = 1 << 20;
+
     private static final double BACKOFF_FIRST_MS = 100;
     private static final double MAX_BACKOFF_MS = 4000;
 
@@ -56,11 +57,18 @@
     private InetSocketAddress address;
     /** The watch under way; others that have not ended yet are no longer heeded. */
     private Call current;
+
     private double backoff = BACKOFF_FIRST_MS;
 
     /** A watch that has not begun. {@code known} is the list to hear changes of, or null. */
-    public Discovery(EventLoop loop, InetSocketAddress address, ObjectMapper mapper, boolean pushed, long seed,
-              EndpointList known, Membership membership) {
+    public Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            ObjectMapper mapper,
+            boolean pushed,
+            long seed,
+            EndpointList known,
+            Membership membership) {
         this.loop = loop;
         this.address = address;
         this.mapper = mapper;
@@ -68,7 +76,9 @@
         this.random = new Random(seed);
         this.roster = new Roster(known);
         this.membership = membership;
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
     }
 
@@ -79,13 +89,21 @@
         }
         Call call = new Call();
         current = call;
-        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
-            @Override
-            protected void initChannel(SocketChannel channel) {
-                channel.pipeline().addLast(new ReadTimeoutHandler(SILENT_MS, TimeUnit.MILLISECONDS),
-                        new HttpClientCodec(), call, new LineBasedFrameDecoder(MAX_LINE), new Lines(call));
-            }
-        }).connect(address);
+        ChannelFuture connecting = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new ReadTimeoutHandler(SILENT_MS, TimeUnit.MILLISECONDS),
+                                        new HttpClientCodec(),
+                                        call,
+                                        new LineBasedFrameDecoder(MAX_LINE),
+                                        new Lines(call));
+                    }
+                })
+                .connect(address);
         call.channel = connecting.channel();
         connecting.addListener(f -> {
             if (!f.isSuccess()) {
@@ -95,9 +113,8 @@
     }
 
     /**
-     * Moves the watch to another address at once; the old list stands until the new one has come. The whole
-     * list is asked for, since another service's versions may be counted otherwise, and no change must be
-     * missed.
+     * Moves the watch to another address at once; the old list stands until the new one has come. The whole list is
+     * asked for, since another service's versions may be counted otherwise, and no change must be missed.
      */
     public void move(InetSocketAddress next) {
         if (next.equals(address)) {
@@ -136,8 +153,7 @@
         public void channelActive(ChannelHandlerContext ctx) {
             Long after = roster.after();
             String uri = PATH + "?watch=1" + (after == null ? "" : "&after=" + after);
-            DefaultFullHttpRequest request =
-                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
             request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address));
             ctx.writeAndFlush(request);
         }
--- a/src/main/java/whinlead/membership/EndpointList.java
+++ b/src/main/java/whinlead/membership/EndpointList.java
@@ -1,6 +1,5 @@
 package whinlead.membership;
 
-import whinlead.Contract;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
@@ -9,10 +8,9 @@
 import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
+import whinlead.Contract;
 
-/**
- * What discovery tells: all endpoints if {@code whole}, else those that changed, as of version {@code seq}.
- */
+/** What discovery tells: all endpoints if {@code whole}, else those that changed, as of version {@code seq}. */
 public record EndpointList(long seq, boolean whole, List<Entry> entries) {
 
     /** An endpoint for the module, and where to connect to it; null for one that is gone. */
@@ -39,8 +37,7 @@
         for (JsonNode host : hosts) {
             entries.add(entry(host));
         }
-        return new EndpointList(json.get("seq").asLong(), json.get("whole").asBoolean(),
-                List.copyOf(entries));
+        return new EndpointList(json.get("seq").asLong(), json.get("whole").asBoolean(), List.copyOf(entries));
     }
 
     /** All entries as the module sees them. */
@@ -53,16 +50,22 @@
         if (!host.path("host").isTextual() || id.isEmpty()) {
             throw new IllegalArgumentException("host is missing or malformed");
         }
-        Contract.Standing standing = switch (host.path("health").asText()) {
-            case "ready" -> Contract.Standing.UP;
-            case "draining" -> Contract.Standing.DRAINING;
-            case "gone" -> Contract.Standing.GONE;
-            default -> throw new IllegalArgumentException("health of " + id + " is unknown");
-        };
+        Contract.Standing standing =
+                switch (host.path("health").asText()) {
+                    case "ready" -> Contract.Standing.UP;
+                    case "draining" -> Contract.Standing.DRAINING;
+                    case "gone" -> Contract.Standing.GONE;
+                    default -> throw new IllegalArgumentException("health of " + id + " is unknown");
+                };
         double born = number(host, "born_ms", 0);
         double share = number(host, "share", 1);
-        Contract.Server server = new Contract.Server(id, standing, share, host.path("site").asText(),
-                host.path("block").asInt(-1), born);
+        Contract.Server server = new Contract.Server(
+                id,
+                standing,
+                share,
+                host.path("site").asText(),
+                host.path("block").asInt(-1),
+                born);
         // Where nothing will be sent again no address is needed, and a list must not be lost for the lack
         // of one.
         boolean gone = standing == Contract.Standing.GONE;
--- a/src/main/java/whinlead/membership/Roster.java
+++ b/src/main/java/whinlead/membership/Roster.java
@@ -1,20 +1,20 @@
 package whinlead.membership;
 
-import whinlead.Contract;
 import java.util.HashSet;
 import java.util.Set;
+import whinlead.Contract;
 
 /**
- * Which lists of a source are believed, and from which version on the next is asked for. Free of I/O and
- * clocks; for one thread. A list that is not believed changes nothing: the last good one stands whole, so
- * that an entry told as draining stays so.
+ * Which lists of a source are believed, and from which version on the next is asked for. Free of I/O and clocks; for
+ * one thread. A list that is not believed changes nothing: the last good one stands whole, so that an entry told as
+ * draining stays so.
  */
 public final class Roster {
     /** The most endpoints known at once; more is a source gone wrong, and each costs memory. */
     public static final int MAX_ENDPOINTS = 10_000;
     /**
-     * So many lists in a row of a version before the last one: the source counts anew, as after a restart
-     * with nothing kept. One alone may be late, or of a replica that lags, and would bring back what is gone.
+     * So many lists in a row of a version before the last one: the source counts anew, as after a restart with nothing
+     * kept. One alone may be late, or of a replica that lags, and would bring back what is gone.
      */
     private static final int ANEW = 2;
 
--- a/src/main/java/whinlead/mesh/config/ConfigReader.java
+++ b/src/main/java/whinlead/mesh/config/ConfigReader.java
@@ -16,7 +16,8 @@
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .configure(JsonParser.Feature.ALLOW_COMMENTS, false).build();
+            .configure(JsonParser.Feature.ALLOW_COMMENTS, false)
+            .build();
 
     /**
      * Reads it.
@@ -31,8 +32,12 @@
             }
             return meshConfig;
         } catch (JsonMappingException e) {
-            throw new InvalidConfigException(e.getPath().stream().map(JsonMappingException.Reference::getFieldName)
-                    .collect(Collectors.joining(".")) + " can't be read", e);
+            throw new InvalidConfigException(
+                    e.getPath().stream()
+                                    .map(JsonMappingException.Reference::getFieldName)
+                                    .collect(Collectors.joining("."))
+                            + " can't be read",
+                    e);
         } catch (JsonProcessingException e) {
             throw new InvalidConfigException("the configuration can't be read whole", e);
         } catch (IOException e) {
--- a/src/main/java/whinlead/mesh/config/ConfigValidator.java
+++ b/src/main/java/whinlead/mesh/config/ConfigValidator.java
@@ -12,18 +12,21 @@
 import org.hibernate.validator.messageinterpolation.ParameterMessageInterpolator;
 
 /**
- * Whether a configuration may be taken: each field by its constraints, then what fields say of each other.
- * For any thread; making one loads the validator, some hundred milliseconds on a small core.
+ * Whether a configuration may be taken: each field by its constraints, then what fields say of each other. For any
+ * thread; making one loads the validator, some hundred milliseconds on a small core.
  */
 public final class ConfigValidator {
     /** A target this much beyond its route's deadline, in seconds, is an error of the operator's. */
     private static final double TARGET_OVER = 60;
+
     private final Validator validator;
 
     /** A check. */
     public ConfigValidator() {
-        validator = Validation.byDefaultProvider().configure()
-                .messageInterpolator(new ParameterMessageInterpolator()).buildValidatorFactory()
+        validator = Validation.byDefaultProvider()
+                .configure()
+                .messageInterpolator(new ParameterMessageInterpolator())
+                .buildValidatorFactory()
                 .getValidator();
     }
 
@@ -36,7 +39,8 @@
         Set<ConstraintViolation<MeshConfig>> wrong = validator.validate(meshConfig);
         if (!wrong.isEmpty()) {
             ConstraintViolation<MeshConfig> first = wrong.stream()
-                    .min(Comparator.comparing(v -> v.getPropertyPath().toString())).orElseThrow();
+                    .min(Comparator.comparing(v -> v.getPropertyPath().toString()))
+                    .orElseThrow();
             throw new InvalidConfigException(first.getPropertyPath() + " " + first.getMessage());
         }
         Map<String, String> places = new HashMap<>();
@@ -48,8 +52,8 @@
             for (Map.Entry<String, MeshConfig.Tenant> e : meshConfig.tenants().entrySet()) {
                 for (String key : Set.copyOf(e.getValue().credentials())) {
                     if (!keys.add(key)) {
-                        throw new InvalidConfigException("Tenants." + e.getKey()
-                                + ".Credentials holds a key of another tenant");
+                        throw new InvalidConfigException(
+                                "Tenants." + e.getKey() + ".Credentials holds a key of another tenant");
                     }
                 }
             }
--- a/src/main/java/whinlead/mesh/config/RoutingTable.java
+++ b/src/main/java/whinlead/mesh/config/RoutingTable.java
@@ -7,9 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/**
- * A configuration made ready for requests: finds a request's route, its service and its tenant. Immutable.
- */
+/** A configuration made ready for requests: finds a request's route, its service and its tenant. Immutable. */
 public final class RoutingTable {
     /** Before the first configuration. */
     public static final long NONE = 0;
@@ -30,7 +28,10 @@
             if (route.target() != null) {
                 return route.target();
             }
-            double left = draw * route.shares().stream().mapToDouble(MeshConfig.Share::weight).sum();
+            double left = draw
+                    * route.shares().stream()
+                            .mapToDouble(MeshConfig.Share::weight)
+                            .sum();
             String last = null;
             for (MeshConfig.Share share : route.shares()) {
                 if (share.weight() > 0) {
@@ -46,7 +47,7 @@
     }
 
     /** A tenant by its name. */
-    public record NamedTenant(String name, MeshConfig.Tenant tenant) { }
+    public record NamedTenant(String name, MeshConfig.Tenant tenant) {}
 
     private final MeshConfig meshConfig;
     private final long slot;
@@ -57,13 +58,17 @@
     public RoutingTable(long slot, MeshConfig meshConfig) {
         this.slot = slot;
         this.meshConfig = meshConfig;
-        meshConfig.routes().forEach((name, r) -> hosts.computeIfAbsent(host(r.authority()),
-                h -> new ArrayList<>()).add(new NamedRoute(name, r)));
-        Comparator<NamedRoute> longest = Comparator.comparingInt(w -> -w.route().pathPrefix().length());
+        meshConfig
+                .routes()
+                .forEach((name, r) -> hosts.computeIfAbsent(host(r.authority()), h -> new ArrayList<>())
+                        .add(new NamedRoute(name, r)));
+        Comparator<NamedRoute> longest =
+                Comparator.comparingInt(w -> -w.route().pathPrefix().length());
         hosts.values().forEach(ways -> ways.sort(longest));
         if (meshConfig.tenants() != null) {
-            meshConfig.tenants().forEach((name, t) -> t.credentials().forEach(k -> keys.put(k,
-                    new NamedTenant(name, t))));
+            meshConfig
+                    .tenants()
+                    .forEach((name, t) -> t.credentials().forEach(k -> keys.put(k, new NamedTenant(name, t))));
         }
     }
 
@@ -106,8 +111,7 @@
     /** A host as it is compared: in lower case and without a port. */
     static String host(String authority) {
         int colon = authority.lastIndexOf(':');
-        String name = colon > 0 && authority.indexOf(']', colon) < 0 ? authority.substring(0, colon)
-                : authority;
+        String name = colon > 0 && authority.indexOf(']', colon) < 0 ? authority.substring(0, colon) : authority;
         return name.toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/Acceptor.java
+++ b/src/main/java/whinlead/mesh/consensus/Acceptor.java
@@ -1,8 +1,8 @@
 package whinlead.mesh.consensus;
 
 /**
- * One control node's vote, as Lamport's single-decree Paxos has it, slot after slot: it promises, votes, and keeps
- * its word. Pure; whoever drives it syncs {@link #memory} to disk before a reply that says so leaves.
+ * One control node's vote, as Lamport's single-decree Paxos has it, slot after slot: it promises, votes, and keeps its
+ * word. Pure; whoever drives it syncs {@link #memory} to disk before a reply that says so leaves.
  */
 public final class Acceptor {
     /**
@@ -12,10 +12,10 @@
      * @param promised in the slot after it
      * @param vote in the slot after it, or null
      */
-    public record State(Decision decided, Ballot promised, Message.Vote vote) { }
+    public record State(Decision decided, Ballot promised, Message.Vote vote) {}
 
     /** A reply, and whether the memory must be on disk before it leaves. */
-    public record Reply(Message message, boolean synced) { }
+    public record Reply(Message message, boolean synced) {}
 
     private State memory;
 
@@ -73,6 +73,7 @@
             return new Reply(new Message.Lagging(slot, have), false);
         }
         return ballot.compareTo(memory.promised()) < 0
-                ? new Reply(new Message.Nack(slot, ballot, memory.promised()), false) : null;
+                ? new Reply(new Message.Nack(slot, ballot, memory.promised()), false)
+                : null;
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -5,13 +5,18 @@
 
 /**
  * One control node's part in what the control nodes agree on: its vote ({@link Acceptor}), the operations that it puts
- * to the ballot one after the other ({@link OperationQueue}, {@link ConsensusRound}, {@link QuorumRead}), and
- * its place among the voters ({@link Membership}). No control node leads. Pure: events with the time in, actions
- * out; one thread; times in milliseconds on this control node's steady clock.
+ * to the ballot one after the other ({@link OperationQueue}, {@link ConsensusRound}, {@link QuorumRead}), and its place
+ * among the voters ({@link Membership}). No control node leads. Pure: events with the time in, actions out; one thread;
+ * times in milliseconds on this control node's steady clock.
  */
 public final class ConsensusNode {
     /** How a call of an operator ended. */
-    public enum CallResult { TAKEN, MISMATCH, OLD_VERSION, UNCLEAR }
+    public enum CallResult {
+        TAKEN,
+        MISMATCH,
+        OLD_VERSION,
+        UNCLEAR
+    }
 
     /** What the consensus node has done for it. */
     public interface Actions {
@@ -57,11 +62,13 @@
     private PendingOperation balloted;
     /** Since when a vote of this control node is open; NaN while none is. */
     private double votedAt;
+
     private double joinAt;
     private double joinedAt = Double.NEGATIVE_INFINITY;
     private boolean awake;
     /** Since when no quorum is in contact; NaN while one is. */
     private double withoutQuorumSince = Double.NEGATIVE_INFINITY;
+
     private boolean withoutQuorum;
     private long storedSlot;
 
@@ -108,18 +115,19 @@
     }
 
     /**
-     * Whether it is in contact with a quorum: more than half of the voters, itself with them if it is one,
-     * have answered a question that left within so many milliseconds, and none of those knows a newer
-     * decision.
+     * Whether it is in contact with a quorum: more than half of the voters, itself with them if it is one, have
+     * answered a question that left within so many milliseconds, and none of those knows a newer decision.
      */
     public boolean inTouch(double now, double within) {
         if (decided() == null) {
             return false;
         }
         List<String> reached = decided().voters().stream()
-                .filter(voter -> voter.equals(self) || contact.reached(now, within, voter)).toList();
+                .filter(voter -> voter.equals(self) || contact.reached(now, within, voter))
+                .toList();
         return reached.size() >= decided().quorum()
-                && reached.stream().allMatch(voter -> contact.stored(voter) <= decided().slot());
+                && reached.stream()
+                        .allMatch(voter -> contact.stored(voter) <= decided().slot());
     }
 
     /** The decision of this slot is on disk here. */
@@ -151,10 +159,9 @@
     }
 
     /**
-     * This control node is to end. Where there are more than three voters it goes out of them first, by
-     * agreement: a vote of one that is gone makes a quorum of the others no smaller, and two such make it
-     * larger. Three stay three, for two would keep what is agreed on no third disk; and this one may come
-     * back.
+     * This control node is to end. Where there are more than three voters it goes out of them first, by agreement: a
+     * vote of one that is gone makes a quorum of the others no smaller, and two such make it larger. Three stay three,
+     * for two would keep what is agreed on no third disk; and this one may come back.
      */
     public void leave(double now) {
         wake(now);
@@ -243,8 +250,7 @@
 
     // A control node without a vote has promised nothing that it can be held to: it answers no ballot.
     private void reply(String to, Acceptor.Reply reply) {
-        boolean binds = reply.message() instanceof Message.Promise
-                || reply.message() instanceof Message.Accepted;
+        boolean binds = reply.message() instanceof Message.Promise || reply.message() instanceof Message.Accepted;
         if (binds && !isVoter()) {
             return;
         }
@@ -263,8 +269,9 @@
             actions.send(from, new Message.Decided(decided()));
         }
         boolean voted = acceptor.memory().vote() != null;
-        actions.send(from, new Message.State(query.nonce(), decided().slot(), voted,
-                failures.opinions(now, query.suspects())));
+        actions.send(
+                from,
+                new Message.State(query.nonce(), decided().slot(), voted, failures.opinions(now, query.suspects())));
     }
 
     private void learn(double now, Decision decision) {
@@ -391,8 +398,7 @@
         switch (ruling(replace)) {
             case TAKEN -> finishHead(CallResult.TAKEN);
             case FORGOTTEN -> finishHead(CallResult.UNCLEAR);
-            case NEXT -> propose(now, replace,
-                    decided().with(replace.version(), replace.digest(), replace.body()));
+            case NEXT -> propose(now, replace, decided().with(replace.version(), replace.digest(), replace.body()));
             case MISMATCH, OLD_VERSION -> quorumRead.begin(now, nextNonce());
             default -> throw new IllegalStateException("no such ruling");
         }
@@ -404,7 +410,8 @@
             case IDLE -> quorumRead.begin(now, nextNonce());
             case ASKING -> {
                 if (!quorumRead.confirm(decided())) {
-                    quorumRead.unanswered(now, decided())
+                    quorumRead
+                            .unanswered(now, decided())
                             .forEach(voter -> actions.send(voter, quorumRead.question(decided())));
                     return false;
                 }
@@ -419,8 +426,8 @@
     }
 
     private CallResult refusal(PendingOperation operation) {
-        boolean isOld = operation instanceof PendingOperation.Replace replace
-                && ruling(replace) == OrderRuling.OLD_VERSION;
+        boolean isOld =
+                operation instanceof PendingOperation.Replace replace && ruling(replace) == OrderRuling.OLD_VERSION;
         return isOld ? CallResult.OLD_VERSION : CallResult.MISMATCH;
     }
 
@@ -468,7 +475,8 @@
             membershipTurn.changed();
         }
         learn(now, decision);
-        decision.voters().stream().filter(voter -> !voter.equals(self))
+        decision.voters().stream()
+                .filter(voter -> !voter.equals(self))
                 .forEach(voter -> actions.send(voter, new Message.Decided(decision)));
         if (balloted instanceof PendingOperation.FinishVote) {
             removeHead();
--- a/src/main/java/whinlead/mesh/consensus/ConsensusRound.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusRound.java
@@ -4,16 +4,22 @@
 import java.util.function.BiConsumer;
 
 /**
- * This control node's attempts to have decisions agreed on, one ballot at a time: sends to the voters, sends again,
- * and waits a random time after a ballot that another control node outbid. Not safe for several threads; times in
+ * This control node's attempts to have decisions agreed on, one ballot at a time: sends to the voters, sends again, and
+ * waits a random time after a ballot that another control node outbid. Not safe for several threads; times in
  * milliseconds.
  */
 final class ConsensusRound {
     /** How a ballot stands. */
-    enum Progress { WAITING, WON, OUTBID, NOTHING_TO_FINISH }
+    enum Progress {
+        WAITING,
+        WON,
+        OUTBID,
+        NOTHING_TO_FINISH
+    }
 
     /** A wait after a ballot that was outbid: doubled each time up to the most. */
     private static final double BACKOFF = 8;
+
     private static final double MAX_BACKOFF = 250;
 
     private final String proposerName;
--- a/src/main/java/whinlead/mesh/consensus/ContactTracker.java
+++ b/src/main/java/whinlead/mesh/consensus/ContactTracker.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 
 /**
- * Whom a control node reaches: a voter counts as of when a question left that it has answered, for a packet
- * that was held back for long proves nothing of now, and what one says that hears nobody is worth nothing.
- * Silence leaves out the time in which this control node itself stood still; contact does not. Pure; one thread;
- * times in milliseconds on this control node's own steady clock.
+ * Whom a control node reaches: a voter counts as of when a question left that it has answered, for a packet that was
+ * held back for long proves nothing of now, and what one says that hears nobody is worth nothing. Silence leaves out
+ * the time in which this control node itself stood still; contact does not. Pure; one thread; times in milliseconds on
+ * this control node's own steady clock.
  */
 final class ContactTracker {
     /** A pause between two signs of this control node's own life from which on it slept, in milliseconds. */
@@ -18,6 +18,7 @@
 
     /** As of when each voter is not silent. */
     private final Map<String, Double> heard = new HashMap<>();
+
     private final Map<String, Double> echoed = new HashMap<>();
     private final Map<String, Long> stored = new HashMap<>();
     private double awake = Double.NaN;
--- a/src/main/java/whinlead/mesh/consensus/Decision.java
+++ b/src/main/java/whinlead/mesh/consensus/Decision.java
@@ -17,7 +17,7 @@
     public static final int MAX_TAKEN = 256;
 
     /** A version and the digest of what was sent under it. */
-    public record Taken(long version, String digest) { }
+    public record Taken(long version, String digest) {}
 
     /** Copies the lists. */
     public Decision {
@@ -34,8 +34,8 @@
     public Decision with(long newVersion, String digest, byte[] newBody) {
         List<Taken> list = new ArrayList<>(taken);
         list.add(new Taken(newVersion, digest));
-        return new Decision(slot + 1, newVersion, newBody,
-                list.subList(Math.max(0, list.size() - MAX_TAKEN), list.size()), voters);
+        return new Decision(
+                slot + 1, newVersion, newBody, list.subList(Math.max(0, list.size() - MAX_TAKEN), list.size()), voters);
     }
 
     /** The next one, with other voters. */
@@ -65,8 +65,12 @@
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof Decision d && d.slot == slot && d.version == version && d.taken.equals(taken)
-                && d.voters.equals(voters) && java.util.Arrays.equals(d.body, body);
+        return o instanceof Decision d
+                && d.slot == slot
+                && d.version == version
+                && d.taken.equals(taken)
+                && d.voters.equals(voters)
+                && java.util.Arrays.equals(d.body, body);
     }
 
     @Override
--- a/src/main/java/whinlead/mesh/consensus/FailureDetector.java
+++ b/src/main/java/whinlead/mesh/consensus/FailureDetector.java
@@ -5,11 +5,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Decides which voters have failed: the only place that says who is silent and who may lose its vote for
- * it. A voter is silent once it has answered no question of this control node for a time in which this control node
- * itself was running. It has failed once a majority of the voters says so too ({@link SuspicionTracker}):
- * silence for one observer may be a cut between these two. Not safe for several threads; times in
- * milliseconds on this control node's steady clock.
+ * Decides which voters have failed: the only place that says who is silent and who may lose its vote for it. A voter is
+ * silent once it has answered no question of this control node for a time in which this control node itself was
+ * running. It has failed once a majority of the voters says so too ({@link SuspicionTracker}): silence for one observer
+ * may be a cut between these two. Not safe for several threads; times in milliseconds on this control node's steady
+ * clock.
  */
 final class FailureDetector {
     /** A voter that has answered nothing for so many milliseconds may lose its vote. */
@@ -41,7 +41,8 @@
     /** Those of the voters that this control node and a majority with it find silent, in the order given. */
     List<String> failed(double now, Collection<String> voters) {
         return voters.stream()
-                .filter(voter -> isSilent(now, voter) && suspicions.removable(now, voter)).toList();
+                .filter(voter -> isSilent(now, voter) && suspicions.removable(now, voter))
+                .toList();
     }
 
     /** The question to put to all voters that are not silent, or null where none is due. */
@@ -51,7 +52,9 @@
 
     /** The voters that can be asked for an opinion: not this control node, nor any that is silent for it. */
     List<String> witnesses(double now, Collection<String> voters) {
-        return voters.stream().filter(voter -> !voter.equals(self) && !isSilent(now, voter)).toList();
+        return voters.stream()
+                .filter(voter -> !voter.equals(self) && !isSilent(now, voter))
+                .toList();
     }
 
     /** A voter gave its opinions. */
@@ -62,7 +65,8 @@
     /** What this control node can tell another one of these suspects. */
     List<Message.Opinion> opinions(double now, Collection<String> suspects) {
         return suspects.stream()
-                .map(suspect -> new Message.Opinion(suspect, reachability(now, suspect))).toList();
+                .map(suspect -> new Message.Opinion(suspect, reachability(now, suspect)))
+                .toList();
     }
 
     private Message.Reachability reachability(double now, String voter) {
--- a/src/main/java/whinlead/mesh/consensus/Learners.java
+++ b/src/main/java/whinlead/mesh/consensus/Learners.java
@@ -8,13 +8,12 @@
 
 /**
  * Control nodes that asked for a vote, and whether each has caught up. One has, while its last word is of the last
- * second and names a slot at least as new as the newest that was known here half a second ago. While
- * decisions follow each other fast no learner ever holds the newest, but one that follows this closely has a
- * working disk and a way to the others, and that is all that its slot can show: a decision is whole, nothing
- * is decided after a change of voters but by a quorum of the new ones that have it on disk
- * ({@link Acceptor}), and a control node votes only once it has learned the decision that made it a voter. Where
- * nothing is decided for half a second, a learner needs exactly the newest. Not safe for several threads;
- * times in milliseconds on this control node's steady clock.
+ * second and names a slot at least as new as the newest that was known here half a second ago. While decisions follow
+ * each other fast no learner ever holds the newest, but one that follows this closely has a working disk and a way to
+ * the others, and that is all that its slot can show: a decision is whole, nothing is decided after a change of voters
+ * but by a quorum of the new ones that have it on disk ({@link Acceptor}), and a control node votes only once it has
+ * learned the decision that made it a voter. Where nothing is decided for half a second, a learner needs exactly the
+ * newest. Not safe for several threads; times in milliseconds on this control node's steady clock.
  */
 final class Learners {
     /** A request is valid for so many milliseconds. */
@@ -22,9 +21,9 @@
     /** A learner may lack what was decided in so many milliseconds before. */
     private static final double LAG_LIMIT = 500;
 
-    private record Request(long slot, double at) { }
+    private record Request(long slot, double at) {}
 
-    private record Learned(long slot, double at) { }
+    private record Learned(long slot, double at) {}
 
     private final Map<String, Request> requests = new LinkedHashMap<>();
     /** The newest slot that is older than the limit, and all after it; the oldest first. */
@@ -61,7 +60,9 @@
         long needed = neededSlot(now);
         return requests.entrySet().stream()
                 .filter(each -> isValid(now, each.getValue()) && each.getValue().slot() >= needed)
-                .map(Map.Entry::getKey).filter(learner -> !voters.contains(learner)).toList();
+                .map(Map.Entry::getKey)
+                .filter(learner -> !voters.contains(learner))
+                .toList();
     }
 
     private static boolean isValid(double now, Request request) {
--- a/src/main/java/whinlead/mesh/consensus/Membership.java
+++ b/src/main/java/whinlead/mesh/consensus/Membership.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Which voters the next decision has: one voter more, less or exchanged for another at a time, so that the
- * quorums before and after share a member. What is due is told anew from the newest decision, the newest
- * words of learners and the failure detector each time it is asked for, and binds nobody until it is
- * proposed. Sends nothing. Not safe for several threads; times in milliseconds on this control node's steady clock.
+ * Which voters the next decision has: one voter more, less or exchanged for another at a time, so that the quorums
+ * before and after share a member. What is due is told anew from the newest decision, the newest words of learners and
+ * the failure detector each time it is asked for, and binds nobody until it is proposed. Sends nothing. Not safe for
+ * several threads; times in milliseconds on this control node's steady clock.
  */
 final class Membership {
     /** So many voters are not made fewer: two would keep what is agreed on no third disk. */
@@ -21,6 +21,7 @@
     private boolean leaving;
     /** The slot that must outlast this control node's end. */
     private long departureSlot = -1;
+
     private boolean votes;
 
     Membership(String self, ContactTracker contact, FailureDetector failures) {
@@ -62,17 +63,20 @@
     }
 
     /**
-     * Whether this control node, told to leave, may end: it has no vote, or need not give it up, and what removed
-     * it (or was the newest as it was told to leave) is on the disks of a quorum, and of all voters in
-     * contact. What is decided later is on a quorum's disks without this control node's help, so in a stream of
-     * decisions it waits for none that comes after.
+     * Whether this control node, told to leave, may end: it has no vote, or need not give it up, and what removed it
+     * (or was the newest as it was told to leave) is on the disks of a quorum, and of all voters in contact. What is
+     * decided later is on a quorum's disks without this control node's help, so in a stream of decisions it waits for
+     * none that comes after.
      */
     boolean mayEnd(double now, Decision decided, long storedSlot) {
         List<String> voters = decided.voters();
         boolean handsOver = voters.contains(self) && (mayShrink(decided) || learners.anyWaits(now, voters));
-        long holders = voters.stream().filter(voter -> holdsDepartureSlot(voter, storedSlot)).count();
-        return !handsOver && holders >= decided.quorum() && voters.stream().allMatch(voter ->
-                holdsDepartureSlot(voter, storedSlot) || !isReached(now, voter));
+        long holders = voters.stream()
+                .filter(voter -> holdsDepartureSlot(voter, storedSlot))
+                .count();
+        return !handsOver
+                && holders >= decided.quorum()
+                && voters.stream().allMatch(voter -> holdsDepartureSlot(voter, storedSlot) || !isReached(now, voter));
     }
 
     private boolean holdsDepartureSlot(String voter, long ownSlot) {
@@ -94,7 +98,8 @@
     // one's own leaving. A vote beside one that may be dead would leave no room for the next loss.
     private VoterChange voteFor(double now, Decision decided, String learner) {
         String replaced = decided.voters().stream()
-                .filter(each -> address(each).equals(address(learner))).findFirst()
+                .filter(each -> address(each).equals(address(learner)))
+                .findFirst()
                 .orElseGet(() -> leavingOrFailed(now, decided));
         if (replaced != null) {
             return new VoterChange.Exchange(replaced, learner);
--- a/src/main/java/whinlead/mesh/consensus/MembershipTurn.java
+++ b/src/main/java/whinlead/mesh/consensus/MembershipTurn.java
@@ -2,8 +2,8 @@
 
 /**
  * Shares the ballots of a control node between the operations that wait and the changes of voters that are due: no
- * change waits for more than a few operations, and none follows another without an operation in between
- * where one waits. Not safe for several threads.
+ * change waits for more than a few operations, and none follows another without an operation in between where one
+ * waits. Not safe for several threads.
  */
 final class MembershipTurn {
     /** So many operations, at most, end between two changes of voters that are due. */
--- a/src/main/java/whinlead/mesh/consensus/Message.java
+++ b/src/main/java/whinlead/mesh/consensus/Message.java
@@ -5,28 +5,28 @@
 /** What control nodes say to each other about ballots. Each is about one slot; replies echo it and the ballot. */
 public sealed interface Message {
     /** A vote once given. */
-    record Vote(Ballot ballot, Decision value) { }
+    record Vote(Ballot ballot, Decision value) {}
 
     /** Asks for a promise to vote in no lower ballot. */
-    record Prepare(long slot, Ballot ballot) implements Message { }
+    record Prepare(long slot, Ballot ballot) implements Message {}
 
     /** Promised; {@code vote} is the last one given in this slot, or null. */
-    record Promise(long slot, Ballot ballot, Vote vote) implements Message { }
+    record Promise(long slot, Ballot ballot, Vote vote) implements Message {}
 
     /** Asks for a vote. */
-    record Accept(Ballot ballot, Decision value) implements Message { }
+    record Accept(Ballot ballot, Decision value) implements Message {}
 
     /** Accepted. */
-    record Accepted(long slot, Ballot ballot) implements Message { }
+    record Accepted(long slot, Ballot ballot) implements Message {}
 
     /** Not promised or voted, for a higher promise stands. */
-    record Nack(long slot, Ballot ballot, Ballot promised) implements Message { }
+    record Nack(long slot, Ballot ballot, Ballot promised) implements Message {}
 
     /** Not promised or voted, for the sender knows no decision before this slot but this older one. */
-    record Lagging(long slot, long have) implements Message { }
+    record Lagging(long slot, long have) implements Message {}
 
     /** A decision, whole. */
-    record Decided(Decision decision) implements Message { }
+    record Decided(Decision decision) implements Message {}
 
     /** How a voter fares with asking another one. */
     enum Reachability {
@@ -39,7 +39,7 @@
     }
 
     /** What the sender can say of whether it reaches a voter. */
-    record Opinion(String voter, Reachability reachability) { }
+    record Opinion(String voter, Reachability reachability) {}
 
     /**
      * Asks what the other knows.
@@ -79,5 +79,5 @@
     }
 
     /** A control node that is no voter asks to be one; a learner that has this slot's decision on disk. */
-    record Join(long slot) implements Message { }
+    record Join(long slot) implements Message {}
 }
--- a/src/main/java/whinlead/mesh/consensus/OperationQueue.java
+++ b/src/main/java/whinlead/mesh/consensus/OperationQueue.java
@@ -13,7 +13,7 @@
     /** How long an operation may wait and run, in milliseconds. */
     private static final double TIMEOUT = 2000;
 
-    private record Entry(PendingOperation operation, double deadline) { }
+    private record Entry(PendingOperation operation, double deadline) {}
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
 
@@ -49,7 +49,7 @@
 
     private List<PendingOperation> removeIf(Predicate<Entry> condition) {
         List<PendingOperation> removed = new ArrayList<>();
-        for (Iterator<Entry> all = entries.iterator(); all.hasNext();) {
+        for (Iterator<Entry> all = entries.iterator(); all.hasNext(); ) {
             Entry entry = all.next();
             if (condition.test(entry)) {
                 all.remove();
--- a/src/main/java/whinlead/mesh/consensus/OrderRuling.java
+++ b/src/main/java/whinlead/mesh/consensus/OrderRuling.java
@@ -1,9 +1,9 @@
 package whinlead.mesh.consensus;
 
 /**
- * What the newest decision says of an operator's order, that is of a configuration and the version that it
- * builds on. Every control node that knows the decision rules the same. A refusal is told only once a quorum has
- * confirmed that there is no newer decision.
+ * What the newest decision says of an operator's order, that is of a configuration and the version that it builds on.
+ * Every control node that knows the decision rules the same. A refusal is told only once a quorum has confirmed that
+ * there is no newer decision.
  */
 public enum OrderRuling {
     /** This very configuration was taken: acknowledged again. */
--- a/src/main/java/whinlead/mesh/consensus/PendingOperation.java
+++ b/src/main/java/whinlead/mesh/consensus/PendingOperation.java
@@ -11,12 +11,11 @@
      * @param digest of what was sent
      * @param body the new configuration
      */
-    record Replace(long call, long version, long builtOn, String digest, byte[] body)
-            implements PendingOperation { }
+    record Replace(long call, long version, long builtOn, String digest, byte[] body) implements PendingOperation {}
 
     /** A linearizable read, by the caller's number. */
-    record Read(long call) implements PendingOperation { }
+    record Read(long call) implements PendingOperation {}
 
     /** Brings a vote that was never told decided to its end. */
-    record FinishVote() implements PendingOperation { }
+    record FinishVote() implements PendingOperation {}
 }
--- a/src/main/java/whinlead/mesh/consensus/Proposer.java
+++ b/src/main/java/whinlead/mesh/consensus/Proposer.java
@@ -7,7 +7,13 @@
 /** One control node's attempt to have a value agreed on in one slot. Pure. */
 final class Proposer {
     /** Where it stands. */
-    enum State { PREPARING, PROPOSING, WON, NACKED, IDLE }
+    enum State {
+        PREPARING,
+        PROPOSING,
+        WON,
+        NACKED,
+        IDLE
+    }
 
     private final Decision base;
     private final Ballot ballot;
@@ -68,7 +74,9 @@
 
     /** A promise came. */
     void promise(String from, Message.Promise p) {
-        if (state != State.PREPARING || !p.ballot().equals(ballot) || !base.voters().contains(from)) {
+        if (state != State.PREPARING
+                || !p.ballot().equals(ballot)
+                || !base.voters().contains(from)) {
             return;
         }
         promised.add(from);
@@ -82,7 +90,9 @@
 
     /** A vote came. */
     void vote(String from, Message.Accepted v) {
-        if (state != State.PROPOSING || !v.ballot().equals(ballot) || !base.voters().contains(from)) {
+        if (state != State.PROPOSING
+                || !v.ballot().equals(ballot)
+                || !base.voters().contains(from)) {
             return;
         }
         voted.add(from);
--- a/src/main/java/whinlead/mesh/consensus/QuorumRead.java
+++ b/src/main/java/whinlead/mesh/consensus/QuorumRead.java
@@ -5,12 +5,16 @@
 import java.util.Set;
 
 /**
- * Asks a quorum for the newest decision that it knows, so that nothing older is taken for the newest (a read
- * index). Not safe for several threads; times in milliseconds.
+ * Asks a quorum for the newest decision that it knows, so that nothing older is taken for the newest (a read index).
+ * Not safe for several threads; times in milliseconds.
  */
 final class QuorumRead {
     /** Where a read stands. */
-    enum State { IDLE, ASKING, CONFIRMED }
+    enum State {
+        IDLE,
+        ASKING,
+        CONFIRMED
+    }
 
     private final RetryTimer retry = new RetryTimer();
     private final Set<String> answered = new HashSet<>();
@@ -62,7 +66,10 @@
     /** The voters to ask now, for the first time or again. */
     List<String> unanswered(double now, Decision decided) {
         return retry.isDue(now)
-                ? decided.voters().stream().filter(voter -> !answered.contains(voter)).toList() : List.of();
+                ? decided.voters().stream()
+                        .filter(voter -> !answered.contains(voter))
+                        .toList()
+                : List.of();
     }
 
     /** The question. */
