--- a/src/main/java/whinlead/mesh/consensus/SuspicionTracker.java
+++ b/src/main/java/whinlead/mesh/consensus/SuspicionTracker.java
@@ -10,13 +10,13 @@
 import java.util.function.Predicate;
 
 /**
- * Gathers second opinions on voters that have been silent for this observer. A silent voter is removable
- * only once a majority of all voters, this observer among them, says that it had no answer from the suspect
- * for the silence time either. A voter that still answers one of them refutes the suspicion for a while.
+ * Gathers second opinions on voters that have been silent for this observer. A silent voter is removable only once a
+ * majority of all voters, this observer among them, says that it had no answer from the suspect for the silence time
+ * either. A voter that still answers one of them refutes the suspicion for a while.
  *
- * <p>A voter in contact with a quorum can't be removed: that quorum and the majority which would have to be
- * silent about it share a voter. And wherever a decision is possible at all a quorum is up to confirm. Pure;
- * one thread; times in milliseconds on the observer's own steady clock.
+ * <p>A voter in contact with a quorum can't be removed: that quorum and the majority which would have to be silent
+ * about it share a voter. And wherever a decision is possible at all a quorum is up to confirm. Pure; one thread; times
+ * in milliseconds on the observer's own steady clock.
  */
 final class SuspicionTracker {
     /** An opinion counts for so long after its question left, in milliseconds. */
@@ -29,10 +29,10 @@
     static final double RENEW_AFTER = 500;
 
     /** What a voter said, and when the question that it answered left here. */
-    private record Statement(Message.Reachability reachability, double askedAt) { }
+    private record Statement(Message.Reachability reachability, double askedAt) {}
 
     /** A question to send to the other voters. */
-    record Question(long nonce, List<String> suspects) { }
+    record Question(long nonce, List<String> suspects) {}
 
     private final String observer;
     private List<String> voters = List.of();
@@ -40,6 +40,7 @@
     private final Map<String, Map<String, Statement>> statements = new HashMap<>();
     /** When the questions that may still be answered left, by their nonce. */
     private final Map<Long, Double> questions = new HashMap<>();
+
     private double askedAt = Double.NEGATIVE_INFINITY;
 
     /**
@@ -65,7 +66,8 @@
      * @param nonces draws a name for the question, one that no earlier life of this observer has used
      */
     Question due(double now, Collection<String> silent, LongSupplier nonces) {
-        List<String> open = silent.stream().filter(suspect -> !refuted(now, suspect)).toList();
+        List<String> open =
+                silent.stream().filter(suspect -> !refuted(now, suspect)).toList();
         boolean confirmed = open.stream().allMatch(suspect -> removable(now, suspect));
         if (open.isEmpty() || now - askedAt < (confirmed ? RENEW_AFTER : ASK_AGAIN)) {
             return null;
@@ -85,8 +87,11 @@
         }
         for (Message.Opinion opinion : opinions) {
             if (voters.contains(opinion.voter()) && !opinion.voter().equals(voter)) {
-                statements.computeIfAbsent(opinion.voter(), s -> new HashMap<>())
-                        .merge(voter, new Statement(opinion.reachability(), sentAt),
+                statements
+                        .computeIfAbsent(opinion.voter(), s -> new HashMap<>())
+                        .merge(
+                                voter,
+                                new Statement(opinion.reachability(), sentAt),
                                 (old, young) -> young.askedAt() >= old.askedAt() ? young : old);
             }
         }
@@ -99,8 +104,7 @@
         }
         Set<String> confirming = new HashSet<>(List.of(observer));
         statements.getOrDefault(suspect, Map.of()).forEach((voter, statement) -> {
-            if (statement.reachability() == Message.Reachability.SILENT
-                    && now - statement.askedAt() < OPINION_VALID) {
+            if (statement.reachability() == Message.Reachability.SILENT && now - statement.askedAt() < OPINION_VALID) {
                 confirming.add(voter);
             }
         });
@@ -108,8 +112,8 @@
     }
 
     private boolean refuted(double now, String suspect) {
-        Predicate<Statement> refutes = statement -> statement.reachability() == Message.Reachability.REACHED
-                && now - statement.askedAt() < REFUTED_FOR;
+        Predicate<Statement> refutes = statement ->
+                statement.reachability() == Message.Reachability.REACHED && now - statement.askedAt() < REFUTED_FOR;
         return statements.getOrDefault(suspect, Map.of()).values().stream().anyMatch(refutes);
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/VoterChange.java
+++ b/src/main/java/whinlead/mesh/consensus/VoterChange.java
@@ -22,7 +22,9 @@
     record Exchange(String voter, String learner) implements VoterChange {
         @Override
         public List<String> applyTo(List<String> voters) {
-            return voters.stream().map(each -> each.equals(voter) ? learner : each).toList();
+            return voters.stream()
+                    .map(each -> each.equals(voter) ? learner : each)
+                    .toList();
         }
     }
 
--- a/src/main/java/whinlead/mesh/control/ConfigCodec.java
+++ b/src/main/java/whinlead/mesh/control/ConfigCodec.java
@@ -17,7 +17,7 @@
     /** Of a digest, what is kept. */
     private static final int DIGEST_BYTES = 16;
 
-    private ConfigCodec() { }
+    private ConfigCodec() {}
 
     /** Deflates. */
     public static byte[] deflate(byte[] body) {
--- a/src/main/java/whinlead/mesh/control/ConsensusTicker.java
+++ b/src/main/java/whinlead/mesh/control/ConsensusTicker.java
@@ -1,14 +1,14 @@
 package whinlead.mesh.control;
 
-import whinlead.engine.Timers;
-import whinlead.mesh.wire.TimerGrid;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
+import whinlead.engine.Timers;
+import whinlead.mesh.wire.TimerGrid;
 
 /**
- * Has the consensus module act periodically: often while something is under way and for some time after the
- * last activity, else less often, for a wake-up costs on an idle machine too. On its loop's thread.
+ * Has the consensus module act periodically: often while something is under way and for some time after the last
+ * activity, else less often, for a wake-up costs on an idle machine too. On its loop's thread.
  */
 final class ConsensusTicker {
     /** Between two acts where something is under way, in milliseconds. */
@@ -17,6 +17,7 @@
     static final long IDLE_PERIOD_MS = 75;
     /** From the last activity until the module counts as idle, in milliseconds. */
     static final long ACTIVE_MS = 2000;
+
     private static final double NANOS_IN_MILLI = 1e6;
 
     private final Timers timers;
--- a/src/main/java/whinlead/mesh/control/ControlNode.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -1,33 +1,5 @@
 package whinlead.mesh.control;
 
-import whinlead.engine.Clock;
-import whinlead.loop.LoopTimers;
-import whinlead.membership.EndpointList;
-import whinlead.mesh.quota.DemandTotals;
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Acceptor;
-import whinlead.mesh.consensus.Message;
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.registry.EndpointRegistry;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.storage.StateStore;
-import whinlead.mesh.storage.StateStoreException;
-import whinlead.mesh.log.Event;
-import whinlead.mesh.rpc.RpcResponse;
-import whinlead.mesh.rpc.RpcCall;
-import whinlead.mesh.rpc.RpcServer;
-import whinlead.mesh.config.ConfigValidator;
-import whinlead.mesh.config.InvalidConfigException;
-import whinlead.mesh.config.ConfigReader;
-import whinlead.mesh.wire.AcceptorRecord;
-import whinlead.mesh.wire.LaterFormatException;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
-import whinlead.mesh.wire.PeerConnection;
-import whinlead.mesh.wire.ProtocolVersion;
-import whinlead.mesh.wire.ReconnectingConnection;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.EventLoop;
@@ -49,22 +21,53 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
+import whinlead.engine.Clock;
+import whinlead.loop.LoopTimers;
+import whinlead.membership.EndpointList;
+import whinlead.mesh.config.ConfigReader;
+import whinlead.mesh.config.ConfigValidator;
+import whinlead.mesh.config.InvalidConfigException;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.quota.DemandTotals;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.rpc.RpcCall;
+import whinlead.mesh.rpc.RpcResponse;
+import whinlead.mesh.rpc.RpcServer;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.storage.StateStore;
+import whinlead.mesh.storage.StateStoreException;
+import whinlead.mesh.wire.AcceptorRecord;
+import whinlead.mesh.wire.LaterFormatException;
+import whinlead.mesh.wire.PeerConnection;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.mesh.wire.ProtocolVersion;
+import whinlead.mesh.wire.ReconnectingConnection;
 
 /**
- * A control node: one core machine's process. It votes on configurations, passes on what sidecars say of
- * their endpoints, and tells them of newer configurations. All state is the loop's; disk and checks have
- * threads of their own.
+ * A control node: one core machine's process. It votes on configurations, passes on what sidecars say of their
+ * endpoints, and tells them of newer configurations. All state is the loop's; disk and checks have threads of their
+ * own.
  */
 public final class ControlNode implements ConsensusNode.Actions, PeerConnection.MessageHandler {
-    private static final ReconnectingConnection.Timeouts PACE = new ReconnectingConnection.Timeouts(300, 900, 1500, 150);
+    private static final ReconnectingConnection.Timeouts PACE =
+            new ReconnectingConnection.Timeouts(300, 900, 1500, 150);
     private static final long LEAVE_POLL_MS = 25;
     /** What sidecars begin with is confirmed by a majority that answered what left within this. */
     private static final double CONFIRMED_MS = 1000;
     /** How long before the kill a control node that can't leave in order ends all the same; seconds. */
     private static final double END_S = 0.8;
+
     private static final double NANOS = 1e6;
     /** Control nodes that are known at most, present and past. */
     private static final int MAX_CONTROL_NODES = 16;
+
     private static final int LATER = 503;
     private static final int CONFLICT = 412;
     private static final int BAD = 400;
@@ -88,6 +91,7 @@
     private final Map<PeerConnection, Long> guests = new LinkedHashMap<>();
     /** Of these, who was told what no quorum has confirmed. */
     private final Set<PeerConnection> unconfirmed = new HashSet<>();
+
     private final Map<Long, Consumer<RpcResponse>> open = new HashMap<>();
     private final DemandTotals sum = new DemandTotals();
     private final ConsensusTicker ticker;
@@ -104,13 +108,14 @@
     }
 
     /** One that dials what this makes of another control node's address. */
-    public ControlNode(NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
+    public ControlNode(
+            NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
         this.nodeSettings = nodeSettings;
         this.loop = loop;
         this.mapper = mapper;
         this.dials = dials;
-        this.ticker = new ConsensusTicker(new LoopTimers(loop, new Clock()), System::nanoTime,
-                () -> guard(this::tick), this::busy);
+        this.ticker = new ConsensusTicker(
+                new LoopTimers(loop, new Clock()), System::nanoTime, () -> guard(this::tick), this::busy);
     }
 
     /**
@@ -130,13 +135,21 @@
         checkExecutor.execute(() -> check = new ConfigValidator());
         stateWriter.start();
         isVoter = consensusNode.isVoter();
-        Event.STARTED.log("control node " + id + ", slot " + (consensusNode.decided() == null ? "none"
-                : consensusNode.decided().slot()));
+        Event.STARTED.log("control node " + id + ", slot "
+                + (consensusNode.decided() == null
+                        ? "none"
+                        : consensusNode.decided().slot()));
         loop.submit(this::begin).sync();
-        new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .childHandler(PeerConnection.handlers(this))
-                .bind(new InetSocketAddress(nodeSettings.self().ip(), nodeSettings.network().talkPort())).sync();
-        new RpcServer(loop, mapper, this::run).listen(EndpointList.address(control)).sync();
+                .bind(new InetSocketAddress(
+                        nodeSettings.self().ip(), nodeSettings.network().talkPort()))
+                .sync();
+        new RpcServer(loop, mapper, this::run)
+                .listen(EndpointList.address(control))
+                .sync();
         Event.READY.log(id);
     }
 
@@ -150,17 +163,22 @@
             } catch (LaterFormatException e) {
                 throw new StateStoreException(e.getMessage() + "; it is left as it was", e);
             } catch (IOException e) {
-                throw new StateStoreException("the state store's entry is damaged; remove it to join as a new control node",
-                        e);
+                throw new StateStoreException(
+                        "the state store's entry is damaged; remove it to join as a new control node", e);
             }
         }
         String ip = nodeSettings.self().ip();
-        List<String> seeds = nodeSettings.network().seeds().stream().map(ControlNode::host).toList();
+        List<String> seeds =
+                nodeSettings.network().seeds().stream().map(ControlNode::host).toList();
         boolean founds = nodeSettings.self().bootstrap() && seeds.contains(ip);
         id = ip + "#" + (founds ? "0" : Long.toHexString(new SecureRandom().nextLong() | 1));
-        Acceptor.State memory = new Acceptor.State(founds
-                ? Decision.founding(seeds.stream().map(s -> s + "#0").sorted().toList()) : null,
-                Ballot.NONE, null);
+        Acceptor.State memory = new Acceptor.State(
+                founds
+                        ? Decision.founding(
+                                seeds.stream().map(s -> s + "#0").sorted().toList())
+                        : null,
+                Ballot.NONE,
+                null);
         // On disk before anything is said under this name.
         store.write(id, AcceptorRecord.write(memory));
         return memory;
@@ -183,11 +201,15 @@
             Event.LEAVING.log(open.size() + " calls under way");
             ticker.activity();
             consensusNode.leave(now());
-            loop.scheduleAtFixedRate(() -> guard(() -> {
-                if (now() > end || consensusNode.left(now()) && open.isEmpty()) {
-                    ended.countDown();
-                }
-            }), 0, LEAVE_POLL_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleAtFixedRate(
+                    () -> guard(() -> {
+                        if (now() > end || consensusNode.left(now()) && open.isEmpty()) {
+                            ended.countDown();
+                        }
+                    }),
+                    0,
+                    LEAVE_POLL_MS,
+                    TimeUnit.MILLISECONDS);
         }));
         try {
             ended.await();
@@ -203,8 +225,8 @@
             consensusNode.decided().voters().forEach(e -> know(ConsensusNode.address(e)));
         }
         ticker.activity();
-        loop.scheduleAtFixedRate(() -> guard(this::share), SidecarContact.REPEAT_MS,
-                SidecarContact.REPEAT_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> guard(this::share), SidecarContact.REPEAT_MS, SidecarContact.REPEAT_MS, TimeUnit.MILLISECONDS);
     }
 
     private boolean busy() {
@@ -252,20 +274,28 @@
             return;
         }
         if (controlNodes.size() >= MAX_CONTROL_NODES) {
-            controlNodes.entrySet().stream().filter(e -> !e.getValue().up()).findFirst().ifPresent(e -> {
-                controlNodes.remove(e.getKey());
-                e.getValue().close();
-            });
+            controlNodes.entrySet().stream()
+                    .filter(e -> !e.getValue().up())
+                    .findFirst()
+                    .ifPresent(e -> {
+                        controlNodes.remove(e.getKey());
+                        e.getValue().close();
+                    });
             if (controlNodes.size() >= MAX_CONTROL_NODES) {
                 return;
             }
         }
-        ReconnectingConnection connection = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, nodeSettings.network().talkPort())),
-                new PeerMessage.Hello(id, true), PACE, new ReconnectingConnection.Listener() {
+        ReconnectingConnection connection = new ReconnectingConnection(
+                loop,
+                dials.apply(new InetSocketAddress(ip, nodeSettings.network().talkPort())),
+                new PeerMessage.Hello(id, true),
+                PACE,
+                new ReconnectingConnection.Listener() {
                     @Override
                     public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
                         ticker.activity();
-                        if (t.state() == ReconnectingConnection.State.UP && before == ReconnectingConnection.State.DIALLING) {
+                        if (t.state() == ReconnectingConnection.State.UP
+                                && before == ReconnectingConnection.State.DIALLING) {
                             t.send(new PeerMessage.Consensus(new Message.Query(0, slot())));
                             t.send(new PeerMessage.EndpointUpdate(List.copyOf(endpointRegistry.all())));
                         }
@@ -356,7 +386,9 @@
     }
 
     private void notice(PeerConnection link, Long has) {
-        if (has != null && consensusNode.decided() != null && consensusNode.decided().version() > 0
+        if (has != null
+                && consensusNode.decided() != null
+                && consensusNode.decided().version() > 0
                 && consensusNode.decided().slot() > has) {
             link.send(new PeerMessage.ConfigAvailable(consensusNode.decided().slot()));
         }
@@ -432,11 +464,12 @@
 
     @Override
     public void decided(Decision decision) {
-        stateWriter.write(AcceptorRecord.write(new Acceptor.State(decision, Ballot.NONE, null)),
+        stateWriter.write(
+                AcceptorRecord.write(new Acceptor.State(decision, Ballot.NONE, null)),
                 () -> guard(() -> consensusNode.stored(now(), decision.slot())));
         decision.voters().forEach(e -> know(ConsensusNode.address(e)));
-        Event.DECIDED.log("slot " + decision.slot() + " version " + Long.toHexString(decision.version())
-                + " voters " + decision.voters());
+        Event.DECIDED.log("slot " + decision.slot() + " version " + Long.toHexString(decision.version()) + " voters "
+                + decision.voters());
         guests.forEach(this::notice);
         if (isVoter != consensusNode.isVoter()) {
             isVoter = consensusNode.isVoter();
@@ -448,12 +481,13 @@
     public void replaced(long call, ConsensusNode.CallResult verdict) {
         Consumer<RpcResponse> answer = open.remove(call);
         if (answer != null) {
-            answer.accept(switch (verdict) {
-                case TAKEN -> RpcResponse.done();
-                case MISMATCH -> RpcResponse.not(CONFLICT, "If-Match is not the version in force");
-                case OLD_VERSION -> RpcResponse.not(BAD, "Epoch does not exceed the one in force");
-                case UNCLEAR -> RpcResponse.not(LATER, "no majority of control nodes answered in time");
-            });
+            answer.accept(
+                    switch (verdict) {
+                        case TAKEN -> RpcResponse.done();
+                        case MISMATCH -> RpcResponse.not(CONFLICT, "If-Match is not the version in force");
+                        case OLD_VERSION -> RpcResponse.not(BAD, "Epoch does not exceed the one in force");
+                        case UNCLEAR -> RpcResponse.not(LATER, "no majority of control nodes answered in time");
+                    });
         }
     }
 
--- a/src/main/java/whinlead/mesh/control/StateWriter.java
+++ b/src/main/java/whinlead/mesh/control/StateWriter.java
@@ -1,24 +1,25 @@
 package whinlead.mesh.control;
 
-import whinlead.mesh.storage.StateStore;
-import whinlead.mesh.storage.StateStoreException;
-import whinlead.mesh.log.Event;
 import java.util.ArrayDeque;
 import java.util.Queue;
 import java.util.concurrent.Executor;
 import java.util.function.DoubleSupplier;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.storage.StateStore;
+import whinlead.mesh.storage.StateStoreException;
 
 /**
- * Writes a control node's memory on a thread of its own, for a disk may stall. What waits meanwhile is written
- * once, as it is last: each memory holds all that was promised before. A memory that the disk refuses is
- * tried again until it, or a later one, is written; what waited for it is never run, as if lost on the
- * way. Called from the control node's loop.
+ * Writes a control node's memory on a thread of its own, for a disk may stall. What waits meanwhile is written once, as
+ * it is last: each memory holds all that was promised before. A memory that the disk refuses is tried again until it,
+ * or a later one, is written; what waited for it is never run, as if lost on the way. Called from the control node's
+ * loop.
  */
 final class StateWriter {
     /** Between two tries of a disk that refuses, unless there is a later memory, in milliseconds. */
     static final long PAUSE_MS = 250;
     /** What may wait for a disk that stalls; the oldest beyond are dropped, as messages lost on the way. */
     static final int MAX_WAITING = 1000;
+
     private static final double NANOS = 1e6;
 
     /** Where it writes: a state store. */
@@ -41,6 +42,7 @@
     private double since = Double.NaN;
     /** The same, of those that came while the disk was busy. */
     private double sinceNext = Double.NaN;
+
     private boolean refused;
 
     /**
--- a/src/main/java/whinlead/mesh/log/Logs.java
+++ b/src/main/java/whinlead/mesh/log/Logs.java
@@ -18,14 +18,14 @@
             io.netty.level=SEVERE
             """;
 
-    private Logs() { }
+    private Logs() {}
 
     /** Sets it up; to be called before the first event. */
     public static void start() {
         System.setProperty("slf4j.internal.verbosity", "ERROR");
         try {
-            LogManager.getLogManager().readConfiguration(new ByteArrayInputStream(
-                    CONFIGURATION.getBytes(StandardCharsets.ISO_8859_1)));
+            LogManager.getLogManager()
+                    .readConfiguration(new ByteArrayInputStream(CONFIGURATION.getBytes(StandardCharsets.ISO_8859_1)));
         } catch (IOException e) {
             throw new UncheckedIOException("reading from memory failed", e);
         }
--- a/src/main/java/whinlead/mesh/quota/DemandTotals.java
+++ b/src/main/java/whinlead/mesh/quota/DemandTotals.java
@@ -10,20 +10,21 @@
 import java.util.Set;
 
 /**
- * What all sidecars are asked for, as a control node adds it up from what each said last. Kept as it changes: with
- * many sidecars, adding it up anew for each that asks would be most of a control node's work. Pure; one thread;
- * times in milliseconds.
+ * What all sidecars are asked for, as a control node adds it up from what each said last. Kept as it changes: with many
+ * sidecars, adding it up anew for each that asks would be most of a control node's work. Pure; one thread; times in
+ * milliseconds.
  */
 public final class DemandTotals {
     /** What a sidecar said counts for so long. */
     private static final double STANDS = 3000;
     /** Sidecars and, of each, tenants that are kept at most. */
     private static final int MAX_NODES = 4096;
+
     private static final int MAX_TENANTS = 1024;
     /** Up to so many tenants, all are told: one that is asked for elsewhere must not be taken for idle. */
     private static final int MAX_ALL = 256;
 
-    private record Said(double at, List<TenantDemand> uses) { }
+    private record Said(double at, List<TenantDemand> uses) {}
 
     private static final class Total {
         private double perSecond;
@@ -35,7 +36,7 @@
 
     /** A sidecar says what it is asked for, in place of what it said before. */
     public void say(double now, String node, List<TenantDemand> uses) {
-        for (Iterator<Said> i = said.values().iterator(); i.hasNext();) {
+        for (Iterator<Said> i = said.values().iterator(); i.hasNext(); ) {
             Said s = i.next();
             if (now - s.at() > STANDS) {
                 i.remove();
--- a/src/main/java/whinlead/mesh/quota/TenantDemand.java
+++ b/src/main/java/whinlead/mesh/quota/TenantDemand.java
@@ -5,4 +5,4 @@
  *
  * @param perSecond requests a second, those turned away included
  */
-public record TenantDemand(String tenant, double perSecond) { }
+public record TenantDemand(String tenant, double perSecond) {}
--- a/src/main/java/whinlead/mesh/quota/TenantQuota.java
+++ b/src/main/java/whinlead/mesh/quota/TenantQuota.java
@@ -8,21 +8,22 @@
 import java.util.SplittableRandom;
 
 /**
- * One sidecar's part of each tenant's limit, as a token bucket whose rate and depth follow where the requests
- * are: of a limit R, with D asked for in all and d here, n sidecars, a tenth is shared evenly and the rest as
- * d / D. These add up to R wherever all have the same sums. All buckets together hold the tenant's burst and
- * most of the rules' slack; one is empty at a sidecar's start, for its life before may have spent it.
+ * One sidecar's part of each tenant's limit, as a token bucket whose rate and depth follow where the requests are: of a
+ * limit R, with D asked for in all and d here, n sidecars, a tenth is shared evenly and the rest as d / D. These add up
+ * to R wherever all have the same sums. All buckets together hold the tenant's burst and most of the rules' slack; one
+ * is empty at a sidecar's start, for its life before may have spent it.
  *
- * <p>Among many sidecars a small tenant's bucket holds less than one request. A request then goes by chance,
- * in proportion to what is held, and is paid for whole. While fresh sums say that all sidecars together are
- * asked for less than the limit, the bucket may be overdrawn by a little, which is paid back before more is
- * taken: what two requests in a row at one sidecar need, and a tenant within its limit may not be refused.
+ * <p>Among many sidecars a small tenant's bucket holds less than one request. A request then goes by chance, in
+ * proportion to what is held, and is paid for whole. While fresh sums say that all sidecars together are asked for less
+ * than the limit, the bucket may be overdrawn by a little, which is paid back before more is taken: what two requests
+ * in a row at one sidecar need, and a tenant within its limit may not be refused.
  *
  * <p>Pure, but for draws from its seed; one thread; times in milliseconds.
  */
 public final class TenantQuota {
     /** Of the rules' slack and excess, what is given out; the rest is for sums that differ. */
     private static final double SLACK_PART = 0.7;
+
     private static final double EXCESS_PART = 0.3;
     /** A sum is fresh for so long. */
     private static final double FRESH = 2500;
@@ -38,6 +39,7 @@
     private static final double CALM = 0.25;
     /** What a calm tenant may overdraw its bucket by: so many seconds of the bucket's rate, and at least. */
     private static final double OVERDRAFT_S = 0.2;
+
     private static final double MIN_OVERDRAFT = 2;
     /** All debts of a tenant together: what it may ask for in so many seconds, less the rules' slack. */
     private static final double DEBT_S = 9;
@@ -69,7 +71,7 @@
         }
     }
 
-    private record Part(double own, double total) { }
+    private record Part(double own, double total) {}
 
     private final double slack;
     private final double excess;
--- a/src/main/java/whinlead/mesh/registry/EndpointRecord.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRecord.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * What one sidecar says of itself and the endpoint beside it. Of two, the one of the later life, and in one
- * life that with the higher number, holds: whoever merges them in whatever order ends with the same.
+ * What one sidecar says of itself and the endpoint beside it. Of two, the one of the later life, and in one life that
+ * with the higher number, holds: whoever merges them in whatever order ends with the same.
  *
  * @param node where the sidecar takes requests for its endpoint, ADDRESS:PORT
  * @param life of the sidecar, rises with each start
@@ -14,8 +14,16 @@
  * @param capacity requests that the endpoint works on at a time
  * @param warmMs how long the endpoint stays slow from when this was said, in milliseconds
  */
-public record EndpointRecord(String node, long life, long seq, String zone, String endpoint, String target,
-        Phase phase, int capacity, int warmMs) {
+public record EndpointRecord(
+        String node,
+        long life,
+        long seq,
+        String zone,
+        String endpoint,
+        String target,
+        Phase phase,
+        int capacity,
+        int warmMs) {
     /** What may be sent to it. */
     public enum Phase {
         /** New requests are welcome. */
--- a/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
@@ -14,9 +14,11 @@
 public final class EndpointRegistry {
     /** Beyond so many nodes learners are left out: a peer's fault must not fill the memory. */
     public static final int MAX_NODES = 4096;
+
     private final Map<String, EndpointRecord> records = new LinkedHashMap<>();
     /** By service and then by node: endpoint records of sidecars that have not gone and that have an endpoint. */
     private final Map<String, Map<String, EndpointRecord>> endpoints = new HashMap<>();
+
     private int present;
 
     /** Takes an endpoint record in; true if it is news. */
@@ -39,7 +41,8 @@
         }
         present++;
         if (!record.endpoint().isEmpty()) {
-            endpoints.computeIfAbsent(record.target(), service -> new LinkedHashMap<>())
+            endpoints
+                    .computeIfAbsent(record.target(), service -> new LinkedHashMap<>())
                     .put(record.node(), record);
         }
     }
--- a/src/main/java/whinlead/mesh/rpc/RpcConnection.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcConnection.java
@@ -23,16 +23,17 @@
 import java.util.function.Consumer;
 
 /**
- * One caller's connection: reads whole calls and writes their answers in the order of the calls, whatever
- * order they come in (HTTP/1.1 pipelining). Reading stops while {@link #UNDER_WAY} calls, or bodies of
- * {@link #MAX_BODY} bytes, wait for their answers; it needs a flow control handler in front for that. On the
- * loop's thread; answers may come from any.
+ * One caller's connection: reads whole calls and writes their answers in the order of the calls, whatever order they
+ * come in (HTTP/1.1 pipelining). Reading stops while {@link #UNDER_WAY} calls, or bodies of {@link #MAX_BODY} bytes,
+ * wait for their answers; it needs a flow control handler in front for that. On the loop's thread; answers may come
+ * from any.
  */
 final class RpcConnection extends ChannelInboundHandlerAdapter {
     /** Calls of one connection that are under way at a time. */
     static final int UNDER_WAY = 16;
     /** The largest body that is read, in bytes. */
     static final int MAX_BODY = 8 << 20;
+
     private static final int BAD = 400;
     private static final int TOO_LARGE = 413;
 
@@ -119,8 +120,7 @@
     private void goOn() {
         if (head != null && awaitsContinue && turns.isEmpty()) {
             awaitsContinue = false;
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE));
+            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
     }
 
@@ -179,9 +179,10 @@
 
     private void write(Turn turn) {
         byte[] said = turn.answer.body();
-        DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(turn.answer.status()), Unpooled.wrappedBuffer(said));
-        response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(turn.answer.status()), Unpooled.wrappedBuffer(said));
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, said.length);
         if (!turn.keep) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
--- a/src/main/java/whinlead/mesh/rpc/RpcServer.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcServer.java
@@ -20,9 +20,8 @@
 import java.util.function.Consumer;
 
 /**
- * Takes the calls of endpoints and operators: decodes each into an {@link RpcCall}, which is run elsewhere, and
- * sends the {@link RpcResponse}, from whichever thread it comes, in the order of the calls of each connection. One
- * loop.
+ * Takes the calls of endpoints and operators: decodes each into an {@link RpcCall}, which is run elsewhere, and sends
+ * the {@link RpcResponse}, from whichever thread it comes, in the order of the calls of each connection. One loop.
  */
 public final class RpcServer {
     private static final String PATH = "/whinlead/rpc";
@@ -48,8 +47,11 @@
 
     /** Listens. */
     public ChannelFuture listen(SocketAddress address) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .childHandler(handlers()).bind(address);
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(handlers())
+                .bind(address);
     }
 
     /** What goes on each connection. */
@@ -57,8 +59,11 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel ch) {
-                ch.pipeline().addLast(new HttpServerCodec(), new FlowControlHandler(),
-                        new RpcConnection(RpcServer.this::run));
+                ch.pipeline()
+                        .addLast(
+                                new HttpServerCodec(),
+                                new FlowControlHandler(),
+                                new RpcConnection(RpcServer.this::run));
             }
         };
     }
@@ -80,7 +85,8 @@
         }
         String call = first(query, "call");
         return switch (call) {
-            case "members.heartbeat" -> new RpcCall.Heartbeat(id(query), mapper.readValue(body, RpcCall.EndpointStatus.class));
+            case "members.heartbeat" ->
+                new RpcCall.Heartbeat(id(query), mapper.readValue(body, RpcCall.EndpointStatus.class));
             case "members.depart" -> new RpcCall.Depart(id(query));
             case "config.replace" -> new RpcCall.Replace(version(request), body);
             case "config.read" -> new RpcCall.Read();
@@ -102,7 +108,10 @@
     }
 
     private static long version(HttpRequest request) throws BadCall {
-        String text = request.headers().get(HttpHeaderNames.IF_MATCH, "").replace("\"", "").trim();
+        String text = request.headers()
+                .get(HttpHeaderNames.IF_MATCH, "")
+                .replace("\"", "")
+                .trim();
         try {
             return Long.parseLong(text, 16);
         } catch (NumberFormatException e) {
--- a/src/main/java/whinlead/mesh/run/MeshCommand.java
+++ b/src/main/java/whinlead/mesh/run/MeshCommand.java
@@ -1,14 +1,5 @@
 package whinlead.mesh.run;
 
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.settings.NodeSettingsException;
-import whinlead.mesh.settings.NodeSettingsReader;
-import whinlead.mesh.sidecar.Sidecar;
-import whinlead.mesh.storage.StateStoreException;
-import whinlead.mesh.log.Event;
-import whinlead.mesh.log.Logs;
-import whinlead.mesh.control.ControlNode;
-import whinlead.signals.Hangup;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -22,18 +13,28 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
+import whinlead.mesh.control.ControlNode;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.log.Logs;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.settings.NodeSettingsException;
+import whinlead.mesh.settings.NodeSettingsReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.mesh.storage.StateStoreException;
+import whinlead.signals.Hangup;
 
 /** The mesh's roles on the command line: {@code sidecar} and {@code control}. */
 public final class MeshCommand {
     /** Names the settings file. */
     public static final String SETTINGS = "WHINLEAD_NODE_FILE";
+
     private static final int USAGE = 2;
     private static final String SIDECAR = "sidecar";
     private static final String CONTROL = "control";
     /** Roles by their names of before, which are understood for one more version. */
     private static final Map<String, String> FORMER_NAMES = Map.of("carrier", SIDECAR, "office", CONTROL);
 
-    private MeshCommand() { }
+    private MeshCommand() {}
 
     /** Whether this names a role of the mesh. */
     public static boolean knows(String role) {
@@ -50,17 +51,25 @@
         Logs.start();
         Hangup hangup = guard();
         Options options = new Options()
-                .addOption(Option.builder("s").longOpt("settings").hasArg().argName("FILE")
-                        .desc("the settings file; else " + SETTINGS + " names it").get())
-                .addOption(Option.builder("c").longOpt("check").desc("only read and check the settings").get())
+                .addOption(Option.builder("s")
+                        .longOpt("settings")
+                        .hasArg()
+                        .argName("FILE")
+                        .desc("the settings file; else " + SETTINGS + " names it")
+                        .get())
+                .addOption(Option.builder("c")
+                        .longOpt("check")
+                        .desc("only read and check the settings")
+                        .get())
                 .addOption(Option.builder("h").longOpt("help").desc("tell this").get());
         try {
             CommandLine line = new DefaultParser().parse(options, args);
             if (line.hasOption("help")) {
                 System.out.println("usage: sidecar | control [-s FILE] [-c]");
-                options.getOptions().forEach(o -> System.out.println("  -" + o.getOpt() + ", --"
-                        + o.getLongOpt() + (o.hasArg() ? " " + o.getArgName() : "") + "  "
-                        + o.getDescription()));
+                options.getOptions()
+                        .forEach(o -> System.out.println("  -" + o.getOpt() + ", --"
+                                + o.getLongOpt() + (o.hasArg() ? " " + o.getArgName() : "") + "  "
+                                + o.getDescription()));
                 return;
             }
             if (line.getArgList().size() != 1) {
@@ -73,8 +82,13 @@
             }
             NodeSettings nodeSettings = new NodeSettingsReader(mapper).read(Path.of(path));
             if (!line.hasOption("check")) {
-                start(line.getArgList().get(0), nodeSettings, new SettingsWatcher(Path.of(path), nodeSettings, new NodeSettingsReader(mapper)),
-                        hangup, mapper, dials);
+                start(
+                        line.getArgList().get(0),
+                        nodeSettings,
+                        new SettingsWatcher(Path.of(path), nodeSettings, new NodeSettingsReader(mapper)),
+                        hangup,
+                        mapper,
+                        dials);
             }
         } catch (ParseException e) {
             quit(e.getMessage(), USAGE);
@@ -97,8 +111,14 @@
         }
     }
 
-    private static void start(String role, NodeSettings nodeSettings, SettingsWatcher settings, Hangup hangup, ObjectMapper mapper,
-            UnaryOperator<InetSocketAddress> dials) throws Exception {
+    private static void start(
+            String role,
+            NodeSettings nodeSettings,
+            SettingsWatcher settings,
+            Hangup hangup,
+            ObjectMapper mapper,
+            UnaryOperator<InetSocketAddress> dials)
+            throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         if (CONTROL.equals(FORMER_NAMES.getOrDefault(role, role))) {
             ControlNode controlNode = new ControlNode(nodeSettings, loop, mapper, dials);
--- a/src/main/java/whinlead/mesh/run/SettingsWatcher.java
+++ b/src/main/java/whinlead/mesh/run/SettingsWatcher.java
@@ -1,19 +1,19 @@
 package whinlead.mesh.run;
 
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.settings.NodeSettingsException;
-import whinlead.mesh.settings.NodeSettingsReader;
-import whinlead.mesh.log.Event;
-import whinlead.signals.Hangup;
 import io.netty.channel.EventLoop;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.settings.NodeSettingsException;
+import whinlead.mesh.settings.NodeSettingsReader;
+import whinlead.signals.Hangup;
 
 /**
- * The settings file while a process runs: read again on SIGHUP and now and then, for it may change without
- * one. Only the seeds are taken over; addresses and figures of a running process stay. On the loop's thread.
+ * The settings file while a process runs: read again on SIGHUP and now and then, for it may change without one. Only
+ * the seeds are taken over; addresses and figures of a running process stay. On the loop's thread.
  */
 final class SettingsWatcher {
     private static final long EVERY_MS = 2000;
--- a/src/main/java/whinlead/mesh/settings/NodeSettings.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettings.java
@@ -4,16 +4,19 @@
 import java.util.List;
 
 /**
- * A process's address card: what the platform's settings file tells it. Checked where it is made, so that a
- * sidecar need not load a validator for it at its start. Times are in seconds, as in the file.
+ * A process's address card: what the platform's settings file tells it. Checked where it is made, so that a sidecar
+ * need not load a validator for it at its start. Times are in seconds, as in the file.
  *
  * @param self what this process is
  * @param network where it listens, and three machines that it may ask
  * @param substrate how often endpoints beat
  * @param clauses the figures of the rules
  */
-public record NodeSettings(@JsonProperty("Self") Self self, @JsonProperty("Network") Network network,
-        @JsonProperty("Substrate") Substrate substrate, @JsonProperty("Clauses") Clauses clauses) {
+public record NodeSettings(
+        @JsonProperty("Self") Self self,
+        @JsonProperty("Network") Network network,
+        @JsonProperty("Substrate") Substrate substrate,
+        @JsonProperty("Clauses") Clauses clauses) {
 
     /** Checks that every table is there. */
     public NodeSettings {
@@ -28,10 +31,15 @@
      *
      * @param bootstrap whether the whole system starts for the first time, on empty disks
      */
-    public record Self(@JsonProperty("Node") String node, @JsonProperty("Ip") String ip,
-            @JsonProperty("Zone") String zone, @JsonProperty("Bootstrap") boolean bootstrap,
-            @JsonProperty("DataDir") String dataDir, @JsonProperty("AppAddr") String appAddr,
-            @JsonProperty("Target") String target, @JsonProperty("Limits") Limits limits) {
+    public record Self(
+            @JsonProperty("Node") String node,
+            @JsonProperty("Ip") String ip,
+            @JsonProperty("Zone") String zone,
+            @JsonProperty("Bootstrap") boolean bootstrap,
+            @JsonProperty("DataDir") String dataDir,
+            @JsonProperty("AppAddr") String appAddr,
+            @JsonProperty("Target") String target,
+            @JsonProperty("Limits") Limits limits) {
         /** Checks what both roles need. */
         public Self {
             present(node, "Self.Node");
@@ -41,7 +49,9 @@
     }
 
     /** What the machine gives: memory in MB, descriptors as a count. */
-    public record Limits(@JsonProperty("MemoryMb") double memoryMb, @JsonProperty("FdLimit") int fdLimit) { }
+    public record Limits(
+            @JsonProperty("MemoryMb") double memoryMb,
+            @JsonProperty("FdLimit") int fdLimit) {}
 
     /**
      * Where it listens, and whom it may ask first.
@@ -49,7 +59,9 @@
      * @param portRange the first and the last of the ports that are free for the system's own talk
      * @param seeds control addresses of up to three machines
      */
-    public record Network(@JsonProperty("Bind") Bind bind, @JsonProperty("PortRange") List<Integer> portRange,
+    public record Network(
+            @JsonProperty("Bind") Bind bind,
+            @JsonProperty("PortRange") List<Integer> portRange,
             @JsonProperty("Seeds") List<String> seeds) {
         private static final int MAX_PORT = 65535;
 
@@ -57,8 +69,11 @@
         public Network {
             present(bind, "Network.Bind");
             present(seeds, "Network.Seeds");
-            if (portRange == null || portRange.size() != 2 || portRange.get(0) < 1
-                    || portRange.get(1) < portRange.get(0) || portRange.get(1) > MAX_PORT) {
+            if (portRange == null
+                    || portRange.size() != 2
+                    || portRange.get(0) < 1
+                    || portRange.get(1) < portRange.get(0)
+                    || portRange.get(1) > MAX_PORT) {
                 throw new NodeSettingsException("Network.PortRange is not FIRST,LAST within 1 to " + MAX_PORT);
             }
         }
@@ -70,8 +85,11 @@
     }
 
     /** Addresses to listen at; null where the role does not serve them. */
-    public record Bind(@JsonProperty("Ingress") String ingress, @JsonProperty("Egress") String egress,
-            @JsonProperty("Readiness") String readiness, @JsonProperty("Control") String control) { }
+    public record Bind(
+            @JsonProperty("Ingress") String ingress,
+            @JsonProperty("Egress") String egress,
+            @JsonProperty("Readiness") String readiness,
+            @JsonProperty("Control") String control) {}
 
     /** How often an endpoint beats. */
     public record Substrate(@JsonProperty("HeartbeatS") double heartbeatS) {
@@ -90,11 +108,17 @@
     }
 
     /** The bounds that this program keeps to; in seconds, or shares and counts of requests. */
-    public record Bounds(@JsonProperty("DrainS") double drainS, @JsonProperty("GraceS") double graceS,
-            @JsonProperty("ContactS") double contactS, @JsonProperty("ConvergeS") double convergeS,
-            @JsonProperty("RetryRatio") double retryRatio, @JsonProperty("RetryWindowS") double retryWindowS,
-            @JsonProperty("RetrySlack") double retrySlack, @JsonProperty("QuotaWindowS") double quotaWindowS,
-            @JsonProperty("QuotaExcess") double quotaExcess, @JsonProperty("QuotaSlack") double quotaSlack) {
+    public record Bounds(
+            @JsonProperty("DrainS") double drainS,
+            @JsonProperty("GraceS") double graceS,
+            @JsonProperty("ContactS") double contactS,
+            @JsonProperty("ConvergeS") double convergeS,
+            @JsonProperty("RetryRatio") double retryRatio,
+            @JsonProperty("RetryWindowS") double retryWindowS,
+            @JsonProperty("RetrySlack") double retrySlack,
+            @JsonProperty("QuotaWindowS") double quotaWindowS,
+            @JsonProperty("QuotaExcess") double quotaExcess,
+            @JsonProperty("QuotaSlack") double quotaSlack) {
         /** Checks that each figure is one. */
         public Bounds {
             positive(drainS, "Clauses.Bounds.DrainS");
--- a/src/main/java/whinlead/mesh/settings/NodeSettingsReader.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettingsReader.java
@@ -15,8 +15,7 @@
 
 /** Reads a settings file of lines {@code a.b=value}, lists joined by commas. Fields not known are left. */
 public final class NodeSettingsReader {
-    private static final Set<String> LISTS = Set.of("Network.Seeds", "Network.PortRange",
-            "Clauses.Invariants");
+    private static final Set<String> LISTS = Set.of("Network.Seeds", "Network.PortRange", "Clauses.Invariants");
     private final ObjectMapper mapper;
 
     /** A reader; the mapper is copied, not changed. */
@@ -52,7 +51,10 @@
             if (equals <= 0) {
                 throw new NodeSettingsException("'" + line + "' is not FIELD=VALUE");
             }
-            put(root, line.substring(0, equals).trim(), line.substring(equals + 1).trim());
+            put(
+                    root,
+                    line.substring(0, equals).trim(),
+                    line.substring(equals + 1).trim());
         }
         try {
             return mapper.treeToValue(root, NodeSettings.class);
@@ -62,8 +64,12 @@
                     throw wrong;
                 }
             }
-            throw new NodeSettingsException(e.getPath().stream().map(JsonMappingException.Reference::getFieldName)
-                    .collect(Collectors.joining(".")) + " is malformed", e);
+            throw new NodeSettingsException(
+                    e.getPath().stream()
+                                    .map(JsonMappingException.Reference::getFieldName)
+                                    .collect(Collectors.joining("."))
+                            + " is malformed",
+                    e);
         } catch (JsonProcessingException e) {
             throw new NodeSettingsException("settings are malformed", e);
         }
--- a/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
+++ b/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
@@ -3,9 +3,9 @@
 import whinlead.engine.Timers;
 
 /**
- * Timers of which those of about one period fall together: each service has modules of its own, and a
- * sidecar would wake for each of them apart. Spans of a period, a tenth more or less, end on its moments;
- * all others end when they were to. On the thread of its timers.
+ * Timers of which those of about one period fall together: each service has modules of its own, and a sidecar would
+ * wake for each of them apart. Spans of a period, a tenth more or less, end on its moments; all others end when they
+ * were to. On the thread of its timers.
  */
 final class AlignedTimers implements Timers {
     private static final double ABOUT = 0.11;
--- a/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
@@ -1,8 +1,5 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.engine.Timers;
-import whinlead.mesh.log.Event;
-import whinlead.mesh.config.MeshConfig;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -29,14 +26,18 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
 import java.util.List;
+import whinlead.engine.Timers;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.log.Event;
 
 /**
- * One client's connection: reads whole requests, hands them in, and returns the answers in the same order. On
- * its loop's thread.
+ * One client's connection: reads whole requests, hands them in, and returns the answers in the same order. On its
+ * loop's thread.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     /** Requests of one connection that are under way at a time; reading stops at so many. */
     private static final int UNDER_WAY = 16;
+
     private static final int BAD = 400;
     private static final int TIMEOUT = 408;
     private static final int TOO_LARGE = 413;
@@ -77,8 +78,9 @@
         private final int held;
         /** How long it took from its head to its end, in milliseconds. */
         private final double readingMs;
+
         private FullHttpResponse answer;
-        private Runnable gone = () -> { };
+        private Runnable gone = () -> {};
 
         private Turn(boolean keep, boolean head, int held, double readingMs) {
             this.keep = keep;
@@ -102,8 +104,8 @@
             if (answer != null || ClientConnection.this.gone) {
                 return;
             }
-            FullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
+            FullHttpResponse r = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
             for (int i = 0; i + 1 < headers.size(); i += 2) {
                 r.headers().add(headers.get(i), headers.get(i + 1));
             }
@@ -139,8 +141,8 @@
     /** Puts it on a connection. What was read at once is handed in piece by piece: so the bound holds. */
     void on(Channel ch) {
         int most = taker.limits().headerBytes();
-        HttpDecoderConfig config = new HttpDecoderConfig().setMaxInitialLineLength(most)
-                .setMaxHeaderSize(most);
+        HttpDecoderConfig config =
+                new HttpDecoderConfig().setMaxInitialLineLength(most).setMaxHeaderSize(most);
         ch.pipeline().addLast(new HttpServerCodec(config), new FlowControlHandler(), this);
     }
 
@@ -180,8 +182,8 @@
         boolean lengths = r.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1;
         boolean both = r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 && r.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-        boolean coded = r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
-                && !HttpUtil.isTransferEncodingChunked(r);
+        boolean coded =
+                r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING) && !HttpUtil.isTransferEncodingChunked(r);
         // Where its end is in doubt, another request may hide behind it.
         if (lengths || both || coded || !HttpVersion.HTTP_1_1.equals(r.protocolVersion())) {
             refuse(BAD);
@@ -203,8 +205,7 @@
     private void goOn() {
         if (head != null && awaitsContinue && turns.isEmpty()) {
             awaitsContinue = false;
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE));
+            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
     }
 
@@ -241,8 +242,8 @@
     private void whole() {
         HttpRequest request = head;
         byte[] bytes = ByteBufUtil.getBytes(body);
-        Turn turn = new Turn(HttpUtil.isKeepAlive(request), "HEAD".equals(request.method().name()), held,
-                since - headAt);
+        Turn turn = new Turn(
+                HttpUtil.isKeepAlive(request), "HEAD".equals(request.method().name()), held, since - headAt);
         head = null;
         body = null;
         held = 0;
--- a/src/main/java/whinlead/mesh/sidecar/ClientSide.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientSide.java
@@ -1,19 +1,19 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.engine.Timers;
-import whinlead.mesh.quota.TenantQuota;
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.config.RoutingTable;
 import io.netty.channel.Channel;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
+import whinlead.engine.Timers;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.quota.TenantQuota;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.settings.NodeSettings;
 
 /**
- * The part of a sidecar that serves its clients, from their connections to its ways to other sidecars, for
- * rigs that drive it by timers of their own. One thread.
+ * The part of a sidecar that serves its clients, from their connections to its ways to other sidecars, for rigs that
+ * drive it by timers of their own. One thread.
  */
 public final class ClientSide {
     private static final int SIDECARS = 4;
@@ -33,23 +33,44 @@
      * @param routing the configuration in force, or null
      * @param seed of what its modules draw
      */
-    public ClientSide(Timers timers, NodeSettings nodeSettings, RequestForwarder round, Supplier<RoutingTable> routing, long seed) {
+    public ClientSide(
+            Timers timers,
+            NodeSettings nodeSettings,
+            RequestForwarder round,
+            Supplier<RoutingTable> routing,
+            long seed) {
         this.timers = timers;
         this.nodeSettings = nodeSettings;
         this.round = round;
         this.seed = seed;
         NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
-        TenantQuota allowance = new TenantQuota(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
-                bounds.quotaWindowS(), seed);
-        this.egress = new EgressListener(null, timers, routing, (target, large) -> balancer(target), () -> "",
-                () -> SIDECARS, allowance, classes);
+        TenantQuota allowance =
+                new TenantQuota(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(), bounds.quotaWindowS(), seed);
+        this.egress = new EgressListener(
+                null,
+                timers,
+                routing,
+                (target, large) -> balancer(target),
+                () -> "",
+                () -> SIDECARS,
+                allowance,
+                classes);
         this.shutdown = new Shutdown(timers, bounds.graceS(), egress, () -> 0);
     }
 
     private ServiceBalancer balancer(String target) {
         NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
-        return balancers.computeIfAbsent(target, t -> new ServiceBalancer(timers, classes, nodeSettings, SIDECARS, seed, round,
-                null, new RetryBudget(bounds.retryRatio(), bounds.retrySlack())));
+        return balancers.computeIfAbsent(
+                target,
+                t -> new ServiceBalancer(
+                        timers,
+                        classes,
+                        nodeSettings,
+                        SIDECARS,
+                        seed,
+                        round,
+                        null,
+                        new RetryBudget(bounds.retryRatio(), bounds.retrySlack())));
     }
 
     /** The endpoints of a service. */
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -1,19 +1,5 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.membership.EndpointList;
-import whinlead.mesh.quota.TenantDemand;
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.log.Event;
-import whinlead.mesh.control.ConfigCodec;
-import whinlead.mesh.config.RoutingTable;
-import whinlead.mesh.config.MeshConfig;
-import whinlead.mesh.config.InvalidConfigException;
-import whinlead.mesh.config.ConfigReader;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.ReconnectingConnection;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -25,21 +11,38 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.UnaryOperator;
+import whinlead.membership.EndpointList;
+import whinlead.mesh.config.ConfigReader;
+import whinlead.mesh.config.InvalidConfigException;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.control.ConfigCodec;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.quota.TenantDemand;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
 
 /**
- * A sidecar's connections to the control nodes: says what it lists, asks with the configuration that it has, and takes a
- * newer one. It never goes back. On its loop's thread; configurations are read on another.
+ * A sidecar's connections to the control nodes: says what it lists, asks with the configuration that it has, and takes
+ * a newer one. It never goes back. On its loop's thread; configurations are read on another.
  */
 final class ControlClient {
     /** Longer until it is given up than an idle connection goes without a ping. */
-    private static final ReconnectingConnection.Timeouts PACE = new ReconnectingConnection.Timeouts(300, 900, 3000, 150);
+    private static final ReconnectingConnection.Timeouts PACE =
+            new ReconnectingConnection.Timeouts(300, 900, 3000, 150);
     /** Until another control node is asked for what one has not sent, in milliseconds. */
     private static final double FETCH_MS = 500;
+
     private static final int MAX_CONTROL_NODES = 16;
     /** The same for a control node that could confirm what another has sent, where nothing is in force yet. */
     private static final double CONFIRM_MS = 200;
     /** Without a control node in reach, or one that confirms, another sidecar is asked for control nodes so often. */
     private static final double SEEK_MS = 1000;
+
     private static final double NANOS = 1e6;
 
     private final EventLoop loop;
@@ -82,7 +85,12 @@
     }
 
     /** A desk that dials what {@code dials} makes of an address. */
-    ControlClient(EventLoop loop, NodeSettings nodeSettings, PeerMessage.Hello hello, UnaryOperator<InetSocketAddress> dials, Listener owner) {
+    ControlClient(
+            EventLoop loop,
+            NodeSettings nodeSettings,
+            PeerMessage.Hello hello,
+            UnaryOperator<InetSocketAddress> dials,
+            Listener owner) {
         this.loop = loop;
         this.nodeSettings = nodeSettings;
         this.hello = hello;
@@ -144,21 +152,29 @@
             return;
         }
         if (controlNodes.size() >= MAX_CONTROL_NODES) {
-            controlNodes.entrySet().stream().filter(e -> !e.getValue().up()).findFirst()
+            controlNodes.entrySet().stream()
+                    .filter(e -> !e.getValue().up())
+                    .findFirst()
                     .ifPresent(e -> drop(e.getKey()));
         }
         if (controlNodes.size() >= MAX_CONTROL_NODES) {
             return;
         }
-        ReconnectingConnection connection = new ReconnectingConnection(loop, dials.apply(new InetSocketAddress(ip, nodeSettings.network().talkPort())), hello,
-                PACE, new ReconnectingConnection.Listener() {
+        ReconnectingConnection connection = new ReconnectingConnection(
+                loop,
+                dials.apply(new InetSocketAddress(ip, nodeSettings.network().talkPort())),
+                hello,
+                PACE,
+                new ReconnectingConnection.Listener() {
                     @Override
                     public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
-                        if (t.state() == ReconnectingConnection.State.UP && before == ReconnectingConnection.State.DIALLING) {
+                        if (t.state() == ReconnectingConnection.State.UP
+                                && before == ReconnectingConnection.State.DIALLING) {
                             Event.CONTROL_NODE_UP.log(ip);
                             owner.controlNodeUp();
                             t.send(new PeerMessage.Subscribe(slot()));
-                        } else if (t.state() == ReconnectingConnection.State.DOWN && before != ReconnectingConnection.State.DIALLING) {
+                        } else if (t.state() == ReconnectingConnection.State.DOWN
+                                && before != ReconnectingConnection.State.DIALLING) {
                             Event.CONTROL_NODE_DOWN.log(ip);
                             noticed.remove(t);
                         }
@@ -236,22 +252,23 @@
         if (seeking != null) {
             seeking.close();
         }
-        seeking = new ReconnectingConnection(loop, dials.apply(EndpointList.address(node)), hello, PACE, new ReconnectingConnection.Listener() {
-            @Override
-            public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
-                if (t.state() == ReconnectingConnection.State.UP) {
-                    t.send(new PeerMessage.FindControlNodes());
-                }
-            }
+        seeking = new ReconnectingConnection(
+                loop, dials.apply(EndpointList.address(node)), hello, PACE, new ReconnectingConnection.Listener() {
+                    @Override
+                    public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
+                        if (t.state() == ReconnectingConnection.State.UP) {
+                            t.send(new PeerMessage.FindControlNodes());
+                        }
+                    }
 
-            @Override
-            public void message(ReconnectingConnection t, PeerMessage message) {
-                if (message instanceof PeerMessage.ControlNodes told) {
-                    told.addresses().forEach(ControlClient.this::know);
-                    t.close();
-                }
-            }
-        });
+                    @Override
+                    public void message(ReconnectingConnection t, PeerMessage message) {
+                        if (message instanceof PeerMessage.ControlNodes told) {
+                            told.addresses().forEach(ControlClient.this::know);
+                            t.close();
+                        }
+                    }
+                });
         seeking.dial();
     }
 
@@ -290,7 +307,8 @@
 
     // Control nodes that are no longer among the voters go, unless they are heard of.
     private void forget(Decision decision) {
-        List<String> voters = decision.voters().stream().map(ConsensusNode::address).toList();
+        List<String> voters =
+                decision.voters().stream().map(ConsensusNode::address).toList();
         for (String ip : List.copyOf(controlNodes.keySet())) {
             if (!voters.contains(ip) && !controlNodes.get(ip).up()) {
                 drop(ip);
--- a/src/main/java/whinlead/mesh/sidecar/DemandReports.java
+++ b/src/main/java/whinlead/mesh/sidecar/DemandReports.java
@@ -1,11 +1,10 @@
 package whinlead.mesh.sidecar;
 
 /**
- * Which control nodes a sidecar's report of its tenants' demand goes to, round by round. With demand, the
- * first node in reach hears of it each round and answers with the sums, the others each third round, so that
- * any of them can take the first one's place. Without demand there is nothing to add to the sums: the end of
- * the demand is told to all once, and then only the first is asked, seldom, for sums that are still fresh when
- * a first request comes. Pure; one thread.
+ * Which control nodes a sidecar's report of its tenants' demand goes to, round by round. With demand, the first node in
+ * reach hears of it each round and answers with the sums, the others each third round, so that any of them can take the
+ * first one's place. Without demand there is nothing to add to the sums: the end of the demand is told to all once, and
+ * then only the first is asked, seldom, for sums that are still fresh when a first request comes. Pure; one thread.
  */
 public final class DemandReports {
     /** Control nodes that are not asked for the sums hear of the demand each so many rounds. */
--- a/src/main/java/whinlead/mesh/sidecar/EgressListener.java
+++ b/src/main/java/whinlead/mesh/sidecar/EgressListener.java
@@ -1,12 +1,5 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.engine.Request;
-import whinlead.engine.ResponseSink;
-import whinlead.engine.Timers;
-import whinlead.mesh.quota.TenantQuota;
-import whinlead.mesh.config.RoutingTable;
-import whinlead.mesh.config.MeshConfig;
-import whinlead.mesh.wire.PeerMessage;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -25,14 +18,22 @@
 import java.util.SplittableRandom;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
+import whinlead.engine.Timers;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.quota.TenantQuota;
+import whinlead.mesh.wire.PeerMessage;
 
 /**
- * Where the clients and the endpoint of this machine send their requests: finds route, tenant and quota,
- * and has the service's module decide the rest. On its loop's thread.
+ * Where the clients and the endpoint of this machine send their requests: finds route, tenant and quota, and has the
+ * service's module decide the rest. On its loop's thread.
  */
 final class EgressListener implements ClientConnection.Taker {
     /** Bodies that are held at a time, in bytes; beyond, clients are told to come back. */
     private static final long MAX_HOLD = 40L << 20;
+
     private static final MeshConfig.Limits FIRST = new MeshConfig.Limits(16384, 64 << 20, 3, 15);
     private static final int UNKNOWN_KEY = 401;
     private static final int NO_ROUTE = 404;
@@ -45,6 +46,7 @@
     private static final double NOT_RUN_MS = 300;
     /** Until when to come back where no configuration is known yet, in milliseconds. */
     private static final double NO_ROUTES_MS = 300;
+
     private static final int BACKLOG = 512;
 
     /** Finds a service's service balancer. */
@@ -68,9 +70,15 @@
     private boolean leaving;
     private boolean refusing;
 
-    EgressListener(EventLoop loop, Timers timers, Supplier<RoutingTable> routing,
-            Depots balancers, Supplier<String> service, IntSupplier sidecars,
-            TenantQuota allowance, RequestClasses classes) {
+    EgressListener(
+            EventLoop loop,
+            Timers timers,
+            Supplier<RoutingTable> routing,
+            Depots balancers,
+            Supplier<String> service,
+            IntSupplier sidecars,
+            TenantQuota allowance,
+            RequestClasses classes) {
         this.loop = loop;
         this.timers = timers;
         this.routing = routing;
@@ -82,14 +90,18 @@
     }
 
     ChannelFuture listen(SocketAddress address) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
                         accept(ch);
                     }
-                }).bind(address);
+                })
+                .bind(address);
     }
 
     /** A client has connected. */
@@ -184,26 +196,39 @@
             return;
         }
         if (payer != null) {
-            double wait = allowance.take(timers.now(), payer.name(),
-                    payer.tenant().ratePerS(), payer.tenant().burst(), Math.max(1, sidecars.getAsInt()));
+            double wait = allowance.take(
+                    timers.now(),
+                    payer.name(),
+                    payer.tenant().ratePerS(),
+                    payer.tenant().burst(),
+                    Math.max(1, sidecars.getAsInt()));
             if (wait > 0) {
                 later(turn, OVER, wait);
                 return;
             }
         }
         String target = way.service(random.nextDouble());
-        ServiceBalancer balancer = balancers.of(target, MeshConfig.INGEST.equals(way.route().kind()));
+        ServiceBalancer balancer =
+                balancers.of(target, MeshConfig.INGEST.equals(way.route().kind()));
         double timeout = Math.max(1, timeout(way, deadline) - turn.readingMs());
         Integer rank = payer == null ? null : payer.tenant().rank();
-        new Exchange(head, body, turn, way, payer, target, timeout,
-                rank == null ? way.route().rank() : rank).go(balancer);
+        new Exchange(
+                        head,
+                        body,
+                        turn,
+                        way,
+                        payer,
+                        target,
+                        timeout,
+                        rank == null ? way.route().rank() : rank)
+                .go(balancer);
     }
 
     @Override
     public double mostMs(HttpRequest head) {
         RoutingTable now = routing.get();
-        RoutingTable.NamedRoute way = now == null ? null
-                : now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
+        RoutingTable.NamedRoute way =
+                now == null ? null : now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
         double deadline = deadline(head);
         return way == null || Double.isNaN(deadline) ? Double.POSITIVE_INFINITY : timeout(way, deadline);
     }
@@ -231,8 +256,10 @@
     }
 
     private static void later(ClientConnection.Turn turn, int status, double waitMs) {
-        turn.answer(status, List.of("Retry-After", String.format(Locale.ROOT, "%.3f",
-                Math.max(1, waitMs) / 1000)), new byte[0]);
+        turn.answer(
+                status,
+                List.of("Retry-After", String.format(Locale.ROOT, "%.3f", Math.max(1, waitMs) / 1000)),
+                new byte[0]);
     }
 
     /** One request of a client's. */
@@ -248,11 +275,18 @@
         private final double timeout;
         private final double endAt;
         private final EndpointAttempts attempts;
-        private ServiceBalancer.Taken taken = () -> { };
+        private ServiceBalancer.Taken taken = () -> {};
         private PeerMessage.ForwardResponse last;
 
-        private Exchange(HttpRequest head, byte[] body, ClientConnection.Turn turn, RoutingTable.NamedRoute way,
-                RoutingTable.NamedTenant payer, String target, double timeout, int rank) {
+        private Exchange(
+                HttpRequest head,
+                byte[] body,
+                ClientConnection.Turn turn,
+                RoutingTable.NamedRoute way,
+                RoutingTable.NamedTenant payer,
+                String target,
+                double timeout,
+                int rank) {
             this.method = head.method().name();
             this.uri = head.uri();
             this.headers = ForwardedHeaders.onward(head.headers(), true);
@@ -276,8 +310,13 @@
 
         private void go(ServiceBalancer balancer) {
             exchanges.add(this);
-            Request ask = new Request(classes.of(way.repeatable(), rank, way.route().targetS() * 1000), -1, timeout,
-                    false, 1, body.length);
+            Request ask = new Request(
+                    classes.of(way.repeatable(), rank, way.route().targetS() * 1000),
+                    -1,
+                    timeout,
+                    false,
+                    1,
+                    body.length);
             taken = balancer.take(ask, Math.max(1, sidecars.getAsInt()), this, this);
             turn.onGone(() -> {
                 exchanges.remove(this);
@@ -292,8 +331,8 @@
 
         @Override
         public PeerMessage.ForwardRequest request(String endpoint) {
-            return new PeerMessage.ForwardRequest(0, method, uri, headers, body,
-                    (int) Math.max(1, endAt - timers.now()), target, endpoint, rank);
+            return new PeerMessage.ForwardRequest(
+                    0, method, uri, headers, body, (int) Math.max(1, endAt - timers.now()), target, endpoint, rank);
         }
 
         @Override
--- a/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
@@ -3,9 +3,9 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * Counts the attempts of one request of a client: at how many endpoints it may have arrived, which its route
- * bounds, and how often it may have run. An attempt counts from when it is sent until it is known not to have
- * arrived, so that one whose end is never told counts as well. Pure; one thread.
+ * Counts the attempts of one request of a client: at how many endpoints it may have arrived, which its route bounds,
+ * and how often it may have run. An attempt counts from when it is sent until it is known not to have arrived, so that
+ * one whose end is never told counts as well. Pure; one thread.
  */
 public final class EndpointAttempts {
     private final int most;
--- a/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
@@ -1,9 +1,5 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.engine.Clock;
-import whinlead.engine.Timers;
-import whinlead.loop.LoopTimers;
-import whinlead.mesh.wire.PeerMessage;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -37,14 +33,19 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
+import whinlead.engine.Clock;
+import whinlead.engine.Timers;
+import whinlead.loop.LoopTimers;
+import whinlead.mesh.wire.PeerMessage;
 
 /**
- * Connections to the endpoint beside this sidecar, and what became of a request there: has run, may have run,
- * has not. An answer is passed on only when it is whole and this request's own. On its loop's thread.
+ * Connections to the endpoint beside this sidecar, and what became of a request there: has run, may have run, has not.
+ * An answer is passed on only when it is whole and this request's own. On its loop's thread.
  */
 public final class EndpointConnections {
     /** The largest answer that is held, in bytes. */
     private static final int MAX_ANSWER = 16 << 20;
+
     private static final int CONNECT_MS = 800;
     /** Taken off what the endpoint is told: for its answer's way back. */
     private static final int BACK_MS = 15;
@@ -69,9 +70,15 @@
     private double idleMs = IDLE_MS;
 
     EndpointConnections(EventLoop loop, SocketAddress address) {
-        this(new LoopTimers(loop, new Clock()), handlers -> new Bootstrap().group(loop)
-                .channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS).handler(handlers).connect(address));
+        this(
+                new LoopTimers(loop, new Clock()),
+                handlers -> new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .handler(handlers)
+                        .connect(address));
     }
 
     /** A line by these timers, whose thread is its own too. */
@@ -86,8 +93,7 @@
         /**
          * Has it not written if it waits for a connection. Without effect once it has ended.
          *
-         * @param whileRunning whether its connection is closed if it has been written, which ends it at most
-         *     endpoints
+         * @param whileRunning whether its connection is closed if it has been written, which ends it at most endpoints
          */
         void cancel(boolean whileRunning);
     }
@@ -108,18 +114,21 @@
         }
         Wire made = new Wire();
         made.forwardRequest = forwardRequest;
-        connector.connect(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel ch) {
-                ch.pipeline().addLast(new HttpClientCodec(), made);
-            }
-        }).addListener(f -> {
-            if (f.isSuccess()) {
-                made.ask(forwardRequest, attempt, made.forwardRequest == null ? 0 : until, instance, done);
-            } else {
-                done.accept(new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
-            }
-        });
+        connector
+                .connect(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        ch.pipeline().addLast(new HttpClientCodec(), made);
+                    }
+                })
+                .addListener(f -> {
+                    if (f.isSuccess()) {
+                        made.ask(forwardRequest, attempt, made.forwardRequest == null ? 0 : until, instance, done);
+                    } else {
+                        done.accept(new PeerMessage.ForwardFailure(
+                                forwardRequest.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
+                    }
+                });
         return whileRunning -> made.cancel(forwardRequest, whileRunning);
     }
 
@@ -204,7 +213,12 @@
             }
         }
 
-        void ask(PeerMessage.ForwardRequest sent, String id, double until, String instance, Consumer<PeerMessage> whenDone) {
+        void ask(
+                PeerMessage.ForwardRequest sent,
+                String id,
+                double until,
+                String instance,
+                Consumer<PeerMessage> whenDone) {
             forwardRequest = sent;
             attempt = id;
             done = whenDone;
@@ -245,8 +259,11 @@
         }
 
         private FullHttpRequest written(PeerMessage.ForwardRequest sent, double left, String instance) {
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    HttpMethod.valueOf(sent.method()), sent.uri(), Unpooled.wrappedBuffer(sent.body()));
+            FullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    HttpMethod.valueOf(sent.method()),
+                    sent.uri(),
+                    Unpooled.wrappedBuffer(sent.body()));
             List<String> headers = sent.headers();
             for (int i = 0; i + 1 < headers.size(); i += 2) {
                 request.headers().add(headers.get(i), headers.get(i + 1));
@@ -255,8 +272,9 @@
             if (!instance.isEmpty()) {
                 request.headers().set(ForwardedHeaders.INSTANCE, instance);
             }
-            boolean bodied = sent.body().length > 0 || !HttpMethod.GET.name().equals(sent.method())
-                    && !HttpMethod.HEAD.name().equals(sent.method());
+            boolean bodied = sent.body().length > 0
+                    || !HttpMethod.GET.name().equals(sent.method())
+                            && !HttpMethod.HEAD.name().equals(sent.method());
             if (bodied) {
                 request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, sent.body().length);
             }
@@ -323,7 +341,8 @@
                 }
                 return;
             }
-            boolean keep = HttpUtil.isKeepAlive(answer) && !HttpMethod.CONNECT.name().equals(forwardRequest.method());
+            boolean keep =
+                    HttpUtil.isKeepAlive(answer) && !HttpMethod.CONNECT.name().equals(forwardRequest.method());
             idleMs = ResponseValidator.idleMs(answer, idleMs, IDLE_MS);
             PeerMessage.FailureReason why = ResponseValidator.reject(answer);
             Consumer<PeerMessage> tell = done;
@@ -332,8 +351,13 @@
             if (why != null) {
                 tell.accept(new PeerMessage.ForwardFailure(told.stream(), why, 0, 0));
             } else {
-                tell.accept(new PeerMessage.ForwardResponse(told.stream(), answer.status().code(),
-                        ForwardedHeaders.onward(answer.headers(), false), bytes, 0, 0));
+                tell.accept(new PeerMessage.ForwardResponse(
+                        told.stream(),
+                        answer.status().code(),
+                        ForwardedHeaders.onward(answer.headers(), false),
+                        bytes,
+                        0,
+                        0));
             }
         }
 
--- a/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
@@ -4,8 +4,8 @@
 import whinlead.mesh.rpc.RpcCall;
 
 /**
- * What the sidecar knows first hand of the endpoint beside it, and whether a request may go to it now. Pure;
- * one thread; times in milliseconds on one clock.
+ * What the sidecar knows first hand of the endpoint beside it, and whether a request may go to it now. Pure; one
+ * thread; times in milliseconds on one clock.
  */
 public final class EndpointGate {
     /** Where the endpoint stands. */
@@ -27,8 +27,8 @@
     /** What the endpoint may hold beyond what it works on, as a part of that: by rank, 0 the highest. */
     private static final double[] QUEUE = {1.0, 0.7, 0.4};
     /**
-     * Where requests of the highest rank come, the others get no place in the endpoint's queue but this, by
-     * rank: it serves in the order of arrival, and the highest would wait behind them.
+     * Where requests of the highest rank come, the others get no place in the endpoint's queue but this, by rank: it
+     * serves in the order of arrival, and the highest would wait behind them.
      */
     private static final double[] QUEUE_BEHIND = {1.0, 0.1, 0};
     /** From this many a second on, requests of the highest rank come. */
@@ -138,12 +138,16 @@
     }
 
     /** What may become of a request now. */
-    public enum Admission { OPEN, FULL, MOVED }
+    public enum Admission {
+        OPEN,
+        FULL,
+        MOVED
+    }
 
     /** Whether a request for this service, of this rank, may go to the endpoint now. */
     public Admission enter(double now, String service, int rank) {
-        boolean there = service.equals(target) && (state == State.SERVING
-                || state == State.DRAINING && now - drainAt < LAST_CALLS_MS);
+        boolean there = service.equals(target)
+                && (state == State.SERVING || state == State.DRAINING && now - drainAt < LAST_CALLS_MS);
         if (!there) {
             return Admission.MOVED;
         }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
@@ -1,22 +1,22 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.wire.PeerMessage;
 import java.util.HashMap;
 import java.util.Map;
+import whinlead.mesh.wire.PeerMessage;
 
 /**
- * The requests of other sidecars, and of this one, that are under way at the endpoint beside it, so that they
- * can be cancelled. One thread.
+ * The requests of other sidecars, and of this one, that are under way at the endpoint beside it, so that they can be
+ * cancelled. One thread.
  */
 public final class EndpointRequests {
     /** A request's sender, which is a link or this sidecar itself, and its number there. */
-    private record Key(Object sender, long stream) { }
+    private record Key(Object sender, long stream) {}
 
     private final Map<Key, EndpointConnections.Sent> requests = new HashMap<>();
 
     /** A request is about to be sent; it may end before {@link #sent}. */
     public void begin(Object sender, long stream) {
-        requests.put(new Key(sender, stream), whileRunning -> { });
+        requests.put(new Key(sender, stream), whileRunning -> {});
     }
 
     /** It was sent. */
--- a/src/main/java/whinlead/mesh/sidecar/ForwardedHeaders.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedHeaders.java
@@ -20,17 +20,26 @@
     static final String NOT_EXECUTED = "Not-Executed";
 
     /** Of one connection only, or made anew behind. */
-    private static final Set<String> OWN = Set.of("connection", "keep-alive", "proxy-connection", "te",
-            "trailer", "transfer-encoding", "upgrade", "proxy-authenticate", "proxy-authorization",
-            "content-length", "expect");
+    private static final Set<String> OWN = Set.of(
+            "connection",
+            "keep-alive",
+            "proxy-connection",
+            "te",
+            "trailer",
+            "transfer-encoding",
+            "upgrade",
+            "proxy-authenticate",
+            "proxy-authorization",
+            "content-length",
+            "expect");
     /** What the system alone tells endpoints. */
-    private static final Set<String> SYSTEM = Set.of("tenant", "api-key", "caller-service",
-            "target-instance", "deadline-ms");
+    private static final Set<String> SYSTEM =
+            Set.of("tenant", "api-key", "caller-service", "target-instance", "deadline-ms");
 
     /** End to end, whatever a connection says of them: what an answer is known by and proved by. */
     private static final Set<String> END_TO_END = Set.of("attempt-id", "server-seal");
 
-    private ForwardedHeaders() { }
+    private ForwardedHeaders() {}
 
     /** Names and values in turn, without those of one connection and, of requests, the system's. */
     static List<String> onward(HttpHeaders headers, boolean request) {
--- a/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
@@ -4,10 +4,10 @@
 import whinlead.mesh.wire.TransitClock;
 
 /**
- * What is left of the time of a request that another sidecar forwarded. What it waited on its way is taken
- * off; where that can't be known, nothing is left: on a connection that was made while this process stood
- * still (it was frozen, or had no processor), the first messages have nothing to be compared with. Pure; one
- * thread; times in milliseconds on one steady clock.
+ * What is left of the time of a request that another sidecar forwarded. What it waited on its way is taken off; where
+ * that can't be known, nothing is left: on a connection that was made while this process stood still (it was frozen, or
+ * had no processor), the first messages have nothing to be compared with. Pure; one thread; times in milliseconds on
+ * one steady clock.
  */
 public final class ForwardedTime {
     /** Standing still for less is not noticed. */
--- a/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
+++ b/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
@@ -1,17 +1,17 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.registry.EndpointRegistry;
-import whinlead.mesh.registry.EndpointRecord;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.registry.EndpointRegistry;
 
 /**
- * Notes which services' lists of endpoints a change has made out of date, and has each of them made anew once
- * for all that changes in one turn of the loop. An endpoint record concerns the service that it names and the one that
- * its sidecar named before. On the loop's thread.
+ * Notes which services' lists of endpoints a change has made out of date, and has each of them made anew once for all
+ * that changes in one turn of the loop. An endpoint record concerns the service that it names and the one that its
+ * sidecar named before. On the loop's thread.
  */
 final class OutdatedLists {
     private final Executor loop;
--- a/src/main/java/whinlead/mesh/sidecar/Readiness.java
+++ b/src/main/java/whinlead/mesh/sidecar/Readiness.java
@@ -33,23 +33,30 @@
     }
 
     ChannelFuture listen(SocketAddress address) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                                new Asked());
+                        ch.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                        new Asked());
                     }
-                }).bind(address);
+                })
+                .bind(address);
     }
 
     private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            HttpResponseStatus status = !PATH.equals(request.uri()) ? HttpResponseStatus.NOT_FOUND
+            HttpResponseStatus status = !PATH.equals(request.uri())
+                    ? HttpResponseStatus.NOT_FOUND
                     : ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    Unpooled.EMPTY_BUFFER);
+            DefaultFullHttpResponse answer =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
             answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
             ctx.writeAndFlush(answer);
         }
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -1,15 +1,5 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.Contract;
-import whinlead.engine.Transport;
-import whinlead.engine.Clock;
-import whinlead.engine.Timers;
-import whinlead.loop.LoopTimers;
-import whinlead.mesh.registry.EndpointRegistry;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.log.Event;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.ReconnectingConnection;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -22,14 +12,25 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import whinlead.Contract;
+import whinlead.engine.Clock;
+import whinlead.engine.Timers;
+import whinlead.engine.Transport;
+import whinlead.loop.LoopTimers;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
 
 /**
- * The ways to the sidecars beside the endpoints: a connection to each that was used, and the requests out on it.
- * Each request is written once at most, on one connection, under a number that this process gives once; what
- * comes back counts for the request of that number and no other. On its loop's thread.
+ * The ways to the sidecars beside the endpoints: a connection to each that was used, and the requests out on it. Each
+ * request is written once at most, on one connection, under a number that this process gives once; what comes back
+ * counts for the request of that number and no other. On its loop's thread.
  */
 public final class RequestForwarder {
-    private static final ReconnectingConnection.Timeouts PACE = new ReconnectingConnection.Timeouts(250, 700, 5000, 250);
+    private static final ReconnectingConnection.Timeouts PACE =
+            new ReconnectingConnection.Timeouts(250, 700, 5000, 250);
     private static final double MICROS = 1000;
 
     /** Takes requests for the endpoint beside this sidecar. */
@@ -38,14 +39,14 @@
         void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done);
 
         /** The client of a request that was delivered has left. */
-        default void cancel(PeerMessage.Cancel cancel) { }
+        default void cancel(PeerMessage.Cancel cancel) {}
     }
 
     /** A request that was sent. */
     public interface Sent extends Transport.Sending {
         /**
-         * Gives it up because its client has left: what has not been written never is, and the other sidecar
-         * is told of what was. One that may be repeated is then ended at its endpoint.
+         * Gives it up because its client has left: what has not been written never is, and the other sidecar is told of
+         * what was. One that may be repeated is then ended at its endpoint.
          */
         void cancel();
     }
@@ -94,10 +95,20 @@
      *
      * @param changed told when a node has come into reach or gone out of it
      */
-    RequestForwarder(EventLoop loop, String self, LocalEndpoint local, PeerMessage hello,
-            Function<String, SocketAddress> addresses, Runnable changed) {
-        this(new LoopTimers(loop, new Clock()), loop, self, local,
-                (node, ear) -> new Tied(loop, node, addresses.apply(node), hello, ear), changed);
+    RequestForwarder(
+            EventLoop loop,
+            String self,
+            LocalEndpoint local,
+            PeerMessage hello,
+            Function<String, SocketAddress> addresses,
+            Runnable changed) {
+        this(
+                new LoopTimers(loop, new Clock()),
+                loop,
+                self,
+                local,
+                (node, ear) -> new Tied(loop, node, addresses.apply(node), hello, ear),
+                changed);
     }
 
     /**
@@ -105,7 +116,12 @@
      *
      * @param soon runs a task on this thread, after the one that runs
      */
-    public RequestForwarder(Timers timers, Executor soon, String self, LocalEndpoint local, BiFunction<String, Ear, Path> paths,
+    public RequestForwarder(
+            Timers timers,
+            Executor soon,
+            String self,
+            LocalEndpoint local,
+            BiFunction<String, Ear, Path> paths,
             Runnable changed) {
         this.timers = timers;
         this.soon = soon;
@@ -176,9 +192,10 @@
         private final Consumer<PeerMessage> done;
         private final boolean repeatable;
         private final BooleanSupplier elsewhere;
-        private Runnable forget = () -> { };
+        private Runnable forget = () -> {};
         /** Tells the other sidecar that its client has left. */
-        private Runnable tellCancelled = () -> { };
+        private Runnable tellCancelled = () -> {};
+
         private boolean written;
         private boolean over;
 
@@ -219,7 +236,7 @@
     }
 
     /** A request that waits for its path, and until when its answer is of use. */
-    private record Waiting(PeerMessage.ForwardRequest request, double until) { }
+    private record Waiting(PeerMessage.ForwardRequest request, double until) {}
 
     private final class Way implements Ear {
         private final Path path;
@@ -254,7 +271,8 @@
                 if (!silent || o.leavesSilence()) {
                     out.remove(e.getKey());
                     waiting.remove(e.getKey());
-                    o.end(new PeerMessage.ForwardFailure(e.getKey(), o.written ? why : PeerMessage.FailureReason.UNREACHED, 0, 0));
+                    o.end(new PeerMessage.ForwardFailure(
+                            e.getKey(), o.written ? why : PeerMessage.FailureReason.UNREACHED, 0, 0));
                 }
             }
         }
@@ -288,7 +306,8 @@
 
         @Override
         public void message(PeerMessage message) {
-            long stream = message instanceof PeerMessage.ForwardResponse d ? d.stream()
+            long stream = message instanceof PeerMessage.ForwardResponse d
+                    ? d.stream()
                     : message instanceof PeerMessage.ForwardFailure r ? r.stream() : -1;
             Out o = out.remove(stream);
             if (o != null) {
@@ -300,7 +319,9 @@
     /** Whether a request for this node can be sent now, or at least is worth a try. */
     boolean reaches(String node) {
         Way way = ways.get(node);
-        return node.equals(self) || way == null || way.path.state() == ReconnectingConnection.State.UP
+        return node.equals(self)
+                || way == null
+                || way.path.state() == ReconnectingConnection.State.UP
                 || way.path.state() == ReconnectingConnection.State.DIALLING && !way.waiting.isEmpty();
     }
 
@@ -323,7 +344,8 @@
     void keep(EndpointRegistry endpointRegistry) {
         for (String node : List.copyOf(ways.keySet())) {
             EndpointRecord l = endpointRegistry.of(node);
-            if ((l == null || l.phase() == EndpointRecord.Phase.GONE) && ways.get(node).out.isEmpty()) {
+            if ((l == null || l.phase() == EndpointRecord.Phase.GONE)
+                    && ways.get(node).out.isEmpty()) {
                 ways.remove(node).path.close();
             }
         }
@@ -339,10 +361,14 @@
      *
      * @param draft with any number
      * @param repeatable whether it may run again
-     * @param elsewhere whether another endpoint may be asked, so that it needn't wait for a path that is
-     *     silent; asked once the path is
+     * @param elsewhere whether another endpoint may be asked, so that it needn't wait for a path that is silent; asked
+     *     once the path is
      */
-    public Sent send(String node, PeerMessage.ForwardRequest draft, boolean repeatable, BooleanSupplier elsewhere,
+    public Sent send(
+            String node,
+            PeerMessage.ForwardRequest draft,
+            boolean repeatable,
+            BooleanSupplier elsewhere,
             Consumer<PeerMessage> done) {
         Out o = new Out(done, repeatable, elsewhere);
         long stream = ++streams;
@@ -360,22 +386,24 @@
             way.waiting.remove(stream);
         };
         o.tellCancelled = () -> way.path.send(cancel);
-        Waiting w = new Waiting(numbered(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED),
-                timers.now() + draft.leftMs());
+        Waiting w = new Waiting(
+                numbered(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), timers.now() + draft.leftMs());
         if (way.path.state() == ReconnectingConnection.State.UP) {
             way.write(w);
         } else if (way.path.state() == ReconnectingConnection.State.SUSPECT) {
             way.out.remove(stream);
-            soon.execute(() -> o.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0)));
+            soon.execute(
+                    () -> o.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0)));
         } else {
             way.waiting.put(stream, w);
         }
         return o;
     }
 
-    private static PeerMessage.ForwardRequest numbered(long stream, PeerMessage.ForwardRequest p, int leftMs, long sentAt) {
-        return new PeerMessage.ForwardRequest(stream, p.method(), p.uri(), p.headers(), p.body(), leftMs, p.target(),
-                p.endpoint(), p.rank(), sentAt);
+    private static PeerMessage.ForwardRequest numbered(
+            long stream, PeerMessage.ForwardRequest p, int leftMs, long sentAt) {
+        return new PeerMessage.ForwardRequest(
+                stream, p.method(), p.uri(), p.headers(), p.body(), leftMs, p.target(), p.endpoint(), p.rank(), sentAt);
     }
 
     /** What the module is told of a message. */
--- a/src/main/java/whinlead/mesh/sidecar/ResponseValidator.java
+++ b/src/main/java/whinlead/mesh/sidecar/ResponseValidator.java
@@ -1,16 +1,16 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.mesh.wire.PeerMessage;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import java.util.List;
+import whinlead.mesh.wire.PeerMessage;
 
 /**
- * Whether an endpoint's answer may be passed on, by its head. What may not is never passed on in part: the
- * client gets an answer of this system's own, with none of the endpoint's headers. For any thread.
+ * Whether an endpoint's answer may be passed on, by its head. What may not is never passed on in part: the client gets
+ * an answer of this system's own, with none of the endpoint's headers. For any thread.
  */
 final class ResponseValidator {
     private static final String KEEP_ALIVE = "Keep-Alive";
@@ -20,16 +20,19 @@
     private static final int TOO_MANY = 429;
     private static final int UNAVAILABLE = 503;
 
-    private ResponseValidator() { }
+    private ResponseValidator() {}
 
     /**
-     * Whether the end of its body can be told, and the body is the endpoint's own: by a length, by chunks
-     * with no other coding, or by the end of the connection.
+     * Whether the end of its body can be told, and the body is the endpoint's own: by a length, by chunks with no other
+     * coding, or by the end of the connection.
      */
     static boolean isFramed(HttpResponse answer) {
         List<String> codings = answer.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        return codings.isEmpty() || codings.size() == 1 && !HttpUtil.isContentLengthSet(answer)
-                && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).trim());
+        return codings.isEmpty()
+                || codings.size() == 1
+                        && !HttpUtil.isContentLengthSet(answer)
+                        && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
+                                codings.get(0).trim());
     }
 
     /** Why a whole answer is not for the client, or null if it is. */
@@ -42,8 +45,9 @@
             return PeerMessage.FailureReason.TURNED_AWAY;
         }
         boolean success = answer.status().codeClass() == HttpStatusClass.SUCCESS;
-        if (success && (!answer.headers().contains(ForwardedHeaders.SEAL)
-                || answer.headers().contains(HttpHeaderNames.CONTENT_ENCODING))) {
+        if (success
+                && (!answer.headers().contains(ForwardedHeaders.SEAL)
+                        || answer.headers().contains(HttpHeaderNames.CONTENT_ENCODING))) {
             return PeerMessage.FailureReason.BROKEN;
         }
         // Without a word of the endpoint's, these would promise that the request has not run.
--- a/src/main/java/whinlead/mesh/sidecar/RetryBudget.java
+++ b/src/main/java/whinlead/mesh/sidecar/RetryBudget.java
@@ -1,8 +1,8 @@
 package whinlead.mesh.sidecar;
 
 /**
- * This sidecar's part of the budget of further arrivals at one service: each request pays in a part of what
- * the rules allow, and an even share of the rules' slack may be saved up. Pure; one thread.
+ * This sidecar's part of the budget of further arrivals at one service: each request pays in a part of what the rules
+ * allow, and an even share of the rules' slack may be saved up. Pure; one thread.
  */
 public final class RetryBudget {
     /** Of what the rules allow, what is spent: calls of a repeated run count too, and nobody counts them here. */
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -1,32 +1,34 @@
 package whinlead.mesh.sidecar;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import whinlead.Contract;
 import whinlead.decide.Decide;
+import whinlead.engine.Engine;
 import whinlead.engine.Request;
 import whinlead.engine.ResponseSink;
-import whinlead.engine.Transport;
-import whinlead.engine.Engine;
 import whinlead.engine.Timers;
+import whinlead.engine.Transport;
 import whinlead.membership.EndpointList;
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.log.Event;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.settings.NodeSettings;
 import whinlead.mesh.wire.PeerMessage;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 
 /**
- * One service as this sidecar sees it: an engine with a module of its own, fed with the endpoints that are
- * listed and in reach. On its loop's thread.
+ * One service as this sidecar sees it: an engine with a module of its own, fed with the endpoints that are listed and
+ * in reach. On its loop's thread.
  */
 public final class ServiceBalancer {
     /** The module may try so many endpoints; what truly arrives is bounded by the route and the budget. */
     private static final int ATTEMPTS = 4;
+
     private static final double MAX_RETRY_AFTER = 2000;
     /** A cold endpoint is taken to do this part of what a warm one does, for so long. */
     private static final double COLD_SHARE = 0.5;
+
     private static final double COLD_MS = 3000;
     private static final double FALL_MULTIPLE = 3;
     /** The size of an endpoint in another zone, where those of one zone come first. */
@@ -47,24 +49,42 @@
      * @param near the zone whose endpoints come first in the walk, or null where all are alike
      * @param retryBudgets the service's budget of further tries
      */
-    ServiceBalancer(Timers timers, RequestClasses classes, NodeSettings nodeSettings, int sidecars, long seed, RequestForwarder round, String near,
+    ServiceBalancer(
+            Timers timers,
+            RequestClasses classes,
+            NodeSettings nodeSettings,
+            int sidecars,
+            long seed,
+            RequestForwarder round,
+            String near,
             RetryBudget retryBudgets) {
         this.timers = timers;
         this.round = round;
         this.near = near;
         this.retryBudgets = retryBudgets;
-        Contract.Settings settings = settings(classes, nodeSettings.clauses().bounds().drainS(), sidecars);
-        this.engine = new Engine(timers, settings, out -> new TicklessModule(out,
-                watched -> new Decide(settings, seed, watched)), list -> { }, Event.MODULE::log);
-        engine.start(() -> { }, null);
+        Contract.Settings settings =
+                settings(classes, nodeSettings.clauses().bounds().drainS(), sidecars);
+        this.engine = new Engine(
+                timers,
+                settings,
+                out -> new TicklessModule(out, watched -> new Decide(settings, seed, watched)),
+                list -> {},
+                Event.MODULE::log);
+        engine.start(() -> {}, null);
     }
 
     /** What the module of a service starts from, at one of so many sidecars. */
     public static Contract.Settings settings(RequestClasses classes, double drainS, int sidecars) {
-        return new Contract.Settings(classes.all(), List.of(), 1,
+        return new Contract.Settings(
+                classes.all(),
+                List.of(),
+                1,
                 new Contract.Limits(ATTEMPTS, false, false, false, false, true, MAX_RETRY_AFTER, 1),
                 new Contract.Obligations(drainS * 1000, FALL_MULTIPLE, COLD_MS, COLD_SHARE, COLD_MS, COLD_MS),
-                Contract.Reporting.WITH_ANSWERS, false, Math.max(1, sidecars), 0);
+                Contract.Reporting.WITH_ANSWERS,
+                false,
+                Math.max(1, sidecars),
+                0);
     }
 
     /** The endpoints as listed now. */
@@ -75,13 +95,18 @@
         for (EndpointRecord l : records) {
             boolean up = l.open() && round.reaches(l.node());
             double now = timers.now();
-            double start = started.getOrDefault(l.endpoint(),
-                    l.warmMs() > 0 ? now - (COLD_MS - l.warmMs()) : 0);
+            double start = started.getOrDefault(l.endpoint(), l.warmMs() > 0 ? now - (COLD_MS - l.warmMs()) : 0);
             times.put(l.endpoint(), start);
             nodes.put(l.endpoint(), l.node());
-            entries.add(new EndpointList.Entry(new Contract.Server(l.endpoint(), up ? Contract.Standing.UP
-                    : Contract.Standing.DRAINING, near == null || near.equals(l.zone()) ? 1 : FAR, l.zone(),
-                    -1, start), null));
+            entries.add(new EndpointList.Entry(
+                    new Contract.Server(
+                            l.endpoint(),
+                            up ? Contract.Standing.UP : Contract.Standing.DRAINING,
+                            near == null || near.equals(l.zone()) ? 1 : FAR,
+                            l.zone(),
+                            -1,
+                            start),
+                    null));
         }
         started.clear();
         started.putAll(times);
@@ -125,6 +150,7 @@
         private final EndpointAttempts attempts;
         /** The attempt that is out, of which there is one at most; and who hears of its end. */
         private RequestForwarder.Sent out;
+
         private Outcomes<PeerMessage.ForwardResponse> outcomes;
 
         private Delivery(Shipment shipment) {
@@ -141,8 +167,12 @@
             }
             attempts.sent();
             outcomes = told;
-            RequestForwarder.Sent sent = round.send(node, shipment.request(endpoint), shipment.repeatable(),
-                    () -> attempts.mayBeSent() && retryBudgets.affords(), message -> came(message, told));
+            RequestForwarder.Sent sent = round.send(
+                    node,
+                    shipment.request(endpoint),
+                    shipment.repeatable(),
+                    () -> attempts.mayBeSent() && retryBudgets.affords(),
+                    message -> came(message, told));
             out = sent;
             return () -> {
                 out = null;
@@ -172,13 +202,17 @@
                 attempts.returned(r.why());
                 report = report(r.util(), r.perSecond());
             }
-            told.ended(RequestForwarder.outcome(message), message instanceof PeerMessage.ForwardResponse d ? d : null, report);
+            told.ended(
+                    RequestForwarder.outcome(message),
+                    message instanceof PeerMessage.ForwardResponse d ? d : null,
+                    report);
         }
 
         private Contract.Report report(double util, double perSecond) {
             // Where one zone comes first, sizes are by zone and not by what endpoints can do.
             return perSecond > 0 && near == null
-                    ? new Contract.Report(Double.NaN, Double.NaN, util, Double.NaN, perSecond, 0) : null;
+                    ? new Contract.Report(Double.NaN, Double.NaN, util, Double.NaN, perSecond, 0)
+                    : null;
         }
 
         @Override
--- a/src/main/java/whinlead/mesh/sidecar/Shutdown.java
+++ b/src/main/java/whinlead/mesh/sidecar/Shutdown.java
@@ -1,13 +1,13 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.engine.Timers;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.IntSupplier;
+import whinlead.engine.Timers;
 
 /**
- * What a sidecar does between SIGTERM and its end. It serves on while its clients are led elsewhere; then it
- * ends connections after their answers; from half of the grace on it begins nothing more; and shortly before
- * the kill it answers what is still under way. It ends as soon as nothing is. On the thread of its timers.
+ * What a sidecar does between SIGTERM and its end. It serves on while its clients are led elsewhere; then it ends
+ * connections after their answers; from half of the grace on it begins nothing more; and shortly before the kill it
+ * answers what is still under way. It ends as soon as nothing is. On the thread of its timers.
  */
 final class Shutdown {
     /** Clients need so long at most to be led elsewhere: two questions for readiness and a little. */
@@ -18,6 +18,7 @@
     private static final double ANSWER_S = 0.8;
     /** How long these answers may take to go out. */
     private static final double FLUSH_S = 0.2;
+
     private static final double LOOK_MS = 100;
     private static final double MS = 1000;
 
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -1,23 +1,5 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.engine.Clock;
-import whinlead.engine.Timers;
-import whinlead.loop.LoopTimers;
-import whinlead.membership.EndpointList;
-import whinlead.mesh.quota.TenantQuota;
-import whinlead.mesh.quota.TenantDemand;
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.registry.EndpointRegistry;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.log.Event;
-import whinlead.mesh.rpc.RpcResponse;
-import whinlead.mesh.rpc.RpcCall;
-import whinlead.mesh.rpc.RpcServer;
-import whinlead.mesh.config.RoutingTable;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerConnection;
-import whinlead.mesh.wire.ProtocolVersion;
-import whinlead.mesh.wire.TimerGrid;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelOption;
@@ -34,10 +16,28 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
+import whinlead.engine.Clock;
+import whinlead.engine.Timers;
+import whinlead.loop.LoopTimers;
+import whinlead.membership.EndpointList;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.quota.TenantDemand;
+import whinlead.mesh.quota.TenantQuota;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.rpc.RpcCall;
+import whinlead.mesh.rpc.RpcResponse;
+import whinlead.mesh.rpc.RpcServer;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.wire.PeerConnection;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ProtocolVersion;
+import whinlead.mesh.wire.TimerGrid;
 
 /**
- * A sidecar: the sidecar of one auxiliary machine. It takes the requests that begin there, carries them to
- * the sidecar beside the endpoint that the module chose, and hands in those that are for its own endpoint.
+ * A sidecar: the sidecar of one auxiliary machine. It takes the requests that begin there, carries them to the sidecar
+ * beside the endpoint that the module chose, and hands in those that are for its own endpoint.
  */
 public final class Sidecar implements PeerConnection.MessageHandler {
     private static final long TICK_MS = 100;
@@ -47,6 +47,7 @@
     private static final double USES_MS = 350;
     /** Services that modules are kept for. */
     private static final int MAX_BALANCERS = 256;
+
     private static final int BACKLOG = 512;
     private static final int NONE = 404;
     private static final double NANOS_IN_MILLI = 1e6;
@@ -57,6 +58,7 @@
     private final Timers timers;
     /** On which the services' modules act together. */
     private final Timers beat;
+
     private final String node;
     private final PeerMessage.Hello greeting;
     private final EndpointGate gate;
@@ -86,33 +88,47 @@
     }
 
     /** One that dials what this makes of a control node's or another sidecar's address. */
-    public Sidecar(NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
+    public Sidecar(
+            NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
         this.nodeSettings = nodeSettings;
         this.loop = loop;
         this.mapper = mapper;
         this.timers = new LoopTimers(loop, new Clock());
-        this.beat = new AlignedTimers(timers, RequestClasses.period(), timers.now()
-                + untilNext((long) RequestClasses.period()) / NANOS_IN_MILLI);
+        this.beat = new AlignedTimers(
+                timers,
+                RequestClasses.period(),
+                timers.now() + untilNext((long) RequestClasses.period()) / NANOS_IN_MILLI);
         this.node = NodeSettings.present(nodeSettings.network().bind().ingress(), "Network.Bind.Ingress");
         this.gate = new EndpointGate(nodeSettings.substrate().heartbeatS() * 1000);
-        this.line = new EndpointConnections(loop, EndpointList.address(NodeSettings.present(nodeSettings.self().appAddr(),
-                "Self.AppAddr")));
+        this.line = new EndpointConnections(
+                loop,
+                EndpointList.address(NodeSettings.present(nodeSettings.self().appAddr(), "Self.AppAddr")));
         this.greeting = new PeerMessage.Hello(node, false);
-        this.round = new RequestForwarder(loop, node, new RequestForwarder.LocalEndpoint() {
-            @Override
-            public void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
-                Sidecar.this.deliver(node, request, done);
-            }
-
-            @Override
-            public void cancel(PeerMessage.Cancel cancel) {
-                requests.cancel(node, cancel);
-            }
-        }, greeting, address -> dials.apply(EndpointList.address(address)), this::reachChanged);
+        this.round = new RequestForwarder(
+                loop,
+                node,
+                new RequestForwarder.LocalEndpoint() {
+                    @Override
+                    public void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
+                        Sidecar.this.deliver(node, request, done);
+                    }
+
+                    @Override
+                    public void cancel(PeerMessage.Cancel cancel) {
+                        requests.cancel(node, cancel);
+                    }
+                },
+                greeting,
+                address -> dials.apply(EndpointList.address(address)),
+                this::reachChanged);
         this.outdated = new OutdatedLists(loop, endpointRegistry, this::refresh);
         NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
-        this.allowance = new TenantQuota(timers.now(), bounds.quotaSlack(), bounds.quotaExcess(),
-                bounds.quotaWindowS(), new SecureRandom().nextLong());
+        this.allowance = new TenantQuota(
+                timers.now(),
+                bounds.quotaSlack(),
+                bounds.quotaExcess(),
+                bounds.quotaWindowS(),
+                new SecureRandom().nextLong());
         this.controlClient = new ControlClient(loop, nodeSettings, greeting, dials, new ControlClient.Listener() {
             @Override
             public void posted(List<EndpointRecord> records) {
@@ -121,8 +137,11 @@
 
             @Override
             public List<String> others() {
-                return endpointRegistry.all().stream().filter(l -> l.phase() != EndpointRecord.Phase.GONE
-                        && !l.node().equals(node)).map(EndpointRecord::node).toList();
+                return endpointRegistry.all().stream()
+                        .filter(l -> l.phase() != EndpointRecord.Phase.GONE
+                                && !l.node().equals(node))
+                        .map(EndpointRecord::node)
+                        .toList();
             }
 
             @Override
@@ -140,8 +159,15 @@
                 allowance.sums(timers.now(), nodes, totals);
             }
         });
-        this.egress = new EgressListener(loop, timers, controlClient::routing, this::balancer, this::service,
-                endpointRegistry::present, allowance, classes);
+        this.egress = new EgressListener(
+                loop,
+                timers,
+                controlClient::routing,
+                this::balancer,
+                this::service,
+                endpointRegistry::present,
+                allowance,
+                classes);
     }
 
     /**
@@ -151,20 +177,27 @@
      */
     public void start() throws InterruptedException {
         NodeSettings.Bind bind = nodeSettings.network().bind();
-        new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).childHandler(PeerConnection.handlers(this))
-                .bind(EndpointList.address(node)).sync();
-        new RpcServer(loop, mapper, this::run).listen(EndpointList.address(
-                NodeSettings.present(bind.control(), "Network.Bind.Control"))).sync();
-        new Readiness(loop, () -> ready && !leaving).listen(EndpointList.address(
-                NodeSettings.present(bind.readiness(), "Network.Bind.Readiness"))).sync();
-        egress.listen(EndpointList.address(NodeSettings.present(bind.egress(), "Network.Bind.Egress"))).sync();
+        new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childHandler(PeerConnection.handlers(this))
+                .bind(EndpointList.address(node))
+                .sync();
+        new RpcServer(loop, mapper, this::run)
+                .listen(EndpointList.address(NodeSettings.present(bind.control(), "Network.Bind.Control")))
+                .sync();
+        new Readiness(loop, () -> ready && !leaving)
+                .listen(EndpointList.address(NodeSettings.present(bind.readiness(), "Network.Bind.Readiness")))
+                .sync();
+        egress.listen(EndpointList.address(NodeSettings.present(bind.egress(), "Network.Bind.Egress")))
+                .sync();
         Event.STARTED.log("sidecar " + node + " of " + nodeSettings.self().node());
         loop.execute(() -> {
             say(true);
             controlClient.start();
-            loop.scheduleAtFixedRate(this::tick, untilNext(TICK_MS), TimeUnit.MILLISECONDS.toNanos(TICK_MS),
-                    TimeUnit.NANOSECONDS);
+            loop.scheduleAtFixedRate(
+                    this::tick, untilNext(TICK_MS), TimeUnit.MILLISECONDS.toNanos(TICK_MS), TimeUnit.NANOSECONDS);
         });
     }
 
@@ -196,7 +229,8 @@
     }
 
     private String service() {
-        return gate.target().isEmpty() && nodeSettings.self().target() != null ? nodeSettings.self().target()
+        return gate.target().isEmpty() && nodeSettings.self().target() != null
+                ? nodeSettings.self().target()
                 : gate.target();
     }
 
@@ -210,10 +244,17 @@
                 throw new IllegalStateException("over " + MAX_BALANCERS + " services");
             }
             NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
-            RetryBudget paid = retryBudgets.computeIfAbsent(target,
-                    t -> new RetryBudget(bounds.retryRatio(), bounds.retrySlack()));
-            known = new ServiceBalancer(beat, classes, nodeSettings, endpointRegistry.present(), new SecureRandom().nextLong(),
-                    round, large ? nodeSettings.self().zone() : null, paid);
+            RetryBudget paid = retryBudgets.computeIfAbsent(
+                    target, t -> new RetryBudget(bounds.retryRatio(), bounds.retrySlack()));
+            known = new ServiceBalancer(
+                    beat,
+                    classes,
+                    nodeSettings,
+                    endpointRegistry.present(),
+                    new SecureRandom().nextLong(),
+                    round,
+                    large ? nodeSettings.self().zone() : null,
+                    paid);
             kind.put(target, known);
             known.update(endpointRegistry.endpoints(target));
         }
@@ -230,7 +271,9 @@
         round.keep(endpointRegistry);
         for (String service : services) {
             List<EndpointRecord> endpoints = endpointRegistry.endpoints(service);
-            Stream.of(balancers, largeBalancers).map(kind -> kind.get(service)).filter(Objects::nonNull)
+            Stream.of(balancers, largeBalancers)
+                    .map(kind -> kind.get(service))
+                    .filter(Objects::nonNull)
                     .forEach(balancer -> balancer.update(endpoints));
         }
     }
@@ -285,8 +328,15 @@
     private void say(boolean changed) {
         if (changed) {
             seq++;
-            EndpointRecord mine = new EndpointRecord(node, life, seq, nodeSettings.self().zone(), gate.endpoint(), service(),
-                    leaving ? EndpointRecord.Phase.DRAINING : gate.phase(), gate.capacity(),
+            EndpointRecord mine = new EndpointRecord(
+                    node,
+                    life,
+                    seq,
+                    nodeSettings.self().zone(),
+                    gate.endpoint(),
+                    service(),
+                    leaving ? EndpointRecord.Phase.DRAINING : gate.phase(),
+                    gate.capacity(),
                     gate.warmMs(timers.now()));
             outdated.merge(mine);
         }
@@ -328,8 +378,13 @@
     private void deliver(Object sender, PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
         EndpointGate.Admission entry = gate.enter(timers.now(), request.target(), request.rank());
         if (entry != EndpointGate.Admission.OPEN) {
-            PeerMessage no = new PeerMessage.ForwardFailure(request.stream(), entry == EndpointGate.Admission.FULL ? PeerMessage.FailureReason.FULL
-                    : PeerMessage.FailureReason.MOVED, gate.util(), gate.perSecond());
+            PeerMessage no = new PeerMessage.ForwardFailure(
+                    request.stream(),
+                    entry == EndpointGate.Admission.FULL
+                            ? PeerMessage.FailureReason.FULL
+                            : PeerMessage.FailureReason.MOVED,
+                    gate.util(),
+                    gate.perSecond());
             // Not in the caller's own call: it has not noted yet that it sent.
             loop.execute(() -> done.accept(no));
             return;
@@ -339,10 +394,15 @@
         EndpointConnections.Sent sent = line.send(request, gate.endpoint(), message -> {
             requests.ended(sender, request.stream());
             gate.ended(timers.now(), message instanceof PeerMessage.ForwardResponse);
-            done.accept(message instanceof PeerMessage.ForwardResponse d ? new PeerMessage.ForwardResponse(d.stream(), d.status(),
-                    d.headers(), d.body(), gate.util(), gate.perSecond())
-                    : new PeerMessage.ForwardFailure(request.stream(), ((PeerMessage.ForwardFailure) message).why(), gate.util(),
-                            gate.perSecond()));
+            done.accept(
+                    message instanceof PeerMessage.ForwardResponse d
+                            ? new PeerMessage.ForwardResponse(
+                                    d.stream(), d.status(), d.headers(), d.body(), gate.util(), gate.perSecond())
+                            : new PeerMessage.ForwardFailure(
+                                    request.stream(),
+                                    ((PeerMessage.ForwardFailure) message).why(),
+                                    gate.util(),
+                                    gate.perSecond()));
         });
         requests.sent(sender, request.stream(), sent);
     }
@@ -350,10 +410,10 @@
     // --- other sidecars' links to this one
 
     @Override
-    public void up(PeerConnection link) { }
+    public void up(PeerConnection link) {}
 
     @Override
-    public void down(PeerConnection link) { }
+    public void down(PeerConnection link) {}
 
     @Override
     public void message(PeerConnection link, PeerMessage message) {
@@ -380,8 +440,8 @@
     private void forwarded(PeerConnection link, PeerMessage.ForwardRequest request) {
         int left = forwardedTime.left(timers.now(), link.transit(), request);
         if (left == 0) {
-            link.send(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.UNREACHED, gate.util(),
-                    gate.perSecond()));
+            link.send(new PeerMessage.ForwardFailure(
+                    request.stream(), PeerMessage.FailureReason.UNREACHED, gate.util(), gate.perSecond()));
             return;
         }
         deliver(link, request.withLeft(left), answer -> {
--- a/src/main/java/whinlead/mesh/sidecar/StartupConfig.java
+++ b/src/main/java/whinlead/mesh/sidecar/StartupConfig.java
@@ -3,10 +3,9 @@
 import whinlead.mesh.consensus.Decision;
 
 /**
- * What a sidecar that has no configuration yet begins with. A control node that is cut off may know an old one
- * only, so what a control node in contact with a majority says is taken at once, and anything else only after a
- * while in which none such answered: better served by the newest in reach than not at all. Pure; one thread;
- * times in milliseconds.
+ * What a sidecar that has no configuration yet begins with. A control node that is cut off may know an old one only, so
+ * what a control node in contact with a majority says is taken at once, and anything else only after a while in which
+ * none such answered: better served by the newest in reach than not at all. Pure; one thread; times in milliseconds.
  */
 final class StartupConfig {
     /** How long a control node in contact with a majority is waited for, from the first answer of any. */
--- a/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
+++ b/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
@@ -1,16 +1,16 @@
 package whinlead.mesh.sidecar;
 
-import whinlead.Contract;
 import java.util.List;
 import java.util.function.Function;
+import whinlead.Contract;
 
 /**
- * Runs a balancer's periods without a timer while its service is idle. A balancer asks to be woken once a
- * period, with or without requests. Here it is woken at those times only while attempts are out or a request
- * came in the period before. The periods of an idle service are run later, in one go and each at the time that
- * it was asked for, before the next event; so the balancer takes the same steps as if it had been woken on
- * time each period. An idle balancer is woken once in {@link #SLEEP_MS} for the periods that are due, so that
- * a first request after a long pause finds few of them. Sleeping balancers of one process wake together.
+ * Runs a balancer's periods without a timer while its service is idle. A balancer asks to be woken once a period, with
+ * or without requests. Here it is woken at those times only while attempts are out or a request came in the period
+ * before. The periods of an idle service are run later, in one go and each at the time that it was asked for, before
+ * the next event; so the balancer takes the same steps as if it had been woken on time each period. An idle balancer is
+ * woken once in {@link #SLEEP_MS} for the periods that are due, so that a first request after a long pause finds few of
+ * them. Sleeping balancers of one process wake together.
  *
  * <p>Pure but for what it is given; one thread; times in milliseconds on the clock of its events.
  */
@@ -30,6 +30,7 @@
     private double sleepEndsAt = Double.POSITIVE_INFINITY;
     /** Whether a timer is set for {@link #periodAt}. */
     private boolean awake;
+
     private boolean requested;
     private int attemptsOut;
 
@@ -65,8 +66,14 @@
     }
 
     @Override
-    public void outcome(double now, Contract.Request request, int attempt, Contract.Outcome outcome,
-            double took, boolean finished, Contract.Report report) {
+    public void outcome(
+            double now,
+            Contract.Request request,
+            int attempt,
+            Contract.Outcome outcome,
+            double took,
+            boolean finished,
+            Contract.Report report) {
         catchUp(now);
         attemptsOut--;
         balancer.outcome(now, request, attempt, outcome, took, finished, report);
@@ -85,8 +92,7 @@
     }
 
     @Override
-    public void probed(double now, String server, Contract.Outcome outcome, double took,
-            Contract.Report report) {
+    public void probed(double now, String server, Contract.Outcome outcome, double took, Contract.Report report) {
         catchUp(now);
         balancer.probed(now, server, outcome, took, report);
     }
--- a/src/main/java/whinlead/mesh/storage/StateSchema.java
+++ b/src/main/java/whinlead/mesh/storage/StateSchema.java
@@ -9,14 +9,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * How the state store's file is laid out: its format, told by SQLite's {@code user_version}. Each format is read
- * and written as the program that made it does; a file is never changed so that this program's predecessor
- * can't write it. So a fleet may hold several versions, and any of them may be set back.
+ * How the state store's file is laid out: its format, told by SQLite's {@code user_version}. Each format is read and
+ * written as the program that made it does; a file is never changed so that this program's predecessor can't write it.
+ * So a fleet may hold several versions, and any of them may be set back.
  */
 enum StateSchema {
     /**
-     * Format 0, of programs without checksums. The checksum stands in a table of its own, which these
-     * programs don't know. Triggers clear it when they write, so that their rows are told from damaged ones.
+     * Format 0, of programs without checksums. The checksum stands in a table of its own, which these programs don't
+     * know. Triggers clear it when they write, so that their rows are told from damaged ones.
      */
     SEPARATE_CHECKSUM(0) {
         @Override
@@ -37,9 +37,11 @@
 
         @Override
         Stored read(Connection c) throws SQLException {
-            return row(c, "SELECT office.one, office.id, office.memory, checksum.crc,"
-                    + " checksum.one IS NOT NULL AND checksum.crc IS NULL"
-                    + " FROM office LEFT JOIN checksum LIMIT 2");
+            return row(
+                    c,
+                    "SELECT office.one, office.id, office.memory, checksum.crc,"
+                            + " checksum.one IS NOT NULL AND checksum.crc IS NULL"
+                            + " FROM office LEFT JOIN checksum LIMIT 2");
         }
 
         @Override
@@ -47,8 +49,12 @@
             c.setAutoCommit(false);
             try {
                 // Column by column: columns that a later program has added keep what they hold.
-                execute(c, "INSERT INTO office (one, id, memory) VALUES (1, ?, ?) ON CONFLICT (one) DO UPDATE"
-                        + " SET id = excluded.id, memory = excluded.memory", entry.id(), entry.memory());
+                execute(
+                        c,
+                        "INSERT INTO office (one, id, memory) VALUES (1, ?, ?) ON CONFLICT (one) DO UPDATE"
+                                + " SET id = excluded.id, memory = excluded.memory",
+                        entry.id(),
+                        entry.memory());
                 execute(c, "UPDATE checksum SET crc = ?", checksum(entry));
                 c.commit();
             } catch (SQLException e) {
@@ -63,7 +69,7 @@
     /** Format 1: the checksum is a column. What this program founds. */
     CHECKSUM_COLUMN(1) {
         @Override
-        void prepare(Connection c, Statement s) { }
+        void prepare(Connection c, Statement s) {}
 
         @Override
         Stored read(Connection c) throws SQLException {
@@ -72,14 +78,18 @@
 
         @Override
         void write(Connection c, StateStore.Entry entry) throws SQLException {
-            execute(c, "INSERT INTO office (one, id, memory, crc) VALUES (1, ?, ?, ?) ON CONFLICT (one)"
-                    + " DO UPDATE SET id = excluded.id, memory = excluded.memory, crc = excluded.crc",
-                    entry.id(), entry.memory(), checksum(entry));
+            execute(
+                    c,
+                    "INSERT INTO office (one, id, memory, crc) VALUES (1, ?, ?, ?) ON CONFLICT (one)"
+                            + " DO UPDATE SET id = excluded.id, memory = excluded.memory, crc = excluded.crc",
+                    entry.id(),
+                    entry.memory(),
+                    checksum(entry));
         }
     };
 
     /** A row as it stands: whole by its checksum, or of a program that wrote none, or neither. */
-    record Stored(StateStore.Entry entry, boolean whole, boolean withoutChecksum) { }
+    record Stored(StateStore.Entry entry, boolean whole, boolean withoutChecksum) {}
 
     /** The newest format that this program knows. */
     static final StateSchema NEWEST = CHECKSUM_COLUMN;
@@ -124,14 +134,15 @@
     abstract void write(Connection c, StateStore.Entry entry) throws SQLException;
 
     private static boolean hasTable(Statement s, String name) throws SQLException {
-        try (ResultSet r = s.executeQuery("SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = '"
-                + name + "'")) {
+        try (ResultSet r =
+                s.executeQuery("SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = '" + name + "'")) {
             return r.next();
         }
     }
 
     private static Stored row(Connection c, String query) throws SQLException {
-        try (Statement s = c.createStatement(); ResultSet r = s.executeQuery(query)) {
+        try (Statement s = c.createStatement();
+                ResultSet r = s.executeQuery(query)) {
             if (!r.next()) {
                 return null;
             }
--- a/src/main/java/whinlead/mesh/storage/StateStore.java
+++ b/src/main/java/whinlead/mesh/storage/StateStore.java
@@ -12,12 +12,11 @@
 import java.util.Deque;
 
 /**
- * A control node's memory on disk: one row, replaced and synced each time. SQLite in WAL mode with full syncs: a
- * commit is one sync. One thread; a call may wait for the disk.
+ * A control node's memory on disk: one row, replaced and synced each time. SQLite in WAL mode with full syncs: a commit
+ * is one sync. One thread; a call may wait for the disk.
  *
- * <p>What {@link #read} gives lasts: a log that a process left unsynced is synced before it is read. What is
- * damaged is refused, never mended: a control node that has forgotten what it promised must not vote under its
- * old name.
+ * <p>What {@link #read} gives lasts: a log that a process left unsynced is synced before it is read. What is damaged is
+ * refused, never mended: a control node that has forgotten what it promised must not vote under its old name.
  */
 public final class StateStore implements AutoCloseable {
     private static final String FILE = "office.db";
@@ -26,7 +25,7 @@
     private static final int CHECKPOINT_PAGES = 200;
 
     /** What was found. */
-    public record Entry(String id, byte[] memory) { }
+    public record Entry(String id, byte[] memory) {}
 
     private final Connection connection;
     private final StateSchema layout;
@@ -101,8 +100,8 @@
         return Files.exists(file) ? Files.size(file) : 0;
     }
 
-    private static StateSchema prepare(Connection c, Path folder, Syncer syncer) throws SQLException, IOException,
-            StateStoreException {
+    private static StateSchema prepare(Connection c, Path folder, Syncer syncer)
+            throws SQLException, IOException, StateStoreException {
         try (Statement s = c.createStatement()) {
             // The locking mode first: then the log's index needs no mapped file. And before the switch to the
             // log that removed names are synced: a journal that comes back would undo the founding.
@@ -149,7 +148,8 @@
                 check();
                 layout.write(connection, stored.entry());
             } else if (!stored.whole()) {
-                throw new StateStoreException("the state store's entry is damaged; remove it to join as a new control node");
+                throw new StateStoreException(
+                        "the state store's entry is damaged; remove it to join as a new control node");
             }
             return stored.entry();
         } catch (SQLException e) {
@@ -162,8 +162,8 @@
         try (Statement s = connection.createStatement();
                 ResultSet r = s.executeQuery("PRAGMA quick_check")) {
             if (!"ok".equals(r.getString(1))) {
-                throw new StateStoreException("the state store is damaged: " + r.getString(1)
-                        + "; remove it to join as a new control node");
+                throw new StateStoreException(
+                        "the state store is damaged: " + r.getString(1) + "; remove it to join as a new control node");
             }
         }
     }
--- a/src/main/java/whinlead/mesh/storage/Syncer.java
+++ b/src/main/java/whinlead/mesh/storage/Syncer.java
@@ -6,8 +6,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The state store's own syncs, besides those of SQLite. A seam, so that a rehearsal knows which were asked for. On
- * the thread that opens the state store; a call may wait for the disk.
+ * The state store's own syncs, besides those of SQLite. A seam, so that a rehearsal knows which were asked for. On the
+ * thread that opens the state store; a call may wait for the disk.
  */
 public interface Syncer {
     /** Syncs for good. */
--- a/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
+++ b/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
@@ -1,26 +1,26 @@
 package whinlead.mesh.wire;
 
-import whinlead.mesh.consensus.Acceptor;
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Decision;
 import java.io.IOException;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
 
 /**
- * What an acceptor keeps on disk, as MessagePack. It ends with its format; fields of later formats follow. A
- * program that does not know them passes over them, unless the record says that it needs a later one. For any
- * thread.
+ * What an acceptor keeps on disk, as MessagePack. It ends with its format; fields of later formats follow. A program
+ * that does not know them passes over them, unless the record says that it needs a later one. For any thread.
  */
 public final class AcceptorRecord {
     /** The format of records that don't name theirs. */
     private static final int UNNAMED_FORMAT = 1;
+
     private static final int FORMAT = 2;
     /** The oldest format whose programs may pass over what this one has added. */
     private static final int READABLE_FROM = UNNAMED_FORMAT;
 
-    private AcceptorRecord() { }
+    private AcceptorRecord() {}
 
     /** Writes a record. */
     public static byte[] write(Acceptor.State memory) {
--- a/src/main/java/whinlead/mesh/wire/FieldCodec.java
+++ b/src/main/java/whinlead/mesh/wire/FieldCodec.java
@@ -1,21 +1,22 @@
 package whinlead.mesh.wire;
 
-import whinlead.mesh.quota.TenantDemand;
-import whinlead.mesh.registry.EndpointRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
+import whinlead.mesh.quota.TenantDemand;
+import whinlead.mesh.registry.EndpointRecord;
 
 /** How the values are written and read that messages of several kinds hold. For any thread. */
 final class FieldCodec {
     /** Lists longer than this are no message of ours. */
     private static final int MAX_LIST = 1 << 16;
+
     private static final EndpointRecord.Phase[] PHASES = EndpointRecord.Phase.values();
 
-    private FieldCodec() { }
+    private FieldCodec() {}
 
     static void uses(MessageBufferPacker p, List<TenantDemand> uses) throws IOException {
         p.packInt(uses.size());
@@ -54,8 +55,8 @@
             VersionEvents.PROCESS.passedOver("an endpoint record in phase " + phase);
             return Optional.empty();
         }
-        return Optional.of(new EndpointRecord(node, life, seq, zone, endpoint, target, PHASES[phase], capacity,
-                warmMs));
+        return Optional.of(
+                new EndpointRecord(node, life, seq, zone, endpoint, target, PHASES[phase], capacity, warmMs));
     }
 
     static void strings(MessageBufferPacker p, List<String> list) throws IOException {
--- a/src/main/java/whinlead/mesh/wire/LaterFormatException.java
+++ b/src/main/java/whinlead/mesh/wire/LaterFormatException.java
@@ -12,7 +12,7 @@
      * @param readableFrom the oldest format whose readers may read it
      */
     LaterFormatException(int format, int readableFrom, int ours) {
-        super("an acceptor's record of format " + format + " needs a program that knows format "
-                + readableFrom + ", this one knows " + ours);
+        super("an acceptor's record of format " + format + " needs a program that knows format " + readableFrom
+                + ", this one knows " + ours);
     }
 }
--- a/src/main/java/whinlead/mesh/wire/PeerConnection.java
+++ b/src/main/java/whinlead/mesh/wire/PeerConnection.java
@@ -11,14 +11,14 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 
 /**
- * One TCP connection between two processes of the system, on its loop's thread. Every message goes behind its
- * length. A message of a later version's kind is passed over. A malformed one is refused by name; it ends the
- * connection if nobody would say it again, for the new connection says all anew. One that is too long ends
- * it.
+ * One TCP connection between two processes of the system, on its loop's thread. Every message goes behind its length. A
+ * message of a later version's kind is passed over. A malformed one is refused by name; it ends the connection if
+ * nobody would say it again, for the new connection says all anew. One that is too long ends it.
  */
 public final class PeerConnection {
     /** The longest message: a request's body at most, and what goes around it. */
     public static final int MAX_MESSAGE_BYTES = 24 << 20;
+
     private static final int LENGTH_BYTES = 4;
 
     /** Hears what comes. */
@@ -49,8 +49,10 @@
             @Override
             protected void initChannel(Channel ch) {
                 ch.config().setOption(ChannelOption.TCP_NODELAY, true);
-                ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0,
-                        LENGTH_BYTES), new Reader(ear));
+                ch.pipeline()
+                        .addLast(
+                                new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                                new Reader(ear));
             }
         };
     }
@@ -65,8 +67,7 @@
     /** Sends a message that is written already, of a kind that every version knows. */
     public void send(byte[] written) {
         ByteBuf length = Unpooled.buffer(LENGTH_BYTES).writeInt(written.length);
-        channel.writeAndFlush(Unpooled.wrappedBuffer(length, Unpooled.wrappedBuffer(written)),
-                channel.voidPromise());
+        channel.writeAndFlush(Unpooled.wrappedBuffer(length, Unpooled.wrappedBuffer(written)), channel.voidPromise());
     }
 
     /** Whether more can be sent without piling up. */
@@ -100,8 +101,9 @@
         if (shared) {
             version = ProtocolVersion.OURS.agreedWith(hello.versions());
         } else {
-            VersionEvents.PROCESS.refused(hello.id(), "speaks protocol versions " + hello.versions()
-                    + ", this program " + ProtocolVersion.OURS);
+            VersionEvents.PROCESS.refused(
+                    hello.id(),
+                    "speaks protocol versions " + hello.versions() + ", this program " + ProtocolVersion.OURS);
             close();
         }
         return shared;
--- a/src/main/java/whinlead/mesh/wire/PeerMessage.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessage.java
@@ -1,10 +1,10 @@
 package whinlead.mesh.wire;
 
-import whinlead.mesh.quota.TenantDemand;
+import java.util.List;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Message;
+import whinlead.mesh.quota.TenantDemand;
 import whinlead.mesh.registry.EndpointRecord;
-import java.util.List;
 
 /** What the system's own processes say to each other. */
 public sealed interface PeerMessage {
@@ -12,8 +12,8 @@
     long UNSTAMPED = Long.MIN_VALUE;
 
     /**
-     * The first on every link: who it is, and whether a control node. Whoever is greeted by one that names its
-     * versions greets back.
+     * The first on every link: who it is, and whether a control node. Whoever is greeted by one that names its versions
+     * greets back.
      */
     record Hello(String id, boolean controlNode, ProtocolVersion versions) implements PeerMessage {
         /** This program's greeting. */
@@ -23,22 +23,22 @@
     }
 
     /** A message of a later version, of which only the name of its kind is known. It is never written. */
-    record Unknown(String kind) implements PeerMessage { }
+    record Unknown(String kind) implements PeerMessage {}
 
     /** Endpoint records, one's own or passed on. */
-    record EndpointUpdate(List<EndpointRecord> records) implements PeerMessage { }
+    record EndpointUpdate(List<EndpointRecord> records) implements PeerMessage {}
 
     /** A sidecar has this slot's configuration and wants to be told of a newer one. */
-    record Subscribe(long slot) implements PeerMessage { }
+    record Subscribe(long slot) implements PeerMessage {}
 
     /** A control node has this one. */
-    record ConfigAvailable(long slot) implements PeerMessage { }
+    record ConfigAvailable(long slot) implements PeerMessage {}
 
     /** Asks for the newest. */
-    record FetchConfig() implements PeerMessage { }
+    record FetchConfig() implements PeerMessage {}
 
     /** The newest known there, whole; {@code confirmed} tells that its control node reaches a quorum. */
-    record ConfigUpdate(Decision decision, boolean confirmed) implements PeerMessage { }
+    record ConfigUpdate(Decision decision, boolean confirmed) implements PeerMessage {}
 
     /**
      * Asks for a sign of life.
@@ -59,22 +59,22 @@
      * @param id who answers
      * @param slot the newest decision that it has on disk, or -1
      */
-    record Pong(long number, String id, long slot) implements PeerMessage { }
+    record Pong(long number, String id, long slot) implements PeerMessage {}
 
     /** A sidecar that reaches no control node asks another sidecar which ones there are. */
-    record FindControlNodes() implements PeerMessage { }
+    record FindControlNodes() implements PeerMessage {}
 
     /** The addresses of control nodes that are known here. */
-    record ControlNodes(List<String> addresses) implements PeerMessage { }
+    record ControlNodes(List<String> addresses) implements PeerMessage {}
 
     /** About a ballot. */
-    record Consensus(Message message) implements PeerMessage { }
+    record Consensus(Message message) implements PeerMessage {}
 
     /** A sidecar tells what it is asked for, and may ask for the sums. */
-    record DemandReport(List<TenantDemand> uses, boolean wanted) implements PeerMessage { }
+    record DemandReport(List<TenantDemand> uses, boolean wanted) implements PeerMessage {}
 
     /** The sums over so many sidecars of the tenants that the one who asked has named. */
-    record DemandSums(int nodes, List<TenantDemand> totals) implements PeerMessage { }
+    record DemandSums(int nodes, List<TenantDemand> totals) implements PeerMessage {}
 
     /**
      * A request on its way to an endpoint.
@@ -85,36 +85,53 @@
      * @param rank 0 is the highest
      * @param sentAt when it was written, by the sender's steady clock in microseconds, or {@link #UNSTAMPED}
      */
-    record ForwardRequest(long stream, String method, String uri, List<String> headers, byte[] body, int leftMs,
-            String target, String endpoint, int rank, long sentAt) implements PeerMessage {
+    record ForwardRequest(
+            long stream,
+            String method,
+            String uri,
+            List<String> headers,
+            byte[] body,
+            int leftMs,
+            String target,
+            String endpoint,
+            int rank,
+            long sentAt)
+            implements PeerMessage {
         /** One without a time of sending. */
-        public ForwardRequest(long stream, String method, String uri, List<String> headers, byte[] body, int leftMs,
-                String target, String endpoint, int rank) {
+        public ForwardRequest(
+                long stream,
+                String method,
+                String uri,
+                List<String> headers,
+                byte[] body,
+                int leftMs,
+                String target,
+                String endpoint,
+                int rank) {
             this(stream, method, uri, headers, body, leftMs, target, endpoint, rank, UNSTAMPED);
         }
 
         /** The same request with another time left. */
         public ForwardRequest withLeft(int otherLeftMs) {
-            return new ForwardRequest(stream, method, uri, headers, body, otherLeftMs, target, endpoint, rank,
-                    sentAt);
+            return new ForwardRequest(stream, method, uri, headers, body, otherLeftMs, target, endpoint, rank, sentAt);
         }
     }
 
     /**
-     * The client of a request that was sent on this link has left: if it is not yet at the endpoint, it never
-     * goes there.
+     * The client of a request that was sent on this link has left: if it is not yet at the endpoint, it never goes
+     * there.
      *
      * @param stream the request's
      * @param whileRunning whether it is also to be ended where the endpoint is at work on it
      */
-    record Cancel(long stream, boolean whileRunning) implements PeerMessage { }
+    record Cancel(long stream, boolean whileRunning) implements PeerMessage {}
 
     /** The endpoint's answer, whole, and how busy it is. */
-    record ForwardResponse(long stream, int status, List<String> headers, byte[] body, double util,
-            double perSecond) implements PeerMessage { }
+    record ForwardResponse(long stream, int status, List<String> headers, byte[] body, double util, double perSecond)
+            implements PeerMessage {}
 
     /** No answer, and how busy the endpoint is. */
-    record ForwardFailure(long stream, FailureReason why, double util, double perSecond) implements PeerMessage { }
+    record ForwardFailure(long stream, FailureReason why, double util, double perSecond) implements PeerMessage {}
 
     /** Why there is no answer. */
     enum FailureReason {
--- a/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
@@ -6,10 +6,6 @@
 import static whinlead.mesh.wire.FieldCodec.strings;
 import static whinlead.mesh.wire.FieldCodec.uses;
 
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Message;
-import whinlead.mesh.registry.EndpointRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,14 +13,18 @@
 import org.msgpack.core.MessageFormat;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.registry.EndpointRecord;
 
 /**
  * PeerMessageCodec as MessagePack: a tag, then the fields in their order. For any thread.
  *
- * <p>Versions: a message grows by fields at its end only, each with a default that stands where an older
- * program has not sent it; an older reader passes over what it does not know. A field may be left out only
- * while it is the last one. What stands inside a list or another value can't grow: new fields of an endpoint record go
- * into a list of their own at the message's end. A new kind is sent only where {@link #since} allows it.
+ * <p>Versions: a message grows by fields at its end only, each with a default that stands where an older program has
+ * not sent it; an older reader passes over what it does not know. A field may be left out only while it is the last
+ * one. What stands inside a list or another value can't grow: new fields of an endpoint record go into a list of their
+ * own at the message's end. A new kind is sent only where {@link #since} allows it.
  */
 public final class PeerMessageCodec {
     private static final PeerMessage.FailureReason[] REASONS = PeerMessage.FailureReason.values();
@@ -38,16 +38,22 @@
         }
     }
 
-    private PeerMessageCodec() { }
+    private PeerMessageCodec() {}
 
     /** Writes a message. */
     public static byte[] write(PeerMessage peerMessage) {
         try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
             if (peerMessage instanceof PeerMessage.ForwardRequest l) {
-                p.packByte((byte) 10).packLong(l.stream()).packString(l.method()).packString(l.uri());
+                p.packByte((byte) 10)
+                        .packLong(l.stream())
+                        .packString(l.method())
+                        .packString(l.uri());
                 strings(p, l.headers());
                 bytes(p, l.body());
-                p.packInt(l.leftMs()).packString(l.target()).packString(l.endpoint()).packInt(l.rank());
+                p.packInt(l.leftMs())
+                        .packString(l.target())
+                        .packString(l.endpoint())
+                        .packInt(l.rank());
                 stamp(p, l.sentAt());
             } else if (peerMessage instanceof PeerMessage.ForwardResponse l) {
                 p.packByte((byte) 11).packLong(l.stream()).packInt(l.status());
@@ -168,12 +174,23 @@
             case 7 -> new PeerMessage.Ping(u.unpackLong(), stamp(u));
             case 8 -> new PeerMessage.Pong(u.unpackLong(), u.unpackString(), u.unpackLong());
             case 9 -> new PeerMessage.Consensus(message(u));
-            case 10 -> new PeerMessage.ForwardRequest(u.unpackLong(), u.unpackString(), u.unpackString(), strings(u),
-                    bytes(u), u.unpackInt(), u.unpackString(), u.unpackString(), u.unpackInt(), stamp(u));
-            case 11 -> new PeerMessage.ForwardResponse(u.unpackLong(), u.unpackInt(), strings(u), bytes(u),
-                    u.unpackDouble(), u.unpackDouble());
-            case 12 -> new PeerMessage.ForwardFailure(u.unpackLong(), why(u.unpackInt()),
-                    u.unpackDouble(), u.unpackDouble());
+            case 10 ->
+                new PeerMessage.ForwardRequest(
+                        u.unpackLong(),
+                        u.unpackString(),
+                        u.unpackString(),
+                        strings(u),
+                        bytes(u),
+                        u.unpackInt(),
+                        u.unpackString(),
+                        u.unpackString(),
+                        u.unpackInt(),
+                        stamp(u));
+            case 11 ->
+                new PeerMessage.ForwardResponse(
+                        u.unpackLong(), u.unpackInt(), strings(u), bytes(u), u.unpackDouble(), u.unpackDouble());
+            case 12 ->
+                new PeerMessage.ForwardFailure(u.unpackLong(), why(u.unpackInt()), u.unpackDouble(), u.unpackDouble());
             case 13 -> new PeerMessage.DemandReport(uses(u), u.unpackBoolean());
             case 14 -> new PeerMessage.DemandSums(u.unpackInt(), uses(u));
             case 15 -> new PeerMessage.FindControlNodes();
--- a/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
+++ b/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A link that is kept: dialled again when it is down, and watched by pings, for a machine without power and
- * one behind a cut say nothing. On its loop's thread.
+ * A link that is kept: dialled again when it is down, and watched by pings, for a machine without power and one behind
+ * a cut say nothing. On its loop's thread.
  */
 public final class ReconnectingConnection {
     /** Where it stands. */
@@ -36,7 +36,7 @@
      * @param dead silence before it is closed
      * @param redial between two dials, at least; twice at most
      */
-    public record Timeouts(long ping, long suspect, long dead, long redial) { }
+    public record Timeouts(long ping, long suspect, long dead, long redial) {}
 
     /** Hears of it. */
     public interface Listener {
@@ -47,7 +47,7 @@
         void message(ReconnectingConnection connection, PeerMessage message);
 
         /** A ping that left at this time, by the loop's steady clock in milliseconds, was answered. */
-        default void echoed(double sentAt, PeerMessage.Pong pong) { }
+        default void echoed(double sentAt, PeerMessage.Pong pong) {}
 
         /** Whether a sign of life is asked for whatever else comes: only its answer tells of contact. */
         default boolean steady() {
@@ -83,11 +83,13 @@
     private long heardAt;
     /** When the last pings left, by their number. */
     private final double[] sentAt = new double[PINGS_OUT];
+
     private long pings;
     private boolean pinged;
 
     /** A connection that is not yet dialled. */
-    public ReconnectingConnection(EventLoop loop, SocketAddress address, PeerMessage hello, Timeouts pace, Listener owner) {
+    public ReconnectingConnection(
+            EventLoop loop, SocketAddress address, PeerMessage hello, Timeouts pace, Listener owner) {
         this.loop = loop;
         this.address = address;
         this.hello = hello;
@@ -101,9 +103,13 @@
             return;
         }
         to(State.DIALLING);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(PeerConnection.handlers(new Handler())).connect(address).addListener(f -> {
+                .handler(PeerConnection.handlers(new Handler()))
+                .connect(address)
+                .addListener(f -> {
                     if (!f.isSuccess()) {
                         lost();
                     }
@@ -178,8 +184,10 @@
         if (quiet || owner.steady()) {
             ping();
         }
-        timer = loop.schedule(this::beat, TimerGrid.untilNext(System.nanoTime(),
-                TimeUnit.MILLISECONDS.toNanos(pace.ping())), TimeUnit.NANOSECONDS);
+        timer = loop.schedule(
+                this::beat,
+                TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(pace.ping())),
+                TimeUnit.NANOSECONDS);
     }
 
     private void ping() {
@@ -211,8 +219,10 @@
         public void message(PeerConnection from, PeerMessage message) {
             heardAt = System.nanoTime();
             pinged = false;
-            if (message instanceof PeerMessage.Pong pong && pong.number() <= pings
-                    && pong.number() > pings - PINGS_OUT && pong.number() > 0) {
+            if (message instanceof PeerMessage.Pong pong
+                    && pong.number() <= pings
+                    && pong.number() > pings - PINGS_OUT
+                    && pong.number() > 0) {
                 owner.echoed(sentAt[(int) (pong.number() % PINGS_OUT)], pong);
             }
             if (state == State.SUSPECT) {
--- a/src/main/java/whinlead/mesh/wire/VersionEvents.java
+++ b/src/main/java/whinlead/mesh/wire/VersionEvents.java
@@ -1,12 +1,12 @@
 package whinlead.mesh.wire;
 
-import whinlead.mesh.log.Event;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import whinlead.mesh.log.Event;
 
 /**
- * Logs what a peer of another version says and this one can't read. Each thing is logged once in the life of
- * the process, and no more than a bounded number of things. For any thread.
+ * Logs what a peer of another version says and this one can't read. Each thing is logged once in the life of the
+ * process, and no more than a bounded number of things. For any thread.
  */
 final class VersionEvents {
     /** The events of this process. */
--- a/src/main/java/whinlead/plan/Arrival.java
+++ b/src/main/java/whinlead/plan/Arrival.java
@@ -8,4 +8,4 @@
  * @param tenant position of its tenant in the settings, or -1
  * @param repeat whether the client said that it is a repeat
  */
-public record Arrival(double at, int kind, int tenant, boolean repeat) { }
+public record Arrival(double at, int kind, int tenant, boolean repeat) {}
--- a/src/main/java/whinlead/plan/Bounds.java
+++ b/src/main/java/whinlead/plan/Bounds.java
@@ -5,11 +5,11 @@
 import java.util.TreeSet;
 
 /**
- * What no policy can pass, by utilisation alone: the fronts' cores can't do more work in a span than there is
- * of them, whatever is sent where. A cross-check on the simulation, free of its rules.
+ * What no policy can pass, by utilisation alone: the fronts' cores can't do more work in a span than there is of them,
+ * whatever is sent where. A cross-check on the simulation, free of its rules.
  */
 public final class Bounds {
-    private Bounds() { }
+    private Bounds() {}
 
     /** Cores of speed 1 that the fleet amounts to when well and warm, by the mean of each model's speeds. */
     public static double capacity(Fleet f) {
@@ -34,12 +34,13 @@
     }
 
     /**
-     * The most of the worth of first tries that could be served: in each span of one rate the classes with
-     * the most worth for their work first, as far as cores go, and what came in it may be worked on for the
-     * longest aim after its end.
+     * The most of the worth of first tries that could be served: in each span of one rate the classes with the most
+     * worth for their work first, as far as cores go, and what came in it may be worked on for the longest aim after
+     * its end.
      */
     public static double worthMost(Fleet f, Load load) {
-        double aim = f.settings().classes().stream().mapToDouble(c -> c.aim()).max().orElse(0);
+        double aim =
+                f.settings().classes().stream().mapToDouble(c -> c.aim()).max().orElse(0);
         List<Integer> best = new ArrayList<>();
         for (int k = 0; k < f.work().size(); k++) {
             best.add(k);
@@ -68,6 +69,7 @@
     }
 
     private static double value(Fleet f, int k) {
-        return f.settings().classes().get(k).worth() / Math.max(1e-9, f.work().get(k).core().mean());
+        return f.settings().classes().get(k).worth()
+                / Math.max(1e-9, f.work().get(k).core().mean());
     }
 }
--- a/src/main/java/whinlead/plan/Calendar.java
+++ b/src/main/java/whinlead/plan/Calendar.java
@@ -1,12 +1,12 @@
 package whinlead.plan;
 
-import whinlead.engine.Timers;
 import java.util.Comparator;
 import java.util.PriorityQueue;
+import whinlead.engine.Timers;
 
 /**
- * Simulated time, in milliseconds from 0, and what is to happen: runs what is due, by time and then in the
- * order asked for, so that the same run is played every time. For one thread.
+ * Simulated time, in milliseconds from 0, and what is to happen: runs what is due, by time and then in the order asked
+ * for, so that the same run is played every time. For one thread.
  */
 public final class Calendar implements Timers {
     /** Something that is to happen, unless it is called off. */
--- a/src/main/java/whinlead/plan/ClientTry.java
+++ b/src/main/java/whinlead/plan/ClientTry.java
@@ -10,6 +10,7 @@
     private final Arrival arrival;
     /** 1 for the client's first try, and so on. */
     private final int number;
+
     private final Contract.RequestClass requestClass;
     private final double askedAt;
 
@@ -27,8 +28,7 @@
         begin(context, sidecar, arrival, 1);
     }
 
-    private static void begin(SimulationContext context, SimulatedSidecar sidecar, Arrival arrival,
-            int number) {
+    private static void begin(SimulationContext context, SimulatedSidecar sidecar, Arrival arrival, int number) {
         ClientTry begun = new ClientTry(context, sidecar, arrival, number);
         context.tally().asked(begun.askedAt, begun.requestClass.worth(), number == 1);
         sidecar.receive(begun);
@@ -82,6 +82,8 @@
 
     // Exponential, with jitter.
     private double backOff(Fleet.Clients clients) {
-        return clients.backOff() * (1L << (number - 1)) * (0.5 + 0.5 * context.clients().nextDouble());
+        return clients.backOff()
+                * (1L << (number - 1))
+                * (0.5 + 0.5 * context.clients().nextDouble());
     }
 }
--- a/src/main/java/whinlead/plan/ConnectionPool.java
+++ b/src/main/java/whinlead/plan/ConnectionPool.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * The connections of one simulated sidecar: those that are idle are used again, the latest first, and closed
- * when they have been idle for long or another needs their place. For one thread.
+ * The connections of one simulated sidecar: those that are idle are used again, the latest first, and closed when they
+ * have been idle for long or another needs their place. For one thread.
  */
 final class ConnectionPool {
     private final Fleet.Sidecar limits;
     private final Calendar calendar;
     /** By front, since when each of its idle connections is idle, the longest first. */
     private final Map<SimulatedFront, ArrayDeque<Double>> idle = new HashMap<>();
+
     private int open;
 
     /** One without connections. */
@@ -24,8 +25,7 @@
     /** Whether there is an idle connection to a front. */
     boolean hasIdle(SimulatedFront front) {
         ArrayDeque<Double> toFront = idle.get(front);
-        while (toFront != null && !toFront.isEmpty()
-                && toFront.peekFirst() < calendar.now() - limits.idle()) {
+        while (toFront != null && !toFront.isEmpty() && toFront.peekFirst() < calendar.now() - limits.idle()) {
             toFront.pollFirst();
             closed(front, front.incarnation());
         }
--- a/src/main/java/whinlead/plan/Fleet.java
+++ b/src/main/java/whinlead/plan/Fleet.java
@@ -1,13 +1,12 @@
 package whinlead.plan;
 
-import whinlead.Contract;
 import java.util.List;
 import java.util.Objects;
+import whinlead.Contract;
 
 /**
- * A deployment as it is described: what the planner knows of it, and all that it knows. Times are
- * milliseconds, shares from 0 to 1. The constructors check nothing that a schema can; {@link #check} finds
- * what it can't.
+ * A deployment as it is described: what the planner knows of it, and all that it knows. Times are milliseconds, shares
+ * from 0 to 1. The constructors check nothing that a schema can; {@link #check} finds what it can't.
  *
  * @param settings what every sidecar is told; their number is that of {@code shares}
  * @param models kinds of fronts
@@ -20,9 +19,17 @@
  * @param clients what clients do when refused or failed
  * @param changes what befalls the fleet
  */
-public record Fleet(Contract.Settings settings, List<Model> models, List<Zone> zones, int fronts,
+public record Fleet(
+        Contract.Settings settings,
+        List<Model> models,
+        List<Zone> zones,
+        int fronts,
         List<Work> work,
-        Front front, Sidecar sidecar, List<Double> shares, Clients clients, List<Change> changes) {
+        Front front,
+        Sidecar sidecar,
+        List<Double> shares,
+        Clients clients,
+        List<Change> changes) {
     /** How far shares may be from a sum of 1. */
     private static final double SUM_SLACK = 1e-6;
 
@@ -31,7 +38,7 @@
      *
      * @param share of the fronts
      */
-    public record Model(String name, int cores, double slowest, double fastest, double share) { }
+    public record Model(String name, int cores, double slowest, double fastest, double share) {}
 
     /**
      * A place.
@@ -39,7 +46,7 @@
      * @param share of the fronts
      * @param way one way between a sidecar and a front there
      */
-    public record Zone(String name, double share, double way) { }
+    public record Zone(String name, double share, double way) {}
 
     /**
      * What a class asks of a front.
@@ -47,7 +54,7 @@
      * @param core of one of its cores
      * @param away of others, while it holds no core
      */
-    public record Work(Law core, Law away) { }
+    public record Work(Law core, Law away) {}
 
     /**
      * What every front is like.
@@ -63,25 +70,60 @@
      * @param thrashUntil held for each core at which that ends
      * @param cancelStops whether an attempt that was given up is worked on no further
      */
-    public record Front(boolean sharing, double roomPerCore, int connections, double handshake,
-            double coldShare, double coldTime, double thrashAbove, double thrashSpeed, double thrashUntil,
+    public record Front(
+            boolean sharing,
+            double roomPerCore,
+            int connections,
+            double handshake,
+            double coldShare,
+            double coldTime,
+            double thrashAbove,
+            double thrashSpeed,
+            double thrashUntil,
             boolean cancelStops) {
         /** The same with another room. */
         public Front room(double perCore) {
-            return new Front(sharing, perCore, connections, handshake, coldShare, coldTime, thrashAbove,
-                    thrashSpeed, thrashUntil, cancelStops);
+            return new Front(
+                    sharing,
+                    perCore,
+                    connections,
+                    handshake,
+                    coldShare,
+                    coldTime,
+                    thrashAbove,
+                    thrashSpeed,
+                    thrashUntil,
+                    cancelStops);
         }
 
         /** The same with so many connections. */
         public Front connections(int most) {
-            return new Front(sharing, roomPerCore, most, handshake, coldShare, coldTime, thrashAbove,
-                    thrashSpeed, thrashUntil, cancelStops);
+            return new Front(
+                    sharing,
+                    roomPerCore,
+                    most,
+                    handshake,
+                    coldShare,
+                    coldTime,
+                    thrashAbove,
+                    thrashSpeed,
+                    thrashUntil,
+                    cancelStops);
         }
 
         /** The same with handshakes of so much work. */
         public Front handshake(double millis) {
-            return new Front(sharing, roomPerCore, connections, millis, coldShare, coldTime, thrashAbove,
-                    thrashSpeed, thrashUntil, cancelStops);
+            return new Front(
+                    sharing,
+                    roomPerCore,
+                    connections,
+                    millis,
+                    coldShare,
+                    coldTime,
+                    thrashAbove,
+                    thrashSpeed,
+                    thrashUntil,
+                    cancelStops);
         }
     }
 
@@ -118,7 +160,7 @@
      * @param backOff before the second, doubled for each further one and spread over its upper half
      * @param honour the share that comes back when told to, where it is told
      */
-    public record Clients(int tries, double backOff, double honour) { }
+    public record Clients(int tries, double backOff, double honour) {}
 
     /** What can befall a fleet. */
     public enum Kind {
@@ -138,8 +180,7 @@
      * @param speed that they have left, of their own
      * @param notice until the list tells
      */
-    public record Change(Kind kind, String zone, double share, double speed, double from, double to,
-            double notice) { }
+    public record Change(Kind kind, String zone, double share, double speed, double from, double to, double notice) {}
 
     /** The same with so many fronts. */
     public Fleet fronts(int count) {
@@ -186,16 +227,24 @@
         require(work.size() == settings.classes().size(), "work: one entry for each class is wanted");
         require(settings.sidecars() == shares.size(), "sidecars.shares: one for each sidecar is wanted");
         for (Change c : changes) {
-            require(c.zone() == null || zones.stream().anyMatch(z -> z.name().equals(c.zone())),
+            require(
+                    c.zone() == null || zones.stream().anyMatch(z -> z.name().equals(c.zone())),
                     "changes: no zone " + c.zone());
             require(c.kind() == Kind.SLOWED || c.zone() != null, "changes: a lost zone wants its name");
             require(c.to() >= c.from(), "changes: one ends before it begins");
-            require(c.kind() == Kind.SLOWED || changes.stream().filter(o -> o.kind() != Kind.SLOWED
-                    && Objects.equals(o.zone(), c.zone()) && o.from() <= c.to()
-                    && o.to() >= c.from()).count() == 1,
+            require(
+                    c.kind() == Kind.SLOWED
+                            || changes.stream()
+                                            .filter(o -> o.kind() != Kind.SLOWED
+                                                    && Objects.equals(o.zone(), c.zone())
+                                                    && o.from() <= c.to()
+                                                    && o.to() >= c.from())
+                                            .count()
+                                    == 1,
                     "changes: zone " + c.zone() + " is lost while it is lost");
         }
-        require(front.thrashAbove() == 0 || front.thrashUntil() <= front.thrashAbove(),
+        require(
+                front.thrashAbove() == 0 || front.thrashUntil() <= front.thrashAbove(),
                 "front.thrash: it ends above where it begins");
     }
 
--- a/src/main/java/whinlead/plan/FrontModel.java
+++ b/src/main/java/whinlead/plan/FrontModel.java
@@ -6,14 +6,18 @@
 import java.util.function.Consumer;
 
 /**
- * The queueing core of one front: cores of a speed that may change, first come first served or all at once
- * in equal parts, and a room beyond which it turns away. All in service are served at one rate, so a clock
- * of attained service orders their ends (Kleinrock, Queueing Systems II, 4.4), and an event costs the
- * logarithm of what is in service. For one thread, by its {@link Calendar}.
+ * The queueing core of one front: cores of a speed that may change, first come first served or all at once in equal
+ * parts, and a room beyond which it turns away. All in service are served at one rate, so a clock of attained service
+ * orders their ends (Kleinrock, Queueing Systems II, 4.4), and an event costs the logarithm of what is in service. For
+ * one thread, by its {@link Calendar}.
  */
 public final class FrontModel {
     /** How a visit ended; told once, and at once where it is turned away. */
-    public enum End { DONE, FULL, LOST }
+    public enum End {
+        DONE,
+        FULL,
+        LOST
+    }
 
     /**
      * What slows a front that holds too much, and what ends that: a front that thrashes.
@@ -47,8 +51,8 @@
     private final int served;
     private final int room;
     private final Thrash thrash;
-    private final PriorityQueue<Visit> serving = new PriorityQueue<>(
-            Comparator.<Visit>comparingDouble(v -> v.target).thenComparingLong(v -> v.turn));
+    private final PriorityQueue<Visit> serving =
+            new PriorityQueue<>(Comparator.<Visit>comparingDouble(v -> v.target).thenComparingLong(v -> v.turn));
     private final ArrayDeque<Visit> waiting = new ArrayDeque<>();
     private Calendar.Due next;
     private double speed = 1;
--- a/src/main/java/whinlead/plan/Interval.java
+++ b/src/main/java/whinlead/plan/Interval.java
@@ -7,11 +7,10 @@
  */
 public record Interval(double mean, double half, int runs) {
     /** Quantiles of Student's distribution at 0.975 by degrees of freedom, from 1. */
-    private static final double[] QUANTILES = {12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306,
-            2.262, 2.228,
-        2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064,
-        2.060, 2.056,
-        2.052, 2.048, 2.045, 2.042};
+    private static final double[] QUANTILES = {
+        12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120,
+        2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042
+    };
     /** The normal one, from which those of more degrees differ by less than 0.09. */
     private static final double NORMAL = 1.96;
 
--- a/src/main/java/whinlead/plan/Load.java
+++ b/src/main/java/whinlead/plan/Load.java
@@ -14,7 +14,7 @@
  */
 public record Load(double perSecond, List<Double> mix, List<Burst> bursts, double length) {
     /** From one time until another the rate is so many times what it else is. */
-    public record Burst(double from, double to, double times) { }
+    public record Burst(double from, double to, double times) {}
 
     /** The same at so many times the rate. */
     public Load times(double factor) {
@@ -32,8 +32,8 @@
 
     /** The arrivals that this seed gives, by time. */
     public Iterator<Arrival> arrivals(long seed) {
-        double most = perSecond * bursts.stream().mapToDouble(b -> Math.max(1, b.times())).reduce(1, (a,
-                b) -> a * b);
+        double most = perSecond
+                * bursts.stream().mapToDouble(b -> Math.max(1, b.times())).reduce(1, (a, b) -> a * b);
         Random dice = new Random(seed);
         return new Arrivals() {
             private double at;
--- a/src/main/java/whinlead/plan/Machines.java
+++ b/src/main/java/whinlead/plan/Machines.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 
 /**
- * The fronts that a description comes to with a seed: which model and zone each is of, how fast, and which
- * ones a change meets. One more front changes none of the others.
+ * The fronts that a description comes to with a seed: which model and zone each is of, how fast, and which ones a
+ * change meets. One more front changes none of the others.
  *
  * @param all in the order of their names
  * @param met for each change of the fleet, in its order, the positions that it meets
@@ -15,10 +15,11 @@
 public record Machines(List<Machine> all, List<List<Integer>> met) {
     /** Its multiples are spread evenly over a turn, however many there are. */
     private static final double GOLDEN = (Math.sqrt(5) - 1) / 2;
+
     private static final double TIE = 1e-9;
 
     /** A front; its speed is that of each of its cores when well and warm. */
-    public record Machine(String id, Fleet.Model model, Fleet.Zone zone, double speed) { }
+    public record Machine(String id, Fleet.Model model, Fleet.Zone zone, double speed) {}
 
     /** Those of a fleet. */
     public static Machines of(Fleet fleet, long seed) {
@@ -29,8 +30,8 @@
             int k = owed(fleet.models(), given, i);
             given[k]++;
             Fleet.Model m = fleet.models().get(k);
-            all.add(new Machine("f" + i, m, zone(fleet.zones(), i),
-                    m.slowest() + (m.fastest() - m.slowest()) * dice.nextDouble()));
+            all.add(new Machine(
+                    "f" + i, m, zone(fleet.zones(), i), m.slowest() + (m.fastest() - m.slowest()) * dice.nextDouble()));
         }
         List<List<Integer>> met = new ArrayList<>();
         for (int c = 0; c < fleet.changes().size(); c++) {
--- a/src/main/java/whinlead/plan/Outcome.java
+++ b/src/main/java/whinlead/plan/Outcome.java
@@ -13,9 +13,16 @@
  * @param use how far limits were used
  * @param worthBySecond share of the worth that was got, by the second asked in; NaN where nothing was asked
  */
-public record Outcome(long asked, long good, long late, long refused, long failed, double worthAsked,
+public record Outcome(
+        long asked,
+        long good,
+        long late,
+        long refused,
+        long failed,
+        double worthAsked,
         double worthGood,
-        Use use, double[] worthBySecond) {
+        Use use,
+        double[] worthBySecond) {
     /**
      * How far limits were used.
      *
@@ -27,9 +34,14 @@
      * @param places share of tries that found no place at their sidecar
      * @param repeats tries a request of a client, beyond the first
      */
-    public record Use(double cores, double room, double connections, double handshakes,
+    public record Use(
+            double cores,
+            double room,
+            double connections,
+            double handshakes,
             double sidecar,
-            double places, double repeats) { }
+            double places,
+            double repeats) {}
 
     /** Share of the worth that was got; 1 where nothing was asked. */
     public double worth() {
--- a/src/main/java/whinlead/plan/OutcomeTally.java
+++ b/src/main/java/whinlead/plan/OutcomeTally.java
@@ -95,8 +95,13 @@
      * @param sidecar busy share of the busiest sidecar's processor
      */
     Outcome.Use use(double cores, double sidecar) {
-        return new Outcome.Use(cores, share(frontFull, attempts), share(connectFailures, attempts),
-                frontWork == 0 ? 0 : handshakeWork / frontWork, sidecar, share(sidecarFull, asked),
+        return new Outcome.Use(
+                cores,
+                share(frontFull, attempts),
+                share(connectFailures, attempts),
+                frontWork == 0 ? 0 : handshakeWork / frontWork,
+                sidecar,
+                share(sidecarFull, asked),
                 firstTries == 0 ? 0 : (double) asked / firstTries - 1);
     }
 
@@ -106,9 +111,9 @@
 
     /** What has become of the load so far. */
     Outcome outcome(Outcome.Use use) {
-        double[] worthBySecond = seconds.stream().mapToDouble(WorthInSecond::share).toArray();
-        return new Outcome(asked, inTime, late, refused, failed, worthAsked, worthServed, use,
-                worthBySecond);
+        double[] worthBySecond =
+                seconds.stream().mapToDouble(WorthInSecond::share).toArray();
+        return new Outcome(asked, inTime, late, refused, failed, worthAsked, worthServed, use, worthBySecond);
     }
 
     private WorthInSecond second(double at) {
--- a/src/main/java/whinlead/plan/Recovery.java
+++ b/src/main/java/whinlead/plan/Recovery.java
@@ -12,6 +12,7 @@
     private static final double BACK = 0.98;
     /** So many seconds under it in a row are not chance, and as many over it at the end are wanted. */
     private static final int IN_A_ROW = 3;
+
     private static final double SECOND = 1000;
 
     /**
--- a/src/main/java/whinlead/plan/SimulatedAttempt.java
+++ b/src/main/java/whinlead/plan/SimulatedAttempt.java
@@ -11,13 +11,17 @@
     private final Transport.Outcomes<SimulatedFront> listener;
     /** Of the front, when this attempt set out. */
     private final int incarnation;
+
     private FrontModel.Visit visit;
     private boolean connected;
     private boolean written;
     private boolean over;
 
     /** One that is yet to be sent. */
-    SimulatedAttempt(SimulationContext context, ConnectionPool connections, SimulatedFront front,
+    SimulatedAttempt(
+            SimulationContext context,
+            ConnectionPool connections,
+            SimulatedFront front,
             Transport.Outcomes<SimulatedFront> listener) {
         this.context = context;
         this.connections = connections;
--- a/src/main/java/whinlead/plan/SimulatedFront.java
+++ b/src/main/java/whinlead/plan/SimulatedFront.java
@@ -3,14 +3,15 @@
 import whinlead.Contract;
 
 /**
- * A front under simulated time: its cores, the speed of its machine, how many connections it has, and
- * whether it is there. For one thread.
+ * A front under simulated time: its cores, the speed of its machine, how many connections it has, and whether it is
+ * there. For one thread.
  */
 final class SimulatedFront {
     /** In steps of so many milliseconds a cold front gets faster. */
     private static final double COLD_STEP_MS = 200;
     /** Weight of an answer in the busy share and rate that a front reports. */
     private static final double REPORT_WEIGHT = 0.1;
+
     private static final double SECOND_MS = 1000;
 
     private final Fleet fleet;
@@ -45,9 +46,10 @@
     private FrontModel coresOf(Fleet.Model of) {
         Fleet.Front front = fleet.front();
         int room = (int) Math.min(Integer.MAX_VALUE, Math.round(front.roomPerCore() * of.cores()));
-        FrontModel.Thrash thrash = front.thrashAbove() == 0 ? FrontModel.Thrash.NONE
-                : new FrontModel.Thrash(front.thrashAbove() * of.cores(), front.thrashSpeed(),
-                        front.thrashUntil() * of.cores());
+        FrontModel.Thrash thrash = front.thrashAbove() == 0
+                ? FrontModel.Thrash.NONE
+                : new FrontModel.Thrash(
+                        front.thrashAbove() * of.cores(), front.thrashSpeed(), front.thrashUntil() * of.cores());
         return new FrontModel(calendar, of.cores(), front.sharing(), room, thrash);
     }
 
@@ -150,7 +152,6 @@
         if (fleet.settings().reporting() != Contract.Reporting.WITH_ANSWERS || answerGap <= 0) {
             return null;
         }
-        return new Contract.Report(Double.NaN, Double.NaN, utilisation, Double.NaN, SECOND_MS / answerGap,
-                0);
+        return new Contract.Report(Double.NaN, Double.NaN, utilisation, Double.NaN, SECOND_MS / answerGap, 0);
     }
 }
