--- a/src/main/java/whinlead/plan/SimulatedSidecar.java
+++ b/src/main/java/whinlead/plan/SimulatedSidecar.java
@@ -1,18 +1,18 @@
 package whinlead.plan;
 
+import java.util.Collection;
+import java.util.Map;
 import whinlead.Contract;
 import whinlead.decide.Decide;
-import whinlead.engine.Request;
-import whinlead.engine.Transport;
 import whinlead.engine.Engine;
+import whinlead.engine.Request;
 import whinlead.engine.Timers;
+import whinlead.engine.Transport;
 import whinlead.membership.EndpointList;
-import java.util.Collection;
-import java.util.Map;
 
 /**
- * A sidecar under simulated time: the real engine with the real decisions, its connections, its processor
- * and its places. For one thread.
+ * A sidecar under simulated time: the real engine with the real decisions, its connections, its processor and its
+ * places. For one thread.
  */
 final class SimulatedSidecar implements Timers {
     private final SimulationContext context;
@@ -23,6 +23,7 @@
     private final Engine engine;
     /** Tries that are at this sidecar. */
     private int held;
+
     private double busyUntil;
     private double processorTime;
 
@@ -40,17 +41,23 @@
         this.fronts = fronts;
         this.connections = new ConnectionPool(limits, calendar);
         Contract.Settings shared = context.fleet().settings();
-        Contract.Settings settings = new Contract.Settings(shared.classes(), shared.tenants(),
-                shared.overShareWorth(), shared.limits(), shared.obligations(), shared.reporting(), false,
-                shared.sidecars(), ordinal);
-        engine = new Engine(this, settings, out -> new Decide(settings, seed, out), list -> { },
-                line -> { });
+        Contract.Settings settings = new Contract.Settings(
+                shared.classes(),
+                shared.tenants(),
+                shared.overShareWorth(),
+                shared.limits(),
+                shared.obligations(),
+                shared.reporting(),
+                false,
+                shared.sidecars(),
+                ordinal);
+        engine = new Engine(this, settings, out -> new Decide(settings, seed, out), list -> {}, line -> {});
     }
 
     /** It starts, and is told of all fronts. */
     void start() {
         // What the list tells later is told by the changes.
-        engine.start(() -> { }, null);
+        engine.start(() -> {}, null);
         engine.list(Contract.ListKind.FULL, list(fronts.values(), true));
     }
 
@@ -60,9 +67,12 @@
     }
 
     private static EndpointList list(Collection<SimulatedFront> fronts, boolean complete) {
-        return new EndpointList(0, complete, fronts.stream()
-                .map(front -> new EndpointList.Entry(front.entry(), null))
-                .toList());
+        return new EndpointList(
+                0,
+                complete,
+                fronts.stream()
+                        .map(front -> new EndpointList.Entry(front.entry(), null))
+                        .toList());
     }
 
     @Override
@@ -99,8 +109,10 @@
         }
         double freeShare = 1 - (double) held / limits.places();
         Arrival arrival = received.arrival();
-        engine.take(new Request(arrival.kind(), arrival.tenant(), remaining, received.repeat(), freeShare, 0),
-                new AttemptTransport(arrival.kind()), received);
+        engine.take(
+                new Request(arrival.kind(), arrival.tenant(), remaining, received.repeat(), freeShare, 0),
+                new AttemptTransport(arrival.kind()),
+                received);
     }
 
     /** A try has ended, and its place is free. */
@@ -137,8 +149,7 @@
         }
     }
 
-    private SimulatedAttempt send(int requestClass, SimulatedFront front,
-            Transport.Outcomes<SimulatedFront> listener) {
+    private SimulatedAttempt send(int requestClass, SimulatedFront front, Transport.Outcomes<SimulatedFront> listener) {
         SimulatedAttempt attempt = new SimulatedAttempt(context, connections, front, listener);
         context.tally().attempt();
         if (front.lost()) {
--- a/src/main/java/whinlead/plan/Simulation.java
+++ b/src/main/java/whinlead/plan/Simulation.java
@@ -1,6 +1,5 @@
 package whinlead.plan;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Iterator;
@@ -8,16 +7,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import whinlead.Contract;
 
 /**
- * Sidecars that run the real engine and decisions, before models of the fronts, under a calendar: a load
- * goes in, and what became of it comes out. The same fleet, load and seed give the same outcome to the bit.
- * Each purpose has a random generator of its own, so that two fleets that differ in one thing meet the same
- * load (common random numbers). For one thread.
+ * Sidecars that run the real engine and decisions, before models of the fronts, under a calendar: a load goes in, and
+ * what became of it comes out. The same fleet, load and seed give the same outcome to the bit. Each purpose has a
+ * random generator of its own, so that two fleets that differ in one thing meet the same load (common random numbers).
+ * For one thread.
  */
 public final class Simulation {
     /** After the last deadline, for what is under way. */
     private static final double TAIL_MS = 1000;
+
     private static final double SECOND_MS = 1000;
     /** Keeps the seeds of different purposes apart: odd, from the golden ratio. */
     private static final long PURPOSE = 0x9E3779B97F4A7C15L;
@@ -31,6 +32,7 @@
     private final List<SimulatedSidecar> sidecars = new ArrayList<>();
     /** Of each sidecar, the share of requests that go to it or to one before it. */
     private final double[] cumulativeShares;
+
     private double lastArrival;
 
     /** A fleet that has seen no load; {@code fleet} has passed its check. */
@@ -50,7 +52,9 @@
             sidecars.add(new SimulatedSidecar(context, frontsById, i, decisionSeed));
         }
         for (int i = 0; i < fleet.changes().size(); i++) {
-            schedule(fleet.changes().get(i), machines.met().get(i).stream().map(fronts::get).toList());
+            schedule(
+                    fleet.changes().get(i),
+                    machines.met().get(i).stream().map(fronts::get).toList());
         }
         sidecars.forEach(SimulatedSidecar::start);
     }
--- a/src/main/java/whinlead/plan/SimulationContext.java
+++ b/src/main/java/whinlead/plan/SimulationContext.java
@@ -8,4 +8,4 @@
  * @param work draws what requests cost, and how long their answers take
  * @param clients draws how clients retry
  */
-record SimulationContext(Fleet fleet, Calendar calendar, OutcomeTally tally, Random work, Random clients) { }
+record SimulationContext(Fleet fleet, Calendar calendar, OutcomeTally tally, Random work, Random clients) {}
--- a/src/main/java/whinlead/plan/Solver.java
+++ b/src/main/java/whinlead/plan/Solver.java
@@ -6,10 +6,10 @@
 import java.util.TreeMap;
 
 /**
- * The least number of fronts that meets a goal under noise. Every number is tried with the same seeds, so
- * that what differs is the number (common random numbers), and with more of them only while its interval
- * holds the goal. Service need not rise with fronts (more handshakes, thinner evidence), so an answer counts
- * only if the next numbers meet the goal too. Pure; who runs the trials is the caller's.
+ * The least number of fronts that meets a goal under noise. Every number is tried with the same seeds, so that what
+ * differs is the number (common random numbers), and with more of them only while its interval holds the goal. Service
+ * need not rise with fronts (more handshakes, thinner evidence), so an answer counts only if the next numbers meet the
+ * goal too. Pure; who runs the trials is the caller's.
  */
 public final class Solver {
     /** Runs a number of fronts with each of these seeds. */
@@ -30,20 +30,17 @@
     }
 
     /** A number that was tried. */
-    public record Point(Verdict verdict, Interval service) { }
+    public record Point(Verdict verdict, Interval service) {}
 
     /**
      * An answer.
      *
-     * @param fronts the least number that was found to meet the goal, with the next ones; 0 if none up to
-     *     the most does
-     * @param certain whether the number below is known to miss it, or was not tried for being the least
-     *     possible
-     * @param outOfRuns whether the runs that were allowed ended the search; then {@code fronts} may not be
-     *     the least
+     * @param fronts the least number that was found to meet the goal, with the next ones; 0 if none up to the most does
+     * @param certain whether the number below is known to miss it, or was not tried for being the least possible
+     * @param outOfRuns whether the runs that were allowed ended the search; then {@code fronts} may not be the least
      * @param points all numbers that were tried
      */
-    public record Answer(int fronts, boolean certain, boolean outOfRuns, Map<Integer, Point> points) { }
+    public record Answer(int fronts, boolean certain, boolean outOfRuns, Map<Integer, Point> points) {}
 
     /**
      * Bounds of a search.
@@ -54,7 +51,7 @@
      * @param runs at most in all
      * @param further how many of the next numbers have to meet the goal too
      */
-    public record Bounds(int least, int most, int seeds, int seedsMost, int runs, int further) { }
+    public record Bounds(int least, int most, int seeds, int seedsMost, int runs, int further) {}
 
     private final Trial trial;
     private final double goal;
@@ -120,8 +117,7 @@
         List<Double> known = values.computeIfAbsent(n, k -> new ArrayList<>());
         while (true) {
             Verdict v = of(known);
-            int more = known.isEmpty() ? bounds.seeds() : Math.min(bounds.seedsMost() - known.size(),
-                    known.size());
+            int more = known.isEmpty() ? bounds.seeds() : Math.min(bounds.seedsMost() - known.size(), known.size());
             if (!known.isEmpty() && (v != Verdict.UNSURE || more <= 0 || spent())) {
                 return v;
             }
@@ -152,8 +148,8 @@
         Map<Integer, Point> points = new TreeMap<>();
         values.forEach((n, known) -> points.put(n, new Point(of(known), interval(known))));
         Point below = points.get(fronts - 1);
-        boolean certain = fronts > 0 && (fronts == bounds.least() || below != null
-                && below.verdict() == Verdict.MISSED);
+        boolean certain =
+                fronts > 0 && (fronts == bounds.least() || below != null && below.verdict() == Verdict.MISSED);
         return new Answer(fronts, certain, spent(), points);
     }
 }
--- a/src/main/java/whinlead/plan/tool/Answer.java
+++ b/src/main/java/whinlead/plan/tool/Answer.java
@@ -1,6 +1,5 @@
 package whinlead.plan.tool;
 
-import whinlead.plan.Interval;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -19,14 +18,13 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
+import whinlead.plan.Interval;
 
-/**
- * An answer of the planner: figures with their intervals, notes and plots; the same for the same question.
- */
+/** An answer of the planner: figures with their intervals, notes and plots; the same for the same question. */
 final class Answer {
     private static final String PLOTS = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
 
-    private record Plot(String name, double[] seconds) { }
+    private record Plot(String name, double[] seconds) {}
 
     private final String title;
     private final Path file;
@@ -70,21 +68,25 @@
         if (Double.isInfinite(i.half())) {
             return String.format(Locale.ROOT, "%.4f (one run)", i.mean());
         }
-        return i.half() == 0 ? String.format(Locale.ROOT, "%.4f", i.mean())
+        return i.half() == 0
+                ? String.format(Locale.ROOT, "%.4f", i.mean())
                 : String.format(Locale.ROOT, "%.4f +- %.4f", i.mean(), i.half());
     }
 
     /** Writes it for machines. */
     void json(Path to) throws IOException {
         ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-        ObjectNode root = mapper.createObjectNode().put("title", title)
+        ObjectNode root = mapper.createObjectNode()
+                .put("title", title)
                 .put("description", file.getFileName().toString());
         ArrayNode list = root.putArray("seeds");
         Arrays.stream(seeds).forEach(list::add);
         ObjectNode all = root.putObject("figures");
         // One run tells nothing of its spread, and JSON has no infinity.
-        figures.forEach((name, i) -> all.putObject(name).put("mean", i.mean())
-                .put("half", Double.isInfinite(i.half()) ? null : (Double) i.half()).put("runs", i.runs()));
+        figures.forEach((name, i) -> all.putObject(name)
+                .put("mean", i.mean())
+                .put("half", Double.isInfinite(i.half()) ? null : (Double) i.half())
+                .put("runs", i.runs()));
         ArrayNode lines = root.putArray("notes");
         notes.forEach(lines::add);
         write(to, mapper.writeValueAsString(root) + "\n");
@@ -92,28 +94,43 @@
 
     /** Writes it as one page that needs nothing else. */
     void html(Path to) throws IOException {
-        StringBuilder b = new StringBuilder("<!doctype html>\n<html lang=\"en\"><head>"
-                + "<meta charset=\"utf-8\"><title>")
-                .append(escaped(title)).append("</title>\n<style>").append(resource("uPlot.min.css"))
+        StringBuilder b = new StringBuilder(
+                        "<!doctype html>\n<html lang=\"en\"><head>" + "<meta charset=\"utf-8\"><title>")
+                .append(escaped(title))
+                .append("</title>\n<style>")
+                .append(resource("uPlot.min.css"))
                 .append("\nbody{font-family:sans-serif;max-width:60em;margin:2em auto}td{padding:0 1em 0 0}")
-                .append("</style>\n<script>").append(resource("uPlot.iife.min.js"))
+                .append("</style>\n<script>")
+                .append(resource("uPlot.iife.min.js"))
                 .append("</script></head><body>\n<h1>")
-                .append(escaped(title)).append("</h1>\n<p>").append(escaped(file.getFileName().toString()))
-                .append(", seeds ").append(Arrays.toString(seeds))
+                .append(escaped(title))
+                .append("</h1>\n<p>")
+                .append(escaped(file.getFileName().toString()))
+                .append(", seeds ")
+                .append(Arrays.toString(seeds))
                 .append(". Intervals are Student's, 95%; a figure without one is exact.</p>\n<ul>\n");
         notes.forEach(n -> b.append("<li>").append(escaped(n)).append("</li>\n"));
         b.append("</ul>\n<table>\n");
-        figures.forEach((name,
-                i) -> b.append("<tr><td>").append(escaped(name)).append("</td><td>").append(text(i))
+        figures.forEach((name, i) -> b.append("<tr><td>")
+                .append(escaped(name))
+                .append("</td><td>")
+                .append(text(i))
                 .append("</td></tr>\n"));
         b.append("</table>\n");
         for (int p = 0; p < plots.size(); p++) {
             Plot plot = plots.get(p);
-            b.append("<h2>").append(escaped(plot.name())).append("</h2>\n<div id=\"p").append(p)
+            b.append("<h2>")
+                    .append(escaped(plot.name()))
+                    .append("</h2>\n<div id=\"p")
+                    .append(p)
                     .append("\"></div>\n<script>new uPlot({width:800,height:300,scales:{x:{time:false}},")
                     .append("series:[{label:\"s\"},{label:\"share\",stroke:\"#1565c0\"}]},[")
-                    .append(numbers(plot.seconds(), true)).append(',').append(numbers(plot.seconds(), false))
-                    .append("],document.getElementById(\"p").append(p).append("\"));</script>\n");
+                    .append(numbers(plot.seconds(), true))
+                    .append(',')
+                    .append(numbers(plot.seconds(), false))
+                    .append("],document.getElementById(\"p")
+                    .append(p)
+                    .append("\"));</script>\n");
         }
         write(to, b.append("</body></html>\n").toString());
     }
@@ -121,8 +138,11 @@
     private static String numbers(double[] values, boolean places) {
         StringBuilder b = new StringBuilder("[");
         for (int i = 0; i < values.length; i++) {
-            b.append(i == 0 ? "" : ",").append(places ? Integer.toString(i) : Double.isNaN(values[i]) ? "null"
-                    : String.format(Locale.ROOT, "%.4f", values[i]));
+            b.append(i == 0 ? "" : ",")
+                    .append(
+                            places
+                                    ? Integer.toString(i)
+                                    : Double.isNaN(values[i]) ? "null" : String.format(Locale.ROOT, "%.4f", values[i]));
         }
         return b.append(']').toString();
     }
@@ -136,8 +156,9 @@
             if (in == null) {
                 throw new IOException("the plots' library is not in the jar");
             }
-            return new String(in.readAllBytes(),
-                    StandardCharsets.UTF_8).lines().filter(l -> !l.startsWith("//#"))
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8)
+                    .lines()
+                    .filter(l -> !l.startsWith("//#"))
                     .collect(Collectors.joining("\n"));
         }
     }
--- a/src/main/java/whinlead/plan/tool/CaptureCommand.java
+++ b/src/main/java/whinlead/plan/tool/CaptureCommand.java
@@ -1,12 +1,5 @@
 package whinlead.plan.tool;
 
-import whinlead.Contract;
-import whinlead.capture.CaptureInput;
-import whinlead.capture.CaptureOutput;
-import whinlead.capture.Entry;
-import whinlead.capture.Summary;
-import whinlead.engine.RequestListener;
-import whinlead.plan.Arrival;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,13 +12,22 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import whinlead.Contract;
+import whinlead.capture.CaptureInput;
+import whinlead.capture.CaptureOutput;
+import whinlead.capture.Entry;
+import whinlead.capture.Summary;
+import whinlead.engine.RequestListener;
+import whinlead.plan.Arrival;
 
 /** {@code capture make} and {@code capture inspect}: captured loads; see {@code docs/planner.md}. */
-@Command(name = "capture", description = "Makes and inspects captured loads.",
+@Command(
+        name = "capture",
+        description = "Makes and inspects captured loads.",
         mixinStandardHelpOptions = true,
         subcommands = {CaptureCommand.Make.class, CaptureCommand.Inspect.class})
 public final class CaptureCommand {
-    private CaptureCommand() { }
+    private CaptureCommand() {}
 
     /** Runs it; the exit code as the planner's. */
     public static int run(String... args) {
@@ -33,15 +35,19 @@
     }
 
     /** Makes one. */
-    @Command(name = "make", mixinStandardHelpOptions = true,
+    @Command(
+            name = "make",
+            mixinStandardHelpOptions = true,
             description = "Makes a capture from the load that a description draws with a seed.")
     static final class Make implements Callable<Integer> {
         private static final double MICROS = 1000;
 
         @Parameters(index = "0", paramLabel = "FLEET", description = "The description, as deploy/fleet.json.")
         private Path file;
+
         @Parameters(index = "1", paramLabel = "CAPTURE", description = "The capture that is written.")
         private Path to;
+
         @Option(names = "--seed", description = "Seed of all that is drawn.")
         private long seed = 1;
 
@@ -51,13 +57,19 @@
             List<Contract.RequestClass> classes = d.fleet().settings().classes();
             Path half = Files.createTempFile(to.toAbsolutePath().getParent(), "capture", ".tmp");
             try {
-                try (CaptureOutput out =
-                        new CaptureOutput(new BufferedOutputStream(Files.newOutputStream(half)),
+                try (CaptureOutput out = new CaptureOutput(
+                        new BufferedOutputStream(Files.newOutputStream(half)),
                         classes.stream().map(Contract.RequestClass::name).toList())) {
-                    for (Iterator<Arrival> load = d.load().arrivals(seed); load.hasNext();) {
+                    for (Iterator<Arrival> load = d.load().arrivals(seed); load.hasNext(); ) {
                         Arrival a = load.next();
-                        out.write(new Entry(Math.round(a.at() * MICROS), a.kind(), a.tenant(),
-                                (int) classes.get(a.kind()).deadline(), 0, a.repeat(), RequestListener.End.SERVED));
+                        out.write(new Entry(
+                                Math.round(a.at() * MICROS),
+                                a.kind(),
+                                a.tenant(),
+                                (int) classes.get(a.kind()).deadline(),
+                                0,
+                                a.repeat(),
+                                RequestListener.End.SERVED));
                     }
                 }
                 Files.move(half, to, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
@@ -84,10 +96,12 @@
             System.out.printf(Locale.ROOT, "seconds: %.3f%n", s.seconds());
             System.out.println("fullest second: " + s.peak());
             for (int k = 0; k < s.classes().size(); k++) {
-                System.out.println("of class " + s.classes().get(k) + ": " + s.counts().get(k));
+                System.out.println(
+                        "of class " + s.classes().get(k) + ": " + s.counts().get(k));
             }
             for (RequestListener.End e : RequestListener.End.values()) {
-                System.out.println(e.name().toLowerCase(Locale.ROOT) + ": " + s.ends().get(e.ordinal()));
+                System.out.println(
+                        e.name().toLowerCase(Locale.ROOT) + ": " + s.ends().get(e.ordinal()));
             }
             System.out.println("repeats: " + s.repeats());
             System.out.println("lost: " + s.lost());
--- a/src/main/java/whinlead/plan/tool/CaptureLoad.java
+++ b/src/main/java/whinlead/plan/tool/CaptureLoad.java
@@ -1,12 +1,5 @@
 package whinlead.plan.tool;
 
-import whinlead.Contract;
-import whinlead.capture.CaptureInput;
-import whinlead.capture.Entry;
-import whinlead.capture.Summary;
-import whinlead.plan.Arrival;
-import whinlead.plan.Arrivals;
-import whinlead.plan.Fleet;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -14,17 +7,21 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
+import whinlead.Contract;
+import whinlead.capture.CaptureInput;
+import whinlead.capture.Entry;
+import whinlead.capture.Summary;
+import whinlead.plan.Arrival;
+import whinlead.plan.Arrivals;
+import whinlead.plan.Fleet;
 
 /**
- * A captured load, played by the planner. Read anew for each run, so its length costs no memory. At so many
- * times the load its time runs so much faster: bursts keep their order and get shorter.
+ * A captured load, played by the planner. Read anew for each run, so its length costs no memory. At so many times the
+ * load its time runs so much faster: bursts keep their order and get shorter.
  */
 public final class CaptureLoad {
     private static final double MICROS = 1000;
-    /**
-     * Asked about more than so many times the fullest second of the capture, the answer is far from what was
-     * seen.
-     */
+    /** Asked about more than so many times the fullest second of the capture, the answer is far from what was seen. */
     private static final double FAR = 1.5;
 
     private final Path file;
@@ -34,8 +31,8 @@
     /**
      * Reads it through once.
      *
-     * @throws IllegalArgumentException with one line if it is no capture, is empty or names a class that the
-     *     fleet lacks
+     * @throws IllegalArgumentException with one line if it is no capture, is empty or names a class that the fleet
+     *     lacks
      */
     public CaptureLoad(Path file, Fleet fleet) throws IOException {
         this.file = file;
@@ -50,7 +47,9 @@
         if (summary.requests() == 0) {
             throw new IllegalArgumentException(file + ": holds no request");
         }
-        List<String> known = fleet.settings().classes().stream().map(Contract.RequestClass::name).toList();
+        List<String> known = fleet.settings().classes().stream()
+                .map(Contract.RequestClass::name)
+                .toList();
         kinds = new int[summary.classes().size()];
         for (int k = 0; k < kinds.length; k++) {
             kinds[k] = known.indexOf(summary.classes().get(k));
@@ -79,8 +78,7 @@
                     + " requests are not in the capture: the load is too low by that part.");
         }
         if (summary.jumps() > 0) {
-            lines.add("Its clock went back " + summary.jumps()
-                    + " times: the load around that is too dense.");
+            lines.add("Its clock went back " + summary.jumps() + " times: the load around that is too dense.");
         }
         if (summary.torn()) {
             lines.add("Its last entry was torn and is left out.");
--- a/src/main/java/whinlead/plan/tool/Description.java
+++ b/src/main/java/whinlead/plan/tool/Description.java
@@ -1,9 +1,5 @@
 package whinlead.plan.tool;
 
-import whinlead.Contract;
-import whinlead.plan.Fleet;
-import whinlead.plan.Law;
-import whinlead.plan.Load;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -18,15 +14,20 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
+import whinlead.Contract;
+import whinlead.plan.Fleet;
+import whinlead.plan.Law;
+import whinlead.plan.Load;
 
 /**
- * A deployment and its load as an operator describes them: {@code deploy/fleet.json}, checked by its schema
- * and then for what a schema can't see.
+ * A deployment and its load as an operator describes them: {@code deploy/fleet.json}, checked by its schema and then
+ * for what a schema can't see.
  */
 public record Description(Fleet fleet, Load load) {
     private static final String SCHEMA = "/whinlead/plan/fleet.schema.json";
     /** How far shares may be from a sum of 1. */
     private static final double SUM_SLACK = 1e-6;
+
     private static final double SECOND = 1000;
 
     /**
@@ -67,10 +68,16 @@
         List<Contract.RequestClass> types = new ArrayList<>();
         List<Fleet.Work> work = new ArrayList<>();
         for (JsonNode c : classes) {
-            types.add(new Contract.RequestClass(c.get("name").textValue(), c.get("worth").doubleValue(),
-                    number(c, "late_worth", 0), c.get("aim").doubleValue(), c.get("deadline").doubleValue(),
-                    effect(c.get("effect").textValue()), group(c.path("group").asText("all")),
-                    number(c, "window", 0), false));
+            types.add(new Contract.RequestClass(
+                    c.get("name").textValue(),
+                    c.get("worth").doubleValue(),
+                    number(c, "late_worth", 0),
+                    c.get("aim").doubleValue(),
+                    c.get("deadline").doubleValue(),
+                    effect(c.get("effect").textValue()),
+                    group(c.path("group").asText("all")),
+                    number(c, "window", 0),
+                    false));
             work.add(new Fleet.Work(law(c.get("work")), c.has("away") ? law(c.get("away")) : new Law(0, 0)));
         }
         JsonNode rules = root.get("rules");
@@ -78,41 +85,71 @@
         List<Double> shares = new ArrayList<>();
         sidecars.get("shares").forEach(s -> shares.add(s.doubleValue()));
         double retryAfter = number(root, "max_retry_after", 0);
-        Contract.Settings settings = new Contract.Settings(types, List.of(), 1,
-                new Contract.Limits(root.get("attempts").intValue(), true, true, false, false, retryAfter > 0,
-                        retryAfter, 0),
-                new Contract.Obligations(rules.get("drain_grace").doubleValue(),
-                        rules.get("fall_multiple").doubleValue(), rules.get("fall_time").doubleValue(),
-                        rules.get("cold_share").doubleValue(), rules.get("cold_time").doubleValue(),
+        Contract.Settings settings = new Contract.Settings(
+                types,
+                List.of(),
+                1,
+                new Contract.Limits(
+                        root.get("attempts").intValue(), true, true, false, false, retryAfter > 0, retryAfter, 0),
+                new Contract.Obligations(
+                        rules.get("drain_grace").doubleValue(),
+                        rules.get("fall_multiple").doubleValue(),
+                        rules.get("fall_time").doubleValue(),
+                        rules.get("cold_share").doubleValue(),
+                        rules.get("cold_time").doubleValue(),
                         10 * SECOND),
-                root.get("reports").booleanValue() ? Contract.Reporting.WITH_ANSWERS
-                : Contract.Reporting.NONE,
-                false, shares.size(), 0);
+                root.get("reports").booleanValue() ? Contract.Reporting.WITH_ANSWERS : Contract.Reporting.NONE,
+                false,
+                shares.size(),
+                0);
         List<Fleet.Model> models = new ArrayList<>();
         for (JsonNode m : root.get("models")) {
-            models.add(new Fleet.Model(m.get("name").textValue(), m.get("cores").intValue(),
-                    m.get("speed").get(0).doubleValue(), m.get("speed").get(1).doubleValue(),
+            models.add(new Fleet.Model(
+                    m.get("name").textValue(),
+                    m.get("cores").intValue(),
+                    m.get("speed").get(0).doubleValue(),
+                    m.get("speed").get(1).doubleValue(),
                     m.get("share").doubleValue()));
         }
         List<Fleet.Zone> zones = new ArrayList<>();
         for (JsonNode z : root.get("zones")) {
-            zones.add(new Fleet.Zone(z.get("name").textValue(), z.get("share").doubleValue(),
+            zones.add(new Fleet.Zone(
+                    z.get("name").textValue(),
+                    z.get("share").doubleValue(),
                     z.get("way").doubleValue()));
         }
         JsonNode f = root.get("fronts");
         JsonNode thrash = f.path("thrash");
         JsonNode clients = root.get("clients");
-        Fleet fleet = new Fleet(settings, models, zones, f.get("count").intValue(), work,
-                new Fleet.Front(f.path("sharing").asBoolean(false), f.get("room_per_core").doubleValue(),
-                        f.get("connections").intValue(), number(f, "handshake", 0),
-                        rules.get("cold_share").doubleValue(), rules.get("cold_time").doubleValue(),
-                        number(thrash, "above", 0), number(thrash, "speed", 1), number(thrash, "until", 0),
+        Fleet fleet = new Fleet(
+                settings,
+                models,
+                zones,
+                f.get("count").intValue(),
+                work,
+                new Fleet.Front(
+                        f.path("sharing").asBoolean(false),
+                        f.get("room_per_core").doubleValue(),
+                        f.get("connections").intValue(),
+                        number(f, "handshake", 0),
+                        rules.get("cold_share").doubleValue(),
+                        rules.get("cold_time").doubleValue(),
+                        number(thrash, "above", 0),
+                        number(thrash, "speed", 1),
+                        number(thrash, "until", 0),
                         f.path("cancel_stops").asBoolean(false)),
-                new Fleet.Sidecar(number(sidecars, "work", 0), sidecars.get("places").intValue(),
-                        sidecars.get("connections").intValue(), sidecars.get("connect_timeout").doubleValue(),
+                new Fleet.Sidecar(
+                        number(sidecars, "work", 0),
+                        sidecars.get("places").intValue(),
+                        sidecars.get("connections").intValue(),
+                        sidecars.get("connect_timeout").doubleValue(),
                         number(sidecars, "idle", 60 * SECOND)),
-                shares, new Fleet.Clients(clients.get("tries").intValue(), number(clients, "back_off", 100),
-                        number(clients, "honour", 1)), changes(root.path("changes")));
+                shares,
+                new Fleet.Clients(
+                        clients.get("tries").intValue(),
+                        number(clients, "back_off", 100),
+                        number(clients, "honour", 1)),
+                changes(root.path("changes")));
         fleet.check();
         return new Description(fleet, load(root.get("load"), types));
     }
@@ -120,11 +157,15 @@
     private static void check(JsonNode root) {
         try (InputStream in = Description.class.getResourceAsStream(SCHEMA)) {
             Set<ValidationMessage> wrong = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
-                    .getSchema(in).validate(root);
+                    .getSchema(in)
+                    .validate(root);
             if (!wrong.isEmpty()) {
                 // The first by its place, so that the same file gets the same line.
-                throw new IllegalArgumentException(wrong.stream().map(ValidationMessage::getMessage).sorted()
-                        .findFirst().orElseThrow());
+                throw new IllegalArgumentException(wrong.stream()
+                        .map(ValidationMessage::getMessage)
+                        .sorted()
+                        .findFirst()
+                        .orElseThrow());
             }
         } catch (IOException e) {
             throw new IllegalStateException("the schema can't be read", e);
@@ -134,11 +175,14 @@
     private static List<Fleet.Change> changes(JsonNode list) {
         List<Fleet.Change> changes = new ArrayList<>();
         for (JsonNode c : list) {
-            changes.add(new Fleet.Change(Fleet.Kind.valueOf(
-                    c.get("kind").textValue().toUpperCase(Locale.ROOT)), c.has("zone")
-                    ? c.get("zone").textValue() : null,
-                    number(c, "share", 1), number(c, "speed", 1), c.get("from").doubleValue(),
-                    c.get("to").doubleValue(), number(c, "notice", 0)));
+            changes.add(new Fleet.Change(
+                    Fleet.Kind.valueOf(c.get("kind").textValue().toUpperCase(Locale.ROOT)),
+                    c.has("zone") ? c.get("zone").textValue() : null,
+                    number(c, "share", 1),
+                    number(c, "speed", 1),
+                    c.get("from").doubleValue(),
+                    c.get("to").doubleValue(),
+                    number(c, "notice", 0)));
         }
         return changes;
     }
@@ -160,11 +204,13 @@
         }
         List<Load.Burst> bursts = new ArrayList<>();
         for (JsonNode b : l.path("bursts")) {
-            bursts.add(new Load.Burst(b.get("from").doubleValue(), b.get("to").doubleValue(),
+            bursts.add(new Load.Burst(
+                    b.get("from").doubleValue(),
+                    b.get("to").doubleValue(),
                     b.get("times").doubleValue()));
         }
-        return new Load(l.get("per_second").doubleValue(), mix, bursts,
-                l.get("seconds").doubleValue() * SECOND);
+        return new Load(
+                l.get("per_second").doubleValue(), mix, bursts, l.get("seconds").doubleValue() * SECOND);
     }
 
     private static Law law(JsonNode n) {
--- a/src/main/java/whinlead/plan/tool/Runner.java
+++ b/src/main/java/whinlead/plan/tool/Runner.java
@@ -1,9 +1,5 @@
 package whinlead.plan.tool;
 
-import whinlead.plan.Arrival;
-import whinlead.plan.Fleet;
-import whinlead.plan.Outcome;
-import whinlead.plan.Simulation;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
@@ -12,10 +8,12 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.function.LongFunction;
+import whinlead.plan.Arrival;
+import whinlead.plan.Fleet;
+import whinlead.plan.Outcome;
+import whinlead.plan.Simulation;
 
-/**
- * Plays simulations on several threads; what comes of them, and in which order, does not depend on how many.
- */
+/** Plays simulations on several threads; what comes of them, and in which order, does not depend on how many. */
 final class Runner implements AutoCloseable {
     private final ExecutorService threads;
 
--- a/src/main/java/whinlead/replication/Command.java
+++ b/src/main/java/whinlead/replication/Command.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What a member asks its group to agree on. All times are milliseconds; those called {@code until} are of the
- * group's own time ({@link ReplicatedState#time}), never of a wall clock. An attempt is known by the member that decided
- * it, in one life of its, and a number that this life uses once.
+ * What a member asks its group to agree on. All times are milliseconds; those called {@code until} are of the group's
+ * own time ({@link ReplicatedState#time}), never of a wall clock. An attempt is known by the member that decided it, in
+ * one life of its, and a number that this life uses once.
  */
 public sealed interface Command {
     /** The request that it is about; null if it is about none, or about all. */
@@ -22,13 +22,21 @@
     }
 
     /** What a caller tells of an attempt to a member that does not hold it. */
-    enum How { NEVER_RAN, MAY_HAVE_RAN, SERVED }
+    enum How {
+        NEVER_RAN,
+        MAY_HAVE_RAN,
+        SERVED
+    }
 
     /** How a request is over, for its client. */
-    enum Ending { SERVED, REFUSED, FAILED }
+    enum Ending {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /** An attempt of one life of a member. */
-    record Attempt(String owner, long number) { }
+    record Attempt(String owner, long number) {}
 
     /**
      * Lets an attempt go out, if no earlier one stands against it.
@@ -40,8 +48,17 @@
      * @param until when it is decided later, it must not go out any more
      * @param anew the client says that it asks again after it was refused
      */
-    record Allow(String id, String caller, Guard guard, Attempt attempt, List<Long> neverRan, String endpoint,
-            long left, long until, boolean anew) implements Command {
+    record Allow(
+            String id,
+            String caller,
+            Guard guard,
+            Attempt attempt,
+            List<Long> neverRan,
+            String endpoint,
+            long left,
+            long until,
+            boolean anew)
+            implements Command {
         /** Keeps a copy. */
         public Allow {
             neverRan = List.copyOf(neverRan);
@@ -53,15 +70,15 @@
      *
      * @param left until the request's time is up
      */
-    record Withdraw(String id, Attempt attempt, long left) implements Command { }
+    record Withdraw(String id, Attempt attempt, long left) implements Command {}
 
     /**
-     * Tells what became of an attempt, where the member that holds the request can't be asked for what is
-     * next: it ends the request.
+     * Tells what became of an attempt, where the member that holds the request can't be asked for what is next: it ends
+     * the request.
      *
      * @param index as it was granted
      */
-    record Report(String id, int index, How how) implements Command { }
+    record Report(String id, int index, How how) implements Command {}
 
     /**
      * Ends a request, if it has not ended otherwise.
@@ -76,8 +93,8 @@
     }
 
     /**
-     * Refuses a request that this owner let no attempt of out, if nothing of it can have run. From then on
-     * none goes out until its time is up, unless its client asks anew.
+     * Refuses a request that this owner let no attempt of out, if nothing of it can have run. From then on none goes
+     * out until its time is up, unless its client asks anew.
      *
      * @param owner whose attempts {@code neverRan} numbers, as in {@link Allow}
      * @param left until the request's time is up
@@ -95,8 +112,8 @@
      *
      * @param lasts for how long that is known; lists tell it anew
      */
-    record Drain(String endpoint, long lasts) implements Command { }
+    record Drain(String endpoint, long lasts) implements Command {}
 
     /** Nothing but that time has passed. */
-    record Tick() implements Command { }
+    record Tick() implements Command {}
 }
--- a/src/main/java/whinlead/replication/GroupRoute.java
+++ b/src/main/java/whinlead/replication/GroupRoute.java
@@ -6,10 +6,10 @@
 import java.util.function.Consumer;
 
 /**
- * A process's way to a group that it is no member of: which of its members is asked, and what the answers
- * tell of the group's time. It follows the member that leads, by the members' word, and turns to the next
- * one where nothing comes back. A question may be lost: whoever asks it asks again. No clock and no I/O:
- * time comes with each call, and what is to be sent goes out by {@link Post}. On the engine's thread.
+ * A process's way to a group that it is no member of: which of its members is asked, and what the answers tell of the
+ * group's time. It follows the member that leads, by the members' word, and turns to the next one where nothing comes
+ * back. A question may be lost: whoever asks it asks again. No clock and no I/O: time comes with each call, and what is
+ * to be sent goes out by {@link Post}. On the engine's thread.
  */
 public final class GroupRoute {
     /** The way out. */
@@ -31,7 +31,7 @@
     /** Questions without an answer; the oldest are forgotten, for they have been asked again since. */
     private static final int MAX_OPEN = 10_000;
 
-    private record Question(String to, Consumer<Reply> answer) { }
+    private record Question(String to, Consumer<Reply> answer) {}
 
     private final List<String> members;
     private final Post post;
@@ -41,6 +41,7 @@
     private int next;
     /** Since when the one that is asked owes an answer; NaN while it owes none. */
     private double owes = Double.NaN;
+
     private GroupClock pace;
 
     /**
@@ -59,7 +60,7 @@
     /** The group's time, never ahead of it, or {@link #UNKNOWN}; it is asked for then. */
     public long time(double now) {
         if (pace == null) {
-            ask(null, r -> { }, now);
+            ask(null, r -> {}, now);
             return UNKNOWN;
         }
         return pace.time(now);
--- a/src/main/java/whinlead/replication/Placement.java
+++ b/src/main/java/whinlead/replication/Placement.java
@@ -7,10 +7,10 @@
 import java.util.TreeSet;
 
 /**
- * Which group keeps a request, and which process comes next for something: by rendezvous hashing (Thaler
- * and Ravishankar, "Using name-based mappings to increase hit rates", 1998). Every process comes to the
- * same answer from the same names, with nothing to agree on, and a name that goes moves only what was its
- * own. It does not change between versions: two that disagree would each let a request out. Pure.
+ * Which group keeps a request, and which process comes next for something: by rendezvous hashing (Thaler and
+ * Ravishankar, "Using name-based mappings to increase hit rates", 1998). Every process comes to the same answer from
+ * the same names, with nothing to agree on, and a name that goes moves only what was its own. It does not change
+ * between versions: two that disagree would each let a request out. Pure.
  */
 public final class Placement {
     private static final long OFFSET = 0xcbf29ce484222325L;
@@ -44,9 +44,11 @@
     /** These names in their order for a key, the one that comes first before the others. */
     public static List<String> ranked(String key, Collection<String> names) {
         long h = hash(key);
-        return names.stream().sorted(Comparator.<String>comparingLong(n -> weight(hash(n),
-                h) ^ Long.MIN_VALUE)
-                .reversed().thenComparing(Comparator.naturalOrder())).toList();
+        return names.stream()
+                .sorted(Comparator.<String>comparingLong(n -> weight(hash(n), h) ^ Long.MIN_VALUE)
+                        .reversed()
+                        .thenComparing(Comparator.naturalOrder()))
+                .toList();
     }
 
     // FNV-1a of the characters.
--- a/src/main/java/whinlead/replication/ReplicatedState.java
+++ b/src/main/java/whinlead/replication/ReplicatedState.java
@@ -9,13 +9,13 @@
 import java.util.PriorityQueue;
 
 /**
- * What every member of a group knows of the requests that must not run twice: which attempts were let out,
- * which of them can have run, and how each request ended. The replicated state machine: the same commands in
- * the same order, with the same stamps, give the same book everywhere. Free of I/O, clocks and threads.
+ * What every member of a group knows of the requests that must not run twice: which attempts were let out, which of
+ * them can have run, and how each request ended. The replicated state machine: the same commands in the same order,
+ * with the same stamps, give the same book everywhere. Free of I/O, clocks and threads.
  *
- * <p>Time comes with each command, from the member that leads, and never goes back. It may pass more slowly
- * than real time does, and never faster: so nothing is forgotten too early. Whatever wants to be no later
- * than some time (a key's window, a drain's grace) is held by the member that decides, by its own clock.
+ * <p>Time comes with each command, from the member that leads, and never goes back. It may pass more slowly than real
+ * time does, and never faster: so nothing is forgotten too early. Whatever wants to be no later than some time (a key's
+ * window, a drain's grace) is held by the member that decides, by its own clock.
  *
  * <p>Bounded: what has no room is turned away, and nothing is forgotten before its time to make some.
  */
@@ -40,8 +40,8 @@
     /** So many attempts at one request, those taken back included; beyond them it is turned away. */
     public static final int MAX_ATTEMPTS = 16;
     /**
-     * Of the requests that it holds, one in so many may be there because it was refused: an overload, which
-     * is when most are, must not fill it and so keep the rest from going out.
+     * Of the requests that it holds, one in so many may be there because it was refused: an overload, which is when
+     * most are, must not fill it and so keep the rest from going out.
      */
     private static final int REFUSED_PART = 4;
 
@@ -52,8 +52,14 @@
      * @param ending null while it is open
      * @param due while open, when its time is up; then when it is forgotten
      */
-    public record Entry(String id, String caller, Command.Guard guard, List<Command.Attempt> attempts,
-            List<Boolean> neverRan, Command.Ending ending, long due) {
+    public record Entry(
+            String id,
+            String caller,
+            Command.Guard guard,
+            List<Command.Attempt> attempts,
+            List<Boolean> neverRan,
+            Command.Ending ending,
+            long due) {
         /** Keeps copies. */
         public Entry {
             attempts = List.copyOf(attempts);
@@ -66,7 +72,7 @@
      *
      * @param commands so many have been taken in: two books of one group with the same number are the same
      */
-    public record Snapshot(long commands, long time, List<Entry> entries, Map<String, Long> drains) { }
+    public record Snapshot(long commands, long time, List<Entry> entries, Map<String, Long> drains) {}
 
     private static final class Request {
         private final String id;
@@ -140,7 +146,7 @@
         }
     }
 
-    private record Due(long time, Request request) { }
+    private record Due(long time, Request request) {}
 
     private final Limits limits;
     private final Map<String, Request> requests = new LinkedHashMap<>();
@@ -220,8 +226,9 @@
                 return !r.known.get(at) ? new Reply.Granted(at) : r.neverRan() ? new Reply.Late() : state(r);
             }
             r.neverRan(c.attempt().owner(), c.neverRan());
-            boolean mine = r.guard == Command.Guard.KEYED && r.attempts.stream().allMatch(
-                    a -> a.owner().equals(c.attempt().owner()));
+            boolean mine = r.guard == Command.Guard.KEYED
+                    && r.attempts.stream()
+                            .allMatch(a -> a.owner().equals(c.attempt().owner()));
             if (!r.neverRan() && !mine) {
                 return state(r);
             }
@@ -244,8 +251,7 @@
     }
 
     private boolean room(String caller) {
-        return requests.size() < limits.requests()
-                && openByCaller.getOrDefault(caller, 0) < limits.perCaller();
+        return requests.size() < limits.requests() && openByCaller.getOrDefault(caller, 0) < limits.perCaller();
     }
 
     private Request open(String id, String caller, Command.Guard guard, long left) {
--- a/src/main/java/whinlead/replication/ReplicationClient.java
+++ b/src/main/java/whinlead/replication/ReplicationClient.java
@@ -1,20 +1,20 @@
 package whinlead.replication;
 
-import whinlead.consult.Directive;
-import whinlead.consult.Keeper;
-import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import whinlead.consult.Directive;
+import whinlead.consult.Keeper;
+import whinlead.engine.Timers;
 
 /**
- * One member's side of the promises: what it has asked its group, who waits for that, and until when.
- * Commands and replies may be lost, late, doubled or out of order: it asks again until it is answered, and
- * takes back what it gave up on, so that nothing stands against the client's next try. It has no clock and no
- * I/O but the engine's timers and {@link Group}. On the engine's thread.
+ * One member's side of the promises: what it has asked its group, who waits for that, and until when. Commands and
+ * replies may be lost, late, doubled or out of order: it asks again until it is answered, and takes back what it gave
+ * up on, so that nothing stands against the client's next try. It has no clock and no I/O but the engine's timers and
+ * {@link Group}. On the engine's thread.
  */
 public final class ReplicationClient implements Keeper {
     /** The way to the group, or to that of several which keeps the request that a command is about. */
@@ -22,10 +22,7 @@
         /** Has a command agreed on; the answer comes once, later, or never. */
         void submit(Command command, Consumer<Reply> answer);
 
-        /**
-         * The time of the group that keeps this request, never ahead of it; less than 0 while it is not
-         * known.
-         */
+        /** The time of the group that keeps this request, never ahead of it; less than 0 while it is not known. */
         long time(String id);
     }
 
@@ -36,15 +33,18 @@
      * @param margin milliseconds that are kept of a request's time for the answer's way to the client
      * @param refuse milliseconds in which a refusal is agreed on, or is none
      * @param report milliseconds in which a report on another's request is answered
-     * @param retryAfter milliseconds that are told with what can't be promised: the time in which a group has
-     *     another leader
+     * @param retryAfter milliseconds that are told with what can't be promised: the time in which a group has another
+     *     leader
      * @param drain milliseconds for which an endpoint is known to drain
      */
-    public record Waits(double again, double margin, double refuse, double report, double retryAfter,
-            long drain) {
+    public record Waits(double again, double margin, double refuse, double report, double retryAfter, long drain) {
         /** Checks the ranges. */
         public Waits {
-            if (!(again >= 1) || !(margin >= 0) || !(refuse >= 0) || !(report >= 0) || !(retryAfter >= 0)
+            if (!(again >= 1)
+                    || !(margin >= 0)
+                    || !(refuse >= 0)
+                    || !(report >= 0)
+                    || !(retryAfter >= 0)
                     || drain < 0) {
                 throw new IllegalArgumentException("waits out of range");
             }
@@ -66,13 +66,14 @@
     private final Trace trace;
     /** Drains on their way to the group: a list tells one again and again. */
     private final Set<String> telling = new HashSet<>();
+
     private long lastNumber;
 
     /**
      * A desk of one life of a member.
      *
-     * @param owner the member and this process of it: one that is started again with what its disk holds is
-     *     another owner, for it numbers its attempts anew
+     * @param owner the member and this process of it: one that is started again with what its disk holds is another
+     *     owner, for it numbers its attempts anew
      */
     public ReplicationClient(String owner, Timers timers, Waits waits, Group group, Witness witness, Trace trace) {
         this.trace = trace;
@@ -90,22 +91,33 @@
 
     @Override
     public void report(String id, int attempt, How how, Consumer<Directive> told) {
-        Command.How known = switch (how) {
-            case NEVER_RAN -> Command.How.NEVER_RAN;
-            case MAY_HAVE_RAN -> Command.How.MAY_HAVE_RAN;
-            case SERVED -> Command.How.SERVED;
-        };
+        Command.How known =
+                switch (how) {
+                    case NEVER_RAN -> Command.How.NEVER_RAN;
+                    case MAY_HAVE_RAN -> Command.How.MAY_HAVE_RAN;
+                    case SERVED -> Command.How.SERVED;
+                };
         double until = timers.now() + waits.report();
-        new Question(new Command.Report(id, attempt, known), until, until,
-                reply -> told.accept(ended(id, reply)), () -> told.accept(null)).ask();
+        new Question(
+                        new Command.Report(id, attempt, known),
+                        until,
+                        until,
+                        reply -> told.accept(ended(id, reply)),
+                        () -> told.accept(null))
+                .ask();
     }
 
     @Override
     public void drains(String endpoint) {
         if (telling.add(endpoint)) {
             double until = timers.now() + waits.drain();
-            new Question(new Command.Drain(endpoint, waits.drain()), until, until,
-                    reply -> telling.remove(endpoint), () -> telling.remove(endpoint)).ask();
+            new Question(
+                            new Command.Drain(endpoint, waits.drain()),
+                            until,
+                            until,
+                            reply -> telling.remove(endpoint),
+                            () -> telling.remove(endpoint))
+                    .ask();
         }
     }
 
@@ -127,7 +139,8 @@
     }
 
     private static Command.Ending ending(Directive how) {
-        return how instanceof Directive.Served ? Command.Ending.SERVED
+        return how instanceof Directive.Served
+                ? Command.Ending.SERVED
                 : how instanceof Directive.Refused ? Command.Ending.REFUSED : Command.Ending.FAILED;
     }
 
@@ -135,22 +148,22 @@
     private final class Question {
         /** Null while it can't be asked yet. */
         private final Supplier<Command> command;
+
         private final double patience;
         private final double until;
         private Consumer<Reply> answered;
         private Runnable givenUp;
         private boolean over;
-        private Timers.Timer again = () -> { };
+        private Timers.Timer again = () -> {};
         private Timers.Timer end;
 
         /** It is asked until {@code until}; from {@code patience} on, nobody waits for the answer. */
-        private Question(Command command, double patience, double until, Consumer<Reply> answered,
-                Runnable givenUp) {
+        private Question(Command command, double patience, double until, Consumer<Reply> answered, Runnable givenUp) {
             this(() -> command, patience, until, answered, givenUp);
         }
 
-        private Question(Supplier<Command> command, double patience, double until, Consumer<Reply> answered,
-                Runnable givenUp) {
+        private Question(
+                Supplier<Command> command, double patience, double until, Consumer<Reply> answered, Runnable givenUp) {
             this.command = command;
             this.patience = patience;
             this.until = until;
@@ -212,6 +225,7 @@
         private final List<Long> neverRan = new ArrayList<>(1);
         /** The attempt that is asked about; null while none is. */
         private Question asking;
+
         private Command.Attempt attempt;
         private boolean letOut;
 
@@ -243,22 +257,27 @@
                     long time = made == null ? group.time(id) : 0;
                     if (made == null && time >= 0) {
                         long until = time + (long) Math.max(0, latest - timers.now());
-                        made = new Command.Allow(id, caller, guard, mine, neverRan, endpoint, left(), until,
-                                repeat);
+                        made = new Command.Allow(id, caller, guard, mine, neverRan, endpoint, left(), until, repeat);
                     }
                     return made;
                 }
             };
             trace.step(id, Trace.Step.ASKED, endpoint);
-            asking = new Question(command, latest, latest, reply -> {
-                asking = null;
-                answered(reply, mine, latest, told);
-            }, () -> {
-                asking = null;
-                trace.step(id, Trace.Step.GIVEN_UP, endpoint);
-                takeBack(mine);
-                told.accept(new Verdict.Unknown());
-            }).ask();
+            asking = new Question(
+                            command,
+                            latest,
+                            latest,
+                            reply -> {
+                                asking = null;
+                                answered(reply, mine, latest, told);
+                            },
+                            () -> {
+                                asking = null;
+                                trace.step(id, Trace.Step.GIVEN_UP, endpoint);
+                                takeBack(mine);
+                                told.accept(new Verdict.Unknown());
+                            })
+                    .ask();
         }
 
         private void answered(Reply reply, Command.Attempt mine, double latest, Consumer<Verdict> told) {
@@ -292,7 +311,7 @@
         private void takeBack(Command.Attempt mine) {
             trace.step(id, Trace.Step.TAKEN_BACK, "");
             double until = Math.max(endBy, timers.now() + waits.report());
-            new Question(new Command.Withdraw(id, mine, left()), until, until, reply -> { }, () -> { }).ask();
+            new Question(new Command.Withdraw(id, mine, left()), until, until, reply -> {}, () -> {}).ask();
         }
 
         @Override
@@ -314,11 +333,19 @@
             trace.step(id, Trace.Step.REFUSING, "");
             double latest = Math.min(endBy - waits.margin(), timers.now() + waits.refuse());
             Command.Refuse command = new Command.Refuse(id, caller, guard, owner, neverRan, left());
-            return new Question(command, latest, latest, reply -> {
-                Directive agreed = ended(id, reply);
-                told.accept(reply instanceof Reply.Out ? new Directive.AlreadyOut()
-                        : agreed == null || agreed instanceof Directive.Refused ? how : agreed);
-            }, () -> told.accept(new Directive.Failed())).ask();
+            return new Question(
+                            command,
+                            latest,
+                            latest,
+                            reply -> {
+                                Directive agreed = ended(id, reply);
+                                told.accept(
+                                        reply instanceof Reply.Out
+                                                ? new Directive.AlreadyOut()
+                                                : agreed == null || agreed instanceof Directive.Refused ? how : agreed);
+                            },
+                            () -> told.accept(new Directive.Failed()))
+                    .ask();
         }
 
         @Override
@@ -335,10 +362,16 @@
             double until = Math.max(endBy, timers.now() + waits.report());
             trace.step(id, Trace.Step.ENDING, ending(how).name());
             Command.End command = new Command.End(id, ending(how), owner, neverRan);
-            new Question(command, patience, until, reply -> {
-                Directive agreed = ended(id, reply);
-                told.accept(agreed == null || agreed.getClass() == how.getClass() ? how : agreed);
-            }, () -> told.accept(how)).ask();
+            new Question(
+                            command,
+                            patience,
+                            until,
+                            reply -> {
+                                Directive agreed = ended(id, reply);
+                                told.accept(agreed == null || agreed.getClass() == how.getClass() ? how : agreed);
+                            },
+                            () -> told.accept(how))
+                    .ask();
         }
     }
 }
--- a/src/main/java/whinlead/replication/Trace.java
+++ b/src/main/java/whinlead/replication/Trace.java
@@ -1,8 +1,8 @@
 package whinlead.replication;
 
 /**
- * Hears each step that this process takes with a request, so that one request can be followed over all
- * processes that had to do with it. On the engine's thread, which it must not hold up for long.
+ * Hears each step that this process takes with a request, so that one request can be followed over all processes that
+ * had to do with it. On the engine's thread, which it must not hold up for long.
  */
 @FunctionalInterface
 public interface Trace {
--- a/src/main/java/whinlead/replication/codec/Commands.java
+++ b/src/main/java/whinlead/replication/codec/Commands.java
@@ -1,21 +1,21 @@
 package whinlead.replication.codec;
 
-import whinlead.replication.ReplicatedState;
+import java.util.List;
 import whinlead.replication.Command;
+import whinlead.replication.ReplicatedState;
 import whinlead.replication.Reply;
 import whinlead.replication.raft.Member;
 import whinlead.replication.wire.Wire;
-import java.util.List;
 
 /**
- * Commands, replies and pieces of snapshots as protobuf messages and back ({@code copies.proto}). What can't
- * be read is an {@link IllegalArgumentException}.
+ * Commands, replies and pieces of snapshots as protobuf messages and back ({@code copies.proto}). What can't be read is
+ * an {@link IllegalArgumentException}.
  */
 public final class Commands {
     private static final Command.How[] HOWS = Command.How.values();
     private static final Command.Ending[] ENDINGS = Command.Ending.values();
 
-    private Commands() { }
+    private Commands() {}
 
     static Wire.Batch of(Member.Batch batch) {
         Wire.Batch.Builder b = Wire.Batch.newBuilder().setStamp(batch.stamp());
@@ -24,11 +24,16 @@
     }
 
     static Member.Batch batch(Wire.Batch b) {
-        return new Member.Batch(b.getStamp(), b.getCommandsList().stream().map(Commands::command).toList());
+        return new Member.Batch(
+                b.getStamp(),
+                b.getCommandsList().stream().map(Commands::command).toList());
     }
 
     private static Wire.Attempt of(Command.Attempt a) {
-        return Wire.Attempt.newBuilder().setOwner(a.owner()).setNumber(a.number()).build();
+        return Wire.Attempt.newBuilder()
+                .setOwner(a.owner())
+                .setNumber(a.number())
+                .build();
     }
 
     private static Command.Attempt attempt(Wire.Attempt a) {
@@ -43,22 +48,40 @@
     public static Wire.Command of(Command command) {
         Wire.Command.Builder b = Wire.Command.newBuilder();
         if (command instanceof Command.Allow c) {
-            b.setAllow(Wire.Allow.newBuilder().setId(c.id()).setCaller(c.caller())
-                    .setKeyed(c.guard() == Command.Guard.KEYED).setAttempt(of(c.attempt()))
-                    .addAllNeverRan(c.neverRan()).setEndpoint(c.endpoint()).setLeft(c.left())
-                    .setUntil(c.until()).setAnew(c.anew()));
+            b.setAllow(Wire.Allow.newBuilder()
+                    .setId(c.id())
+                    .setCaller(c.caller())
+                    .setKeyed(c.guard() == Command.Guard.KEYED)
+                    .setAttempt(of(c.attempt()))
+                    .addAllNeverRan(c.neverRan())
+                    .setEndpoint(c.endpoint())
+                    .setLeft(c.left())
+                    .setUntil(c.until())
+                    .setAnew(c.anew()));
         } else if (command instanceof Command.Withdraw c) {
-            b.setWithdraw(Wire.Withdraw.newBuilder().setId(c.id()).setAttempt(of(c.attempt()))
+            b.setWithdraw(Wire.Withdraw.newBuilder()
+                    .setId(c.id())
+                    .setAttempt(of(c.attempt()))
                     .setLeft(c.left()));
         } else if (command instanceof Command.Report c) {
-            b.setReport(Wire.Report.newBuilder().setId(c.id()).setIndex(c.index()).setHow(c.how().ordinal()));
+            b.setReport(Wire.Report.newBuilder()
+                    .setId(c.id())
+                    .setIndex(c.index())
+                    .setHow(c.how().ordinal()));
         } else if (command instanceof Command.End c) {
-            b.setEnd(Wire.End.newBuilder().setId(c.id()).setEnding(c.ending().ordinal()).setOwner(c.owner())
+            b.setEnd(Wire.End.newBuilder()
+                    .setId(c.id())
+                    .setEnding(c.ending().ordinal())
+                    .setOwner(c.owner())
                     .addAllNeverRan(c.neverRan()));
         } else if (command instanceof Command.Refuse c) {
-            b.setRefuse(Wire.Refuse.newBuilder().setId(c.id()).setCaller(c.caller())
-                    .setKeyed(c.guard() == Command.Guard.KEYED).setOwner(c.owner())
-                    .addAllNeverRan(c.neverRan()).setLeft(c.left()));
+            b.setRefuse(Wire.Refuse.newBuilder()
+                    .setId(c.id())
+                    .setCaller(c.caller())
+                    .setKeyed(c.guard() == Command.Guard.KEYED)
+                    .setOwner(c.owner())
+                    .addAllNeverRan(c.neverRan())
+                    .setLeft(c.left()));
         } else if (command instanceof Command.Drain c) {
             b.setDrain(Wire.Drain.newBuilder().setEndpoint(c.endpoint()).setLasts(c.lasts()));
         } else {
@@ -72,22 +95,43 @@
         return switch (c.getWhatCase()) {
             case ALLOW -> {
                 Wire.Allow a = c.getAllow();
-                yield new Command.Allow(a.getId(), a.getCaller(), guard(a.getKeyed()), attempt(a
-                        .getAttempt()),
-                        a.getNeverRanList(), a.getEndpoint(), a.getLeft(), a.getUntil(), a.getAnew());
+                yield new Command.Allow(
+                        a.getId(),
+                        a.getCaller(),
+                        guard(a.getKeyed()),
+                        attempt(a.getAttempt()),
+                        a.getNeverRanList(),
+                        a.getEndpoint(),
+                        a.getLeft(),
+                        a.getUntil(),
+                        a.getAnew());
             }
-            case WITHDRAW -> new Command.Withdraw(c.getWithdraw().getId(), attempt(c.getWithdraw()
-                    .getAttempt()),
-                    c.getWithdraw().getLeft());
-            case REPORT -> new Command.Report(c.getReport().getId(), c.getReport().getIndex(),
-                    HOWS[within(c.getReport().getHow(), HOWS.length)]);
-            case END -> new Command.End(c.getEnd().getId(), ending(c.getEnd().getEnding()),
-                    c.getEnd().getOwner(), c.getEnd().getNeverRanList());
-            case REFUSE -> new Command.Refuse(c.getRefuse().getId(), c.getRefuse().getCaller(),
-                    guard(c.getRefuse().getKeyed()), c.getRefuse().getOwner(), c.getRefuse()
-                            .getNeverRanList(),
-                    c.getRefuse().getLeft());
-            case DRAIN -> new Command.Drain(c.getDrain().getEndpoint(), c.getDrain().getLasts());
+            case WITHDRAW ->
+                new Command.Withdraw(
+                        c.getWithdraw().getId(),
+                        attempt(c.getWithdraw().getAttempt()),
+                        c.getWithdraw().getLeft());
+            case REPORT ->
+                new Command.Report(
+                        c.getReport().getId(),
+                        c.getReport().getIndex(),
+                        HOWS[within(c.getReport().getHow(), HOWS.length)]);
+            case END ->
+                new Command.End(
+                        c.getEnd().getId(),
+                        ending(c.getEnd().getEnding()),
+                        c.getEnd().getOwner(),
+                        c.getEnd().getNeverRanList());
+            case REFUSE ->
+                new Command.Refuse(
+                        c.getRefuse().getId(),
+                        c.getRefuse().getCaller(),
+                        guard(c.getRefuse().getKeyed()),
+                        c.getRefuse().getOwner(),
+                        c.getRefuse().getNeverRanList(),
+                        c.getRefuse().getLeft());
+            case DRAIN ->
+                new Command.Drain(c.getDrain().getEndpoint(), c.getDrain().getLasts());
             case TICK -> new Command.Tick();
             // One that this version does not know would make its book another than the rest's.
             case WHAT_NOT_SET -> throw new IllegalArgumentException("a command of no known kind");
@@ -111,13 +155,23 @@
         if (reply instanceof Reply.Granted r) {
             return b.setKind(Wire.Reply.Kind.GRANTED).setNumber(r.index()).build();
         } else if (reply instanceof Reply.Over r) {
-            return b.setKind(Wire.Reply.Kind.OVER).setNumber(r.ending().ordinal()).build();
+            return b.setKind(Wire.Reply.Kind.OVER)
+                    .setNumber(r.ending().ordinal())
+                    .build();
         }
-        return b.setKind(reply instanceof Reply.Out ? Wire.Reply.Kind.OUT
-                : reply instanceof Reply.Late ? Wire.Reply.Kind.LATE
-                : reply instanceof Reply.Full ? Wire.Reply.Kind.FULL
-                : reply instanceof Reply.Drains ? Wire.Reply.Kind.DRAINS
-                : reply instanceof Reply.Free ? Wire.Reply.Kind.FREE : Wire.Reply.Kind.NOTED).build();
+        return b.setKind(
+                        reply instanceof Reply.Out
+                                ? Wire.Reply.Kind.OUT
+                                : reply instanceof Reply.Late
+                                        ? Wire.Reply.Kind.LATE
+                                        : reply instanceof Reply.Full
+                                                ? Wire.Reply.Kind.FULL
+                                                : reply instanceof Reply.Drains
+                                                        ? Wire.Reply.Kind.DRAINS
+                                                        : reply instanceof Reply.Free
+                                                                ? Wire.Reply.Kind.FREE
+                                                                : Wire.Reply.Kind.NOTED)
+                .build();
     }
 
     /** The same back. */
@@ -136,9 +190,13 @@
     }
 
     static Wire.Request of(ReplicatedState.Entry e) {
-        Wire.Request.Builder b = Wire.Request.newBuilder().setId(e.id()).setCaller(e.caller())
-                .setKeyed(e.guard() == Command.Guard.KEYED).addAllNeverRan(e.neverRan())
-                .setEnded(e.ending() == null ? 0 : e.ending().ordinal() + 1).setDue(e.due());
+        Wire.Request.Builder b = Wire.Request.newBuilder()
+                .setId(e.id())
+                .setCaller(e.caller())
+                .setKeyed(e.guard() == Command.Guard.KEYED)
+                .addAllNeverRan(e.neverRan())
+                .setEnded(e.ending() == null ? 0 : e.ending().ordinal() + 1)
+                .setDue(e.due());
         e.attempts().forEach(a -> b.addAttempts(of(a)));
         return b.build();
     }
@@ -147,9 +205,13 @@
         if (r.getAttemptsCount() != r.getNeverRanCount()) {
             throw new IllegalArgumentException("attempts of which it isn't told whether they ran");
         }
-        return new ReplicatedState.Entry(r.getId(), r.getCaller(), guard(r.getKeyed()),
-                r.getAttemptsList().stream().map(Commands::attempt).toList(), List.copyOf(r
-                        .getNeverRanList()),
-                r.getEnded() == 0 ? null : ending(r.getEnded() - 1), r.getDue());
+        return new ReplicatedState.Entry(
+                r.getId(),
+                r.getCaller(),
+                guard(r.getKeyed()),
+                r.getAttemptsList().stream().map(Commands::attempt).toList(),
+                List.copyOf(r.getNeverRanList()),
+                r.getEnded() == 0 ? null : ending(r.getEnded() - 1),
+                r.getDue());
     }
 }
--- a/src/main/java/whinlead/replication/codec/Messages.java
+++ b/src/main/java/whinlead/replication/codec/Messages.java
@@ -1,8 +1,5 @@
 package whinlead.replication.codec;
 
-import whinlead.replication.raft.Member;
-import whinlead.replication.raft.MemberId;
-import whinlead.replication.wire.Wire;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
@@ -25,15 +22,18 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import whinlead.replication.raft.Member;
+import whinlead.replication.raft.MemberId;
+import whinlead.replication.wire.Wire;
 
 /**
- * MicroRaft's messages, entries and chunks as protobuf messages and back ({@code copies.proto}). What can't
- * be read is an {@link IllegalArgumentException}.
+ * MicroRaft's messages, entries and chunks as protobuf messages and back ({@code copies.proto}). What can't be read is
+ * an {@link IllegalArgumentException}.
  */
 public final class Messages {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
-    private Messages() { }
+    private Messages() {}
 
     /** A life of a member. */
     public static Wire.Id of(RaftEndpoint who) {
@@ -57,25 +57,34 @@
 
     /** The members at a place in the log. */
     public static Wire.Members of(RaftGroupMembersView view) {
-        return Wire.Members.newBuilder().setIndex(view.getLogIndex()).addAllMembers(all(view.getMembers()))
-                .addAllVoting(all(view.getVotingMembers())).build();
+        return Wire.Members.newBuilder()
+                .setIndex(view.getLogIndex())
+                .addAllMembers(all(view.getMembers()))
+                .addAllVoting(all(view.getVotingMembers()))
+                .build();
     }
 
     /** The same back. */
     public static RaftGroupMembersView members(Wire.Members m) {
-        return MODELS.createRaftGroupMembersViewBuilder().setLogIndex(m.getIndex())
-                .setMembers(endpoints(m.getMembersList())).setVotingMembers(endpoints(m.getVotingList()))
+        return MODELS.createRaftGroupMembersViewBuilder()
+                .setLogIndex(m.getIndex())
+                .setMembers(endpoints(m.getMembersList()))
+                .setVotingMembers(endpoints(m.getVotingList()))
                 .build();
     }
 
     /** An entry of the log. */
     public static Wire.Entry of(LogEntry entry) {
-        Wire.Entry.Builder b = Wire.Entry.newBuilder().setIndex(entry.getIndex()).setTerm(entry.getTerm());
+        Wire.Entry.Builder b =
+                Wire.Entry.newBuilder().setIndex(entry.getIndex()).setTerm(entry.getTerm());
         if (entry.getOperation() instanceof Member.Batch batch) {
             b.setBatch(Commands.of(batch));
         } else if (entry.getOperation() instanceof UpdateRaftGroupMembersOp op) {
-            b.setChange(Wire.Change.newBuilder().setWho(of(op.getEndpoint())).setMode(op.getMode().name())
-                    .addAllMembers(all(op.getMembers())).addAllVoting(all(op.getVotingMembers())));
+            b.setChange(Wire.Change.newBuilder()
+                    .setWho(of(op.getEndpoint()))
+                    .setMode(op.getMode().name())
+                    .addAllMembers(all(op.getMembers()))
+                    .addAllVoting(all(op.getVotingMembers())));
         } else {
             throw new IllegalArgumentException("an entry of no known kind");
         }
@@ -84,16 +93,22 @@
 
     /** The same back. */
     public static LogEntry entry(Wire.Entry e) {
-        Object operation = switch (e.getWhatCase()) {
-            case BATCH -> Commands.batch(e.getBatch());
-            case CHANGE -> MODELS.createUpdateRaftGroupMembersOpBuilder()
-                    .setEndpoint(id(e.getChange().getWho()))
-                    .setMode(MembershipChangeMode.valueOf(e.getChange().getMode()))
-                    .setMembers(endpoints(e.getChange().getMembersList()))
-                    .setVotingMembers(endpoints(e.getChange().getVotingList())).build();
-            case WHAT_NOT_SET -> throw new IllegalArgumentException("an entry of no known kind");
-        };
-        return MODELS.createLogEntryBuilder().setIndex(e.getIndex()).setTerm(e.getTerm())
+        Object operation =
+                switch (e.getWhatCase()) {
+                    case BATCH -> Commands.batch(e.getBatch());
+                    case CHANGE ->
+                        MODELS.createUpdateRaftGroupMembersOpBuilder()
+                                .setEndpoint(id(e.getChange().getWho()))
+                                .setMode(MembershipChangeMode.valueOf(
+                                        e.getChange().getMode()))
+                                .setMembers(endpoints(e.getChange().getMembersList()))
+                                .setVotingMembers(endpoints(e.getChange().getVotingList()))
+                                .build();
+                    case WHAT_NOT_SET -> throw new IllegalArgumentException("an entry of no known kind");
+                };
+        return MODELS.createLogEntryBuilder()
+                .setIndex(e.getIndex())
+                .setTerm(e.getTerm())
                 .setOperation(operation)
                 .build();
     }
@@ -101,10 +116,14 @@
     /** A piece of a snapshot. */
     public static Wire.Chunk of(SnapshotChunk chunk) {
         Member.Chunk piece = (Member.Chunk) chunk.getOperation();
-        Wire.Chunk.Builder b = Wire.Chunk.newBuilder().setIndex(chunk.getIndex()).setTerm(chunk.getTerm())
-                .setNumber(chunk.getSnapshotChunkIndex()).setCount(chunk.getSnapshotChunkCount())
-                .setMembers(of(chunk.getGroupMembersView())).setCommands(piece.commands()).setTime(piece
-                .time())
+        Wire.Chunk.Builder b = Wire.Chunk.newBuilder()
+                .setIndex(chunk.getIndex())
+                .setTerm(chunk.getTerm())
+                .setNumber(chunk.getSnapshotChunkIndex())
+                .setCount(chunk.getSnapshotChunkCount())
+                .setMembers(of(chunk.getGroupMembersView()))
+                .setCommands(piece.commands())
+                .setTime(piece.time())
                 .putAllDrains(piece.drains());
         piece.entries().forEach(e -> b.addRequests(Commands.of(e)));
         return b.build();
@@ -112,53 +131,73 @@
 
     /** The same back. */
     public static SnapshotChunk chunk(Wire.Chunk c) {
-        return MODELS.createSnapshotChunkBuilder().setIndex(c.getIndex()).setTerm(c.getTerm())
-                .setSnapshotChunkIndex(c.getNumber()).setSnapshotChunkCount(c.getCount())
+        return MODELS.createSnapshotChunkBuilder()
+                .setIndex(c.getIndex())
+                .setTerm(c.getTerm())
+                .setSnapshotChunkIndex(c.getNumber())
+                .setSnapshotChunkCount(c.getCount())
                 .setGroupMembersView(members(c.getMembers()))
-                .setOperation(new Member.Chunk(c.getCommands(), c.getTime(), c.getDrainsMap(),
-                        c.getRequestsList().stream().map(Commands::entry).toList())).build();
+                .setOperation(new Member.Chunk(
+                        c.getCommands(),
+                        c.getTime(),
+                        c.getDrainsMap(),
+                        c.getRequestsList().stream().map(Commands::entry).toList()))
+                .build();
     }
 
     /** What one member tells another. */
     public static Wire.Message of(RaftMessage message) {
         Wire.Message.Builder b = Wire.Message.newBuilder().setTerm(message.getTerm());
         if (message instanceof AppendEntriesRequest m) {
-            b.setKind(Wire.Message.Kind.APPEND).setLogTerm(m.getPreviousLogTerm())
-                    .setLogIndex(m.getPreviousLogIndex()).setCommitIndex(m.getCommitIndex())
-                    .setQuery(m.getQuerySequenceNumber()).setFlow(m.getFlowControlSequenceNumber());
+            b.setKind(Wire.Message.Kind.APPEND)
+                    .setLogTerm(m.getPreviousLogTerm())
+                    .setLogIndex(m.getPreviousLogIndex())
+                    .setCommitIndex(m.getCommitIndex())
+                    .setQuery(m.getQuerySequenceNumber())
+                    .setFlow(m.getFlowControlSequenceNumber());
             m.getLogEntries().forEach(e -> b.addEntries(of(e)));
         } else if (message instanceof AppendEntriesSuccessResponse m) {
-            b.setKind(Wire.Message.Kind.APPENDED).setLogIndex(m.getLastLogIndex())
-                    .setQuery(m.getQuerySequenceNumber()).setFlow(m.getFlowControlSequenceNumber());
+            b.setKind(Wire.Message.Kind.APPENDED)
+                    .setLogIndex(m.getLastLogIndex())
+                    .setQuery(m.getQuerySequenceNumber())
+                    .setFlow(m.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse m) {
-            b.setKind(Wire.Message.Kind.NOT_APPENDED).setLogIndex(m.getExpectedNextIndex())
-                    .setQuery(m.getQuerySequenceNumber()).setFlow(m.getFlowControlSequenceNumber());
+            b.setKind(Wire.Message.Kind.NOT_APPENDED)
+                    .setLogIndex(m.getExpectedNextIndex())
+                    .setQuery(m.getQuerySequenceNumber())
+                    .setFlow(m.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest m) {
-            b.setKind(Wire.Message.Kind.INSTALL).setYes(m.isSenderLeader()).setLogTerm(m.getSnapshotTerm())
-                    .setLogIndex(m.getSnapshotIndex()).setChunks(m.getTotalSnapshotChunkCount())
-                    .setQuery(m.getQuerySequenceNumber()).setFlow(m.getFlowControlSequenceNumber())
+            b.setKind(Wire.Message.Kind.INSTALL)
+                    .setYes(m.isSenderLeader())
+                    .setLogTerm(m.getSnapshotTerm())
+                    .setLogIndex(m.getSnapshotIndex())
+                    .setChunks(m.getTotalSnapshotChunkCount())
+                    .setQuery(m.getQuerySequenceNumber())
+                    .setFlow(m.getFlowControlSequenceNumber())
                     .addAllSnapshotted(all(m.getSnapshottedMembers()))
                     .setMembers(of(m.getGroupMembersView()));
             if (m.getSnapshotChunk() != null) {
                 b.setChunk(of(m.getSnapshotChunk()));
             }
         } else if (message instanceof InstallSnapshotResponse m) {
-            b.setKind(Wire.Message.Kind.INSTALLED).setLogIndex(m.getSnapshotIndex())
-                    .setChunkIndex(m.getRequestedSnapshotChunkIndex()).setQuery(m.getQuerySequenceNumber())
+            b.setKind(Wire.Message.Kind.INSTALLED)
+                    .setLogIndex(m.getSnapshotIndex())
+                    .setChunkIndex(m.getRequestedSnapshotChunkIndex())
+                    .setQuery(m.getQuerySequenceNumber())
                     .setFlow(m.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest m) {
-            b.setKind(Wire.Message.Kind.PRE_VOTE).setLogTerm(m.getLastLogTerm()).setLogIndex(m
-                    .getLastLogIndex());
+            b.setKind(Wire.Message.Kind.PRE_VOTE).setLogTerm(m.getLastLogTerm()).setLogIndex(m.getLastLogIndex());
         } else if (message instanceof PreVoteResponse m) {
             b.setKind(Wire.Message.Kind.PRE_VOTED).setYes(m.isGranted());
         } else if (message instanceof VoteRequest m) {
-            b.setKind(Wire.Message.Kind.VOTE).setLogTerm(m.getLastLogTerm()).setLogIndex(m.getLastLogIndex())
+            b.setKind(Wire.Message.Kind.VOTE)
+                    .setLogTerm(m.getLastLogTerm())
+                    .setLogIndex(m.getLastLogIndex())
                     .setYes(m.isSticky());
         } else if (message instanceof VoteResponse m) {
             b.setKind(Wire.Message.Kind.VOTED).setYes(m.isGranted());
         } else if (message instanceof TriggerLeaderElectionRequest m) {
-            b.setKind(Wire.Message.Kind.TRIGGER).setLogTerm(m.getLastLogTerm()).setLogIndex(m
-                    .getLastLogIndex());
+            b.setKind(Wire.Message.Kind.TRIGGER).setLogTerm(m.getLastLogTerm()).setLogIndex(m.getLastLogIndex());
         } else {
             throw new IllegalArgumentException("a message of no known kind");
         }
@@ -171,46 +210,100 @@
             case APPEND -> {
                 List<LogEntry> entries = new ArrayList<>(m.getEntriesCount());
                 m.getEntriesList().forEach(e -> entries.add(entry(e)));
-                yield MODELS.createAppendEntriesRequestBuilder().setGroupId(group).setSender(from)
-                        .setTerm(m.getTerm()).setPreviousLogTerm(m.getLogTerm())
-                        .setPreviousLogIndex(m.getLogIndex()).setCommitIndex(m.getCommitIndex())
-                        .setLogEntries(entries).setQuerySequenceNumber(m.getQuery())
-                        .setFlowControlSequenceNumber(m.getFlow()).build();
+                yield MODELS.createAppendEntriesRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setPreviousLogTerm(m.getLogTerm())
+                        .setPreviousLogIndex(m.getLogIndex())
+                        .setCommitIndex(m.getCommitIndex())
+                        .setLogEntries(entries)
+                        .setQuerySequenceNumber(m.getQuery())
+                        .setFlowControlSequenceNumber(m.getFlow())
+                        .build();
             }
-            case APPENDED -> MODELS.createAppendEntriesSuccessResponseBuilder().setGroupId(group)
-                    .setSender(from)
-                    .setTerm(m.getTerm()).setLastLogIndex(m.getLogIndex()).setQuerySequenceNumber(m
-                    .getQuery())
-                    .setFlowControlSequenceNumber(m.getFlow()).build();
-            case NOT_APPENDED -> MODELS.createAppendEntriesFailureResponseBuilder().setGroupId(group)
-                    .setSender(from).setTerm(m.getTerm()).setExpectedNextIndex(m.getLogIndex())
-                    .setQuerySequenceNumber(m.getQuery()).setFlowControlSequenceNumber(m.getFlow()).build();
-            case INSTALL -> MODELS.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(from)
-                    .setTerm(m.getTerm()).setSenderLeader(m.getYes()).setSnapshotTerm(m.getLogTerm())
-                    .setSnapshotIndex(m.getLogIndex()).setTotalSnapshotChunkCount(m.getChunks())
-                    .setSnapshotChunk(m.hasChunk() ? chunk(m.getChunk()) : null)
-                    .setSnapshottedMembers(endpoints(m.getSnapshottedList()))
-                    .setGroupMembersView(members(m.getMembers())).setQuerySequenceNumber(m.getQuery())
-                    .setFlowControlSequenceNumber(m.getFlow()).build();
-            case INSTALLED -> MODELS.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(from)
-                    .setTerm(m.getTerm()).setSnapshotIndex(m.getLogIndex())
-                    .setRequestedSnapshotChunkIndex(m.getChunkIndex()).setQuerySequenceNumber(m.getQuery())
-                    .setFlowControlSequenceNumber(m.getFlow()).build();
-            case PRE_VOTE -> MODELS.createPreVoteRequestBuilder().setGroupId(group).setSender(from)
-                    .setTerm(m.getTerm()).setLastLogTerm(m.getLogTerm()).setLastLogIndex(m.getLogIndex())
-                    .build();
-            case PRE_VOTED -> MODELS.createPreVoteResponseBuilder().setGroupId(group).setSender(from)
-                    .setTerm(m.getTerm()).setGranted(m.getYes()).build();
-            case VOTE -> MODELS.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(m
-                    .getTerm())
-                    .setLastLogTerm(m.getLogTerm()).setLastLogIndex(m.getLogIndex()).setSticky(m.getYes())
-                    .build();
-            case VOTED -> MODELS.createVoteResponseBuilder().setGroupId(group).setSender(from)
-                    .setTerm(m.getTerm()).setGranted(m.getYes()).build();
-            case TRIGGER -> MODELS.createTriggerLeaderElectionRequestBuilder().setGroupId(group)
-                    .setSender(from)
-                    .setTerm(m.getTerm()).setLastLogTerm(m.getLogTerm()).setLastLogIndex(m.getLogIndex())
-                    .build();
+            case APPENDED ->
+                MODELS.createAppendEntriesSuccessResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setLastLogIndex(m.getLogIndex())
+                        .setQuerySequenceNumber(m.getQuery())
+                        .setFlowControlSequenceNumber(m.getFlow())
+                        .build();
+            case NOT_APPENDED ->
+                MODELS.createAppendEntriesFailureResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setExpectedNextIndex(m.getLogIndex())
+                        .setQuerySequenceNumber(m.getQuery())
+                        .setFlowControlSequenceNumber(m.getFlow())
+                        .build();
+            case INSTALL ->
+                MODELS.createInstallSnapshotRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setSenderLeader(m.getYes())
+                        .setSnapshotTerm(m.getLogTerm())
+                        .setSnapshotIndex(m.getLogIndex())
+                        .setTotalSnapshotChunkCount(m.getChunks())
+                        .setSnapshotChunk(m.hasChunk() ? chunk(m.getChunk()) : null)
+                        .setSnapshottedMembers(endpoints(m.getSnapshottedList()))
+                        .setGroupMembersView(members(m.getMembers()))
+                        .setQuerySequenceNumber(m.getQuery())
+                        .setFlowControlSequenceNumber(m.getFlow())
+                        .build();
+            case INSTALLED ->
+                MODELS.createInstallSnapshotResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setSnapshotIndex(m.getLogIndex())
+                        .setRequestedSnapshotChunkIndex(m.getChunkIndex())
+                        .setQuerySequenceNumber(m.getQuery())
+                        .setFlowControlSequenceNumber(m.getFlow())
+                        .build();
+            case PRE_VOTE ->
+                MODELS.createPreVoteRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setLastLogTerm(m.getLogTerm())
+                        .setLastLogIndex(m.getLogIndex())
+                        .build();
+            case PRE_VOTED ->
+                MODELS.createPreVoteResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setGranted(m.getYes())
+                        .build();
+            case VOTE ->
+                MODELS.createVoteRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setLastLogTerm(m.getLogTerm())
+                        .setLastLogIndex(m.getLogIndex())
+                        .setSticky(m.getYes())
+                        .build();
+            case VOTED ->
+                MODELS.createVoteResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setGranted(m.getYes())
+                        .build();
+            case TRIGGER ->
+                MODELS.createTriggerLeaderElectionRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(from)
+                        .setTerm(m.getTerm())
+                        .setLastLogTerm(m.getLogTerm())
+                        .setLastLogIndex(m.getLogIndex())
+                        .build();
             case UNKNOWN, UNRECOGNIZED -> throw new IllegalArgumentException("a message of no known kind");
         };
     }
--- a/src/main/java/whinlead/replication/disk/DiskLog.java
+++ b/src/main/java/whinlead/replication/disk/DiskLog.java
@@ -1,9 +1,5 @@
 package whinlead.replication.disk;
 
-import whinlead.replication.codec.Messages;
-import whinlead.replication.raft.LogMirror;
-import whinlead.replication.raft.MemberDisk;
-import whinlead.replication.wire.Wire;
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
@@ -29,19 +25,23 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
+import whinlead.replication.codec.Messages;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.MemberDisk;
+import whinlead.replication.wire.Wire;
 
 /**
- * A member's log on a disk that lasts: one file of records, each with a checksum, written anew once its
- * beginning is long out of date. A record that was being written when the process ended is cut off; one that
- * is damaged with good ones behind it means that what was promised is lost, and the file is refused. Files
- * are the owner's only, and one process has them at a time. What the disk does not take is told once, and the
- * member is to step aside. On the engine's thread, which waits for the disk: nothing is promised before it is
- * written.
+ * A member's log on a disk that lasts: one file of records, each with a checksum, written anew once its beginning is
+ * long out of date. A record that was being written when the process ended is cut off; one that is damaged with good
+ * ones behind it means that what was promised is lost, and the file is refused. Files are the owner's only, and one
+ * process has them at a time. What the disk does not take is told once, and the member is to step aside. On the
+ * engine's thread, which waits for the disk: nothing is promised before it is written.
  */
 public final class DiskLog implements MemberDisk, Closeable {
     private static final int VERSION = 1;
     /** A file is written anew when it is over this and four times as long as when that was last done. */
     private static final long MIN_ANEW = 1 << 20;
+
     private static final int GROWTH = 4;
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
@@ -53,7 +53,7 @@
     private final Wire.Record header;
     private final FileChannel lockFile;
     private final FileLock lock;
-    private Consumer<String> failed = why -> { };
+    private Consumer<String> failed = why -> {};
     private LogMirror found = new LogMirror();
     private FileChannel file;
     private RecordWriter writer;
@@ -73,8 +73,7 @@
      * @param note hears of a torn end that was cut
      * @throws IOException with one line, if it can't be used: in use, damaged, another member's
      */
-    public static DiskLog open(Path folder, String group, String name,
-            Consumer<String> note) throws IOException {
+    public static DiskLog open(Path folder, String group, String name, Consumer<String> note) throws IOException {
         Files.createDirectories(folder);
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwx------"));
         FileChannel lockFile = create(folder.resolve("lock"), StandardOpenOption.WRITE);
@@ -88,8 +87,12 @@
             lockFile.close();
             throw new IOException(folder + " is in use by another process");
         }
-        Wire.Record header = Wire.Record.newBuilder().setHeader(Wire.Header.newBuilder().setVersion(VERSION)
-                .setGroup(group).setName(name)).build();
+        Wire.Record header = Wire.Record.newBuilder()
+                .setHeader(Wire.Header.newBuilder()
+                        .setVersion(VERSION)
+                        .setGroup(group)
+                        .setName(name))
+                .build();
         DiskLog disk = new DiskLog(folder, header, lockFile, lock);
         try {
             disk.read(note);
@@ -103,8 +106,8 @@
     private static FileChannel create(Path path, StandardOpenOption... how) throws IOException {
         Set<StandardOpenOption> all = EnumSet.copyOf(List.of(how));
         all.add(StandardOpenOption.CREATE);
-        return FileChannel.open(path, all, PosixFilePermissions.asFileAttribute(
-                PosixFilePermissions.fromString("rw-------")));
+        return FileChannel.open(
+                path, all, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
     }
 
     private Path path() {
@@ -125,11 +128,9 @@
             Wire.Record record = next(all);
             if (record == null) {
                 if (goodAfter(all, at + 1)) {
-                    throw new IOException(path() + " is damaged at byte " + at
-                            + " with good records behind it");
+                    throw new IOException(path() + " is damaged at byte " + at + " with good records behind it");
                 }
-                note.accept("copies: " + path() + " ended in the midst of a record; " + (size - at)
-                        + " bytes cut off");
+                note.accept("copies: " + path() + " ended in the midst of a record; " + (size - at) + " bytes cut off");
                 file.truncate(at);
                 file.force(true);
                 size = at;
@@ -142,8 +143,7 @@
             try {
                 take(record);
             } catch (IllegalArgumentException e) {
-                throw new IOException(path() + " has a record that this version can't read, at byte " + at,
-                        e);
+                throw new IOException(path() + " has a record that this version can't read, at byte " + at, e);
             }
         }
         if (!any) {
@@ -201,13 +201,21 @@
 
     private void take(Wire.Record r) throws IOException {
         switch (r.getWhatCase()) {
-            case HEADER -> { }
-            case SELF -> found.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(Messages.id(r.getSelf())).setVoting(r.getVoting()).build());
+            case HEADER -> {}
+            case SELF ->
+                found.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(Messages.id(r.getSelf()))
+                        .setVoting(r.getVoting())
+                        .build());
             case FIRST -> found.persistAndFlushInitialGroupMembers(Messages.members(r.getFirst()));
-            case TERM -> found.persistAndFlushTerm(MODELS.createRaftTermPersistentStateBuilder()
-                    .setTerm(r.getTerm().getTerm()).setVotedFor(r.getTerm().hasVotedFor()
-                            ? Messages.id(r.getTerm().getVotedFor()) : (RaftEndpoint) null).build());
+            case TERM ->
+                found.persistAndFlushTerm(MODELS.createRaftTermPersistentStateBuilder()
+                        .setTerm(r.getTerm().getTerm())
+                        .setVotedFor(
+                                r.getTerm().hasVotedFor()
+                                        ? Messages.id(r.getTerm().getVotedFor())
+                                        : (RaftEndpoint) null)
+                        .build());
             case ENTRY -> found.persistLogEntries(List.of(Messages.entry(r.getEntry())));
             case CHUNK -> found.persistSnapshotChunk(Messages.chunk(r.getChunk()));
             case CUT_FROM -> found.truncateLogEntriesFrom(r.getCutFrom());
@@ -313,8 +321,8 @@
     // Whole and on the disk before it takes the old one's name.
     private void writeAnew(LogMirror held) throws IOException {
         Path next = folder.resolve("log.new");
-        FileChannel anew = create(next, StandardOpenOption.READ, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING);
+        FileChannel anew =
+                create(next, StandardOpenOption.READ, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
         RecordWriter into = new RecordWriter(anew, 0);
         into.write(header);
         held.copyTo(into);
--- a/src/main/java/whinlead/replication/disk/RecordWriter.java
+++ b/src/main/java/whinlead/replication/disk/RecordWriter.java
@@ -1,9 +1,5 @@
 package whinlead.replication.disk;
 
-import whinlead.replication.codec.Messages;
-import whinlead.replication.raft.LogMirror;
-import whinlead.replication.raft.MemberDisk;
-import whinlead.replication.wire.Wire;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
@@ -14,6 +10,10 @@
 import java.nio.channels.FileChannel;
 import java.util.List;
 import java.util.zip.CRC32C;
+import whinlead.replication.codec.Messages;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.MemberDisk;
+import whinlead.replication.wire.Wire;
 
 /** Writes records to the end of a file: a length, a checksum and a protobuf message each. */
 final class RecordWriter implements MemberDisk {
@@ -21,6 +21,7 @@
     static final int FRAME = 2 * Integer.BYTES;
     /** A longer record is none: a piece of a snapshot, the longest there is, has a thousand requests. */
     static final int MAX_RECORD = 16 << 20;
+
     private static final int BUFFER = 64 << 10;
 
     private final FileChannel file;
@@ -75,8 +76,10 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        writeThrough(Wire.Record.newBuilder().setSelf(Messages.of(state.getLocalEndpoint()))
-                .setVoting(state.isVoting()).build());
+        writeThrough(Wire.Record.newBuilder()
+                .setSelf(Messages.of(state.getLocalEndpoint()))
+                .setVoting(state.isVoting())
+                .build());
     }
 
     @Override
--- a/src/main/java/whinlead/replication/net/GroupLink.java
+++ b/src/main/java/whinlead/replication/net/GroupLink.java
@@ -1,14 +1,5 @@
 package whinlead.replication.net;
 
-import whinlead.replication.codec.Commands;
-import whinlead.replication.codec.Messages;
-import whinlead.replication.raft.GroupHost;
-import whinlead.replication.raft.GroupMessage;
-import whinlead.replication.raft.Seat;
-import whinlead.replication.wire.CopiesGrpc;
-import whinlead.replication.wire.Wire;
-import whinlead.engine.Timers;
-import whinlead.loop.BoundedListener;
 import io.grpc.Server;
 import io.grpc.netty.NettyChannelBuilder;
 import io.grpc.netty.NettyServerBuilder;
@@ -27,12 +18,21 @@
 import java.util.function.Consumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import whinlead.engine.Timers;
+import whinlead.loop.BoundedListener;
+import whinlead.replication.codec.Commands;
+import whinlead.replication.codec.Messages;
+import whinlead.replication.raft.GroupHost;
+import whinlead.replication.raft.GroupMessage;
+import whinlead.replication.raft.Seat;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
 
 /**
- * The way between the processes of a site: gRPC, all of it on the engine's loop ({@code copies.proto}). One
- * line to each process that something is said to, whichever group it is about; those to processes of no
- * common group are only kept up while they are used. It carries and decides nothing. Whoever reaches its
- * address is believed: it belongs on loopback or a trusted network.
+ * The way between the processes of a site: gRPC, all of it on the engine's loop ({@code copies.proto}). One line to
+ * each process that something is said to, whichever group it is about; those to processes of no common group are only
+ * kept up while they are used. It carries and decides nothing. Whoever reaches its address is believed: it belongs on
+ * loopback or a trusted network.
  */
 public final class GroupLink {
     /** A full batch of entries, or a piece of a snapshot, is far smaller. */
@@ -61,8 +61,13 @@
      * @param processes all addresses, this one's included
      * @param close those of a common group, lines to which are always up
      */
-    public GroupLink(EventLoop loop, Timers timers, String name, Map<String, InetSocketAddress> processes,
-            Set<String> close, Consumer<String> log) {
+    public GroupLink(
+            EventLoop loop,
+            Timers timers,
+            String name,
+            Map<String, InetSocketAddress> processes,
+            Set<String> close,
+            Consumer<String> log) {
         this.loop = loop;
         this.timers = timers;
         this.name = name;
@@ -85,11 +90,15 @@
      * @throws IOException if it can't
      */
     public void listen() throws IOException {
-        Server server = NettyServerBuilder.forAddress(processes.get(name)).bossEventLoopGroup(loop)
+        Server server = NettyServerBuilder.forAddress(processes.get(name))
+                .bossEventLoopGroup(loop)
                 .workerEventLoopGroup(loop)
-                .channelFactory(() -> new BoundedListener(CONNECTIONS_EACH * close.size()
-                + processes.size() + CONNECTIONS_EACH))
-                .executor(onLoop).maxInboundMessageSize(MAX_MESSAGE).addService(new Service()).build();
+                .channelFactory(() ->
+                        new BoundedListener(CONNECTIONS_EACH * close.size() + processes.size() + CONNECTIONS_EACH))
+                .executor(onLoop)
+                .maxInboundMessageSize(MAX_MESSAGE)
+                .addService(new Service())
+                .build();
         server.start();
     }
 
@@ -100,11 +109,22 @@
     }
 
     private Line line(String other) {
-        return lines.computeIfAbsent(other, to -> new Line(NettyChannelBuilder.forAddress(processes.get(to))
-                .eventLoopGroup(loop).channelType(NioSocketChannel.class).usePlaintext().executor(onLoop)
-                .offloadExecutor(onLoop).maxInboundMessageSize(MAX_MESSAGE).build(), timers,
-                close.contains(to),
-                () -> frame().setPing(1).build(), this::received, () -> host.down(to)));
+        return lines.computeIfAbsent(
+                other,
+                to -> new Line(
+                        NettyChannelBuilder.forAddress(processes.get(to))
+                                .eventLoopGroup(loop)
+                                .channelType(NioSocketChannel.class)
+                                .usePlaintext()
+                                .executor(onLoop)
+                                .offloadExecutor(onLoop)
+                                .maxInboundMessageSize(MAX_MESSAGE)
+                                .build(),
+                        timers,
+                        close.contains(to),
+                        () -> frame().setPing(1).build(),
+                        this::received,
+                        () -> host.down(to)));
     }
 
     private Wire.Frame.Builder frame() {
@@ -153,7 +173,7 @@
         public StreamObserver<Wire.Frame> talk(StreamObserver<Wire.Frame> back) {
             ServerCallStreamObserver<Wire.Frame> out = (ServerCallStreamObserver<Wire.Frame>) back;
             // Without one, what is said to a process that is gone throws.
-            out.setOnCancelHandler(() -> { });
+            out.setOnCancelHandler(() -> {});
             return new StreamObserver<>() {
                 @Override
                 public void onNext(Wire.Frame frame) {
@@ -184,25 +204,28 @@
         @Override
         public void replace(Wire.ReplaceRequest request, StreamObserver<Wire.ReplaceReply> answer) {
             Seat seat = host == null ? null : host.seat(request.getSeatIn());
-            answer.onNext(Wire.ReplaceReply.newBuilder().setRefused(seat == null ? "it has no seat there"
-                    : seat.replace(request.getName())).build());
+            answer.onNext(Wire.ReplaceReply.newBuilder()
+                    .setRefused(seat == null ? "it has no seat there" : seat.replace(request.getName()))
+                    .build());
             answer.onCompleted();
         }
 
         @Override
         public void status(Wire.StatusRequest request, StreamObserver<Wire.StatusReply> answer) {
-            Wire.StatusReply.Builder b = Wire.StatusReply.newBuilder().setSaidBytes(said)
-                    .setSnapshotBytes(snapshots);
+            Wire.StatusReply.Builder b =
+                    Wire.StatusReply.newBuilder().setSaidBytes(said).setSnapshotBytes(snapshots);
             SortedSet<String> seats = host == null ? new TreeSet<>() : new TreeSet<>(host.groups());
             b.addAllSeats(seats);
-            String group = !request.getSeatIn().isEmpty() || seats.isEmpty() ? request.getSeatIn()
-                    : seats.first();
+            String group = !request.getSeatIn().isEmpty() || seats.isEmpty() ? request.getSeatIn() : seats.first();
             Seat seat = host == null ? null : host.seat(group);
             b.setGroup(group);
             if (seat != null && seat.status().id() != null) {
                 Seat.Status now = seat.status();
-                b.setId(Messages.of(now.id())).setLeads(now.leads()).setVotes(now.votes())
-                        .addAllMembers(Messages.all(now.members())).setRequests(now.requests())
+                b.setId(Messages.of(now.id()))
+                        .setLeads(now.leads())
+                        .setVotes(now.votes())
+                        .addAllMembers(Messages.all(now.members()))
+                        .setRequests(now.requests())
                         .setTimeMs(now.time());
                 if (!request.getRequest().isEmpty()) {
                     b.setKnown(Commands.of(seat.member().book().look(request.getRequest())));
--- a/src/main/java/whinlead/replication/net/Line.java
+++ b/src/main/java/whinlead/replication/net/Line.java
@@ -1,18 +1,18 @@
 package whinlead.replication.net;
 
-import whinlead.replication.wire.CopiesGrpc;
-import whinlead.replication.wire.Wire;
-import whinlead.engine.Timers;
 import io.grpc.ManagedChannel;
 import io.grpc.stub.ClientCallStreamObserver;
 import io.grpc.stub.ClientResponseObserver;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import whinlead.engine.Timers;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
 
 /**
- * A process's stream to another member: opened again whenever it breaks, and given up where the other side
- * doesn't answer, since a cut network tells nothing. What can't be sent is lost, for whoever needs it asks
- * again. On the engine's thread.
+ * A process's stream to another member: opened again whenever it breaks, and given up where the other side doesn't
+ * answer, since a cut network tells nothing. What can't be sent is lost, for whoever needs it asks again. On the
+ * engine's thread.
  */
 final class Line {
     private static final double AGAIN_MS = 100;
@@ -41,7 +41,11 @@
      * @param heard hears what comes back, pings not
      * @param down hears that a line that was up is not any more
      */
-    Line(ManagedChannel channel, Timers timers, boolean always, Supplier<Wire.Frame> ping,
+    Line(
+            ManagedChannel channel,
+            Timers timers,
+            boolean always,
+            Supplier<Wire.Frame> ping,
             Consumer<Wire.Frame> heard,
             Runnable down) {
         this.channel = channel;
--- a/src/main/java/whinlead/replication/raft/CommandBatcher.java
+++ b/src/main/java/whinlead/replication/raft/CommandBatcher.java
@@ -1,16 +1,16 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.Command;
-import whinlead.replication.GroupClock;
-import whinlead.replication.Reply;
-import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import whinlead.engine.Timers;
+import whinlead.replication.Command;
+import whinlead.replication.GroupClock;
+import whinlead.replication.Reply;
 
 /**
- * Has all commands of one turn agreed on together: a round trip costs the same for one as for a hundred.
- * Where this node leads; on the engine's thread.
+ * Has all commands of one turn agreed on together: a round trip costs the same for one as for a hundred. Where this
+ * node leads; on the engine's thread.
  */
 final class CommandBatcher {
     private final ConsensusNode node;
--- a/src/main/java/whinlead/replication/raft/ConsensusNode.java
+++ b/src/main/java/whinlead/replication/raft/ConsensusNode.java
@@ -1,6 +1,5 @@
 package whinlead.replication.raft;
 
-import whinlead.engine.Timers;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
@@ -19,10 +18,11 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import whinlead.engine.Timers;
 
 /**
- * The node of the consensus library that one member runs, which can be started again from its log. On the
- * engine's thread.
+ * The node of the consensus library that one member runs, which can be started again from its log. On the engine's
+ * thread.
  */
 final class ConsensusNode {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -43,8 +43,15 @@
      * @param first the group's first members, where the log holds nothing
      * @param random for the times of elections
      */
-    ConsensusNode(MemberId id, Set<MemberId> first, Timers timers, RaftConfig config, LogMirror log,
-            Random random, Transport transport, RequestStateMachine stateMachine) {
+    ConsensusNode(
+            MemberId id,
+            Set<MemberId> first,
+            Timers timers,
+            RaftConfig config,
+            LogMirror log,
+            Random random,
+            Transport transport,
+            RequestStateMachine stateMachine) {
         this.id = id;
         this.timers = timers;
         this.config = config;
@@ -53,8 +60,12 @@
         this.transport = transport;
         this.stateMachine = stateMachine;
         RestoredRaftState restored = log.restored();
-        node = restored != null ? builder().setRestoredState(restored).build()
-                : builder().setLocalEndpoint(id).setInitialGroupMembers(List.copyOf(first)).build();
+        node = restored != null
+                ? builder().setRestoredState(restored).build()
+                : builder()
+                        .setLocalEndpoint(id)
+                        .setInitialGroupMembers(List.copyOf(first))
+                        .build();
     }
 
     private RaftNode.RaftNodeBuilder builder() {
--- a/src/main/java/whinlead/replication/raft/Envelope.java
+++ b/src/main/java/whinlead/replication/raft/Envelope.java
@@ -1,28 +1,26 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.Command;
-import whinlead.replication.Reply;
 import io.microraft.model.message.RaftMessage;
 import java.util.Set;
+import whinlead.replication.Command;
+import whinlead.replication.Reply;
 
 /** What goes from one member of a group to another; each may be lost, late, doubled or out of order. */
 public sealed interface Envelope {
     /** A message of the consensus. */
-    record Consensus(RaftMessage message) implements Envelope { }
+    record Consensus(RaftMessage message) implements Envelope {}
 
     /** A command for the one that leads. {@code token} names the question to its asker. */
-    record Forward(long token, Command command) implements Envelope { }
+    record Forward(long token, Command command) implements Envelope {}
 
     /** The answer to a forwarded one. */
-    record Answer(long token, Reply reply) implements Envelope { }
+    record Answer(long token, Reply reply) implements Envelope {}
 
     /** A new life asks to be let into the group in the place of its earlier ones. */
-    record Join(MemberId who) implements Envelope { }
+    record Join(MemberId who) implements Envelope {}
 
-    /**
-     * A process that has no life yet asks what another knows of the group; {@code nonce} is the process's.
-     */
-    record Ask(long nonce) implements Envelope { }
+    /** A process that has no life yet asks what another knows of the group; {@code nonce} is the process's. */
+    record Ask(long nonce) implements Envelope {}
 
     /**
      * The answer to that.
@@ -51,14 +49,14 @@
     }
 
     /** Another process lives under the receiver's name. */
-    record Taken() implements Envelope { }
+    record Taken() implements Envelope {}
 
     /**
      * A question to the group from a process that is no member of it. {@code token} names it to its asker.
      *
      * @param command null to ask for the group's time only
      */
-    record Pass(long token, Command command) implements Envelope { }
+    record Pass(long token, Command command) implements Envelope {}
 
     /**
      * The answer to that, of a member or of one that is none any more.
@@ -67,7 +65,7 @@
      * @param time of the group; less than 0 if the answerer holds no seat
      * @param leader as far as the answerer knows; empty if it knows of none
      */
-    record Passed(long token, Reply reply, long time, String leader) implements Envelope { }
+    record Passed(long token, Reply reply, long time, String leader) implements Envelope {}
 
     /** A process is asked to take a seat in the group, which these founded. */
     record Invite(Set<MemberId> first) implements Envelope {
--- a/src/main/java/whinlead/replication/raft/ForwardedCommands.java
+++ b/src/main/java/whinlead/replication/raft/ForwardedCommands.java
@@ -1,9 +1,9 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.Reply;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
+import whinlead.replication.Reply;
 
 /** Commands that this member has forwarded to the leader, with who waits for each reply. */
 final class ForwardedCommands {
@@ -16,8 +16,8 @@
     /**
      * None yet.
      *
-     * @param seed drawn at random: replies to an earlier process of this member, which come late, must fit
-     *     none of this one's commands
+     * @param seed drawn at random: replies to an earlier process of this member, which come late, must fit none of this
+     *     one's commands
      */
     ForwardedCommands(long seed) {
         lastToken = seed;
--- a/src/main/java/whinlead/replication/raft/GroupFormation.java
+++ b/src/main/java/whinlead/replication/raft/GroupFormation.java
@@ -10,15 +10,17 @@
 import java.util.stream.Stream;
 
 /**
- * What a process knows on the way to a life in its group: the number that it drew, what others have answered,
- * and which process under the first name it promised to follow. It decides by that:
+ * What a process knows on the way to a life in its group: the number that it drew, what others have answered, and which
+ * process under the first name it promised to follow. It decides by that:
+ *
  * <ul>
- * <li>Somebody knows a group: it joins that as a new life, and never as one that may have voted.
- * <li>Nobody does, <em>all</em> have answered, and its name is the first of all: it founds the group with the
- *     processes that answered, each known by a number it drew when it started.
- * <li>Another founds: it takes part only in what the process it last answered has founded. So of two
- *     processes that came after each other under the first name, only one can found a group of all.
+ *   <li>Somebody knows a group: it joins that as a new life, and never as one that may have voted.
+ *   <li>Nobody does, <em>all</em> have answered, and its name is the first of all: it founds the group with the
+ *       processes that answered, each known by a number it drew when it started.
+ *   <li>Another founds: it takes part only in what the process it last answered has founded. So of two processes that
+ *       came after each other under the first name, only one can found a group of all.
  * </ul>
+ *
  * No I/O and no clock.
  */
 final class GroupFormation {
@@ -57,8 +59,7 @@
 
     /** The life that it has if it joins a group of which it is told this. */
     MemberId nextLife(Envelope.Standing standing) {
-        long count = Stream.concat(lives(standing.first(), setup.name()),
-                        lives(standing.members(), setup.name()))
+        long count = Stream.concat(lives(standing.first(), setup.name()), lives(standing.members(), setup.name()))
                 .mapToLong(life -> IncarnationNumbers.count(life.life()))
                 .max()
                 .orElse(0);
@@ -91,14 +92,15 @@
 
     /** Whether this process is to found the group: it has the first name, and all others have answered. */
     boolean mayFound() {
-        return setup.name().equals(setup.coordinator()) && answers.size() + 1 >= setup.names().size();
+        return setup.name().equals(setup.coordinator())
+                && answers.size() + 1 >= setup.names().size();
     }
 
     /** The members with which this process founds the group. */
     Set<MemberId> founders() {
         Set<MemberId> founders = new HashSet<>(Set.of(firstLife()));
-        answers.forEach((name, standing) ->
-                founders.add(new MemberId(name, IncarnationNumbers.first(standing.nonce()))));
+        answers.forEach(
+                (name, standing) -> founders.add(new MemberId(name, IncarnationNumbers.first(standing.nonce()))));
         return founders;
     }
 
--- a/src/main/java/whinlead/replication/raft/GroupHost.java
+++ b/src/main/java/whinlead/replication/raft/GroupHost.java
@@ -1,14 +1,5 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.replication.Command;
-import whinlead.replication.ReplicationClient;
-import whinlead.replication.GroupClock;
-import whinlead.replication.Placement;
-import whinlead.replication.Reply;
-import whinlead.replication.Trace;
-import whinlead.replication.GroupRoute;
-import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -22,12 +13,20 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import whinlead.engine.Timers;
+import whinlead.replication.Command;
+import whinlead.replication.GroupClock;
+import whinlead.replication.GroupRoute;
+import whinlead.replication.Placement;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.ReplicationClient;
+import whinlead.replication.Reply;
+import whinlead.replication.Trace;
 
 /**
- * What one process has to do with all groups of a site: its seats in some of them, and its ways to the
- * others. Requests are placed by their ids ({@link Placement}); whichever process is asked passes what is
- * to be agreed on to the group that keeps the request. Messages and time in, messages out; no I/O. On the
- * engine's thread.
+ * What one process has to do with all groups of a site: its seats in some of them, and its ways to the others. Requests
+ * are placed by their ids ({@link Placement}); whichever process is asked passes what is to be agreed on to the group
+ * that keeps the request. Messages and time in, messages out; no I/O. On the engine's thread.
  */
 public final class GroupHost implements ReplicationClient.Group {
     /** What it needs of the process. */
@@ -59,14 +58,18 @@
      * @param groups by their names, each with its first members; at least one
      * @param replaceAfterMs of silence, until a member is replaced by a guest; 0 for never
      */
-    public record Setup(String name, SortedSet<String> processes, SortedMap<String, SortedSet<String>> groups,
-            double replaceAfterMs, RaftConfig consensus, ReplicatedState.Limits limits) {
+    public record Setup(
+            String name,
+            SortedSet<String> processes,
+            SortedMap<String, SortedSet<String>> groups,
+            double replaceAfterMs,
+            RaftConfig consensus,
+            ReplicatedState.Limits limits) {
         /** Keeps copies, and checks that its members are processes. */
         public Setup {
             processes = Collections.unmodifiableSortedSet(new TreeSet<>(processes));
             SortedMap<String, SortedSet<String>> copy = new TreeMap<>();
-            groups.forEach((group, names) -> copy.put(group,
-                    Collections.unmodifiableSortedSet(new TreeSet<>(names))));
+            groups.forEach((group, names) -> copy.put(group, Collections.unmodifiableSortedSet(new TreeSet<>(names))));
             groups = Collections.unmodifiableSortedMap(copy);
             for (SortedSet<String> names : groups.values()) {
                 if (!processes.containsAll(names)) {
@@ -80,8 +83,7 @@
         }
 
         private Seat.Setup seat(String group) {
-            return new Seat.Setup(name, group, groups.get(group), processes, replaceAfterMs, consensus,
-                    limits);
+            return new Seat.Setup(name, group, groups.get(group), processes, replaceAfterMs, consensus, limits);
         }
     }
 
@@ -194,7 +196,8 @@
     public long time(String id) {
         String group = placement.of(id);
         Seat seat = seats.get(group);
-        return seat != null && (seat.serves() || others(group).isEmpty()) ? seat.time()
+        return seat != null && (seat.serves() || others(group).isEmpty())
+                ? seat.time()
                 : way(group).time(timers.now());
     }
 
@@ -206,9 +209,13 @@
     }
 
     private GroupRoute way(String group) {
-        return ways.computeIfAbsent(group, g -> new GroupRoute(others(g), random.nextLong(),
-                (to, token, command) -> outside.send(g, to, new GroupMessage(setup.name(), 0, 0,
-                        new Envelope.Pass(token, command)))));
+        return ways.computeIfAbsent(
+                group,
+                g -> new GroupRoute(
+                        others(g),
+                        random.nextLong(),
+                        (to, token, command) -> outside.send(
+                                g, to, new GroupMessage(setup.name(), 0, 0, new Envelope.Pass(token, command)))));
     }
 
     /**
@@ -252,7 +259,14 @@
     }
 
     private GroupMessage answer(Seat seat, Envelope.Pass pass, Reply reply) {
-        return new GroupMessage(setup.name(), 0, 0, new Envelope.Passed(pass.token(), reply, seat.time(),
-                seat.member() == null ? "" : seat.member().leader()));
+        return new GroupMessage(
+                setup.name(),
+                0,
+                0,
+                new Envelope.Passed(
+                        pass.token(),
+                        reply,
+                        seat.time(),
+                        seat.member() == null ? "" : seat.member().leader()));
     }
 }
--- a/src/main/java/whinlead/replication/raft/IncarnationNumbers.java
+++ b/src/main/java/whinlead/replication/raft/IncarnationNumbers.java
@@ -6,7 +6,7 @@
 final class IncarnationNumbers {
     private static final int DRAWN_BITS = 32;
 
-    private IncarnationNumbers() { }
+    private IncarnationNumbers() {}
 
     /** Draws what tells a process apart from all others; never 0. */
     static long draw(Random random) {
--- a/src/main/java/whinlead/replication/raft/LeaderMonitor.java
+++ b/src/main/java/whinlead/replication/raft/LeaderMonitor.java
@@ -3,17 +3,17 @@
 import whinlead.engine.Timers;
 
 /**
- * Guards against a fault of MicroRaft 0.7: a message of the leader's that comes in the midst of a pre-vote
- * ends that, and from then on the member monitors its leader no more; where all do so, a group whose leader
- * dies has none ever after. A follower whose leader is silent and that has not asked for votes either is told
- * to, by the message that a leader hands over with: that is safe at any time, as any election is. On the
- * engine's thread.
+ * Guards against a fault of MicroRaft 0.7: a message of the leader's that comes in the midst of a pre-vote ends that,
+ * and from then on the member monitors its leader no more; where all do so, a group whose leader dies has none ever
+ * after. A follower whose leader is silent and that has not asked for votes either is told to, by the message that a
+ * leader hands over with: that is safe at any time, as any election is. On the engine's thread.
  */
 final class LeaderMonitor {
     private final ConsensusNode node;
     private final Timers timers;
     /** After so many milliseconds a silent leader is given up. */
     private final double timeoutMs;
+
     private double lastHeard;
     private double lastVoteRequest;
 
--- a/src/main/java/whinlead/replication/raft/LivenessChallenges.java
+++ b/src/main/java/whinlead/replication/raft/LivenessChallenges.java
@@ -5,13 +5,13 @@
 import java.util.Random;
 
 /**
- * Finds out whether the life that has a name still lives, when another process asks under that name: whoever
- * answers the challenge's token with that life does. No I/O; time comes with each call.
+ * Finds out whether the life that has a name still lives, when another process asks under that name: whoever answers
+ * the challenge's token with that life does. No I/O; time comes with each call.
  */
 final class LivenessChallenges {
     /**
-     * In which an earlier life has to prove that it lives, in milliseconds; a shorter time could replace one
-     * that is only slow.
+     * In which an earlier life has to prove that it lives, in milliseconds; a shorter time could replace one that is
+     * only slow.
      */
     private static final double PROOF_MS = 1000;
 
@@ -61,7 +61,10 @@
 
     /** A life of this name has answered a token. */
     void answered(String name, long token) {
-        challenges.computeIfPresent(name, (key, challenge) -> challenge.token() == token
-                ? new Challenge(challenge.nonce(), challenge.since(), token, true) : challenge);
+        challenges.computeIfPresent(
+                name,
+                (key, challenge) -> challenge.token() == token
+                        ? new Challenge(challenge.nonce(), challenge.since(), token, true)
+                        : challenge);
     }
 }
--- a/src/main/java/whinlead/replication/raft/LogMirror.java
+++ b/src/main/java/whinlead/replication/raft/LogMirror.java
@@ -15,8 +15,8 @@
 import java.util.TreeMap;
 
 /**
- * What a member would find on its disk, kept in memory, and passed on to a disk where there is one. The
- * entries are those that the library holds anyway. For one thread.
+ * What a member would find on its disk, kept in memory, and passed on to a disk where there is one. The entries are
+ * those that the library holds anyway. For one thread.
  */
 public final class LogMirror implements MemberDisk {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -29,7 +29,7 @@
     private RaftTermPersistentState term;
 
     /** An empty one with no disk behind it. */
-    public LogMirror() { }
+    public LogMirror() {}
 
     /** One that holds what another does, before this disk, or null for none. */
     public LogMirror(LogMirror held, MemberDisk disk) {
@@ -82,8 +82,7 @@
     }
 
     private void add(SnapshotChunk chunk) {
-        snapshots.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
-                .put(chunk.getSnapshotChunkIndex(), chunk);
+        snapshots.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
     }
 
     @Override
@@ -122,9 +121,7 @@
         return last == null ? 0 : last.getIndex();
     }
 
-    /**
-     * True if it holds this very entry: two of one index and term are the same, and so is all before them.
-     */
+    /** True if it holds this very entry: two of one index and term are the same, and so is all before them. */
     boolean holds(LogEntry entry) {
         LogEntry own = entries.get(entry.getIndex());
         return own != null && own.getTerm() == entry.getTerm();
@@ -139,9 +136,12 @@
         for (TreeMap<Integer, SnapshotChunk> chunks : snapshots.descendingMap().values()) {
             SnapshotChunk one = chunks.firstEntry().getValue();
             if (chunks.size() == one.getSnapshotChunkCount()) {
-                return MODELS.createSnapshotEntryBuilder().setIndex(one.getIndex()).setTerm(one.getTerm())
+                return MODELS.createSnapshotEntryBuilder()
+                        .setIndex(one.getIndex())
+                        .setTerm(one.getTerm())
                         .setSnapshotChunks(List.copyOf(chunks.values()))
-                        .setGroupMembersView(one.getGroupMembersView()).build();
+                        .setGroupMembersView(one.getGroupMembersView())
+                        .build();
             }
         }
         return null;
@@ -174,18 +174,24 @@
         }
     }
 
-    /**
-     * All that it holds, the last whole snapshot and what follows it; null if nothing lasting was written.
-     */
+    /** All that it holds, the last whole snapshot and what follows it; null if nothing lasting was written. */
     public RestoredRaftState restored() {
         if (self == null || first == null) {
             return null;
         }
         SnapshotEntry snapshot = snapshot();
         long after = snapshot == null ? 0 : snapshot.getIndex();
-        RaftTermPersistentState known = term != null ? term : MODELS.createRaftTermPersistentStateBuilder()
-                .setTerm(0).setVotedFor((RaftEndpoint) null).build();
-        return new RestoredRaftState(self, first, known, snapshot,
+        RaftTermPersistentState known = term != null
+                ? term
+                : MODELS.createRaftTermPersistentStateBuilder()
+                        .setTerm(0)
+                        .setVotedFor((RaftEndpoint) null)
+                        .build();
+        return new RestoredRaftState(
+                self,
+                first,
+                known,
+                snapshot,
                 List.copyOf(entries.tailMap(after, false).values()));
     }
 }
--- a/src/main/java/whinlead/replication/raft/Member.java
+++ b/src/main/java/whinlead/replication/raft/Member.java
@@ -1,10 +1,5 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.replication.Command;
-import whinlead.replication.GroupClock;
-import whinlead.replication.Reply;
-import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.message.AppendEntriesRequest;
@@ -25,11 +20,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import whinlead.engine.Timers;
+import whinlead.replication.Command;
+import whinlead.replication.GroupClock;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.Reply;
 
 /**
  * One life of a member of a group: MicroRaft agrees on the order of the commands, the {@link ReplicatedState} on what
- * they come to. It has no thread and no socket; time and turns come by {@link Timers}, messages by {@link
- * Wire} and {@link #received}. On the engine's thread.
+ * they come to. It has no thread and no socket; time and turns come by {@link Timers}, messages by {@link Wire} and
+ * {@link #received}. On the engine's thread.
  */
 public final class Member {
     /** The way to the other members. */
@@ -48,7 +48,7 @@
     }
 
     /** A piece of a snapshot: so many requests of the book's, and in the first one the rest. */
-    public record Chunk(long commands, long time, Map<String, Long> drains, List<ReplicatedState.Entry> entries) { }
+    public record Chunk(long commands, long time, Map<String, Long> drains, List<ReplicatedState.Entry> entries) {}
 
     /** What the consensus calls its group: one group a member. */
     public static final String GROUP = "copies";
@@ -74,8 +74,9 @@
     private final double timeoutMs;
     /** Up to where the leader has told that all is agreed on. */
     private long leaderCommit;
+
     private boolean stopped;
-    private Runnable removed = () -> { };
+    private Runnable removed = () -> {};
     private int restarts;
     /** How often a snapshot was offered since this member last asked for a piece of one. */
     private int snapshotOffers;
@@ -89,8 +90,16 @@
      * @param random for the times of elections
      * @param claims which seat one that asks to be let in may take
      */
-    public Member(MemberId id, Collection<MemberId> first, Timers timers, GroupClock pace, Wire wire, ReplicatedState book,
-            RaftConfig config, LogMirror log, Random random,
+    public Member(
+            MemberId id,
+            Collection<MemberId> first,
+            Timers timers,
+            GroupClock pace,
+            Wire wire,
+            ReplicatedState book,
+            RaftConfig config,
+            LogMirror log,
+            Random random,
             Function<MemberId, Optional<Replacement.Claim>> claims) {
         this.id = id;
         this.first = MemberId.sorted(first);
@@ -100,8 +109,7 @@
         this.log = log;
         forwarded = new ForwardedCommands(random.nextLong());
         stateMachine = new RequestStateMachine(book, pace, timers);
-        node = new ConsensusNode(id, this.first, timers, config, log, random, new NodeTransport(),
-                stateMachine);
+        node = new ConsensusNode(id, this.first, timers, config, log, random, new NodeTransport(), stateMachine);
         timeoutMs = SILENT_TIMEOUTS * TimeUnit.SECONDS.toMillis(config.getLeaderHeartbeatTimeoutSecs());
         overlap = new SnapshotOverlap(log);
         leaderMonitor = new LeaderMonitor(node, timers, timeoutMs);
@@ -152,9 +160,8 @@
     }
 
     /**
-     * Its link to another member is down: where that one leads, votes are asked for after this, unless
-     * something of it has come until then. Without that they are after the time that a silent leader is
-     * given.
+     * Its link to another member is down: where that one leads, votes are asked for after this, unless something of it
+     * has come until then. Without that they are after the time that a silent leader is given.
      */
     public void suspect(String name, double afterMs) {
         double since = timers.now();
@@ -168,7 +175,9 @@
     private void askToJoin(double everyMs) {
         if (!votes() && !stopped) {
             // To whatever life there is now: those that it knows of may all be over.
-            members().stream().map(MemberId::name).distinct()
+            members().stream()
+                    .map(MemberId::name)
+                    .distinct()
                     .filter(name -> !name.equals(id.name()))
                     .forEach(name -> send(new MemberId(name, 0), new Envelope.Join(id)));
             timers.after(everyMs, () -> askToJoin(everyMs));
@@ -240,8 +249,9 @@
     /** Whether by what another knows a later life has this one's seat, or a later change removed this one. */
     boolean isReplacedIn(Envelope.Standing standing) {
         return hasLaterLife(standing.members(), id.name(), id.life())
-                || standing.index() > membersIndex() && members().contains(id)
-                && !standing.members().contains(id);
+                || standing.index() > membersIndex()
+                        && members().contains(id)
+                        && !standing.members().contains(id);
     }
 
     private static boolean hasLaterLife(Set<MemberId> all, String name, long life) {
@@ -269,8 +279,7 @@
             receivedConsensus(from, consensus.message());
         } else if (what instanceof Envelope.Forward forward) {
             if (leads()) {
-                batcher.propose(forward.command(),
-                        reply -> send(from, new Envelope.Answer(forward.token(), reply)));
+                batcher.propose(forward.command(), reply -> send(from, new Envelope.Answer(forward.token(), reply)));
             }
         } else if (what instanceof Envelope.Answer answer) {
             forwarded.replied(answer.token(), answer.reply());
@@ -286,8 +295,7 @@
                 leaderCommit = request.getCommitIndex();
             }
         }
-        RaftMessage handled = message instanceof AppendEntriesRequest request ? resolveOverlap(request)
-                : message;
+        RaftMessage handled = message instanceof AppendEntriesRequest request ? resolveOverlap(request) : message;
         if (handled instanceof InstallSnapshotRequest offer && offer.getTerm() >= node.term()) {
             snapshotOffered();
         }
@@ -332,8 +340,8 @@
     }
 
     /**
-     * Guards against another fault of MicroRaft 0.7: a member that lost what it was sent of a snapshot waits
-     * for that ever after, and says nothing to those that offer it again.
+     * Guards against another fault of MicroRaft 0.7: a member that lost what it was sent of a snapshot waits for that
+     * ever after, and says nothing to those that offer it again.
      */
     private void snapshotOffered() {
         if (++snapshotOffers > MAX_SNAPSHOT_OFFERS) {
@@ -343,9 +351,9 @@
     }
 
     /**
-     * Guards against another: one that knows more than the rest, but of a lower term, asks for votes in a
-     * term that is over, is refused for that, and asks in the same one ever after; while those that refuse it
-     * know too little to be voted for. It is told of their term.
+     * Guards against another: one that knows more than the rest, but of a lower term, asks for votes in a term that is
+     * over, is refused for that, and asks in the same one ever after; while those that refuse it know too little to be
+     * voted for. It is told of their term.
      */
     private void catchUpTerm(PreVoteResponse response) {
         if (!response.isGranted() && response.getTerm() > node.term() + 1 && node.leader() == null) {
--- a/src/main/java/whinlead/replication/raft/MemberId.java
+++ b/src/main/java/whinlead/replication/raft/MemberId.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * One life of a member: a process that comes back without what it knew is another, for it must not vote for
- * the one before.
+ * One life of a member: a process that comes back without what it knew is another, for it must not vote for the one
+ * before.
  *
  * @param name of the member, the same over its lives
  * @param life 1 for the first; a later one is higher
--- a/src/main/java/whinlead/replication/raft/MembershipChanges.java
+++ b/src/main/java/whinlead/replication/raft/MembershipChanges.java
@@ -1,9 +1,9 @@
 package whinlead.replication.raft;
 
-import whinlead.engine.Timers;
 import io.microraft.MembershipChangeMode;
 import java.util.Optional;
 import java.util.function.Function;
+import whinlead.engine.Timers;
 
 /** Changes the members of a group where this node leads, one change at a time. On the engine's thread. */
 final class MembershipChanges {
@@ -22,7 +22,10 @@
      * @param timeoutMs after which a change is waited for no more
      * @param claims which seat one that asks to be let in may take
      */
-    MembershipChanges(ConsensusNode node, Timers timers, double timeoutMs,
+    MembershipChanges(
+            ConsensusNode node,
+            Timers timers,
+            double timeoutMs,
             Function<MemberId, Optional<Replacement.Claim>> claims) {
         this.node = node;
         this.timers = timers;
--- a/src/main/java/whinlead/replication/raft/NodeExecutor.java
+++ b/src/main/java/whinlead/replication/raft/NodeExecutor.java
@@ -1,8 +1,8 @@
 package whinlead.replication.raft;
 
-import whinlead.engine.Timers;
 import io.microraft.executor.RaftNodeExecutor;
 import java.util.concurrent.TimeUnit;
+import whinlead.engine.Timers;
 
 /** Runs the tasks of one consensus node by timers, until it is stopped. On the engine's thread. */
 final class NodeExecutor implements RaftNodeExecutor {
--- a/src/main/java/whinlead/replication/raft/Replacement.java
+++ b/src/main/java/whinlead/replication/raft/Replacement.java
@@ -1,6 +1,5 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.Placement;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
@@ -10,23 +9,26 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 import java.util.stream.Stream;
+import whinlead.replication.Placement;
 
 /**
  * Who takes the seat of a member that is lost, as the one that leads decides it:
+ *
  * <ul>
- * <li>A new life of a member takes its earlier one's seat.
- * <li>A member that nothing was heard of for long is replaced by a <em>guest</em>, a process that is no first
- *     member of the group. One at a time, the next is asked if one does not come.
- * <li>At most as many seats as the group bears to lose are held by guests. So of the first members at least
- *     one is always there that knows the group, however many are lost at once of those that may be: those
- *     that came back with nothing can't found it a second time, for that takes all of them.
- * <li>Who is lost goes before another has its seat: until then the two of three that are left have to agree
- *     on all, and a guest that dies meanwhile must not be one that they need.
- * <li>A first member that comes back takes its seat from a guest again, while all that vote are heard. Then
- *     both vote for a moment, and the guest goes after that: a group with one seat less could be stopped for
- *     good by a loss that it is to bear.
- * <li>A learner that falls silent, or a guest whose seat is not free any more, goes.
+ *   <li>A new life of a member takes its earlier one's seat.
+ *   <li>A member that nothing was heard of for long is replaced by a <em>guest</em>, a process that is no first member
+ *       of the group. One at a time, the next is asked if one does not come.
+ *   <li>At most as many seats as the group bears to lose are held by guests. So of the first members at least one is
+ *       always there that knows the group, however many are lost at once of those that may be: those that came back
+ *       with nothing can't found it a second time, for that takes all of them.
+ *   <li>Who is lost goes before another has its seat: until then the two of three that are left have to agree on all,
+ *       and a guest that dies meanwhile must not be one that they need.
+ *   <li>A first member that comes back takes its seat from a guest again, while all that vote are heard. Then both vote
+ *       for a moment, and the guest goes after that: a group with one seat less could be stopped for good by a loss
+ *       that it is to bear.
+ *   <li>A learner that falls silent, or a guest whose seat is not free any more, goes.
  * </ul>
+ *
  * No clock and no I/O: time comes with each call.
  */
 public final class Replacement {
@@ -44,10 +46,10 @@
     /** What the one that leads is to do. */
     public sealed interface Act {
         /** Ask this process to take a seat. */
-        record Invite(String name) implements Act { }
+        record Invite(String name) implements Act {}
 
         /** This one is a member no more. */
-        record Dismiss(MemberId who) implements Act { }
+        record Dismiss(MemberId who) implements Act {}
     }
 
     /**
@@ -56,7 +58,7 @@
      * @param from whose it is; empty if it is nobody's
      * @param lost whether that one is lost, and so goes before the newcomer votes; else after it does
      */
-    public record Claim(String from, boolean lost) { }
+    public record Claim(String from, boolean lost) {}
 
     /** In which one that is asked has asked to be let in, most of the time. */
     private static final double ANSWER_MS = 2000;
@@ -73,6 +75,7 @@
     private double lastTick = Double.NEGATIVE_INFINITY;
     /** Whom an operator has given up; empty for nobody. */
     private String given = "";
+
     private String invited = "";
     private double invitedAt = Double.NEGATIVE_INFINITY;
     private int turn;
@@ -82,11 +85,10 @@
      *
      * @param first the names with which the group was founded
      * @param processes all that may be asked, these among them
-     * @param after milliseconds of silence, several times as long as between two ticks; 0 if nobody is ever
-     *     replaced by another
+     * @param after milliseconds of silence, several times as long as between two ticks; 0 if nobody is ever replaced by
+     *     another
      */
-    public Replacement(String group, String me, Collection<String> first, Collection<String> processes,
-            double after) {
+    public Replacement(String group, String me, Collection<String> first, Collection<String> processes, double after) {
         this.group = group;
         this.me = me;
         this.first = new TreeSet<>(first);
@@ -120,7 +122,9 @@
 
     // Guests that vote, but for one whose seat is to be taken.
     private long guests(View view, String but) {
-        return view.voters().stream().filter(m -> guest(m.name()) && !m.name().equals(but)).count();
+        return view.voters().stream()
+                .filter(m -> guest(m.name()) && !m.name().equals(but))
+                .count();
     }
 
     /** Which seat a newcomer, or a learner, of this name may take now; none if it may not come in. */
@@ -145,7 +149,11 @@
     }
 
     private Optional<String> silent(View view, double now) {
-        return view.voters().stream().map(MemberId::name).sorted().filter(n -> silent(n, now)).findFirst();
+        return view.voters().stream()
+                .map(MemberId::name)
+                .sorted()
+                .filter(n -> silent(n, now))
+                .findFirst();
     }
 
     // The seat that a first member takes which has been replaced.
@@ -154,9 +162,12 @@
         if (lost.isPresent()) {
             return Optional.of(new Claim(lost.get(), true));
         }
-        boolean all = view.voters().stream().allMatch(m -> m.name().equals(me)
-                || now - heard.getOrDefault(m.name(), Double.NEGATIVE_INFINITY) <= FRESH_MS);
-        return view.voters().stream().filter(m -> all && guest(m.name())).map(m -> new Claim(m.name(), false))
+        boolean all = view.voters().stream()
+                .allMatch(m -> m.name().equals(me)
+                        || now - heard.getOrDefault(m.name(), Double.NEGATIVE_INFINITY) <= FRESH_MS);
+        return view.voters().stream()
+                .filter(m -> all && guest(m.name()))
+                .map(m -> new Claim(m.name(), false))
                 .findFirst();
     }
 
@@ -168,7 +179,8 @@
     // The seat that a guest may take.
     private Optional<Claim> seat(View view, double now) {
         String from = vacant(view) ? "" : silent(view, now).orElse(null);
-        return from == null || guests(view, from) >= guestsMost() ? Optional.empty()
+        return from == null || guests(view, from) >= guestsMost()
+                ? Optional.empty()
                 : Optional.of(new Claim(from, true));
     }
 
@@ -186,18 +198,24 @@
             given = "";
         }
         if (view.voters().size() > first.size()) {
-            return view.voters().stream().filter(m -> guest(m.name())).<Act>map(Act.Dismiss::new).findFirst();
+            return view.voters().stream()
+                    .filter(m -> guest(m.name()))
+                    .<Act>map(Act.Dismiss::new)
+                    .findFirst();
         }
         if (view.learners().findAny().isPresent()) {
-            return view.learners().filter(who -> silent(who.name(), now)
-                    || guest(who.name()) && claim(who.name(), view, now).isEmpty())
-                    .<Act>map(Act.Dismiss::new).findFirst();
+            return view.learners()
+                    .filter(who -> silent(who.name(), now)
+                            || guest(who.name()) && claim(who.name(), view, now).isEmpty())
+                    .<Act>map(Act.Dismiss::new)
+                    .findFirst();
         }
         if (seat(view, now).isEmpty() || now - invitedAt < ANSWER_MS) {
             return Optional.empty();
         }
         List<String> candidates = Placement.ranked(group, processes).stream()
-                .filter(n -> guest(n) && !view.has(n)).toList();
+                .filter(n -> guest(n) && !view.has(n))
+                .toList();
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
--- a/src/main/java/whinlead/replication/raft/ReplacementDriver.java
+++ b/src/main/java/whinlead/replication/raft/ReplacementDriver.java
@@ -1,9 +1,9 @@
 package whinlead.replication.raft;
 
-import whinlead.engine.Timers;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
+import whinlead.engine.Timers;
 
 /** Carries out what {@link Replacement} decides for one seat. On the engine's thread. */
 final class ReplacementDriver {
@@ -19,8 +19,8 @@
         this.setup = setup;
         this.timers = timers;
         this.outside = outside;
-        replacement = new Replacement(setup.group(), setup.name(), setup.names(), setup.processes(),
-                setup.replaceAfterMs());
+        replacement =
+                new Replacement(setup.group(), setup.name(), setup.names(), setup.processes(), setup.replaceAfterMs());
     }
 
     /** Something has come from another process. */
@@ -54,8 +54,9 @@
         } else if (act instanceof Replacement.Act.Invite invite && allHearGuests(member)) {
             outside.note("copies: " + member.id() + " of " + setup.group() + " asks " + invite.name()
                     + " in, for one that is silent");
-            outside.send(invite.name(), new GroupMessage(setup.name(), member.id().life(), 0,
-                    new Envelope.Invite(member.first())));
+            outside.send(
+                    invite.name(),
+                    new GroupMessage(setup.name(), member.id().life(), 0, new Envelope.Invite(member.first())));
         }
     }
 
@@ -81,7 +82,8 @@
             boolean unknown = member == null || member.leader().isEmpty();
             return "it does not lead; " + (unknown ? "nobody does" : member.leader() + " does");
         }
-        boolean votes = member.view().voters().stream().anyMatch(voter -> voter.name().equals(name));
+        boolean votes =
+                member.view().voters().stream().anyMatch(voter -> voter.name().equals(name));
         if (name.equals(setup.name()) || !votes) {
             return name + " is no other member that votes";
         }
--- a/src/main/java/whinlead/replication/raft/RequestStateMachine.java
+++ b/src/main/java/whinlead/replication/raft/RequestStateMachine.java
@@ -1,16 +1,16 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.replication.Command;
-import whinlead.replication.GroupClock;
-import whinlead.replication.Reply;
-import whinlead.engine.Timers;
 import io.microraft.statemachine.StateMachine;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import whinlead.engine.Timers;
+import whinlead.replication.Command;
+import whinlead.replication.GroupClock;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.Reply;
 
 /** Applies to a {@link ReplicatedState} the commands that a group agreed on. On the engine's thread. */
 final class RequestStateMachine implements StateMachine {
@@ -60,8 +60,8 @@
         do {
             int to = Math.min(entries.size(), from + MAX_CHUNK_ENTRIES);
             Map<String, Long> drains = from == 0 ? snapshot.drains() : Map.of();
-            chunks.accept(new Member.Chunk(snapshot.commands(), snapshot.time(), drains,
-                    List.copyOf(entries.subList(from, to))));
+            chunks.accept(new Member.Chunk(
+                    snapshot.commands(), snapshot.time(), drains, List.copyOf(entries.subList(from, to))));
             from = to;
         } while (from < entries.size());
     }
--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -1,10 +1,5 @@
 package whinlead.replication.raft;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.replication.Command;
-import whinlead.replication.GroupClock;
-import whinlead.replication.Reply;
-import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import java.util.Collections;
 import java.util.Random;
@@ -12,16 +7,21 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import whinlead.engine.Timers;
+import whinlead.replication.Command;
+import whinlead.replication.GroupClock;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.Reply;
 
 /**
- * A process's place in its group: which life of a member it is, found out without anybody's help. Messages
- * and time in, messages out; no I/O. On the engine's thread.
+ * A process's place in its group: which life of a member it is, found out without anybody's help. Messages and time in,
+ * messages out; no I/O. On the engine's thread.
  *
- * <p>A process that holds a life on its disk goes on with that. Any other asks the rest what they know, and
- * joins or founds the group as {@link GroupFormation} says. One that asks under a name whose earlier life
- * lives is told that the name is taken, and ends ({@link LivenessChallenges}). A life that has been replaced
- * while it stood still asks anew itself. A process that is none of the first members has a seat only as a
- * guest, where the one that leads has asked it to ({@link Replacement}), and gives it up once it is told to.
+ * <p>A process that holds a life on its disk goes on with that. Any other asks the rest what they know, and joins or
+ * founds the group as {@link GroupFormation} says. One that asks under a name whose earlier life lives is told that the
+ * name is taken, and ends ({@link LivenessChallenges}). A life that has been replaced while it stood still asks anew
+ * itself. A process that is none of the first members has a seat only as a guest, where the one that leads has asked it
+ * to ({@link Replacement}), and gives it up once it is told to.
  */
 public final class Seat {
     /** What it needs of the process. */
@@ -51,8 +51,14 @@
      * @param processes all that may have a seat, these among them
      * @param replaceAfterMs of silence, until a member is replaced by a guest; 0 for never
      */
-    public record Setup(String name, String group, SortedSet<String> names, SortedSet<String> processes,
-            double replaceAfterMs, RaftConfig consensus, ReplicatedState.Limits limits) {
+    public record Setup(
+            String name,
+            String group,
+            SortedSet<String> names,
+            SortedSet<String> processes,
+            double replaceAfterMs,
+            RaftConfig consensus,
+            ReplicatedState.Limits limits) {
         /** Checks that it is one of them. */
         public Setup {
             names = Collections.unmodifiableSortedSet(new TreeSet<>(names));
@@ -77,8 +83,7 @@
     }
 
     /** How it stands, for operators; {@code id} is null while it has no life. */
-    public record Status(MemberId id, boolean leads, boolean votes, Set<MemberId> members, int requests,
-            long time) {
+    public record Status(MemberId id, boolean leads, boolean votes, Set<MemberId> members, int requests, long time) {
         private static final Status NONE = new Status(null, false, false, Set.of(), 0, 0);
     }
 
@@ -86,6 +91,7 @@
     private static final double JOIN_EVERY_MS = 200;
     /** While it has a life but no vote, or has not heard whether its life is still the one. */
     private static final double LOOK_EVERY_MS = 1000;
+
     private static final double WATCH_EVERY_MS = 250;
     /** In which a guest has been let in: by several questions, a snapshot and one change of who leads. */
     private static final double GUEST_MS = 10_000;
@@ -125,8 +131,7 @@
 
     /** Finds its place from now on. */
     public void start() {
-        RestoredLife.of(log).ifPresent(
-                life -> sit(life.id(), life.first(), "goes on with what its disk holds"));
+        RestoredLife.of(log).ifPresent(life -> sit(life.id(), life.first(), "goes on with what its disk holds"));
         ask();
         if (setup.replaceAfterMs() > 0) {
             watch();
@@ -186,8 +191,15 @@
 
     /** How it stands. */
     public Status status() {
-        return member == null ? Status.NONE : new Status(member.id(), member.leads(), member.votes(),
-                member.members(), member.book().size(), member.book().time());
+        return member == null
+                ? Status.NONE
+                : new Status(
+                        member.id(),
+                        member.leads(),
+                        member.votes(),
+                        member.members(),
+                        member.book().size(),
+                        member.book().time());
     }
 
     /** The life that it has; null while it has none. */
@@ -214,8 +226,8 @@
     }
 
     private void ask() {
-        boolean settled = member != null && member.votes() && !member.leader().isEmpty()
-                && formation.majorityAnswered();
+        boolean settled =
+                member != null && member.votes() && !member.leader().isEmpty() && formation.majorityAnswered();
         asks = !stopped && !settled;
         if (!asks) {
             return;
@@ -243,18 +255,28 @@
             return;
         }
         Set<MemberId> first = formation.founders();
-        formation.answerers().forEach(other ->
-                outside.send(other, message(0, new Envelope.Founded(formation.nonce(), first))));
+        formation
+                .answerers()
+                .forEach(other -> outside.send(other, message(0, new Envelope.Founded(formation.nonce(), first))));
         sit(formation.firstLife(), first, "founds the group");
     }
 
     private void sit(MemberId me, Set<MemberId> first, String how) {
         outside.note("copies: " + me + " " + how);
         formation.clearAnswers();
-        Member.Wire wire = (to, what) ->
-                outside.send(to.name(), new GroupMessage(me.name(), me.life(), to.life(), what));
-        member = new Member(me, first, timers, pace, wire, new ReplicatedState(setup.limits()), setup.consensus(), log,
-                random, who -> replacements.claim(who, member));
+        Member.Wire wire =
+                (to, what) -> outside.send(to.name(), new GroupMessage(me.name(), me.life(), to.life(), what));
+        member = new Member(
+                me,
+                first,
+                timers,
+                pace,
+                wire,
+                new ReplicatedState(setup.limits()),
+                setup.consensus(),
+                log,
+                random,
+                who -> replacements.claim(who, member));
         member.onRemoved(this::beginAnew);
         member.start(JOIN_EVERY_MS);
     }
@@ -295,7 +317,9 @@
      * @param back to the very process that said it, whoever its name's address leads to
      */
     public void received(GroupMessage message, Consumer<GroupMessage> back) {
-        if (stopped || !setup.processes().contains(message.from()) || message.from().equals(setup.name())) {
+        if (stopped
+                || !setup.processes().contains(message.from())
+                || message.from().equals(setup.name())) {
             return;
         }
         replacements.received(message);
@@ -358,8 +382,8 @@
     private void answer(Envelope.Ask ask, Consumer<GroupMessage> back) {
         Envelope.Standing standing = member == null
                 ? new Envelope.Standing(ask.nonce(), formation.nonce(), Set.of(), Set.of(), 0)
-                : new Envelope.Standing(ask.nonce(), formation.nonce(), member.first(), member.members(),
-                        member.membersIndex());
+                : new Envelope.Standing(
+                        ask.nonce(), formation.nonce(), member.first(), member.members(), member.membersIndex());
         back.accept(message(0, standing));
     }
 
@@ -385,8 +409,7 @@
             formation.answered(from, standing);
         } else if (!standing.first().contains(formation.firstLife())) {
             sit(formation.nextLife(standing), standing.first(), "joins the group");
-        } else if (formation.promisedTo(from, standing.nonce())
-                || formation.promisedAmong(standing.first())) {
+        } else if (formation.promisedTo(from, standing.nonce()) || formation.promisedAmong(standing.first())) {
             adopt(standing.first());
         }
     }
--- a/src/main/java/whinlead/replication/raft/SnapshotOverlap.java
+++ b/src/main/java/whinlead/replication/raft/SnapshotOverlap.java
@@ -7,11 +7,10 @@
 import java.util.List;
 
 /**
- * Guards against a fault of MicroRaft 0.7: it refuses entries that begin right after its snapshot if it holds
- * entries there already, since it looks for the one before, and a leader that missed its answers or leads
- * anew offers no others. Two entries of one index and term are the same and so is all before them: what is
- * held is left out of the request. What stands against it is a tail that was never agreed on and never will
- * be, for a leader holds all that is.
+ * Guards against a fault of MicroRaft 0.7: it refuses entries that begin right after its snapshot if it holds entries
+ * there already, since it looks for the one before, and a leader that missed its answers or leads anew offers no
+ * others. Two entries of one index and term are the same and so is all before them: what is held is left out of the
+ * request. What stands against it is a tail that was never agreed on and never will be, for a leader holds all that is.
  */
 final class SnapshotOverlap {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -24,20 +23,23 @@
     }
 
     /**
-     * The request without entries up to the snapshot's end (schedule 793): the log has no entry there to
-     * compare. All up to the end was agreed on, so what a leader holds of it is the same.
+     * The request without entries up to the snapshot's end (schedule 793): the log has no entry there to compare. All
+     * up to the end was agreed on, so what a leader holds of it is the same.
      */
     AppendEntriesRequest afterSnapshot(AppendEntriesRequest request) {
         long from = request.getPreviousLogIndex();
         long end = log.snapshotEnd();
-        boolean across = from > 0 && from < end && from + request.getLogEntries().size() >= end;
+        boolean across =
+                from > 0 && from < end && from + request.getLogEntries().size() >= end;
         return across ? without(request, (int) (end - from)) : request;
     }
 
     /** Whether the request has entries right after the snapshot, and the log holds entries there. */
     boolean overlapsLog(AppendEntriesRequest request) {
         long previous = request.getPreviousLogIndex();
-        return previous != 0 && !request.getLogEntries().isEmpty() && log.goesBeyond(previous)
+        return previous != 0
+                && !request.getLogEntries().isEmpty()
+                && log.goesBeyond(previous)
                 && previous == log.snapshotEnd();
     }
 
--- a/src/main/java/whinlead/replication/raft/TimersClock.java
+++ b/src/main/java/whinlead/replication/raft/TimersClock.java
@@ -1,10 +1,10 @@
 package whinlead.replication.raft;
 
-import whinlead.engine.Timers;
 import java.time.Clock;
 import java.time.Instant;
 import java.time.ZoneId;
 import java.time.ZoneOffset;
+import whinlead.engine.Timers;
 
 /** The clock of the consensus library, which only ever compares times of it. */
 final class TimersClock extends Clock {
--- a/src/main/java/whinlead/run/CaptureConfig.java
+++ b/src/main/java/whinlead/run/CaptureConfig.java
@@ -1,7 +1,5 @@
 package whinlead.run;
 
-import whinlead.Contract;
-import whinlead.capture.Recorder;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -11,6 +9,8 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Set;
 import java.util.function.Consumer;
+import whinlead.Contract;
+import whinlead.capture.Recorder;
 
 /**
  * Where a sidecar captures what it serves, as an operator's file says ({@code docs/planner.md}).
@@ -46,7 +46,9 @@
         if (!json.path("folder").isTextual() || !Files.isDirectory(folder) || !Files.isWritable(folder)) {
             throw new IllegalArgumentException("capture.folder is no folder that can be written to");
         }
-        return new CaptureConfig(folder, whole(json, "files", 4, 1, MAX_FILES),
+        return new CaptureConfig(
+                folder,
+                whole(json, "files", 4, 1, MAX_FILES),
                 (long) whole(json, "file_mb", 16, 1, MAX_MEGABYTES) * MEGABYTE,
                 whole(json, "queue", 8192, MIN_QUEUE, MAX_QUEUE));
     }
@@ -57,16 +59,24 @@
 
     /** Begins to capture requests of these settings' classes. */
     Recorder start(Contract.Settings settings, Consumer<String> log) {
-        double longest = settings.classes().stream().mapToDouble(Contract.RequestClass::deadline).max()
+        double longest = settings.classes().stream()
+                .mapToDouble(Contract.RequestClass::deadline)
+                .max()
                 .orElse(0);
         int[] next = new int[1];
-        return new Recorder(settings.classes().stream().map(Contract.RequestClass::name).toList(),
-                new Recorder.Bounds(queue, longest + ENDED_MS, bytes), () -> open(next[0]++), log);
+        return new Recorder(
+                settings.classes().stream().map(Contract.RequestClass::name).toList(),
+                new Recorder.Bounds(queue, longest + ENDED_MS, bytes),
+                () -> open(next[0]++),
+                log);
     }
 
     private OutputStream open(int number) throws IOException {
         // Over the one that was written longest ago.
-        return Files.newOutputStream(folder.resolve("load-" + number % files + ".capture"),
-                StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
+        return Files.newOutputStream(
+                folder.resolve("load-" + number % files + ".capture"),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING,
+                StandardOpenOption.WRITE);
     }
 }
--- a/src/main/java/whinlead/run/Config.java
+++ b/src/main/java/whinlead/run/Config.java
@@ -1,8 +1,5 @@
 package whinlead.run;
 
-import whinlead.Contract;
-import whinlead.SettingsReader;
-import whinlead.membership.EndpointList;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -13,6 +10,9 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
+import whinlead.Contract;
+import whinlead.SettingsReader;
+import whinlead.membership.EndpointList;
 
 /**
  * Everything a sidecar is told at start.
@@ -22,8 +22,15 @@
  * @param endpointIdle milliseconds after which an endpoint closes an idle connection
  * @param sockets file descriptors that the process may hold
  */
-record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, Contract.Settings settings,
-              EndpointList known, int connectTimeout, double endpointIdle, int sockets) {
+record Config(
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        Contract.Settings settings,
+        EndpointList known,
+        int connectTimeout,
+        double endpointIdle,
+        int sockets) {
 
     private static final int HEX = 16;
 
@@ -56,10 +63,14 @@
         flatten("", json.path("settings"), pairs);
         JsonNode limits = json.path("settings").path("limits");
         JsonNode known = json.path("known");
-        return new Config(EndpointList.address(json.path("listen").asText()),
-                EndpointList.address(json.path("discovery").asText()), seed(json.path("seed").asText()),
-                new SettingsReader(pairs).settings(), known.isObject() ? EndpointList.parse(known) : null,
-                (int) positive(limits, "connect_timeout"), positive(limits, "conn_idle"),
+        return new Config(
+                EndpointList.address(json.path("listen").asText()),
+                EndpointList.address(json.path("discovery").asText()),
+                seed(json.path("seed").asText()),
+                new SettingsReader(pairs).settings(),
+                known.isObject() ? EndpointList.parse(known) : null,
+                (int) positive(limits, "connect_timeout"),
+                positive(limits, "conn_idle"),
                 (int) positive(json.path("limits"), "sockets"));
     }
 
@@ -79,13 +90,11 @@
         return value;
     }
 
-    /**
-     * Nested JSON to the simulator's paths, by its rules: a list of objects has a count and numbered items.
-     */
+    /** Nested JSON to the simulator's paths, by its rules: a list of objects has a count and numbered items. */
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
         if (node.isObject()) {
-            node.properties().forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(),
-                    e.getValue(), pairs));
+            node.properties()
+                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), pairs));
         } else if (node.isArray()) {
             pairs.put(path + ".count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -1,20 +1,5 @@
 package whinlead.run;
 
-import whinlead.Contract;
-import whinlead.admit.Budget;
-import whinlead.capture.Recorder;
-import whinlead.decide.Decide;
-import whinlead.engine.Clock;
-import whinlead.engine.Engine;
-import whinlead.engine.Timers;
-import whinlead.front.http1.ClientServer;
-import whinlead.loop.LoopTimers;
-import whinlead.membership.Discovery;
-import whinlead.membership.EndpointList;
-import whinlead.mesh.run.MeshCommand;
-import whinlead.signals.Hangup;
-import whinlead.testbed.mesh.LocalMeshRun;
-import whinlead.transport.EndpointPool;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -30,25 +15,39 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.capture.Recorder;
+import whinlead.decide.Decide;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.engine.Timers;
+import whinlead.front.http1.ClientServer;
+import whinlead.loop.LoopTimers;
+import whinlead.membership.Discovery;
+import whinlead.membership.EndpointList;
+import whinlead.mesh.run.MeshCommand;
+import whinlead.signals.Hangup;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.transport.EndpointPool;
 
 /**
  * The command line: {@code serve} runs a real sidecar, {@code check} only starts one and stops it again,
- * {@code benchlink} is the simulator's adapter, {@code sidecar} and {@code control} are the mesh's roles; all else is in {@link Tools}.
+ * {@code benchlink} is the simulator's adapter, {@code sidecar} and {@code control} are the mesh's roles; all else is
+ * in {@link Tools}.
  */
 public final class Main {
     /**
-     * Sixteenths of the descriptors: clients hold a third for requests, and there must be room to turn bad
-     * ones away.
+     * Sixteenths of the descriptors: clients hold a third for requests, and there must be room to turn bad ones away.
      */
     private static final int CLIENT_SHARE = 7;
-    /**
-     * As many as clients hold requests, and some idle. The rest is for the JVM's files, the listener and
-     * discovery.
-     */
+    /** As many as clients hold requests, and some idle. The rest is for the JVM's files, the listener and discovery. */
     private static final int ENDPOINT_SHARE = 6;
+
     private static final int SHARES = 16;
     /** Of its first share, what a purpose keeps whatever another needs. */
     private static final int MIN_PART = 2;
+
     private static final long BUDGET_TICK_MS = 200;
     /** The platform lets clients hold one in so many of the descriptors for requests. */
     private static final int REQUEST_PART = 3;
@@ -63,7 +62,7 @@
     /** Names the file that says where load is captured; without it none is. */
     private static final String CAPTURE = "PROXY_CAPTURE";
 
-    private Main() { }
+    private Main() {}
 
     /** Runs one of them; exits with 2 on bad usage and 1 on bad configuration. */
     public static void main(String[] args) {
@@ -102,11 +101,10 @@
             String path = configuration();
             Config config = Config.read(path, mapper);
             String processorPath = file(PROCESSOR);
-            ProcessorConfig processor = processorPath == null ? null
-                    : ProcessorConfig.read(processorPath, mapper);
+            ProcessorConfig processor = processorPath == null ? null : ProcessorConfig.read(processorPath, mapper);
             String admissionPath = file(ADMISSION);
-            AdmissionConfig admission = admissionPath == null ? AdmissionConfig.usual()
-                    : AdmissionConfig.read(admissionPath, mapper);
+            AdmissionConfig admission =
+                    admissionPath == null ? AdmissionConfig.usual() : AdmissionConfig.read(admissionPath, mapper);
             String capturePath = file(CAPTURE);
             CaptureConfig capture = capturePath == null ? null : CaptureConfig.read(capturePath, mapper);
             ReplicationConfig copies = copies(config, processor, mapper);
@@ -117,19 +115,21 @@
             Parts parts = wire(config, admission, processor, copies, mapper, loop);
             Warmup.run(config.settings());
             Reload reload = new Reload(path, mapper, parts.discovery, Main::log);
-            Recorder recorder = capture == null || onlyCheck ? null : capture.start(config.settings(),
-                    Main::log);
+            Recorder recorder = capture == null || onlyCheck ? null : capture.start(config.settings(), Main::log);
             if (recorder != null) {
                 parts.engine.journal(recorder);
             }
             if (!onlyCheck) {
                 // Before the listener: from then on a SIGTERM must not end what clients have begun.
-                Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                    drain(loop, parts.server);
-                    if (recorder != null) {
-                        recorder.close();
-                    }
-                }, "drain"));
+                Runtime.getRuntime()
+                        .addShutdownHook(new Thread(
+                                () -> {
+                                    drain(loop, parts.server);
+                                    if (recorder != null) {
+                                        recorder.close();
+                                    }
+                                },
+                                "drain"));
             }
             parts.server.listen(config.listen()).syncUninterruptibly();
             if (copies != null) {
@@ -194,40 +194,69 @@
         return path;
     }
 
-    /**
-     * The parts, made but idle; {@code start} is run on the loop when the server listens, before it is ready.
-     */
-    record Parts(ClientServer server, Discovery discovery, Processor processor, ReplicationSetup copies, Engine engine,
-            Runnable start) { }
+    /** The parts, made but idle; {@code start} is run on the loop when the server listens, before it is ready. */
+    record Parts(
+            ClientServer server,
+            Discovery discovery,
+            Processor processor,
+            ReplicationSetup copies,
+            Engine engine,
+            Runnable start) {}
 
     /** Makes the parts. Nothing is asked of discovery before a failed bind could still end the process. */
-    static Parts wire(Config config, AdmissionConfig admission, ProcessorConfig consulted, ReplicationConfig kept,
-            ObjectMapper mapper, EventLoop loop) throws IOException {
+    static Parts wire(
+            Config config,
+            AdmissionConfig admission,
+            ProcessorConfig consulted,
+            ReplicationConfig kept,
+            ObjectMapper mapper,
+            EventLoop loop)
+            throws IOException {
         Clock clock = new Clock();
-        Budget budget = new Budget(Map.of(Budget.Purpose.CLIENTS, share(config, CLIENT_SHARE, admission),
-                Budget.Purpose.ENDPOINTS, share(config, ENDPOINT_SHARE, admission)));
+        Budget budget = new Budget(Map.of(
+                Budget.Purpose.CLIENTS,
+                share(config, CLIENT_SHARE, admission),
+                Budget.Purpose.ENDPOINTS,
+                share(config, ENDPOINT_SHARE, admission)));
         loop.scheduleAtFixedRate(budget::tick, BUDGET_TICK_MS, BUDGET_TICK_MS, TimeUnit.MILLISECONDS);
-        EndpointPool pool = new EndpointPool(loop, NioSocketChannel.class, clock, config.connectTimeout(),
-                config.endpointIdle(), budget);
+        EndpointPool pool = new EndpointPool(
+                loop, NioSocketChannel.class, clock, config.connectTimeout(), config.endpointIdle(), budget);
         Contract.Settings settings = config.settings();
         Timers timers = new LoopTimers(loop, clock);
         List<Consumer<EndpointList>> followers = new ArrayList<>();
         followers.add(pool::update);
-        Engine engine = new Engine(timers, settings, actions -> new Decide(settings, config.seed(), actions),
-                list -> followers.forEach(f -> f.accept(list)), Main::log);
+        Engine engine = new Engine(
+                timers,
+                settings,
+                actions -> new Decide(settings, config.seed(), actions),
+                list -> followers.forEach(f -> f.accept(list)),
+                Main::log);
         Processor processor = null;
         ReplicationSetup copies = kept == null ? null : new ReplicationSetup(kept, loop, timers, Main::log);
         if (consulted != null) {
-            processor = new Processor(consulted, loop, timers, engine, settings,
-                    copies == null ? null : copies.keeper(), mapper, Main::log);
+            processor = new Processor(
+                    consulted,
+                    loop,
+                    timers,
+                    engine,
+                    settings,
+                    copies == null ? null : copies.keeper(),
+                    mapper,
+                    Main::log);
             followers.add(processor.consultations()::update);
         }
-        Discovery discovery = new Discovery(loop, config.discovery(), mapper,
-                !settings.listMustBeAsked(), config.seed(), config.known(), engine);
-        ClientServer server = new ClientServer(loop, clock, engine, pool::transport, settings,
-                admission.clients(), budget, config.sockets() / REQUEST_PART);
-        return new Parts(server, discovery, processor, copies, engine,
-                () -> engine.start(discovery, config.known()));
+        Discovery discovery = new Discovery(
+                loop, config.discovery(), mapper, !settings.listMustBeAsked(), config.seed(), config.known(), engine);
+        ClientServer server = new ClientServer(
+                loop,
+                clock,
+                engine,
+                pool::transport,
+                settings,
+                admission.clients(),
+                budget,
+                config.sockets() / REQUEST_PART);
+        return new Parts(server, discovery, processor, copies, engine, () -> engine.start(discovery, config.known()));
     }
 
     private static Budget.Share share(Config config, int sixteenths, AdmissionConfig admission) {
--- a/src/main/java/whinlead/run/OperatorFile.java
+++ b/src/main/java/whinlead/run/OperatorFile.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 
 /**
- * An object in a file of the operator's: JSON whose unknown fields are errors, for a misspelt bound would be
- * no bound. What is bad is an {@link IllegalArgumentException} of one line that names the field.
+ * An object in a file of the operator's: JSON whose unknown fields are errors, for a misspelt bound would be no bound.
+ * What is bad is an {@link IllegalArgumentException} of one line that names the field.
  */
 final class OperatorFile {
-    private OperatorFile() { }
+    private OperatorFile() {}
 
     /** The text of a file. */
     static String text(String path) {
@@ -59,9 +59,8 @@
             return absent;
         }
         if (!value.isInt() || value.asInt() < least || value.asInt() > most) {
-            throw new IllegalArgumentException(name + "." + field + " is not a whole number from " + least
-                    + " to "
-                    + most);
+            throw new IllegalArgumentException(
+                    name + "." + field + " is not a whole number from " + least + " to " + most);
         }
         return value.asInt();
     }
--- a/src/main/java/whinlead/run/ProcessorConfig.java
+++ b/src/main/java/whinlead/run/ProcessorConfig.java
@@ -1,8 +1,5 @@
 package whinlead.run;
 
-import whinlead.consult.Bounds;
-import whinlead.front.consult.ConsultRequest.Field;
-import whinlead.membership.EndpointList;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetSocketAddress;
@@ -12,10 +9,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import whinlead.consult.Bounds;
+import whinlead.front.consult.ConsultRequest.Field;
+import whinlead.membership.EndpointList;
 
 /**
- * What the external processor is told at start ({@code docs/processor.md}). Unknown fields are errors: a
- * misspelt bound would be no bound.
+ * What the external processor is told at start ({@code docs/processor.md}). Unknown fields are errors: a misspelt bound
+ * would be no bound.
  *
  * @param http the consult API, or null
  * @param spop the agent for HAProxy, or null
@@ -24,21 +24,29 @@
  * @param headers what callers' headers are called, where it is not as the fronts have it
  * @param usualClass the class of a request that names none; empty if it has to name one
  */
-record ProcessorConfig(Listener http, Listener spop, Listener envoy, int streams, Map<Field, String> headers,
-        String usualClass, Bounds bounds) {
+record ProcessorConfig(
+        Listener http,
+        Listener spop,
+        Listener envoy,
+        int streams,
+        Map<Field, String> headers,
+        String usualClass,
+        Bounds bounds) {
     /** Where a front listens, and its connections from callers at once. */
-    record Listener(InetSocketAddress address, int connections) { }
+    record Listener(InetSocketAddress address, int connections) {}
 
     private static final Set<String> FIELDS = Set.of("http", "spop", "envoy", "headers", "class", "bounds");
     private static final int CONNECTIONS = 32;
     /** Of the 1,024 descriptors that the platform allows 832 are spoken for. */
     private static final int MAX_CONNECTIONS = 64;
+
     private static final int STREAMS = 1000;
     private static final int MAX_STREAMS = 20_000;
     private static final int MAX_NAME = 64;
     /** What a caller's header may tell; the rest is between the program and the proxy. */
-    private static final Set<Field> MAPPED = EnumSet.of(Field.ID, Field.CLASS, Field.TENANT, Field.TIMEOUT,
-            Field.REPEAT, Field.NOT_STARTED, Field.LOAD);
+    private static final Set<Field> MAPPED =
+            EnumSet.of(Field.ID, Field.CLASS, Field.TENANT, Field.TIMEOUT, Field.REPEAT, Field.NOT_STARTED, Field.LOAD);
+
     private static final int OPEN = 2000;
     private static final int MAX_OPEN = 20_000;
     private static final int OPEN_PER_CALLER = 1000;
@@ -67,8 +75,8 @@
         JsonNode json = OperatorFile.object(text, mapper, "processor", FIELDS);
         JsonNode bounds = json.path("bounds");
         if (!bounds.isMissingNode()) {
-            OperatorFile.only(bounds, "bounds", Set.of("open", "open_per_caller", "remembered", "remember_ms",
-                    "pick_up_ms"));
+            OperatorFile.only(
+                    bounds, "bounds", Set.of("open", "open_per_caller", "remembered", "remember_ms", "pick_up_ms"));
         }
         Listener http = listener(json, "http", Set.of("listen", "connections"));
         Listener spop = listener(json, "spop", Set.of("listen", "connections"));
@@ -76,10 +84,15 @@
         if (http == null && spop == null && envoy == null) {
             throw new IllegalArgumentException("processor has none of http, spop and envoy");
         }
-        return new ProcessorConfig(http, spop, envoy,
+        return new ProcessorConfig(
+                http,
+                spop,
+                envoy,
                 OperatorFile.whole(json.path("envoy"), "envoy", "streams", STREAMS, 1, MAX_STREAMS),
                 headers(json.path("headers")),
-                json.path("class").asText(), new Bounds(bound(bounds, "open", OPEN, MAX_OPEN),
+                json.path("class").asText(),
+                new Bounds(
+                        bound(bounds, "open", OPEN, MAX_OPEN),
                         bound(bounds, "open_per_caller", OPEN_PER_CALLER, MAX_OPEN),
                         bound(bounds, "remembered", REMEMBERED, MAX_REMEMBERED),
                         bound(bounds, "remember_ms", REMEMBER_MS, MAX_REMEMBER_MS),
@@ -89,14 +102,13 @@
     private static Map<Field, String> headers(JsonNode json) {
         Map<Field, String> headers = new EnumMap<>(Field.class);
         if (!json.isMissingNode()) {
-            OperatorFile.only(json, "headers",
-                    MAPPED.stream().map(ProcessorConfig::key).collect(Collectors.toSet()));
+            OperatorFile.only(
+                    json, "headers", MAPPED.stream().map(ProcessorConfig::key).collect(Collectors.toSet()));
             for (Field field : MAPPED) {
                 JsonNode name = json.path(key(field));
                 if (!name.isMissingNode()) {
                     if (!name.isTextual() || !name.asText().matches("[A-Za-z0-9-]{1," + MAX_NAME + "}")) {
-                        throw new IllegalArgumentException("headers." + key(field)
-                                + " is no name of a header");
+                        throw new IllegalArgumentException("headers." + key(field) + " is no name of a header");
                     }
                     headers.put(field, name.asText());
                 }
@@ -115,7 +127,8 @@
             return null;
         }
         OperatorFile.only(front, name, fields);
-        return new Listener(EndpointList.address(front.path("listen").asText()),
+        return new Listener(
+                EndpointList.address(front.path("listen").asText()),
                 OperatorFile.whole(front, name, "connections", CONNECTIONS, 1, MAX_CONNECTIONS));
     }
 
--- a/src/main/java/whinlead/run/Reload.java
+++ b/src/main/java/whinlead/run/Reload.java
@@ -1,13 +1,12 @@
 package whinlead.run;
 
-import whinlead.membership.Discovery;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.function.Consumer;
+import whinlead.membership.Discovery;
 
 /**
- * What SIGHUP asks for: the configuration is read again and discovery's address taken from it. The rest is
- * what the process was started with. A file that is bad changes nothing: a typing error must not end what
- * serves.
+ * What SIGHUP asks for: the configuration is read again and discovery's address taken from it. The rest is what the
+ * process was started with. A file that is bad changes nothing: a typing error must not end what serves.
  */
 final class Reload implements Runnable {
     private final String path;
