--- a/src/main/java/whinlead/run/ReplicationCommand.java
+++ b/src/main/java/whinlead/run/ReplicationCommand.java
@@ -1,7 +1,5 @@
 package whinlead.run;
 
-import whinlead.replication.wire.CopiesGrpc;
-import whinlead.replication.wire.Wire;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -29,23 +27,30 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
 
 /**
- * {@code copies check} and {@code copies status}, for operators ({@code docs/copies.md}). Exit codes: 0 all
- * is well; 1 a bad file, or a group that can promise nothing; 2 bad usage; 3 a group that promises, but is a
- * member short.
+ * {@code copies check} and {@code copies status}, for operators ({@code docs/copies.md}). Exit codes: 0 all is well; 1
+ * a bad file, or a group that can promise nothing; 2 bad usage; 3 a group that promises, but is a member short.
  */
-@Command(name = "copies", description = "Sidecars that keep copies with each other.",
+@Command(
+        name = "copies",
+        description = "Sidecars that keep copies with each other.",
         mixinStandardHelpOptions = true,
-        subcommands = {ReplicationCommand.Check.class, ReplicationCommand.Status.class, ReplicationCommand.Replace.class,
-        ReplicationCommand.Follow.class})
+        subcommands = {
+            ReplicationCommand.Check.class,
+            ReplicationCommand.Status.class,
+            ReplicationCommand.Replace.class,
+            ReplicationCommand.Follow.class
+        })
 final class ReplicationCommand {
     private static final int BAD = 1;
     private static final int SHORT = 3;
     /** Of a group, before it is an exit code: worse than one that is a member short. */
     private static final int BROKEN = 4;
 
-    private ReplicationCommand() { }
+    private ReplicationCommand() {}
 
     /** Whether a file is good. */
     @Command(name = "check", mixinStandardHelpOptions = true, description = "Whether a file is good.")
@@ -56,18 +61,23 @@
         @Override
         public Integer call() {
             ReplicationConfig c = ReplicationConfig.read(file, new ObjectMapper());
-            c.groups().forEach((group, names) -> System.out.println((names.contains(c.name()) ? "member "
-                    + c.name() + " of " : "no member of ") + group + ", " + names.size() + " in all: "
-                    + (names.size() - 1) / 2 + " may be lost at a time"));
+            c.groups()
+                    .forEach((group, names) -> System.out.println(
+                            (names.contains(c.name()) ? "member " + c.name() + " of " : "no member of ") + group + ", "
+                                    + names.size() + " in all: "
+                                    + (names.size() - 1) / 2 + " may be lost at a time"));
             return 0;
         }
     }
 
     /** How its members stand. */
-    @Command(name = "status", mixinStandardHelpOptions = true,
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
             description = "How each member of a group stands, by its own word.")
     static final class Status implements Callable<Integer> {
         private static final long MAX_ANSWER_MS = 2000;
+
         @Parameters(paramLabel = "FILE", description = "As deploy/copies.json.")
         private String file;
 
@@ -90,8 +100,8 @@
         }
 
         // Its first members by their own word, and guests by the members'. What is worse counts as more.
-        private int state(ReplicationConfig c, String group, SortedSet<String> first, Map<String,
-        ManagedChannel> channels) {
+        private int state(
+                ReplicationConfig c, String group, SortedSet<String> first, Map<String, ManagedChannel> channels) {
             int voting = 0;
             int leaders = 0;
             SortedSet<String> ask = new TreeSet<>(first);
@@ -100,8 +110,15 @@
                 String name = ask.first();
                 ask.remove(name);
                 asked.add(name);
-                Wire.StatusReply r = ask(channels.computeIfAbsent(name, n -> NettyChannelBuilder
-                        .forAddress(c.processes().get(n)).usePlaintext().build()), group, request);
+                Wire.StatusReply r = ask(
+                        channels.computeIfAbsent(
+                                name,
+                                n -> NettyChannelBuilder.forAddress(
+                                                c.processes().get(n))
+                                        .usePlaintext()
+                                        .build()),
+                        group,
+                        request);
                 String who = group + " " + name + "  ";
                 if (r == null) {
                     System.out.println(who + "no answer");
@@ -110,17 +127,19 @@
                 } else {
                     voting += r.getVotes() ? 1 : 0;
                     leaders += r.getLeads() ? 1 : 0;
-                    System.out.println(who + (r.getLeads() ? "leads" : r.getVotes() ? "votes"
-                            : "learns") + ", holds " + r.getRequests() + " requests, life "
+                    System.out.println(who + (r.getLeads() ? "leads" : r.getVotes() ? "votes" : "learns") + ", holds "
+                            + r.getRequests() + " requests, life "
                             + Long.toHexString(r.getId().getLife()) + ", knows " + lives(r)
                             + (r.hasKnown() ? ", " + request + " is " + known(r.getKnown()) : ""));
-                    r.getMembersList().stream().map(Wire.Id::getName).filter(n -> !asked.contains(n)
-                            && c.processes().containsKey(n)).forEach(ask::add);
+                    r.getMembersList().stream()
+                            .map(Wire.Id::getName)
+                            .filter(n -> !asked.contains(n) && c.processes().containsKey(n))
+                            .forEach(ask::add);
                 }
             }
             if (leaders == 0 || 2 * voting <= first.size()) {
-                System.out.println(group + " promises nothing: " + voting + " of " + first.size() + " vote, "
-                        + leaders + " lead");
+                System.out.println(
+                        group + " promises nothing: " + voting + " of " + first.size() + " vote, " + leaders + " lead");
                 return BROKEN;
             }
             System.out.println(group + " promises, with " + voting + " of " + first.size() + " that vote");
@@ -131,21 +150,28 @@
             return switch (known.getKind()) {
                 case FREE -> "not known";
                 case OUT -> "out, and may have run";
-                default -> "over: " + whinlead.replication.Command.Ending.values()[known.getNumber()].name()
-                        .toLowerCase(Locale.ROOT);
+                default ->
+                    "over: "
+                            + whinlead.replication.Command.Ending.values()[known.getNumber()]
+                                    .name()
+                                    .toLowerCase(Locale.ROOT);
             };
         }
 
         private static Set<String> lives(Wire.StatusReply r) {
-            return r.getMembersList().stream().map(i -> i.getName() + "#" + Long.toHexString(i.getLife()))
+            return r.getMembersList().stream()
+                    .map(i -> i.getName() + "#" + Long.toHexString(i.getLife()))
                     .collect(Collectors.toCollection(TreeSet::new));
         }
 
         private static Wire.StatusReply ask(ManagedChannel channel, String group, String request) {
             try {
-                return CopiesGrpc.newBlockingStub(channel).withDeadlineAfter(MAX_ANSWER_MS,
-                        TimeUnit.MILLISECONDS)
-                        .status(Wire.StatusRequest.newBuilder().setSeatIn(group).setRequest(request).build());
+                return CopiesGrpc.newBlockingStub(channel)
+                        .withDeadlineAfter(MAX_ANSWER_MS, TimeUnit.MILLISECONDS)
+                        .status(Wire.StatusRequest.newBuilder()
+                                .setSeatIn(group)
+                                .setRequest(request)
+                                .build());
             } catch (StatusRuntimeException e) {
                 return null;
             }
@@ -153,16 +179,21 @@
     }
 
     /** Has another process take the seat of one that does not come back. */
-    @Command(name = "replace", mixinStandardHelpOptions = true,
+    @Command(
+            name = "replace",
+            mixinStandardHelpOptions = true,
             description = "Has another process take a member's seat now.")
     static final class Replace implements Callable<Integer> {
         private static final long MAX_ANSWER_MS = 2000;
         private static final long LOOK_EVERY_MS = 250;
         private static final long MAX_DONE_MS = 60_000;
+
         @Parameters(index = "0", paramLabel = "FILE", description = "As deploy/copies.json.")
         private String file;
+
         @Parameters(index = "1", paramLabel = "GROUP")
         private String group;
+
         @Parameters(index = "2", paramLabel = "MEMBER", description = "The one that does not come back.")
         private String gone;
 
@@ -173,18 +204,23 @@
                 throw new IllegalArgumentException("copies has no group " + group);
             }
             Map<String, ManagedChannel> channels = new HashMap<>();
-            c.processes().forEach((name, at) -> channels.put(name,
-                    NettyChannelBuilder.forAddress(at).usePlaintext()
-                    .build()));
+            c.processes()
+                    .forEach((name, at) -> channels.put(
+                            name,
+                            NettyChannelBuilder.forAddress(at).usePlaintext().build()));
             try {
                 String refused = "nobody leads";
                 for (ManagedChannel channel : channels.values()) {
                     Wire.StatusReply r = Status.ask(channel, group, "");
                     if (r != null && r.getLeads()) {
-                        Wire.ReplaceRequest ask = Wire.ReplaceRequest.newBuilder().setSeatIn(group).setName(gone)
+                        Wire.ReplaceRequest ask = Wire.ReplaceRequest.newBuilder()
+                                .setSeatIn(group)
+                                .setName(gone)
                                 .build();
                         refused = CopiesGrpc.newBlockingStub(channel)
-                                .withDeadlineAfter(MAX_ANSWER_MS, TimeUnit.MILLISECONDS).replace(ask).getRefused();
+                                .withDeadlineAfter(MAX_ANSWER_MS, TimeUnit.MILLISECONDS)
+                                .replace(ask)
+                                .getRefused();
                     }
                 }
                 if (!refused.isEmpty()) {
@@ -202,7 +238,8 @@
             for (long waited = 0; waited < MAX_DONE_MS; waited += LOOK_EVERY_MS) {
                 for (ManagedChannel channel : all) {
                     Wire.StatusReply r = Status.ask(channel, group, "");
-                    List<String> names = r == null || !r.getLeads() ? List.of()
+                    List<String> names = r == null || !r.getLeads()
+                            ? List.of()
                             : r.getMembersList().stream().map(Wire.Id::getName).toList();
                     if (names.size() == size && !names.contains(gone)) {
                         System.out.println(group + " has " + names);
@@ -211,19 +248,24 @@
                 }
                 TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
             }
-            System.err.println("whinlead: not done within " + MAX_DONE_MS / 1000
-                    + " s; see copies status");
+            System.err.println("whinlead: not done within " + MAX_DONE_MS / 1000 + " s; see copies status");
             return false;
         }
     }
 
     /** One request's steps at all processes, by their trace files. */
-    @Command(name = "follow", mixinStandardHelpOptions = true,
+    @Command(
+            name = "follow",
+            mixinStandardHelpOptions = true,
             description = "What all processes did with one request, by their trace files.")
     static final class Follow implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "REQUEST", description = "Its id.")
         private String id;
-        @Parameters(index = "1..*", arity = "1..*", paramLabel = "TRACE",
+
+        @Parameters(
+                index = "1..*",
+                arity = "1..*",
+                paramLabel = "TRACE",
                 description = "Trace files, of any processes.")
         private List<Path> files;
 
@@ -246,8 +288,11 @@
                 }
             }
             steps.sort(Comparator.comparing(step -> step.path("at").asText()));
-            steps.forEach(step -> System.out.println(String.join("  ", step.path("at").asText(),
-                    step.path("process").asText(), step.path("step").asText(),
+            steps.forEach(step -> System.out.println(String.join(
+                    "  ",
+                    step.path("at").asText(),
+                    step.path("process").asText(),
+                    step.path("step").asText(),
                     step.path("detail").asText())));
             return steps.isEmpty() ? BAD : 0;
         }
--- a/src/main/java/whinlead/run/ReplicationConfig.java
+++ b/src/main/java/whinlead/run/ReplicationConfig.java
@@ -1,7 +1,5 @@
 package whinlead.run;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.membership.EndpointList;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.networknt.schema.JsonSchemaFactory;
@@ -20,10 +18,11 @@
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import whinlead.membership.EndpointList;
+import whinlead.replication.ReplicatedState;
 
 /**
- * Whom this sidecar keeps copies with ({@code deploy/copies.json}, {@code docs/copies.md}), checked by its
- * schema.
+ * Whom this sidecar keeps copies with ({@code deploy/copies.json}, {@code docs/copies.md}), checked by its schema.
  *
  * @param name of this process
  * @param processes all of them with their addresses, on every one the same
@@ -32,14 +31,18 @@
  * @param disk a folder of this process's own, or null where nothing lasts
  * @param trace a file that each step is written to, or null for none
  */
-record ReplicationConfig(String name, SortedMap<String, InetSocketAddress> processes,
-        SortedMap<String, SortedSet<String>> groups, double replaceAfterMs, Path disk, Path trace,
+record ReplicationConfig(
+        String name,
+        SortedMap<String, InetSocketAddress> processes,
+        SortedMap<String, SortedSet<String>> groups,
+        double replaceAfterMs,
+        Path disk,
+        Path trace,
         ReplicatedState.Limits limits) {
     private static final String SCHEMA = "/whinlead/run/copies.schema.json";
-    /**
-     * Some 600 bytes each with what the consensus keeps of them: 12 MB of the heap ({@code docs/copies.md}).
-     */
+    /** Some 600 bytes each with what the consensus keeps of them: 12 MB of the heap ({@code docs/copies.md}). */
     private static final int REQUESTS = 20_000;
+
     private static final int OPEN_PER_CALLER = 1000;
     private static final int REMEMBER_MS = 60_000;
     private static final int DRAINS = 10_000;
@@ -66,8 +69,10 @@
         boolean many = json.has("groups");
         String all = many ? "processes" : "members";
         SortedMap<String, InetSocketAddress> processes = new TreeMap<>();
-        json.get(all).fields().forEachRemaining(e -> processes.put(e.getKey(),
-                EndpointList.address(e.getValue().asText())));
+        json.get(all)
+                .fields()
+                .forEachRemaining(e -> processes.put(
+                        e.getKey(), EndpointList.address(e.getValue().asText())));
         String name = json.get("name").asText();
         if (!processes.containsKey(name)) {
             throw new IllegalArgumentException("copies." + all + " lacks " + name);
@@ -82,12 +87,18 @@
             groups.put(json.get("group").asText(), new TreeSet<>(processes.keySet()));
         }
         JsonNode bounds = json.path("bounds");
-        return new ReplicationConfig(name, processes, groups, json.path("replace_after_ms").asDouble(0),
+        return new ReplicationConfig(
+                name,
+                processes,
+                groups,
+                json.path("replace_after_ms").asDouble(0),
                 path(json, "disk"),
                 path(json, "trace"),
-                new ReplicatedState.Limits(bounds.path("requests").asInt(REQUESTS), bounds.path("open_per_caller")
-                        .asInt(OPEN_PER_CALLER),
-                DRAINS, bounds.path("remember_ms").asInt(REMEMBER_MS)));
+                new ReplicatedState.Limits(
+                        bounds.path("requests").asInt(REQUESTS),
+                        bounds.path("open_per_caller").asInt(OPEN_PER_CALLER),
+                        DRAINS,
+                        bounds.path("remember_ms").asInt(REMEMBER_MS)));
     }
 
     private static Path path(JsonNode json, String field) {
@@ -102,8 +113,8 @@
         SortedSet<String> members = new TreeSet<>();
         for (JsonNode member : group.getValue()) {
             if (!processes.containsKey(member.asText())) {
-                throw new IllegalArgumentException("copies.processes lacks " + member.asText() + " of "
-                        + group.getKey());
+                throw new IllegalArgumentException(
+                        "copies.processes lacks " + member.asText() + " of " + group.getKey());
             }
             members.add(member.asText());
         }
@@ -124,8 +135,9 @@
 
     private static Optional<String> fault(JsonNode json) {
         try (InputStream in = ReplicationConfig.class.getResourceAsStream(SCHEMA)) {
-            return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in).validate(json)
-                    .stream().map(ValidationMessage::getMessage).min(Comparator.naturalOrder())
+            return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in).validate(json).stream()
+                    .map(ValidationMessage::getMessage)
+                    .min(Comparator.naturalOrder())
                     .map(m -> m.replaceFirst("^\\$", ""));
         } catch (IOException e) {
             throw new IllegalStateException(SCHEMA + " can't be read", e);
--- a/src/main/java/whinlead/run/ReplicationSetup.java
+++ b/src/main/java/whinlead/run/ReplicationSetup.java
@@ -1,14 +1,5 @@
 package whinlead.run;
 
-import whinlead.consult.Keeper;
-import whinlead.replication.ReplicationClient;
-import whinlead.replication.Trace;
-import whinlead.replication.disk.DiskLog;
-import whinlead.replication.net.GroupLink;
-import whinlead.replication.raft.GroupHost;
-import whinlead.replication.raft.LogMirror;
-import whinlead.replication.raft.GroupMessage;
-import whinlead.engine.Timers;
 import io.microraft.RaftConfig;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -20,19 +11,30 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import whinlead.consult.Keeper;
+import whinlead.engine.Timers;
+import whinlead.replication.ReplicationClient;
+import whinlead.replication.Trace;
+import whinlead.replication.disk.DiskLog;
+import whinlead.replication.net.GroupLink;
+import whinlead.replication.raft.GroupHost;
+import whinlead.replication.raft.GroupMessage;
+import whinlead.replication.raft.LogMirror;
 
 /**
- * This sidecar's place among those that keep copies with each other: link, seat, disk and desk. Nothing of it
- * is loaded unless an operator's file asks for it.
+ * This sidecar's place among those that keep copies with each other: link, seat, disk and desk. Nothing of it is loaded
+ * unless an operator's file asks for it.
  */
 final class ReplicationSetup {
     /** How long a group asks for votes: longer than a loop on half a core is held up, most of the time. */
     private static final long ELECTION_MS = 400;
     /** The library counts in seconds; a link that goes down has votes asked for much sooner. */
     private static final long HEARTBEAT_S = 1;
+
     private static final long SILENT_LEADER_S = 2;
     /** Entries, each the commands of a turn, after which the book is copied and they are dropped. */
     private static final int SNAPSHOT_EVERY = 5000;
+
     private static final int BATCH = 200;
     private static final int REPORT_EVERY_S = 60;
     /** Two ways and a turn of each loop, most of the time: a question that is lost is asked again. */
@@ -45,6 +47,7 @@
     private static final double REPORT_MS = 1000;
     /** In which a group that has lost its leader has another, as a rule. */
     private static final double RETRY_AFTER_MS = 2000;
+
     private static final long DRAIN_MS = 10_000;
     private static final int ENDED = 1;
 
@@ -67,24 +70,39 @@
         this.log = log;
         SecureRandom random = new SecureRandom();
         link = new GroupLink(loop, timers, config.name(), config.processes(), config.close(), log);
-        RaftConfig consensus = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(ELECTION_MS)
-                .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S).setLeaderHeartbeatTimeoutSecs(SILENT_LEADER_S)
-                .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY).setAppendEntriesRequestBatchSize(BATCH)
-                .setRaftNodeReportPublishPeriodSecs(REPORT_EVERY_S).build();
-        Trace trace = config.trace() == null ? (id, step, detail) -> { } : new TraceFile(config.trace(),
-                config.name());
+        RaftConfig consensus = RaftConfig.newBuilder()
+                .setLeaderElectionTimeoutMillis(ELECTION_MS)
+                .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
+                .setLeaderHeartbeatTimeoutSecs(SILENT_LEADER_S)
+                .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
+                .setAppendEntriesRequestBatchSize(BATCH)
+                .setRaftNodeReportPublishPeriodSecs(REPORT_EVERY_S)
+                .build();
+        Trace trace = config.trace() == null ? (id, step, detail) -> {} : new TraceFile(config.trace(), config.name());
         try {
-            host = new GroupHost(new GroupHost.Setup(config.name(),
-                    new TreeSet<>(config.processes().keySet()),
-                    config.groups(), config.replaceAfterMs(), consensus, config.limits()), timers, random,
-                    new Outside(), trace);
+            host = new GroupHost(
+                    new GroupHost.Setup(
+                            config.name(),
+                            new TreeSet<>(config.processes().keySet()),
+                            config.groups(),
+                            config.replaceAfterMs(),
+                            consensus,
+                            config.limits()),
+                    timers,
+                    random,
+                    new Outside(),
+                    trace);
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
         // A process that comes back numbers its attempts anew, so it is another owner.
-        desk = new ReplicationClient(config.name() + "/" + Long.toHexString(random.nextLong()), timers,
-                new ReplicationClient.Waits(ASK_AGAIN_MS, MARGIN_MS, REFUSE_MS, REPORT_MS, RETRY_AFTER_MS, DRAIN_MS), host,
-                (id, ending) -> { }, trace);
+        desk = new ReplicationClient(
+                config.name() + "/" + Long.toHexString(random.nextLong()),
+                timers,
+                new ReplicationClient.Waits(ASK_AGAIN_MS, MARGIN_MS, REFUSE_MS, REPORT_MS, RETRY_AFTER_MS, DRAIN_MS),
+                host,
+                (id, ending) -> {},
+                trace);
     }
 
     /** The way out of the groups: links, disks, and the operator's log. */
@@ -104,7 +122,9 @@
                 return new LogMirror();
             }
             boolean guest = !config.groups().get(group).contains(config.name());
-            return guest && !Files.exists(folder(group)) ? new LogMirror() : open(group).found();
+            return guest && !Files.exists(folder(group))
+                    ? new LogMirror()
+                    : open(group).found();
         }
 
         private DiskLog open(String group) {
@@ -130,7 +150,8 @@
                 return open(group).wiped();
             } catch (UncheckedIOException e) {
                 // Without a disk it is a member all the same: one that is lost with its process.
-                log.accept("copies: no disk for a seat in " + group + ": " + e.getCause().getMessage());
+                log.accept("copies: no disk for a seat in " + group + ": "
+                        + e.getCause().getMessage());
                 return new LogMirror();
             }
         }
--- a/src/main/java/whinlead/run/TraceFile.java
+++ b/src/main/java/whinlead/run/TraceFile.java
@@ -1,6 +1,5 @@
 package whinlead.run;
 
-import whinlead.replication.Trace;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,12 +10,13 @@
 import java.util.logging.Formatter;
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
+import whinlead.replication.Trace;
 
 /**
- * Each step with a request as a line of JSON in a file that is bounded: the JDK's {@link FileHandler}
- * begins the next one and drops the oldest. A line has the time by the wall clock, the process, the request
- * and the step, so that {@code copies follow} can put those of several processes together. Written on the
- * engine's thread, by the operator's wish.
+ * Each step with a request as a line of JSON in a file that is bounded: the JDK's {@link FileHandler} begins the next
+ * one and drops the oldest. A line has the time by the wall clock, the process, the request and the step, so that
+ * {@code copies follow} can put those of several processes together. Written on the engine's thread, by the operator's
+ * wish.
  */
 final class TraceFile implements Trace {
     private static final int BYTES_EACH = 10 << 20;
@@ -45,9 +45,12 @@
     @Override
     public void step(String id, Step step, String detail) {
         LogRecord record = new LogRecord(Level.INFO, "");
-        ObjectNode line = mapper.createObjectNode().put("at", record.getInstant().toString()).put("process",
-                process)
-                .put("request", id).put("step", step.name().toLowerCase(Locale.ROOT)).put("detail", detail);
+        ObjectNode line = mapper.createObjectNode()
+                .put("at", record.getInstant().toString())
+                .put("process", process)
+                .put("request", id)
+                .put("step", step.name().toLowerCase(Locale.ROOT))
+                .put("detail", detail);
         try {
             record.setMessage(mapper.writeValueAsString(line));
         } catch (JsonProcessingException e) {
--- a/src/main/java/whinlead/signals/Hangup.java
+++ b/src/main/java/whinlead/signals/Hangup.java
@@ -6,20 +6,20 @@
 import java.util.function.Consumer;
 
 /**
- * Guards against the JVM's own answer to SIGHUP, which is to end. It stands from the first line of the
- * program, long before there is anything to reload; what comes until then is made up for by one reload.
+ * Guards against the JVM's own answer to SIGHUP, which is to end. It stands from the first line of the program, long
+ * before there is anything to reload; what comes until then is made up for by one reload.
  *
- * <p>Before that line nothing of the program can help: a shell's {@code trap '' HUP} before {@code exec} has
- * the signal ignored, and the JVM respects that for good. {@link IgnoredHangup} ends it.
+ * <p>Before that line nothing of the program can help: a shell's {@code trap '' HUP} before {@code exec} has the signal
+ * ignored, and the JVM respects that for good. {@link IgnoredHangup} ends it.
  *
- * <p>Java has no public interface to signals; the one in the module jdk.unsupported is reached by its name,
- * since javac warns of any other use. For any thread: the JVM calls from one of its own.
+ * <p>Java has no public interface to signals; the one in the module jdk.unsupported is reached by its name, since javac
+ * warns of any other use. For any thread: the JVM calls from one of its own.
  */
 public final class Hangup {
     private final AtomicBoolean came = new AtomicBoolean();
     private volatile Runnable task;
 
-    private Hangup() { }
+    private Hangup() {}
 
     /**
      * From now on SIGHUP ends nothing.
@@ -62,9 +62,11 @@
             make();
             return null;
         };
-        Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                signal.getConstructor(String.class).newInstance("HUP"),
-                Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler}, calls));
+        Object before = signal.getMethod("handle", signal, handler)
+                .invoke(
+                        null,
+                        signal.getConstructor(String.class).newInstance("HUP"),
+                        Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler}, calls));
         return before != null && before.equals(handler.getField("SIG_IGN").get(null));
     }
 }
--- a/src/main/java/whinlead/testbed/AgentClient.java
+++ b/src/main/java/whinlead/testbed/AgentClient.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * A proxy's connections to the program, over one of its protocols. A call whose connection breaks is answered
- * with null. For one loop.
+ * A proxy's connections to the program, over one of its protocols. A call whose connection breaks is answered with
+ * null. For one loop.
  */
 final class AgentClient {
     /** One connection, as its protocol has it; the loop's. */
@@ -43,8 +43,7 @@
         Wire wire();
     }
 
-    private record Call(String message, Map<String, String> arguments, Consumer<Map<String,
-            String>> answer) { }
+    private record Call(String message, Map<String, String> arguments, Consumer<Map<String, String>> answer) {}
 
     private static final class Link {
         private final Wire wire;
@@ -86,25 +85,33 @@
     private void connect() {
         Link link = new Link(protocol.wire());
         links.add(link);
-        link.wire.connect(loop, to, () -> {
-            link.ready = true;
-            pump();
-        }, () -> {
-            links.remove(link);
-            link.ready = false;
-            link.wire.broken();
-        });
+        link.wire.connect(
+                loop,
+                to,
+                () -> {
+                    link.ready = true;
+                    pump();
+                },
+                () -> {
+                    links.remove(link);
+                    link.ready = false;
+                    link.wire.broken();
+                });
     }
 
     /** A connection with the handlers that {@code init} puts there. */
     static Channel connection(EventLoop loop, SocketAddress to, Consumer<Channel> init, Runnable closed) {
-        Channel channel = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        Channel channel = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel made) {
                         init.accept(made);
                     }
-                }).connect(to).channel();
+                })
+                .connect(to)
+                .channel();
         channel.closeFuture().addListener(f -> closed.run());
         return channel;
     }
@@ -119,7 +126,8 @@
 
     private void pump() {
         while (!waiting.isEmpty()) {
-            List<Link> free = links.stream().filter(l -> l.ready && l.wire.free()).toList();
+            List<Link> free =
+                    links.stream().filter(l -> l.ready && l.wire.free()).toList();
             if (free.isEmpty()) {
                 return;
             }
--- a/src/main/java/whinlead/testbed/AlikeDay.java
+++ b/src/main/java/whinlead/testbed/AlikeDay.java
@@ -1,9 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
-import whinlead.consult.Bounds;
-import whinlead.decide.Decide;
-import whinlead.membership.EndpointList;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -13,11 +9,15 @@
 import java.util.Random;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import whinlead.Contract;
+import whinlead.consult.Bounds;
+import whinlead.decide.Decide;
+import whinlead.membership.EndpointList;
 
 /**
- * The same drawn arrivals at the same endpoints, one of them a tenth as fast, through the sidecar's own front
- * or through a proxy that asks: calm, then 1.4 times what the endpoints can do, then calm again. What becomes
- * of the requests and what the module learns is to be alike, whoever carries the attempts out.
+ * The same drawn arrivals at the same endpoints, one of them a tenth as fast, through the sidecar's own front or
+ * through a proxy that asks: calm, then 1.4 times what the endpoints can do, then calm again. What becomes of the
+ * requests and what the module learns is to be alike, whoever carries the attempts out.
  */
 final class AlikeDay {
     /**
@@ -27,7 +27,7 @@
      * @param refused share refused of each class
      * @param dropped each endpoint's mean drop percentage, as a share
      */
-    record Result(Ledger ledger, double served, double[] refused, Map<String, Double> dropped) { }
+    record Result(Ledger ledger, double served, double[] refused, Map<String, Double> dropped) {}
 
     private static final int ENDPOINTS = 4;
     private static final int CORES = 4;
@@ -36,9 +36,11 @@
     private static final double SLOWER = 10;
     /** A second, of all of them. */
     private static final double CAPACITY = 620;
+
     private static final double BUSY_FROM = 2000;
     /** The decisions have seen the overload by then. */
     private static final double JUDGED_FROM = 3000;
+
     private static final double BUSY_TO = 8000;
     private static final double LENGTH = 9000;
     private static final double CALM = 0.6;
@@ -48,13 +50,14 @@
     private static final int CONNECTIONS = 8;
     private static final double TAIL_MS = 200;
 
-    private record Arrival(double at, int classIndex) { }
+    private record Arrival(double at, int classIndex) {}
 
     private final AgentFront front;
     private final long seed;
     private final long decisions;
-    private final Contract.Settings settings = Settings.of(true, Settings.type("read", 1,
-            Contract.Effect.SAFE),
+    private final Contract.Settings settings = Settings.of(
+            true,
+            Settings.type("read", 1, Contract.Effect.SAFE),
             Settings.type("job-submit", 3, Contract.Effect.UNSAFE));
     private final Ledger ledger = new Ledger(settings.classes());
     private final Map<String, Double> sums = new LinkedHashMap<>();
@@ -86,8 +89,8 @@
         Map<String, Workshop> workshops = new LinkedHashMap<>();
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            EndpointScript script = new EndpointScript("s" + i, CORES, CORES * CORES * CORES,
-                    ServiceLaw.exponential(i == 0 ? SLOWER * WORK_MS : WORK_MS));
+            EndpointScript script = new EndpointScript(
+                    "s" + i, CORES, CORES * CORES * CORES, ServiceLaw.exponential(i == 0 ? SLOWER * WORK_MS : WORK_MS));
             String dial = "127.0.0.1:" + (i + 1);
             if (front == null) {
                 SocketEndpoint e = new SocketEndpoint(script, settings.classes(), timer, ledger, seed + i);
@@ -97,12 +100,11 @@
             } else {
                 workshops.put("s" + i, new Workshop(script, seed + i, timer));
             }
-            entries.add(new EndpointList.Entry(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0,
-                    0), EndpointList.address(dial)));
+            entries.add(new EndpointList.Entry(
+                    new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 0), EndpointList.address(dial)));
         }
         Bounds bounds = new Bounds(4000, 4000, 10_000, 60_000, 100);
-        try (ProcessorRig rig = new ProcessorRig(settings, this::decide, bounds,
-                new EndpointList(1, true, entries))) {
+        try (ProcessorRig rig = new ProcessorRig(settings, this::decide, bounds, new EndpointList(1, true, entries))) {
             if (front == null) {
                 rig.plain();
             } else {
@@ -120,18 +122,17 @@
         return module;
     }
 
-    private void begin(ProcessorRig rig, LoopTimer timer, List<SocketEndpoint> sockets,
-            Map<String, Workshop> workshops) {
+    private void begin(
+            ProcessorRig rig, LoopTimer timer, List<SocketEndpoint> sockets, Map<String, Workshop> workshops) {
         timer.begin();
         List<Load> loads = List.of(Load.steady(0, 0, Habit.NONE), Load.steady(1, 0, Habit.NONE));
         if (front == null) {
             sockets.forEach(SocketEndpoint::run);
-            OpenLoopClients clients = new OpenLoopClients(rig.address(), settings.classes(), List.of(), 0,
-                    timer, ledger, seed);
+            OpenLoopClients clients =
+                    new OpenLoopClients(rig.address(), settings.classes(), List.of(), 0, timer, ledger, seed);
             arrivals().forEach(a -> timer.at(a.at(), () -> clients.request(loads.get(a.classIndex()))));
         } else {
-            AgentClient agent = new AgentClient(timer.loop(), front.protocol(), rig.address(), CONNECTIONS,
-                    seed);
+            AgentClient agent = new AgentClient(timer.loop(), front.protocol(), rig.address(), CONNECTIONS, seed);
             StandInProxy proxy = StandInProxy.wellBehaved(timer, agent, settings, workshops, ledger, seed);
             agent.start();
             arrivals().forEach(a -> timer.at(a.at(), () -> proxy.request(nextId++, a.classIndex())));
--- a/src/main/java/whinlead/testbed/ClosedLoopClients.java
+++ b/src/main/java/whinlead/testbed/ClosedLoopClients.java
@@ -17,9 +17,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that each ask again as soon as they have an answer, for measuring how many requests a second
- * something can carry. They read no more of an answer than they must: status, length and end of head. Owned
- * by one loop.
+ * Clients that each ask again as soon as they have an answer, for measuring how many requests a second something can
+ * carry. They read no more of an answer than they must: status, length and end of head. Owned by one loop.
  */
 final class ClosedLoopClients {
     /**
@@ -30,7 +29,7 @@
      * @param medianMicros time of an answer 200, in microseconds
      * @param p99Micros the 99th percentile of that
      */
-    record Result(double perSecond, double otherShare, double medianMicros, double p99Micros) { }
+    record Result(double perSecond, double otherShare, double medianMicros, double p99Micros) {}
 
     private static final long HIGHEST_MICROS = 10_000_000;
     private static final int DIGITS = 3;
@@ -50,17 +49,21 @@
     }
 
     /** Runs so many connections for some seconds, of which the first are not counted; blocks. */
-    Result run(SocketAddress target, int connections, double warmSeconds, double seconds)
-            throws InterruptedException {
+    Result run(SocketAddress target, int connections, double warmSeconds, double seconds) throws InterruptedException {
         List<Channel> channels = new ArrayList<>();
         for (int i = 0; i < connections; i++) {
-            channels.add(new Bootstrap().group(loop).channel(NioSocketChannel.class)
+            channels.add(new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
                     .handler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(new Client());
                         }
-                    }).connect(target).syncUninterruptibly().channel());
+                    })
+                    .connect(target)
+                    .syncUninterruptibly()
+                    .channel());
         }
         TimeUnit.MILLISECONDS.sleep((long) (warmSeconds * 1000));
         loop.submit(() -> counting = true).syncUninterruptibly();
@@ -70,8 +73,11 @@
         double took = (System.nanoTime() - start) / 1e9;
         channels.forEach(c -> c.close().syncUninterruptibly());
         long good = times.getTotalCount();
-        return new Result(good / took, others == 0 ? 0 : (double) others / (others + good),
-                times.getValueAtPercentile(50), times.getValueAtPercentile(99));
+        return new Result(
+                good / took,
+                others == 0 ? 0 : (double) others / (others + good),
+                times.getValueAtPercentile(50),
+                times.getValueAtPercentile(99));
     }
 
     private final class Client extends ChannelInboundHandlerAdapter {
@@ -88,8 +94,10 @@
         private void ask(ChannelHandlerContext ctx) {
             sentAt = System.nanoTime();
             ByteBuf b = ctx.alloc().buffer(128);
-            b.writeCharSequence("GET /api?obj=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: " + nextId++
-                    + "\r\nRequest-Class: read\r\nRequest-Timeout: 2.000\r\n\r\n", StandardCharsets.US_ASCII);
+            b.writeCharSequence(
+                    "GET /api?obj=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: " + nextId++
+                            + "\r\nRequest-Class: read\r\nRequest-Timeout: 2.000\r\n\r\n",
+                    StandardCharsets.US_ASCII);
             ctx.writeAndFlush(b, ctx.voidPromise());
         }
 
@@ -120,7 +128,8 @@
             ok = head.charAt(STATUS_AT) == '2';
             String text = head.toString().toLowerCase(Locale.ROOT);
             int at = text.indexOf(LENGTH) + LENGTH.length();
-            bodyLeft = Integer.parseInt(text.substring(at, text.indexOf('\r', at)).strip());
+            bodyLeft =
+                    Integer.parseInt(text.substring(at, text.indexOf('\r', at)).strip());
             head.setLength(0);
         }
 
--- a/src/main/java/whinlead/testbed/ConsultWire.java
+++ b/src/main/java/whinlead/testbed/ConsultWire.java
@@ -36,8 +36,11 @@
     @Override
     public void connect(EventLoop loop, SocketAddress to, Runnable whenReady, Runnable closed) {
         ready = whenReady;
-        channel = AgentClient.connection(loop, to, c -> c.pipeline().addLast(new HttpClientCodec(),
-                new HttpObjectAggregator(MOST), this), closed);
+        channel = AgentClient.connection(
+                loop,
+                to,
+                c -> c.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST), this),
+                closed);
     }
 
     @Override
@@ -59,25 +62,25 @@
     public void call(String message, Map<String, String> arguments, Consumer<Map<String, String>> answer) {
         due = answer;
         byte[] body = mapper.valueToTree(arguments).toString().getBytes(StandardCharsets.UTF_8);
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-                "/v1/" + message, Unpooled.wrappedBuffer(body));
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, HttpMethod.POST, "/v1/" + message, Unpooled.wrappedBuffer(body));
         request.headers().set(HttpHeaderNames.HOST, "x").set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         channel.writeAndFlush(request);
     }
 
     @Override
     public void half() {
-        channel.pipeline().firstContext().writeAndFlush(Unpooled.copiedBuffer(
-                "POST /v1/ask HTTP/1.1\r\nContent-Length: 500\r\n\r\n{\"id\":\"cut",
-                StandardCharsets.US_ASCII));
+        channel.pipeline()
+                .firstContext()
+                .writeAndFlush(Unpooled.copiedBuffer(
+                        "POST /v1/ask HTTP/1.1\r\nContent-Length: 500\r\n\r\n{\"id\":\"cut",
+                        StandardCharsets.US_ASCII));
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response)
-            throws JsonProcessingException {
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) throws JsonProcessingException {
         String text = response.content().toString(StandardCharsets.UTF_8);
-        answer(text.isEmpty() ? Map.of() : mapper.readValue(text, new TypeReference<Map<String,
-                String>>() { }));
+        answer(text.isEmpty() ? Map.of() : mapper.readValue(text, new TypeReference<Map<String, String>>() {}));
     }
 
     private void answer(Map<String, String> said) {
--- a/src/main/java/whinlead/testbed/DrivenDay.java
+++ b/src/main/java/whinlead/testbed/DrivenDay.java
@@ -1,16 +1,16 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import whinlead.Contract;
 
 /**
- * One sidecar's decisions under a driven clock: stand-in endpoints, open-loop clients and the four rules,
- * with no socket, thread or real time. The same seed gives the same day.
+ * One sidecar's decisions under a driven clock: stand-in endpoints, open-loop clients and the four rules, with no
+ * socket, thread or real time. The same seed gives the same day.
  */
 public final class DrivenDay implements Contract.Actions {
     /** Makes the decisions under test. */
@@ -55,11 +55,17 @@
      * A day.
      *
      * @param length milliseconds for which clients ask
-     * @param jitter the longest that the sidecar's loop is late to hear of an answer or its own timer, drawn
-     *     evenly for each; milliseconds
+     * @param jitter the longest that the sidecar's loop is late to hear of an answer or its own timer, drawn evenly for
+     *     each; milliseconds
      */
-    public DrivenDay(Contract.Settings settings, Policy policy, List<EndpointScript> fleet, List<Load> loads,
-            double length, double jitter, long seed) {
+    public DrivenDay(
+            Contract.Settings settings,
+            Policy policy,
+            List<EndpointScript> fleet,
+            List<Load> loads,
+            double length,
+            double jitter,
+            long seed) {
         this.settings = settings;
         this.length = length;
         this.jitter = jitter;
@@ -78,7 +84,9 @@
 
     /** Plays it, and gives what became of every request. */
     public Ledger play() {
-        double longest = settings.classes().stream().mapToDouble(Contract.RequestClass::deadline).max()
+        double longest = settings.classes().stream()
+                .mapToDouble(Contract.RequestClass::deadline)
+                .max()
                 .orElse(0);
         clock.runTo(length + Habit.FURTHER_TRIES * longest + longest + TAIL_MS);
         return ledger;
@@ -129,27 +137,35 @@
         h.attemptsEnded.add(false);
         double wait = within > 0 ? Math.min(within, h.endAt - sentAt) : h.endAt - sentAt;
         clock.at(sentAt + wait, () -> ended(h, attempt, sentAt, Contract.Outcome.TIMED_OUT));
-        clock.at(sentAt + WAY_MS, () -> endpoints.get(server).arrives(new DrivenEndpoint.Visitor() {
-            @Override
-            public int classIndex() {
-                return request.classIndex;
-            }
-
-            @Override
-            public void begins() {
-                ledger.ran(request.id);
-            }
-
-            @Override
-            public void ends(DrivenEndpoint.End end) {
-                clock.at(clock.now() + WAY_MS + late(), () -> ended(h, attempt, sentAt, switch (end) {
-                    case DONE -> Contract.Outcome.SERVED;
-                    case FULL -> Contract.Outcome.FULL;
-                    case REFUSED -> Contract.Outcome.CONNECT_FAILED;
-                    case RESET -> Contract.Outcome.RESET;
+        clock.at(
+                sentAt + WAY_MS,
+                () -> endpoints.get(server).arrives(new DrivenEndpoint.Visitor() {
+                    @Override
+                    public int classIndex() {
+                        return request.classIndex;
+                    }
+
+                    @Override
+                    public void begins() {
+                        ledger.ran(request.id);
+                    }
+
+                    @Override
+                    public void ends(DrivenEndpoint.End end) {
+                        clock.at(
+                                clock.now() + WAY_MS + late(),
+                                () -> ended(
+                                        h,
+                                        attempt,
+                                        sentAt,
+                                        switch (end) {
+                                            case DONE -> Contract.Outcome.SERVED;
+                                            case FULL -> Contract.Outcome.FULL;
+                                            case REFUSED -> Contract.Outcome.CONNECT_FAILED;
+                                            case RESET -> Contract.Outcome.RESET;
+                                        }));
+                    }
                 }));
-            }
-        }));
     }
 
     private void ended(Held h, int attempt, double sentAt, Contract.Outcome outcome) {
--- a/src/main/java/whinlead/testbed/DrivenEndpoint.java
+++ b/src/main/java/whinlead/testbed/DrivenEndpoint.java
@@ -3,7 +3,12 @@
 /** A stand-in endpoint under a driven clock. */
 final class DrivenEndpoint {
     /** How an attempt ended, as the endpoint's side of the connection shows it; a silent one does not end. */
-    enum End { DONE, FULL, REFUSED, RESET }
+    enum End {
+        DONE,
+        FULL,
+        REFUSED,
+        RESET
+    }
 
     /** Is told that the work of an attempt begins, and once how it ended. */
     interface Visitor {
@@ -62,10 +67,11 @@
             return;
         }
         boolean spoilt = fault == EndpointScript.Kind.SPOILING;
-        visitor.ends(switch (end) {
-            case DONE -> spoilt ? End.RESET : End.DONE;
-            case FULL -> End.FULL;
-            case DIED -> End.RESET;
-        });
+        visitor.ends(
+                switch (end) {
+                    case DONE -> spoilt ? End.RESET : End.DONE;
+                    case FULL -> End.FULL;
+                    case DIED -> End.RESET;
+                });
     }
 }
--- a/src/main/java/whinlead/testbed/EndpointScript.java
+++ b/src/main/java/whinlead/testbed/EndpointScript.java
@@ -4,8 +4,7 @@
 import java.util.List;
 
 /**
- * What a stand-in endpoint is and what befalls it, for an endpoint under a driven clock as for one on a
- * socket.
+ * What a stand-in endpoint is and what befalls it, for an endpoint under a driven clock as for one on a socket.
  *
  * @param cores requests that it works on at once
  * @param queueMost requests that may wait; beyond that they are turned away unseen
@@ -14,8 +13,8 @@
  * @param faults what goes wrong and when; they should not overlap
  * @param lines what connections and others cost
  */
-public record EndpointScript(String id, int cores, int queueMost, ServiceLaw law, boolean reports,
-        List<Fault> faults, Lines lines) {
+public record EndpointScript(
+        String id, int cores, int queueMost, ServiceLaw law, boolean reports, List<Fault> faults, Lines lines) {
     /**
      * What connections and others cost an endpoint.
      *
@@ -48,8 +47,7 @@
     }
 
     /** One whose connections cost nothing. */
-    public EndpointScript(String id, int cores, int queueMost, ServiceLaw law, boolean reports,
-            List<Fault> faults) {
+    public EndpointScript(String id, int cores, int queueMost, ServiceLaw law, boolean reports, List<Fault> faults) {
         this(id, cores, queueMost, law, reports, faults, Lines.FREE);
     }
 
--- a/src/main/java/whinlead/testbed/EnvoyWire.java
+++ b/src/main/java/whinlead/testbed/EnvoyWire.java
@@ -26,9 +26,9 @@
 import java.util.function.Consumer;
 
 /**
- * A stand-in Envoy's connection to the external processor, by a real gRPC client and Envoy's own messages. An
- * ask opens a stream; the report on what it was told is the response on the same stream. A report on an
- * attempt that no stream has is a stream that ends without a response, as Envoy can't name one.
+ * A stand-in Envoy's connection to the external processor, by a real gRPC client and Envoy's own messages. An ask opens
+ * a stream; the report on what it was told is the response on the same stream. A report on an attempt that no stream
+ * has is a stream that ends without a response, as Envoy can't name one.
  */
 final class EnvoyWire implements AgentClient.Wire {
     private static final int MAX_STREAMS = 64;
@@ -61,8 +61,10 @@
                 said.putAll(headers(response.getImmediateResponse().getHeaders().getSetHeadersList()));
                 said.put("do", said.get("consult-do"));
             } else if (response.hasRequestHeaders()) {
-                Map<String, String> set = headers(response.getRequestHeaders().getResponse()
-                        .getHeaderMutation().getSetHeadersList());
+                Map<String, String> set = headers(response.getRequestHeaders()
+                        .getResponse()
+                        .getHeaderMutation()
+                        .getSetHeadersList());
                 said.put("do", "send");
                 said.put("endpoint", set.get("x-whinlead-endpoint"));
                 said.put("attempt", set.get("x-whinlead-attempt"));
@@ -113,31 +115,38 @@
 
     @Override
     public void connect(EventLoop loop, SocketAddress to, Runnable ready, Runnable closed) {
-        grpc = NettyChannelBuilder.forAddress(to).eventLoopGroup(loop).directExecutor().usePlaintext()
-                .channelFactory(() -> channel = new NioSocketChannel()).build();
+        grpc = NettyChannelBuilder.forAddress(to)
+                .eventLoopGroup(loop)
+                .directExecutor()
+                .usePlaintext()
+                .channelFactory(() -> channel = new NioSocketChannel())
+                .build();
         watch(loop, ready, closed, grpc.getState(true));
     }
 
     // One connection, as the other protocols have it: gRPC would make the next by itself.
     private void watch(EventLoop loop, Runnable ready, Runnable closed, ConnectivityState seen) {
-        grpc.notifyWhenStateChanged(seen, () -> loop.execute(() -> {
-            ConnectivityState now = grpc.getState(false);
-            if (now == ConnectivityState.READY && seen != ConnectivityState.READY) {
-                ready.run();
-            }
-            if (seen == ConnectivityState.READY && now != ConnectivityState.READY) {
-                // First, or what fails by the shutdown would be tried here again.
-                closed.run();
-                grpc.shutdownNow();
-            } else {
-                watch(loop, ready, closed, now);
-            }
-        }));
+        grpc.notifyWhenStateChanged(
+                seen,
+                () -> loop.execute(() -> {
+                    ConnectivityState now = grpc.getState(false);
+                    if (now == ConnectivityState.READY && seen != ConnectivityState.READY) {
+                        ready.run();
+                    }
+                    if (seen == ConnectivityState.READY && now != ConnectivityState.READY) {
+                        // First, or what fails by the shutdown would be tried here again.
+                        closed.run();
+                        grpc.shutdownNow();
+                    } else {
+                        watch(loop, ready, closed, now);
+                    }
+                }));
     }
 
     private static Map<String, String> headers(List<HeaderValueOption> set) {
         Map<String, String> said = new LinkedHashMap<>();
-        set.forEach(h -> said.put(h.getHeader().getKey(), h.getHeader().getRawValue().toStringUtf8()));
+        set.forEach(h ->
+                said.put(h.getHeader().getKey(), h.getHeader().getRawValue().toStringUtf8()));
         return said;
     }
 
@@ -157,9 +166,17 @@
 
     private void ask(Map<String, String> arguments, Consumer<Map<String, String>> answer) {
         Try mine = new Try(this, arguments.get("id"), answer);
-        mine.out.onNext(ProcessingRequest.newBuilder().setRequestHeaders(map(Map.of(
-                ":path", "/", "x-request-id", arguments.get("id"), "request-class", arguments.get("class"),
-                "request-timeout", arguments.get("timeout")))).build());
+        mine.out.onNext(ProcessingRequest.newBuilder()
+                .setRequestHeaders(map(Map.of(
+                        ":path",
+                        "/",
+                        "x-request-id",
+                        arguments.get("id"),
+                        "request-class",
+                        arguments.get("class"),
+                        "request-timeout",
+                        arguments.get("timeout"))))
+                .build());
     }
 
     private void report(Map<String, String> arguments, Consumer<Map<String, String>> answer) {
@@ -178,16 +195,22 @@
         if (outcome.equals("full")) {
             headers.put("not-started", "1");
         }
-        told.putFields("response.code_details", text(outcome.equals("reset")
-                ? "upstream_reset_before_response_started{connection_termination}" : "via_upstream"));
+        told.putFields(
+                "response.code_details",
+                text(
+                        outcome.equals("reset")
+                                ? "upstream_reset_before_response_started{connection_termination}"
+                                : "via_upstream"));
         if (arguments.get("endpoint").equals("elsewhere")) {
             told.putFields("upstream.address", text(ELSEWHERE));
         }
         mine.wire.open++;
         mine.due = answer;
         mine.again = !outcome.equals("served");
-        mine.out.onNext(ProcessingRequest.newBuilder().setResponseHeaders(map(headers))
-                .putAttributes(FILTER, told.build()).build());
+        mine.out.onNext(ProcessingRequest.newBuilder()
+                .setResponseHeaders(map(headers))
+                .putAttributes(FILTER, told.build())
+                .build());
         mine.out.onCompleted();
     }
 
@@ -197,8 +220,8 @@
 
     private static HttpHeaders map(Map<String, String> headers) {
         HeaderMap.Builder map = HeaderMap.newBuilder();
-        headers.forEach((name, value) -> map.addHeaders(HeaderValue.newBuilder().setKey(name)
-                .setRawValue(ByteString.copyFromUtf8(value))));
+        headers.forEach((name, value) ->
+                map.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value))));
         return HttpHeaders.newBuilder().setHeaders(map).build();
     }
 
--- a/src/main/java/whinlead/testbed/FastEndpoint.java
+++ b/src/main/java/whinlead/testbed/FastEndpoint.java
@@ -14,25 +14,29 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A stand-in endpoint that costs next to nothing, for measuring what stands before it: it answers each blank
- * line with the same short 200 and reads nothing else, so requests must have no body.
+ * A stand-in endpoint that costs next to nothing, for measuring what stands before it: it answers each blank line with
+ * the same short 200 and reads nothing else, so requests must have no body.
  */
 final class FastEndpoint {
-    private static final ByteBuf ANSWER = Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
-            "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved", StandardCharsets.US_ASCII));
+    private static final ByteBuf ANSWER = Unpooled.unreleasableBuffer(
+            Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved", StandardCharsets.US_ASCII));
     private static final int BLANK_LINE = 0x0d0a0d0a;
 
     private final Channel listener;
 
     /** Listens on a free port. */
     FastEndpoint(EventLoop loop) {
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Answers());
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
                 .channel();
     }
 
--- a/src/main/java/whinlead/testbed/Habit.java
+++ b/src/main/java/whinlead/testbed/Habit.java
@@ -15,6 +15,7 @@
 
     /** Tries that a client makes beyond the first. */
     public static final int FURTHER_TRIES = 2;
+
     private static final double BACK_OFF_FIRST_MS = 100;
 
     /**
--- a/src/main/java/whinlead/testbed/HardeningRehearsal.java
+++ b/src/main/java/whinlead/testbed/HardeningRehearsal.java
@@ -1,14 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.testbed.mesh.hardening.AnswerBug;
-import whinlead.testbed.mesh.hardening.AnswerPlay;
-import whinlead.testbed.mesh.hardening.Bug;
-import whinlead.testbed.mesh.hardening.Hunt;
-import whinlead.testbed.mesh.hardening.MembershipPlay;
-import whinlead.testbed.mesh.hardening.Outcome;
-import whinlead.testbed.mesh.hardening.Point;
-import whinlead.testbed.mesh.hardening.RelayPlay;
-import whinlead.testbed.mesh.hardening.Trace;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
@@ -22,24 +13,38 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
+import whinlead.testbed.mesh.hardening.AnswerBug;
+import whinlead.testbed.mesh.hardening.AnswerPlay;
+import whinlead.testbed.mesh.hardening.Bug;
+import whinlead.testbed.mesh.hardening.Hunt;
+import whinlead.testbed.mesh.hardening.MembershipPlay;
+import whinlead.testbed.mesh.hardening.Outcome;
+import whinlead.testbed.mesh.hardening.Point;
+import whinlead.testbed.mesh.hardening.RelayPlay;
+import whinlead.testbed.mesh.hardening.Trace;
 
 /**
- * {@code rehearse hardening}: the control nodes' consensus under seeded schedules of the users' worst days, by a
- * driven clock. The same seed plays the same schedule, whatever the number of threads.
+ * {@code rehearse hardening}: the control nodes' consensus under seeded schedules of the users' worst days, by a driven
+ * clock. The same seed plays the same schedule, whatever the number of threads.
  */
-@Command(name = "hardening", description = "The control nodes' consensus under seeded schedules: cuts, racing "
-        + "operators, losses one after the other, hundreds of changes past a member; whose answer is whose.")
+@Command(
+        name = "hardening",
+        description = "The control nodes' consensus under seeded schedules: cuts, racing "
+                + "operators, losses one after the other, hundreds of changes past a member; whose answer is whose.")
 final class HardeningRehearsal implements Callable<Integer> {
     private static final double[] DISTANCES = {500, 1000, 1500, 2000, 2500, 3000, 4000};
     /** Margins are drawn from one in so many schedules, at each distance. */
     private static final int MARGIN = 10;
+
     private static final int SEEDS_TOLD = 10;
     /** What a planted fault may take to be found, in schedules. */
     private static final int FOUND_WITHIN = 1000;
+
     private static final int RELAYS = 5;
     private static final int ANSWERS = 7;
     /** Orders under way while changes of voters are measured. */
     private static final int[] UNDER_WAY = {1, 4, 8};
+
     private static final double TELLS_SOON = 1000;
     private static final double ENDS_SOON = 2500;
     private static final double CONVERGE = 2500;
@@ -48,35 +53,54 @@
 
     @Spec
     private CommandSpec spec;
-    @Option(names = "--point", description = "Only this: 1 a machine cut off, 2 operators' histories, "
-            + "3 losses one after the other, 4 hundreds of changes past a member, "
-            + "5 whose answer, and run how often, 6 pairs of voters that can't reach each other, "
-            + "7 answers in trouble and planned work.")
+
+    @Option(
+            names = "--point",
+            description = "Only this: 1 a machine cut off, 2 operators' histories, "
+                    + "3 losses one after the other, 4 hundreds of changes past a member, "
+                    + "5 whose answer, and run how often, 6 pairs of voters that can't reach each other, "
+                    + "7 answers in trouble and planned work.")
     private int point;
+
     @Option(names = "--all", description = "All points.")
     private boolean all;
+
     @Option(names = "--schedules", description = "Schedules of each.")
     private long schedules = 1000;
+
     @Option(names = "--seed", description = "Seed of the first; the next ones follow it.")
     private long seed = 1;
+
     @Option(names = "--threads", description = "Schedules played at a time.")
     private int threads = 3;
-    @Option(names = "--bug",
-            description = "A fault to plant, which is to be found: ${COMPLETION-CANDIDATES}.")
+
+    @Option(names = "--bug", description = "A fault to plant, which is to be found: ${COMPLETION-CANDIDATES}.")
     private Bug bug = Bug.NONE;
-    @Option(names = "--planted", description = "Plants each fault of these points, and tells after how many "
-            + "schedules it is found.")
+
+    @Option(
+            names = "--planted",
+            description = "Plants each fault of these points, and tells after how many " + "schedules it is found.")
     private boolean planted;
-    @Option(names = "--without-margins", description = "With point 3: does not play it at shorter distances "
-            + "between a machine's return and the next loss.")
+
+    @Option(
+            names = "--without-margins",
+            description = "With point 3: does not play it at shorter distances "
+                    + "between a machine's return and the next loss.")
     private boolean withoutMargins;
-    @Option(names = "--membership", description = "How long changes of voters take under 1, 4 and 8 orders "
-            + "under way without a pause, in milliseconds and in changes decided meanwhile.")
+
+    @Option(
+            names = "--membership",
+            description = "How long changes of voters take under 1, 4 and 8 orders "
+                    + "under way without a pause, in milliseconds and in changes decided meanwhile.")
     private boolean membership;
+
     @Option(names = "--trace", description = "Tells what the schedule of the seed does, line by line.")
     private boolean trace;
-    @Option(names = "--distance", description = "With point 3 and --trace: between a machine's return and "
-            + "the next loss, in milliseconds.")
+
+    @Option(
+            names = "--distance",
+            description =
+                    "With point 3 and --trace: between a machine's return and " + "the next loss, in milliseconds.")
     private double distance = SYNC;
 
     @Override
@@ -108,8 +132,7 @@
         }
         for (Point p : points) {
             if (planted) {
-                Arrays.stream(Bug.values()).filter(b -> b.point() == p.number()).forEach(b ->
-                        find(promises, p, b));
+                Arrays.stream(Bug.values()).filter(b -> b.point() == p.number()).forEach(b -> find(promises, p, b));
             } else if (bug != Bug.NONE) {
                 find(promises, p, bug);
             } else {
@@ -120,14 +143,16 @@
     }
 
     // What sidecars do for their clients: plays of their own, with faults of their own.
-    private <B extends Enum<B>> void sidecars(Promises promises, int number, B none,
-            BiFunction<Long, B, RelayPlay.Outcome> play) {
+    private <B extends Enum<B>> void sidecars(
+            Promises promises, int number, B none, BiFunction<Long, B, RelayPlay.Outcome> play) {
         String of = "point " + number + ", ";
         if (planted) {
             for (B b : none.getDeclaringClass().getEnumConstants()) {
                 if (b != none) {
-                    promises.under("planted in " + of + b + ", found after schedules",
-                            foundAfter(s -> play.apply(s, b)), FOUND_WITHIN + 1);
+                    promises.under(
+                            "planted in " + of + b + ", found after schedules",
+                            foundAfter(s -> play.apply(s, b)),
+                            FOUND_WITHIN + 1);
                 }
             }
             return;
@@ -160,14 +185,21 @@
 
     private void membership(Promises promises) throws InterruptedException {
         for (int underWay : UNDER_WAY) {
-            Hunt hunt = Hunt.of(seed, schedules, threads,
-                    s -> MembershipPlay.play(s, bug, Trace.NONE, underWay));
-            hunt.samples().forEach((name, samples) -> System.out.printf(Locale.ROOT,
-                    "| %s | %d | %.0f | %.0f | %d |%n", name, samples.size(), samples.part(0.5),
-                    samples.part(1), samples.worstSeed()));
+            Hunt hunt = Hunt.of(seed, schedules, threads, s -> MembershipPlay.play(s, bug, Trace.NONE, underWay));
+            hunt.samples()
+                    .forEach((name, samples) -> System.out.printf(
+                            Locale.ROOT,
+                            "| %s | %d | %.0f | %.0f | %d |%n",
+                            name,
+                            samples.size(),
+                            samples.part(0.5),
+                            samples.part(1),
+                            samples.worstSeed()));
             tell(hunt);
-            promises.under("membership, " + underWay + " under way, schedules with a broken promise",
-                    hunt.broken().size(), 1);
+            promises.under(
+                    "membership, " + underWay + " under way, schedules with a broken promise",
+                    hunt.broken().size(),
+                    1);
         }
     }
 
@@ -178,8 +210,8 @@
             o = p.play(seed + took, planted, Trace.NONE);
             took++;
         } while (o.broken().isEmpty() && took <= FOUND_WITHIN);
-        promises.under("planted in point " + p.number() + ": " + planted + ", found after schedules", took,
-                FOUND_WITHIN + 1);
+        promises.under(
+                "planted in point " + p.number() + ": " + planted + ", found after schedules", took, FOUND_WITHIN + 1);
         if (!o.broken().isEmpty()) {
             System.out.println("seed " + (seed + took - 1) + ": " + o.broken().get(0));
         }
@@ -222,18 +254,20 @@
         Map<String, Integer> kinds = new TreeMap<>();
         hunt.broken().values().forEach(b -> kinds.merge(b.get(0).replaceAll("\\d+", "#"), 1, Integer::sum));
         kinds.forEach((what, times) -> System.out.printf(Locale.ROOT, "broken %d times: %s%n", times, what));
-        hunt.broken().entrySet().stream().limit(SEEDS_TOLD).forEach(e ->
-                System.out.println("seed " + e.getKey() + ": " + e.getValue()));
+        hunt.broken().entrySet().stream()
+                .limit(SEEDS_TOLD)
+                .forEach(e -> System.out.println("seed " + e.getKey() + ": " + e.getValue()));
     }
 
     private void margins(Promises promises) throws InterruptedException {
         long each = Math.max(1, schedules / MARGIN);
         for (double d : DISTANCES) {
             Hunt hunt = Hunt.of(seed, each, threads, s -> Point.playSeats(s, Bug.NONE, Trace.NONE, d));
-            long still = hunt.broken().values().stream().filter(b -> b.get(0).startsWith("stands still"))
+            long still = hunt.broken().values().stream()
+                    .filter(b -> b.get(0).startsWith("stands still"))
                     .count();
-            String at = String.format(Locale.ROOT, "point 3, next loss %.1f s after the return, of %d "
-                    + "schedules ", d / 1000, each);
+            String at = String.format(
+                    Locale.ROOT, "point 3, next loss %.1f s after the return, of %d " + "schedules ", d / 1000, each);
             promises.figure(at + "stood still", still);
             promises.figure(at + "broke otherwise", hunt.broken().size() - still);
         }
--- a/src/main/java/whinlead/testbed/Ledger.java
+++ b/src/main/java/whinlead/testbed/Ledger.java
@@ -1,19 +1,23 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import whinlead.Contract;
 
 /**
- * What truly became of every request: where it ran, how often, and what its client was told; and whether the
- * four rules held. It is told by the stand-ins and asks the program under test nothing. Times are
- * milliseconds since the run began. Not safe for use by several threads.
+ * What truly became of every request: where it ran, how often, and what its client was told; and whether the four rules
+ * held. It is told by the stand-ins and asks the program under test nothing. Times are milliseconds since the run
+ * began. Not safe for use by several threads.
  */
 public final class Ledger {
     /** What a client was told in the end. */
-    public enum End { SERVED, REFUSED, FAILED }
+    public enum End {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /**
      * Counts of the tries asked for within a span of time.
@@ -93,8 +97,7 @@
         if (now > e.endBy) {
             endedLate++;
         }
-        if (end == End.REFUSED && e.runs > 0
-                && classes.get(e.classIndex).effect() == Contract.Effect.UNSAFE) {
+        if (end == End.REFUSED && e.runs > 0 && classes.get(e.classIndex).effect() == Contract.Effect.UNSAFE) {
             refusedThoughRan++;
         }
     }
@@ -120,12 +123,13 @@
                 continue;
             }
             ends[e.end.ordinal()]++;
-            if (e.end == End.SERVED && e.endAt - e.askedAt <= classes.get(e.classIndex).aim()) {
+            if (e.end == End.SERVED
+                    && e.endAt - e.askedAt <= classes.get(e.classIndex).aim()) {
                 good++;
             }
         }
-        return new Count(asked, ends[End.SERVED.ordinal()], good, ends[End.REFUSED.ordinal()],
-                ends[End.FAILED.ordinal()], open);
+        return new Count(
+                asked, ends[End.SERVED.ordinal()], good, ends[End.REFUSED.ordinal()], ends[End.FAILED.ordinal()], open);
     }
 
     /** Each rule that was broken, with how often; empty if none was. Requests that never ended are lost. */
--- a/src/main/java/whinlead/testbed/OpenLoopClients.java
+++ b/src/main/java/whinlead/testbed/OpenLoopClients.java
@@ -1,7 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
-import whinlead.plan.Arrival;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -26,11 +24,12 @@
 import java.util.Locale;
 import java.util.Random;
 import java.util.stream.IntStream;
+import whinlead.Contract;
+import whinlead.plan.Arrival;
 
 /**
- * Open-loop clients of one sidecar on a loopback socket: arrivals are drawn ahead and wait for no answer,
- * each goes out on an idle connection or a new one, and a try's time counts from its drawn arrival. Owned by
- * the timer's loop.
+ * Open-loop clients of one sidecar on a loopback socket: arrivals are drawn ahead and wait for no answer, each goes out
+ * on an idle connection or a new one, and a try's time counts from its drawn arrival. Owned by the timer's loop.
  */
 final class OpenLoopClients {
     private static final int MAX_BODY = 64 * 1024;
@@ -38,12 +37,13 @@
     /** Arrivals are sent in steps of so much time. */
     private static final double STEP_MS = 1;
     /**
-     * The load rises evenly for so long: stand-ins that are not compiled yet would hold arrivals back and
-     * send them as one burst on hundreds of new connections, more than a sidecar's descriptors allow.
+     * The load rises evenly for so long: stand-ins that are not compiled yet would hold arrivals back and send them as
+     * one burst on hundreds of new connections, more than a sidecar's descriptors allow.
      */
     private static final double RAMP_MS = 1000;
     /** Connections at once; a sidecar with 1,024 descriptors holds 448 of clients and closes ones beyond. */
     private static final int MAX_CONNECTIONS = 256;
+
     private static final int OK = 200;
     private static final int TOO_MANY = 429;
     private static final int UNAVAILABLE = 503;
@@ -59,7 +59,7 @@
         }
     }
 
-    private record Try(long id, Load load, int tries, double deadline) { }
+    private record Try(long id, Load load, int tries, double deadline) {}
 
     private final InetSocketAddress sidecar;
     private final List<Contract.RequestClass> classes;
@@ -76,14 +76,28 @@
     private int open;
     private int connections;
 
-    OpenLoopClients(InetSocketAddress sidecar, List<Contract.RequestClass> classes, List<Load> loads,
-            double length, LoopTimer timer, Ledger ledger, long seed) {
+    OpenLoopClients(
+            InetSocketAddress sidecar,
+            List<Contract.RequestClass> classes,
+            List<Load> loads,
+            double length,
+            LoopTimer timer,
+            Ledger ledger,
+            long seed) {
         this(sidecar, classes, loads, length, timer, ledger, seed, 0, 1);
     }
 
     /** Those of one sidecar of several, whose ids begin with {@code first} and go up by {@code step}. */
-    OpenLoopClients(InetSocketAddress sidecar, List<Contract.RequestClass> classes, List<Load> loads,
-            double length, LoopTimer timer, Ledger ledger, long seed, long first, long step) {
+    OpenLoopClients(
+            InetSocketAddress sidecar,
+            List<Contract.RequestClass> classes,
+            List<Load> loads,
+            double length,
+            LoopTimer timer,
+            Ledger ledger,
+            long seed,
+            long first,
+            long step) {
         this.nextId = first;
         this.idStep = step;
         this.sidecar = sidecar;
@@ -103,12 +117,13 @@
     }
 
     /**
-     * Asks what a captured or drawn load says, besides its own loads, each at its time whatever has become of
-     * those before; a try's time counts from there.
+     * Asks what a captured or drawn load says, besides its own loads, each at its time whatever has become of those
+     * before; a try's time counts from there.
      */
     void follow(Iterator<Arrival> arrivals, Habit habit) {
-        List<Load> kinds = IntStream.range(0, classes.size()).mapToObj(k -> Load.steady(k, 0,
-                habit)).toList();
+        List<Load> kinds = IntStream.range(0, classes.size())
+                .mapToObj(k -> Load.steady(k, 0, habit))
+                .toList();
         follow(arrivals, kinds, null);
     }
 
@@ -189,12 +204,15 @@
     private void connect(Try t) {
         Connection c = new Connection();
         connections++;
-        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY), c);
-            }
-        }).connect(sidecar);
+        ChannelFuture connecting = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY), c);
+                    }
+                })
+                .connect(sidecar);
         c.channel = connecting.channel();
         connecting.addListener(f -> {
             if (f.isSuccess()) {
@@ -210,8 +228,7 @@
     private void end(Try t, Ledger.End end, double retryAfter) {
         open--;
         ledger.ended(t.id(), end, timer.now());
-        double wait = end == Ledger.End.SERVED ? Double.NaN
-                : t.load().habit().wait(t.tries(), retryAfter, dice);
+        double wait = end == Ledger.End.SERVED ? Double.NaN : t.load().habit().wait(t.tries(), retryAfter, dice);
         if (!Double.isNaN(wait)) {
             timer.at(timer.now() + wait, () -> ask(t.load(), t.tries() + 1, timer.now()));
         }
@@ -227,10 +244,15 @@
             current = t;
             Contract.RequestClass k = classes.get(t.load().classIndex());
             boolean safe = k.effect() == Contract.Effect.SAFE;
-            FullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    safe ? HttpMethod.GET : HttpMethod.POST, "/api?obj=" + t.id(), Unpooled.EMPTY_BUFFER);
+            FullHttpRequest r = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    "/api?obj=" + t.id(),
+                    Unpooled.EMPTY_BUFFER);
             double left = Math.max(1, t.deadline() - timer.now());
-            r.headers().set(HttpHeaderNames.HOST, "origin.svc").set("Request-Id", Long.toString(t.id()))
+            r.headers()
+                    .set(HttpHeaderNames.HOST, "origin.svc")
+                    .set("Request-Id", Long.toString(t.id()))
                     .set("Request-Class", k.name())
                     .set("Request-Timeout", String.format(Locale.ROOT, "%.3f", left / MILLIS));
             if (!safe) {
@@ -252,7 +274,9 @@
             int status = response.status().code();
             boolean refused = status == UNAVAILABLE || status == TOO_MANY;
             String after = response.headers().get(HttpHeaderNames.RETRY_AFTER, "0");
-            end(t, status == OK ? Ledger.End.SERVED : refused ? Ledger.End.REFUSED : Ledger.End.FAILED,
+            end(
+                    t,
+                    status == OK ? Ledger.End.SERVED : refused ? Ledger.End.REFUSED : Ledger.End.FAILED,
                     Double.parseDouble(after) * MILLIS);
             if (keep) {
                 kept = true;
--- a/src/main/java/whinlead/testbed/OwnLoop.java
+++ b/src/main/java/whinlead/testbed/OwnLoop.java
@@ -15,7 +15,7 @@
         T play(EventLoop loop) throws IOException, InterruptedException, ExecutionException;
     }
 
-    private OwnLoop() { }
+    private OwnLoop() {}
 
     /**
      * Plays it; blocks for as long.
--- a/src/main/java/whinlead/testbed/PlanDay.java
+++ b/src/main/java/whinlead/testbed/PlanDay.java
@@ -1,5 +1,12 @@
 package whinlead.testbed;
 
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Random;
+import java.util.function.Supplier;
+import java.util.stream.StreamSupport;
 import whinlead.Contract;
 import whinlead.plan.Arrival;
 import whinlead.plan.Fleet;
@@ -8,28 +15,21 @@
 import whinlead.plan.Machines;
 import whinlead.plan.Outcome;
 import whinlead.plan.Simulation;
-import java.io.IOException;
-import java.util.ArrayList;
-import java.util.Iterator;
-import java.util.List;
-import java.util.Random;
-import java.util.function.Supplier;
-import java.util.stream.StreamSupport;
 
 /**
- * One description played twice: by the planner's simulation, and by real sidecars before stand-in fronts on
- * sockets that follow the same description. The stand-ins' queues are their own, so this checks the
- * planner's.
+ * One description played twice: by the planner's simulation, and by real sidecars before stand-in fronts on sockets
+ * that follow the same description. The stand-ins' queues are their own, so this checks the planner's.
  */
 final class PlanDay {
     /** The stand-in clients' load rises evenly over their first second; the planner is told so in steps. */
     private static final int RAMP_STEPS = 20;
+
     private static final double RAMP = 1000;
     /** Times of the stand-ins' clients, which the planner is told of. */
     private static final double BACK_OFF = 100;
 
     /** What became of it: shares of the worth, and of the tries. */
-    record Result(double worth, double refused, double late) { }
+    record Result(double worth, double refused, double late) {}
 
     private final Fleet fleet;
     private final Load load;
@@ -40,16 +40,15 @@
         this.habit = habit;
         this.load = load;
         int tries = habit == Habit.NONE ? 1 : 1 + Habit.FURTHER_TRIES;
-        this.fleet = fleet.with(new Fleet.Clients(tries, habit == Habit.AT_ONCE ? 0 : BACK_OFF,
-                habit == Habit.RETRY_AFTER ? 1 : 0));
+        this.fleet = fleet.with(
+                new Fleet.Clients(tries, habit == Habit.AT_ONCE ? 0 : BACK_OFF, habit == Habit.RETRY_AFTER ? 1 : 0));
     }
 
     /** What the planner says. */
     Result predict(long seed) {
         List<Load.Burst> bursts = new ArrayList<>(load.bursts());
         for (int i = 0; i < RAMP_STEPS; i++) {
-            bursts.add(new Load.Burst(i * RAMP / RAMP_STEPS, (i + 1) * RAMP / RAMP_STEPS,
-                    (i + 0.5) / RAMP_STEPS));
+            bursts.add(new Load.Burst(i * RAMP / RAMP_STEPS, (i + 1) * RAMP / RAMP_STEPS, (i + 0.5) / RAMP_STEPS));
         }
         Load ramped = new Load(load.perSecond(), load.mix(), bursts, load.length());
         return predict(seed, ramped.arrivals(seed));
@@ -62,15 +61,14 @@
      */
     Result measure(long seed) throws IOException {
         List<SocketDay.Asked> asked = new ArrayList<>();
-        double most = load.bursts().stream().mapToDouble(b -> Math.max(1, b.times())).reduce(1, (a,
-                b) -> a * b);
+        double most =
+                load.bursts().stream().mapToDouble(b -> Math.max(1, b.times())).reduce(1, (a, b) -> a * b);
         for (double share : fleet.shares()) {
             List<whinlead.testbed.Load> mine = new ArrayList<>();
             for (int k = 0; k < load.mix().size(); k++) {
                 double part = share * load.mix().get(k);
-                mine.add(new whinlead.testbed.Load(k, now -> load.rate(now) * part,
-                        load.perSecond() * part * most,
-                        habit));
+                mine.add(new whinlead.testbed.Load(
+                        k, now -> load.rate(now) * part, load.perSecond() * part * most, habit));
             }
             asked.add(SocketDay.Asked.of(mine));
         }
@@ -101,14 +99,17 @@
     private Iterator<Arrival> share(Iterator<Arrival> all, int sidecar, long seed) {
         Random whose = new Random(seed);
         Iterable<Arrival> once = () -> all;
-        return StreamSupport.stream(once.spliterator(), false).filter(a -> {
-            double left = whose.nextDouble();
-            int to = 0;
-            while (to < fleet.shares().size() - 1 && left >= fleet.shares().get(to)) {
-                left -= fleet.shares().get(to++);
-            }
-            return to == sidecar;
-        }).iterator();
+        return StreamSupport.stream(once.spliterator(), false)
+                .filter(a -> {
+                    double left = whose.nextDouble();
+                    int to = 0;
+                    while (to < fleet.shares().size() - 1
+                            && left >= fleet.shares().get(to)) {
+                        left -= fleet.shares().get(to++);
+                    }
+                    return to == sidecar;
+                })
+                .iterator();
     }
 
     private Result measure(long seed, List<SocketDay.Asked> asked, double length) throws IOException {
@@ -137,7 +138,8 @@
         for (int k = 0; k < classes.size(); k++) {
             Ledger.Count c = ledger.count(0, Double.MAX_VALUE, k);
             asked += c.asked() * classes.get(k).worth();
-            got += (c.good() + (c.served() - c.good()) * classes.get(k).lateWorth()) * classes.get(k).worth();
+            got += (c.good() + (c.served() - c.good()) * classes.get(k).lateWorth())
+                    * classes.get(k).worth();
             late += c.served() - c.good();
         }
         Ledger.Count all = ledger.count(0, Double.MAX_VALUE);
@@ -157,22 +159,29 @@
             if (change.kind() == Fleet.Kind.SLOWED) {
                 slowed.add(change);
             } else {
-                faults.add(new EndpointScript.Fault(change.kind() == Fleet.Kind.ZONE_DIED
-                        ? EndpointScript.Kind.AWAY : EndpointScript.Kind.SILENT, change.from(), change.to()));
-                notices.add(new SocketDay.Notice(change.from() + change.notice(), m.id(), "gone",
-                        Double.NaN));
-                notices.add(new SocketDay.Notice(change.to() + change.notice(), m.id(), "ready",
+                faults.add(new EndpointScript.Fault(
+                        change.kind() == Fleet.Kind.ZONE_DIED ? EndpointScript.Kind.AWAY : EndpointScript.Kind.SILENT,
+                        change.from(),
                         change.to()));
+                notices.add(new SocketDay.Notice(change.from() + change.notice(), m.id(), "gone", Double.NaN));
+                notices.add(new SocketDay.Notice(change.to() + change.notice(), m.id(), "ready", change.to()));
                 bornAt = change.to();
             }
         }
         Fleet.Front f = fleet.front();
         ServiceLaw law = law(m.speed(), slowed, bornAt);
-        int room = (int) Math.round(f.roomPerCore() * m.model().cores()) - m.model().cores();
+        int room = (int) Math.round(f.roomPerCore() * m.model().cores())
+                - m.model().cores();
         boolean reports = fleet.settings().reporting() == Contract.Reporting.WITH_ANSWERS;
-        return new EndpointScript(m.id(), m.model().cores(), room, law, reports, faults,
+        return new EndpointScript(
+                m.id(),
+                m.model().cores(),
+                room,
+                law,
+                reports,
+                faults,
                 new EndpointScript.Lines(
-                (dice, now, k) -> fleet.work().get(k).away().draw(dice), f.handshake(), f.connections()));
+                        (dice, now, k) -> fleet.work().get(k).away().draw(dice), f.handshake(), f.connections()));
     }
 
     private ServiceLaw law(double speed, List<Fleet.Change> slowed, double bornAt) {
--- a/src/main/java/whinlead/testbed/PlanRehearsal.java
+++ b/src/main/java/whinlead/testbed/PlanRehearsal.java
@@ -1,11 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.plan.Bounds;
-import whinlead.plan.Fleet;
-import whinlead.plan.Interval;
-import whinlead.plan.Load;
-import whinlead.plan.Solver;
-import whinlead.plan.tool.Description;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,17 +11,26 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import whinlead.plan.Bounds;
+import whinlead.plan.Fleet;
+import whinlead.plan.Interval;
+import whinlead.plan.Load;
+import whinlead.plan.Solver;
+import whinlead.plan.tool.Description;
 
 /** {@code rehearse plan}: what the planner says beside what sidecars and stand-in fronts do, by scenario. */
-@Command(name = "plan",
+@Command(
+        name = "plan",
         description = "The planner's answers beside real sidecars before stand-in fronts that "
-        + "follow the same description.")
+                + "follow the same description.")
 final class PlanRehearsal implements Callable<Integer> {
     /** As the users ask it: the mean over scenarios, and none further, in shares of the worth. */
     private static final double MAX_MEAN = 0.03;
+
     private static final double MAX_EACH = 0.06;
     /** What the solver is asked, and its bounds. */
     private static final double GOAL = 0.97;
+
     private static final int MAX_FRONTS = 20;
     private static final int SEEDS = 6;
     private static final int MAX_RUNS = 500;
@@ -35,29 +38,38 @@
 
     @Option(names = "--scenario", description = "Only those whose name holds this.")
     private String only = "";
+
     @Option(names = "--seed", description = "The first of three seeds.")
     private long seed = 1;
-    @Option(names = "--at-once",
-            description = "Seeds played at once, each with sidecars and a loop of its own.")
+
+    @Option(names = "--at-once", description = "Seeds played at once, each with sidecars and a loop of its own.")
     private int atOnce = 3;
 
-    private record Scenario(String name, PlanDay day) { }
+    private record Scenario(String name, PlanDay day) {}
 
     /** A scenario by its load as a part of the capacity, its share of polls, bursts, changes and clients. */
-    private static Scenario scenario(Description d, String name, double part, double polls,
+    private static Scenario scenario(
+            Description d,
+            String name,
+            double part,
+            double polls,
             List<Load.Burst> bursts,
-            List<Fleet.Change> changes, Habit habit) {
+            List<Fleet.Change> changes,
+            Habit habit) {
         Load mixed = new Load(1, List.of(polls, 1 - polls), List.of(), d.load().length());
         double one = Bounds.utilisation(d.fleet(), mixed);
-        return new Scenario(name, new PlanDay(d.fleet().changes(changes),
-                new Load(part / one, mixed.mix(), bursts, mixed.length()), habit));
+        return new Scenario(
+                name,
+                new PlanDay(
+                        d.fleet().changes(changes), new Load(part / one, mixed.mix(), bursts, mixed.length()), habit));
     }
 
     private static List<Scenario> all(Description d) {
         Fleet.Change slowed = new Fleet.Change(Fleet.Kind.SLOWED, null, 0.25, 0.4, 3000, 12_000, 0);
         Fleet.Change died = new Fleet.Change(Fleet.Kind.ZONE_DIED, "b", 1, 1, 3000, 60_000, 1000);
         Fleet.Change back = new Fleet.Change(Fleet.Kind.ZONE_DIED, "b", 1, 1, 2500, 4500, 700);
-        return List.of(scenario(d, "calm", 0.5, 0.8, List.of(), List.of(), Habit.NONE),
+        return List.of(
+                scenario(d, "calm", 0.5, 0.8, List.of(), List.of(), Habit.NONE),
                 scenario(d, "burst", 0.5, 0.8, List.of(new Load.Burst(4000, 6000, 3)), List.of(), Habit.NONE),
                 scenario(d, "overload 1.3", 1.3, 0.8, List.of(), List.of(), Habit.NONE),
                 scenario(d, "overload 2", 2, 0.8, List.of(), List.of(), Habit.NONE),
@@ -101,24 +113,30 @@
 
     // The number that the solver finds, and one fewer, on sockets.
     private void solver(Promises promises, Description d) throws IOException {
-        Solver.Answer found = new Solver((n, seeds) -> LongStream.of(seeds).parallel()
-                .mapToDouble(s -> solved(d, n).predict(s).worth()).toArray(), GOAL,
-                new Solver.Bounds(2, MAX_FRONTS, SEEDS, 4 * SEEDS, MAX_RUNS, 1)).solve();
+        Solver.Answer found = new Solver(
+                        (n, seeds) -> LongStream.of(seeds)
+                                .parallel()
+                                .mapToDouble(s -> solved(d, n).predict(s).worth())
+                                .toArray(),
+                        GOAL,
+                        new Solver.Bounds(2, MAX_FRONTS, SEEDS, 4 * SEEDS, MAX_RUNS, 1))
+                .solve();
         promises.figure("solver, fronts for " + GOAL + " of the worth", found.fronts());
         for (int n : new int[] {found.fronts(), found.fronts() - 1}) {
             PlanDay day = solved(d, n);
-            Interval done = Interval.of(runs(day::measure, SEEDS).stream().mapToDouble(PlanDay.Result::worth)
+            Interval done = Interval.of(runs(day::measure, SEEDS).stream()
+                    .mapToDouble(PlanDay.Result::worth)
                     .toArray());
-            promises.figure("solver, " + n + " fronts, predicted", found.points().get(n).service().mean());
+            promises.figure(
+                    "solver, " + n + " fronts, predicted",
+                    found.points().get(n).service().mean());
             promises.figure("solver, " + n + " fronts, measured", done.mean());
             promises.figure("solver, " + n + " fronts, half of the interval measured", done.half());
             // The whole interval on the other side would say that the answer is wrong.
             if (n == found.fronts()) {
-                promises.over("solver, " + n + " fronts, highest of the interval",
-                        done.mean() + done.half(), GOAL);
+                promises.over("solver, " + n + " fronts, highest of the interval", done.mean() + done.half(), GOAL);
             } else {
-                promises.under("solver, " + n + " fronts, lowest of the interval",
-                        done.mean() - done.half(), GOAL);
+                promises.under("solver, " + n + " fronts, lowest of the interval", done.mean() - done.half(), GOAL);
             }
         }
     }
@@ -133,7 +151,8 @@
 
     private PlanDay.Result mean(Play play) throws IOException {
         List<PlanDay.Result> all = runs(play, 3);
-        return new PlanDay.Result(all.stream().mapToDouble(PlanDay.Result::worth).average().orElseThrow(),
+        return new PlanDay.Result(
+                all.stream().mapToDouble(PlanDay.Result::worth).average().orElseThrow(),
                 all.stream().mapToDouble(PlanDay.Result::refused).average().orElseThrow(),
                 all.stream().mapToDouble(PlanDay.Result::late).average().orElseThrow());
     }
--- a/src/main/java/whinlead/testbed/Policies.java
+++ b/src/main/java/whinlead/testbed/Policies.java
@@ -1,22 +1,23 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import whinlead.Contract;
 
 /** Plain decisions to measure the module's against, behind the same interface. None of them tries again. */
 public final class Policies {
     /** Answers within this share of the aim let the limit grow. */
     private static final double AIMD_AIM_SHARE = 0.5;
+
     private static final double AIMD_CUT = 0.9;
     private static final double AIMD_FIRST = 20;
     private static final double MAX_AIMD = 1000;
     private static final double RETRY_AFTER_MS = 100;
 
-    private Policies() { }
+    private Policies() {}
 
     /** Any server, by chance; turns nothing away. */
     public static Contract.Events random(Contract.Settings settings, long seed, Contract.Actions out) {
@@ -24,8 +25,7 @@
     }
 
     /** The server that holds the fewest of ours; turns nothing away. */
-    public static Contract.Events leastConnections(Contract.Settings settings, long seed,
-            Contract.Actions out) {
+    public static Contract.Events leastConnections(Contract.Settings settings, long seed, Contract.Actions out) {
         return new Plain(settings, seed, out) {
             @Override
             boolean better(Server a, Server b) {
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Fewest held, under a limit of attempts out at each server that grows by one a round of good answers and
-     * is cut by a tenth for a bad one, as in Netflix's concurrency-limits; refuses beyond it.
+     * Fewest held, under a limit of attempts out at each server that grows by one a round of good answers and is cut by
+     * a tenth for a bad one, as in Netflix's concurrency-limits; refuses beyond it.
      */
     public static Contract.Events aimd(Contract.Settings settings, long seed, Contract.Actions out) {
         return new Plain(settings, seed, out) {
@@ -53,7 +53,8 @@
             @Override
             void learn(Server s, Contract.RequestClass type, Contract.Outcome outcome, double took) {
                 boolean good = outcome == Contract.Outcome.SERVED && took < type.aim() * AIMD_AIM_SHARE;
-                s.limit = good ? s.holds * 2 >= s.limit ? Math.min(MAX_AIMD, s.limit + 1 / s.limit) : s.limit
+                s.limit = good
+                        ? s.holds * 2 >= s.limit ? Math.min(MAX_AIMD, s.limit + 1 / s.limit) : s.limit
                         : Math.max(1, s.limit * AIMD_CUT);
             }
         };
@@ -90,10 +91,10 @@
             return false;
         }
 
-        void learn(Server s, Contract.RequestClass type, Contract.Outcome outcome, double took) { }
+        void learn(Server s, Contract.RequestClass type, Contract.Outcome outcome, double took) {}
 
         @Override
-        public void start(double now) { }
+        public void start(double now) {}
 
         @Override
         public void servers(double now, Contract.ListKind kind, List<Contract.Server> entries) {
@@ -130,8 +131,14 @@
         }
 
         @Override
-        public void outcome(double now, Contract.Request request, int attempt, Contract.Outcome outcome,
-                double took, boolean finished, Contract.Report report) {
+        public void outcome(
+                double now,
+                Contract.Request request,
+                int attempt,
+                Contract.Outcome outcome,
+                double took,
+                boolean finished,
+                Contract.Report report) {
             Server s = sentTo.remove(request.id);
             if (s == null) {
                 return;
@@ -148,19 +155,18 @@
         }
 
         @Override
-        public void streaming(double now, Contract.Request request, int attempt) { }
+        public void streaming(double now, Contract.Request request, int attempt) {}
 
         @Override
-        public void abandoned(double now, Contract.Request request) { }
+        public void abandoned(double now, Contract.Request request) {}
 
         @Override
-        public void probed(double now, String server, Contract.Outcome outcome, double took,
-                Contract.Report report) { }
+        public void probed(double now, String server, Contract.Outcome outcome, double took, Contract.Report report) {}
 
         @Override
-        public void message(double now, int from, byte[] text) { }
+        public void message(double now, int from, byte[] text) {}
 
         @Override
-        public void wake(double now) { }
+        public void wake(double now) {}
     }
 }
--- a/src/main/java/whinlead/testbed/ProcessorRig.java
+++ b/src/main/java/whinlead/testbed/ProcessorRig.java
@@ -1,20 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
-import whinlead.admit.Budget;
-import whinlead.consult.Bounds;
-import whinlead.consult.Consultations;
-import whinlead.engine.Clock;
-import whinlead.engine.Engine;
-import whinlead.front.consult.ConsultRequest;
-import whinlead.front.consult.ConsultServer;
-import whinlead.front.consult.HeaderNames;
-import whinlead.front.extproc.ExtProcServer;
-import whinlead.front.http1.ClientServer;
-import whinlead.front.spop.SpopServer;
-import whinlead.loop.LoopTimers;
-import whinlead.membership.EndpointList;
-import whinlead.transport.EndpointPool;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -32,6 +17,21 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.consult.Bounds;
+import whinlead.consult.Consultations;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.front.consult.ConsultRequest;
+import whinlead.front.consult.ConsultServer;
+import whinlead.front.consult.HeaderNames;
+import whinlead.front.extproc.ExtProcServer;
+import whinlead.front.http1.ClientServer;
+import whinlead.front.spop.SpopServer;
+import whinlead.loop.LoopTimers;
+import whinlead.membership.EndpointList;
+import whinlead.transport.EndpointPool;
 
 /** The program's engine with one front, in this process and on a loop of its own, to be looked into. */
 final class ProcessorRig implements AutoCloseable {
@@ -40,8 +40,7 @@
     private static final int IDLE_MS = 10_000;
     private static final int MAX_STREAMS = 20_000;
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Clock clock = new Clock();
     private final LoopTimers timers = new LoopTimers(loop, clock);
@@ -53,15 +52,24 @@
     private InetSocketAddress address;
 
     /** An engine round these decisions, which knows these endpoints, without a front. */
-    ProcessorRig(Contract.Settings settings, Function<Contract.Actions, Contract.Events> module,
-            Bounds bounds, EndpointList known) throws IOException {
+    ProcessorRig(
+            Contract.Settings settings,
+            Function<Contract.Actions, Contract.Events> module,
+            Bounds bounds,
+            EndpointList known)
+            throws IOException {
         this.settings = settings;
-        pool = new EndpointPool(loop, NioSocketChannel.class, clock, CONNECT_MS, IDLE_MS,
+        pool = new EndpointPool(
+                loop,
+                NioSocketChannel.class,
+                clock,
+                CONNECT_MS,
+                IDLE_MS,
                 Budget.fixed(Budget.Purpose.ENDPOINTS, MAX_CONNECTIONS));
         engine = new Engine(timers, settings, module, this::follow, log::add);
         consultations = new Consultations(engine, timers, settings, bounds, log::add);
         ask(() -> {
-            engine.start(() -> { }, known);
+            engine.start(() -> {}, known);
             return known;
         });
     }
@@ -76,20 +84,30 @@
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         ConsultRequest.Names names = new ConsultRequest.Names(settings);
         address = switch (front) {
-            case HTTP -> bound(new ConsultServer(loop, NioServerSocketChannel.class, consultations, names,
-                    new HeaderNames(), new ObjectMapper(), MAX_CONNECTIONS).listen(at));
-            case SPOP -> bound(new SpopServer(loop, NioServerSocketChannel.class, consultations, names,
-                    MAX_CONNECTIONS).listen(at));
-            case ENVOY -> new ExtProcServer(loop, timers, consultations, names, Map.of(), MAX_CONNECTIONS,
-                    MAX_STREAMS).listen(at);
+            case HTTP ->
+                bound(new ConsultServer(
+                                loop,
+                                NioServerSocketChannel.class,
+                                consultations,
+                                names,
+                                new HeaderNames(),
+                                new ObjectMapper(),
+                                MAX_CONNECTIONS)
+                        .listen(at));
+            case SPOP ->
+                bound(new SpopServer(loop, NioServerSocketChannel.class, consultations, names, MAX_CONNECTIONS)
+                        .listen(at));
+            case ENVOY ->
+                new ExtProcServer(loop, timers, consultations, names, Map.of(), MAX_CONNECTIONS, MAX_STREAMS)
+                        .listen(at);
         };
         return this;
     }
 
     /** An application asks it, and it sends to the endpoints itself. */
     ProcessorRig plain() throws IOException {
-        ClientServer server = ask(() -> new ClientServer(loop, clock, engine, pool::transport, settings,
-                MAX_CONNECTIONS));
+        ClientServer server =
+                ask(() -> new ClientServer(loop, clock, engine, pool::transport, settings, MAX_CONNECTIONS));
         address = bound(server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
         loop.execute(server::ready);
         return this;
--- a/src/main/java/whinlead/testbed/Promises.java
+++ b/src/main/java/whinlead/testbed/Promises.java
@@ -31,14 +31,17 @@
 
     /** The rules that a run broke, of which there are to be none. */
     public void rules(String name, Map<String, Integer> broken) {
-        out.printf(Locale.ROOT, "%s: %s (promised: none)%s%n", name, broken.isEmpty() ? "none" : broken,
+        out.printf(
+                Locale.ROOT,
+                "%s: %s (promised: none)%s%n",
+                name,
+                broken.isEmpty() ? "none" : broken,
                 broken.isEmpty() ? "" : " BROKEN");
         kept &= broken.isEmpty();
     }
 
     private void promise(String name, double value, String side, double bound, boolean good) {
-        out.printf(Locale.ROOT, "%s: %.4f (promised: %s %.4f)%s%n", name, value, side, bound,
-                good ? "" : " BROKEN");
+        out.printf(Locale.ROOT, "%s: %.4f (promised: %s %.4f)%s%n", name, value, side, bound, good ? "" : " BROKEN");
         kept &= good;
     }
 
--- a/src/main/java/whinlead/testbed/RoomDay.java
+++ b/src/main/java/whinlead/testbed/RoomDay.java
@@ -1,37 +1,41 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.function.IntFunction;
 import java.util.stream.IntStream;
+import whinlead.Contract;
 
 /**
- * A day on which the endpoints have room for all that is asked, but for the time of a fault: what is refused
- * once things are well again is refused for nothing.
+ * A day on which the endpoints have room for all that is asked, but for the time of a fault: what is refused once
+ * things are well again is refused for nothing.
  *
  * @param judged spans in which there is room and in which nearly nothing may be refused, in milliseconds
  * @param fleet makes the endpoints anew, for each run
  */
-public record RoomDay(String name, Contract.Settings settings, List<Span> judged, double length,
-        IntFunction<EndpointScript> fleet, int servers, List<Load> loads) {
+public record RoomDay(
+        String name,
+        Contract.Settings settings,
+        List<Span> judged,
+        double length,
+        IntFunction<EndpointScript> fleet,
+        int servers,
+        List<Load> loads) {
     /** From a time until another. */
-    public record Span(double from, double to) { }
+    public record Span(double from, double to) {}
 
     /** What may be refused of the requests of a judged span. */
     public static final double MAX_REFUSED = 0.01;
     /** From the end of a change until nearly nothing is refused any more. */
     public static final double RECOVERED_MS = 5000;
     /**
-     * How long after a change more may be refused than that: the bound that {@code docs/recovery.md} derives,
-     * of 92 periods, which are a tenth of the aim each.
+     * How long after a change more may be refused than that: the bound that {@code docs/recovery.md} derives, of 92
+     * periods, which are a tenth of the aim each.
      */
     public static final double BOUND_MS = 92 * Settings.AIM / 10;
 
-    /**
-     * What is refused after a change is looked at by slices as long as the decisions' own means: 10 periods.
-     */
+    /** What is refused after a change is looked at by slices as long as the decisions' own means: 10 periods. */
     private static final double SLICE_MS = 10 * Settings.AIM / 10;
 
     private static final int MANY_CORES = 256;
@@ -51,13 +55,15 @@
 
     /** The largest share refused in a judged span. */
     public double refused(Ledger ledger) {
-        return judged.stream().mapToDouble(s -> ledger.count(s.from(), s.to()).refusedShare()).max()
+        return judged.stream()
+                .mapToDouble(s -> ledger.count(s.from(), s.to()).refusedShare())
+                .max()
                 .orElse(0);
     }
 
     /**
-     * How long after a change, or after the start, the last slice of time ended of which more was refused
-     * than may be of a judged span: the longest of the day, in milliseconds; 0 where there was no such slice.
+     * How long after a change, or after the start, the last slice of time ended of which more was refused than may be
+     * of a judged span: the longest of the day, in milliseconds; 0 where there was no such slice.
      */
     public double refusedFor(Ledger ledger) {
         double longest = 0;
@@ -91,8 +97,7 @@
         days.add(byClass());
         days.add(servers("servers-differ-100x", 1000, i -> endpoint(i, ServiceLaw.fixed(i == 0 ? 20 : 0.2))));
         days.add(servers("one-slow-for-good", 1000, i -> endpoint(i, i == 0 ? stuck : sound)));
-        days.add(servers("one-dead", 1000,
-                i -> i == 0 ? away(i, sound, FOR_EVER) : endpoint(i, sound)));
+        days.add(servers("one-dead", 1000, i -> i == 0 ? away(i, sound, FOR_EVER) : endpoint(i, sound)));
         for (double seconds : new double[] {1, 3, 30}) {
             days.add(away("away-" + (int) seconds + "s", seconds * 1000, fast, Habit.NONE));
         }
@@ -107,8 +112,14 @@
         days.add(step("step-10-to-3000", 0.2));
         days.add(step("step-10-to-3000-at-50ms", 50));
         days.add(calm("two-a-second", 2, ServiceLaw.exponential(60)));
-        days.add(new RoomDay("first-second", reads(), List.of(new Span(0, 1000)), 1000,
-                i -> endpoint(i, ServiceLaw.exponential(50)), 4, List.of(Load.steady(0, 380, Habit.NONE))));
+        days.add(new RoomDay(
+                "first-second",
+                reads(),
+                List.of(new Span(0, 1000)),
+                1000,
+                i -> endpoint(i, ServiceLaw.exponential(50)),
+                4,
+                List.of(Load.steady(0, 380, Habit.NONE))));
         return days;
     }
 
@@ -125,8 +136,14 @@
     }
 
     private static RoomDay calm(String name, double perSecond, ServiceLaw law) {
-        return new RoomDay(name, reads(), List.of(new Span(RECOVERED_MS, 15_000)), 15_000,
-                i -> endpoint(i, law), 3, List.of(Load.steady(0, perSecond, Habit.NONE)));
+        return new RoomDay(
+                name,
+                reads(),
+                List.of(new Span(RECOVERED_MS, 15_000)),
+                15_000,
+                i -> endpoint(i, law),
+                3,
+                List.of(Load.steady(0, perSecond, Habit.NONE)));
     }
 
     private static RoomDay changed(String name, ServiceLaw law, double perSecond, double... changes) {
@@ -134,8 +151,8 @@
         List<Span> spans = new ArrayList<>();
         spans.add(new Span(RECOVERED_MS, changes[0]));
         spans.add(new Span(end - 10_000, end));
-        return new RoomDay(name, reads(), spans, end, i -> endpoint(i, law), 3,
-                List.of(Load.steady(0, perSecond, Habit.NONE)));
+        return new RoomDay(
+                name, reads(), spans, end, i -> endpoint(i, law), 3, List.of(Load.steady(0, perSecond, Habit.NONE)));
     }
 
     private static RoomDay upDownUp() {
@@ -143,34 +160,58 @@
         double again = after + 10_000;
         ServiceLaw fast = ServiceLaw.fixed(0.2);
         ServiceLaw slow = ServiceLaw.fixed(100);
-        return new RoomDay("up-down-up-500x", reads(), List.of(new Span(CHANGE + RECOVERED_MS, after),
-                new Span(after + RECOVERED_MS, again), new Span(again + RECOVERED_MS, again + 10_000)),
+        return new RoomDay(
+                "up-down-up-500x",
+                reads(),
+                List.of(
+                        new Span(CHANGE + RECOVERED_MS, after),
+                        new Span(after + RECOVERED_MS, again),
+                        new Span(again + RECOVERED_MS, again + 10_000)),
                 again + 10_000,
-                i -> endpoint(i, fast.until(CHANGE, slow.until(after, fast.until(again, slow)))), 3,
+                i -> endpoint(i, fast.until(CHANGE, slow.until(after, fast.until(again, slow)))),
+                3,
                 List.of(Load.steady(0, 1000, Habit.NONE)));
     }
 
     private static RoomDay byClass() {
         ServiceLaw law = ServiceLaw.byClass(ServiceLaw.fixed(0.5), ServiceLaw.fixed(50));
-        Contract.Settings settings = Settings.of(true, Settings.type("read", 5, Contract.Effect.SAFE),
+        Contract.Settings settings = Settings.of(
+                true,
+                Settings.type("read", 5, Contract.Effect.SAFE),
                 Settings.type("write", 2, Contract.Effect.UNSAFE));
-        return new RoomDay("classes-differ-100x", settings, List.of(new Span(RECOVERED_MS, 15_000)), 15_000,
-                i -> endpoint(i, law), 3,
+        return new RoomDay(
+                "classes-differ-100x",
+                settings,
+                List.of(new Span(RECOVERED_MS, 15_000)),
+                15_000,
+                i -> endpoint(i, law),
+                3,
                 List.of(Load.steady(0, 800, Habit.NONE), Load.steady(1, 200, Habit.NONE)));
     }
 
     private static RoomDay servers(String name, double perSecond, IntFunction<EndpointScript> fleet) {
         double from = CHANGE + RECOVERED_MS;
-        return new RoomDay(name, reads(), List.of(new Span(from, from + 10_000)), from + 10_000, fleet, 4,
+        return new RoomDay(
+                name,
+                reads(),
+                List.of(new Span(from, from + 10_000)),
+                from + 10_000,
+                fleet,
+                4,
                 List.of(Load.steady(0, perSecond, Habit.NONE)));
     }
 
     private static RoomDay away(String name, double millis, ServiceLaw law, Habit habit) {
         double back = CHANGE + millis;
         double from = back + RECOVERED_MS;
-        return new RoomDay(name, reads(),
+        return new RoomDay(
+                name,
+                reads(),
                 List.of(new Span(RECOVERED_MS, CHANGE - Settings.AIM), new Span(from, from + 5000)),
-                from + 5000, i -> away(i, law, back), 3, List.of(Load.steady(0, 1000, habit)));
+                from + 5000,
+                i -> away(i, law, back),
+                3,
+                List.of(Load.steady(0, 1000, habit)));
     }
 
     // They come back one after another, and each takes five times as long at first.
@@ -178,10 +219,14 @@
         double first = CHANGE + 3000;
         double between = 2000;
         double from = first + 2 * between + RECOVERED_MS;
-        return new RoomDay("back-one-by-one-and-cold", reads(),
+        return new RoomDay(
+                "back-one-by-one-and-cold",
+                reads(),
                 List.of(new Span(RECOVERED_MS, CHANGE - Settings.AIM), new Span(from, from + 5000)),
-                from + 5000, i -> away(i, ServiceLaw.exponential(20).cold(first + i * between, 4000, 5),
-                        first + i * between), 3, List.of(Load.steady(0, 1000, Habit.NONE)));
+                from + 5000,
+                i -> away(i, ServiceLaw.exponential(20).cold(first + i * between, 4000, 5), first + i * between),
+                3,
+                List.of(Load.steady(0, 1000, Habit.NONE)));
     }
 
     // The sidecar is new to endpoints that get three times what they can do; later they get half of it.
@@ -192,16 +237,27 @@
         double capacity = cores * servers * 1000 / mean;
         double from = CHANGE + RECOVERED_MS;
         Load load = new Load(0, now -> now < CHANGE ? 3 * capacity : capacity / 2, 3 * capacity, habit);
-        String name = "starts-in-overload-" + habit.name().toLowerCase(Locale.ROOT).replace('_', '-');
-        return new RoomDay(name, reads(), List.of(new Span(from, from + 5000)), from + 5000,
-                i -> new EndpointScript("s" + i, cores, LONG_QUEUE, ServiceLaw.exponential(mean)), servers,
+        String name =
+                "starts-in-overload-" + habit.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return new RoomDay(
+                name,
+                reads(),
+                List.of(new Span(from, from + 5000)),
+                from + 5000,
+                i -> new EndpointScript("s" + i, cores, LONG_QUEUE, ServiceLaw.exponential(mean)),
+                servers,
                 List.of(load));
     }
 
     private static RoomDay step(String name, double millis) {
         double from = CHANGE + RECOVERED_MS;
-        return new RoomDay(name, reads(), List.of(new Span(from, from + 5000)), from + 5000,
-                i -> endpoint(i, ServiceLaw.fixed(millis)), 3,
+        return new RoomDay(
+                name,
+                reads(),
+                List.of(new Span(from, from + 5000)),
+                from + 5000,
+                i -> endpoint(i, ServiceLaw.fixed(millis)),
+                3,
                 List.of(new Load(0, now -> now < CHANGE ? 10 : 3000, 3000, Habit.NONE)));
     }
 }
--- a/src/main/java/whinlead/testbed/ServiceLaw.java
+++ b/src/main/java/whinlead/testbed/ServiceLaw.java
@@ -3,8 +3,8 @@
 import java.util.Random;
 
 /**
- * How long a stand-in endpoint works on a request, in milliseconds, depending on its class and on when the
- * work begins. Laws are scripted and draw from the dice that they are given, so that a seed fixes a run.
+ * How long a stand-in endpoint works on a request, in milliseconds, depending on its class and on when the work begins.
+ * Laws are scripted and draw from the dice that they are given, so that a seed fixes a run.
  */
 @FunctionalInterface
 public interface ServiceLaw {
--- a/src/main/java/whinlead/testbed/Settings.java
+++ b/src/main/java/whinlead/testbed/Settings.java
@@ -1,7 +1,7 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import java.util.List;
+import whinlead.Contract;
 
 /** Settings of the stand-ins' days: an aim of 500 ms, a deadline of 2 s, no reports, one sidecar. */
 public final class Settings {
@@ -10,7 +10,7 @@
     /** In milliseconds. */
     public static final double DEADLINE = 2000;
 
-    private Settings() { }
+    private Settings() {}
 
     /** A class of requests with this aim and deadline, whose late answers are worth nothing. */
     public static Contract.RequestClass type(String name, double worth, Contract.Effect effect) {
@@ -19,9 +19,15 @@
 
     /** Settings with these classes. */
     public static Contract.Settings of(boolean listMustBeAsked, Contract.RequestClass... classes) {
-        return new Contract.Settings(List.of(classes), List.of(), 1,
+        return new Contract.Settings(
+                List.of(classes),
+                List.of(),
+                1,
                 new Contract.Limits(3, true, true, false, false, true, 1000, 0),
-                new Contract.Obligations(1000, 3, 2000, 0.2, 20_000, 10_000), Contract.Reporting.NONE,
-                listMustBeAsked, 1, 0);
+                new Contract.Obligations(1000, 3, 2000, 0.2, 20_000, 10_000),
+                Contract.Reporting.NONE,
+                listMustBeAsked,
+                1,
+                0);
     }
 }
--- a/src/main/java/whinlead/testbed/SidecarProcess.java
+++ b/src/main/java/whinlead/testbed/SidecarProcess.java
@@ -1,6 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -17,6 +16,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
+import whinlead.Contract;
 
 /** A real sidecar in a process of its own, started from the program that runs, on a free loopback port. */
 final class SidecarProcess implements FrontProcess {
@@ -25,9 +25,15 @@
     private static final long MAX_STOP_S = 10;
     private static final int OK = 200;
     /** The limits that the platform's line `run` sets. */
-    static final List<String> LIMITS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-Xms48m", "-Xmx48m", "-XX:MaxDirectMemorySize=32m", "-Dio.netty.jfr.enabled=false",
+    static final List<String> LIMITS = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xms48m",
+            "-Xmx48m",
+            "-XX:MaxDirectMemorySize=32m",
+            "-Dio.netty.jfr.enabled=false",
             "-Dio.netty.leakDetection.level=disabled");
+
     static final String MAIN = "whinlead.run.Main";
 
     private final Process process;
@@ -51,14 +57,21 @@
      * @param known the list of endpoints, in discovery's form
      * @throws IOException if it ends, or is not ready within half a minute
      */
-    static SidecarProcess start(List<String> prefix, Contract.Settings settings, String discovery,
-            String known, long seed) throws IOException {
+    static SidecarProcess start(
+            List<String> prefix, Contract.Settings settings, String discovery, String known, long seed)
+            throws IOException {
         return start(prefix, List.of(), settings, discovery, known, seed);
     }
 
     /** The same; {@code jvm} holds options of the JVM that come after the platform's and so win over them. */
-    static SidecarProcess start(List<String> prefix, List<String> jvm, Contract.Settings settings,
-            String discovery, String known, long seed) throws IOException {
+    static SidecarProcess start(
+            List<String> prefix,
+            List<String> jvm,
+            Contract.Settings settings,
+            String discovery,
+            String known,
+            long seed)
+            throws IOException {
         Path folder = Files.createTempDirectory("rehearse");
         int port = freePort();
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
@@ -70,7 +83,8 @@
         line.addAll(LIMITS);
         line.addAll(jvm);
         line.addAll(List.of("-cp", System.getProperty("java.class.path"), MAIN, "serve"));
-        ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(line)
+                .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("log").toFile());
         builder.environment().put("PROXY_CONFIG", config.toString());
         SidecarProcess sidecar = new SidecarProcess(builder.start(), folder, address);
@@ -126,39 +140,62 @@
     }
 
     /** A sidecar's file, as the platform writes it. */
-    static String config(Contract.Settings s, String listen, String discovery, String known,
-            long seed) throws IOException {
+    static String config(Contract.Settings s, String listen, String discovery, String known, long seed)
+            throws IOException {
         ObjectMapper mapper = new ObjectMapper();
         ObjectNode root = mapper.createObjectNode();
-        root.put("name", "n0").put("listen", listen).put("discovery", discovery)
-                .put("seed", Long.toHexString(seed)).set("known", mapper.readTree(known));
+        root.put("name", "n0")
+                .put("listen", listen)
+                .put("discovery", discovery)
+                .put("seed", Long.toHexString(seed))
+                .set("known", mapper.readTree(known));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
         ObjectNode settings = root.putObject("settings");
         ArrayNode classes = settings.putArray("classes");
         for (Contract.RequestClass k : s.classes()) {
-            classes.addObject().put("name", k.name()).put("effect", switch (k.effect()) {
-                case SAFE -> "idempotent";
-                case KEYED -> "deduplicated";
-                case UNSAFE -> "at_most_once";
-            }).put("group", k.group().name().toLowerCase(Locale.ROOT)).put("window", k.window())
-                    .put("slo", k.aim()).put("deadline", k.deadline()).put("value", k.worth())
+            classes.addObject()
+                    .put("name", k.name())
+                    .put(
+                            "effect",
+                            switch (k.effect()) {
+                                case SAFE -> "idempotent";
+                                case KEYED -> "deduplicated";
+                                case UNSAFE -> "at_most_once";
+                            })
+                    .put("group", k.group().name().toLowerCase(Locale.ROOT))
+                    .put("window", k.window())
+                    .put("slo", k.aim())
+                    .put("deadline", k.deadline())
+                    .put("value", k.worth())
                     .put("late_worth", k.lateWorth());
         }
         Contract.Limits l = s.limits();
-        settings.putObject("limits").put("attempts_cap", l.attempts()).put("may_duplicate", l.copies())
-                .put("cancel", l.cancel()).put("probes", false).put("peers", l.peers())
-                .put("retry_after", l.retryAfter()).put("max_retry_after", l.maxRetryAfter())
-                .put("connect_timeout", 250).put("conn_idle", 60_000);
+        settings.putObject("limits")
+                .put("attempts_cap", l.attempts())
+                .put("may_duplicate", l.copies())
+                .put("cancel", l.cancel())
+                .put("probes", false)
+                .put("peers", l.peers())
+                .put("retry_after", l.retryAfter())
+                .put("max_retry_after", l.maxRetryAfter())
+                .put("connect_timeout", 250)
+                .put("conn_idle", 60_000);
         Contract.Obligations o = s.obligations();
-        settings.putObject("obligations").put("drain_grace", o.drainGrace())
-                .put("fall_multiple", o.fallMultiple()).put("overload_for", o.fallTime())
-                .put("cold_share", o.coldShare()).put("cold", o.coldTime()).put("ask_within", o.askWithin());
+        settings.putObject("obligations")
+                .put("drain_grace", o.drainGrace())
+                .put("fall_multiple", o.fallMultiple())
+                .put("overload_for", o.fallTime())
+                .put("cold_share", o.coldShare())
+                .put("cold", o.coldTime())
+                .put("ask_within", o.askWithin());
         ObjectNode reporting = settings.putObject("reporting");
         reporting.put("how", s.reporting() == Contract.Reporting.WITH_ANSWERS ? "inline" : "off");
         reporting.putArray("fields").add("util").add("qps").add("eps");
         settings.put("discovery", s.listMustBeAsked() ? "ask" : "push")
-                .put("over_share_worth", s.overShareWorth()).put("peers_total", s.sidecars())
-                .put("ordinal", s.ordinal()).putArray("tenants");
+                .put("over_share_worth", s.overShareWorth())
+                .put("peers_total", s.sidecars())
+                .put("ordinal", s.ordinal())
+                .putArray("tenants");
         return mapper.writeValueAsString(root);
     }
 
--- a/src/main/java/whinlead/testbed/SignalRehearsal.java
+++ b/src/main/java/whinlead/testbed/SignalRehearsal.java
@@ -1,6 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -27,44 +26,61 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import whinlead.Contract;
 
 /**
- * {@code rehearse signals}: SIGHUP and SIGTERM at every moment of a sidecar's start, each to a process of its
- * own, on a whole core and on one that others keep busy. Cores are bound by {@code taskset}.
+ * {@code rehearse signals}: SIGHUP and SIGTERM at every moment of a sidecar's start, each to a process of its own, on a
+ * whole core and on one that others keep busy. Cores are bound by {@code taskset}.
  */
-@Command(name = "signals", description = "SIGHUP and SIGTERM at every moment of the start, on a whole core "
-        + "and on a fifth of one.")
+@Command(
+        name = "signals",
+        description = "SIGHUP and SIGTERM at every moment of the start, on a whole core " + "and on a fifth of one.")
 final class SignalRehearsal implements Callable<Integer> {
     /** On a core that is shared, so many others that never wait. */
     private static final int BUSY = 4;
+
     private static final long MAX_ANSWER_S = 60;
     private static final int MAX_CONNECT_MS = 1000;
     private static final int MAX_ANSWER_MS = 10_000;
     /** Between requests: more at once than a sidecar's connections allow would be turned away for that. */
     private static final long PAUSE_MS = 3;
+
     private static final int PORT = 9000;
     /** In the second part of a loopback address. */
     private static final int NETS = 250;
     /** In the last part of one. */
     private static final int ADDRESSES = 250;
+
     private static final int ENDED_BY_TERM = 128 + 15;
     private static final String NOTHING_KNOWN = "{\"seq\":1,\"whole\":true,\"hosts\":[]}";
 
     @Option(names = "--step", description = "Milliseconds from one moment to the next.")
     private int step = 50;
+
     @Option(names = "--until", description = "The last moment, in milliseconds after the start.")
     private int until = 5000;
-    @Option(names = "--cores", split = ",",
-            description = "The cores that processes are bound to, one at a time each.")
+
+    @Option(names = "--cores", split = ",", description = "The cores that processes are bound to, one at a time each.")
     private List<Integer> cores = List.of(1, 2, 3);
-    @Option(names = "--trap", negatable = true, defaultValue = "true", fallbackValue = "true",
+
+    @Option(
+            names = "--trap",
+            negatable = true,
+            defaultValue = "true",
+            fallbackValue = "true",
             description = "Whether the shell ignores SIGHUP first, as the deploy file has it.")
     private boolean trap;
 
     /** What became of a process: how many ended as they must not, lost what was asked, or a request. */
     private final Map<String, AtomicInteger> faults = new TreeMap<>(Map.of(
-            "ended by SIGHUP", new AtomicInteger(), "reloads lost", new AtomicInteger(),
-            "not ended by SIGTERM", new AtomicInteger(), "requests lost", new AtomicInteger()));
+            "ended by SIGHUP",
+            new AtomicInteger(),
+            "reloads lost",
+            new AtomicInteger(),
+            "not ended by SIGTERM",
+            new AtomicInteger(),
+            "requests lost",
+            new AtomicInteger()));
 
     @Override
     public Integer call() throws Exception {
@@ -87,8 +103,9 @@
         try {
             for (int core : cores) {
                 for (int i = 0; i < busy; i++) {
-                    others.add(new ProcessBuilder("taskset", "-c", Integer.toString(core), "sh", "-c",
-                            "while :; do :; done").start());
+                    others.add(new ProcessBuilder(
+                                    "taskset", "-c", Integer.toString(core), "sh", "-c", "while :; do :; done")
+                            .start());
                 }
             }
             for (int at = step; at <= until; at += step) {
@@ -124,14 +141,16 @@
         private final CountDownLatch came = new CountDownLatch(1);
 
         private Visited() throws IOException {
-            Thread t = new Thread(() -> {
-                try (Socket s = listener.accept()) {
-                    came.countDown();
-                    s.getInputStream().readAllBytes();
-                } catch (IOException e) {
-                    // The play is over.
-                }
-            }, "visited");
+            Thread t = new Thread(
+                    () -> {
+                        try (Socket s = listener.accept()) {
+                            came.countDown();
+                            s.getInputStream().readAllBytes();
+                        } catch (IOException e) {
+                            // The play is over.
+                        }
+                    },
+                    "visited");
             t.setDaemon(true);
             t.start();
         }
@@ -158,15 +177,24 @@
         private Play(int core, int number) throws IOException {
             // An address of its own: a free port of the usual one may be another play's a moment later, and
             // another rehearsal may run on this machine.
-            listen = new InetSocketAddress("127." + (ProcessHandle.current().pid() % NETS + 1) + "."
-                    + number / ADDRESSES + "." + (number % ADDRESSES + 1), PORT);
+            listen = new InetSocketAddress(
+                    "127." + (ProcessHandle.current().pid() % NETS + 1) + "." + number / ADDRESSES + "."
+                            + (number % ADDRESSES + 1),
+                    PORT);
             write(before);
-            List<String> line = new ArrayList<>(List.of("taskset", "-c", Integer.toString(core), "sh", "-c",
-                    (trap ? "trap '' HUP; " : "") + "exec \"$@\"", "sh",
+            List<String> line = new ArrayList<>(List.of(
+                    "taskset",
+                    "-c",
+                    Integer.toString(core),
+                    "sh",
+                    "-c",
+                    (trap ? "trap '' HUP; " : "") + "exec \"$@\"",
+                    "sh",
                     Path.of(System.getProperty("java.home"), "bin", "java").toString()));
             line.addAll(SidecarProcess.LIMITS);
             line.addAll(List.of("-cp", System.getProperty("java.class.path"), SidecarProcess.MAIN, "serve"));
-            ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true)
+            ProcessBuilder builder = new ProcessBuilder(line)
+                    .redirectErrorStream(true)
                     .redirectOutput(folder.resolve("log").toFile());
             builder.environment().put("PROXY_CONFIG", config.toString());
             process = builder.start();
@@ -174,10 +202,14 @@
 
         private void write(Visited discovery) throws IOException {
             Path next = folder.resolve("next.json");
-            Files.writeString(next, SidecarProcess.config(
-                    Settings.of(true, Settings.type("read", 1, Contract.Effect.SAFE)),
-                    listen.getAddress().getHostAddress() + ":" + PORT,
-                    discovery.dial(), NOTHING_KNOWN, 1));
+            Files.writeString(
+                    next,
+                    SidecarProcess.config(
+                            Settings.of(true, Settings.type("read", 1, Contract.Effect.SAFE)),
+                            listen.getAddress().getHostAddress() + ":" + PORT,
+                            discovery.dial(),
+                            NOTHING_KNOWN,
+                            1));
             Files.move(next, config, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         }
 
@@ -194,8 +226,7 @@
                 awaitReload();
             } else {
                 signal("TERM");
-                if (!process.waitFor(MAX_ANSWER_S, TimeUnit.SECONDS)
-                        || process.exitValue() != ENDED_BY_TERM) {
+                if (!process.waitFor(MAX_ANSWER_S, TimeUnit.SECONDS) || process.exitValue() != ENDED_BY_TERM) {
                     faults.get("not ended by SIGTERM").incrementAndGet();
                 }
                 client.join();
@@ -216,7 +247,9 @@
         }
 
         private void signal(String name) throws Exception {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         }
 
         // One request after another, each on a connection of its own: what was connected is to be answered.
@@ -244,9 +277,10 @@
 
         private boolean answered(Socket s) throws IOException {
             s.setSoTimeout(MAX_ANSWER_MS);
-            s.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: a\r\nRequest-Id: " + System.nanoTime()
-                    + "\r\nRequest-Class: read\r\nRequest-Timeout: 2\r\nConnection: close\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write(("GET /api HTTP/1.1\r\nHost: a\r\nRequest-Id: " + System.nanoTime()
+                                    + "\r\nRequest-Class: read\r\nRequest-Timeout: 2\r\nConnection: close\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             InputStream in = s.getInputStream();
             return new String(in.readAllBytes(), StandardCharsets.US_ASCII).startsWith("HTTP/1.1 ");
         }
--- a/src/main/java/whinlead/testbed/SocketDay.java
+++ b/src/main/java/whinlead/testbed/SocketDay.java
@@ -1,7 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
-import whinlead.plan.Arrival;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -11,23 +9,25 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
+import whinlead.Contract;
+import whinlead.plan.Arrival;
 
 /**
- * One real sidecar in real time, on loopback sockets: stand-in endpoints, discovery and open-loop clients,
- * all in this process and on one loop of their own, and the ledger of what truly became of each request.
+ * One real sidecar in real time, on loopback sockets: stand-in endpoints, discovery and open-loop clients, all in this
+ * process and on one loop of their own, and the ledger of what truly became of each request.
  */
 public final class SocketDay {
     /** After the last deadline, for what is still under way. */
     private static final double TAIL_MS = 200;
+
     private static final long TICK_MS = 1000;
 
     /**
      * Something that the list tells at a time.
      *
-     * @param startedAt when the endpoint's process started, in milliseconds since the run began; NaN for
-     *     long ago
+     * @param startedAt when the endpoint's process started, in milliseconds since the run began; NaN for long ago
      */
-    public record Notice(double at, String id, String health, double startedAt) { }
+    public record Notice(double at, String id, String health, double startedAt) {}
 
     /**
      * What one sidecar's clients ask.
@@ -55,14 +55,19 @@
      *
      * @param length milliseconds for which clients ask
      */
-    public SocketDay(Contract.Settings settings, List<EndpointScript> fleet, List<Load> loads, double length,
-            long seed) {
+    public SocketDay(
+            Contract.Settings settings, List<EndpointScript> fleet, List<Load> loads, double length, long seed) {
         this(settings, fleet, List.of(Asked.of(loads)), List.of(), length, seed);
     }
 
     /** One of several sidecars, each with loads of its own. */
-    SocketDay(Contract.Settings settings, List<EndpointScript> fleet, List<Asked> asked,
-            List<Notice> notices, double length, long seed) {
+    SocketDay(
+            Contract.Settings settings,
+            List<EndpointScript> fleet,
+            List<Asked> asked,
+            List<Notice> notices,
+            double length,
+            long seed) {
         this.settings = settings;
         this.fleet = fleet;
         this.asked = asked;
@@ -77,7 +82,7 @@
      * @throws IOException if the sidecar does not start
      */
     public Ledger play() throws IOException {
-        return play((now, ledger) -> { });
+        return play((now, ledger) -> {});
     }
 
     /** The same; {@code eachSecond} sees the time and the ledger so far, on the stand-ins' loop. */
@@ -96,41 +101,51 @@
         EventLoop loop = timer.loop();
         List<SocketEndpoint> endpoints = new ArrayList<>();
         for (EndpointScript script : fleet) {
-            SocketEndpoint e = new SocketEndpoint(script, settings.classes(), timer, ledger,
-                    seed + endpoints.size());
+            SocketEndpoint e = new SocketEndpoint(script, settings.classes(), timer, ledger, seed + endpoints.size());
             e.start();
             endpoints.add(e);
         }
-        loop.submit(() -> endpoints.forEach(e -> discovery.set(e.id(), e.dial(), "ready"))).get();
+        loop.submit(() -> endpoints.forEach(e -> discovery.set(e.id(), e.dial(), "ready")))
+                .get();
         String known = loop.submit(discovery::whole).get();
         List<FrontProcess> processes = new ArrayList<>();
         try {
             for (int i = 0; i < asked.size(); i++) {
-                processes.add(SidecarProcess.start(List.of(), numbered(i), discovery.dial(), known,
-                        seed + i));
+                processes.add(SidecarProcess.start(List.of(), numbered(i), discovery.dial(), known, seed + i));
             }
             loop.submit(() -> {
-                timer.begin();
-                endpoints.forEach(SocketEndpoint::run);
-                notices.forEach(n -> timer.at(n.at(), () -> tell(n, endpoints, discovery, timer)));
-                for (int i = 0; i < asked.size(); i++) {
-                    OpenLoopClients clients = new OpenLoopClients(processes.get(i).address(),
-                            settings.classes(),
-                            asked.get(i).loads(), length, timer, ledger, seed + i, i, asked.size());
-                    clients.run();
-                    clients.follow(asked.get(i).arrivals(), asked.get(i).habit());
-                }
-                loop.scheduleAtFixedRate(() -> eachSecond.accept(timer.now(), ledger), TICK_MS, TICK_MS,
-                        TimeUnit.MILLISECONDS);
-            }).get();
-            double longest = settings.classes().stream().mapToDouble(Contract.RequestClass::deadline).max()
+                        timer.begin();
+                        endpoints.forEach(SocketEndpoint::run);
+                        notices.forEach(n -> timer.at(n.at(), () -> tell(n, endpoints, discovery, timer)));
+                        for (int i = 0; i < asked.size(); i++) {
+                            OpenLoopClients clients = new OpenLoopClients(
+                                    processes.get(i).address(),
+                                    settings.classes(),
+                                    asked.get(i).loads(),
+                                    length,
+                                    timer,
+                                    ledger,
+                                    seed + i,
+                                    i,
+                                    asked.size());
+                            clients.run();
+                            clients.follow(asked.get(i).arrivals(), asked.get(i).habit());
+                        }
+                        loop.scheduleAtFixedRate(
+                                () -> eachSecond.accept(timer.now(), ledger), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+                    })
+                    .get();
+            double longest = settings.classes().stream()
+                    .mapToDouble(Contract.RequestClass::deadline)
+                    .max()
                     .orElse(0);
             TimeUnit.MILLISECONDS.sleep((long) (length + longest + TAIL_MS));
             // Ended on the loop, after which nobody writes to the ledger any more.
             loop.submit(() -> {
-                endpoints.forEach(SocketEndpoint::stop);
-                discovery.stop();
-            }).get();
+                        endpoints.forEach(SocketEndpoint::stop);
+                        discovery.stop();
+                    })
+                    .get();
         } finally {
             for (FrontProcess p : processes) {
                 p.close();
@@ -140,16 +155,24 @@
     }
 
     private Contract.Settings numbered(int ordinal) {
-        return new Contract.Settings(settings.classes(), settings.tenants(), settings.overShareWorth(),
-                settings.limits(), settings.obligations(), settings.reporting(), settings.listMustBeAsked(),
-                asked.size(), ordinal);
+        return new Contract.Settings(
+                settings.classes(),
+                settings.tenants(),
+                settings.overShareWorth(),
+                settings.limits(),
+                settings.obligations(),
+                settings.reporting(),
+                settings.listMustBeAsked(),
+                asked.size(),
+                ordinal);
     }
 
-    private static void tell(Notice n, List<SocketEndpoint> endpoints, StandInDiscovery discovery,
-            LoopTimer timer) {
-        long startedAt = Double.isNaN(n.startedAt()) ? 0
-                : Math.round(System.currentTimeMillis() - timer.now() + n.startedAt());
-        endpoints.stream().filter(e -> e.id().equals(n.id())).findFirst()
+    private static void tell(Notice n, List<SocketEndpoint> endpoints, StandInDiscovery discovery, LoopTimer timer) {
+        long startedAt =
+                Double.isNaN(n.startedAt()) ? 0 : Math.round(System.currentTimeMillis() - timer.now() + n.startedAt());
+        endpoints.stream()
+                .filter(e -> e.id().equals(n.id()))
+                .findFirst()
                 .ifPresent(e -> discovery.set(e.id(), e.dial(), n.health(), startedAt));
     }
 }
--- a/src/main/java/whinlead/testbed/SocketEndpoint.java
+++ b/src/main/java/whinlead/testbed/SocketEndpoint.java
@@ -1,6 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -25,10 +24,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Locale;
+import whinlead.Contract;
 
 /**
- * A stand-in endpoint on a loopback socket, speaking the platform's HTTP/1.1. It and the ledger that it
- * writes to are owned by the timer's loop.
+ * A stand-in endpoint on a loopback socket, speaking the platform's HTTP/1.1. It and the ledger that it writes to are
+ * owned by the timer's loop.
  */
 final class SocketEndpoint {
     private static final int MAX_BODY = 64 * 1024;
@@ -43,8 +43,8 @@
     private Channel listener;
     private InetSocketAddress address;
 
-    SocketEndpoint(EndpointScript script, List<Contract.RequestClass> classes, LoopTimer timer, Ledger ledger,
-            long seed) {
+    SocketEndpoint(
+            EndpointScript script, List<Contract.RequestClass> classes, LoopTimer timer, Ledger ledger, long seed) {
         this.script = script;
         this.timer = timer;
         this.ledger = ledger;
@@ -80,7 +80,9 @@
     }
 
     private void listen(InetSocketAddress where) {
-        var bound = new ServerBootstrap().group(timer.loop()).channel(NioServerSocketChannel.class)
+        var bound = new ServerBootstrap()
+                .group(timer.loop())
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
@@ -90,10 +92,11 @@
                             reset(channel);
                             return;
                         }
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY),
-                                new Visits());
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new Visits());
                     }
-                }).bind(where);
+                })
+                .bind(where);
         // Registered and bound on the loop; only the first one is waited for, from outside it.
         listener = bound.channel();
         if (!timer.loop().inEventLoop()) {
@@ -170,16 +173,21 @@
             return;
         }
         boolean full = end == Workshop.End.FULL;
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1,
                 full ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
                 Unpooled.wrappedBuffer(full ? new byte[0] : BODY));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
         if (full) {
             response.headers().set("Not-Started", "1");
         }
         if (script.reports()) {
-            response.headers().set("Server-Load", String.format(Locale.ROOT, "util=%.3f,qps=%.1f,eps=0",
-                    workshop.util(), workshop.perSecond()));
+            response.headers()
+                    .set(
+                            "Server-Load",
+                            String.format(
+                                    Locale.ROOT, "util=%.3f,qps=%.1f,eps=0", workshop.util(), workshop.perSecond()));
         }
         if (fault == EndpointScript.Kind.SPOILING) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 2 * BODY.length);
--- a/src/main/java/whinlead/testbed/SpopWire.java
+++ b/src/main/java/whinlead/testbed/SpopWire.java
@@ -1,6 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.front.spop.SpopFrame;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -13,6 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import whinlead.front.spop.SpopFrame;
 
 /** A stand-in HAProxy's connection to the SPOP agent, with calls in the pipeline. */
 final class SpopWire extends SimpleChannelInboundHandler<ByteBuf> implements AgentClient.Wire {
@@ -28,8 +28,15 @@
     @Override
     public void connect(EventLoop loop, SocketAddress to, Runnable whenReady, Runnable closed) {
         ready = whenReady;
-        channel = AgentClient.connection(loop, to, c -> c.pipeline().addLast(new LengthFieldBasedFrameDecoder(
-                MAX_FRAME + Integer.BYTES, 0, Integer.BYTES, 0, Integer.BYTES), this), closed);
+        channel = AgentClient.connection(
+                loop,
+                to,
+                c -> c.pipeline()
+                        .addLast(
+                                new LengthFieldBasedFrameDecoder(
+                                        MAX_FRAME + Integer.BYTES, 0, Integer.BYTES, 0, Integer.BYTES),
+                                this),
+                closed);
     }
 
     @Override
--- a/src/main/java/whinlead/testbed/StandInDiscovery.java
+++ b/src/main/java/whinlead/testbed/StandInDiscovery.java
@@ -28,8 +28,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A stand-in of the platform's discovery: watches only, each of which gets the whole list first, then
- * changes, and an empty line every 2 s. Owned by the timer's loop.
+ * A stand-in of the platform's discovery: watches only, each of which gets the whole list first, then changes, and an
+ * empty line every 2 s. Owned by the timer's loop.
  */
 final class StandInDiscovery {
     private static final int MAX_REQUEST = 4096;
@@ -47,17 +47,20 @@
     }
 
     void start() {
-        listener = new ServerBootstrap().group(timer.loop()).channel(NioServerSocketChannel.class)
+        listener = new ServerBootstrap()
+                .group(timer.loop())
+                .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(),
-                                new HttpObjectAggregator(MAX_REQUEST), new Watch());
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST), new Watch());
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
                 .channel();
-        timer.loop().scheduleAtFixedRate(() -> watches.writeAndFlush(line("")), BEAT_S, BEAT_S,
-                TimeUnit.SECONDS);
+        timer.loop().scheduleAtFixedRate(() -> watches.writeAndFlush(line("")), BEAT_S, BEAT_S, TimeUnit.SECONDS);
     }
 
     String dial() {
--- a/src/main/java/whinlead/testbed/StandInProxy.java
+++ b/src/main/java/whinlead/testbed/StandInProxy.java
@@ -1,21 +1,22 @@
 package whinlead.testbed;
 
-import whinlead.Contract;
 import java.net.SocketAddress;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import whinlead.Contract;
 
 /**
- * A stand-in for other people's proxies: asks for each request, sends it where it is told, reports, and does
- * all that proxies do wrong by a seed: resends on its own, loses, delays, doubles and garbles reports, is cut
- * off, dies. What truly ran goes into the ledger. For one loop.
+ * A stand-in for other people's proxies: asks for each request, sends it where it is told, reports, and does all that
+ * proxies do wrong by a seed: resends on its own, loses, delays, doubles and garbles reports, is cut off, dies. What
+ * truly ran goes into the ledger. For one loop.
  */
 final class StandInProxy {
     /** One request in so many is resent on its own, and so on. */
     private static final int RESENT = 25;
+
     private static final int UNREPORTED = 200;
     private static final int BELATED = 100;
     private static final int DOUBLED = 100;
@@ -63,9 +64,16 @@
     private int programs;
     private int answers;
 
-    StandInProxy(LoopTimer timer, AgentClient agent, List<String> classes, Map<String, Workshop> endpoints,
+    StandInProxy(
+            LoopTimer timer,
+            AgentClient agent,
+            List<String> classes,
+            Map<String, Workshop> endpoints,
             Ledger ledger,
-            Drains drains, double grace, double timeout, long seed) {
+            Drains drains,
+            double grace,
+            double timeout,
+            long seed) {
         this.timer = timer;
         this.agent = agent;
         this.classes = classes;
@@ -78,11 +86,23 @@
     }
 
     /** One that makes no mistakes, before endpoints that don't drain. */
-    static StandInProxy wellBehaved(LoopTimer timer, AgentClient agent, Contract.Settings settings,
-            Map<String, Workshop> endpoints, Ledger ledger, long seed) {
-        StandInProxy proxy = new StandInProxy(timer, agent, settings.classes().stream()
-                .map(Contract.RequestClass::name).toList(), endpoints, ledger, new Drains(),
-                settings.obligations().drainGrace(), Settings.DEADLINE, seed);
+    static StandInProxy wellBehaved(
+            LoopTimer timer,
+            AgentClient agent,
+            Contract.Settings settings,
+            Map<String, Workshop> endpoints,
+            Ledger ledger,
+            long seed) {
+        StandInProxy proxy = new StandInProxy(
+                timer,
+                agent,
+                settings.classes().stream().map(Contract.RequestClass::name).toList(),
+                endpoints,
+                ledger,
+                new Drains(),
+                settings.obligations().drainGrace(),
+                Settings.DEADLINE,
+                seed);
         proxy.errs = false;
         return proxy;
     }
@@ -148,7 +168,7 @@
             case "refuse", "too_many" -> end(one, Ledger.End.REFUSED);
             case "fail" -> end(one, Ledger.End.FAILED);
             case "again" -> tryAgain(one);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -201,18 +221,20 @@
         report.put("id", Long.toString(one.id));
         report.put("attempt", !one.belated && errs(GARBLED) ? "9" : attempt);
         report.put("endpoint", !one.belated && errs(GARBLED) ? "elsewhere" : endpoint);
-        report.put("outcome", switch (how) {
-            case DONE -> "served";
-            case FULL -> "full";
-            case DIED -> "reset";
-        });
+        report.put(
+                "outcome",
+                switch (how) {
+                    case DONE -> "served";
+                    case FULL -> "full";
+                    case DIED -> "reset";
+                });
         if (one.belated || errs(BELATED)) {
             timer.at(one.endBy + BELATED_MS, () -> report(one, report));
             return;
         }
         report(one, report);
         if (errs(DOUBLED)) {
-            agent.call("outcome", report, said -> { });
+            agent.call("outcome", report, said -> {});
         }
     }
 
@@ -235,8 +257,8 @@
     }
 
     /**
-     * The program that it asks is gone with all that it knew: what is open here fails, closed, and nothing
-     * that it was asked about is asked anew.
+     * The program that it asks is gone with all that it knew: what is open here fails, closed, and nothing that it was
+     * asked about is asked anew.
      */
     void programLost() {
         agent.die();
--- a/src/main/java/whinlead/testbed/UpgradeRehearsal.java
+++ b/src/main/java/whinlead/testbed/UpgradeRehearsal.java
@@ -1,8 +1,5 @@
 package whinlead.testbed;
 
-import whinlead.testbed.mesh.upgrade.Figures;
-import whinlead.testbed.mesh.upgrade.Program;
-import whinlead.testbed.mesh.upgrade.Rollout;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -12,15 +9,22 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
+import whinlead.testbed.mesh.upgrade.Figures;
+import whinlead.testbed.mesh.upgrade.Program;
+import whinlead.testbed.mesh.upgrade.Rollout;
 
 /** {@code rehearse upgrade}: another version of the program beside this one, as processes on loopback. */
-@Command(name = "upgrade", description = "Three control nodes and three sidecars go from another version to this "
-        + "one, half way, back, through, and all back, under requests and changes.")
+@Command(
+        name = "upgrade",
+        description = "Three control nodes and three sidecars go from another version to this "
+                + "one, half way, back, through, and all back, under requests and changes.")
 final class UpgradeRehearsal implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
+
     @Option(names = "--other-jar", required = true, description = "The other version's program.")
     private Path otherJar;
+
     @Option(names = "--stand-s", description = "How long it stands after each way, in seconds.")
     private long standS = 10;
 
@@ -30,8 +34,8 @@
             throw new ParameterException(spec.commandLine(), "--other-jar: no file " + otherJar);
         }
         Promises promises = new Promises(System.out);
-        try (Rollout rollout = new Rollout(figuresOf(promises), Program.of(otherJar), Program.running(),
-                TimeUnit.SECONDS.toMillis(standS))) {
+        try (Rollout rollout = new Rollout(
+                figuresOf(promises), Program.of(otherJar), Program.running(), TimeUnit.SECONDS.toMillis(standS))) {
             rollout.play();
         }
         return promises.kept() ? 0 : 1;
--- a/src/main/java/whinlead/testbed/Workshop.java
+++ b/src/main/java/whinlead/testbed/Workshop.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 
 /**
- * The inside of a stand-in endpoint: cores, a queue in front of them and the law of service times. Work goes
- * on whether or not anybody still waits for it. It has no clock of its own: whoever owns it gives it one.
+ * The inside of a stand-in endpoint: cores, a queue in front of them and the law of service times. Work goes on whether
+ * or not anybody still waits for it. It has no clock of its own: whoever owns it gives it one.
  */
 final class Workshop {
     /** Time, in milliseconds since the run began, and what is to be done then. */
@@ -32,9 +32,13 @@
     }
 
     /** How a visit ended. */
-    enum End { DONE, FULL, DIED }
+    enum End {
+        DONE,
+        FULL,
+        DIED
+    }
 
-    private record Waiting(Visitor visitor, double since) { }
+    private record Waiting(Visitor visitor, double since) {}
 
     private static final double REPORT_WEIGHT = 0.1;
 
--- a/src/main/java/whinlead/testbed/fleet/ClientTraffic.java
+++ b/src/main/java/whinlead/testbed/fleet/ClientTraffic.java
@@ -1,14 +1,14 @@
 package whinlead.testbed.fleet;
 
-import whinlead.replication.Placement;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import whinlead.replication.Placement;
 
 /**
- * Simulated clients of all groups: requests arrive at each group as a Poisson process of its own. For the
- * event loop, but for what says otherwise.
+ * Simulated clients of all groups: requests arrive at each group as a Poisson process of its own. For the event loop,
+ * but for what says otherwise.
  */
 final class ClientTraffic {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -19,6 +19,7 @@
     private final Placement placement;
     /** The group of each request that must not run twice, in the order sent. */
     private final Map<String, FleetGroup> owners = new LinkedHashMap<>();
+
     private final ServedCounter afterKill = new ServedCounter();
     private final ServedCounter otherwise = new ServedCounter();
     private int requests;
@@ -48,7 +49,8 @@
     private void arrive(FleetGroup group) {
         if (running) {
             send(group);
-            double untilNext = -Math.log(1 - context.random().nextDouble()) * MICROS_PER_SECOND
+            double untilNext = -Math.log(1 - context.random().nextDouble())
+                    * MICROS_PER_SECOND
                     / context.plan().perSecond();
             context.loop().schedule(() -> arrive(group), (long) untilNext, TimeUnit.MICROSECONDS);
         }
@@ -68,7 +70,10 @@
 
     private FleetGroup ownerOf(String requestId) {
         String name = placement.of(requestId);
-        return groups.stream().filter(group -> group.name().equals(name)).findFirst().orElseThrow();
+        return groups.stream()
+                .filter(group -> group.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** The group of each request that must not run twice and did run. */
@@ -89,7 +94,6 @@
 
     /** Share served of all requests. */
     double served() {
-        return ServedCounter.share(afterKill.served() + otherwise.served(),
-                afterKill.sent() + otherwise.sent());
+        return ServedCounter.share(afterKill.served() + otherwise.served(), afterKill.sent() + otherwise.sent());
     }
 }
--- a/src/main/java/whinlead/testbed/fleet/ConsultAnswer.java
+++ b/src/main/java/whinlead/testbed/fleet/ConsultAnswer.java
@@ -21,7 +21,9 @@
 
     /** Reads the body of an answer; fields that are missing are empty or 0. */
     static ConsultAnswer of(JsonNode body) {
-        return new ConsultAnswer(body.path("do").asText(), body.path("attempt").asInt(),
+        return new ConsultAnswer(
+                body.path("do").asText(),
+                body.path("attempt").asInt(),
                 body.path("endpoint").asText());
     }
 }
--- a/src/main/java/whinlead/testbed/fleet/ConsultClient.java
+++ b/src/main/java/whinlead/testbed/fleet/ConsultClient.java
@@ -27,9 +27,15 @@
      * @param onAnswer called with the answer
      * @param onFailure called with the cause if there is none
      */
-    void ask(String requestId, RequestKind kind, long remainingMs, double timeoutMs,
-            Consumer<ConsultAnswer> onAnswer, Consumer<String> onFailure) {
-        ObjectNode body = context.mapper().createObjectNode()
+    void ask(
+            String requestId,
+            RequestKind kind,
+            long remainingMs,
+            double timeoutMs,
+            Consumer<ConsultAnswer> onAnswer,
+            Consumer<String> onFailure) {
+        ObjectNode body = context.mapper()
+                .createObjectNode()
                 .put("id", requestId)
                 .put("class", kind.className())
                 .put("timeout_ms", remainingMs);
@@ -44,9 +50,15 @@
      * @param onAnswer called with the answer
      * @param onFailure called with the cause if there is none
      */
-    void report(String requestId, ConsultAnswer sent, String outcome, double timeoutMs,
-            Consumer<ConsultAnswer> onAnswer, Consumer<String> onFailure) {
-        ObjectNode body = context.mapper().createObjectNode()
+    void report(
+            String requestId,
+            ConsultAnswer sent,
+            String outcome,
+            double timeoutMs,
+            Consumer<ConsultAnswer> onAnswer,
+            Consumer<String> onFailure) {
+        ObjectNode body = context.mapper()
+                .createObjectNode()
                 .put("id", requestId)
                 .put("attempt", sent.attempt())
                 .put("endpoint", sent.endpoint())
@@ -54,21 +66,28 @@
         post("outcome", body, timeoutMs, onAnswer, onFailure);
     }
 
-    private void post(String operation, ObjectNode body, double timeoutMs, Consumer<ConsultAnswer> onAnswer,
+    private void post(
+            String operation,
+            ObjectNode body,
+            double timeoutMs,
+            Consumer<ConsultAnswer> onAnswer,
             Consumer<String> onFailure) {
         HttpRequest request = HttpRequest.newBuilder(URI.create(baseUrl + operation))
                 .timeout(Duration.ofMillis((long) timeoutMs))
                 .header("Content-Type", "application/json")
                 .POST(HttpRequest.BodyPublishers.ofString(body.toString()))
                 .build();
-        context.http().sendAsync(request, HttpResponse.BodyHandlers.ofString())
-                .whenCompleteAsync((response, error) -> {
-                    if (error == null) {
-                        parse(response.body(), onAnswer, onFailure);
-                    } else {
-                        onFailure.accept(error.toString());
-                    }
-                }, context.loop());
+        context.http()
+                .sendAsync(request, HttpResponse.BodyHandlers.ofString())
+                .whenCompleteAsync(
+                        (response, error) -> {
+                            if (error == null) {
+                                parse(response.body(), onAnswer, onFailure);
+                            } else {
+                                onFailure.accept(error.toString());
+                            }
+                        },
+                        context.loop());
     }
 
     private void parse(String body, Consumer<ConsultAnswer> onAnswer, Consumer<String> onFailure) {
--- a/src/main/java/whinlead/testbed/fleet/CopiesCost.java
+++ b/src/main/java/whinlead/testbed/fleet/CopiesCost.java
@@ -1,7 +1,5 @@
 package whinlead.testbed.fleet;
 
-import whinlead.replication.wire.CopiesGrpc;
-import whinlead.replication.wire.Wire;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -27,10 +25,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.SynchronizedHistogram;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
 
 /**
- * What keeping copies costs the sidecar that is asked: real processes, one of which has callers that ask,
- * report that it was served, and begin anew. Blocks its caller.
+ * What keeping copies costs the sidecar that is asked: real processes, one of which has callers that ask, report that
+ * it was served, and begin anew. Blocks its caller.
  */
 public final class CopiesCost {
     /**
@@ -42,7 +42,7 @@
      * @param bytes said by all members for each consultation
      * @param notSent share of asks that were not told to send
      */
-    public record Cost(double perSecond, double median, double p99, double bytes, double notSent) { }
+    public record Cost(double perSecond, double median, double p99, double bytes, double notSent) {}
 
     private static final int CALLERS = 16;
     private static final long MAX_READY_MS = 60_000;
@@ -54,7 +54,8 @@
     private static final double MILLIS = 1000;
 
     private final ObjectMapper mapper = new ObjectMapper();
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient http =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final AtomicLong ids = new AtomicLong();
     private final double seconds;
 
@@ -72,8 +73,7 @@
      */
     public Cost measure(int members, String kind) throws IOException {
         Path root = Files.createTempDirectory("cost");
-        CopiesFleet.Plan plan = new CopiesFleet.Plan(1, Math.max(1, members), members > 0, false, false, 0,
-                0, 1);
+        CopiesFleet.Plan plan = new CopiesFleet.Plan(1, Math.max(1, members), members > 0, false, false, 0, 0, 1);
         FleetFiles files = new FleetFiles(plan, REMEMBER_MS, mapper);
         List<FleetProcess> processes = new ArrayList<>();
         List<ManagedChannel> channels = new ArrayList<>();
@@ -84,17 +84,18 @@
                 Path folder = Files.createDirectories(root.resolve("n" + i));
                 for (int j = 0; j < plan.members(); j++) {
                     if (i != j) {
-                        Relay relay = new Relay(loops.next(), new InetSocketAddress(files.address(0, j),
-                                FleetFiles.GROUP));
+                        Relay relay =
+                                new Relay(loops.next(), new InetSocketAddress(files.address(0, j), FleetFiles.GROUP));
                         relay.listen(files.link(0, i, j));
                         relays.add(relay);
                     }
                 }
                 processes.add(new FleetProcess(folder, files.write(0, i, folder, Integer.toHexString(i))));
                 processes.get(i).start();
-                channels.add(NettyChannelBuilder.forAddress(new InetSocketAddress(files.address(0, i),
-                        FleetFiles.GROUP))
-                        .usePlaintext().build());
+                channels.add(
+                        NettyChannelBuilder.forAddress(new InetSocketAddress(files.address(0, i), FleetFiles.GROUP))
+                                .usePlaintext()
+                                .build());
             }
             return asked(files.address(0, 0), processes.get(0), channels, members, kind);
         } finally {
@@ -106,11 +107,10 @@
         }
     }
 
-    private Cost asked(String address, FleetProcess process, List<ManagedChannel> channels, int members,
-            String kind)
+    private Cost asked(String address, FleetProcess process, List<ManagedChannel> channels, int members, String kind)
             throws IOException {
-        await(() -> FleetFiles.ready(http, address,
-                MAX_CALL_MS) && (members == 0 || channels.stream().allMatch(c -> votes(c))));
+        await(() -> FleetFiles.ready(http, address, MAX_CALL_MS)
+                && (members == 0 || channels.stream().allMatch(c -> votes(c))));
         Callers warm = new Callers(address, kind, CALLERS);
         pause(seconds);
         double cpu = process.cpu();
@@ -124,7 +124,10 @@
         Callers one = new Callers(address, kind, 1);
         pause(seconds);
         one.stop();
-        return new Cost(did / used, one.times.getValueAtPercentile(50), one.times.getValueAtPercentile(99),
+        return new Cost(
+                did / used,
+                one.times.getValueAtPercentile(50),
+                one.times.getValueAtPercentile(99),
                 said,
                 (double) warm.notSent.get() / Math.max(1, warm.done.get()));
     }
@@ -154,7 +157,8 @@
 
     private static Wire.StatusReply status(ManagedChannel channel) {
         try {
-            return CopiesGrpc.newBlockingStub(channel).withDeadlineAfter(MAX_CALL_MS, TimeUnit.MILLISECONDS)
+            return CopiesGrpc.newBlockingStub(channel)
+                    .withDeadlineAfter(MAX_CALL_MS, TimeUnit.MILLISECONDS)
                     .status(Wire.StatusRequest.getDefaultInstance());
         } catch (StatusRuntimeException e) {
             channel.resetConnectBackoff();
@@ -167,7 +171,9 @@
     }
 
     private static long bytes(List<ManagedChannel> channels, int members) {
-        return members == 0 ? 0 : channels.stream().mapToLong(c -> status(c).getSaidBytes()).sum();
+        return members == 0
+                ? 0
+                : channels.stream().mapToLong(c -> status(c).getSaidBytes()).sum();
     }
 
     /** Callers that each ask, report and begin anew. */
@@ -192,10 +198,11 @@
         }
 
         private HttpRequest call(String what, ObjectNode said) {
-            return HttpRequest.newBuilder(URI.create("http://" + address + ":" + FleetFiles.CONSULT
-                    + "/v1/" + what))
-                    .timeout(Duration.ofMillis(MAX_CALL_MS)).header("Content-Type", "application/json")
-                    .POST(HttpRequest.BodyPublishers.ofString(said.toString())).build();
+            return HttpRequest.newBuilder(URI.create("http://" + address + ":" + FleetFiles.CONSULT + "/v1/" + what))
+                    .timeout(Duration.ofMillis(MAX_CALL_MS))
+                    .header("Content-Type", "application/json")
+                    .POST(HttpRequest.BodyPublishers.ofString(said.toString()))
+                    .build();
         }
 
         private void ask() {
@@ -204,19 +211,19 @@
             }
             String id = "c" + ids.incrementAndGet();
             long at = System.nanoTime();
-            ObjectNode asked = mapper.createObjectNode().put("id", id).put("class", kind).put("timeout_ms",
-                    2000);
-            http.sendAsync(call("ask", asked), HttpResponse.BodyHandlers.ofString()).whenComplete((r,
-                    fault) -> {
-                times.recordValue(Math.min(HIGHEST_MICROS, (System.nanoTime() - at) / 1000));
-                JsonNode said = fault == null ? read(r.body()) : mapper.createObjectNode();
-                if (said.path("do").asText().equals("send")) {
-                    report(id, said);
-                } else {
-                    notSent.incrementAndGet();
-                    next();
-                }
-            });
+            ObjectNode asked =
+                    mapper.createObjectNode().put("id", id).put("class", kind).put("timeout_ms", 2000);
+            http.sendAsync(call("ask", asked), HttpResponse.BodyHandlers.ofString())
+                    .whenComplete((r, fault) -> {
+                        times.recordValue(Math.min(HIGHEST_MICROS, (System.nanoTime() - at) / 1000));
+                        JsonNode said = fault == null ? read(r.body()) : mapper.createObjectNode();
+                        if (said.path("do").asText().equals("send")) {
+                            report(id, said);
+                        } else {
+                            notSent.incrementAndGet();
+                            next();
+                        }
+                    });
         }
 
         private JsonNode read(String body) {
@@ -228,9 +235,11 @@
         }
 
         private void report(String id, JsonNode said) {
-            ObjectNode report = mapper.createObjectNode().put("id", id).put("attempt",
-                    said.path("attempt").asInt())
-                    .put("endpoint", said.path("endpoint").asText()).put("outcome", "served");
+            ObjectNode report = mapper.createObjectNode()
+                    .put("id", id)
+                    .put("attempt", said.path("attempt").asInt())
+                    .put("endpoint", said.path("endpoint").asText())
+                    .put("outcome", "served");
             http.sendAsync(call("outcome", report), HttpResponse.BodyHandlers.discarding())
                     .whenComplete((r, fault) -> next());
         }
--- a/src/main/java/whinlead/testbed/fleet/CopiesFleet.java
+++ b/src/main/java/whinlead/testbed/fleet/CopiesFleet.java
@@ -1,6 +1,5 @@
 package whinlead.testbed.fleet;
 
-import whinlead.replication.wire.Wire;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,27 +8,34 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
+import whinlead.replication.wire.Wire;
 
 /**
- * Replication groups of real sidecars, each a process, over links that fail: processes are killed, stopped
- * and started again while proxies consult them and resend to others on their own. One ledger over all of
- * them holds what truly ran. Blocks its caller; simulated clients run on one event loop.
+ * Replication groups of real sidecars, each a process, over links that fail: processes are killed, stopped and started
+ * again while proxies consult them and resend to others on their own. One ledger over all of them holds what truly ran.
+ * Blocks its caller; simulated clients run on one event loop.
  */
 public final class CopiesFleet implements AutoCloseable {
     /**
      * What is played.
      *
      * @param members of each group
-     * @param copies false for sidecars without replication: the same processes, which know nothing of each
-     *     other
-     * @param site whether all groups are one site's: whichever process is asked passes on what another group
-     *     keeps, and processes replace members that stay away
+     * @param copies false for sidecars without replication: the same processes, which know nothing of each other
+     * @param site whether all groups are one site's: whichever process is asked passes on what another group keeps, and
+     *     processes replace members that stay away
      * @param disks whether members have disks that last, of which every second kill takes one
      * @param faults over all groups
      * @param perSecond requests to each group
      */
-    public record Plan(int groups, int members, boolean copies, boolean site, boolean disks, int faults,
-            double perSecond, long seed) { }
+    public record Plan(
+            int groups,
+            int members,
+            boolean copies,
+            boolean site,
+            boolean disks,
+            int faults,
+            double perSecond,
+            long seed) {}
 
     /**
      * What came of it.
@@ -38,7 +44,7 @@
      * @param around served, of what was asked in the 5 s after a kill
      * @param served of all
      */
-    public record Result(FleetLedger ledger, List<Double> gaps, double around, double served) { }
+    public record Result(FleetLedger ledger, List<Double> gaps, double around, double served) {}
 
     /**
      * What came of processes that were lost at once for good.
@@ -47,12 +53,13 @@
      * @param wholeMs until every group had all of its members again
      * @param saidBytes that all said to each other in that time, and of that snapshots
      */
-    public record Loss(int lost, int moved, double wholeMs, long saidBytes, long snapshotBytes) { }
+    public record Loss(int lost, int moved, double wholeMs, long saidBytes, long snapshotBytes) {}
 
-    private record Traffic(long bytes, long snapshotBytes) { }
+    private record Traffic(long bytes, long snapshotBytes) {}
 
     /** How long clients send before something is lost, or after, in milliseconds. */
     private static final double LOAD_MS = 5000;
+
     private static final int STARTS_AT_ONCE = 16;
     private static final double COMPLETE_TIMEOUT_MS = TimeUnit.SECONDS.toMillis(90);
 
@@ -83,8 +90,7 @@
     /**
      * Plays it.
      *
-     * @throws IOException if the processes can't be started, or a group is not complete long after its last
-     * fault
+     * @throws IOException if the processes can't be started, or a group is not complete long after its last fault
      */
     public Result play() throws IOException {
         start();
@@ -108,8 +114,10 @@
 
     // A process of a site may be a member of several groups, which bear one loss each.
     private boolean mayAdvance(FaultInjector injector) {
-        return !context.plan().site || injector.active()
-                || injectors.stream().allMatch(other -> !other.active() && other.group().complete());
+        return !context.plan().site
+                || injector.active()
+                || injectors.stream()
+                        .allMatch(other -> !other.active() && other.group().complete());
     }
 
     private void advance(FaultInjector injector) throws IOException {
@@ -123,8 +131,7 @@
     }
 
     /**
-     * Starts it, has proxies ask, and ends one process in so many at once and for good, each of another
-     * group.
+     * Starts it, has proxies ask, and ends one process in so many at once and for good, each of another group.
      *
      * @throws IOException if a group is not complete again in time
      */
@@ -149,13 +156,13 @@
         Traffic after = traffic();
         stopClients();
         compareMembers();
-        return new Loss(lost.size(), moved, completeMs, after.bytes - before.bytes,
-                after.snapshotBytes - before.snapshotBytes);
+        return new Loss(
+                lost.size(), moved, completeMs, after.bytes - before.bytes, after.snapshotBytes - before.snapshotBytes);
     }
 
     /**
-     * Starts it, the first process with a disk that is soon full, and has proxies ask until that process has
-     * left its group and for a while longer; then all others are compared.
+     * Starts it, the first process with a disk that is soon full, and has proxies ask until that process has left its
+     * group and for a while longer; then all others are compared.
      *
      * @return the line with which it left
      * @throws IOException if it does not within a minute and a half
@@ -210,8 +217,7 @@
             while (!group.complete()) {
                 if (context.now() > deadline) {
                     ledger().broken("not whole again", group.describe());
-                    throw new IOException("group " + group.number() + " is not whole; logs in "
-                            + context.root());
+                    throw new IOException("group " + group.number() + " is not whole; logs in " + context.root());
                 }
                 FleetContext.pause();
             }
--- a/src/main/java/whinlead/testbed/fleet/FaultInjector.java
+++ b/src/main/java/whinlead/testbed/fleet/FaultInjector.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * Injects faults into one group, one at a time, and undoes each when its time is over. For the thread that
- * plays the run; links are changed on the event loop.
+ * Injects faults into one group, one at a time, and undoes each when its time is over. For the thread that plays the
+ * run; links are changed on the event loop.
  */
 final class FaultInjector {
     private static final long LATE_MS = 300;
@@ -14,6 +14,7 @@
     private final OutageTimer outageTimer;
     /** Undoes the fault that the group is in; null while it is in none. */
     private Runnable recovery;
+
     private double recoverAt;
 
     /** For a group, whose timer is told of each fault. */
@@ -37,8 +38,7 @@
         if (context.now() >= recoverAt) {
             recovery.run();
             recovery = null;
-            context.loop().execute(() -> context.ledger().happened(context.now() + " " + group.name()
-                    + " mended"));
+            context.loop().execute(() -> context.ledger().happened(context.now() + " " + group.name() + " mended"));
         }
     }
 
--- a/src/main/java/whinlead/testbed/fleet/FaultScript.java
+++ b/src/main/java/whinlead/testbed/fleet/FaultScript.java
@@ -8,8 +8,8 @@
 import java.util.Random;
 
 /**
- * Which faults a fleet meets, by a seed and nothing else: dealt as from a pack of cards, so that however few
- * are played, those that matter most are among them. Of any four at least one is a kill. For one thread.
+ * Which faults a fleet meets, by a seed and nothing else: dealt as from a pack of cards, so that however few are
+ * played, those that matter most are among them. Of any four at least one is a kill. For one thread.
  */
 public final class FaultScript {
     /** What is done to a member. */
@@ -56,10 +56,11 @@
      * @param member of its group, from 0
      * @param lastsMs until it is mended; a killed one starts again then
      */
-    public record Fault(Kind kind, int member, int lastsMs) { }
+    public record Fault(Kind kind, int member, int lastsMs) {}
 
     /** In each pack: half kills, and not more than three others, or four could be dealt without one. */
     private static final int KILLS = 3;
+
     private static final int STOPS = 1;
     private static final int LINKS = 2;
     private static final int MIN_KILL_MS = 100;
@@ -91,7 +92,8 @@
             shuffle();
         }
         Kind kind = pack.pop();
-        int lasts = kind.kills() ? MIN_KILL_MS + dice.nextInt(KILL_SPREAD_MS)
+        int lasts = kind.kills()
+                ? MIN_KILL_MS + dice.nextInt(KILL_SPREAD_MS)
                 : MIN_MS + dice.nextInt(kind == Kind.STOP ? STOP_SPREAD_MS : LINK_SPREAD_MS);
         return new Fault(kind, dice.nextInt(members), lasts);
     }
--- a/src/main/java/whinlead/testbed/fleet/FleetContext.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetContext.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the parts of one fleet run share: its plan, random numbers, clock, event loop, HTTP client, files and
- * ledger. Simulated clients and the ledger belong to the event loop; processes are started, ended and
- * watched from the thread that plays the run.
+ * What the parts of one fleet run share: its plan, random numbers, clock, event loop, HTTP client, files and ledger.
+ * Simulated clients and the ledger belong to the event loop; processes are started, ended and watched from the thread
+ * that plays the run.
  */
 final class FleetContext implements AutoCloseable {
     /** How long a client waits for its request, in milliseconds. */
@@ -24,6 +24,7 @@
     static final double SLACK_MS = 500;
     /** For how long groups remember how a request ended. */
     private static final long REMEMBER_MS = 600_000;
+
     private static final long POLL_MS = 50;
     private static final double NANOS_PER_MILLI = 1e6;
 
@@ -33,8 +34,7 @@
     private final ObjectMapper mapper = new ObjectMapper();
     private final FleetFiles files;
     private final FleetLedger ledger = new FleetLedger();
-    private final MultiThreadIoEventLoopGroup loops =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = loops.next();
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
--- a/src/main/java/whinlead/testbed/fleet/FleetFiles.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetFiles.java
@@ -23,16 +23,19 @@
     private static final int NETS = 200;
     private static final int ENDPOINTS = 8;
     /**
-     * One that stands still has more connections, of callers that gave up, than are usual: with 32 it closed
-     * those that were alive, before it heard that others were gone.
+     * One that stands still has more connections, of callers that gave up, than are usual: with 32 it closed those that
+     * were alive, before it heard that others were gone.
      */
     private static final int CONNECTIONS = 64;
+
     private static final int REPLACE_AFTER_MS = 5000;
     /** What it remembers by itself is gone when members are compared: then they tell what was agreed on. */
     private static final int FORGETS_MS = 1000;
+
     private static final int REMEMBERS_MS = 60_000;
     /** Of the last part of an address: members from 1 on, links from here on. */
     private static final int LINKS_FROM = 100;
+
     private static final int LINKS_EACH = 10;
 
     private final CopiesFleet.Plan plan;
@@ -59,8 +62,7 @@
 
     /** Where a member reaches another of its group: a link that can be made to fail. */
     InetSocketAddress link(int group, int from, int to) {
-        return new InetSocketAddress("127." + net + "." + group + "." + (LINKS_FROM + from * LINKS_EACH
-                + to), GROUP);
+        return new InetSocketAddress("127." + net + "." + group + "." + (LINKS_FROM + from * LINKS_EACH + to), GROUP);
     }
 
     static Path disk(Path folder) {
@@ -70,13 +72,18 @@
     /** Writes a member's files into its folder; gives the environment that names them. */
     Map<String, String> write(int group, int member, Path folder, String seed) throws IOException {
         String address = address(group, member);
-        ObjectNode config = (ObjectNode) mapper.readTree(CopiesFleet.class
-                .getResource("/whinlead/testbed/fleet.json"));
+        ObjectNode config = (ObjectNode) mapper.readTree(CopiesFleet.class.getResource("/whinlead/testbed/fleet.json"));
         config.put("listen", address + ":" + FRONT).put("seed", seed);
         var hosts = config.putObject("known").put("seq", 1).put("whole", true).putArray("hosts");
         for (int i = 0; i < ENDPOINTS; i++) {
-            hosts.addObject().put("host", "e" + i).put("dial", "127.0.0.1:" + (1000 + i)).put("site", "a")
-                    .put("class", "m").put("block", 0).put("health", "ready").put("share", 1.0)
+            hosts.addObject()
+                    .put("host", "e" + i)
+                    .put("dial", "127.0.0.1:" + (1000 + i))
+                    .put("site", "a")
+                    .put("class", "m")
+                    .put("block", 0)
+                    .put("health", "ready")
+                    .put("share", 1.0)
                     .put("born_ms", 0);
         }
         Path main = folder.resolve("config.json");
@@ -85,8 +92,11 @@
         processor.putObject("http").put("listen", address + ":" + CONSULT).put("connections", CONNECTIONS);
         processor.putObject("bounds").put("remember_ms", plan.copies() ? FORGETS_MS : REMEMBERS_MS);
         Files.writeString(folder.resolve("processor.json"), mapper.writeValueAsString(processor));
-        Map<String, String> environment = new HashMap<>(Map.of("PROXY_CONFIG", main.toString(),
-                "PROXY_PROCESSOR", folder.resolve("processor.json").toString()));
+        Map<String, String> environment = new HashMap<>(Map.of(
+                "PROXY_CONFIG",
+                main.toString(),
+                "PROXY_PROCESSOR",
+                folder.resolve("processor.json").toString()));
         if (plan.copies()) {
             Path file = folder.resolve("copies.json");
             Files.writeString(file, mapper.writeValueAsString(copies(group, member, folder)));
@@ -125,9 +135,14 @@
     /** True once the process at this address takes clients. Blocks for so many milliseconds at most. */
     static boolean ready(HttpClient http, String address, long mostMs) {
         try {
-            return http.send(HttpRequest.newBuilder(URI.create("http://" + address + ":" + FRONT
-                    + "/health/ready")).timeout(Duration.ofMillis(mostMs)).build(),
-                    HttpResponse.BodyHandlers.discarding()).statusCode() == 200;
+            return http.send(
+                                    HttpRequest.newBuilder(
+                                                    URI.create("http://" + address + ":" + FRONT + "/health/ready"))
+                                            .timeout(Duration.ofMillis(mostMs))
+                                            .build(),
+                                    HttpResponse.BodyHandlers.discarding())
+                            .statusCode()
+                    == 200;
         } catch (IOException e) {
             return false;
         } catch (InterruptedException e) {
@@ -142,8 +157,9 @@
 
     // By which address one reaches another: those of its own group by links.
     private String seen(int group, int member, int otherGroup, int other) {
-        return (group == otherGroup && member != other ? link(group, member,
-                other).getAddress().getHostAddress()
-                : address(otherGroup, other)) + ":" + GROUP;
+        return (group == otherGroup && member != other
+                        ? link(group, member, other).getAddress().getHostAddress()
+                        : address(otherGroup, other))
+                + ":" + GROUP;
     }
 }
