--- a/src/main/java/whinlead/testbed/fleet/FleetGroup.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetGroup.java
@@ -1,15 +1,12 @@
 package whinlead.testbed.fleet;
 
-import whinlead.replication.wire.Wire;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import whinlead.replication.wire.Wire;
 
-/**
- * One replication group of a fleet: the processes that were its first members, and what its present ones say
- * of it.
- */
+/** One replication group of a fleet: the processes that were its first members, and what its present ones say of it. */
 final class FleetGroup {
     private final FleetContext context;
     private final int number;
@@ -70,8 +67,9 @@
     private boolean agree(List<Wire.StatusReply> replies) {
         List<Wire.Id> ids = replies.stream().map(Wire.StatusReply::getId).toList();
         return ids.size() == context.plan().members()
-                && replies.stream().allMatch(reply -> reply.getMembersCount() == ids.size()
-                        && reply.getMembersList().containsAll(ids))
+                && replies.stream()
+                        .allMatch(reply -> reply.getMembersCount() == ids.size()
+                                && reply.getMembersList().containsAll(ids))
                 && replies.stream().anyMatch(Wire.StatusReply::getLeads);
     }
 
@@ -80,25 +78,33 @@
         for (FleetNode node : candidates) {
             Optional<Wire.StatusReply> reply = node.liveStatus(name()).filter(Wire.StatusReply::getLeads);
             if (reply.isPresent()) {
-                return reply.get().getMembersList().stream().map(id -> candidate(id.getName())).toList();
+                return reply.get().getMembersList().stream()
+                        .map(id -> candidate(id.getName()))
+                        .toList();
             }
         }
         return firstMembers;
     }
 
     private FleetNode candidate(String name) {
-        return candidates.stream().filter(node -> node.name().equals(name)).findFirst().orElseThrow();
+        return candidates.stream()
+                .filter(node -> node.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** How many of its present members were not among the first. */
     int replacedMembers() {
-        return (int) members().stream().filter(node -> !firstMembers.contains(node)).count();
+        return (int)
+                members().stream().filter(node -> !firstMembers.contains(node)).count();
     }
 
     /** What its first members say, for a message on a group that is not complete. */
     String describe() {
-        return "group " + number + " " + firstMembers.stream()
-                .map(node -> node.process().alive() + " " + node.status(name()).orElse(null))
-                .toList();
+        return "group " + number + " "
+                + firstMembers.stream()
+                        .map(node -> node.process().alive() + " "
+                                + node.status(name()).orElse(null))
+                        .toList();
     }
 }
--- a/src/main/java/whinlead/testbed/fleet/FleetLedger.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetLedger.java
@@ -9,9 +9,8 @@
 import java.util.TreeSet;
 
 /**
- * What truly became of each request, by its id, over all processes of a fleet and all proxies: where it ran
- * and what callers were told. It asks the program nothing. Times are milliseconds since the day began. For
- * one thread.
+ * What truly became of each request, by its id, over all processes of a fleet and all proxies: where it ran and what
+ * callers were told. It asks the program nothing. Times are milliseconds since the day began. For one thread.
  */
 public final class FleetLedger {
     private static final class Story {
@@ -33,8 +32,7 @@
     /**
      * An endpoint begins with it.
      *
-     * @param window for how long endpoints know a repeated one, 0 for not at all; less than 0 where it may
-     * run often
+     * @param window for how long endpoints know a repeated one, 0 for not at all; less than 0 where it may run often
      */
     public void ran(String id, String by, double window, double now) {
         Story s = story(id);
@@ -45,8 +43,7 @@
             broken("run twice", id + " at " + s.firstRun + " and " + now + " by " + s.members);
         }
         if (window == 0 && now > s.refusedAt) {
-            broken("run after a refusal", id + " refused at " + s.refusedAt + ", run at " + now + " by "
-                    + by);
+            broken("run after a refusal", id + " refused at " + s.refusedAt + ", run at " + now + " by " + by);
         }
     }
 
--- a/src/main/java/whinlead/testbed/fleet/FleetNode.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetNode.java
@@ -1,6 +1,5 @@
 package whinlead.testbed.fleet;
 
-import whinlead.replication.wire.Wire;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -9,6 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Stream;
+import whinlead.replication.wire.Wire;
 
 /** One process of a fleet, with the links by which it reaches the other members of its group. */
 final class FleetNode implements AutoCloseable {
@@ -23,6 +23,7 @@
     private final ConsultClient consult;
     /** By the number of the member that each leads to. Made on the playing thread, used on the loop. */
     private final Map<Integer, Relay> links = new LinkedHashMap<>();
+
     private StatusClient status;
     private boolean retired;
     /** Since when it has run undisturbed, in milliseconds; {@link #NOT_HEALTHY} while killed or stopped. */
@@ -73,8 +74,7 @@
         CopiesFleet.Plan plan = context.plan();
         for (int i = 0; plan.copies() && i < plan.members(); i++) {
             if (i != member) {
-                InetSocketAddress target =
-                        new InetSocketAddress(context.files().address(group, i), FleetFiles.GROUP);
+                InetSocketAddress target = new InetSocketAddress(context.files().address(group, i), FleetFiles.GROUP);
                 Relay relay = new Relay(context.loop(), target);
                 relay.listen(context.files().link(group, member, i));
                 links.put(i, relay);
@@ -140,7 +140,9 @@
     /** The line of its log with which it left its group, or an empty one. */
     String stepDownLine() throws IOException {
         try (Stream<String> lines = Files.lines(process.log())) {
-            return lines.filter(line -> line.contains("steps aside")).findFirst().orElse("");
+            return lines.filter(line -> line.contains("steps aside"))
+                    .findFirst()
+                    .orElse("");
         }
     }
 
--- a/src/main/java/whinlead/testbed/fleet/FleetProcess.java
+++ b/src/main/java/whinlead/testbed/fleet/FleetProcess.java
@@ -11,13 +11,19 @@
 import java.util.stream.Stream;
 
 /**
- * A sidecar of a fleet in a process of its own, which can be killed, stopped and started again. It is ended
- * with this program, by its id. Not for use by several threads.
+ * A sidecar of a fleet in a process of its own, which can be killed, stopped and started again. It is ended with this
+ * program, by its id. Not for use by several threads.
  */
 public final class FleetProcess implements AutoCloseable {
-    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+    private static final List<String> JVM = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
             "-Xshare:auto",
-            "-Xms48m", "-Xmx48m", "-Xss512k", "-XX:MaxDirectMemorySize=32m", "-Dio.netty.jfr.enabled=false",
+            "-Xms48m",
+            "-Xmx48m",
+            "-Xss512k",
+            "-XX:MaxDirectMemorySize=32m",
+            "-Dio.netty.jfr.enabled=false",
             "-Dio.netty.leakDetection.level=disabled");
     private static final String MAIN = "whinlead.run.Main";
     private static final int MAX_END_S = 10;
@@ -53,7 +59,8 @@
         line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         line.addAll(JVM);
         line.addAll(List.of("-cp", System.getProperty("java.class.path"), MAIN, "serve"));
-        ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(line)
+                .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
         builder.environment().putAll(environment);
         process = builder.start();
--- a/src/main/java/whinlead/testbed/fleet/OutageTimer.java
+++ b/src/main/java/whinlead/testbed/fleet/OutageTimer.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Measures for one group how long after a fault the first unsafe or keyed request goes out again, and
- * remembers its last kill. For the event loop.
+ * Measures for one group how long after a fault the first unsafe or keyed request goes out again, and remembers its
+ * last kill. For the event loop.
  */
 final class OutageTimer {
     /** Requests that come so soon after a kill are counted apart, in milliseconds. */
--- a/src/main/java/whinlead/testbed/fleet/ProxyRequest.java
+++ b/src/main/java/whinlead/testbed/fleet/ProxyRequest.java
@@ -3,17 +3,19 @@
 import java.util.Random;
 
 /**
- * One client's request at a proxy that consults sidecars, sends the attempts that they allow, reports how
- * those ended, and resends to another sidecar on its own when none answers. For the event loop.
+ * One client's request at a proxy that consults sidecars, sends the attempts that they allow, reports how those ended,
+ * and resends to another sidecar on its own when none answers. For the event loop.
  */
 final class ProxyRequest {
     private static final int MAX_CALLS = 4;
     /** A proxy waits for a sidecar at least this long before it asks another, in milliseconds. */
     private static final int MIN_PATIENCE_MS = 150;
+
     private static final int PATIENCE_SPREAD_MS = 900;
     private static final int MAX_ATTEMPT_MS = 60;
     /** Of so many attempts two find the endpoint full, one fails to connect, and two are reset. */
     private static final int OUTCOME_DRAWS = 40;
+
     private static final int FULL_BELOW = 2;
     private static final int CONNECT_FAILED_BELOW = 3;
     private static final int RESET_BELOW = 5;
@@ -25,7 +27,10 @@
     private static final int SILENT_RETRY_IN = 3;
 
     private enum AttemptOutcome {
-        FULL("full"), CONNECT_FAILED("connect_failed"), RESET("reset"), SERVED("served");
+        FULL("full"),
+        CONNECT_FAILED("connect_failed"),
+        RESET("reset"),
+        SERVED("served");
 
         private final String word;
 
@@ -48,6 +53,7 @@
     private int calls;
     /** Counts what this proxy waits for; what answers an earlier count is ignored. */
     private int epoch;
+
     private boolean over;
 
     /**
@@ -57,8 +63,13 @@
      * @param outageTimer of that group
      * @param counter where it is counted
      */
-    ProxyRequest(FleetContext context, String id, RequestKind kind, FleetGroup group,
-            OutageTimer outageTimer, ServedCounter counter) {
+    ProxyRequest(
+            FleetContext context,
+            String id,
+            RequestKind kind,
+            FleetGroup group,
+            OutageTimer outageTimer,
+            ServedCounter counter) {
         this.context = context;
         this.id = id;
         this.kind = kind;
@@ -93,15 +104,23 @@
         int asked = ++epoch;
         int patience = MIN_PATIENCE_MS + random().nextInt(PATIENCE_SPREAD_MS);
         context.schedule(() -> resend(asked), (long) Math.min(remaining, patience));
-        node.consult().ask(id, kind, (long) remaining, remaining + FleetContext.SLACK_MS,
-                answer -> answered(asked, node, answer),
-                cause -> {
-                    if (node.healthyBefore(startedAt)) {
-                        context.ledger().broken("unanswered", id + " by " + node.name() + " at " + startedAt
-                                + " of " + remaining + ", until " + context.now() + ": " + cause);
-                    }
-                    resend(asked);
-                });
+        node.consult()
+                .ask(
+                        id,
+                        kind,
+                        (long) remaining,
+                        remaining + FleetContext.SLACK_MS,
+                        answer -> answered(asked, node, answer),
+                        cause -> {
+                            if (node.healthyBefore(startedAt)) {
+                                context.ledger()
+                                        .broken(
+                                                "unanswered",
+                                                id + " by " + node.name() + " at " + startedAt + " of " + remaining
+                                                        + ", until " + context.now() + ": " + cause);
+                            }
+                            resend(asked);
+                        });
     }
 
     // Does nothing if an answer has come since.
@@ -143,12 +162,14 @@
             context.ledger().ran(id, node.name(), kind.keyWindowMs(), context.now());
         }
         int sent = epoch;
-        context.schedule(() -> {
-            if (outcome == AttemptOutcome.SERVED) {
-                end(true);
-            }
-            report(node, answer, outcome, sent);
-        }, 1 + random().nextInt(MAX_ATTEMPT_MS));
+        context.schedule(
+                () -> {
+                    if (outcome == AttemptOutcome.SERVED) {
+                        end(true);
+                    }
+                    report(node, answer, outcome, sent);
+                },
+                1 + random().nextInt(MAX_ATTEMPT_MS));
     }
 
     private AttemptOutcome randomOutcome() {
@@ -173,14 +194,18 @@
             resend(expectedEpoch);
             return;
         }
-        receiver.consult().report(id, sent, outcome.word,
-                FleetContext.CLIENT_TIMEOUT_MS + FleetContext.SLACK_MS,
-                next -> answered(expectedEpoch, receiver, next),
-                cause -> {
-                    if (outcome != AttemptOutcome.SERVED) {
-                        resend(expectedEpoch);
-                    }
-                });
+        receiver.consult()
+                .report(
+                        id,
+                        sent,
+                        outcome.word,
+                        FleetContext.CLIENT_TIMEOUT_MS + FleetContext.SLACK_MS,
+                        next -> answered(expectedEpoch, receiver, next),
+                        cause -> {
+                            if (outcome != AttemptOutcome.SERVED) {
+                                resend(expectedEpoch);
+                            }
+                        });
     }
 
     private Random random() {
--- a/src/main/java/whinlead/testbed/fleet/Relay.java
+++ b/src/main/java/whinlead/testbed/fleet/Relay.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A link between two parties of a fleet: what connects to its address is connected to another, and it can be
- * made to fail. Bytes are never changed, lost or put out of order, as TCP doesn't either. For one loop.
+ * A link between two parties of a fleet: what connects to its address is connected to another, and it can be made to
+ * fail. Bytes are never changed, lost or put out of order, as TCP doesn't either. For one loop.
  */
 public final class Relay {
     /** A direction. */
@@ -45,8 +45,11 @@
 
     /** Listens; blocks until it does. Not to be called on the loop. */
     public void listen(InetSocketAddress at) {
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.AUTO_READ, false)
+        listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel accepted) {
@@ -56,19 +59,27 @@
                             connect(accepted);
                         }
                     }
-                }).bind(at).syncUninterruptibly().channel();
+                })
+                .bind(at)
+                .syncUninterruptibly()
+                .channel();
     }
 
     private void connect(Channel near) {
         Pair pair = new Pair(near);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.AUTO_READ, false)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.AUTO_READ, false)
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel made) {
                         pair.far = made;
                         made.pipeline().addLast(pair.end(Way.BACK, near));
                     }
-                }).connect(to).addListener(done -> {
+                })
+                .connect(to)
+                .addListener(done -> {
                     if (done.isSuccess()) {
                         near.pipeline().addLast(pair.end(Way.THERE, pair.far));
                         pairs.add(pair);
@@ -90,9 +101,7 @@
         Set.copyOf(pairs).forEach(Pair::close);
     }
 
-    /**
-     * Nothing more comes through this way until {@link #heal}; connections stay, and hold what they are sent.
-     */
+    /** Nothing more comes through this way until {@link #heal}; connections stay, and hold what they are sent. */
     public void stall(Way way) {
         stalled[way.ordinal()] = true;
         pairs.forEach(Pair::read);
--- a/src/main/java/whinlead/testbed/fleet/StatusClient.java
+++ b/src/main/java/whinlead/testbed/fleet/StatusClient.java
@@ -1,7 +1,5 @@
 package whinlead.testbed.fleet;
 
-import whinlead.replication.wire.CopiesGrpc;
-import whinlead.replication.wire.Wire;
 import io.grpc.ManagedChannel;
 import io.grpc.StatusRuntimeException;
 import io.grpc.netty.NettyChannelBuilder;
@@ -9,11 +7,14 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
+import whinlead.replication.wire.CopiesGrpc;
+import whinlead.replication.wire.Wire;
 
 /** Asks one process over gRPC what it knows of a replication group. Blocks its caller. */
 final class StatusClient implements AutoCloseable {
     /** How long one call may take, in milliseconds. */
     static final long TIMEOUT_MS = 500;
+
     private static final int ATTEMPTS = 10;
 
     private final ManagedChannel channel;
@@ -28,7 +29,8 @@
     /** What it says of its membership in a group; empty if it does not answer in time. */
     Optional<Wire.StatusReply> status(String group) {
         try {
-            return Optional.of(call(Wire.StatusRequest.newBuilder().setSeatIn(group).build()));
+            return Optional.of(
+                    call(Wire.StatusRequest.newBuilder().setSeatIn(group).build()));
         } catch (StatusRuntimeException e) {
             channel.resetConnectBackoff();
             return Optional.empty();
@@ -36,8 +38,8 @@
     }
 
     /**
-     * What it holds of a request: kind and number of the reply that it remembers, or "nothing" if it does
-     * not answer any of several calls.
+     * What it holds of a request: kind and number of the reply that it remembers, or "nothing" if it does not answer
+     * any of several calls.
      *
      * @throws IOException if the thread is interrupted
      */
--- a/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
+++ b/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
@@ -1,10 +1,5 @@
 package whinlead.testbed.mesh;
 
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Acceptor;
-import whinlead.mesh.consensus.Message;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,13 +7,17 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
 
 /**
- * The real consensus nodes under a driven clock, a seeded network and seeded disks: messages are lost, delayed and
- * cut off in one direction, syncs take time and what was not synced is lost with the power, disks are wiped,
- * one control node is replaced at another address. Operators race and repeat their calls. Checks that no slot has two
- * values and that nothing acknowledged is forgotten or taken twice on one version. The same seed plays the
- * same. One thread.
+ * The real consensus nodes under a driven clock, a seeded network and seeded disks: messages are lost, delayed and cut
+ * off in one direction, syncs take time and what was not synced is lost with the power, disks are wiped, one control
+ * node is replaced at another address. Operators race and repeat their calls. Checks that no slot has two values and
+ * that nothing acknowledged is forgotten or taken twice on one version. The same seed plays the same. One thread.
  */
 public final class ConsensusSimulation {
     /** A fault that is planted, to see that it is found. */
@@ -39,7 +38,7 @@
     /** After a loss, until the machine is back and has caught up: then the next may come. */
     private static final double WHOLE = 6000;
 
-    private record Due(double at, long order, Runnable task) { }
+    private record Due(double at, long order, Runnable task) {}
 
     /** A control node's machine. */
     private final class Machine implements ConsensusNode.Actions {
@@ -186,12 +185,12 @@
         }
     }
 
-    private record Sent(long version, long builtOn, String digest) { }
+    private record Sent(long version, long builtOn, String digest) {}
 
     private final SplittableRandom random;
     private final Bug bug;
-    private final PriorityQueue<Due> queue = new PriorityQueue<>((a, b) -> a.at() != b.at()
-            ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Due> queue = new PriorityQueue<>(
+            (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private final Map<String, Machine> machines = new HashMap<>();
     private final Map<String, Boolean> cut = new HashMap<>();
     private final Map<Long, Decision> chosen = new HashMap<>();
@@ -215,7 +214,7 @@
     }
 
     /** What a play came to: promises that were broken, and how many calls were acknowledged and read. */
-    public record Outcome(List<String> broken, int acks, int reads) { }
+    public record Outcome(List<String> broken, int acks, int reads) {}
 
     /** Plays one schedule. */
     public static Outcome play(long seed, Bug bug) {
@@ -224,8 +223,12 @@
 
     private Outcome play() {
         for (String id : founders) {
-            machines.put(ConsensusNode.address(id), new Machine(ConsensusNode.address(id), id,
-                    new Acceptor.State(Decision.founding(founders), Ballot.NONE, null)));
+            machines.put(
+                    ConsensusNode.address(id),
+                    new Machine(
+                            ConsensusNode.address(id),
+                            id,
+                            new Acceptor.State(Decision.founding(founders), Ballot.NONE, null)));
         }
         double step = CALM / CALLS;
         for (int i = 0; i < CALLS; i++) {
@@ -283,8 +286,8 @@
                     if (m != null) {
                         long call = ++calls;
                         sent.put(call, new Sent(version, base, digest));
-                        m.consensusNode.replace(now, call, version, base, digest,
-                                digest.getBytes(StandardCharsets.UTF_8));
+                        m.consensusNode.replace(
+                                now, call, version, base, digest, digest.getBytes(StandardCharsets.UTF_8));
                     }
                 });
             }
@@ -345,24 +348,30 @@
                 m.wipe();
                 at(1500, () -> m.power(true));
             }
-            case 2 -> machines.keySet().stream().filter(a -> !a.equals(m.address)).forEach(a -> {
-                boolean oneWay = random.nextBoolean();
-                cut.put(m.address + a, true);
-                if (!oneWay) {
-                    cut.put(a + m.address, true);
-                }
-                at(2500, () -> {
-                    cut.remove(m.address + a);
-                    cut.remove(a + m.address);
+            case 2 ->
+                machines.keySet().stream().filter(a -> !a.equals(m.address)).forEach(a -> {
+                    boolean oneWay = random.nextBoolean();
+                    cut.put(m.address + a, true);
+                    if (!oneWay) {
+                        cut.put(a + m.address, true);
+                    }
+                    at(2500, () -> {
+                        cut.remove(m.address + a);
+                        cut.remove(a + m.address);
+                    });
                 });
-            });
             default -> {
                 machines.remove(m.address);
                 m.power(false);
                 String address = m.address + "'";
-                at(1500, () -> machines.put(address, new Machine(address, address + "#"
-                        + Long.toHexString(random.nextLong() | 1),
-                        new Acceptor.State(null, Ballot.NONE, null))));
+                at(
+                        1500,
+                        () -> machines.put(
+                                address,
+                                new Machine(
+                                        address,
+                                        address + "#" + Long.toHexString(random.nextLong() | 1),
+                                        new Acceptor.State(null, Ballot.NONE, null))));
             }
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
+++ b/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
@@ -1,9 +1,5 @@
 package whinlead.testbed.mesh;
 
-import whinlead.mesh.settings.NodeSettingsReader;
-import whinlead.mesh.sidecar.Sidecar;
-import whinlead.mesh.log.Logs;
-import whinlead.mesh.control.ControlNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -14,6 +10,10 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import whinlead.mesh.control.ControlNode;
+import whinlead.mesh.log.Logs;
+import whinlead.mesh.settings.NodeSettingsReader;
+import whinlead.mesh.sidecar.Sidecar;
 
 /**
  * A postman's walk: a control node, two sidecars and their endpoints in one process on loopback; a configuration is
@@ -26,7 +26,7 @@
     private static final long BEAT_MS = 100;
     private static final long POLL_MS = 20;
 
-    private LocalMeshRun() { }
+    private LocalMeshRun() {}
 
     /** A configuration with one service and one tenant, whose key is {@code key-1}. */
     public static String config(String epoch, String target) {
@@ -55,8 +55,11 @@
             for (int i = 0; i < 2; i++) {
                 new Sidecar(reader.parse(cards.sidecar(i, "svc")), loop, new ObjectMapper()).start();
             }
-            int taken = Talk.ask(cards.control(0), "POST /whinlead/rpc?call=config.replace",
-                    Map.of("If-Match", "0"), config("00000001", "svc").getBytes(StandardCharsets.UTF_8))
+            int taken = Talk.ask(
+                            cards.control(0),
+                            "POST /whinlead/rpc?call=config.replace",
+                            Map.of("If-Match", "0"),
+                            config("00000001", "svc").getBytes(StandardCharsets.UTF_8))
                     .status();
             a.beat("serving");
             b.beat("serving");
@@ -75,7 +78,8 @@
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (System.nanoTime() < end) {
             if (Talk.ask(cards.readiness(sidecar), "GET /whinlead/readiness", Map.of(), new byte[0])
-                    .status() == 200) {
+                            .status()
+                    == 200) {
                 return true;
             }
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
@@ -85,14 +89,25 @@
 
     private static int requests(TestbedSettings cards) throws IOException {
         int served = 0;
-        try (Talk first = new Talk(cards.egress(0)); Talk second = new Talk(cards.egress(1))) {
+        try (Talk first = new Talk(cards.egress(0));
+                Talk second = new Talk(cards.egress(1))) {
             for (int i = 0; i < REQUESTS; i++) {
                 Talk.Message m = null;
                 // Told to come back, as any client on a busy machine may be, it does.
                 for (int again = 0; again < AGAIN && (m == null || m.status() == 503); again++) {
-                    m = (i % 2 == 0 ? first : second).ask(i % 3 == 0 ? "POST /b/x" : "GET /a/x",
-                        Map.of("Host", "post.example", "Attempt-Id", "walk-" + i, "Deadline-Ms", "1900",
-                                "Api-Key", "key-1"), new byte[i % 3 == 0 ? 100 : 0]);
+                    m = (i % 2 == 0 ? first : second)
+                            .ask(
+                                    i % 3 == 0 ? "POST /b/x" : "GET /a/x",
+                                    Map.of(
+                                            "Host",
+                                            "post.example",
+                                            "Attempt-Id",
+                                            "walk-" + i,
+                                            "Deadline-Ms",
+                                            "1900",
+                                            "Api-Key",
+                                            "key-1"),
+                                    new byte[i % 3 == 0 ? 100 : 0]);
                     if (m == null) {
                         break;
                     }
--- a/src/main/java/whinlead/testbed/mesh/Relay.java
+++ b/src/main/java/whinlead/testbed/mesh/Relay.java
@@ -26,9 +26,9 @@
 import java.util.Set;
 
 /**
- * The way from one process to another, on loopback: what dials its address is connected to the other. Each of
- * its directions has a mode of its own. Bytes are never changed, lost or put out of order, as TCP doesn't
- * either. Its state is its loop's; the methods may be called from any other thread, and return once done.
+ * The way from one process to another, on loopback: what dials its address is connected to the other. Each of its
+ * directions has a mode of its own. Bytes are never changed, lost or put out of order, as TCP doesn't either. Its state
+ * is its loop's; the methods may be called from any other thread, and return once done.
  */
 public final class Relay implements AutoCloseable {
     /** A direction. */
@@ -57,9 +57,11 @@
     private static final int MAX_KEPT = 1 << 20;
     /** Connections at a time; more are reset. */
     private static final int MAX_PAIRS = 64;
+
     private static final int CONNECT_MS = 800;
     /** With a queue of one, Linux holds two connections that nobody accepts, and drops what dials then. */
     private static final int BACKLOG = 1;
+
     private static final int FILL = BACKLOG + 2;
 
     private final EventLoop loop;
@@ -69,6 +71,7 @@
     private final Set<Pair> pairs = new LinkedHashSet<>();
     /** While it is cut these fill the queue, so that a dial gets no answer at all. */
     private final List<SocketChannel> fill = new ArrayList<>();
+
     private final Set<SocketAddress> filled = new LinkedHashSet<>();
 
     /** A way to this address that is open and listens at {@link #address()}. */
@@ -77,14 +80,19 @@
         this.to = to;
         modes.put(Way.THERE, Mode.OPEN);
         modes.put(Way.BACK, Mode.OPEN);
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.AUTO_READ, false)
+        listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel near) {
                         accepted(near);
                     }
-                }).bind(new InetSocketAddress(HOST, 0)).syncUninterruptibly()
+                })
+                .bind(new InetSocketAddress(HOST, 0))
+                .syncUninterruptibly()
                 .channel();
     }
 
@@ -96,19 +104,20 @@
     /** Puts a direction into a mode. */
     public void set(Way way, Mode mode) {
         loop.submit(() -> {
-            modes.put(way, mode);
-            if (mode == Mode.RESET) {
-                resetAll();
-            }
-            boolean cut = modes.containsValue(Mode.CUT);
-            listener.config().setAutoRead(!cut);
-            if (cut) {
-                fillQueue();
-            } else {
-                emptyQueue();
-            }
-            List.copyOf(pairs).forEach(Pair::pump);
-        }).syncUninterruptibly();
+                    modes.put(way, mode);
+                    if (mode == Mode.RESET) {
+                        resetAll();
+                    }
+                    boolean cut = modes.containsValue(Mode.CUT);
+                    listener.config().setAutoRead(!cut);
+                    if (cut) {
+                        fillQueue();
+                    } else {
+                        emptyQueue();
+                    }
+                    List.copyOf(pairs).forEach(Pair::pump);
+                })
+                .syncUninterruptibly();
     }
 
     /** Puts both directions into a mode. */
@@ -180,10 +189,11 @@
     @Override
     public void close() {
         loop.submit(() -> {
-            listener.close();
-            emptyQueue();
-            resetAll();
-        }).syncUninterruptibly();
+                    listener.close();
+                    emptyQueue();
+                    resetAll();
+                })
+                .syncUninterruptibly();
     }
 
     /** A connection to this relay, and its own onward. */
@@ -211,17 +221,22 @@
 
         private void dial() {
             dialled = true;
-            new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.AUTO_READ, false)
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.AUTO_READ, false)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .option(ChannelOption.TCP_NODELAY, true).handler(back).connect(to).addListener(
-                            (ChannelFutureListener) done -> {
-                                if (done.isSuccess()) {
-                                    far = done.channel();
-                                    pump();
-                                } else {
-                                    reset();
-                                }
-                            });
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .handler(back)
+                    .connect(to)
+                    .addListener((ChannelFutureListener) done -> {
+                        if (done.isSuccess()) {
+                            far = done.channel();
+                            pump();
+                        } else {
+                            reset();
+                        }
+                    });
         }
 
         private void reset() {
--- a/src/main/java/whinlead/testbed/mesh/RelayedRole.java
+++ b/src/main/java/whinlead/testbed/mesh/RelayedRole.java
@@ -1,6 +1,5 @@
 package whinlead.testbed.mesh;
 
-import whinlead.mesh.run.MeshCommand;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -8,22 +7,23 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import whinlead.mesh.run.MeshCommand;
 
 /**
- * A role of the mesh as a process whose ways to others lead through relays: the same program, but that it
- * dials another address where the file that {@link #RELAYS} names has a line {@code REAL RELAY}, each of them
- * ADDRESS:PORT. What is not listed there it dials as ever.
+ * A role of the mesh as a process whose ways to others lead through relays: the same program, but that it dials another
+ * address where the file that {@link #RELAYS} names has a line {@code REAL RELAY}, each of them ADDRESS:PORT. What is
+ * not listed there it dials as ever.
  */
 public final class RelayedRole {
     /** The system property that names the file. */
     public static final String RELAYS = "whinlead.relays";
 
-    private RelayedRole() { }
+    private RelayedRole() {}
 
     /** Runs the role until the process ends. */
     public static void main(String... args) throws IOException {
-        Map<InetSocketAddress, InetSocketAddress> relays = read(Files.readAllLines(Path.of(
-                System.getProperty(RELAYS))));
+        Map<InetSocketAddress, InetSocketAddress> relays =
+                read(Files.readAllLines(Path.of(System.getProperty(RELAYS))));
         MeshCommand.run(address -> relays.getOrDefault(address, address), args);
     }
 
--- a/src/main/java/whinlead/testbed/mesh/StandInApp.java
+++ b/src/main/java/whinlead/testbed/mesh/StandInApp.java
@@ -65,15 +65,14 @@
     }
 
     /** One whose answers come from a script. */
-    public StandInApp(String id, String target, String address, String beats, Script script)
-            throws IOException {
+    public StandInApp(String id, String target, String address, String beats, Script script) throws IOException {
         this.script = script;
         this.id = id;
         this.target = target;
         this.beats = beats;
         int colon = address.lastIndexOf(':');
-        server = new ServerSocket(Integer.parseInt(address.substring(colon + 1)), 64,
-                InetAddress.getByName(address.substring(0, colon)));
+        server = new ServerSocket(
+                Integer.parseInt(address.substring(colon + 1)), 64, InetAddress.getByName(address.substring(0, colon)));
         threads.execute(this::accept);
     }
 
@@ -82,20 +81,28 @@
         String body = "{\"Target\":\"" + target + "\",\"Address\":\"127.0.0.1:1\",\"Zone\":\"hall-a\","
                 + "\"Epoch\":\"v1\",\"Capacity\":6,\"Phase\":\"" + phase + "\",\"WarmupS\":0,\"CallSeq\":"
                 + calls.incrementAndGet() + "}";
-        return Talk.ask(beats, "POST /whinlead/rpc?call=members.heartbeat&of=" + id,
-                Map.of("Content-Type", "application/json"), body.getBytes(StandardCharsets.UTF_8)).status();
+        return Talk.ask(
+                        beats,
+                        "POST /whinlead/rpc?call=members.heartbeat&of=" + id,
+                        Map.of("Content-Type", "application/json"),
+                        body.getBytes(StandardCharsets.UTF_8))
+                .status();
     }
 
     /** Beats from now on, once in so many milliseconds, until it is closed. */
     public void beatEvery(long millis) {
-        beating.scheduleAtFixedRate(() -> {
-            try {
-                beat("serving");
-            } catch (IOException e) {
-                // The sidecar is not there yet, or any more: the next beat may reach it.
-                return;
-            }
-        }, 0, millis, TimeUnit.MILLISECONDS);
+        beating.scheduleAtFixedRate(
+                () -> {
+                    try {
+                        beat("serving");
+                    } catch (IOException e) {
+                        // The sidecar is not there yet, or any more: the next beat may reach it.
+                        return;
+                    }
+                },
+                0,
+                millis,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Tells that it has left; the answer's status. */
@@ -111,7 +118,9 @@
 
     /** How often it ran what came under this Attempt-Id. */
     public long runs(String attempt) {
-        return ran.stream().filter(m -> attempt.equals(m.headers().get("attempt-id"))).count();
+        return ran.stream()
+                .filter(m -> attempt.equals(m.headers().get("attempt-id")))
+                .count();
     }
 
     /** The requests that it ran. */
--- a/src/main/java/whinlead/testbed/mesh/Talk.java
+++ b/src/main/java/whinlead/testbed/mesh/Talk.java
@@ -48,8 +48,9 @@
     private static Socket connected(String address) throws IOException {
         int colon = address.lastIndexOf(':');
         Socket s = new Socket();
-        s.connect(new InetSocketAddress(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1))), WAIT_MS);
+        s.connect(
+                new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
+                WAIT_MS);
         return s;
     }
 
@@ -93,7 +94,9 @@
         Map<String, String> headers = new LinkedHashMap<>();
         for (String l = line(); l != null && !l.isEmpty(); l = line()) {
             int colon = l.indexOf(':');
-            headers.put(l.substring(0, colon).toLowerCase(Locale.ROOT), l.substring(colon + 1).trim());
+            headers.put(
+                    l.substring(0, colon).toLowerCase(Locale.ROOT),
+                    l.substring(colon + 1).trim());
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
--- a/src/main/java/whinlead/testbed/mesh/TestbedSettings.java
+++ b/src/main/java/whinlead/testbed/mesh/TestbedSettings.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Settings files as the platform writes them, for machines on loopback: 127.0.0.1 and on are control nodes, those
- * after them auxiliary machines. Ports are alike on all, and were free when this was made.
+ * Settings files as the platform writes them, for machines on loopback: 127.0.0.1 and on are control nodes, those after
+ * them auxiliary machines. Ports are alike on all, and were free when this was made.
  */
 public final class TestbedSettings {
     private final int controlNodes;
@@ -113,13 +113,25 @@
         for (int i = 0; i < Math.min(3, controlNodes); i++) {
             seeds.add(control(i));
         }
-        return new ArrayList<>(List.of("Self.Node=" + node, "Self.Ip=" + ip, "Self.Zone=hall-a",
-                "Self.Bootstrap=" + bootstrap, "Self.Limits.MemoryMb=430", "Self.Limits.FdLimit=4100",
-                "Network.PortRange=" + talk + "," + talk, "Network.Seeds=" + String.join(",", seeds),
-                "Substrate.HeartbeatS=0.5", "Clauses.Bounds.ContactS=3", "Clauses.Bounds.DrainS=2.5",
-                "Clauses.Bounds.GraceS=6", "Clauses.Bounds.ConvergeS=2.5", "Clauses.Bounds.RetryRatio=0.2",
-                "Clauses.Bounds.RetryWindowS=10", "Clauses.Bounds.RetrySlack=60",
-                "Clauses.Bounds.QuotaWindowS=5", "Clauses.Bounds.QuotaExcess=0.1",
+        return new ArrayList<>(List.of(
+                "Self.Node=" + node,
+                "Self.Ip=" + ip,
+                "Self.Zone=hall-a",
+                "Self.Bootstrap=" + bootstrap,
+                "Self.Limits.MemoryMb=430",
+                "Self.Limits.FdLimit=4100",
+                "Network.PortRange=" + talk + "," + talk,
+                "Network.Seeds=" + String.join(",", seeds),
+                "Substrate.HeartbeatS=0.5",
+                "Clauses.Bounds.ContactS=3",
+                "Clauses.Bounds.DrainS=2.5",
+                "Clauses.Bounds.GraceS=6",
+                "Clauses.Bounds.ConvergeS=2.5",
+                "Clauses.Bounds.RetryRatio=0.2",
+                "Clauses.Bounds.RetryWindowS=10",
+                "Clauses.Bounds.RetrySlack=60",
+                "Clauses.Bounds.QuotaWindowS=5",
+                "Clauses.Bounds.QuotaExcess=0.1",
                 "Clauses.Bounds.QuotaSlack=20"));
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Agenda.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Agenda.java
@@ -5,10 +5,10 @@
 
 /** What is to happen, in the order of its time: a driven clock in milliseconds. One thread. */
 final class Agenda {
-    private record Due(double at, long order, Runnable task) { }
+    private record Due(double at, long order, Runnable task) {}
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>((a, b) -> a.at() != b.at()
-            ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Due> queue = new PriorityQueue<>(
+            (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private double now;
     private long order;
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerClient.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerClient.java
@@ -16,7 +16,7 @@
     private static final String SEAL = "server-seal: ";
 
     /** A whole answer; the seal is null where it has none. */
-    record Answer(int status, String seal, String body) { }
+    record Answer(int status, String seal, String body) {}
 
     private final EmbeddedChannel channel;
     private final StringBuilder heard = new StringBuilder();
@@ -33,8 +33,8 @@
 
     /** Sends a request. */
     void send(String path, String id, int deadlineMs) {
-        String request = "POST " + path + " HTTP/1.1\r\nHost: h\r\nAttempt-Id: " + id + "\r\nDeadline-Ms: "
-                + deadlineMs + "\r\nContent-Length: 2" + END + "hi";
+        String request = "POST " + path + " HTTP/1.1\r\nHost: h\r\nAttempt-Id: " + id + "\r\nDeadline-Ms: " + deadlineMs
+                + "\r\nContent-Length: 2" + END + "hi";
         channel.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.ISO_8859_1));
     }
 
@@ -52,7 +52,8 @@
         String head = heard.substring(0, end);
         String length = header(head, LENGTH);
         String body = heard.substring(end + END.length());
-        return body.length() < Integer.parseInt(length) ? null
+        return body.length() < Integer.parseInt(length)
+                ? null
                 : new Answer(Integer.parseInt(head.split(" ")[1]), header(head, SEAL), body);
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerEndpoint.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerEndpoint.java
@@ -1,6 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.plan.Calendar;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -11,11 +10,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import whinlead.plan.Calendar;
 
 /**
- * An endpoint that answers in every way that the users' pages name, at the other end of the real
- * connections to it: whole with a length, in chunks or up to the end of its connection; with failures of its
- * own; cut off, reset, garbled, unsealed, coded, or not at all. One thread; driven time.
+ * An endpoint that answers in every way that the users' pages name, at the other end of the real connections to it:
+ * whole with a length, in chunks or up to the end of its connection; with failures of its own; cut off, reset, garbled,
+ * unsealed, coded, or not at all. One thread; driven time.
  */
 final class AnswerEndpoint {
     private static final String END = "\r\n\r\n";
@@ -102,8 +102,13 @@
             int how = random.nextInt(HOW);
             double took = 1 + random.nextInt(how % 3 == 0 ? 2500 : 200);
             if (how == 0) {
-                write(took, id, head("503 Full", id, "Not-Executed: 1\r\nServer-Seal: " + seal(id, 503)
-                        + "\r\nContent-Length: 0\r\n"));
+                write(
+                        took,
+                        id,
+                        head(
+                                "503 Full",
+                                id,
+                                "Not-Executed: 1\r\nServer-Seal: " + seal(id, 503) + "\r\nContent-Length: 0\r\n"));
                 return;
             }
             observer.ran(id);
@@ -115,16 +120,23 @@
                 case 2 -> failure(took, id, 404, "Not Found");
                 case 3 -> failure(took, id, 503, "Busy");
                 case 4 -> write(took, id, head("200 OK", id, length) + body);
-                case 5 -> write(took, id, head("200 OK", id, sealed + "Content-Encoding: gzip\r\n" + length)
-                        + body);
+                case 5 -> write(took, id, head("200 OK", id, sealed + "Content-Encoding: gzip\r\n" + length) + body);
                 case 6 -> cut(took, id, head("200 OK", id, sealed + length) + body);
                 case 7, 8 -> withoutLength(took, id, head("200 OK", id, sealed), body, how == 7);
-                case 9 -> success(took, id, head("200 OK", id, sealed + "Transfer-Encoding: chunked\r\n")
-                        + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0" + END);
-                case 10 -> write(took, id, head("200 OK", id, sealed + "Transfer-Encoding: gzip, chunked\r\n")
-                        + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0" + END);
+                case 9 ->
+                    success(
+                            took,
+                            id,
+                            head("200 OK", id, sealed + "Transfer-Encoding: chunked\r\n")
+                                    + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0" + END);
+                case 10 ->
+                    write(
+                            took,
+                            id,
+                            head("200 OK", id, sealed + "Transfer-Encoding: gzip, chunked\r\n")
+                                    + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0" + END);
                 case 11 -> write(took, id, "ice cream" + END);
-                case 12 -> { }
+                case 12 -> {}
                 default -> success(took, id, head("200 OK", id, sealed + length) + body);
             }
         }
@@ -135,8 +147,11 @@
 
         private void failure(double took, String id, int status, String reason) {
             calendar.after(took, () -> observer.said(id, status));
-            write(took, id, head(status + " " + reason, id, "Server-Seal: " + seal(id, status)
-                    + "\r\nContent-Length: 2\r\n") + "no");
+            write(
+                    took,
+                    id,
+                    head(status + " " + reason, id, "Server-Seal: " + seal(id, status) + "\r\nContent-Length: 2\r\n")
+                            + "no");
         }
 
         private void success(double took, String id, String bytes) {
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -1,11 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.plan.Calendar;
-import whinlead.mesh.sidecar.EndpointConnections;
-import whinlead.mesh.sidecar.RequestForwarder;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
-import whinlead.mesh.wire.ReconnectingConnection;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.HashMap;
@@ -13,10 +7,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import whinlead.mesh.sidecar.EndpointConnections;
+import whinlead.mesh.sidecar.RequestForwarder;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.mesh.wire.ReconnectingConnection;
+import whinlead.plan.Calendar;
 
 /**
- * A way to another sidecar that is sound, with the real line to the endpoint beside that one. One thread;
- * driven time.
+ * A way to another sidecar that is sound, with the real line to the endpoint beside that one. One thread; driven time.
  */
 final class AnswerPath implements RequestForwarder.Path {
     private static final double DIAL_MS = 1;
@@ -35,7 +34,11 @@
     private double thereAt;
     private double backAt;
 
-    AnswerPath(Calendar calendar, SplittableRandom random, RequestForwarder.Ear ear, AnswerEndpoint endpoint,
+    AnswerPath(
+            Calendar calendar,
+            SplittableRandom random,
+            RequestForwarder.Ear ear,
+            AnswerEndpoint endpoint,
             AnswerBug bug) {
         this.calendar = calendar;
         this.random = random;
@@ -127,7 +130,8 @@
             calendar.after(SILENCE_MS, () -> {
                 if (!told[0]) {
                     told[0] = true;
-                    answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.BROKEN, 0, 0));
+                    answer.accept(
+                            new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.BROKEN, 0, 0));
                 }
             });
         }
@@ -139,7 +143,12 @@
             return message;
         }
         String id = request.headers().get(request.headers().indexOf("Attempt-Id") + 1);
-        return new PeerMessage.ForwardResponse(request.stream(), 502, List.of("Attempt-Id", id, "Server-Seal",
-                AnswerEndpoint.seal(id, 200)), new byte[0], 0, 0);
+        return new PeerMessage.ForwardResponse(
+                request.stream(),
+                502,
+                List.of("Attempt-Id", id, "Server-Seal", AnswerEndpoint.seal(id, 200)),
+                new byte[0],
+                0,
+                0);
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -1,26 +1,25 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.plan.Calendar;
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.sidecar.ClientSide;
-import whinlead.mesh.sidecar.RequestForwarder;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.config.RoutingTable;
-import whinlead.mesh.config.MeshConfig;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.sidecar.ClientSide;
+import whinlead.mesh.sidecar.RequestForwarder;
+import whinlead.plan.Calendar;
 
 /**
  * Requests from clients' connections through a sidecar's real client side (window, egress, service balancer, engine,
- * module, round) and real lines to three endpoints that answer in every way they may, under a driven clock,
- * with configurations and a SIGTERM on the way. Checks the users' rules MIXED and LOST: whose seal, status
- * and body an answer has; that every request that was read has a whole answer; that none is broken off at
- * whose endpoint work goes on; and that nothing is begun in the second half of the grace. The same seed plays
- * the same. One thread.
+ * module, round) and real lines to three endpoints that answer in every way they may, under a driven clock, with
+ * configurations and a SIGTERM on the way. Checks the users' rules MIXED and LOST: whose seal, status and body an
+ * answer has; that every request that was read has a whole answer; that none is broken off at whose endpoint work goes
+ * on; and that nothing is begun in the second half of the grace. The same seed plays the same. One thread.
  */
 public final class AnswerPlay {
     private static final double LENGTH = 9000;
@@ -33,6 +32,7 @@
     private static final double MS = 1000;
     /** An answer of the system's own may come so much before the time is up, in milliseconds. */
     private static final double MARGIN = 60;
+
     private static final double TICK = 100;
     private static final String SERVICE = "svc";
     private static final List<String> PREFIXES = List.of("/read/", "/sign/", "/load/");
@@ -55,19 +55,20 @@
     private AnswerPlay(long seed, AnswerBug bug) {
         this.random = new SplittableRandom(seed);
         this.bug = bug;
-        NodeSettings nodeSettings = new NodeSettings(new NodeSettings.Self("near", "127.0.0.1", "z", false, null, null, null, null),
+        NodeSettings nodeSettings = new NodeSettings(
+                new NodeSettings.Self("near", "127.0.0.1", "z", false, null, null, null, null),
                 new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(1, 1), List.of()),
                 new NodeSettings.Substrate(1),
                 new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, GRACE_S, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
         List<EndpointRecord> records = new ArrayList<>();
         for (int i = 0; i < FARS; i++) {
-            endpoints.add(new AnswerEndpoint(calendar, random.split(), new Work(),
-                    bug == AnswerBug.TAKES_RESET_FOR_END));
-            records.add(new EndpointRecord(Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, EndpointRecord.Phase.SERVING,
-                    CAPACITY, 0));
+            endpoints.add(
+                    new AnswerEndpoint(calendar, random.split(), new Work(), bug == AnswerBug.TAKES_RESET_FOR_END));
+            records.add(new EndpointRecord(
+                    Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, EndpointRecord.Phase.SERVING, CAPACITY, 0));
         }
-        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "near", (request, done) -> { },
-                this::path, () -> { });
+        RequestForwarder round = new RequestForwarder(
+                calendar, task -> calendar.after(0, task), "near", (request, done) -> {}, this::path, () -> {});
         routing = routing(1, PREFIXES, SERVICE);
         sidecar = new ClientSide(calendar, nodeSettings, round, () -> routing, seed);
         sidecar.endpoints(SERVICE, records);
@@ -83,12 +84,19 @@
     private RoutingTable routing(long slot, List<String> prefixes, String service) {
         Map<String, MeshConfig.Route> routes = new LinkedHashMap<>();
         for (int i = 0; i < prefixes.size(); i++) {
-            routes.put("r-" + i, new MeshConfig.Route("h", prefixes.get(i), KINDS.get(i), deadlines[i], 0.5, 1,
-                    null, service, 2, true));
+            routes.put(
+                    "r-" + i,
+                    new MeshConfig.Route(
+                            "h", prefixes.get(i), KINDS.get(i), deadlines[i], 0.5, 1, null, service, 2, true));
         }
-        return new RoutingTable(slot, new MeshConfig("00000001", routes,
-                Map.of(service, new MeshConfig.Service("/health", 100)), new MeshConfig.Limits(16384, 1000, 3, 15),
-                null));
+        return new RoutingTable(
+                slot,
+                new MeshConfig(
+                        "00000001",
+                        routes,
+                        Map.of(service, new MeshConfig.Service("/health", 100)),
+                        new MeshConfig.Limits(16384, 1000, 3, 15),
+                        null));
     }
 
     /** Plays the schedule of this seed. */
@@ -119,8 +127,7 @@
                 end();
             }
         }
-        requests.values().stream().filter(r -> r.answer == null).forEach(r -> broke(r.id
-                + " was never answered"));
+        requests.values().stream().filter(r -> r.answer == null).forEach(r -> broke(r.id + " was never answered"));
         return new RelayPlay.Outcome(List.copyOf(broken), Map.copyOf(figures), Map.of());
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
@@ -1,19 +1,23 @@
 package whinlead.testbed.mesh.hardening;
 
+import java.nio.charset.StandardCharsets;
 import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.control.ConfigCodec;
 import whinlead.testbed.mesh.hardening.Operation.Change;
-import java.nio.charset.StandardCharsets;
 
 /**
- * Point 4: three hundred changes and more while one member is down, cut off, frozen, at a stalled disk, or
- * restarted again and again; then it is back, and has to catch up, in bytes and milliseconds; what is ordered
- * of it while it is behind must not stand; and all power goes. One schedule, one thread.
+ * Point 4: three hundred changes and more while one member is down, cut off, frozen, at a stalled disk, or restarted
+ * again and again; then it is back, and has to catch up, in bytes and milliseconds; what is ordered of it while it is
+ * behind must not stand; and all power goes. One schedule, one thread.
  */
 final class CatchUpPlay {
     private enum Kind {
-        DOWN("missed all"), CUT("missed all"), WIPED("missed all"), HELD("with all old messages at once"),
-        FROZEN("with all old messages at once"), STALLED_DISK("hanging disk"),
+        DOWN("missed all"),
+        CUT("missed all"),
+        WIPED("missed all"),
+        HELD("with all old messages at once"),
+        FROZEN("with all old messages at once"),
+        STALLED_DISK("hanging disk"),
         RESTARTED("restarted again and again");
 
         private final String after;
@@ -59,11 +63,20 @@
     private static String routes() {
         StringBuilder s = new StringBuilder("{\"Routes\":[");
         for (int i = 0; i < ROUTES; i++) {
-            s.append(i == 0 ? "" : ",").append("{\"Id\":\"r").append(Integer.toHexString(i * 40_503))
-                    .append("\",\"Match\":{\"PathPrefix\":\"/shop/").append(Integer.toHexString(i * 7919))
-                    .append("\",\"Methods\":[\"GET\",\"POST\"]},\"Service\":\"service-").append(i * 31 % 57)
-                    .append("\",\"TimeoutS\":").append(1 + i % 9).append(",\"Idempotent\":")
-                    .append(i % 3 != 0).append(",\"Rank\":").append(i % 3).append('}');
+            s.append(i == 0 ? "" : ",")
+                    .append("{\"Id\":\"r")
+                    .append(Integer.toHexString(i * 40_503))
+                    .append("\",\"Match\":{\"PathPrefix\":\"/shop/")
+                    .append(Integer.toHexString(i * 7919))
+                    .append("\",\"Methods\":[\"GET\",\"POST\"]},\"Service\":\"service-")
+                    .append(i * 31 % 57)
+                    .append("\",\"TimeoutS\":")
+                    .append(1 + i % 9)
+                    .append(",\"Idempotent\":")
+                    .append(i % 3 != 0)
+                    .append(",\"Rank\":")
+                    .append(i % 3)
+                    .append('}');
         }
         return s.append("]}").toString();
     }
@@ -97,8 +110,8 @@
     // After one more change the power goes, of all, and of one the disk.
     private void lose(int disks) {
         boolean[] taken = {false};
-        core.machines().forEach(m -> operators.read(m.address(),
-                d -> base = d == null ? base : Math.max(base, d.version())));
+        core.machines()
+                .forEach(m -> operators.read(m.address(), d -> base = d == null ? base : Math.max(base, d.version())));
         core.agenda().run(core.now() + Core.CONTACT, core.checker()::anyBroken);
         operators.order(operators.change(base), PATIENCE, o -> {
             taken[0] = o.taken();
@@ -215,10 +228,8 @@
         }
         if (member.up() && member.version() >= newest && member.onDiskVersion() >= newest) {
             String size = " (" + kind.after + (large ? ", 350 routes)" : ", small)");
-            core.checker().sample("a member that is back, ms to the newest on its disk" + size,
-                    core.now() - backAt);
-            core.checker().sample("a member that is back, bytes of messages until then" + size,
-                    member.metered());
+            core.checker().sample("a member that is back, ms to the newest on its disk" + size, core.now() - backAt);
+            core.checker().sample("a member that is back, bytes of messages until then" + size, member.metered());
             ready = true;
         } else if (core.now() - backAt > Core.SYNC) {
             core.checker().broke("a member (" + kind + ") is behind 4 s after its return");
--- a/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
@@ -1,8 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Decision;
-import whinlead.testbed.mesh.hardening.Operation.Change;
-import whinlead.testbed.mesh.hardening.Operation.Value;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,18 +7,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import whinlead.mesh.consensus.Decision;
+import whinlead.testbed.mesh.hardening.Operation.Change;
+import whinlead.testbed.mesh.hardening.Operation.Value;
 
 /**
- * What is held against the promises: the value of each slot, the operators' history, what was acknowledged
- * and when. Collects figures as well. One thread.
+ * What is held against the promises: the value of each slot, the operators' history, what was acknowledged and when.
+ * Collects figures as well. One thread.
  */
 final class Checker {
-    private record Acknowledged(long version, double at) { }
+    private record Acknowledged(long version, double at) {}
 
     private final Agenda agenda;
     private final Trace trace;
     /** Where the fault that is planted touches what was taken, it is left to the history to find it. */
     private final boolean looksAtTaken;
+
     private final Map<Long, Decision> chosen = new HashMap<>();
     private final List<Operation> history = new ArrayList<>();
     private final List<Acknowledged> acknowledged = new ArrayList<>();
@@ -73,8 +74,10 @@
     }
 
     private boolean same(Decision a, Decision b) {
-        return a.version() == b.version() && a.voters().equals(b.voters())
-                && Arrays.equals(a.body(), b.body()) && (!looksAtTaken || a.taken().equals(b.taken()));
+        return a.version() == b.version()
+                && a.voters().equals(b.voters())
+                && Arrays.equals(a.body(), b.body())
+                && (!looksAtTaken || a.taken().equals(b.taken()));
     }
 
     /** The newest decision that any control node ever learned; null before the first. */
@@ -89,8 +92,7 @@
 
     /** A control node got a call; null for a read. The call's number. */
     int invoked(Change change) {
-        history.add(new Operation(change, agenda.now(), Double.POSITIVE_INFINITY, Operation.End.UNCLEAR,
-                null));
+        history.add(new Operation(change, agenda.now(), Double.POSITIVE_INFINITY, Operation.End.UNCLEAR, null));
         return history.size() - 1;
     }
 
@@ -115,8 +117,7 @@
         }
         String digest = d.taken().get(d.taken().size() - 1).digest();
         byte[] begin = digest.getBytes(StandardCharsets.UTF_8);
-        if (d.body().length < begin.length
-                || !Arrays.equals(begin, Arrays.copyOf(d.body(), begin.length))) {
+        if (d.body().length < begin.length || !Arrays.equals(begin, Arrays.copyOf(d.body(), begin.length))) {
             broke("the body of version " + d.version() + " is not what was sent under it");
         }
         return new Value(d.version(), digest);
@@ -133,7 +134,10 @@
 
     /** When a version was first acknowledged; NaN if it never was. */
     double acknowledgedAt(long version) {
-        return acknowledged.stream().filter(a -> a.version() == version).mapToDouble(Acknowledged::at).min()
+        return acknowledged.stream()
+                .filter(a -> a.version() == version)
+                .mapToDouble(Acknowledged::at)
+                .min()
                 .orElse(Double.NaN);
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/Core.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Core.java
@@ -1,29 +1,31 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Acceptor;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
 
 /**
- * The core machines of one schedule with all around them. All that is drawn comes from one seed, so the same
- * seed plays the same. One thread.
+ * The core machines of one schedule with all around them. All that is drawn comes from one seed, so the same seed plays
+ * the same. One thread.
  */
 final class Core {
     /** Bounds of a deployment, in milliseconds, as its settings name them with an S at the end. */
     static final double CONTACT = 3000;
+
     static final double ACK = 5000;
     static final double SYNC = 4000;
     static final double CONVERGE = 2500;
     private static final double LOSS = 0.02;
     /** {@code SeedLagS}, in milliseconds, and how many seeds there are. */
     private static final double SEED_LAG = 3000;
+
     private static final int SEEDS = 3;
     private static final double TWICE = 0.02;
 
@@ -38,6 +40,7 @@
     private final List<String> listed = new ArrayList<>();
     /** By address: troubles that last, and when the last one began or ended. */
     private final Map<String, Integer> troubles = new HashMap<>();
+
     private final Map<String, Double> troubledAt = new HashMap<>();
     private double eventAt;
     private boolean judgesContact;
@@ -53,8 +56,9 @@
         for (int i = 0; i < size; i++) {
             founders.add((char) ('a' + i) + "#0");
         }
-        founders.forEach(id -> add(ConsensusNode.address(id), new Disk.Entry(id,
-                new Acceptor.State(Decision.founding(founders), Ballot.NONE, null))));
+        founders.forEach(id -> add(
+                ConsensusNode.address(id),
+                new Disk.Entry(id, new Acceptor.State(Decision.founding(founders), Ballot.NONE, null))));
     }
 
     Agenda agenda() {
@@ -118,8 +122,8 @@
     }
 
     /**
-     * The machines that a process on this one is told of as it starts: three, from a list that lags. One of
-     * them at least is there: a machine that is told of none can't be found by any other either.
+     * The machines that a process on this one is told of as it starts: three, from a list that lags. One of them at
+     * least is there: a machine that is told of none can't be found by any other either.
      */
     List<String> seeds(String self) {
         if (now() == 0) {
@@ -127,7 +131,9 @@
         }
         List<String> left = new ArrayList<>(listed);
         List<String> seeds = new ArrayList<>();
-        List<String> there = left.stream().filter(a -> machines.containsKey(a) && !a.equals(self)).toList();
+        List<String> there = left.stream()
+                .filter(a -> machines.containsKey(a) && !a.equals(self))
+                .toList();
         if (!there.isEmpty()) {
             seeds.add(there.get(random.nextInt(there.size())));
             left.removeAll(seeds);
@@ -173,8 +179,7 @@
 
     /** Whether a machine has been without trouble for {@link #CONTACT}. */
     boolean calm(String address) {
-        return troubles.getOrDefault(address, 0) == 0
-                && now() - troubledAt.getOrDefault(address, 0.0) >= CONTACT;
+        return troubles.getOrDefault(address, 0) == 0 && now() - troubledAt.getOrDefault(address, 0.0) >= CONTACT;
     }
 
     /** When something last happened to any of them. */
--- a/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
@@ -1,6 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.storage.Syncer;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -14,15 +13,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Stream;
+import whinlead.mesh.storage.Syncer;
 
 /**
- * What a loss of power may leave of a state store's folder. Of SQLite it assumes: a commit writes the log's
- * header, if that is new, syncs log and folder, writes the frames, syncs the log; a checkpoint then writes
- * pages of the file and syncs it; a founding makes file and rollback journal, syncs journal and folder,
- * writes the first page, syncs the file, removes the journal and syncs the folder; a close checkpoints and
- * removes the log, with no sync of the folder. Of the disk: what a sync has covered stays; of the bytes
- * written after it any sector is old, new or torn, and where the file was shorter, zeroes; each name made
- * or removed after the folder's last sync is kept or lost by itself. One thread.
+ * What a loss of power may leave of a state store's folder. Of SQLite it assumes: a commit writes the log's header, if
+ * that is new, syncs log and folder, writes the frames, syncs the log; a checkpoint then writes pages of the file and
+ * syncs it; a founding makes file and rollback journal, syncs journal and folder, writes the first page, syncs the
+ * file, removes the journal and syncs the folder; a close checkpoints and removes the log, with no sync of the folder.
+ * Of the disk: what a sync has covered stays; of the bytes written after it any sector is old, new or torn, and where
+ * the file was shorter, zeroes; each name made or removed after the folder's last sync is kept or lost by itself. One
+ * thread.
  */
 final class CutDisk implements Syncer {
     private static final String MAIN = "office.db";
@@ -41,6 +41,7 @@
     private final Map<String, byte[]> ghosts = new TreeMap<>();
     /** Names that were made and may be lost. */
     private final Set<String> made = new TreeSet<>();
+
     private Map<String, byte[]> start = Map.of();
     private Map<String, byte[]> from = Map.of();
     private Map<String, byte[]> to = Map.of();
@@ -184,7 +185,11 @@
             byte[] log = of(to, LOG);
             int reached = random.nextBoolean() ? log.length : random.nextInt(LOG_HEADER, log.length);
             byte[] seen = Arrays.copyOf(log, Math.max(reached, begun.length));
-            System.arraycopy(begun, Math.min(reached, begun.length), seen, Math.min(reached, begun.length),
+            System.arraycopy(
+                    begun,
+                    Math.min(reached, begun.length),
+                    seen,
+                    Math.min(reached, begun.length),
                     begun.length - Math.min(reached, begun.length));
             files.put(LOG, seen);
             synced.put(LOG, begun);
@@ -373,11 +378,12 @@
         int sector = random.nextBoolean() ? 512 : 4096;
         int low = Math.min(old.length, next.length);
         int high = Math.max(old.length, next.length);
-        int length = switch (random.nextInt(4)) {
-            case 0 -> old.length;
-            case 1 -> random.nextInt(low, high + 1);
-            default -> next.length;
-        };
+        int length =
+                switch (random.nextInt(4)) {
+                    case 0 -> old.length;
+                    case 1 -> random.nextInt(low, high + 1);
+                    default -> next.length;
+                };
         byte[] all = Arrays.copyOf(old, length);
         double kept = List.of(0.0, 0.1, 0.5, 0.9, 1.0).get(random.nextInt(5));
         for (int a = 0; a < length; a += sector) {
@@ -402,7 +408,13 @@
 
     // The rollback journal of a founding: no page was there before.
     private byte[] journal() {
-        return ByteBuffer.allocate(512).putLong(0xd9d505f920a163d7L).putInt(0).putInt(random.nextInt())
-                .putInt(0).putInt(512).putInt(4096).array();
+        return ByteBuffer.allocate(512)
+                .putLong(0xd9d505f920a163d7L)
+                .putInt(0)
+                .putInt(random.nextInt())
+                .putInt(0)
+                .putInt(512)
+                .putInt(4096)
+                .array();
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/CutPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutPlay.java
@@ -1,16 +1,24 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.util.ArrayList;
 import java.util.List;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 
 /**
- * Point 1: machines are cut off for some twenty seconds while an operator orders and reads at all control nodes,
- * the ones cut off too, and sidecars start. Nothing there may claim contact, confirm, read or refuse wrongly;
- * orders are taken by the others; after the end the newest is soon everywhere. One schedule, one thread.
+ * Point 1: machines are cut off for some twenty seconds while an operator orders and reads at all control nodes, the
+ * ones cut off too, and sidecars start. Nothing there may claim contact, confirm, read or refuse wrongly; orders are
+ * taken by the others; after the end the newest is soon everywhere. One schedule, one thread.
  */
 final class CutPlay {
-    private enum Kind { BOTH, IN, OUT, HELD_BOTH, HELD_IN, HELD_OUT, FROZEN }
+    private enum Kind {
+        BOTH,
+        IN,
+        OUT,
+        HELD_BOTH,
+        HELD_IN,
+        HELD_OUT,
+        FROZEN
+    }
 
     private static final double CUT_AT = 3000;
     private static final double LEAST = 18_000;
@@ -57,11 +65,12 @@
         }
         core.agenda().run(end + AFTER, core.checker()::anyBroken);
         closing = true;
-        core.machines().forEach(m -> operators.read(m.address(), d -> {
-            if (d == null) {
-                core.checker().broke(m.address() + " can't read, long after the cut's end");
-            }
-        }));
+        core.machines()
+                .forEach(m -> operators.read(m.address(), d -> {
+                    if (d == null) {
+                        core.checker().broke(m.address() + " can't read, long after the cut's end");
+                    }
+                }));
         core.agenda().run(end + AFTER + Core.CONVERGE, core.checker()::anyBroken);
         core.checker().judgeHistory();
         return core.checker().outcome();
@@ -80,19 +89,22 @@
             }
         }
         boolean together = core.random().nextBoolean();
-        core.tell("cut " + kind + " of " + victims.stream().map(Machine::address).toList()
-                + (together ? " together" : ""));
+        core.tell("cut " + kind + " of "
+                + victims.stream().map(Machine::address).toList() + (together ? " together" : ""));
         core.checker().count("schedules with a cut, " + kind + " of " + many);
         victims.forEach(v -> core.troubled(v.address()));
-        set(together, switch (kind) {
-            case BOTH, IN -> Network.Way.CUT;
-            case HELD_BOTH, HELD_IN -> Network.Way.HELD;
-            default -> Network.Way.OPEN;
-        }, switch (kind) {
-            case BOTH, OUT -> Network.Way.CUT;
-            case HELD_BOTH, HELD_OUT -> Network.Way.HELD;
-            default -> Network.Way.OPEN;
-        });
+        set(
+                together,
+                switch (kind) {
+                    case BOTH, IN -> Network.Way.CUT;
+                    case HELD_BOTH, HELD_IN -> Network.Way.HELD;
+                    default -> Network.Way.OPEN;
+                },
+                switch (kind) {
+                    case BOTH, OUT -> Network.Way.CUT;
+                    case HELD_BOTH, HELD_OUT -> Network.Way.HELD;
+                    default -> Network.Way.OPEN;
+                });
         if (kind == Kind.FROZEN) {
             victims.forEach(Machine::freeze);
         }
@@ -150,10 +162,11 @@
             if (o.taken()) {
                 core.checker().count("orders acknowledged");
                 if (begunAt >= settledAt) {
-                    core.checker().sample("an order, ms to its operator's acknowledgement",
-                            core.now() - begunAt);
-                    core.checker().sample("an order, ms from a control node in touch to an acknowledgement",
-                            core.checker().acknowledgedAt(c.version()) - order[0].reachedAt());
+                    core.checker().sample("an order, ms to its operator's acknowledgement", core.now() - begunAt);
+                    core.checker()
+                            .sample(
+                                    "an order, ms from a control node in touch to an acknowledgement",
+                                    core.checker().acknowledgedAt(c.version()) - order[0].reachedAt());
                 }
                 converges(c.version());
                 base = c.version();
@@ -177,14 +190,14 @@
             return;
         }
         if (core.now() > joinedAt) {
-            core.checker().broke("an order on top of the newest version was not taken in 5 s of a settled "
-                    + "core");
+            core.checker().broke("an order on top of the newest version was not taken in 5 s of a settled " + "core");
         } else if (Double.isNaN(order.reachedAt())) {
             core.checker().count("orders that came to no control node in touch for 5 s");
         } else {
             core.agenda().in(order.reachedAt() + Core.ACK - core.now(), () -> {
-                if (core.now() >= settledAt && core.checker().acknowledgedBy(core.now())
-                        < order.change().version()) {
+                if (core.now() >= settledAt
+                        && core.checker().acknowledgedBy(core.now())
+                                < order.change().version()) {
                     core.checker().broke("an order was not taken 5 s after it came to a control node in touch");
                 }
             });
@@ -218,25 +231,31 @@
         if (core.now() < settledAt) {
             return;
         }
-        core.agenda().in(Core.CONVERGE, () -> core.machines().forEach(m -> {
-            if (core.calm(m.address()) && m.version() < version) {
-                core.checker().broke(m.address() + " is in touch and does not know version " + version
-                        + " 2.5 s after its acknowledgement");
-            }
-        }));
+        core.agenda()
+                .in(
+                        Core.CONVERGE,
+                        () -> core.machines().forEach(m -> {
+                            if (core.calm(m.address()) && m.version() < version) {
+                                core.checker()
+                                        .broke(m.address() + " is in touch and does not know version " + version
+                                                + " 2.5 s after its acknowledgement");
+                            }
+                        }));
     }
 
     private void read() {
         if (!closing) {
-            operators.read(core.any().address(), d -> core.checker().count(d == null ? "reads left unclear"
-                    : "reads answered"));
+            operators.read(
+                    core.any().address(),
+                    d -> core.checker().count(d == null ? "reads left unclear" : "reads answered"));
             core.agenda().in(core.between(300, 1500), this::read);
         }
     }
 
     // Its seeds are drawn, and those that are cut off come twice as often.
     private void sidecar(String name) {
-        List<String> all = new ArrayList<>(core.machines().stream().map(Machine::address).toList());
+        List<String> all =
+                new ArrayList<>(core.machines().stream().map(Machine::address).toList());
         List<String> seeds = new ArrayList<>();
         victims.forEach(v -> {
             if (core.random().nextBoolean()) {
@@ -250,10 +269,10 @@
         // Some reach none but the ones cut off, for a while.
         boolean blocked = core.random().nextInt(3) == 0;
         if (blocked) {
-            all.stream().filter(a -> victims.stream().noneMatch(v -> v.address().equals(a))).forEach(a ->
-                    core.network().set(name, a, Network.Way.CUT));
-            core.agenda().in(Core.ACK, () -> all.forEach(a -> core.network().set(name, a,
-                    Network.Way.OPEN)));
+            all.stream()
+                    .filter(a -> victims.stream().noneMatch(v -> v.address().equals(a)))
+                    .forEach(a -> core.network().set(name, a, Network.Way.CUT));
+            core.agenda().in(Core.ACK, () -> all.forEach(a -> core.network().set(name, a, Network.Way.OPEN)));
         }
         new Sidecar(core, name, seeds, blocked ? core.now() + Core.ACK : 0).start();
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Disk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Disk.java
@@ -1,26 +1,26 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Acceptor;
-import whinlead.mesh.wire.AcceptorRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.wire.AcceptorRecord;
 
 /**
- * A machine's disk and the one who writes to it, as {@code control.StateWriter} does: one write at a time, and
- * what waits meanwhile is written once, as it is last. It is slow, stalls, or refuses; what is under way as
- * the power goes is there or not. What is read back has gone through the bytes of the state store's entry. One
- * thread.
+ * A machine's disk and the one who writes to it, as {@code control.StateWriter} does: one write at a time, and what
+ * waits meanwhile is written once, as it is last. It is slow, stalls, or refuses; what is under way as the power goes
+ * is there or not. What is read back has gone through the bytes of the state store's entry. One thread.
  */
 final class Disk {
     /** What lies on it: a control node's id, and its memory. */
-    record Entry(String id, Acceptor.State memory) { }
+    record Entry(String id, Acceptor.State memory) {}
 
     private static final double QUICK = 1;
     private static final double SPREAD = 3;
     /** One sync in so many takes this long, in milliseconds. */
     private static final int RARE = 50;
+
     private static final double LONG = 400;
     /** A memory that was refused is tried again after so long where none follows, in milliseconds. */
     private static final double PAUSE = 250;
--- a/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
@@ -1,14 +1,14 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Decision;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import whinlead.mesh.consensus.Decision;
 
 /**
- * Losses within a budget. A machine counts as lost from the trouble's begin until a distance after its
- * return; one that is replaced, until a distance after its successor's start. One thread.
+ * Losses within a budget. A machine counts as lost from the trouble's begin until a distance after its return; one that
+ * is replaced, until a distance after its successor's start. One thread.
  */
 final class Faults {
     /** What befalls a machine. */
@@ -57,7 +57,7 @@
     private static final double POWER_BACK = 1000;
 
     /** A planned replacement that is measured until the next loss. */
-    private record Replacement(Machine old, double startedAt, double toldAt, int struck) { }
+    private record Replacement(Machine old, double startedAt, double toldAt, int struck) {}
 
     private final Core core;
     private final int budget;
@@ -107,8 +107,7 @@
 
     /** Whether this machine counts as lost. */
     boolean lost(String address) {
-        return lostUntil.getOrDefault(address, 0.0) > core.now()
-                || young.getOrDefault(address, 0.0) > core.now();
+        return lostUntil.getOrDefault(address, 0.0) > core.now() || young.getOrDefault(address, 0.0) > core.now();
     }
 
     /** Brings it upon a machine, for a drawn time. */
@@ -136,7 +135,10 @@
                     m.boot();
                     if (core.random().nextInt(FULL_TOO) == 0) {
                         m.disk().refuse(true);
-                        passes(m, core.between(LEAST, MAX_RESTART), () -> m.disk().refuse(false));
+                        passes(
+                                m,
+                                core.between(LEAST, MAX_RESTART),
+                                () -> m.disk().refuse(false));
                     } else {
                         back(m.address());
                     }
@@ -156,7 +158,7 @@
             }
             case STALLED_DISK -> {
                 m.disk().stall(core.now() + lasts);
-                passes(m, lasts, () -> { });
+                passes(m, lasts, () -> {});
             }
             case FULL_DISK -> {
                 m.disk().refuse(true);
@@ -194,16 +196,21 @@
     }
 
     private void ways(Machine m, double lasts, Network.Way in, Network.Way out) {
-        List<String> others = core.machines().stream().map(Machine::address)
-                .filter(a -> !a.equals(m.address())).toList();
+        List<String> others = core.machines().stream()
+                .map(Machine::address)
+                .filter(a -> !a.equals(m.address()))
+                .toList();
         others.forEach(a -> {
             core.network().set(a, m.address(), in);
             core.network().set(m.address(), a, out);
         });
-        passes(m, lasts, () -> others.forEach(a -> {
-            core.network().set(a, m.address(), Network.Way.OPEN);
-            core.network().set(m.address(), a, Network.Way.OPEN);
-        }));
+        passes(
+                m,
+                lasts,
+                () -> others.forEach(a -> {
+                    core.network().set(a, m.address(), Network.Way.OPEN);
+                    core.network().set(m.address(), a, Network.Way.OPEN);
+                }));
     }
 
     // It counts as lost for a while as well, with the one whose place it takes: no trouble of its own.
@@ -227,7 +234,9 @@
             await(old, toldAt, toldAt + GRACE);
             Replacement replacement = new Replacement(old, startedAt, toldAt, strikes);
             measure(replacement, "a core that bears the next loss", this::bears);
-            measure(replacement, "voters of whom any quorum left after the next loss has the newest",
+            measure(
+                    replacement,
+                    "voters of whom any quorum left after the next loss has the newest",
                     this::anyRestKnows);
         });
     }
@@ -237,8 +246,8 @@
             return;
         }
         if (old.left() || core.now() >= until) {
-            core.checker().count(old.left() ? "members that left by agreement"
-                    : "members that left when their time was up");
+            core.checker()
+                    .count(old.left() ? "members that left by agreement" : "members that left when their time was up");
             core.checker().sample("a member that was told to leave, ms to its end", core.now() - toldAt);
             core.remove(old);
         } else {
@@ -249,13 +258,16 @@
     // An unplanned replacement: until the successor has a vote and the one that is gone has none.
     private void measureSeat(Machine young, Machine old, double removedAt, double startedAt) {
         Decision newest = core.checker().newest();
-        boolean done = newest != null && newest.voters().contains(young.id())
+        boolean done = newest != null
+                && newest.voters().contains(young.id())
                 && !newest.voters().contains(old.id());
         if (done) {
-            core.checker().sample("an unplanned replacement, ms from the loss to the new voters",
-                    core.now() - removedAt);
-            core.checker().sample("an unplanned replacement, ms from the new one's start to the new voters",
-                    core.now() - startedAt);
+            core.checker()
+                    .sample("an unplanned replacement, ms from the loss to the new voters", core.now() - removedAt);
+            core.checker()
+                    .sample(
+                            "an unplanned replacement, ms from the new one's start to the new voters",
+                            core.now() - startedAt);
         } else if (core.at(young.address()) != young || core.now() - startedAt > UNSEATED) {
             core.checker().count("unplanned replacements that were overtaken");
         } else {
@@ -269,14 +281,17 @@
             return;
         }
         if (core.now() - r.startedAt() > Core.SYNC + GRACE) {
-            core.checker().broke(state + ": not long after a planned replacement, of " + r.old().address());
+            core.checker()
+                    .broke(state + ": not long after a planned replacement, of "
+                            + r.old().address());
             return;
         }
         if (!core.checker().newest().voters().contains(r.old().id()) && reached.getAsBoolean()) {
-            core.checker().sample("a planned replacement, ms from the new one's start to " + state,
-                    core.now() - r.startedAt());
-            core.checker().sample("a planned replacement, ms from SIGTERM to " + state,
-                    core.now() - r.toldAt());
+            core.checker()
+                    .sample(
+                            "a planned replacement, ms from the new one's start to " + state,
+                            core.now() - r.startedAt());
+            core.checker().sample("a planned replacement, ms from SIGTERM to " + state, core.now() - r.toldAt());
             return;
         }
         core.agenda().in(LOOK, () -> measure(r, state, reached));
@@ -296,8 +311,12 @@
     // the newest at the same moment, and nobody needs them to.
     private boolean anyRestKnows() {
         List<String> voters = core.checker().newest().voters();
-        long informed = voters.stream().filter(e -> holds(e, core.checker().votersSlot())).count();
-        long current = voters.stream().filter(e -> holds(e, core.checker().newest().slot())).count();
+        long informed = voters.stream()
+                .filter(e -> holds(e, core.checker().votersSlot()))
+                .count();
+        long current = voters.stream()
+                .filter(e -> holds(e, core.checker().newest().slot()))
+                .count();
         int losses = budget - occupied;
         return informed - losses >= voters.size() / 2 + 1 && current > losses;
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
@@ -1,16 +1,16 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 
 /**
- * Point 2: operators race, up to eight orders under way, under one number at times; answers are lost, and
- * calls are repeated at every other control node: at once, after a loss, after hundreds of other changes. Their
- * history has to be one of a register with compare-and-set. One schedule, one thread.
+ * Point 2: operators race, up to eight orders under way, under one number at times; answers are lost, and calls are
+ * repeated at every other control node: at once, after a loss, after hundreds of other changes. Their history has to be
+ * one of a register with compare-and-set. One schedule, one thread.
  */
 final class HistoryPlay {
     private static final double CALM = 20_000;
@@ -21,9 +21,16 @@
     /** In one of so many schedules there are hundreds of changes. */
     private static final int MANY = 20;
 
-    private static final List<Faults.Kind> KINDS = List.of(Faults.Kind.KILLED, Faults.Kind.WIPED,
-            Faults.Kind.CUT, Faults.Kind.DEAF, Faults.Kind.MUTE, Faults.Kind.FROZEN, Faults.Kind.HELD,
-            Faults.Kind.REPLACED, Faults.Kind.REPLACED_AS_PLANNED);
+    private static final List<Faults.Kind> KINDS = List.of(
+            Faults.Kind.KILLED,
+            Faults.Kind.WIPED,
+            Faults.Kind.CUT,
+            Faults.Kind.DEAF,
+            Faults.Kind.MUTE,
+            Faults.Kind.FROZEN,
+            Faults.Kind.HELD,
+            Faults.Kind.REPLACED,
+            Faults.Kind.REPLACED_AS_PLANNED);
 
     private final Core core;
     private final Operators operators;
@@ -65,8 +72,8 @@
         core.agenda().run(LENGTH - 2 * Core.ACK, core.checker()::anyBroken);
         if (!core.checker().anyBroken()) {
             // All that was taken is asked for again, everywhere.
-            taken.forEach(o -> core.machines().forEach(m -> core.agenda().in(core.between(0, 2000),
-                    () -> again(o, m.address()))));
+            taken.forEach(o ->
+                    core.machines().forEach(m -> core.agenda().in(core.between(0, 2000), () -> again(o, m.address()))));
             core.agenda().run(LENGTH - Core.ACK, core.checker()::anyBroken);
             close();
         }
@@ -79,8 +86,9 @@
         core.machines().forEach(m -> operators.read(m.address(), d -> readers[0] += d == null ? 0 : 1));
         core.agenda().run(LENGTH, core.checker()::anyBroken);
         if (readers[0] < core.machines().size() && !core.checker().anyBroken()) {
-            core.checker().broke("only " + readers[0] + " of " + core.machines().size()
-                    + " control nodes could read after the calm");
+            core.checker()
+                    .broke("only " + readers[0] + " of " + core.machines().size()
+                            + " control nodes could read after the calm");
         }
     }
 
@@ -119,8 +127,7 @@
         base = Math.max(base, o.change().version());
         if (core.random().nextInt(3) == 0 && taken.size() < MAX_UNDER_WAY) {
             taken.add(o);
-            core.machines().forEach(m -> core.agenda().in(core.between(0, 1500), () -> again(o,
-                    m.address())));
+            core.machines().forEach(m -> core.agenda().in(core.between(0, 1500), () -> again(o, m.address())));
         }
         if (core.now() < CALM - Core.SYNC && core.random().nextInt(8) == 0 && faults.may()) {
             if (faults.whole() && core.random().nextBoolean()) {
@@ -135,8 +142,8 @@
         operators.repeat(o, at, verdict -> {
             core.checker().count("calls of a change that was taken, again: " + verdict);
             if (verdict != ConsensusNode.CallResult.TAKEN && verdict != ConsensusNode.CallResult.UNCLEAR) {
-                core.checker().broke("a change that was taken was sent again to " + at + " and was refused: "
-                        + o.change());
+                core.checker()
+                        .broke("a change that was taken was sent again to " + at + " and was refused: " + o.change());
             }
         });
     }
@@ -177,9 +184,11 @@
     }
 
     private void strike() {
-        List<Machine> free = core.machines().stream().filter(m -> !faults.lost(m.address())).toList();
+        List<Machine> free =
+                core.machines().stream().filter(m -> !faults.lost(m.address())).toList();
         if (!free.isEmpty()) {
-            faults.strike(free.get(core.random().nextInt(free.size())),
+            faults.strike(
+                    free.get(core.random().nextInt(free.size())),
                     KINDS.get(core.random().nextInt(KINDS.size())));
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Hunt.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Hunt.java
@@ -68,12 +68,15 @@
         List<Thread> hunters = new ArrayList<>();
         List<Throwable> failed = new ArrayList<>();
         for (int i = 0; i < threads; i++) {
-            Thread t = new Thread(() -> {
-                for (long seed = next.getAndIncrement(); seed < first + schedules;
-                        seed = next.getAndIncrement()) {
-                    hunt.add(seed, play.apply(seed));
-                }
-            }, "hunter-" + i);
+            Thread t = new Thread(
+                    () -> {
+                        for (long seed = next.getAndIncrement();
+                                seed < first + schedules;
+                                seed = next.getAndIncrement()) {
+                            hunt.add(seed, play.apply(seed));
+                        }
+                    },
+                    "hunter-" + i);
             t.setUncaughtExceptionHandler((thread, e) -> {
                 synchronized (failed) {
                     failed.add(e);
@@ -96,8 +99,9 @@
             broken.put(seed, o.broken());
         }
         o.counts().forEach((k, v) -> counts.merge(k, v, Integer::sum));
-        o.samples().forEach((k, v) -> v.forEach(x -> samples.computeIfAbsent(k, n -> new Samples())
-                .add(x, seed)));
+        o.samples()
+                .forEach((k, v) -> v.forEach(
+                        x -> samples.computeIfAbsent(k, n -> new Samples()).add(x, seed)));
     }
 
     /** By seed, what was broken. */
--- a/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
@@ -1,7 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.storage.StateStore;
-import whinlead.mesh.storage.StateStoreException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -11,14 +9,16 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import whinlead.mesh.storage.StateStore;
+import whinlead.mesh.storage.StateStoreException;
 
 /**
- * The real state store on a modelled disk. It writes to a real folder; images of the files before and after
- * each step are made into what a loss of power in that step may leave, and the real state store is opened on
- * that. The order of SQLite's writes and syncs within a step is assumed, as {@link CutDisk} has it. Checks
- * that it gives the memory whose write had returned, or the one that was being written; that what it gave
- * once it gives again; and that what is damaged is refused. The same seed plays the same, but for the
- * salts that SQLite draws. One thread; it waits for the real disk.
+ * The real state store on a modelled disk. It writes to a real folder; images of the files before and after each step
+ * are made into what a loss of power in that step may leave, and the real state store is opened on that. The order of
+ * SQLite's writes and syncs within a step is assumed, as {@link CutDisk} has it. Checks that it gives the memory whose
+ * write had returned, or the one that was being written; that what it gave once it gives again; and that what is
+ * damaged is refused. The same seed plays the same, but for the salts that SQLite draws. One thread; it waits for the
+ * real disk.
  */
 public final class LedgerPlay {
     /** A fault that is planted, to see that it is found. */
@@ -36,7 +36,7 @@
     }
 
     /** What a schedule broke, and what it counted. */
-    public record Outcome(List<String> broken, Map<String, Long> figures) { }
+    public record Outcome(List<String> broken, Map<String, Long> figures) {}
 
     private static final String ID = "10.0.0.1#0";
     private static final int LIVES = 3;
@@ -55,6 +55,7 @@
     private byte[] said;
     /** What is being written, or null. */
     private byte[] writing;
+
     private boolean killed;
     private int folders;
     private int most;
--- a/src/main/java/whinlead/testbed/mesh/hardening/Linearizability.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Linearizability.java
@@ -1,7 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.testbed.mesh.hardening.Operation.Change;
-import whinlead.testbed.mesh.hardening.Operation.Value;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -10,12 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import whinlead.testbed.mesh.hardening.Operation.Change;
+import whinlead.testbed.mesh.hardening.Operation.Value;
 
 /**
- * Whether a history of calls could have come from one register with compare-and-set, each call at one moment
- * between its begin and its end. Just in time, after Lowe: all states that the register may be in are carried
- * along, and a change takes effect no sooner than a call's end asks for it. A change takes effect once, for
- * versions only rise; so a call without a clear end needs no further mark. Pure.
+ * Whether a history of calls could have come from one register with compare-and-set, each call at one moment between
+ * its begin and its end. Just in time, after Lowe: all states that the register may be in are carried along, and a
+ * change takes effect no sooner than a call's end asks for it. A change takes effect once, for versions only rise; so a
+ * call without a clear end needs no further mark. Pure.
  */
 final class Linearizability {
     /** A state with all before it. Equal ones are the same object. */
@@ -43,13 +43,14 @@
     }
 
     /** A state, and the calls under way whose answer was right at some moment so far. */
-    private record Possible(Node node, Set<Integer> right) { }
+    private record Possible(Node node, Set<Integer> right) {}
 
-    private record Event(double at, boolean end, int of) { }
+    private record Event(double at, boolean end, int of) {}
 
     private final List<Operation> history;
     /** By the version built on: changes that were begun. */
     private final Map<Long, Set<Change>> begun = new HashMap<>();
+
     private final Set<Integer> underWay = new LinkedHashSet<>();
     private Set<Possible> possible = new LinkedHashSet<>();
 
@@ -86,10 +87,10 @@
     }
 
     private void begin(int i, Operation o) {
-        boolean changes = o.change() != null && (o.end() == Operation.End.TAKEN
-                || o.end() == Operation.End.UNCLEAR);
+        boolean changes = o.change() != null && (o.end() == Operation.End.TAKEN || o.end() == Operation.End.UNCLEAR);
         if (changes) {
-            begun.computeIfAbsent(o.change().builtOn(), k -> new LinkedHashSet<>()).add(o.change());
+            begun.computeIfAbsent(o.change().builtOn(), k -> new LinkedHashSet<>())
+                    .add(o.change());
         } else if (o.end() != Operation.End.UNCLEAR) {
             underWay.add(i);
             Set<Possible> marked = new LinkedHashSet<>();
@@ -144,7 +145,8 @@
         Value now = node.value;
         return switch (o.end()) {
             case READ -> o.seen().equals(now);
-            case MISMATCH -> now.version() != o.change().builtOn() && !node.has(o.change().value());
+            case MISMATCH ->
+                now.version() != o.change().builtOn() && !node.has(o.change().value());
             case OLD -> now.version() == o.change().builtOn() && o.change().version() <= now.version();
             default -> false;
         };
--- a/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -1,13 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Acceptor;
-import whinlead.mesh.consensus.Message;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
-import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -16,15 +8,24 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 
 /**
- * One core machine: a real consensus node, driven as {@code control.ControlNode} drives it, with a disk and a clock
- * of its own. It is up, down, or frozen: then what arrives waits, and comes all at once as it thaws. Keeps,
- * beside the consensus node, the truth of whom it has exchanged question and answer with. One thread.
+ * One core machine: a real consensus node, driven as {@code control.ControlNode} drives it, with a disk and a clock of
+ * its own. It is up, down, or frozen: then what arrives waits, and comes all at once as it thaws. Keeps, beside the
+ * consensus node, the truth of whom it has exchanged question and answer with. One thread.
  */
 final class Machine implements ConsensusNode.Actions {
     /** A control node that was in touch so lately says that it is, in milliseconds; as the control node has it. */
     static final double IN_TOUCH = 1000;
+
     private static final double TICK = 25;
     private static final double PING = 300;
     /** Own clocks begin anywhere. */
@@ -33,7 +34,7 @@
     private static final double ROUNDING = 0.01;
 
     /** The newest message of one life of another machine that was taken in here, by when it left there. */
-    private record Sight(String key, double sentAt) { }
+    private record Sight(String key, double sentAt) {}
 
     private final Core core;
     private final String address;
@@ -119,7 +120,8 @@
         Disk.Entry entry = core.bug() == Bug.RESTARTS_OLDER ? disk.readBefore() : disk.read();
         if (entry == null) {
             // A new disk is a new voter: what the old one may have promised, this one can't know.
-            entry = new Disk.Entry(address + "#" + Long.toHexString(core.random().nextLong() | 1),
+            entry = new Disk.Entry(
+                    address + "#" + Long.toHexString(core.random().nextLong() | 1),
                     new Acceptor.State(null, Ballot.NONE, null));
             disk.found(entry);
         }
@@ -181,8 +183,7 @@
         disk.wipe();
         core.tell(address + " has lost its disk");
         if (core.bug() == Bug.VOTES_AFTER_WIPE) {
-            disk.found(new Disk.Entry(id, new Acceptor.State(Decision.founding(core.founders()), Ballot.NONE,
-                    null)));
+            disk.found(new Disk.Entry(id, new Acceptor.State(Decision.founding(core.founders()), Ballot.NONE, null)));
         }
     }
 
@@ -239,7 +240,10 @@
             lateTicks++;
         } else {
             if (core.bug() == Bug.SEATS_BESIDE_DEAD && consensusNode.decided() != null) {
-                consensusNode.decided().voters().forEach(e -> consensusNode.echoed(local(), e, consensusNode.storedSlot()));
+                consensusNode
+                        .decided()
+                        .voters()
+                        .forEach(e -> consensusNode.echoed(local(), e, consensusNode.storedSlot()));
             }
             loop(mine, this::tick);
         }
@@ -349,8 +353,7 @@
         });
     }
 
-    private void arrived(String from, String sender, String key, double sentAt, Sight sight,
-            Consumer<Machine> what) {
+    private void arrived(String from, String sender, String key, double sentAt, Sight sight, Consumer<Machine> what) {
         know(from);
         Sight last = seen.get(from);
         if (last == null || !last.key().equals(key) || last.sentAt() < sentAt) {
@@ -387,8 +390,15 @@
         }
         if (core.bug() == Bug.ACKNOWLEDGES_ON_PROMISE && message instanceof Message.Accept p) {
             int mine = life;
-            core.agenda().in(0, () -> loop(mine, () -> consensusNode.received(local(), to,
-                    new Message.Accepted(p.value().slot(), p.ballot()))));
+            core.agenda()
+                    .in(
+                            0,
+                            () -> loop(
+                                    mine,
+                                    () -> consensusNode.received(
+                                            local(),
+                                            to,
+                                            new Message.Accepted(p.value().slot(), p.ballot()))));
         }
     }
 
@@ -404,11 +414,15 @@
         if (metered >= 0) {
             metered += PeerMessageCodec.write(new PeerMessage.Consensus(message)).length;
         }
-        if (message instanceof Message.Decided d && core.bug() == Bug.LEARNS_OLDER
+        if (message instanceof Message.Decided d
+                && core.bug() == Bug.LEARNS_OLDER
                 && consensusNode.decided() != null
                 && d.decision().slot() < consensusNode.decided().slot()) {
-            consensusNode = new ConsensusNode(id, new Acceptor.State(d.decision(), Ballot.NONE, null),
-                    core.random().nextLong(), this);
+            consensusNode = new ConsensusNode(
+                    id,
+                    new Acceptor.State(d.decision(), Ballot.NONE, null),
+                    core.random().nextLong(),
+                    this);
         }
         if (message instanceof Message.Decided d && core.bug() == Bug.FORGETS_TAKEN) {
             consensusNode.received(local(), from, new Message.Decided(forgetful(d.decision())));
@@ -420,22 +434,36 @@
     }
 
     private static String shortly(Message message) {
-        return message instanceof Message.Decided d ? "Decided " + d.decision().slot()
-                : message instanceof Message.Accept p ? "Accept " + p.ballot() + " slot " + p.value().slot()
-                : message instanceof Message.Promise p ? "Promise slot " + p.slot() + " " + p.ballot()
-                        + (p.vote() == null ? "" : " voted in " + p.vote().ballot())
-                : message.toString();
+        return message instanceof Message.Decided d
+                ? "Decided " + d.decision().slot()
+                : message instanceof Message.Accept p
+                        ? "Accept " + p.ballot() + " slot " + p.value().slot()
+                        : message instanceof Message.Promise p
+                                ? "Promise slot " + p.slot() + " " + p.ballot()
+                                        + (p.vote() == null
+                                                ? ""
+                                                : " voted in " + p.vote().ballot())
+                                : message.toString();
     }
 
     private static Message.State agreeing(Message.State state) {
-        return new Message.State(state.nonce(), state.slot(), state.voted(), state.opinions().stream()
-                .map(o -> new Message.Opinion(o.voter(), Message.Reachability.SILENT)).toList());
+        return new Message.State(
+                state.nonce(),
+                state.slot(),
+                state.voted(),
+                state.opinions().stream()
+                        .map(o -> new Message.Opinion(o.voter(), Message.Reachability.SILENT))
+                        .toList());
     }
 
     private static Decision forgetful(Decision d) {
         List<Decision.Taken> taken = d.taken();
-        return new Decision(d.slot(), d.version(), d.body(),
-                taken.subList(Math.max(0, taken.size() - 1), taken.size()), d.voters());
+        return new Decision(
+                d.slot(),
+                d.version(),
+                d.body(),
+                taken.subList(Math.max(0, taken.size() - 1), taken.size()),
+                d.voters());
     }
 
     @Override
@@ -454,22 +482,23 @@
     @Override
     public void decided(Decision decision) {
         if (core.traced()) {
-            core.tell(address + " learns slot " + decision.slot() + " version " + decision.version()
-                    + " voters " + decision.voters());
+            core.tell(address + " learns slot " + decision.slot() + " version " + decision.version() + " voters "
+                    + decision.voters());
         }
         core.checker().decided(decision);
-        write(new Acceptor.State(decision, Ballot.NONE, null),
-                () -> consensusNode.stored(local(), decision.slot()));
+        write(new Acceptor.State(decision, Ballot.NONE, null), () -> consensusNode.stored(local(), decision.slot()));
         decision.voters().forEach(e -> know(ConsensusNode.address(e)));
     }
 
     private void write(Acceptor.State memory, Runnable then) {
         int mine = life;
-        disk.write(new Disk.Entry(id, memory), () -> loop(mine, () -> {
-            onDisk = Math.max(onDisk, slot(memory.decided()));
-            diskVersion = Math.max(diskVersion, version(memory.decided()));
-            then.run();
-        }));
+        disk.write(
+                new Disk.Entry(id, memory),
+                () -> loop(mine, () -> {
+                    onDisk = Math.max(onDisk, slot(memory.decided()));
+                    diskVersion = Math.max(diskVersion, version(memory.decided()));
+                    then.run();
+                }));
     }
 
     // --- what operators order
@@ -484,7 +513,9 @@
             then.accept(verdict);
         };
         Decision d = consensusNode.decided();
-        if (core.bug() == Bug.REFUSES_BY_LOCAL && d != null && d.version() != change.builtOn()
+        if (core.bug() == Bug.REFUSES_BY_LOCAL
+                && d != null
+                && d.version() != change.builtOn()
                 && !d.has(change.version(), change.digest())) {
             end.accept(call, ConsensusNode.CallResult.MISMATCH);
             return;
@@ -495,12 +526,16 @@
     }
 
     private void ended(int call, ConsensusNode.CallResult verdict, boolean alone) {
-        core.checker().ended(call, switch (verdict) {
-            case TAKEN -> Operation.End.TAKEN;
-            case MISMATCH -> Operation.End.MISMATCH;
-            case OLD_VERSION -> Operation.End.OLD;
-            case UNCLEAR -> Operation.End.UNCLEAR;
-        }, null);
+        core.checker()
+                .ended(
+                        call,
+                        switch (verdict) {
+                            case TAKEN -> Operation.End.TAKEN;
+                            case MISMATCH -> Operation.End.MISMATCH;
+                            case OLD_VERSION -> Operation.End.OLD;
+                            case UNCLEAR -> Operation.End.UNCLEAR;
+                        },
+                        null);
         double took = core.now() - core.checker().invokedAt(call);
         if (thawedAt > core.checker().invokedAt(call)) {
             // It stood still meanwhile.
@@ -539,5 +574,4 @@
             then.accept(newest);
         }
     }
-
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/MembershipPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/MembershipPlay.java
@@ -5,9 +5,9 @@
 import java.util.function.Predicate;
 
 /**
- * How long a change of voters takes under orders without a pause: a learner that asks for a vote, then a
- * voter that is told to leave, then one that falls silent. Each is measured from its cause to the first
- * decision with the new voters, in milliseconds and in slots decided meanwhile. One schedule, one thread.
+ * How long a change of voters takes under orders without a pause: a learner that asks for a vote, then a voter that is
+ * told to leave, then one that falls silent. Each is measured from its cause to the first decision with the new voters,
+ * in milliseconds and in slots decided meanwhile. One schedule, one thread.
  */
 public final class MembershipPlay {
     private static final double FIRST = 2000;
@@ -16,6 +16,7 @@
     private static final double PAUSE = 1000;
     /** The time after which a voter that answers nothing is silent, in milliseconds. */
     private static final double SILENCE = 2500;
+
     private static final double END = 40_000;
     private static final int VOTERS = 3;
 
@@ -63,17 +64,22 @@
 
     private void newcomer() {
         Machine added = core.add("n1", null);
-        await(() -> added.onDisk() >= 0, () ->
-                measure("newcomer's request", slot(), core.now(), voters -> voters.contains(added.id()),
-                        this::leaver));
+        await(
+                () -> added.onDisk() >= 0,
+                () -> measure(
+                        "newcomer's request", slot(), core.now(), voters -> voters.contains(added.id()), this::leaver));
     }
 
     private void leaver() {
         Machine leaver = draw();
         leaver.leave();
         double toldAt = core.now();
-        measure("SIGTERM", slot(), toldAt, voters -> !voters.contains(leaver.id()), () ->
-                await(() -> leaver.left(), () -> {
+        measure(
+                "SIGTERM",
+                slot(),
+                toldAt,
+                voters -> !voters.contains(leaver.id()),
+                () -> await(() -> leaver.left(), () -> {
                     core.checker().sample(title("SIGTERM to the process's end, ms"), core.now() - toldAt);
                     core.remove(leaver);
                     fourth();
@@ -88,13 +94,21 @@
     private void silence() {
         Machine silent = draw();
         silent.down();
-        core.agenda().in(SILENCE, () -> measure("silence of 2.5 s", slot(), core.now(),
-                voters -> !voters.contains(silent.id()), () -> done = true));
+        core.agenda()
+                .in(
+                        SILENCE,
+                        () -> measure(
+                                "silence of 2.5 s",
+                                slot(),
+                                core.now(),
+                                voters -> !voters.contains(silent.id()),
+                                () -> done = true));
     }
 
     private Machine draw() {
         List<Machine> voters = core.machines().stream()
-                .filter(machine -> core.checker().newest().voters().contains(machine.id())).toList();
+                .filter(machine -> core.checker().newest().voters().contains(machine.id()))
+                .toList();
         return voters.get(core.random().nextInt(voters.size()));
     }
 
@@ -106,12 +120,13 @@
         return underWay + " under way, " + what;
     }
 
-    private void measure(String cause, long fromSlot, double from, Predicate<List<String>> reached,
-            Runnable then) {
+    private void measure(String cause, long fromSlot, double from, Predicate<List<String>> reached, Runnable then) {
         await(() -> reached.test(core.checker().newest().voters()), () -> {
             core.checker().sample(title(cause + " to the new voters, ms"), core.now() - from);
-            core.checker().sample(title(cause + " to the new voters, changes decided meanwhile"),
-                    Math.max(0, slot() - fromSlot - 1));
+            core.checker()
+                    .sample(
+                            title(cause + " to the new voters, changes decided meanwhile"),
+                            Math.max(0, slot() - fromSlot - 1));
             core.agenda().in(core.between(0, PAUSE), then);
         });
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Network.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Network.java
@@ -7,13 +7,16 @@
 import java.util.SplittableRandom;
 
 /**
- * The ways between machines, each direction by itself: open, cut, or holding back what is sent until it is
- * open again, when all of it arrives at once. On an open way messages take a drawn time, are lost, and come
- * twice. One thread.
+ * The ways between machines, each direction by itself: open, cut, or holding back what is sent until it is open again,
+ * when all of it arrives at once. On an open way messages take a drawn time, are lost, and come twice. One thread.
  */
 final class Network {
     /** How a way stands. */
-    enum Way { OPEN, CUT, HELD }
+    enum Way {
+        OPEN,
+        CUT,
+        HELD
+    }
 
     private static final double NEAREST = 0.5;
     private static final double SPREAD = 2;
@@ -69,8 +72,9 @@
     /** Sends, now or never. */
     void send(String from, String to, Runnable arrive) {
         switch (ways.getOrDefault(from + ">" + to, Way.OPEN)) {
-            case CUT -> { }
-            case HELD -> held.computeIfAbsent(from + ">" + to, k -> new ArrayList<>()).add(arrive);
+            case CUT -> {}
+            case HELD ->
+                held.computeIfAbsent(from + ">" + to, k -> new ArrayList<>()).add(arrive);
             default -> {
                 if (random.nextDouble() >= loss) {
                     agenda.in(NEAREST + random.nextDouble() * SPREAD, arrive);
--- a/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
@@ -1,15 +1,15 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
-import whinlead.testbed.mesh.hardening.Operation.Change;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.function.Consumer;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
+import whinlead.testbed.mesh.hardening.Operation.Change;
 
 /**
- * Operators, as the pages describe them: an order goes to any control node, to the next one after a second of
- * silence or an unclear end, with a pause that grows, and its answer may be lost on the way. One thread.
+ * Operators, as the pages describe them: an order goes to any control node, to the next one after a second of silence
+ * or an unclear end, with a pause that grows, and its answer may be lost on the way. One thread.
  */
 final class Operators {
     private static final double SILENCE = 1000;
@@ -87,8 +87,7 @@
 
     /** A change of its own on top of a version. */
     Change change(long builtOn) {
-        return new Change(builtOn + 1 + core.random().nextInt(3), builtOn,
-                String.format("%016x", ++digests));
+        return new Change(builtOn + 1 + core.random().nextInt(3), builtOn, String.format("%016x", ++digests));
     }
 
     /** Sends an order until it has a clear end or its time is up, and tells it then. */
@@ -112,13 +111,14 @@
     }
 
     private String first() {
-        return stays && last != null && core.at(last) != null && core.random().nextInt(STAYS) > 0 ? last
+        return stays && last != null && core.at(last) != null && core.random().nextInt(STAYS) > 0
+                ? last
                 : core.any().address();
     }
 
     /** Sends it once more, to one control node, and tells how that ended; never, if no answer comes. */
     void repeat(Order order, String at, Consumer<ConsensusNode.CallResult> then) {
-        ask(at, order, then, () -> { });
+        ask(at, order, then, () -> {});
     }
 
     private void attempt(Order o, String at) {
@@ -135,18 +135,22 @@
             }
         };
         core.agenda().in(SILENCE, next);
-        ask(at, o, verdict -> {
-            if (verdict == ConsensusNode.CallResult.UNCLEAR) {
-                next.run();
-            } else if (o.end == null && o.tries == mine) {
-                o.end = verdict;
-                last = at;
-                if (core.traced()) {
-                    core.tell(o.change + " ends " + verdict + " from " + at);
-                }
-                o.then.accept(o);
-            }
-        }, next);
+        ask(
+                at,
+                o,
+                verdict -> {
+                    if (verdict == ConsensusNode.CallResult.UNCLEAR) {
+                        next.run();
+                    } else if (o.end == null && o.tries == mine) {
+                        o.end = verdict;
+                        last = at;
+                        if (core.traced()) {
+                            core.tell(o.change + " ends " + verdict + " from " + at);
+                        }
+                        o.then.accept(o);
+                    }
+                },
+                next);
     }
 
     private String another(String than) {
--- a/src/main/java/whinlead/testbed/mesh/hardening/Outcome.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Outcome.java
@@ -10,4 +10,4 @@
  * @param counts how often something came up
  * @param samples times in milliseconds, or bytes, by what was measured
  */
-public record Outcome(List<String> broken, Map<String, Integer> counts, Map<String, List<Double>> samples) { }
+public record Outcome(List<String> broken, Map<String, Integer> counts, Map<String, List<Double>> samples) {}
--- a/src/main/java/whinlead/testbed/mesh/hardening/PairCutPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/PairCutPlay.java
@@ -1,22 +1,26 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
 
 /**
- * Point 6: each pair of voters is cut in turn and for long, one way and both, while both reach the rest;
- * three voters or five, with orders going on and other losses between, within the budget. A cut pair counts
- * as one loss for as long as none of its two is lost otherwise. A voter that reaches a quorum must keep its
- * vote, and the core must go on. One schedule, one thread.
+ * Point 6: each pair of voters is cut in turn and for long, one way and both, while both reach the rest; three voters
+ * or five, with orders going on and other losses between, within the budget. A cut pair counts as one loss for as long
+ * as none of its two is lost otherwise. A voter that reaches a quorum must keep its vote, and the core must go on. One
+ * schedule, one thread.
  */
 final class PairCutPlay {
-    private enum Direction { FORTH, BACK, BOTH }
+    private enum Direction {
+        FORTH,
+        BACK,
+        BOTH
+    }
 
     /** Two voters by their place in the newest decision, and which way between them is cut. */
-    private record Cut(int first, int second, Direction direction) { }
+    private record Cut(int first, int second, Direction direction) {}
 
     private static final int LARGE = 5;
     private static final int SMALL = 3;
@@ -30,11 +34,17 @@
     private static final double CALM = 5000;
     /** In one schedule of so many, orders come without a pause, so many at a time. */
     private static final int STORMS = 10;
+
     private static final int UNDER_WAY = 4;
     /** A look in so many during a cut brings a loss, where the budget has room for one. */
     private static final int RARELY = 80;
-    private static final List<Faults.Kind> LOSSES = List.of(Faults.Kind.KILLED, Faults.Kind.WIPED,
-            Faults.Kind.FROZEN, Faults.Kind.REPLACED, Faults.Kind.REPLACED_AS_PLANNED);
+
+    private static final List<Faults.Kind> LOSSES = List.of(
+            Faults.Kind.KILLED,
+            Faults.Kind.WIPED,
+            Faults.Kind.FROZEN,
+            Faults.Kind.REPLACED,
+            Faults.Kind.REPLACED_AS_PLANNED);
 
     private final Core core;
     private final SteadyOrders orders;
@@ -102,8 +112,7 @@
         Cut cut = cuts.get(0);
         String one = ConsensusNode.address(voters.get(cut.first() % voters.size()));
         String other = ConsensusNode.address(voters.get(cut.second() % voters.size()));
-        boolean room = faults.losses() < budget && core.at(one) != null && core.at(other) != null
-                && !one.equals(other);
+        boolean room = faults.losses() < budget && core.at(one) != null && core.at(other) != null && !one.equals(other);
         if (!room) {
             core.agenda().in(LOOK, this::cutNext);
             return;
@@ -146,18 +155,20 @@
     }
 
     private void strike() {
-        List<Machine> targets = core.machines().stream().filter(m -> !faults.lost(m.address())
-                && !m.leaving() && lossesWith(m.address()) <= budget).toList();
+        List<Machine> targets = core.machines().stream()
+                .filter(m -> !faults.lost(m.address()) && !m.leaving() && lossesWith(m.address()) <= budget)
+                .toList();
         if (!targets.isEmpty()) {
-            faults.strike(targets.get(core.random().nextInt(targets.size())),
+            faults.strike(
+                    targets.get(core.random().nextInt(targets.size())),
                     LOSSES.get(core.random().nextInt(LOSSES.size())));
         }
     }
 
     // What is lost once this one is lost too, the cut among it.
     private int lossesWith(String address) {
-        boolean cutCounts = !address.equals(first) && !address.equals(second)
-                && !faults.lost(first) && !faults.lost(second);
+        boolean cutCounts =
+                !address.equals(first) && !address.equals(second) && !faults.lost(first) && !faults.lost(second);
         return faults.losses() + 1 + (cutCounts ? 1 : 0);
     }
 
@@ -181,10 +192,16 @@
 
     // One voter at least reaches a quorum, both ways.
     private void judgeQuorum() {
-        List<Machine> there = voters.stream().map(v -> core.at(ConsensusNode.address(v)))
-                .filter(Objects::nonNull).filter(m -> m.up() && voters.contains(m.id())).toList();
-        long most = there.stream().mapToLong(m -> there.stream().filter(o -> o == m || reach(m, o)).count())
-                .max().orElse(0);
+        List<Machine> there = voters.stream()
+                .map(v -> core.at(ConsensusNode.address(v)))
+                .filter(Objects::nonNull)
+                .filter(m -> m.up() && voters.contains(m.id()))
+                .toList();
+        long most = there.stream()
+                .mapToLong(
+                        m -> there.stream().filter(o -> o == m || reach(m, o)).count())
+                .max()
+                .orElse(0);
         if (most < voters.size() / 2 + 1) {
             core.checker().broke("no voter reaches a quorum: " + most + " of " + voters);
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Point.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Point.java
@@ -39,7 +39,9 @@
      * @throws IllegalArgumentException if there is none
      */
     public static Point of(int number) {
-        return Arrays.stream(values()).filter(p -> p.number == number).findFirst()
+        return Arrays.stream(values())
+                .filter(p -> p.number == number)
+                .findFirst()
                 .orElseThrow(() -> new IllegalArgumentException("no point has the number " + number));
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
@@ -1,9 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.plan.Calendar;
-import whinlead.mesh.rpc.RpcResponse;
-import whinlead.mesh.rpc.RpcCall;
-import whinlead.mesh.rpc.RpcServer;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -25,6 +21,10 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
+import whinlead.mesh.rpc.RpcCall;
+import whinlead.mesh.rpc.RpcResponse;
+import whinlead.mesh.rpc.RpcServer;
+import whinlead.plan.Calendar;
 
 /** Pipelined calls through the real server of calls, answered in any order. One thread; driven time. */
 final class RelayCalls {
@@ -48,8 +48,8 @@
     /** Makes the connection. */
     void start(boolean asTheyCome) {
         channel = new EmbeddedChannel();
-        channel.pipeline().addLast(asTheyCome ? naive()
-                : new RpcServer(channel.eventLoop(), MAPPER, this::run).handlers());
+        channel.pipeline()
+                .addLast(asTheyCome ? naive() : new RpcServer(channel.eventLoop(), MAPPER, this::run).handlers());
     }
 
     /** Says a call, of a number or of no name, in two pieces. */
@@ -84,8 +84,7 @@
             b.release();
         }
         for (int end = in.indexOf(END); end >= 0; end = in.indexOf(END)) {
-            int length = Integer.parseInt(in.substring(0, end).replaceFirst("(?is).*content-length: (\\d+).*",
-                    "$1"));
+            int length = Integer.parseInt(in.substring(0, end).replaceFirst("(?is).*content-length: (\\d+).*", "$1"));
             if (in.length() < end + END.length() + length) {
                 return;
             }
@@ -113,28 +112,38 @@
     // The server of before: an answer goes out when it comes.
     private ChannelInitializer<Channel> naive() {
         BiConsumer<ChannelHandlerContext, RpcResponse> say = (ctx, a) -> {
-            DefaultFullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(a.status()), Unpooled.wrappedBuffer(a.body()));
+            DefaultFullHttpResponse r = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(a.status()), Unpooled.wrappedBuffer(a.body()));
             r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, a.body().length);
             ctx.writeAndFlush(r);
         };
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel ch) {
-                ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16),
-                        new SimpleChannelInboundHandler<FullHttpRequest>() {
-                            @Override
-                            protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                                int of = request.uri().indexOf("&of=");
-                                if (of < 0) {
-                                    say.accept(ctx, RpcResponse.not(404, "call names nothing: "
-                                            + request.uri().replaceFirst(".*call=", "")));
-                                } else {
-                                    run(new RpcCall.Depart(request.uri().substring(of + 4)),
-                                            a -> say.accept(ctx, a));
-                                }
-                            }
-                        });
+                ch.pipeline()
+                        .addLast(
+                                new HttpServerCodec(),
+                                new HttpObjectAggregator(1 << 16),
+                                new SimpleChannelInboundHandler<FullHttpRequest>() {
+                                    @Override
+                                    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+                                        int of = request.uri().indexOf("&of=");
+                                        if (of < 0) {
+                                            say.accept(
+                                                    ctx,
+                                                    RpcResponse.not(
+                                                            404,
+                                                            "call names nothing: "
+                                                                    + request.uri()
+                                                                            .replaceFirst(".*call=", "")));
+                                        } else {
+                                            run(
+                                                    new RpcCall.Depart(
+                                                            request.uri().substring(of + 4)),
+                                                    a -> say.accept(ctx, a));
+                                        }
+                                    }
+                                });
             }
         };
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayEndpoint.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayEndpoint.java
@@ -1,6 +1,5 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.plan.Calendar;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -14,10 +13,11 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
+import whinlead.plan.Calendar;
 
 /**
- * An endpoint in trouble, at the other end of the real connections to it: it answers, turns away, resets, is
- * silent, cuts off, spoils, and says once more what it has said before. One thread; driven time.
+ * An endpoint in trouble, at the other end of the real connections to it: it answers, turns away, resets, is silent,
+ * cuts off, spoils, and says once more what it has said before. One thread; driven time.
  */
 final class RelayEndpoint {
     private static final String SEAL = "Server-Seal: s\r\n";
@@ -38,8 +38,13 @@
      * @param ran is told the id of each request that it begins to work on
      * @param ignoresIds whether the process beside it is to take all for the answer to its last request
      */
-    RelayEndpoint(Calendar calendar, Executor io, SplittableRandom random, Consumer<String> ran,
-            Consumer<String> count, boolean ignoresIds) {
+    RelayEndpoint(
+            Calendar calendar,
+            Executor io,
+            SplittableRandom random,
+            Consumer<String> ran,
+            Consumer<String> count,
+            boolean ignoresIds) {
         this.ignoresIds = ignoresIds;
         this.calendar = calendar;
         this.io = io;
@@ -55,16 +60,18 @@
         ChannelPromise dial = made.channel.newPromise();
         boolean refused = random.nextInt(30) == 0;
         double wait = random.nextInt(12) == 0 ? 200 + random.nextInt(600) : random.nextInt(3);
-        calendar.after(wait, () -> io.execute(() -> {
-            if (refused) {
-                count.accept("refused connects");
-                made.channel.close();
-                dial.setFailure(new ConnectException("refused"));
-            } else {
-                dial.setSuccess();
-                made.hear();
-            }
-        }));
+        calendar.after(
+                wait,
+                () -> io.execute(() -> {
+                    if (refused) {
+                        count.accept("refused connects");
+                        made.channel.close();
+                        dial.setFailure(new ConnectException("refused"));
+                    } else {
+                        dial.setSuccess();
+                        made.hear();
+                    }
+                }));
         return dial;
     }
 
@@ -154,10 +161,13 @@
                 case 12 -> after(took, answer("500 Error", id, "of " + id, ""), "errors");
                 case 13 -> after(took, "HTTP/1.1 100 Continue" + END + whole, "interim answers");
                 case 14 -> after(took, answer("200 OK", "", "whose", SEAL) + whole, "unnamed ones");
-                case 15 -> after(took, answer("200 OK", id, "of " + id, SEAL + "Connection: close\r\n"),
-                        "closing answers");
-                default -> after(took, (random.nextInt(6) == 0 ? said : "") + whole
-                        + (random.nextInt(6) == 0 ? whole : ""), "answers");
+                case 15 ->
+                    after(took, answer("200 OK", id, "of " + id, SEAL + "Connection: close\r\n"), "closing answers");
+                default ->
+                    after(
+                            took,
+                            (random.nextInt(6) == 0 ? said : "") + whole + (random.nextInt(6) == 0 ? whole : ""),
+                            "answers");
             }
         }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -1,21 +1,21 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.plan.Calendar;
-import whinlead.mesh.sidecar.RequestForwarder;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
-import whinlead.mesh.wire.ReconnectingConnection;
-import whinlead.mesh.wire.TransitClock;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import whinlead.mesh.sidecar.RequestForwarder;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.mesh.wire.ReconnectingConnection;
+import whinlead.mesh.wire.TransitClock;
+import whinlead.plan.Calendar;
 
 /**
- * A modelled connection between two processes: connections in order, which break, are held back, and outlive at the
- * far end what the near one has closed. One thread; driven time.
+ * A modelled connection between two processes: connections in order, which break, are held back, and outlive at the far
+ * end what the near one has closed. One thread; driven time.
  */
 final class RelayPath implements RequestForwarder.Path {
     private static final double SUSPECT = 700;
@@ -44,12 +44,20 @@
     private final Consumer<PeerMessage> wrote;
     /** Whether what was sent is sent once more on the next connection: a planted fault. */
     private final boolean again;
+
     private final List<PeerMessage> sent = new ArrayList<>();
     private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
     private Connection connection;
 
-    RelayPath(Calendar calendar, SplittableRandom random, RelayProcess near, RelayProcess far, RequestForwarder.Ear ear,
-            FarEnd farEnd, Consumer<PeerMessage> wrote, boolean again) {
+    RelayPath(
+            Calendar calendar,
+            SplittableRandom random,
+            RelayProcess near,
+            RelayProcess far,
+            RequestForwarder.Ear ear,
+            FarEnd farEnd,
+            Consumer<PeerMessage> wrote,
+            boolean again) {
         this.calendar = calendar;
         this.random = random;
         this.near = near;
@@ -136,18 +144,20 @@
         to(ReconnectingConnection.State.DIALLING);
         boolean fails = random.nextInt(8) == 0;
         double wait = random.nextInt(5) == 0 ? 100 + random.nextInt(700) : 1 + random.nextInt(4);
-        calendar.after(wait, () -> near.execute(() -> {
-            if (fails) {
-                lost();
-            } else if (state == ReconnectingConnection.State.DIALLING) {
-                connection = new Connection();
-                connection.ping(IDLE_TIMES);
-                if (again) {
-                    sent.forEach(l -> connection.send(PeerMessageCodec.write(l)));
-                }
-                to(ReconnectingConnection.State.UP);
-            }
-        }));
+        calendar.after(
+                wait,
+                () -> near.execute(() -> {
+                    if (fails) {
+                        lost();
+                    } else if (state == ReconnectingConnection.State.DIALLING) {
+                        connection = new Connection();
+                        connection.ping(IDLE_TIMES);
+                        if (again) {
+                            sent.forEach(l -> connection.send(PeerMessageCodec.write(l)));
+                        }
+                        to(ReconnectingConnection.State.UP);
+                    }
+                }));
     }
 
     @Override
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -1,43 +1,43 @@
 package whinlead.testbed.mesh.hardening;
 
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.Consumer;
 import whinlead.Contract;
 import whinlead.decide.Decide;
+import whinlead.engine.Engine;
 import whinlead.engine.Request;
 import whinlead.engine.ResponseSink;
 import whinlead.engine.Transport;
-import whinlead.engine.Engine;
 import whinlead.membership.EndpointList;
-import whinlead.plan.Calendar;
-import whinlead.mesh.sidecar.RequestClasses;
-import whinlead.mesh.sidecar.ServiceBalancer;
 import whinlead.mesh.sidecar.EndpointAttempts;
 import whinlead.mesh.sidecar.EndpointConnections;
 import whinlead.mesh.sidecar.EndpointRequests;
 import whinlead.mesh.sidecar.ForwardedTime;
+import whinlead.mesh.sidecar.RequestClasses;
 import whinlead.mesh.sidecar.RequestForwarder;
+import whinlead.mesh.sidecar.ServiceBalancer;
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.TransitClock;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.TreeMap;
-import java.util.function.Consumer;
+import whinlead.plan.Calendar;
 
 /**
- * Requests from one sidecar through the real engine, module, ways and lines to three endpoints in trouble,
- * under a driven clock: connections are reset and held back, connections are lost and made anew, either sidecar is
- * frozen or restarted, endpoints reset, cut off, spoil, and answer late or twice, and clients leave. Beside
- * it, pipelined calls through the real server of calls.
+ * Requests from one sidecar through the real engine, module, ways and lines to three endpoints in trouble, under a
+ * driven clock: connections are reset and held back, connections are lost and made anew, either sidecar is frozen or
+ * restarted, endpoints reset, cut off, spoil, and answer late or twice, and clients leave. Beside it, pipelined calls
+ * through the real server of calls.
  *
- * <p>Checks that each answer is its own, that what may not be repeated runs once at most and nothing on more
- * endpoints than its route allows, that "has not run" is not said of what has run and that nothing runs after
- * it, that a time left is never overstated, and that nothing is written after the caller was answered or has
- * left. The same seed plays the same. One thread.
+ * <p>Checks that each answer is its own, that what may not be repeated runs once at most and nothing on more endpoints
+ * than its route allows, that "has not run" is not said of what has run and that nothing runs after it, that a time
+ * left is never overstated, and that nothing is written after the caller was answered or has left. The same seed plays
+ * the same. One thread.
  */
 public final class RelayPlay {
     /** A fault that is planted, to see that it is found. */
@@ -73,12 +73,13 @@
      * @param figures what it counted
      * @param longest the longest of what it timed, in milliseconds
      */
-    public record Outcome(List<String> broken, Map<String, Long> figures, Map<String, Double> longest) { }
+    public record Outcome(List<String> broken, Map<String, Long> figures, Map<String, Double> longest) {}
 
     private static final double LENGTH = 6000;
     private static final double CALM = 10_000;
     /** From so long after the last request on, time goes in larger steps. */
     private static final double QUIET = 3000;
+
     private static final int REQUESTS = 40;
     private static final int CALLS = 30;
     private static final int FAULTS = 10;
@@ -87,12 +88,15 @@
     private static final int MAX_TRIES = 2;
     /** The client of one request in so many leaves before its time is up. */
     private static final int LEAVES = 7;
+
     private static final double TICK = 100;
     /** A request that begins so long after its time was up breaks the promise. */
     private static final double MAX_LATE = 650;
+
     private static final String BODY = "of ";
     /** A failure in the last moments of a request's time is told as 504, before that as 502. */
     private static final double TIMED_OUT = 50;
+
     private static final RequestClasses CLASSES = new RequestClasses();
 
     private final Calendar calendar = new Calendar();
@@ -107,6 +111,7 @@
     private final Map<String, Double> longest = new TreeMap<>();
     /** Where the processes' clocks begin. */
     private final SplittableRandom clocks;
+
     private Engine engine;
     private RequestForwarder round;
     private int life;
@@ -166,25 +171,36 @@
         life++;
         paths.clear();
         Contract.Settings settings = ServiceBalancer.settings(CLASSES, 2.5, 1);
-        engine = new Engine(near, settings, out -> new Decide(settings, random.nextLong(), out), list -> { },
-                line -> {
-                    if (line.startsWith("decision failed")) {
-                        broke(line);
-                    }
-                });
-        engine.start(() -> { }, null);
-        round = new RequestForwarder(near, task -> calendar.after(0, () -> near.execute(task)), "near",
-                (request, done) -> { }, (node, ear) -> {
+        engine = new Engine(near, settings, out -> new Decide(settings, random.nextLong(), out), list -> {}, line -> {
+            if (line.startsWith("decision failed")) {
+                broke(line);
+            }
+        });
+        engine.start(() -> {}, null);
+        round = new RequestForwarder(
+                near,
+                task -> calendar.after(0, () -> near.execute(task)),
+                "near",
+                (request, done) -> {},
+                (node, ear) -> {
                     Far far = fars.get(Integer.parseInt(node));
-                    RelayPath path = new RelayPath(calendar, random.split(), near, far.process, ear,
-                            far::take, this::wrote, bug == Bug.WRITES_AGAIN_AFTER_REDIAL);
+                    RelayPath path = new RelayPath(
+                            calendar,
+                            random.split(),
+                            near,
+                            far.process,
+                            ear,
+                            far::take,
+                            this::wrote,
+                            bug == Bug.WRITES_AGAIN_AFTER_REDIAL);
                     paths.put(node, path);
                     return path;
-                }, () -> { });
+                },
+                () -> {});
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < FARS; i++) {
-            entries.add(new EndpointList.Entry(new Contract.Server(Integer.toString(i),
-                    Contract.Standing.UP, 1, "z", -1, 0), null));
+            entries.add(new EndpointList.Entry(
+                    new Contract.Server(Integer.toString(i), Contract.Standing.UP, 1, "z", -1, 0), null));
         }
         engine.list(Contract.ListKind.FULL, new EndpointList(life, true, entries));
     }
@@ -266,8 +282,10 @@
 
     private void began(ClientRequest r) {
         double now = calendar.now();
-        time("a start after its request's time was up" + (r.comparable ? ""
-                : ", by a connection whose first message had waited"), now - r.endAt);
+        time(
+                "a start after its request's time was up"
+                        + (r.comparable ? "" : ", by a connection whose first message had waited"),
+                now - r.endAt);
         if (r.comparable && now - r.endAt > MAX_LATE) {
             broke(r.id + " began " + (now - r.endAt) + " ms after its time was up");
         }
@@ -284,7 +302,8 @@
         }
     }
 
-    private final class ClientRequest implements ResponseSink<PeerMessage.ForwardResponse>, Transport<PeerMessage.ForwardResponse> {
+    private final class ClientRequest
+            implements ResponseSink<PeerMessage.ForwardResponse>, Transport<PeerMessage.ForwardResponse> {
         private final String id;
         private final int life = RelayPlay.this.life;
         private final boolean mutating = random.nextInt(3) > 0;
@@ -299,9 +318,11 @@
         private boolean failed;
         /** Whether its connection's first message had come at once, so that waiting shows. */
         private boolean comparable = true;
+
         private boolean promised;
         /** The attempt that was sent last, and who hears of its end. */
         private RequestForwarder.Sent sent;
+
         private Outcomes<PeerMessage.ForwardResponse> outcomes;
 
         private ClientRequest(String id) {
@@ -310,8 +331,8 @@
         }
 
         private void go() {
-            Engine.Held<PeerMessage.ForwardResponse> held = engine.take(new Request(CLASSES.of(!mutating, 1, 500), -1,
-                    timeout, false, 1, 0), this, this);
+            Engine.Held<PeerMessage.ForwardResponse> held =
+                    engine.take(new Request(CLASSES.of(!mutating, 1, 500), -1, timeout, false, 1, 0), this, this);
             if (requests.size() % LEAVES == 0) {
                 near.after(random.nextDouble() * timeout, () -> leave(held));
             }
@@ -337,8 +358,16 @@
             }
             attempts.sent();
             double left = bug == Bug.HANDS_OUT_WHOLE_TIME ? timeout : endAt - calendar.now();
-            PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
-                    (int) Math.max(1, left), "svc", endpoint, 1);
+            PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(
+                    0,
+                    "POST",
+                    "/x",
+                    List.of("Attempt-Id", id),
+                    new byte[0],
+                    (int) Math.max(1, left),
+                    "svc",
+                    endpoint,
+                    1);
             outcomes = told;
             RequestForwarder.Sent attempted = round.send(endpoint, draft, !mutating, message -> came(message, told));
             sent = attempted;
@@ -348,7 +377,7 @@
                     attempts.neverWritten();
                 }
                 if (!written && bug == Bug.WRITES_AFTER_ANSWER) {
-                    near.after(1, () -> round.send(endpoint, draft, false, message -> { }));
+                    near.after(1, () -> round.send(endpoint, draft, false, message -> {}));
                 }
                 return written;
             };
@@ -358,7 +387,10 @@
             if (message instanceof PeerMessage.ForwardFailure r) {
                 attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.FailureReason.UNREACHED : r.why());
             }
-            told.ended(RequestForwarder.outcome(message), message instanceof PeerMessage.ForwardResponse d ? d : null, null);
+            told.ended(
+                    RequestForwarder.outcome(message),
+                    message instanceof PeerMessage.ForwardResponse d ? d : null,
+                    null);
         }
 
         private void answered(String how) {
@@ -375,7 +407,9 @@
             answered("served");
             String body = new String(answer.body(), StandardCharsets.US_ASCII);
             int at = answer.headers().indexOf("Attempt-Id");
-            if (!body.equals(BODY + id) || at < 0 || !answer.headers().get(at + 1).equals(id)) {
+            if (!body.equals(BODY + id)
+                    || at < 0
+                    || !answer.headers().get(at + 1).equals(id)) {
                 broke(id + " was answered " + body + " " + answer.headers());
             }
         }
@@ -406,8 +440,8 @@
 
     private final class Far {
         private final RelayProcess process = new RelayProcess(calendar, random.split(), clockBegan());
-        private final RelayEndpoint endpoint = new RelayEndpoint(calendar, process, random.split(),
-                id -> ran(id, this), RelayPlay.this::count, bug == Bug.IGNORES_IDS);
+        private final RelayEndpoint endpoint = new RelayEndpoint(
+                calendar, process, random.split(), id -> ran(id, this), RelayPlay.this::count, bug == Bug.IGNORES_IDS);
         private EndpointConnections line = new EndpointConnections(process, endpoint::connect);
         private EndpointRequests underWay = new EndpointRequests();
         private ForwardedTime time = new ForwardedTime();
@@ -421,8 +455,7 @@
             process.after(TICK, this::tick);
         }
 
-        private void take(TransitClock transit, double firstWaited, PeerMessage message,
-                Consumer<PeerMessage> answer) {
+        private void take(TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer) {
             if (message instanceof PeerMessage.Ping ping) {
                 time.running(process.now());
                 transit.waited(process.now(), ping.sentAt());
@@ -437,7 +470,8 @@
                     run(request.withLeft(left), answer);
                 } else {
                     count("requests whose time was up when they arrived");
-                    answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
+                    answer.accept(new PeerMessage.ForwardFailure(
+                            request.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
                 }
             }
         }
@@ -450,9 +484,11 @@
             underWay.begin(answer, request.stream());
             EndpointConnections.Sent atEndpoint = line.send(request, request.endpoint(), l -> {
                 underWay.ended(answer, request.stream());
-                boolean reset = l instanceof PeerMessage.ForwardFailure r && r.why() == PeerMessage.FailureReason.BROKEN;
+                boolean reset =
+                        l instanceof PeerMessage.ForwardFailure r && r.why() == PeerMessage.FailureReason.BROKEN;
                 if (reset && bug == Bug.RESET_NEVER_RAN) {
-                    answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
+                    answer.accept(new PeerMessage.ForwardFailure(
+                            request.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
                 } else if (reset && bug == Bug.PASSES_ON_AFTER_RESET && !requests.get(id(request)).mutating) {
                     Far next = fars.get((fars.indexOf(this) + 1) % FARS);
                     next.line.send(request, request.endpoint(), answer);
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayProcess.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayProcess.java
@@ -1,14 +1,14 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.engine.Timers;
-import whinlead.plan.Calendar;
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import java.util.concurrent.Executor;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 
 /**
- * A process's turn on its processor: while it is frozen, what arrives and what falls due waits; once it runs
- * again, either may come first. What was left for one that has ended is dropped. One thread; driven time.
+ * A process's turn on its processor: while it is frozen, what arrives and what falls due waits; once it runs again,
+ * either may come first. What was left for one that has ended is dropped. One thread; driven time.
  */
 final class RelayProcess implements Timers, Executor {
     private final Calendar calendar;
--- a/src/main/java/whinlead/testbed/mesh/hardening/SeatsPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/SeatsPlay.java
@@ -4,10 +4,9 @@
 import java.util.Set;
 
 /**
- * Point 3: one loss after the other, at a distance after the machine's return, three voters with one loss
- * or five with two at once: kills, wiped disks, replacements as planned and not, freezes, cuts, slow, stalled
- * and full disks. A majority must always be there, and the core must go on after it. One schedule, one
- * thread.
+ * Point 3: one loss after the other, at a distance after the machine's return, three voters with one loss or five with
+ * two at once: kills, wiped disks, replacements as planned and not, freezes, cuts, slow, stalled and full disks. A
+ * majority must always be there, and the core must go on after it. One schedule, one thread.
  */
 final class SeatsPlay {
     private static final double FIRST = 1500;
@@ -17,9 +16,11 @@
     private static final int LARGE = 5;
     /** In a quarter of the schedules, those of these seeds, orders come without a pause. */
     private static final int STORM_PERIOD = 20;
+
     private static final Set<Long> STORM_SEEDS = Set.of(0L, 4L, 7L, 10L, 13L);
     /** So many orders at a time in these. */
     private static final int UNDER_WAY = 4;
+
     private static final double NO_PAUSE = 20;
 
     private final Core core;
@@ -72,10 +73,11 @@
         long[] ordered = {0};
         // The one that may still be under way, then one more.
         core.agenda().run(core.now() + PATIENCE, core.checker()::anyBroken);
-        core.machines().forEach(m -> operators.read(m.address(), d -> {
-            done[0] += d == null ? 0 : 1;
-            base = d == null ? base : Math.max(base, d.version());
-        }));
+        core.machines()
+                .forEach(m -> operators.read(m.address(), d -> {
+                    done[0] += d == null ? 0 : 1;
+                    base = d == null ? base : Math.max(base, d.version());
+                }));
         core.agenda().run(core.now() + Core.ACK, core.checker()::anyBroken);
         if (core.checker().anyBroken()) {
             return;
@@ -83,8 +85,10 @@
         operators.order(operators.change(base), Core.ACK, o -> ordered[0] += o.taken() ? 1 : 0);
         core.agenda().run(core.now() + Core.ACK, core.checker()::anyBroken);
         if (!core.checker().anyBroken() && (done[0] < core.machines().size() || ordered[0] == 0)) {
-            core.checker().broke("stands still after the calm: " + done[0] + " of " + core.machines().size()
-                    + " control nodes read, an order was " + (ordered[0] == 0 ? "not taken" : "taken"));
+            core.checker()
+                    .broke("stands still after the calm: " + done[0] + " of "
+                            + core.machines().size() + " control nodes read, an order was "
+                            + (ordered[0] == 0 ? "not taken" : "taken"));
         }
     }
 
@@ -93,10 +97,13 @@
             inTheDark = inTheDark && !core.machines().stream().allMatch(Machine::up);
             return;
         }
-        List<String> voters = core.checker().newest() == null ? core.founders()
+        List<String> voters = core.checker().newest() == null
+                ? core.founders()
                 : core.checker().newest().voters();
-        long there = voters.stream().filter(e -> core.machines().stream().anyMatch(m -> m.up()
-                && m.id().equals(e) && !faults.out(m.address()))).count();
+        long there = voters.stream()
+                .filter(e ->
+                        core.machines().stream().anyMatch(m -> m.up() && m.id().equals(e) && !faults.out(m.address())))
+                .count();
         if (there < voters.size() / 2 + 1) {
             core.checker().broke("no majority is there: " + there + " of " + voters);
         }
@@ -113,8 +120,9 @@
     }
 
     private void strike(Faults.Kind kind) {
-        List<Machine> free = core.machines().stream().filter(m -> !faults.lost(m.address())
-                && !m.leaving()).toList();
+        List<Machine> free = core.machines().stream()
+                .filter(m -> !faults.lost(m.address()) && !m.leaving())
+                .toList();
         if (!free.isEmpty()) {
             faults.strike(free.get(core.random().nextInt(free.size())), kind);
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
@@ -1,15 +1,15 @@
 package whinlead.testbed.mesh.hardening;
 
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
 
 /**
  * A sidecar that starts with nothing, as {@code sidecar.ControlClient} goes about it: asks the control nodes that it
- * knows of, begins with what one has that says it is in touch with a majority, asks other sidecars for more
- * control nodes, and after a while without any in touch begins with the newest that it was told. One thread.
+ * knows of, begins with what one has that says it is in touch with a majority, asks other sidecars for more control
+ * nodes, and after a while without any in touch begins with the newest that it was told. One thread.
  */
 final class Sidecar {
     private static final double ASK = 200;
@@ -101,13 +101,13 @@
         }
         began = true;
         core.tell(name + " begins with version " + candidate.version() + ", confirmed by " + from);
-        core.checker().sample("a sidecar, ms to its beginning with a confirmed version",
-                core.now() - startedAt);
+        core.checker().sample("a sidecar, ms to its beginning with a confirmed version", core.now() - startedAt);
         if (candidate.version() < owed) {
             if (!has || calm) {
-                core.checker().broke(name + " begins with version " + candidate.version() + " from " + from
-                        + (has ? " which is in touch" : " which is not in touch") + ", though " + owed
-                        + " was acknowledged 2.5 s before");
+                core.checker()
+                        .broke(name + " begins with version " + candidate.version() + " from " + from
+                                + (has ? " which is in touch" : " which is not in touch") + ", though " + owed
+                                + " was acknowledged 2.5 s before");
             } else {
                 core.checker().count("sidecars that began behind at a control node just back in touch");
             }
@@ -117,8 +117,7 @@
     private void beginUnconfirmed() {
         began = true;
         core.checker().count("sidecars that began unconfirmed");
-        if (blockedUntil < startedAt && core.machines().stream().anyMatch(m -> m.up()
-                && core.calm(m.address()))) {
+        if (blockedUntil < startedAt && core.machines().stream().anyMatch(m -> m.up() && core.calm(m.address()))) {
             core.checker().broke(name + " begins unconfirmed though it reaches a calm control node");
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/SteadyOrders.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/SteadyOrders.java
@@ -1,8 +1,8 @@
 package whinlead.testbed.mesh.hardening;
 
 /**
- * A client that sends one order on top of the other, and reads now and then, until it is stopped; and the
- * check after the last trouble that every control node reads and an order is taken. One thread.
+ * A client that sends one order on top of the other, and reads now and then, until it is stopped; and the check after
+ * the last trouble that every control node reads and an order is taken. One thread.
  */
 final class SteadyOrders {
     private static final double PATIENCE = 8000;
@@ -13,6 +13,7 @@
     private final Operators operators;
     /** Orders under way at a time without a pause; 1 for a client that pauses. */
     private final int underWay;
+
     private long base;
     private boolean stopped;
 
@@ -35,10 +36,11 @@
         stopped = true;
         run(PATIENCE);
         int[] reads = {0};
-        core.machines().forEach(m -> operators.read(m.address(), d -> {
-            reads[0] += d == null ? 0 : 1;
-            base = d == null ? base : Math.max(base, d.version());
-        }));
+        core.machines()
+                .forEach(m -> operators.read(m.address(), d -> {
+                    reads[0] += d == null ? 0 : 1;
+                    base = d == null ? base : Math.max(base, d.version());
+                }));
         run(Core.ACK);
         if (core.checker().anyBroken()) {
             return;
@@ -47,8 +49,10 @@
         operators.order(operators.change(base), Core.ACK, o -> taken[0] += o.taken() ? 1 : 0);
         run(Core.ACK);
         if (!core.checker().anyBroken() && (reads[0] < core.machines().size() || taken[0] == 0)) {
-            core.checker().broke("stands still after the calm: " + reads[0] + " of " + core.machines().size()
-                    + " control nodes read, an order was " + (taken[0] == 0 ? "not taken" : "taken"));
+            core.checker()
+                    .broke("stands still after the calm: " + reads[0] + " of "
+                            + core.machines().size() + " control nodes read, an order was "
+                            + (taken[0] == 0 ? "not taken" : "taken"));
         }
     }
 
--- a/src/main/java/whinlead/testbed/mesh/scale/Fit.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Fit.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 
 /**
- * Ordinary least squares of a figure on a polynomial of one size: the coefficients, each with its standard
- * error, and the standard deviation of the residuals. Pure; for any thread.
+ * Ordinary least squares of a figure on a polynomial of one size: the coefficients, each with its standard error, and
+ * the standard deviation of the residuals. Pure; for any thread.
  *
  * @param coefficients of the powers of the size, from 0 on
  * @param errors the coefficients' standard errors, in their units; NaN where no point is to spare
@@ -106,6 +106,7 @@
                     .append(String.format(Locale.ROOT, "%.4g (%.2g)", coefficients[i], errors[i]))
                     .append(i == 0 ? "" : i == 1 ? " " + size : " " + size + "^" + i);
         }
-        return text.append(String.format(Locale.ROOT, ", residual %.2g", residual)).toString();
+        return text.append(String.format(Locale.ROOT, ", residual %.2g", residual))
+                .toString();
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/scale/Fleet.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Fleet.java
@@ -1,14 +1,11 @@
 package whinlead.testbed.mesh.scale;
 
-import whinlead.mesh.log.Event;
-import whinlead.testbed.mesh.Talk;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
-import java.io.InputStreamReader;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -20,19 +17,34 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import whinlead.mesh.log.Event;
+import whinlead.testbed.mesh.Talk;
 
 /**
- * The processes of one point of a scale run: control nodes, one real sidecar behind a {@link Relay}, and one
- * process of hollow sidecars. They end when this is closed, or with this process. One thread.
+ * The processes of one point of a scale run: control nodes, one real sidecar behind a {@link Relay}, and one process of
+ * hollow sidecars. They end when this is closed, or with this process. One thread.
  */
 final class Fleet implements AutoCloseable {
     /** As in {@code deploy/system.toml}; the archive of classes is taken where the build has made one. */
-    private static final List<String> JAVA = List.of("-Xmx96m", "-Xss256k", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-XX:SharedArchiveFile=target/mesh.jsa",
-            "-Xlog:disable", "-XX:-UsePerfData", "-Dio.netty.jfr.enabled=false",
+    private static final List<String> JAVA = List.of(
+            "-Xmx96m",
+            "-Xss256k",
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xshare:auto",
+            "-XX:SharedArchiveFile=target/mesh.jsa",
+            "-Xlog:disable",
+            "-XX:-UsePerfData",
+            "-Dio.netty.jfr.enabled=false",
+            "-Dio.netty.leakDetection.level=disabled");
+
+    private static final List<String> HOLLOW = List.of(
+            "-Xmx4g",
+            "-Xss256k",
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:-UsePerfData",
             "-Dio.netty.leakDetection.level=disabled");
-    private static final List<String> HOLLOW = List.of("-Xmx4g", "-Xss256k", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Dio.netty.leakDetection.level=disabled");
     private static final long WAIT_S = 60;
     private static final long POLL_MS = 50;
     private static final int TAKEN = 200;
@@ -76,9 +88,13 @@
 
     private void begin() throws IOException, InterruptedException {
         for (int i = 0; i < places.controlNodes(); i++) {
-            controlNodes.add(role("control", "control-" + i,
-                    places.controlNode(i, folder.resolve("disk-" + i).toString()), hear()));
-            relay.listen(new InetSocketAddress(places.controlNodeIp(i), places.relay()),
+            controlNodes.add(role(
+                    "control",
+                    "control-" + i,
+                    places.controlNode(i, folder.resolve("disk-" + i).toString()),
+                    hear()));
+            relay.listen(
+                    new InetSocketAddress(places.controlNodeIp(i), places.relay()),
                     new InetSocketAddress(places.controlNodeIp(i), places.talk()));
         }
         until("the first configuration is taken", () -> {
@@ -90,8 +106,13 @@
             }
         });
         List<String> words = new ArrayList<>(HOLLOW);
-        words.addAll(List.of("-cp", System.getProperty("java.class.path"), Hollow.class.getName(),
-                places.toString(), Integer.toString(sizes.sidecars()), Integer.toString(sizes.services()),
+        words.addAll(List.of(
+                "-cp",
+                System.getProperty("java.class.path"),
+                Hollow.class.getName(),
+                places.toString(),
+                Integer.toString(sizes.sidecars()),
+                Integer.toString(sizes.services()),
                 Integer.toString(sizes.asked())));
         hollow = java(words).redirectError(log("hollow")).start();
         toHollow = new PrintStream(hollow.getOutputStream(), true, StandardCharsets.UTF_8);
@@ -124,11 +145,14 @@
     private Process role(String role, String name, List<String> settings, Heard ear) throws IOException {
         Path file = Files.write(folder.resolve(name + ".conf"), settings);
         List<String> words = new ArrayList<>(JAVA);
-        words.addAll(List.of("-cp", System.getProperty("java.class.path"), Tethered.class.getName(), role,
-                "-s", file.toString()));
+        words.addAll(List.of(
+                "-cp", System.getProperty("java.class.path"), Tethered.class.getName(), role, "-s", file.toString()));
         Process process = java(words).redirectErrorStream(true).start();
-        Thread reading = new Thread(() -> process.inputReader(StandardCharsets.UTF_8).lines()
-                .forEach(line -> ear.line(line, System.nanoTime())), "log of " + name);
+        Thread reading = new Thread(
+                () -> process.inputReader(StandardCharsets.UTF_8)
+                        .lines()
+                        .forEach(line -> ear.line(line, System.nanoTime())),
+                "log of " + name);
         reading.setDaemon(true);
         reading.start();
         return process;
@@ -159,9 +183,12 @@
     long change() throws IOException {
         long next = version + 1;
         int controlNode = (int) (next % controlNodes.size());
-        int status = Talk.ask(places.control(controlNode), "POST /whinlead/rpc?call=config.replace",
-                Map.of("If-Match", Long.toHexString(version), "Content-Type", "application/json"),
-                sizes.config(next).getBytes(StandardCharsets.UTF_8)).status();
+        int status = Talk.ask(
+                        places.control(controlNode),
+                        "POST /whinlead/rpc?call=config.replace",
+                        Map.of("If-Match", Long.toHexString(version), "Content-Type", "application/json"),
+                        sizes.config(next).getBytes(StandardCharsets.UTF_8))
+                .status();
         if (status != TAKEN) {
             return 0;
         }
@@ -246,8 +273,13 @@
         for (Process controlNode : controlNodes) {
             each.add(Usage.of(controlNode.pid()));
         }
-        return new Snapshot(System.nanoTime(), Usage.of(sidecar.pid()), each, Usage.of(hollow.pid()),
-                Usage.of(ProcessHandle.current().pid()), relay.counts());
+        return new Snapshot(
+                System.nanoTime(),
+                Usage.of(sidecar.pid()),
+                each,
+                Usage.of(hollow.pid()),
+                Usage.of(ProcessHandle.current().pid()),
+                relay.counts());
     }
 
     @Override
--- a/src/main/java/whinlead/testbed/mesh/scale/Heard.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Heard.java
@@ -1,6 +1,5 @@
 package whinlead.testbed.mesh.scale;
 
-import whinlead.mesh.log.Event;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,6 +11,7 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 import java.util.logging.SimpleFormatter;
+import whinlead.mesh.log.Event;
 
 /**
  * What a process's sidecars logged: how often each event, and when each version came in force. Times are of
@@ -53,7 +53,8 @@
         int at = line.indexOf(VERSION);
         if (at >= 0 && line.startsWith(Event.IN_FORCE.number() + " ")) {
             String version = line.substring(at + VERSION.length()).split(" ")[0];
-            inForce.computeIfAbsent(Long.parseLong(version, HEX), v -> new ArrayList<>()).add(nanos);
+            inForce.computeIfAbsent(Long.parseLong(version, HEX), v -> new ArrayList<>())
+                    .add(nanos);
         }
     }
 
@@ -102,8 +103,8 @@
     }
 
     @Override
-    public void flush() { }
+    public void flush() {}
 
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
@@ -1,9 +1,5 @@
 package whinlead.testbed.mesh.scale;
 
-import whinlead.mesh.settings.NodeSettingsReader;
-import whinlead.mesh.sidecar.Sidecar;
-import whinlead.mesh.log.Event;
-import whinlead.testbed.mesh.Talk;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -18,11 +14,15 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.settings.NodeSettingsReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.testbed.mesh.Talk;
 
 /**
- * The hollow sidecars of a scale run: many {@link Sidecar}s in one process, on few loops, with an endpoint
- * beside each that only beats. It beats to the real sidecar 0 as well. Commands come on standard input, one a
- * line, and answers go to standard output; the process ends with its input.
+ * The hollow sidecars of a scale run: many {@link Sidecar}s in one process, on few loops, with an endpoint beside each
+ * that only beats. It beats to the real sidecar 0 as well. Commands come on standard input, one a line, and answers go
+ * to standard output; the process ends with its input.
  */
 public final class Hollow {
     private static final int LOOPS = 6;
@@ -32,6 +32,7 @@
     private static final double BEAT_US = 1.2e6;
     /** How often a tenant's request comes to a sidecar, in microseconds: enough to be told to control nodes. */
     private static final double ASK_US = 4e6;
+
     private static final double US_A_MIN = 60e6;
 
     private final Places places;
@@ -56,8 +57,17 @@
 
     /** Runs; arguments are the places, sidecars, services, and tenants that are asked for. */
     public static void main(String... args) throws IOException, InterruptedException {
-        Hollow hollow = new Hollow(Places.parse(args[0]), new Sizes(Integer.parseInt(args[1]),
-                Integer.parseInt(args[2]), 1, 0, Integer.parseInt(args[3]), 0, 0, 0));
+        Hollow hollow = new Hollow(
+                Places.parse(args[0]),
+                new Sizes(
+                        Integer.parseInt(args[1]),
+                        Integer.parseInt(args[2]),
+                        1,
+                        0,
+                        Integer.parseInt(args[3]),
+                        0,
+                        0,
+                        0));
         hollow.start();
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -78,12 +88,12 @@
         }
         for (int i = 0; i < sizes.sidecars(); i++) {
             int sidecar = i;
-            workers[i % WORKERS].scheduleAtFixedRate(() -> beat(sidecar), spread(BEAT_US, i),
-                    (long) BEAT_US, TimeUnit.MICROSECONDS);
+            workers[i % WORKERS].scheduleAtFixedRate(
+                    () -> beat(sidecar), spread(BEAT_US, i), (long) BEAT_US, TimeUnit.MICROSECONDS);
             for (int t = 0; t < sizes.asked(); t++) {
                 int tenant = t;
-                workers[i % WORKERS].scheduleAtFixedRate(() -> ask(sidecar, tenant),
-                        spread(ASK_US, i + t), (long) ASK_US, TimeUnit.MICROSECONDS);
+                workers[i % WORKERS].scheduleAtFixedRate(
+                        () -> ask(sidecar, tenant), spread(ASK_US, i + t), (long) ASK_US, TimeUnit.MICROSECONDS);
             }
         }
     }
@@ -127,18 +137,35 @@
         String body = "{\"Target\":\"" + target(i) + "\",\"Address\":\"127.0.0.1:1\",\"Zone\":\"hall-a\","
                 + "\"Epoch\":\"v1\",\"Capacity\":6,\"Phase\":\"serving\",\"WarmupS\":0,\"CallSeq\":"
                 + calls.incrementAndGet() + "}";
-        say(toBeats, i, places.beats(i), "POST /whinlead/rpc?call=members.heartbeat&of=endpoint-" + i + "-"
-                + lives[i], Map.of("Content-Type", "application/json"), body);
+        say(
+                toBeats,
+                i,
+                places.beats(i),
+                "POST /whinlead/rpc?call=members.heartbeat&of=endpoint-" + i + "-" + lives[i],
+                Map.of("Content-Type", "application/json"),
+                body);
     }
 
     private void ask(int i, int tenant) {
-        say(toEgress, i, places.egress(i), "GET " + sizes.path(), Map.of("Host", Sizes.service(0)
-                + ".mesh.example", "Attempt-Id", "ask-" + calls.incrementAndGet(), "Deadline-Ms", "1000",
-                "Api-Key", Sizes.key(tenant)), "");
+        say(
+                toEgress,
+                i,
+                places.egress(i),
+                "GET " + sizes.path(),
+                Map.of(
+                        "Host",
+                        Sizes.service(0) + ".mesh.example",
+                        "Attempt-Id",
+                        "ask-" + calls.incrementAndGet(),
+                        "Deadline-Ms",
+                        "1000",
+                        "Api-Key",
+                        Sizes.key(tenant)),
+                "");
     }
 
-    private static void say(Talk[] talks, int i, String address, String first, Map<String, String> headers,
-            String body) {
+    private static void say(
+            Talk[] talks, int i, String address, String first, Map<String, String> headers, String body) {
         try {
             if (talks[i] == null) {
                 talks[i] = new Talk(address);
--- a/src/main/java/whinlead/testbed/mesh/scale/Places.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Places.java
@@ -9,9 +9,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Where the processes of a scale run stand on loopback, and their settings as the platform writes them. Ports
- * are alike on all machines and were free when this was made. Sidecar 0 dials the control nodes at a port of its
- * own, where a relay counts. Immutable.
+ * Where the processes of a scale run stand on loopback, and their settings as the platform writes them. Ports are alike
+ * on all machines and were free when this was made. Sidecar 0 dials the control nodes at a port of its own, where a
+ * relay counts. Immutable.
  */
 final class Places {
     /** Addresses of one block of sidecars. */
@@ -109,15 +109,30 @@
     }
 
     private List<String> common(String node, String ip, int talkPort) {
-        String seeds = String.join(",", IntStream.range(0, Math.min(3, controlNodes)).mapToObj(this::control)
-                .toList());
-        return new ArrayList<>(List.of("Self.Node=" + node, "Self.Ip=" + ip, "Self.Zone=hall-a",
-                "Self.Bootstrap=true", "Self.Limits.MemoryMb=430", "Self.Limits.FdLimit=4100",
-                "Network.PortRange=" + talkPort + "," + talkPort, "Network.Seeds=" + seeds,
-                "Substrate.HeartbeatS=1.5", "Clauses.Bounds.ContactS=3", "Clauses.Bounds.DrainS=2.5",
-                "Clauses.Bounds.GraceS=6", "Clauses.Bounds.ConvergeS=2.5", "Clauses.Bounds.RetryRatio=0.2",
-                "Clauses.Bounds.RetryWindowS=10", "Clauses.Bounds.RetrySlack=60",
-                "Clauses.Bounds.QuotaWindowS=5", "Clauses.Bounds.QuotaExcess=0.1",
+        String seeds = String.join(
+                ",",
+                IntStream.range(0, Math.min(3, controlNodes))
+                        .mapToObj(this::control)
+                        .toList());
+        return new ArrayList<>(List.of(
+                "Self.Node=" + node,
+                "Self.Ip=" + ip,
+                "Self.Zone=hall-a",
+                "Self.Bootstrap=true",
+                "Self.Limits.MemoryMb=430",
+                "Self.Limits.FdLimit=4100",
+                "Network.PortRange=" + talkPort + "," + talkPort,
+                "Network.Seeds=" + seeds,
+                "Substrate.HeartbeatS=1.5",
+                "Clauses.Bounds.ContactS=3",
+                "Clauses.Bounds.DrainS=2.5",
+                "Clauses.Bounds.GraceS=6",
+                "Clauses.Bounds.ConvergeS=2.5",
+                "Clauses.Bounds.RetryRatio=0.2",
+                "Clauses.Bounds.RetryWindowS=10",
+                "Clauses.Bounds.RetrySlack=60",
+                "Clauses.Bounds.QuotaWindowS=5",
+                "Clauses.Bounds.QuotaExcess=0.1",
                 "Clauses.Bounds.QuotaSlack=20"));
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/scale/Point.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Point.java
@@ -1,6 +1,5 @@
 package whinlead.testbed.mesh.scale;
 
-import whinlead.mesh.log.Event;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -8,11 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import whinlead.mesh.log.Event;
 
 /**
- * One point of a scale run: a fleet of one size, measured when calm, then with changes of the
- * configuration, then with endpoints replaced. What a change costs is what a span with changes used beyond a
- * calm one, by the changes in it. Figures by name, in the order of the measurement. One thread.
+ * One point of a scale run: a fleet of one size, measured when calm, then with changes of the configuration, then with
+ * endpoints replaced. What a change costs is what a span with changes used beyond a calm one, by the changes in it.
+ * Figures by name, in the order of the measurement. One thread.
  */
 final class Point {
     private static final String LOST = "connections lost by all sidecars";
@@ -101,13 +101,20 @@
         figures.put(name + "sidecar, MB", calm.sidecar().residentMb());
         figures.put(name + "sidecar, MB of its own", calm.sidecar().ownMb());
         figures.put(name + "sidecar, bytes/s in", Snapshot.bytes(calm.messages().fromControlNodes()) / s);
-        figures.put(name + "sidecar, bytes/s out", Snapshot.bytes(calm.messages().toControlNodes()) / s);
-        figures.put(name + "sidecar, messages/s in", Snapshot.messages(calm.messages().fromControlNodes()) / s);
-        figures.put(name + "sidecar, messages/s out", Snapshot.messages(calm.messages().toControlNodes()) / s);
-        calm.messages().fromControlNodes().forEach((kind, c) -> figures.put(name + "messages/s in, " + kind,
-                c.messages() / s));
-        calm.messages().toControlNodes().forEach((kind, c) -> figures.put(name + "messages/s out, " + kind,
-                c.messages() / s));
+        figures.put(
+                name + "sidecar, bytes/s out", Snapshot.bytes(calm.messages().toControlNodes()) / s);
+        figures.put(
+                name + "sidecar, messages/s in",
+                Snapshot.messages(calm.messages().fromControlNodes()) / s);
+        figures.put(
+                name + "sidecar, messages/s out",
+                Snapshot.messages(calm.messages().toControlNodes()) / s);
+        calm.messages()
+                .fromControlNodes()
+                .forEach((kind, c) -> figures.put(name + "messages/s in, " + kind, c.messages() / s));
+        calm.messages()
+                .toControlNodes()
+                .forEach((kind, c) -> figures.put(name + "messages/s out, " + kind, c.messages() / s));
         figures.put(name + "control node, % of a core", calm.controlNodeCpuS() / s * PERCENT);
         figures.put(name + "control node, MB", calm.controlNodeMb());
         figures.put(name + "control node, MB of its own", calm.controlNodeOwnMb());
@@ -196,18 +203,25 @@
     private void costs(String name, Snapshot span, Snapshot calm, int count) {
         double s = span.seconds() / calm.seconds();
         double of = Math.max(1, count);
-        figures.put(name + "sidecar, ms of a core",
+        figures.put(
+                name + "sidecar, ms of a core",
                 (span.sidecar().cpuS() - calm.sidecar().cpuS() * s) * MILLIS / of);
-        figures.put(name + "sidecar, bytes in", (Snapshot.bytes(span.messages().fromControlNodes())
-                - Snapshot.bytes(calm.messages().fromControlNodes()) * s) / of);
-        figures.put(name + "sidecar, bytes out", (Snapshot.bytes(span.messages().toControlNodes())
-                - Snapshot.bytes(calm.messages().toControlNodes()) * s) / of);
+        figures.put(
+                name + "sidecar, bytes in",
+                (Snapshot.bytes(span.messages().fromControlNodes())
+                                - Snapshot.bytes(calm.messages().fromControlNodes()) * s)
+                        / of);
+        figures.put(
+                name + "sidecar, bytes out",
+                (Snapshot.bytes(span.messages().toControlNodes())
+                                - Snapshot.bytes(calm.messages().toControlNodes()) * s)
+                        / of);
         span.messages().fromControlNodes().forEach((kind, c) -> {
             Relay.Count less = calm.messages().fromControlNodes().get(kind);
-            figures.put(name + "messages in, " + kind,
-                    (c.messages() - (less == null ? 0 : less.messages() * s)) / of);
+            figures.put(name + "messages in, " + kind, (c.messages() - (less == null ? 0 : less.messages() * s)) / of);
         });
-        figures.put(name + "control node, ms of a core",
+        figures.put(
+                name + "control node, ms of a core",
                 (span.controlNodeCpuS() - calm.controlNodeCpuS() * s) * MILLIS / of);
         figures.put(name + "control node, bytes in", (span.controlNodeRead() - calm.controlNodeRead() * s) / of);
         figures.put(name + "control node, bytes out", (span.controlNodeWritten() - calm.controlNodeWritten() * s) / of);
