--- a/src/main/java/whinlead/testbed/mesh/scale/Relay.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Relay.java
@@ -1,8 +1,5 @@
 package whinlead.testbed.mesh.scale;
 
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
-import whinlead.mesh.wire.PeerConnection;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -22,11 +19,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
+import whinlead.mesh.wire.PeerConnection;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 
 /**
  * Stands between a process and the control nodes, passes every message on and counts it by kind and way. Bytes are
- * those of the messages and their lengths; what TCP and IP add is not in them. Counts may be read on any
- * thread.
+ * those of the messages and their lengths; what TCP and IP add is not in them. Counts may be read on any thread.
  */
 final class Relay {
     private static final int LENGTH_BYTES = 4;
@@ -65,23 +64,33 @@
 
     /** Listens here and passes on to there. */
     Channel listen(SocketAddress here, SocketAddress there) throws InterruptedException {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.AUTO_READ, false).childHandler(new ChannelInitializer<Channel>() {
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel near) {
                         connect(near, there);
                     }
-                }).bind(here).sync().channel();
+                })
+                .bind(here)
+                .sync()
+                .channel();
     }
 
     private void connect(Channel near, SocketAddress there) {
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(
-                new ChannelInitializer<Channel>() {
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel far) {
                         handlers(far, near, fromControlNodes);
                     }
-                }).connect(there).addListener((ChannelFuture f) -> {
+                })
+                .connect(there)
+                .addListener((ChannelFuture f) -> {
                     if (f.isSuccess()) {
                         handlers(near, f.channel(), toControlNodes);
                         near.config().setAutoRead(true);
@@ -93,8 +102,10 @@
 
     private static void handlers(Channel from, Channel to, Map<String, Count> counts) {
         from.config().setOption(ChannelOption.TCP_NODELAY, true);
-        from.pipeline().addLast(new LengthFieldBasedFrameDecoder(PeerConnection.MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, 0),
-                new Way(to, counts));
+        from.pipeline()
+                .addLast(
+                        new LengthFieldBasedFrameDecoder(PeerConnection.MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, 0),
+                        new Way(to, counts));
     }
 
     Counts counts() {
@@ -112,9 +123,11 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
-            PeerMessage message = PeerMessageCodec.read(ByteBufUtil.getBytes(frame, frame.readerIndex() + LENGTH_BYTES,
-                    frame.readableBytes() - LENGTH_BYTES));
-            counts.merge(message.getClass().getSimpleName(), new Count(1, frame.readableBytes()),
+            PeerMessage message = PeerMessageCodec.read(ByteBufUtil.getBytes(
+                    frame, frame.readerIndex() + LENGTH_BYTES, frame.readableBytes() - LENGTH_BYTES));
+            counts.merge(
+                    message.getClass().getSimpleName(),
+                    new Count(1, frame.readableBytes()),
                     (had, one) -> had.plus(one.bytes()));
             to.writeAndFlush(frame.retain(), to.voidPromise());
         }
--- a/src/main/java/whinlead/testbed/mesh/scale/Snapshot.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Snapshot.java
@@ -12,8 +12,8 @@
  * @param driver the process that drives the run, its relay included
  * @param messages of the real sidecar
  */
-record Snapshot(long nanos, Usage sidecar, List<Usage> controlNodes, Usage hollow, Usage driver,
-        Relay.Counts messages) {
+record Snapshot(
+        long nanos, Usage sidecar, List<Usage> controlNodes, Usage hollow, Usage driver, Relay.Counts messages) {
     private static final double NANOS = 1e9;
 
     /** What was used since then. */
@@ -22,8 +22,13 @@
         for (int i = 0; i < controlNodes.size(); i++) {
             each.add(controlNodes.get(i).since(then.controlNodes.get(i)));
         }
-        return new Snapshot(nanos - then.nanos, sidecar.since(then.sidecar), each, hollow.since(then.hollow),
-                driver.since(then.driver), messages.since(then.messages));
+        return new Snapshot(
+                nanos - then.nanos,
+                sidecar.since(then.sidecar),
+                each,
+                hollow.since(then.hollow),
+                driver.since(then.driver),
+                messages.since(then.messages));
     }
 
     double seconds() {
--- a/src/main/java/whinlead/testbed/mesh/scale/Usage.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Usage.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * What a process has used so far, as the kernel counts it. Bytes are those of all its reads and writes:
- * sockets, and the little that it reads and writes of files.
+ * What a process has used so far, as the kernel counts it. Bytes are those of all its reads and writes: sockets, and
+ * the little that it reads and writes of files.
  *
  * @param cpuS processor time, of threads that have ended too, in seconds, to a hundredth
  * @param residentMb memory in use now, in units of 2^20 bytes
@@ -17,6 +17,7 @@
     private static final double TICKS = 100;
     /** Of the fields after a process's name, those of its processor time: user, then system. */
     private static final int USER = 11;
+
     private static final int SYSTEM = 12;
     private static final double KB_A_MB = 1024;
 
@@ -31,15 +32,19 @@
         // The name may hold spaces; it ends with the last bracket.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         double cpuS = (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM])) / TICKS;
-        return new Usage(cpuS, field(proc.resolve("status"), "VmRSS:") / KB_A_MB,
+        return new Usage(
+                cpuS,
+                field(proc.resolve("status"), "VmRSS:") / KB_A_MB,
                 field(proc.resolve("status"), "RssAnon:") / KB_A_MB,
-                field(proc.resolve("io"), "rchar:"), field(proc.resolve("io"), "wchar:"));
+                field(proc.resolve("io"), "rchar:"),
+                field(proc.resolve("io"), "wchar:"));
     }
 
     private static long field(Path file, String name) throws IOException {
         for (String line : Files.readAllLines(file)) {
             if (line.startsWith(name)) {
-                return Long.parseLong(line.substring(name.length()).replace("kB", "").trim());
+                return Long.parseLong(
+                        line.substring(name.length()).replace("kB", "").trim());
             }
         }
         throw new IOException(file + " has no " + name);
@@ -47,7 +52,7 @@
 
     /** What was used since then; memory stays what it is now. */
     Usage since(Usage then) {
-        return new Usage(cpuS - then.cpuS, residentMb, ownMb, readBytes - then.readBytes,
-                writtenBytes - then.writtenBytes);
+        return new Usage(
+                cpuS - then.cpuS, residentMb, ownMb, readBytes - then.readBytes, writtenBytes - then.writtenBytes);
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Changes.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Changes.java
@@ -1,7 +1,5 @@
 package whinlead.testbed.mesh.upgrade;
 
-import whinlead.testbed.mesh.Talk;
-import whinlead.testbed.mesh.LocalMeshRun;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -10,10 +8,12 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.testbed.mesh.Talk;
 
 /**
- * An operator who sends one configuration after the other, each built on the one acknowledged before, to the
- * control nodes in turn; what got no clear answer is sent again as it was. A thread of its own.
+ * An operator who sends one configuration after the other, each built on the one acknowledged before, to the control
+ * nodes in turn; what got no clear answer is sent again as it was. A thread of its own.
  */
 final class Changes implements AutoCloseable {
     private static final long EVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
@@ -23,6 +23,7 @@
     private static final int UNCLEAR = 503;
     /** A route that only this version has. */
     private static final String PATH = "/version-%08x/";
+
     private static final String ROUTE = "\"Routes\":{\"r-3\":{\"Authority\":\"post.example\",\"PathPrefix\":"
             + "\"%s\",\"Kind\":\"idempotent\",\"DeadlineS\":5,\"TargetS\":0.5,\"Rank\":1,\"Target\":\"svc\","
             + "\"Tries\":2,\"Public\":false},";
@@ -122,14 +123,16 @@
     // UNCLEAR if it is to be sent again.
     private int send(String controlNode, String ifMatch, long version) {
         try {
-            Talk.Message answer = Talk.ask(controlNode, "POST /whinlead/rpc?call=config.replace",
-                    Map.of("If-Match", ifMatch), body(version).getBytes(StandardCharsets.UTF_8));
+            Talk.Message answer = Talk.ask(
+                    controlNode,
+                    "POST /whinlead/rpc?call=config.replace",
+                    Map.of("If-Match", ifMatch),
+                    body(version).getBytes(StandardCharsets.UTF_8));
             if (answer != null && answer.status() == TAKEN) {
                 return TAKEN;
             }
             if (answer != null && answer.status() != UNCLEAR) {
-                broken.add("version " + version + " at " + controlNode + ": " + answer.first() + " "
-                        + answer.text());
+                broken.add("version " + version + " at " + controlNode + ": " + answer.first() + " " + answer.text());
                 end();
                 return answer.status();
             }
@@ -144,11 +147,10 @@
     // What was acknowledged is in force wherever one asks; no answer says nothing.
     private void read(String controlNode, long version) {
         try {
-            Talk.Message answer = Talk.ask(controlNode, "POST /whinlead/rpc?call=config.read", Map.of(),
-                    new byte[0]);
+            Talk.Message answer = Talk.ask(controlNode, "POST /whinlead/rpc?call=config.read", Map.of(), new byte[0]);
             if (answer != null && answer.status() == TAKEN && !answer.text().equals(body(version))) {
-                broken.add("read at " + controlNode + " after version " + version + " was acknowledged: "
-                        + answer.text());
+                broken.add(
+                        "read at " + controlNode + " after version " + version + " was acknowledged: " + answer.text());
             }
         } catch (IOException e) {
             // That control node is being replaced.
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Clients.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Clients.java
@@ -1,7 +1,5 @@
 package whinlead.testbed.mesh.upgrade;
 
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.List;
@@ -14,10 +12,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Predicate;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 
 /**
- * Clients that ask one request after the other, each at its own sidecar while that is ready, else at another.
- * Half of the requests may not be repeated. A thread for each client.
+ * Clients that ask one request after the other, each at its own sidecar while that is ready, else at another. Half of
+ * the requests may not be repeated. A thread for each client.
  */
 final class Clients implements AutoCloseable {
     private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
@@ -29,7 +29,7 @@
     private static final int NO_ANSWER = 0;
 
     /** What became of a request: a status, or {@link #NO_ANSWER}. */
-    private record Asked(String id, boolean repeatable, int status) { }
+    private record Asked(String id, boolean repeatable, int status) {}
 
     /**
      * What became of all requests.
@@ -40,8 +40,15 @@
      * @param refusedYetRun refused, and ran all the same
      * @param servedUnrun served, and never ran
      */
-    record Sums(long asked, long served, long refused, long lost, long runTwice, long repeated,
-            long refusedYetRun, long servedUnrun) { }
+    record Sums(
+            long asked,
+            long served,
+            long refused,
+            long lost,
+            long runTwice,
+            long repeated,
+            long refusedYetRun,
+            long servedUnrun) {}
 
     private final List<Machine> sidecars;
     private final List<String> addresses;
@@ -137,8 +144,8 @@
         long number = ids.incrementAndGet();
         String id = "upgrade-" + number;
         boolean repeatable = number % 2 == 0;
-        Map<String, String> headers = Map.of("Host", "post.example", "Attempt-Id", id, "Deadline-Ms", "4000",
-                "Api-Key", "key-1");
+        Map<String, String> headers =
+                Map.of("Host", "post.example", "Attempt-Id", id, "Deadline-Ms", "4000", "Api-Key", "key-1");
         int status = NO_ANSWER;
         String found = "closed";
         Talk.Message answer = null;
@@ -148,7 +155,8 @@
             found = e.toString();
         }
         if (answer != null) {
-            boolean own = answer.status() != SERVED || id.equals(answer.headers().get("attempt-id"));
+            boolean own =
+                    answer.status() != SERVED || id.equals(answer.headers().get("attempt-id"));
             status = own ? answer.status() : NO_ANSWER;
             found = own ? answer.first() : "another's answer";
         }
@@ -176,10 +184,13 @@
     /** What became of all, after the clients have ended. */
     Sums sums(List<StandInApp> endpoints) {
         Map<String, Integer> runs = new HashMap<>();
-        endpoints.forEach(e -> e.ran().forEach(m -> runs.merge(m.headers().get("attempt-id"), 1,
-                Integer::sum)));
-        return new Sums(asked.size(), count(a -> a.status() == SERVED), count(a -> a.status() == REFUSED),
-                count(Clients::lost), count(a -> !a.repeatable() && runs.getOrDefault(a.id(), 0) > 1),
+        endpoints.forEach(e -> e.ran().forEach(m -> runs.merge(m.headers().get("attempt-id"), 1, Integer::sum)));
+        return new Sums(
+                asked.size(),
+                count(a -> a.status() == SERVED),
+                count(a -> a.status() == REFUSED),
+                count(Clients::lost),
+                count(a -> !a.repeatable() && runs.getOrDefault(a.id(), 0) > 1),
                 count(a -> a.repeatable() && runs.getOrDefault(a.id(), 0) > 1),
                 count(a -> a.status() == REFUSED && runs.containsKey(a.id())),
                 count(a -> a.status() == SERVED && !runs.containsKey(a.id())));
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Machine.java
@@ -1,16 +1,16 @@
 package whinlead.testbed.mesh.upgrade;
 
-import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import whinlead.testbed.mesh.Talk;
 
 /**
- * One machine: its settings, its disk, and the process of whichever version runs on it. One thread;
- * {@link #ready} is for any.
+ * One machine: its settings, its disk, and the process of whichever version runs on it. One thread; {@link #ready} is
+ * for any.
  */
 final class Machine {
     /** After SIGTERM a machine kills what has not ended; the settings say so too. */
@@ -44,8 +44,7 @@
      *
      * @param probeAddress where it is asked whether it is ready
      */
-    Machine(Role role, int number, Path folder, List<String> settings, String probeAddress)
-            throws IOException {
+    Machine(Role role, int number, Path folder, List<String> settings, String probeAddress) throws IOException {
         this.role = role;
         this.name = role.command + " " + number;
         this.settings = Files.write(folder.resolve(role.command + "-" + number + ".conf"), settings);
@@ -67,7 +66,8 @@
     void start(Program program) throws IOException {
         ProcessBuilder b = new ProcessBuilder(program.command(role.command));
         b.environment().put("WHINLEAD_NODE_FILE", settings.toString());
-        process = b.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+        process = b.redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
     }
 
@@ -94,8 +94,7 @@
 
     /** Whether it can be used: a control node answers a read, a sidecar says that it is ready. */
     boolean ready() {
-        String first = role == Role.CONTROL_NODE ? "POST /whinlead/rpc?call=config.read"
-                : "GET /whinlead/readiness";
+        String first = role == Role.CONTROL_NODE ? "POST /whinlead/rpc?call=config.read" : "GET /whinlead/readiness";
         try {
             Talk.Message answer = Talk.ask(probeAddress, first, Map.of(), new byte[0]);
             return answer != null && answer.status() == 200;
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Program.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Program.java
@@ -25,7 +25,9 @@
     List<String> command(String role) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx96m"));
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xmx96m"));
         command.addAll(launch);
         command.add(role);
         return command;
--- a/src/main/java/whinlead/testbed/mesh/upgrade/Rollout.java
+++ b/src/main/java/whinlead/testbed/mesh/upgrade/Rollout.java
@@ -1,8 +1,5 @@
 package whinlead.testbed.mesh.upgrade;
 
-import whinlead.testbed.mesh.TestbedSettings;
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,10 +9,13 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.TestbedSettings;
 
 /**
- * Three control nodes and three sidecars as processes on loopback, upgraded one at a time under requests and
- * changes: half way, back, through, and all back. One thread.
+ * Three control nodes and three sidecars as processes on loopback, upgraded one at a time under requests and changes:
+ * half way, back, through, and all back. One thread.
  */
 public final class Rollout implements AutoCloseable {
     private static final int NODES = 3;
@@ -52,10 +52,13 @@
         List<String> egress = new ArrayList<>();
         List<String> control = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            controlNodes.add(new Machine(Machine.Role.CONTROL_NODE, i, folder,
-                    cards.controlNode(i, folder.resolve("disk-" + i).toString(), true), cards.control(i)));
-            sidecars.add(new Machine(Machine.Role.SIDECAR, i, folder, cards.sidecar(i, "svc"),
-                    cards.readiness(i)));
+            controlNodes.add(new Machine(
+                    Machine.Role.CONTROL_NODE,
+                    i,
+                    folder,
+                    cards.controlNode(i, folder.resolve("disk-" + i).toString(), true),
+                    cards.control(i)));
+            sidecars.add(new Machine(Machine.Role.SIDECAR, i, folder, cards.sidecar(i, "svc"), cards.readiness(i)));
             endpoints.add(new StandInApp("i-" + i, "svc", cards.app(i), cards.beats(i)));
             egress.add(cards.egress(i));
             control.add(cards.control(i));
@@ -83,8 +86,14 @@
     }
 
     private Machine[] inPairs() {
-        return new Machine[] {controlNodes.get(0), sidecars.get(0), controlNodes.get(1), sidecars.get(1),
-            controlNodes.get(2), sidecars.get(2)};
+        return new Machine[] {
+            controlNodes.get(0),
+            sidecars.get(0),
+            controlNodes.get(1),
+            sidecars.get(1),
+            controlNodes.get(2),
+            sidecars.get(2)
+        };
     }
 
     private void begin() throws Exception {
@@ -120,8 +129,19 @@
 
     private static int status(String egress, String path) {
         try {
-            Talk.Message answer = Talk.ask(egress, "GET " + path, Map.of("Host", "post.example", "Attempt-Id",
-                    "probe-" + System.nanoTime(), "Deadline-Ms", "4000", "Api-Key", "key-1"), new byte[0]);
+            Talk.Message answer = Talk.ask(
+                    egress,
+                    "GET " + path,
+                    Map.of(
+                            "Host",
+                            "post.example",
+                            "Attempt-Id",
+                            "probe-" + System.nanoTime(),
+                            "Deadline-Ms",
+                            "4000",
+                            "Api-Key",
+                            "key-1"),
+                    new byte[0]);
             return answer == null ? 0 : answer.status();
         } catch (IOException e) {
             return 0;
@@ -136,8 +156,10 @@
             m.start(program);
             await(m.name() + " is ready again", m::ready);
             figures.figure(of + m.name() + " to " + program.name() + ", ms to its process's end", stopped);
-            figures.under(of + m.name() + " to " + program.name() + ", ms from SIGTERM to ready",
-                    (System.nanoTime() - began) / NANOS_PER_MS, PROMISED_READY_MS);
+            figures.under(
+                    of + m.name() + " to " + program.name() + ", ms from SIGTERM to ready",
+                    (System.nanoTime() - began) / NANOS_PER_MS,
+                    PROMISED_READY_MS);
         }
     }
 
@@ -150,19 +172,18 @@
             String control = cards.control(i);
             String egress = cards.egress(i);
             await(control + " has version " + version, () -> read(control).equals(Changes.body(version)));
-            await(egress + " serves version " + version,
-                    () -> status(egress, Changes.path(version) + "x") == 200);
+            await(egress + " serves version " + version, () -> status(egress, Changes.path(version) + "x") == 200);
         }
         figures.figure(of + "changes acknowledged so far, the last one in force everywhere", version);
-        figures.figure(of + "ms until the last one was seen at every control node and sidecar",
+        figures.figure(
+                of + "ms until the last one was seen at every control node and sidecar",
                 (System.nanoTime() - began) / NANOS_PER_MS);
         changes.resume();
     }
 
     private static String read(String control) {
         try {
-            Talk.Message answer = Talk.ask(control, "POST /whinlead/rpc?call=config.read", Map.of(),
-                    new byte[0]);
+            Talk.Message answer = Talk.ask(control, "POST /whinlead/rpc?call=config.read", Map.of(), new byte[0]);
             return answer == null ? "" : answer.text();
         } catch (IOException e) {
             return "";
@@ -185,7 +206,10 @@
         figures.under("requests served that never ran", sums.servedUnrun(), 1);
         figures.figure("changes with no clear answer, sent again", changes.unclear());
         figures.figure("longest ms from a change's first call to its acknowledgement", changes.longestMs());
-        figures.under("changes lost, refused or read back as another", changes.broken().size(), 1);
+        figures.under(
+                "changes lost, refused or read back as another",
+                changes.broken().size(),
+                1);
         logs();
     }
 
--- a/src/main/java/whinlead/testbed/replication/CopiesDay.java
+++ b/src/main/java/whinlead/testbed/replication/CopiesDay.java
@@ -1,16 +1,16 @@
 package whinlead.testbed.replication;
 
-import whinlead.plan.Calendar;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import whinlead.plan.Calendar;
 
 /**
- * One schedule of faults, drawn by a seed, over groups of sidecars that proxies consult: kills with and
- * without the disk, frozen processes, links that are cut one way or both, messages that are lost, late,
- * duplicated and out of order, skewed clocks, proxies that ask another machine on their own. Real engine,
- * module, consultations, state and consensus; simulated clock. The same seed plays the same schedule.
+ * One schedule of faults, drawn by a seed, over groups of sidecars that proxies consult: kills with and without the
+ * disk, frozen processes, links that are cut one way or both, messages that are lost, late, duplicated and out of
+ * order, skewed clocks, proxies that ask another machine on their own. Real engine, module, consultations, state and
+ * consensus; simulated clock. The same seed plays the same schedule.
  */
 public final class CopiesDay {
     /**
@@ -19,7 +19,7 @@
      * @param broken promises, by kind, and how often
      * @param seen what happened, by kind, and how often: a schedule on which nothing did proves nothing
      */
-    public record Result(Map<String, Integer> broken, Map<String, Integer> seen) { }
+    public record Result(Map<String, Integer> broken, Map<String, Integer> seen) {}
 
     /** What is seen of a group that does not come back, though no more were lost than it is to bear. */
     public static final String STOPPED = "stopped at the end";
@@ -29,10 +29,12 @@
 
     /** The groups of a fleet, and its machines that are first members of none. */
     private static final int FLEET_GROUPS = 2;
+
     private static final int FLEET_MEMBERS = 3;
     private static final int FLEET_SPARES = 2;
     /** Longer than a group needs to elect another leader, or there is none to replace a member. */
     private static final double REPLACE_AFTER_MS = 2500;
+
     private static final double SETTLE_MS = 3000;
     private static final double FAULTS_MS = 12_000;
     private static final double END_MS = 32_000;
@@ -63,12 +65,11 @@
     }
 
     /**
-     * Plays the schedule of this seed over two groups of three and two spares, which replace members that
-     * stay away. Any machine is asked for anything.
+     * Plays the schedule of this seed over two groups of three and two spares, which replace members that stay away.
+     * Any machine is asked for anything.
      */
     public static Result playFleet(long seed, Bug bug) {
-        SimCluster.Layout layout =
-                new SimCluster.Layout(FLEET_GROUPS, FLEET_MEMBERS, FLEET_SPARES, REPLACE_AFTER_MS);
+        SimCluster.Layout layout = new SimCluster.Layout(FLEET_GROUPS, FLEET_MEMBERS, FLEET_SPARES, REPLACE_AFTER_MS);
         return new CopiesDay(layout, seed, bug).play();
     }
 
--- a/src/main/java/whinlead/testbed/replication/FinalStateCheck.java
+++ b/src/main/java/whinlead/testbed/replication/FinalStateCheck.java
@@ -1,15 +1,15 @@
 package whinlead.testbed.replication;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.replication.raft.Member;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.raft.Member;
 
 /**
- * What must hold of a simulated cluster long after its last fault: members hold the same, each group has a
- * leader, and no consultation is left open.
+ * What must hold of a simulated cluster long after its last fault: members hold the same, each group has a leader, and
+ * no consultation is left open.
  */
 final class FinalStateCheck {
     private final SimCluster cluster;
--- a/src/main/java/whinlead/testbed/replication/LossLimit.java
+++ b/src/main/java/whinlead/testbed/replication/LossLimit.java
@@ -1,14 +1,14 @@
 package whinlead.testbed.replication;
 
-import whinlead.replication.raft.Member;
-import whinlead.replication.raft.MemberId;
 import java.util.Comparator;
 import java.util.Set;
 import java.util.stream.Collectors;
+import whinlead.replication.raft.Member;
+import whinlead.replication.raft.MemberId;
 
 /**
- * Whether a machine may lose all that it holds: no group may lose more members at once than it is to bear. A
- * lost member counts until it votes again and holds all that was agreed on.
+ * Whether a machine may lose all that it holds: no group may lose more members at once than it is to bear. A lost
+ * member counts until it votes again and holds all that was agreed on.
  */
 final class LossLimit {
     /** A member that is so many entries behind its leader is not one that others can be lost beside. */
@@ -27,7 +27,8 @@
     /** Whether each group bears the loss of this machine now. */
     boolean permits(SimMachine machine) {
         return cluster.groups().entrySet().stream()
-                .allMatch(group -> permits(machine, group.getKey(), group.getValue().size()));
+                .allMatch(group ->
+                        permits(machine, group.getKey(), group.getValue().size()));
     }
 
     private boolean permits(SimMachine machine, String group, int size) {
@@ -55,16 +56,18 @@
     static Set<String> voters(SimCluster cluster, String group) {
         return cluster.liveMembers(group)
                 .max(Comparator.comparingLong(Member::known))
-                .<Set<String>>map(member -> member.view().voters().stream()
-                        .map(MemberId::name)
-                        .collect(Collectors.toSet()))
+                .<Set<String>>map(member ->
+                        member.view().voters().stream().map(MemberId::name).collect(Collectors.toSet()))
                 .orElse(cluster.groups().get(group));
     }
 
     // It votes, and holds all that was agreed on by now.
     private boolean upToDate(SimMachine machine, String group) {
         Member member = machine.member(group);
-        return machine.alive() && member != null && member.votes() && !member.lags(MAX_LAG)
+        return machine.alive()
+                && member != null
+                && member.votes()
+                && !member.lags(MAX_LAG)
                 && (!cluster.replacing() || reachable(machine))
                 && cluster.liveMembers(group).allMatch(other -> other.members().contains(member.id()));
     }
--- a/src/main/java/whinlead/testbed/replication/Point.java
+++ b/src/main/java/whinlead/testbed/replication/Point.java
@@ -1,8 +1,6 @@
 package whinlead.testbed.replication;
 
-/**
- * A step in the life of a request at the member that was asked, right after which its process may be killed.
- */
+/** A step in the life of a request at the member that was asked, right after which its process may be killed. */
 public enum Point {
     /** It has been asked, and has asked nobody yet. */
     TAKEN,
--- a/src/main/java/whinlead/testbed/replication/PointsDay.java
+++ b/src/main/java/whinlead/testbed/replication/PointsDay.java
@@ -1,15 +1,5 @@
 package whinlead.testbed.replication;
 
-import whinlead.Contract;
-import whinlead.consult.Directive;
-import whinlead.consult.Peer;
-import whinlead.replication.net.Frames;
-import whinlead.replication.raft.Member;
-import whinlead.replication.raft.GroupMessage;
-import whinlead.replication.wire.Wire;
-import whinlead.engine.Request;
-import whinlead.membership.EndpointList;
-import whinlead.plan.Calendar;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,10 +9,20 @@
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import whinlead.Contract;
+import whinlead.consult.Directive;
+import whinlead.consult.Peer;
+import whinlead.engine.Request;
+import whinlead.membership.EndpointList;
+import whinlead.plan.Calendar;
+import whinlead.replication.net.Frames;
+import whinlead.replication.raft.GroupMessage;
+import whinlead.replication.raft.Member;
+import whinlead.replication.wire.Wire;
 
 /**
- * One request and one death: the member that was asked is killed right after a given step, and its proxy asks
- * another until it hears an end. Real engine, module, consultations, book and consensus by a driven clock.
+ * One request and one death: the member that was asked is killed right after a given step, and its proxy asks another
+ * until it hears an end. Real engine, module, consultations, book and consensus by a driven clock.
  */
 public final class PointsDay {
     /**
@@ -33,7 +33,7 @@
      * @param leads whether the one that is killed leads the group
      * @param disk whether it comes back with its disk, or with nothing
      */
-    public record Plan(Point at, int kind, boolean leads, boolean disk) { }
+    public record Plan(Point at, int kind, boolean leads, boolean disk) {}
 
     /**
      * What came of it.
@@ -43,7 +43,7 @@
      * @param broken promises
      * @param ends told by each member afterwards, to one that asks again
      */
-    public record Result(int runs, List<String> heard, Map<String, Integer> broken, List<String> ends) { }
+    public record Result(int runs, List<String> heard, Map<String, Integer> broken, List<String> ends) {}
 
     private static final String GROUP = "g0";
     private static final String ID = "r";
@@ -77,9 +77,19 @@
         }
         SortedMap<String, SortedSet<String>> groups = new TreeMap<>(Map.of(GROUP, names));
         for (String name : names) {
-            machines.put(name, new SimMachine(name, names, groups, 0, SimRequestKind.SETTINGS, world, truth,
-                    Bug.NONE,
-                    plan.disk, new Random(dice.nextLong())));
+            machines.put(
+                    name,
+                    new SimMachine(
+                            name,
+                            names,
+                            groups,
+                            0,
+                            SimRequestKind.SETTINGS,
+                            world,
+                            truth,
+                            Bug.NONE,
+                            plan.disk,
+                            new Random(dice.nextLong())));
         }
     }
 
@@ -102,22 +112,28 @@
         if (from.alive()) {
             net.send(from.name(), to.name(), () -> {
                 if (to.alive()) {
-                    to.process().run(() -> to.host().received(GROUP, Frames.message(frame), back -> post(to,
-                            from,
-                            back)));
+                    to.process()
+                            .run(() -> to.host().received(GROUP, Frames.message(frame), back -> post(to, from, back)));
                 }
             });
         }
     }
 
     private static EndpointList list() {
-        return new EndpointList(1, true, List.of(new EndpointList.Entry(new Contract.Server("e",
-                Contract.Standing.UP, 1, "a", -1, 0), new InetSocketAddress("127.0.0.1", 1000))));
+        return new EndpointList(
+                1,
+                true,
+                List.of(new EndpointList.Entry(
+                        new Contract.Server("e", Contract.Standing.UP, 1, "a", -1, 0),
+                        new InetSocketAddress("127.0.0.1", 1000))));
     }
 
     private void begin() {
         truth.asked(ID, world.now() + TIME_MS);
-        victim = machines.values().stream().filter(m -> leads(m) == plan.leads).findFirst().orElseThrow();
+        victim = machines.values().stream()
+                .filter(m -> leads(m) == plan.leads)
+                .findFirst()
+                .orElseThrow();
         victim.at(this::reached);
         ask(victim, true);
     }
@@ -149,8 +165,15 @@
             return;
         }
         SimProcess there = m.process();
-        net.send("p", m.name(), () -> there.run(() -> m.consultations().ask(peer, ID,
-                new Request(plan.kind, -1, left, false), d -> told(there, m, () -> heard(mine, m, d)))));
+        net.send(
+                "p",
+                m.name(),
+                () -> there.run(() -> m.consultations()
+                        .ask(
+                                peer,
+                                ID,
+                                new Request(plan.kind, -1, left, false),
+                                d -> told(there, m, () -> heard(mine, m, d)))));
         if (first) {
             return;
         }
@@ -165,7 +188,8 @@
 
     private void resend(int mine) {
         if (mine == call) {
-            List<SimMachine> others = machines.values().stream().filter(m -> m != victim).toList();
+            List<SimMachine> others =
+                    machines.values().stream().filter(m -> m != victim).toList();
             ask(others.get(call % others.size()), false);
         }
     }
@@ -188,9 +212,17 @@
                 return;
             }
             SimProcess there = m.process();
-            net.send("p", m.name(), () -> there.run(() -> m.consultations().outcome(ID, send.attempt(),
-                    send.endpoint(), Contract.Outcome.SERVED, null, end -> told(there, m, () -> heard(next, m,
-                            end)))));
+            net.send(
+                    "p",
+                    m.name(),
+                    () -> there.run(() -> m.consultations()
+                            .outcome(
+                                    ID,
+                                    send.attempt(),
+                                    send.endpoint(),
+                                    Contract.Outcome.SERVED,
+                                    null,
+                                    end -> told(there, m, () -> heard(next, m, end)))));
         } else if (d instanceof Directive.AlreadyOut || d instanceof Directive.Unknown) {
             int next = call;
             world.after(RESEND_MS, () -> resend(next));
--- a/src/main/java/whinlead/testbed/replication/SimCluster.java
+++ b/src/main/java/whinlead/testbed/replication/SimCluster.java
@@ -1,12 +1,5 @@
 package whinlead.testbed.replication;
 
-import whinlead.Contract;
-import whinlead.replication.net.Frames;
-import whinlead.replication.raft.Member;
-import whinlead.replication.raft.GroupMessage;
-import whinlead.replication.wire.Wire;
-import whinlead.membership.EndpointList;
-import whinlead.plan.Calendar;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,6 +12,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Stream;
+import whinlead.Contract;
+import whinlead.membership.EndpointList;
+import whinlead.plan.Calendar;
+import whinlead.replication.net.Frames;
+import whinlead.replication.raft.GroupMessage;
+import whinlead.replication.raft.Member;
+import whinlead.replication.wire.Wire;
 
 /** The simulated machines of one schedule, with their network, clock and random numbers. */
 final class SimCluster {
@@ -44,7 +44,8 @@
         private SortedMap<String, SortedSet<String>> firstMembers() {
             SortedMap<String, SortedSet<String>> members = new TreeMap<>();
             for (int i = 0; i < groups * membersPerGroup; i++) {
-                members.computeIfAbsent("g" + i / membersPerGroup, g -> new TreeSet<>()).add("m" + i);
+                members.computeIfAbsent("g" + i / membersPerGroup, g -> new TreeSet<>())
+                        .add("m" + i);
             }
             return members;
         }
@@ -73,8 +74,16 @@
         SortedSet<String> names = layout.machineNames();
         boolean durableDisks = random.nextInt(3) > 0;
         for (int i = 0; i < layout.machines(); i++) {
-            SimMachine machine = new SimMachine("m" + i, names, groups, layout.replaceAfterMs,
-                    SimRequestKind.SETTINGS, calendar, truth, bug, durableDisks,
+            SimMachine machine = new SimMachine(
+                    "m" + i,
+                    names,
+                    groups,
+                    layout.replaceAfterMs,
+                    SimRequestKind.SETTINGS,
+                    calendar,
+                    truth,
+                    bug,
+                    durableDisks,
                     new Random(random.nextLong()));
             machines.add(machine);
             machinesByName.put(machine.name(), machine);
@@ -129,7 +138,8 @@
     /** The first machine whose member believes that it leads a group. */
     Optional<SimMachine> leader(String group) {
         return machines.stream()
-                .filter(machine -> machine.alive() && machine.member(group) != null
+                .filter(machine -> machine.alive()
+                        && machine.member(group) != null
                         && machine.member(group).leads())
                 .findFirst();
     }
@@ -141,8 +151,7 @@
 
     /** Starts a machine, again or for the first time. */
     void start(SimMachine machine) {
-        machine.start((group, to, message) -> send(group, machine, machinesByName.get(to), message),
-                endpoints());
+        machine.start((group, to, message) -> send(group, machine, machinesByName.get(to), message), endpoints());
     }
 
     // As messages go between processes: by the frames of their service.
@@ -150,8 +159,9 @@
         Wire.Frame frame = Frames.of(group, message);
         network.send(from.name(), to.name(), () -> {
             if (to.alive()) {
-                to.process().run(() -> to.host().received(group, Frames.message(frame),
-                        reply -> send(group, to, from, reply)));
+                to.process()
+                        .run(() -> to.host()
+                                .received(group, Frames.message(frame), reply -> send(group, to, from, reply)));
             }
         });
     }
@@ -161,16 +171,15 @@
         drainingEndpoint = random.nextInt(ENDPOINTS);
         machines.stream()
                 .filter(SimMachine::alive)
-                .forEach(machine -> calendar.after(random.nextInt(withinMs),
-                        () -> machine.list(endpoints())));
+                .forEach(machine -> calendar.after(random.nextInt(withinMs), () -> machine.list(endpoints())));
     }
 
     private EndpointList endpoints() {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            Contract.Standing standing =
-                    i == drainingEndpoint ? Contract.Standing.DRAINING : Contract.Standing.UP;
-            entries.add(new EndpointList.Entry(new Contract.Server("e" + i, standing, 1, "a", -1, 0),
+            Contract.Standing standing = i == drainingEndpoint ? Contract.Standing.DRAINING : Contract.Standing.UP;
+            entries.add(new EndpointList.Entry(
+                    new Contract.Server("e" + i, standing, 1, "a", -1, 0),
                     new InetSocketAddress("127.0.0.1", FIRST_ENDPOINT_PORT + i)));
         }
         return new EndpointList(1, true, entries);
--- a/src/main/java/whinlead/testbed/replication/SimDisk.java
+++ b/src/main/java/whinlead/testbed/replication/SimDisk.java
@@ -1,7 +1,5 @@
 package whinlead.testbed.replication;
 
-import whinlead.replication.raft.LogMirror;
-import whinlead.replication.raft.MemberDisk;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
@@ -10,6 +8,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.MemberDisk;
 
 /** A disk that keeps what was flushed, and loses the rest with its process. */
 final class SimDisk implements MemberDisk {
@@ -79,9 +79,7 @@
         // It holds no past.
     }
 
-    /**
-     * Another that knows no more than which member it is of: a process that comes back with it has forgotten.
-     */
+    /** Another that knows no more than which member it is of: a process that comes back with it has forgotten. */
     SimDisk forgetful() {
         SimDisk other = new SimDisk();
         other.self = self;
--- a/src/main/java/whinlead/testbed/replication/SimFaults.java
+++ b/src/main/java/whinlead/testbed/replication/SimFaults.java
@@ -1,9 +1,9 @@
 package whinlead.testbed.replication;
 
-import whinlead.plan.Calendar;
 import java.util.HashSet;
 import java.util.Random;
 import java.util.Set;
+import whinlead.plan.Calendar;
 
 /** Draws faults and injects them into a simulated cluster; each ends by itself after a while. */
 final class SimFaults {
@@ -22,6 +22,7 @@
     private static final int DOWN_SPREAD_MS = 3000;
     /** How much longer a machine that stays away is down. */
     private static final double AWAY_MS = 6000;
+
     private static final int LINK_DOWN_SPREAD_MS = 20;
 
     private final SimCluster cluster;
@@ -73,7 +74,8 @@
         double duplicateShare = random.nextDouble() * MAX_WEATHER_SHARE;
         double delayMs = random.nextInt(DELAY_STEPS) * DELAY_STEP_MS;
         cluster.network().weather(lossShare, duplicateShare, delayMs);
-        calendar.after(MIN_WEATHER_MS + random.nextInt(WEATHER_SPREAD_MS),
+        calendar.after(
+                MIN_WEATHER_MS + random.nextInt(WEATHER_SPREAD_MS),
                 () -> cluster.network().weather(0, 0, 0));
     }
 
@@ -121,7 +123,8 @@
             for (SimMachine other : cluster.machines()) {
                 if (other != machine && other.alive()) {
                     SimProcess process = other.process();
-                    calendar.after(random.nextInt(LINK_DOWN_SPREAD_MS),
+                    calendar.after(
+                            random.nextInt(LINK_DOWN_SPREAD_MS),
                             () -> process.run(() -> other.host().down(machine.name())));
                 }
             }
--- a/src/main/java/whinlead/testbed/replication/SimMachine.java
+++ b/src/main/java/whinlead/testbed/replication/SimMachine.java
@@ -1,40 +1,44 @@
 package whinlead.testbed.replication;
 
+import io.microraft.RaftConfig;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Random;
+import java.util.SortedMap;
+import java.util.SortedSet;
+import java.util.function.Consumer;
 import whinlead.Contract;
 import whinlead.consult.Bounds;
 import whinlead.consult.Consultations;
 import whinlead.consult.Directive;
 import whinlead.consult.Keeper;
+import whinlead.decide.Decide;
+import whinlead.engine.Engine;
+import whinlead.membership.EndpointList;
+import whinlead.plan.Calendar;
 import whinlead.replication.ReplicatedState;
 import whinlead.replication.ReplicationClient;
 import whinlead.replication.raft.GroupHost;
+import whinlead.replication.raft.GroupMessage;
 import whinlead.replication.raft.LogMirror;
 import whinlead.replication.raft.Member;
-import whinlead.replication.raft.GroupMessage;
 import whinlead.replication.raft.Seat;
-import whinlead.decide.Decide;
-import whinlead.engine.Engine;
-import whinlead.membership.EndpointList;
-import whinlead.plan.Calendar;
-import io.microraft.RaftConfig;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.Random;
-import java.util.SortedMap;
-import java.util.SortedSet;
-import java.util.function.Consumer;
 
 /**
- * One machine of a group: a disk, and a process with the real engine, module, consultations and member in it,
- * which is killed, frozen and started again.
+ * One machine of a group: a disk, and a process with the real engine, module, consultations and member in it, which is
+ * killed, frozen and started again.
  */
 final class SimMachine {
     private static final ReplicatedState.Limits LIMITS = new ReplicatedState.Limits(5000, 2000, 100, 60_000);
     private static final Bounds BOUNDS = new Bounds(2000, 1000, 10_000, 60_000, 100);
     private static final ReplicationClient.Waits WAITS = new ReplicationClient.Waits(60, 25, 200, 1000, 1000, 5000);
-    private static final RaftConfig CONFIG = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(300)
-            .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(2)
-            .setCommitCountToTakeSnapshot(50).setRaftNodeReportPublishPeriodSecs(60).build();
+    private static final RaftConfig CONFIG = RaftConfig.newBuilder()
+            .setLeaderElectionTimeoutMillis(300)
+            .setLeaderHeartbeatPeriodSecs(1)
+            .setLeaderHeartbeatTimeoutSecs(2)
+            .setCommitCountToTakeSnapshot(50)
+            .setRaftNodeReportPublishPeriodSecs(60)
+            .build();
     private static final double SKEW_MS = 30_000;
 
     private final GroupHost.Setup setup;
@@ -46,12 +50,13 @@
     private final Random dice;
     /** By the group; what is not there is empty. */
     private final Map<String, SimDisk> disks = new HashMap<>();
+
     private SimProcess process;
     private GroupHost host;
     private Consultations consultations;
     private Engine engine;
     private int starts;
-    private Consumer<Point> reached = point -> { };
+    private Consumer<Point> reached = point -> {};
 
     /** The way to the other machines. */
     @FunctionalInterface
@@ -60,9 +65,17 @@
     }
 
     /** {@code lasting} tells whether it has a disk at all. */
-    SimMachine(String name, SortedSet<String> processes, SortedMap<String, SortedSet<String>> groups,
-            double replaceAfter, Contract.Settings settings, Calendar world, Truth truth, Bug bug,
-            boolean lasting, Random dice) {
+    SimMachine(
+            String name,
+            SortedSet<String> processes,
+            SortedMap<String, SortedSet<String>> groups,
+            double replaceAfter,
+            Contract.Settings settings,
+            Calendar world,
+            Truth truth,
+            Bug bug,
+            boolean lasting,
+            Random dice) {
         setup = new GroupHost.Setup(name, processes, groups, replaceAfter, CONFIG, LIMITS);
         this.settings = settings;
         this.world = world;
@@ -106,63 +119,78 @@
     void start(Post post, EndpointList list) {
         process = new SimProcess(world, (dice.nextDouble() * 2 - 1) * SKEW_MS);
         SimProcess mine = process;
-        host = new GroupHost(setup, process, new Random(dice.nextLong()), new GroupHost.Outside() {
-            @Override
-            public void send(String group, String to, GroupMessage message) {
-                post.send(group, to, message);
-            }
-
-            private LogMirror disk(String group) {
-                return lasting || bug == Bug.VOTE_AFTER_LOST_DISK
-                        ? disks.computeIfAbsent(group, g -> new SimDisk()).found() : new LogMirror();
-            }
-
-            @Override
-            public LogMirror found(String group) {
-                return disk(group);
-            }
-
-            @Override
-            public LogMirror wiped(String group) {
-                truth.seen("begun anew");
-                disks.remove(group);
-                return disk(group);
-            }
-
-            @Override
-            public void retired(String group) {
-                disks.remove(group);
-            }
-
-            @Override
-            public void note(String line) {
-                truth.seen(line.replaceFirst("^copies: \\S+ ", "").replaceAll("of g\\d+ ",
-                        "").replaceAll("m\\d+",
-                        "another"));
-            }
-
-            @Override
-            public void taken() {
-                truth.broken("told that it is another");
-                mine.kill();
-            }
-        }, (id, step, detail) -> { });
-        ReplicationClient desk = new ReplicationClient(name() + "/" + ++starts, bug == Bug.BLIND_TO_STANDING_STILL ? process.blind()
-                : process, WAITS, host, (id, ending) -> truth.promised(id, ending, world.now()),
-                (id, step, detail) -> { });
+        host = new GroupHost(
+                setup,
+                process,
+                new Random(dice.nextLong()),
+                new GroupHost.Outside() {
+                    @Override
+                    public void send(String group, String to, GroupMessage message) {
+                        post.send(group, to, message);
+                    }
+
+                    private LogMirror disk(String group) {
+                        return lasting || bug == Bug.VOTE_AFTER_LOST_DISK
+                                ? disks.computeIfAbsent(group, g -> new SimDisk())
+                                        .found()
+                                : new LogMirror();
+                    }
+
+                    @Override
+                    public LogMirror found(String group) {
+                        return disk(group);
+                    }
+
+                    @Override
+                    public LogMirror wiped(String group) {
+                        truth.seen("begun anew");
+                        disks.remove(group);
+                        return disk(group);
+                    }
+
+                    @Override
+                    public void retired(String group) {
+                        disks.remove(group);
+                    }
+
+                    @Override
+                    public void note(String line) {
+                        truth.seen(line.replaceFirst("^copies: \\S+ ", "")
+                                .replaceAll("of g\\d+ ", "")
+                                .replaceAll("m\\d+", "another"));
+                    }
+
+                    @Override
+                    public void taken() {
+                        truth.broken("told that it is another");
+                        mine.kill();
+                    }
+                },
+                (id, step, detail) -> {});
+        ReplicationClient desk = new ReplicationClient(
+                name() + "/" + ++starts,
+                bug == Bug.BLIND_TO_STANDING_STILL ? process.blind() : process,
+                WAITS,
+                host,
+                (id, ending) -> truth.promised(id, ending, world.now()),
+                (id, step, detail) -> {});
         long seed = dice.nextLong();
         Engine[] made = new Engine[1];
         Consultations[] all = new Consultations[1];
-        made[0] = new Engine(process, settings, actions -> new Decide(settings, seed, actions),
-                changed -> all[0].update(changed), line -> {
+        made[0] = new Engine(
+                process,
+                settings,
+                actions -> new Decide(settings, seed, actions),
+                changed -> all[0].update(changed),
+                line -> {
                     if (line.startsWith("decision failed")) {
                         truth.broken(line);
                     }
                 });
-        all[0] = new Consultations(made[0], process, settings, BOUNDS, new Watched(desk), line -> { });
+        all[0] = new Consultations(made[0], process, settings, BOUNDS, new Watched(desk), line -> {});
         engine = made[0];
         consultations = all[0];
-        engine.start(() -> { }, list);
+        engine.start(() -> {}, list);
         host.start();
     }
 
--- a/src/main/java/whinlead/testbed/replication/SimNet.java
+++ b/src/main/java/whinlead/testbed/replication/SimNet.java
@@ -1,16 +1,16 @@
 package whinlead.testbed.replication;
 
-import whinlead.plan.Calendar;
 import java.util.HashSet;
 import java.util.Random;
 import java.util.Set;
+import whinlead.plan.Calendar;
 
 /** A network between named parties that loses, delays, doubles and cuts, one way or both, by a seed. */
 final class SimNet {
     private static final double QUICK_MS = 0.2;
     private static final double SLOW_MS = 8;
 
-    private record Link(String from, String to) { }
+    private record Link(String from, String to) {}
 
     private final Calendar world;
     private final Random dice;
--- a/src/main/java/whinlead/testbed/replication/SimRequest.java
+++ b/src/main/java/whinlead/testbed/replication/SimRequest.java
@@ -1,11 +1,11 @@
 package whinlead.testbed.replication;
 
+import java.util.List;
+import java.util.Random;
 import whinlead.Contract;
 import whinlead.consult.Directive;
 import whinlead.engine.Request;
 import whinlead.plan.Calendar;
-import java.util.List;
-import java.util.Random;
 
 /** One client's request at a simulated proxy that resends to another machine on its own. */
 final class SimRequest {
@@ -17,9 +17,11 @@
     private static final double ALREADY_OUT_RETRY_MS = 150;
     /** An answer is due at the request's time; messages and turns come on top. */
     private static final double SLACK_MS = 60;
+
     private static final int MAX_ATTEMPT_MS = 120;
     /** Of so many attempts two find the endpoint full, one fails to connect, and two are reset. */
     private static final int OUTCOME_DRAWS = 20;
+
     private static final int FULL_BELOW = 2;
     private static final int CONNECT_FAILED_BELOW = 3;
     private static final int RESET_BELOW = 5;
@@ -42,6 +44,7 @@
     private int calls;
     /** Counts what the proxy waits for; what answers an earlier count is ignored. */
     private int epoch;
+
     private boolean over;
 
     /** One that is yet to begin, of a random kind, at one of these proxies. */
@@ -77,23 +80,25 @@
             return;
         }
         SimProcess process = machine.process();
-        cluster.network().send(proxy.name(), machine.name(),
-                () -> process.run(() -> consult(machine, process, remaining, asked)));
+        cluster.network()
+                .send(
+                        proxy.name(),
+                        machine.name(),
+                        () -> process.run(() -> consult(machine, process, remaining, asked)));
     }
 
     // On the machine that is asked.
     private void consult(SimMachine machine, SimProcess process, double remaining, int asked) {
         double askedAt = calendar.now();
         boolean[] answered = new boolean[1];
-        machine.consultations().ask(proxy.peer(), id, new Request(kind.classIndex(), -1, remaining, false),
-                directive -> {
+        machine.consultations()
+                .ask(proxy.peer(), id, new Request(kind.classIndex(), -1, remaining, false), directive -> {
                     if (answered[0]) {
                         truth.broken("answered twice");
                     }
                     answered[0] = true;
                     truth.seen(directive.word());
-                    cluster.network().send(machine.name(), proxy.name(),
-                            () -> heard(asked, machine, directive));
+                    cluster.network().send(machine.name(), proxy.name(), () -> heard(asked, machine, directive));
                 });
         double due = askedAt + remaining + SLACK_MS;
         calendar.at(due, () -> {
@@ -154,10 +159,9 @@
         return draw < RESET_BELOW ? Contract.Outcome.RESET : Contract.Outcome.SERVED;
     }
 
-    private void report(SimMachine machine, Directive.Send send, Contract.Outcome outcome,
-            int expectedEpoch) {
-        SimMachine receiver = machine.alive() && random.nextInt(REPORT_ELSEWHERE_IN) > 0 ? machine
-                : cluster.randomMachine();
+    private void report(SimMachine machine, Directive.Send send, Contract.Outcome outcome, int expectedEpoch) {
+        SimMachine receiver =
+                machine.alive() && random.nextInt(REPORT_ELSEWHERE_IN) > 0 ? machine : cluster.randomMachine();
         if (!receiver.alive() || random.nextInt(REPORT_LOST_IN) == 0) {
             return;
         }
@@ -167,10 +171,18 @@
             return;
         }
         SimProcess process = receiver.process();
-        cluster.network().send(proxy.name(), receiver.name(),
-                () -> process.run(() -> receiver.consultations().outcome(id, send.attempt(),
-                        send.endpoint(), outcome, null,
-                        directive -> reported(expectedEpoch, receiver, directive))));
+        cluster.network()
+                .send(
+                        proxy.name(),
+                        receiver.name(),
+                        () -> process.run(() -> receiver.consultations()
+                                .outcome(
+                                        id,
+                                        send.attempt(),
+                                        send.endpoint(),
+                                        outcome,
+                                        null,
+                                        directive -> reported(expectedEpoch, receiver, directive))));
     }
 
     // On the machine that was told.
--- a/src/main/java/whinlead/testbed/replication/SimRequestKind.java
+++ b/src/main/java/whinlead/testbed/replication/SimRequestKind.java
@@ -1,9 +1,9 @@
 package whinlead.testbed.replication;
 
-import whinlead.Contract;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
+import whinlead.Contract;
 
 /** The classes of simulated requests; the ordinal of each is its index in {@link #SETTINGS}. */
 enum SimRequestKind {
@@ -17,9 +17,14 @@
     /** The settings that all simulated processes run with. */
     static final Contract.Settings SETTINGS = new Contract.Settings(
             Arrays.stream(values()).map(SimRequestKind::requestClass).toList(),
-            List.of(), 1, new Contract.Limits(3, true, true, false, false, true, 1000, 0),
-            new Contract.Obligations(1000, 3, 2000, 0.2, 20_000, 10_000), Contract.Reporting.NONE, true,
-            1, 0);
+            List.of(),
+            1,
+            new Contract.Limits(3, true, true, false, false, true, 1000, 0),
+            new Contract.Obligations(1000, 3, 2000, 0.2, 20_000, 10_000),
+            Contract.Reporting.NONE,
+            true,
+            1,
+            0);
 
     /** Of six draws three are safe, two unsafe and one is keyed. */
     private static final int DRAWS = 6;
@@ -35,8 +40,7 @@
     }
 
     private Contract.RequestClass requestClass() {
-        return new Contract.RequestClass(className, 1, 0, 500, 2000, effect, Contract.Group.ALL, keyWindowMs,
-                false);
+        return new Contract.RequestClass(className, 1, 0, 500, 2000, effect, Contract.Group.ALL, keyWindowMs, false);
     }
 
     /** A kind at random, by one draw. */
--- a/src/main/java/whinlead/testbed/replication/Truth.java
+++ b/src/main/java/whinlead/testbed/replication/Truth.java
@@ -1,11 +1,11 @@
 package whinlead.testbed.replication;
 
-import whinlead.replication.Command;
 import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import whinlead.replication.Command;
 
 /** What truly became of each request, over all members, and which promises were broken. */
 final class Truth {
--- a/src/main/java/whinlead/transport/EndpointPool.java
+++ b/src/main/java/whinlead/transport/EndpointPool.java
@@ -1,13 +1,5 @@
 package whinlead.transport;
 
-import whinlead.Contract;
-import whinlead.admit.Budget;
-import whinlead.engine.Transport;
-import whinlead.engine.Clock;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
-import whinlead.http.LoadReport;
-import whinlead.membership.EndpointList;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -43,23 +35,30 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.concurrent.TimeUnit;
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.engine.Clock;
+import whinlead.engine.Transport;
+import whinlead.http.HttpAnswer;
+import whinlead.http.HttpAsk;
+import whinlead.http.LoadReport;
+import whinlead.membership.EndpointList;
 
 /**
- * Connections to endpoints, each with one request at a time, and what became of each attempt. It sends what
- * it is told once and never again. Everything here runs on the one event loop.
+ * Connections to endpoints, each with one request at a time, and what became of each attempt. It sends what it is told
+ * once and never again. Everything here runs on the one event loop.
  */
 public final class EndpointPool {
     private static final String NOT_STARTED = "Not-Started";
     /** Of the endpoint's own idle limit: a request must never cross the endpoint's closing. */
     private static final double IDLE_SHARE = 0.75;
+
     private static final long SWEEP_MS = 1000;
     /** No endpoint is taken to close connections that have been idle for less. */
     private static final double MIN_IDLE_MS = 50;
-    /**
-     * Of the idle time after which an endpoint was found to have closed, and what a second adds to it
-     * again.
-     */
+    /** Of the idle time after which an endpoint was found to have closed, and what a second adds to it again. */
     private static final double IDLE_CUT = 0.5;
+
     private static final double IDLE_REGAIN = 1.2;
     /** Interim answers ahead of the real one; more are not meant to end. */
     private static final int MAX_INTERIM = 8;
@@ -85,13 +84,20 @@
      * @param endpointIdle milliseconds after which an endpoint closes an idle connection
      * @param budget says how many connections to all endpoints together may be open at once
      */
-    public EndpointPool(EventLoop loop, Class<? extends Channel> channels, Clock clock, int connectTimeout,
-            double endpointIdle, Budget budget) {
+    public EndpointPool(
+            EventLoop loop,
+            Class<? extends Channel> channels,
+            Clock clock,
+            int connectTimeout,
+            double endpointIdle,
+            Budget budget) {
         this.loop = loop;
         this.clock = clock;
         this.idleMost = endpointIdle * IDLE_SHARE;
         this.budget = budget;
-        this.bootstrap = new Bootstrap().group(loop).channel(channels)
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(channels)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout);
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
@@ -156,12 +162,15 @@
     private void connect(Endpoint endpoint, Attempt attempt) {
         Connection connection = new Connection(endpoint);
         count(1);
-        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                connection.addTo(channel.pipeline());
-            }
-        }).connect(endpoint.address);
+        ChannelFuture connecting = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        connection.addTo(channel.pipeline());
+                    }
+                })
+                .connect(endpoint.address);
         connection.channel = connecting.channel();
         connecting.addListener(f -> {
             // Guards against counting for ever what never was: with no descriptor left there is no channel
@@ -223,8 +232,8 @@
     private boolean closeOldestIdle() {
         Endpoint oldest = null;
         for (Endpoint e : endpoints.values()) {
-            if (!e.idle.isEmpty() && (oldest == null
-                    || e.idle.peekFirst().idleSince < oldest.idle.peekFirst().idleSince)) {
+            if (!e.idle.isEmpty()
+                    && (oldest == null || e.idle.peekFirst().idleSince < oldest.idle.peekFirst().idleSince)) {
                 oldest = e;
             }
         }
@@ -357,10 +366,7 @@
             pipeline.addLast(new Bytes(), decoder, new HttpRequestEncoder(), this);
         }
 
-        /**
-         * Guards against an answer to nobody: a second copy, or noise, must not wait here for the next
-         * request.
-         */
+        /** Guards against an answer to nobody: a second copy, or noise, must not wait here for the next request. */
         private final class Bytes extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -483,18 +489,21 @@
         }
 
         private void watchForStall(Attempt a, double wait) {
-            stall = loop.schedule(() -> {
-                stall = null;
-                double left = readAt + STALL_MS - clock.now();
-                if (attempt != a || a.over) {
-                    return;
-                }
-                if (left > 0) {
-                    watchForStall(a, left);
-                } else {
-                    spoilt();
-                }
-            }, (long) Math.ceil(wait), TimeUnit.MILLISECONDS);
+            stall = loop.schedule(
+                    () -> {
+                        stall = null;
+                        double left = readAt + STALL_MS - clock.now();
+                        if (attempt != a || a.over) {
+                            return;
+                        }
+                        if (left > 0) {
+                            watchForStall(a, left);
+                        } else {
+                            spoilt();
+                        }
+                    },
+                    (long) Math.ceil(wait),
+                    TimeUnit.MILLISECONDS);
         }
 
         private void finish() {
@@ -517,7 +526,8 @@
             Contract.Outcome outcome = outcome(response);
             HttpHeaders headers = response.headers();
             HttpAnswer answer = outcome == Contract.Outcome.SERVED
-                    ? new HttpAnswer(body.toByteArray(), headers.get(HttpHeaderNames.CONTENT_TYPE)) : null;
+                    ? new HttpAnswer(body.toByteArray(), headers.get(HttpHeaderNames.CONTENT_TYPE))
+                    : null;
             done.end(outcome, answer, LoadReport.parse(headers.getAll(LoadReport.HEADER)));
         }
 
@@ -527,7 +537,7 @@
                 return Contract.Outcome.SERVED;
             }
             boolean turnedAway = (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                    || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
+                            || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
                     && "1".equals(response.headers().get(NOT_STARTED));
             return turnedAway ? Contract.Outcome.FULL : Contract.Outcome.ERROR;
         }
--- a/src/test/java/whinlead/PackagesTest.java
+++ b/src/test/java/whinlead/PackagesTest.java
@@ -11,80 +11,159 @@
 /** Which package may know which: {@code docs/design.md} says why. */
 class PackagesTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("whinlead");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("whinlead");
 
     @Test
     void decisionsDependOnNothingButTheContract() {
-        noClasses().that().resideInAPackage("whinlead.decide..").should().dependOnClassesThat()
-                .resideOutsideOfPackages("whinlead", "whinlead.decide..", "java.lang..", "java.util",
-                        "java.util.function", "java.util.stream")
+        noClasses()
+                .that()
+                .resideInAPackage("whinlead.decide..")
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "whinlead",
+                        "whinlead.decide..",
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream")
                 .check(CLASSES);
     }
 
     @Test
     void admissionDependsOnNothing() {
-        noClasses().that().resideInAPackage("whinlead.admit..").should().dependOnClassesThat()
-                .resideOutsideOfPackages("whinlead.admit..", "java.lang..", "java.util", "java.util.function",
-                        "java.util.stream")
+        noClasses()
+                .that()
+                .resideInAPackage("whinlead.admit..")
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "whinlead.admit..", "java.lang..", "java.util", "java.util.function", "java.util.stream")
                 .check(CLASSES);
     }
 
     @Test
     void whatAGroupAgreesOnDoesNoInputOrOutput() {
-        noClasses().that().resideInAPackage("whinlead.replication").should().dependOnClassesThat()
-                .resideOutsideOfPackages("whinlead.replication", "whinlead.consult", "whinlead.engine",
-                        "java.lang..", "java.util", "java.util.function", "java.util.stream")
+        noClasses()
+                .that()
+                .resideInAPackage("whinlead.replication")
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "whinlead.replication",
+                        "whinlead.consult",
+                        "whinlead.engine",
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream")
                 .check(CLASSES);
-        noClasses().that().resideInAPackage("whinlead.replication.raft").should().dependOnClassesThat()
-                .resideInAnyPackage("java.net..", "java.nio..", "io.netty..", "io.grpc..", "whinlead.replication.net",
-                        "whinlead.replication.disk", "whinlead.loop..", "whinlead.run..")
+        noClasses()
+                .that()
+                .resideInAPackage("whinlead.replication.raft")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.net..",
+                        "java.nio..",
+                        "io.netty..",
+                        "io.grpc..",
+                        "whinlead.replication.net",
+                        "whinlead.replication.disk",
+                        "whinlead.loop..",
+                        "whinlead.run..")
                 .check(CLASSES);
     }
 
     @Test
     void whatTheMeshDecidesDoesNoInputOrOutput() {
-        noClasses().that().resideInAnyPackage("whinlead.mesh.consensus", "whinlead.mesh.registry",
-                "whinlead.mesh.quota").should().dependOnClassesThat()
-                .resideOutsideOfPackages("whinlead.mesh.consensus", "whinlead.mesh.registry",
-                        "whinlead.mesh.quota", "java.lang..", "java.util", "java.util.function",
+        noClasses()
+                .that()
+                .resideInAnyPackage("whinlead.mesh.consensus", "whinlead.mesh.registry", "whinlead.mesh.quota")
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "whinlead.mesh.consensus",
+                        "whinlead.mesh.registry",
+                        "whinlead.mesh.quota",
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
                         "java.util.stream")
                 .check(CLASSES);
-        noClasses().that().haveSimpleName("EndpointGate").or().haveSimpleName("RetryBudget").or()
-                .haveFullyQualifiedName("whinlead.mesh.sidecar.RequestClasses").should().dependOnClassesThat()
+        noClasses()
+                .that()
+                .haveSimpleName("EndpointGate")
+                .or()
+                .haveSimpleName("RetryBudget")
+                .or()
+                .haveFullyQualifiedName("whinlead.mesh.sidecar.RequestClasses")
+                .should()
+                .dependOnClassesThat()
                 .resideInAnyPackage("java.net..", "java.io..", "java.nio..", "io.netty..")
                 .check(CLASSES);
     }
 
     @Test
     void thePlannerDependsOnTheEngineAndTheDecisionsAndOnNothingElse() {
-        noClasses().that().resideInAPackage("whinlead.plan").should().dependOnClassesThat()
-                .resideOutsideOfPackages("whinlead", "whinlead.plan", "whinlead.decide",
-                        "whinlead.engine", "whinlead.membership", "java.lang..", "java.util", "java.util.function", "java.util.stream")
+        noClasses()
+                .that()
+                .resideInAPackage("whinlead.plan")
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "whinlead",
+                        "whinlead.plan",
+                        "whinlead.decide",
+                        "whinlead.engine",
+                        "whinlead.membership",
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream")
                 .check(CLASSES);
     }
 
     @Test
     void theEngineKnowsNoProtocolLoopOrModule() {
-        noClasses().that().resideInAPackage("whinlead.engine..").should().dependOnClassesThat()
-                .resideOutsideOfPackages("whinlead", "whinlead.engine..", "whinlead.membership..",
-                        "java.lang..", "java.util..")
+        noClasses()
+                .that()
+                .resideInAPackage("whinlead.engine..")
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "whinlead", "whinlead.engine..", "whinlead.membership..", "java.lang..", "java.util..")
                 .check(CLASSES);
     }
 
     @Test
     void frontsAndTransportsKnowNothingOfEachOther() {
-        noClasses().that().resideInAPackage("whinlead.front..").should().dependOnClassesThat()
+        noClasses()
+                .that()
+                .resideInAPackage("whinlead.front..")
+                .should()
+                .dependOnClassesThat()
                 .resideInAnyPackage("whinlead.transport..", "whinlead.decide..", "whinlead.run..")
                 .check(CLASSES);
-        noClasses().that().resideInAPackage("whinlead.transport..").should().dependOnClassesThat()
+        noClasses()
+                .that()
+                .resideInAPackage("whinlead.transport..")
+                .should()
+                .dependOnClassesThat()
                 .resideInAnyPackage("whinlead.front..", "whinlead.decide..", "whinlead.run..")
                 .check(CLASSES);
     }
 
     @Test
     void nothingThatASidecarRunsNeedsTheStandInsButTheCommandLine() {
-        noClasses().that().resideOutsideOfPackages("whinlead.testbed..", "whinlead.run..").should()
-                .dependOnClassesThat().resideInAPackage("whinlead.testbed..").check(CLASSES);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("whinlead.testbed..", "whinlead.run..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("whinlead.testbed..")
+                .check(CLASSES);
     }
 
     @Test
--- a/src/test/java/whinlead/admit/AdmissionTest.java
+++ b/src/test/java/whinlead/admit/AdmissionTest.java
@@ -6,8 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.admit.Admission.Limits;
-import whinlead.admit.Admission.Phase;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,6 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.admit.Admission.Limits;
+import whinlead.admit.Admission.Phase;
 
 /** Who makes room, without a socket or a clock. */
 class AdmissionTest {
@@ -127,11 +127,13 @@
                 if (victim != null) {
                     closed++;
                     assertNotEquals(Phase.HELD, open.get(victim));
-                    assertTrue(open.get(victim) != Phase.IDLE
-                            || now - since.get(victim) >= limits.idleLeast());
+                    assertTrue(open.get(victim) != Phase.IDLE || now - since.get(victim) >= limits.idleLeast());
                     // A known one goes for a new one only while few are new, or when it has idled for long.
-                    long silent = open.values().stream().filter(p -> p == Phase.SILENT).count();
-                    assertTrue(open.get(victim) != Phase.IDLE || silent <= limits.unknownPart() * most
+                    long silent = open.values().stream()
+                            .filter(p -> p == Phase.SILENT)
+                            .count();
+                    assertTrue(open.get(victim) != Phase.IDLE
+                            || silent <= limits.unknownPart() * most
                             || now - since.get(victim) > limits.idleLong());
                     open.remove(victim);
                     all.left(victim);
@@ -146,11 +148,12 @@
                     open.remove(id);
                     all.left(id);
                 } else {
-                    Phase next = switch (open.get(id)) {
-                        case SILENT, IDLE -> Phase.RECEIVING;
-                        case RECEIVING -> Phase.HELD;
-                        case HELD -> Phase.IDLE;
-                    };
+                    Phase next =
+                            switch (open.get(id)) {
+                                case SILENT, IDLE -> Phase.RECEIVING;
+                                case RECEIVING -> Phase.HELD;
+                                case HELD -> Phase.IDLE;
+                            };
                     open.put(id, next);
                     since.put(id, now);
                     all.entered(id, next, now);
--- a/src/test/java/whinlead/admit/BudgetTest.java
+++ b/src/test/java/whinlead/admit/BudgetTest.java
@@ -1,18 +1,18 @@
 package whinlead.admit;
 
-import static whinlead.admit.Budget.Purpose.CLIENTS;
-import static whinlead.admit.Budget.Purpose.ENDPOINTS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static whinlead.admit.Budget.Purpose.CLIENTS;
+import static whinlead.admit.Budget.Purpose.ENDPOINTS;
 
-import whinlead.admit.Budget.Purpose;
-import whinlead.admit.Budget.Share;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.admit.Budget.Purpose;
+import whinlead.admit.Budget.Share;
 
 /** Descriptors by purpose, and how they move. */
 class BudgetTest {
--- a/src/test/java/whinlead/admit/ClientTest.java
+++ b/src/test/java/whinlead/admit/ClientTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import whinlead.admit.Client.Prefixes;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import org.junit.jupiter.api.Test;
+import whinlead.admit.Client.Prefixes;
 
 /** Which addresses are one client. */
 class ClientTest {
--- a/src/test/java/whinlead/admit/GateTest.java
+++ b/src/test/java/whinlead/admit/GateTest.java
@@ -7,9 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.admit.Admission.Phase;
-import whinlead.admit.Gate.Limits;
-import whinlead.admit.Gate.Why;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,6 +16,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.admit.Admission.Phase;
+import whinlead.admit.Gate.Limits;
+import whinlead.admit.Gate.Why;
 
 /** Caps, rates, the reserve and shortages, without a socket or a clock. */
 class GateTest {
@@ -31,8 +31,8 @@
     private final Gate<String> gate = gate(3, 6, 1000, 4);
 
     private static Gate<String> gate(int perClient, int perKnown, double perSecond, int reserve) {
-        return new Gate<>(new Limits(WHOLE, perClient, perKnown, perSecond, perSecond, reserve, 100, 60_000),
-                PHASES, PLACES);
+        return new Gate<>(
+                new Limits(WHOLE, perClient, perKnown, perSecond, perSecond, reserve, 100, 60_000), PHASES, PLACES);
     }
 
     private static byte[] from(int client) {
@@ -254,7 +254,10 @@
                 }
                 long held = open.values().stream().filter(p -> p == Phase.HELD).count();
                 assertTrue(open.size() <= Math.max(20, held), open::toString);
-                assertTrue(open.keySet().stream().filter(c -> owner.get(c) == client).count() <= 8);
+                assertTrue(open.keySet().stream()
+                                .filter(c -> owner.get(c) == client)
+                                .count()
+                        <= 8);
             } else if (dice.nextInt(200) == 0) {
                 Integer close = all.noDescriptor(now);
                 if (close != null) {
@@ -263,11 +266,12 @@
                 }
             } else {
                 Integer id = ids.get(dice.nextInt(ids.size()));
-                Phase next = switch (open.get(id)) {
-                    case SILENT, IDLE -> Phase.RECEIVING;
-                    case RECEIVING -> Phase.HELD;
-                    case HELD -> Phase.IDLE;
-                };
+                Phase next =
+                        switch (open.get(id)) {
+                            case SILENT, IDLE -> Phase.RECEIVING;
+                            case RECEIVING -> Phase.HELD;
+                            case HELD -> Phase.IDLE;
+                        };
                 if (next == Phase.IDLE && dice.nextInt(4) == 0) {
                     open.remove(id);
                     all.left(id, now);
@@ -286,7 +290,9 @@
         for (Why why : Why.values()) {
             turnedAway[why.ordinal()] = (int) all.closed(why);
         }
-        assertTrue(turnedAway[Why.CLIENT_CAP.ordinal()] > 0 && turnedAway[Why.FULL.ordinal()]
-                + turnedAway[Why.RESERVE.ordinal()] > 0, "it came to that");
+        assertTrue(
+                turnedAway[Why.CLIENT_CAP.ordinal()] > 0
+                        && turnedAway[Why.FULL.ordinal()] + turnedAway[Why.RESERVE.ordinal()] > 0,
+                "it came to that");
     }
 }
--- a/src/test/java/whinlead/bench/DecideBenchmark.java
+++ b/src/test/java/whinlead/bench/DecideBenchmark.java
@@ -1,8 +1,5 @@
 package whinlead.bench;
 
-import whinlead.Contract;
-import whinlead.decide.Decide;
-import whinlead.decide.NoActions;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -17,6 +14,9 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
+import whinlead.Contract;
+import whinlead.decide.Decide;
+import whinlead.decide.NoActions;
 
 /**
  * What a decision costs: one request, its choice of server and its outcome, and the periods that fall due. Run with
@@ -27,7 +27,9 @@
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
-@Fork(value = 2, jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx48m"})
+@Fork(
+        value = 2,
+        jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx48m"})
 public class DecideBenchmark {
     private static final double GAP_MS = 1;
     private static final double TOOK_MS = 5;
@@ -48,12 +50,21 @@
     /** A module that has seen ten seconds of traffic. */
     @Setup
     public void warm() {
-        Contract.RequestClass read = new Contract.RequestClass("read", 1, 0, 500, 2000, Contract.Effect.SAFE,
-                Contract.Group.ALL, 0, false);
-        module = new Decide(new Contract.Settings(List.of(read), List.of(), 1,
-                new Contract.Limits(3, true, true, false, false, true, 1000, 0),
-                new Contract.Obligations(1000, 3, 2000, 0.2, 20_000, 10_000), Contract.Reporting.NONE, false, 1, 0),
-                7, sink);
+        Contract.RequestClass read =
+                new Contract.RequestClass("read", 1, 0, 500, 2000, Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
+        module = new Decide(
+                new Contract.Settings(
+                        List.of(read),
+                        List.of(),
+                        1,
+                        new Contract.Limits(3, true, true, false, false, true, 1000, 0),
+                        new Contract.Obligations(1000, 3, 2000, 0.2, 20_000, 10_000),
+                        Contract.Reporting.NONE,
+                        false,
+                        1,
+                        0),
+                7,
+                sink);
         module.start(0);
         List<Contract.Server> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
--- a/src/test/java/whinlead/bench/EngineBenchmark.java
+++ b/src/test/java/whinlead/bench/EngineBenchmark.java
@@ -1,14 +1,5 @@
 package whinlead.bench;
 
-import whinlead.Contract;
-import whinlead.decide.Decide;
-import whinlead.engine.Request;
-import whinlead.engine.ResponseSink;
-import whinlead.engine.Transport;
-import whinlead.engine.Engine;
-import whinlead.membership.EndpointList;
-import whinlead.testbed.DrivenClock;
-import whinlead.testbed.Settings;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,18 +15,28 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
+import whinlead.Contract;
+import whinlead.decide.Decide;
+import whinlead.engine.Engine;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
+import whinlead.engine.Transport;
+import whinlead.membership.EndpointList;
+import whinlead.testbed.DrivenClock;
+import whinlead.testbed.Settings;
 
 /**
- * What the engine's path costs with the module in it: a request taken, its attempt sent and answered 5 ms
- * later, its timers, its end; neither a front nor a transport. Run with {@code mvn -q test-compile
- * exec:exec}; it is no test.
+ * What the engine's path costs with the module in it: a request taken, its attempt sent and answered 5 ms later, its
+ * timers, its end; neither a front nor a transport. Run with {@code mvn -q test-compile exec:exec}; it is no test.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
-@Fork(value = 2, jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx48m"})
+@Fork(
+        value = 2,
+        jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx48m"})
 public class EngineBenchmark {
     private static final double GAP_MS = 1;
     private static final double TOOK_MS = 5;
@@ -58,14 +59,13 @@
     @Setup
     public void warm() {
         Contract.Settings settings = Settings.of(true, Settings.type("read", 1, Contract.Effect.SAFE));
-        engine = new Engine(clock, settings, actions -> new Decide(settings, 7, actions), list -> { }, line ->
-                { });
+        engine = new Engine(clock, settings, actions -> new Decide(settings, 7, actions), list -> {}, line -> {});
         List<EndpointList.Entry> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            list.add(new EndpointList.Entry(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 0),
-                    new InetSocketAddress(1)));
+            list.add(new EndpointList.Entry(
+                    new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 0), new InetSocketAddress(1)));
         }
-        engine.start(() -> { }, new EndpointList(1, true, list));
+        engine.start(() -> {}, new EndpointList(1, true, list));
         for (int i = 0; i < WARM; i++) {
             request();
         }
@@ -91,9 +91,9 @@
         }
 
         @Override
-        public void refused(double retryAfter) { }
+        public void refused(double retryAfter) {}
 
         @Override
-        public void failed() { }
+        public void failed() {}
     }
 }
--- a/src/test/java/whinlead/benchlink/LinkTest.java
+++ b/src/test/java/whinlead/benchlink/LinkTest.java
@@ -55,33 +55,42 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "tick 20.0 2~bogus 0~eob~ | message",
-        "tick 20.0 2~order 0 x get - - 900.0 - 0 0~eob~ | msg_id",
-        "tick 20.0 2~order 0 5 nope - - 900.0 - 0 0~eob~ | grade",
-        "tick 20.0 2~order 0 5 get - - soon - 0 0~eob~ | time_left",
-        "tick 20.0 2~order 0 5 get~eob~ | object",
-        "tick 20.0 2~order 4 5 get - - 900.0 - 0 0~eob~ | sidecar",
-        "tick 20.0 2~answer 0 5 0 box happy 1.0 1 -~eob~ | disposition",
-        "tick 20.0 2~answer 0 5 0 box done 1.0 1 util~eob~ | telemetry",
-        "tick 20.0 2~memo 0 1 ###~eob~ | raw",
-        "tick 20.0 2~membership 0 1 F 9~eob~ | buffer",
-        "tick 20.0 2~catalog 1 2~entry 1 U k z 0 a -~eob~ | message",
-        "tick 9.0 2~eob~ | clock",
-        "tick 20.0 2~order 0 5 get - - 900.0 - 0 0~ | message",
-        "tick 20.0 2~eo | line"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "tick 20.0 2~bogus 0~eob~ | message",
+                "tick 20.0 2~order 0 x get - - 900.0 - 0 0~eob~ | msg_id",
+                "tick 20.0 2~order 0 5 nope - - 900.0 - 0 0~eob~ | grade",
+                "tick 20.0 2~order 0 5 get - - soon - 0 0~eob~ | time_left",
+                "tick 20.0 2~order 0 5 get~eob~ | object",
+                "tick 20.0 2~order 4 5 get - - 900.0 - 0 0~eob~ | sidecar",
+                "tick 20.0 2~answer 0 5 0 box happy 1.0 1 -~eob~ | disposition",
+                "tick 20.0 2~answer 0 5 0 box done 1.0 1 util~eob~ | telemetry",
+                "tick 20.0 2~memo 0 1 ###~eob~ | raw",
+                "tick 20.0 2~membership 0 1 F 9~eob~ | buffer",
+                "tick 20.0 2~catalog 1 2~entry 1 U k z 0 a -~eob~ | message",
+                "tick 9.0 2~eob~ | clock",
+                "tick 20.0 2~order 0 5 get - - 900.0 - 0 0~ | message",
+                "tick 20.0 2~eo | line"
+            })
     void badInputNamesTheLineAndTheField(String text, String field) {
-        WireException e = assertThrows(WireException.class, () -> play(UP + text.strip().replace('~', '\n')));
+        WireException e =
+                assertThrows(WireException.class, () -> play(UP + text.strip().replace('~', '\n')));
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertTrue(e.getMessage().contains("field " + field + ":"), e.getMessage());
         assertFalse(e.getMessage().contains("\n"));
     }
 
     @ParameterizedTest
-    @CsvSource({"classes.0.slo=500.0,classes.0.slo=2500.0,classes.0.slo", "discovery=push,discovery=pull,discovery",
-        "peers_total=3,peers_total=0,peers_total", "ordinal=0,ordinal=3,ordinal",
-        "limits.cancel=true,limits.other=true,limits.cancel", "obligations.cold=9000.0,obligations.cold=x,obligations.cold",
-        "classes.count=1,classes.count=2,classes.1.effect"})
+    @CsvSource({
+        "classes.0.slo=500.0,classes.0.slo=2500.0,classes.0.slo",
+        "discovery=push,discovery=pull,discovery",
+        "peers_total=3,peers_total=0,peers_total",
+        "ordinal=0,ordinal=3,ordinal",
+        "limits.cancel=true,limits.other=true,limits.cancel",
+        "obligations.cold=9000.0,obligations.cold=x,obligations.cold",
+        "classes.count=1,classes.count=2,classes.1.effect"
+    })
     void badSettingsNameTheKey(String good, String bad, String key) {
         WireException e = assertThrows(WireException.class, () -> play(UP.replace(good, bad)));
         assertTrue(e.getMessage().contains(key), e.getMessage());
@@ -94,7 +103,9 @@
             b.append("order 0 ").append(i).append(" get - - 900.0 - 0 0\n");
         }
         String reply = play(b + "eob\n");
-        long answers = reply.lines().filter(l -> l.startsWith("forward") || l.startsWith("deny")).count();
+        long answers = reply.lines()
+                .filter(l -> l.startsWith("forward") || l.startsWith("deny"))
+                .count();
         assertEquals(20000, answers);
     }
 
--- a/src/test/java/whinlead/capture/CaptureTest.java
+++ b/src/test/java/whinlead/capture/CaptureTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.engine.RequestListener;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -16,6 +15,7 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import whinlead.engine.RequestListener;
 
 /** Captures, whole and spoilt. */
 class CaptureTest {
@@ -27,9 +27,14 @@
         long at = 0;
         for (int i = 0; i < count; i++) {
             at += dice.nextInt(20_000);
-            list.add(new Entry(at, dice.nextInt(2), dice.nextInt(5) - 1, dice.nextInt(5000),
+            list.add(new Entry(
+                    at,
+                    dice.nextInt(2),
+                    dice.nextInt(5) - 1,
+                    dice.nextInt(5000),
                     dice.nextInt(70_000),
-                    dice.nextBoolean(), RequestListener.End.values()[dice.nextInt(4)]));
+                    dice.nextBoolean(),
+                    RequestListener.End.values()[dice.nextInt(4)]));
         }
         return list;
     }
@@ -102,11 +107,13 @@
     void anotherVersionOrAnotherFileIsRefused() throws IOException {
         byte[] whole = written(entries(1, 5));
         whole[7] = 2;
-        assertEquals("a capture of version 2, not 1",
+        assertEquals(
+                "a capture of version 2, not 1",
                 assertThrows(IllegalArgumentException.class, () -> read(whole)).getMessage());
-        assertEquals("not a capture",
-                assertThrows(IllegalArgumentException.class,
-                () -> read("{\"a\": 1}".getBytes())).getMessage());
+        assertEquals(
+                "not a capture",
+                assertThrows(IllegalArgumentException.class, () -> read("{\"a\": 1}".getBytes()))
+                        .getMessage());
     }
 
     @Test
@@ -119,8 +126,7 @@
             out.write(new Entry(7_500_000, 1, -1, 10, 0, false, RequestListener.End.LEFT));
         }
         Summary s = Summary.of(read(bytes.toByteArray()));
-        assertEquals(new Summary(CLASSES, List.of(1L, 2L), 3, 2.5, 2, 1, List.of(1L, 1L, 0L, 1L), 17, 1,
-                false), s);
+        assertEquals(new Summary(CLASSES, List.of(1L, 2L), 3, 2.5, 2, 1, List.of(1L, 1L, 0L, 1L), 17, 1, false), s);
     }
 
     @Test
--- a/src/test/java/whinlead/capture/RecorderTest.java
+++ b/src/test/java/whinlead/capture/RecorderTest.java
@@ -3,8 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.engine.Request;
-import whinlead.engine.RequestListener;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -15,6 +13,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
+import whinlead.engine.Request;
+import whinlead.engine.RequestListener;
 
 /** What a sidecar serves, captured: in order, in files that go round, and without ever holding it up. */
 class RecorderTest {
@@ -46,12 +46,13 @@
     void whatEndsInAnyOrderIsWrittenByArrivalInFilesOfTheirSize() throws IOException {
         Random dice = new Random(1);
         int count = 5000;
-        try (Recorder r = new Recorder(CLASSES, new Recorder.Bounds(65_536, 1000, 24_000), this::next,
-                log::add)) {
+        try (Recorder r = new Recorder(CLASSES, new Recorder.Bounds(65_536, 1000, 24_000), this::next, log::add)) {
             r.over(new Request(0, -1, 500, false).at(1, 3), 100, RequestListener.End.SERVED);
             for (int i = 1; i < count; i++) {
                 // Ended in this order, after up to a second.
-                r.over(new Request(i % 2, 2, 700, true), 2000 + i * 10 - 1000 * dice.nextDouble(),
+                r.over(
+                        new Request(i % 2, 2, 700, true),
+                        2000 + i * 10 - 1000 * dice.nextDouble(),
                         RequestListener.End.REFUSED);
             }
         }
@@ -68,15 +69,19 @@
     void aDiskThatStallsLosesEntriesThatAreCountedAndHoldsNobodyUp() throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        Recorder r = new Recorder(CLASSES, new Recorder.Bounds(64, 0, 1 << 20), () -> {
-            stalled.countDown();
-            try {
-                go.await();
-            } catch (InterruptedException e) {
-                throw new IOException(e);
-            }
-            return next();
-        }, log::add);
+        Recorder r = new Recorder(
+                CLASSES,
+                new Recorder.Bounds(64, 0, 1 << 20),
+                () -> {
+                    stalled.countDown();
+                    try {
+                        go.await();
+                    } catch (InterruptedException e) {
+                        throw new IOException(e);
+                    }
+                    return next();
+                },
+                log::add);
         int count = 10_000;
         int at = 0;
         // With a window of nothing the second one has the first written, and the disk stalls.
@@ -91,7 +96,8 @@
         go.countDown();
         r.close();
         Summary s;
-        try (CaptureInput in = new CaptureInput(new ByteArrayInputStream(files.get(0).toByteArray()))) {
+        try (CaptureInput in =
+                new CaptureInput(new ByteArrayInputStream(files.get(0).toByteArray()))) {
             s = Summary.of(in);
         }
         assertEquals(at, s.requests() + s.lost(), "all are there or counted: " + s);
@@ -101,12 +107,16 @@
     @Test
     void aDiskThatFailsEndsTheCaptureWithOneLineAndNothingElse() throws Exception {
         CountDownLatch said = new CountDownLatch(1);
-        try (Recorder r = new Recorder(CLASSES, new Recorder.Bounds(16, 0, 1 << 20), () -> {
-            throw new IOException("no space");
-        }, line -> {
-            log.add(line);
-            said.countDown();
-        })) {
+        try (Recorder r = new Recorder(
+                CLASSES,
+                new Recorder.Bounds(16, 0, 1 << 20),
+                () -> {
+                    throw new IOException("no space");
+                },
+                line -> {
+                    log.add(line);
+                    said.countDown();
+                })) {
             for (int at = 0; said.getCount() > 0; at++) {
                 r.over(new Request(0, -1, 500, false), at, RequestListener.End.SERVED);
                 Thread.onSpinWait();
--- a/src/test/java/whinlead/consult/ConsultRandomEventsTest.java
+++ b/src/test/java/whinlead/consult/ConsultRandomEventsTest.java
@@ -3,14 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
-import whinlead.Contract.Outcome;
-import whinlead.decide.Decide;
-import whinlead.engine.Request;
-import whinlead.engine.Engine;
-import whinlead.membership.EndpointList;
-import whinlead.testbed.DrivenClock;
-import whinlead.testbed.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,10 +10,18 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.Contract;
+import whinlead.Contract.Outcome;
+import whinlead.decide.Decide;
+import whinlead.engine.Engine;
+import whinlead.engine.Request;
+import whinlead.membership.EndpointList;
+import whinlead.testbed.DrivenClock;
+import whinlead.testbed.Settings;
 
 /**
- * Proxies that resend on their own, lose reports, report late, twice or of nothing, and die, drawn by a seed;
- * what truly ran is known.
+ * Proxies that resend on their own, lose reports, report late, twice or of nothing, and die, drawn by a seed; what
+ * truly ran is known.
  */
 class ConsultRandomEventsTest {
     private static final int REQUESTS = 3000;
@@ -30,6 +30,7 @@
     private static final double GAP_MS = 4;
     /** One in so many is full, reset, or its report is lost or comes twice. */
     private static final int RARE = 30;
+
     private static final double GRACE = 1000;
 
     private final DrivenClock clock = new DrivenClock();
@@ -113,14 +114,15 @@
         for (int i = 0; i < PROXIES; i++) {
             proxies[i] = new Peer();
         }
-        Contract.Settings settings = Settings.of(true, Settings.type("read", 1, Contract.Effect.SAFE),
+        Contract.Settings settings = Settings.of(
+                true,
+                Settings.type("read", 1, Contract.Effect.SAFE),
                 Settings.type("job-submit", 1, Contract.Effect.UNSAFE));
         List<String> log = new ArrayList<>();
-        Engine engine = new Engine(clock, settings, actions -> new Decide(settings, seed, actions),
-                list -> all.update(list), log::add);
-        all = new Consultations(engine, clock, settings, new Bounds(2000, 1000, 10_000, 60_000, 100),
-                log::add);
-        engine.start(() -> { }, list());
+        Engine engine = new Engine(
+                clock, settings, actions -> new Decide(settings, seed, actions), list -> all.update(list), log::add);
+        all = new Consultations(engine, clock, settings, new Bounds(2000, 1000, 10_000, 60_000, 100), log::add);
+        engine.start(() -> {}, list());
         List<One> ones = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
             One one = new One("r" + i, dice.nextInt(2));
@@ -158,8 +160,8 @@
             } else {
                 drainedAt.remove(id);
             }
-            entries.add(new EndpointList.Entry(new Contract.Server(id,
-                    drains ? Contract.Standing.DRAINING : Contract.Standing.UP, 1, "z", 0, 0),
+            entries.add(new EndpointList.Entry(
+                    new Contract.Server(id, drains ? Contract.Standing.DRAINING : Contract.Standing.UP, 1, "z", 0, 0),
                     EndpointList.address("127.0.0.1:" + (i + 1))));
         }
         return new EndpointList(1, true, entries);
--- a/src/test/java/whinlead/consult/ConsultationsTest.java
+++ b/src/test/java/whinlead/consult/ConsultationsTest.java
@@ -4,20 +4,20 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Function;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 import whinlead.Contract.Outcome;
 import whinlead.decide.Decide;
-import whinlead.engine.Request;
 import whinlead.engine.Engine;
+import whinlead.engine.Request;
 import whinlead.engine.ScriptedModule;
 import whinlead.membership.EndpointList;
 import whinlead.testbed.DrivenClock;
 import whinlead.testbed.Settings;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.Function;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
 
 /** Consultations on the engine with the real module, under a driven clock. */
 class ConsultationsTest {
@@ -26,7 +26,8 @@
     private static final double TIMEOUT = 1000;
     private static final double PICK_UP = 200;
     private static final double REMEMBER = 60_000;
-    private static final Contract.Settings SETTINGS = Settings.of(true,
+    private static final Contract.Settings SETTINGS = Settings.of(
+            true,
             Settings.type("read", 1, Contract.Effect.SAFE),
             Settings.type("job-submit", 1, Contract.Effect.UNSAFE));
 
@@ -45,15 +46,15 @@
     private void build(Function<Contract.Actions, Contract.Events> module) {
         engine = new Engine(clock, SETTINGS, module, list -> all.update(list), log::add);
         all = new Consultations(engine, clock, SETTINGS, new Bounds(10, 4, 8, REMEMBER, PICK_UP), log::add);
-        engine.start(() -> { }, list(Contract.Standing.UP));
+        engine.start(() -> {}, list(Contract.Standing.UP));
     }
 
     private static EndpointList list(Contract.Standing first) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            entries.add(new EndpointList.Entry(new Contract.Server("s" + i,
-                    i == 0 ? first : Contract.Standing.UP, 1, "z", 0, 0), EndpointList.address("127.0.0.1:"
-                    + (1 + i))));
+            entries.add(new EndpointList.Entry(
+                    new Contract.Server("s" + i, i == 0 ? first : Contract.Standing.UP, 1, "z", 0, 0),
+                    EndpointList.address("127.0.0.1:" + (1 + i))));
         }
         return new EndpointList(1, true, entries);
     }
--- a/src/test/java/whinlead/decide/CeilingTest.java
+++ b/src/test/java/whinlead/decide/CeilingTest.java
@@ -3,20 +3,20 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** What a sidecar holds in all where servers tell nothing of their load, and failed connects beside it. */
 class CeilingTest {
     private static final int SERVERS = 12;
     private static final double TOOK = 140;
 
-    private record Out(double at, Contract.Request request) { }
+    private record Out(double at, Contract.Request request) {}
 
-    private final Rig rig = new Rig(Rig.settings(false, Rig.kind("read", 1, Contract.Effect.SAFE,
-            Contract.Group.ALL)), 5);
+    private final Rig rig =
+            new Rig(Rig.settings(false, Rig.kind("read", 1, Contract.Effect.SAFE, Contract.Group.ALL)), 5);
     private final Deque<Out> out = new ArrayDeque<>();
     private int asked;
     private int refused;
@@ -82,7 +82,8 @@
         for (double now = 1; now < 8000; now += 10) {
             rig.runTo(now);
             Contract.Request r = rig.ask(now, 0);
-            while (!rig.answers.containsKey(r.id) && Integer.parseInt(rig.lastServer(r).substring(1)) % 2 == 0) {
+            while (!rig.answers.containsKey(r.id)
+                    && Integer.parseInt(rig.lastServer(r).substring(1)) % 2 == 0) {
                 rig.end(now, r, Contract.Outcome.CONNECT_FAILED, 0);
             }
             if (!rig.answers.containsKey(r.id)) {
--- a/src/test/java/whinlead/decide/ColdFleetTest.java
+++ b/src/test/java/whinlead/decide/ColdFleetTest.java
@@ -2,8 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
-import whinlead.testbed.DrivenClock;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,6 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import whinlead.Contract;
+import whinlead.testbed.DrivenClock;
 
 /** Many sidecars under one driven clock before the same servers, which start cold: what they send in sum. */
 class ColdFleetTest {
@@ -25,6 +25,7 @@
     private static final double DEADLINE = 4000;
     /** Requests a second that a warm server can do, and what else an answer takes. */
     private static final double WARM = 30;
+
     private static final double AWAY = 90;
     private static final int SERVERS = 20;
     /** A machine that is cut off says nothing: a connect fails after so long. */
@@ -77,12 +78,21 @@
         private long ids;
 
         private Sidecar(int ordinal, int of, double perSecond) {
-            Contract.RequestClass type = new Contract.RequestClass("read", 1, 0, AIM, DEADLINE,
-                    Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
-            this.module = new Decide(new Contract.Settings(List.of(type), List.of(), 1,
-                    new Contract.Limits(6, false, true, false, false, true, 2000, 0),
-                    new Contract.Obligations(2000, FALL_MULTIPLE, FALL_TIME, COLD_SHARE, COLD_TIME, 10_000),
-                    Contract.Reporting.NONE, false, of, ordinal), ordinal, this);
+            Contract.RequestClass type = new Contract.RequestClass(
+                    "read", 1, 0, AIM, DEADLINE, Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
+            this.module = new Decide(
+                    new Contract.Settings(
+                            List.of(type),
+                            List.of(),
+                            1,
+                            new Contract.Limits(6, false, true, false, false, true, 2000, 0),
+                            new Contract.Obligations(2000, FALL_MULTIPLE, FALL_TIME, COLD_SHARE, COLD_TIME, 10_000),
+                            Contract.Reporting.NONE,
+                            false,
+                            of,
+                            ordinal),
+                    ordinal,
+                    this);
             this.perSecond = perSecond;
             this.dice = new Random(ordinal);
         }
@@ -94,10 +104,14 @@
         }
 
         private void list() {
-            module.servers(clock.now(), Contract.ListKind.FULL, servers.entrySet().stream()
-                    .filter(e -> e.getValue().standing != Contract.Standing.GONE)
-                    .map(e -> new Contract.Server(e.getKey(), e.getValue().standing, 1, "z", 0, e.getValue().born))
-                    .toList());
+            module.servers(
+                    clock.now(),
+                    Contract.ListKind.FULL,
+                    servers.entrySet().stream()
+                            .filter(e -> e.getValue().standing != Contract.Standing.GONE)
+                            .map(e -> new Contract.Server(
+                                    e.getKey(), e.getValue().standing, 1, "z", 0, e.getValue().born))
+                            .toList());
         }
 
         private void next() {
@@ -115,8 +129,10 @@
             Server s = servers.get(server);
             sentToNotUp += s.standing == Contract.Standing.UP ? 0 : 1;
             if (s.silent) {
-                clock.at(sentAt + CONNECT, () -> module.outcome(clock.now(), request, attempt,
-                        Contract.Outcome.CONNECT_FAILED, CONNECT, false, null));
+                clock.at(
+                        sentAt + CONNECT,
+                        () -> module.outcome(
+                                clock.now(), request, attempt, Contract.Outcome.CONNECT_FAILED, CONNECT, false, null));
                 return;
             }
             double at = s.arrives();
@@ -124,8 +140,14 @@
             clock.at(Math.min(at, sentAt + DEADLINE), () -> {
                 served += at <= sentAt + AIM ? 1 : 0;
                 attempts.remove(request.id);
-                module.outcome(clock.now(), request, attempt, late ? Contract.Outcome.TIMED_OUT
-                        : Contract.Outcome.SERVED, clock.now() - sentAt, true, null);
+                module.outcome(
+                        clock.now(),
+                        request,
+                        attempt,
+                        late ? Contract.Outcome.TIMED_OUT : Contract.Outcome.SERVED,
+                        clock.now() - sentAt,
+                        true,
+                        null);
             });
         }
 
--- a/src/test/java/whinlead/decide/ConnectedTest.java
+++ b/src/test/java/whinlead/decide/ConnectedTest.java
@@ -3,17 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** A busy sidecar that picked any server made a new connection for two requests in three. */
 class ConnectedTest {
     private static final int SERVERS = 8;
 
-    private final Rig rig = new Rig(Rig.settings(false,
-            Rig.kind("read", 1, Contract.Effect.SAFE, Contract.Group.ALL)), 5);
+    private final Rig rig =
+            new Rig(Rig.settings(false, Rig.kind("read", 1, Contract.Effect.SAFE, Contract.Group.ALL)), 5);
 
     private void start() {
         rig.module.start(0);
--- a/src/test/java/whinlead/decide/ControllerTest.java
+++ b/src/test/java/whinlead/decide/ControllerTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,6 +11,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** The percentage, the draw, the worth order and the exceptions, seen through the servers chosen. */
 class ControllerTest {
@@ -26,8 +26,8 @@
     }
 
     /** Sends one request each {@code gap} and ends it as the script says; returns the count of sends by server. */
-    private static Map<String, Integer> drive(Rig rig, double from, double to, double gap,
-                                              Function<String, Contract.Outcome> script) {
+    private static Map<String, Integer> drive(
+            Rig rig, double from, double to, double gap, Function<String, Contract.Outcome> script) {
         Map<String, Integer> count = new HashMap<>();
         int i = 0;
         for (double now = from; now < to; now += gap, i++) {
@@ -51,8 +51,8 @@
     void aServerThatRefusesIsShedAndTriedAgainWhenItRecovers() {
         Rig rig = rig(4, HIGH);
         drive(rig, 1, 3000, 5, s -> Contract.Outcome.SERVED);
-        Map<String, Integer> bad = drive(rig, 3000, 9000, 5,
-                s -> s.equals("s2") ? Contract.Outcome.FULL : Contract.Outcome.SERVED);
+        Map<String, Integer> bad =
+                drive(rig, 3000, 9000, 5, s -> s.equals("s2") ? Contract.Outcome.FULL : Contract.Outcome.SERVED);
         assertTrue(bad.getOrDefault("s2", 0) < bad.get("s1") / 4, "shed: " + bad);
         assertTrue(bad.getOrDefault("s2", 0) > 0, "still tried now and then: " + bad);
         drive(rig, 9000, 19000, 5, s -> Contract.Outcome.SERVED);
@@ -121,8 +121,10 @@
 
     private static Rig inAFleetOf(int servers, int sidecars) {
         Contract.Settings s = Rig.settings(false, HIGH);
-        Rig rig = new Rig(new Contract.Settings(s.classes(), s.tenants(), 1, s.limits(), s.obligations(), s.reporting(),
-                false, sidecars, 0), 11);
+        Rig rig = new Rig(
+                new Contract.Settings(
+                        s.classes(), s.tenants(), 1, s.limits(), s.obligations(), s.reporting(), false, sidecars, 0),
+                11);
         rig.module.start(0);
         rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(servers));
         return rig;
@@ -148,8 +150,10 @@
         int early = 0;
         for (int seed = 0; seed < 100; seed++) {
             Contract.Settings s = Rig.settings(false, HIGH);
-            Rig rig = new Rig(new Contract.Settings(s.classes(), s.tenants(), 1, s.limits(), s.obligations(),
-                    s.reporting(), true, 400, 0), seed);
+            Rig rig = new Rig(
+                    new Contract.Settings(
+                            s.classes(), s.tenants(), 1, s.limits(), s.obligations(), s.reporting(), true, 400, 0),
+                    seed);
             rig.module.start(0);
             rig.module.servers(0, Contract.ListKind.STALE, Rig.fleet(4));
             rig.runTo(1000);
@@ -184,8 +188,16 @@
     @Test
     void trafficOverATenantsShareIsDroppedFirst() {
         Contract.Settings one = Rig.settings(false, HIGH);
-        Contract.Settings s = new Contract.Settings(one.classes(), List.of(new Contract.Tenant("t0", 0.5, 100),
-                new Contract.Tenant("t1", 0.5, 100)), 0.2, one.limits(), one.obligations(), one.reporting(), true, 4, 0);
+        Contract.Settings s = new Contract.Settings(
+                one.classes(),
+                List.of(new Contract.Tenant("t0", 0.5, 100), new Contract.Tenant("t1", 0.5, 100)),
+                0.2,
+                one.limits(),
+                one.obligations(),
+                one.reporting(),
+                true,
+                4,
+                0);
         Rig rig = new Rig(s, 3);
         rig.module.start(0);
         rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(4));
--- a/src/test/java/whinlead/decide/FleetSumsTest.java
+++ b/src/test/java/whinlead/decide/FleetSumsTest.java
@@ -3,8 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
-import whinlead.testbed.DrivenClock;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,11 +13,10 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import whinlead.Contract;
+import whinlead.testbed.DrivenClock;
 
-/**
- * What a fleet of light sidecars holds open at one server, makes anew and probes: the sums of
- * docs/large-fleet.md.
- */
+/** What a fleet of light sidecars holds open at one server, makes anew and probes: the sums of docs/large-fleet.md. */
 class FleetSumsTest {
     private static final int SERVERS = 60;
     private static final double PER_SECOND = 2;
@@ -28,6 +25,7 @@
     private static final double DEADLINE = 4000;
     /** An idle connection is closed after so long, and the figures are taken over so long. */
     private static final double IDLE = 10_000;
+
     private static final double SPAN = 30_000;
     private static final double PROBE_COST = 0.002;
     private static final double PROBES_A_REQUEST = 4;
@@ -76,13 +74,21 @@
         private long ids;
 
         private Sidecar(int ordinal, int of, boolean probing) {
-            Contract.RequestClass type = new Contract.RequestClass("read", 1, 0, AIM, DEADLINE,
-                    Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
-            module = new Decide(new Contract.Settings(List.of(type), List.of(), 1,
-                    new Contract.Limits(6, false, true, probing, false, true, 2000, PROBE_COST),
-                    new Contract.Obligations(2000, 4, 1500, 0.12, 24_000, 10_000), probing
-                    ? Contract.Reporting.WITH_PROBES : Contract.Reporting.NONE, false, of, ordinal),
-                    ordinal, this);
+            Contract.RequestClass type = new Contract.RequestClass(
+                    "read", 1, 0, AIM, DEADLINE, Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
+            module = new Decide(
+                    new Contract.Settings(
+                            List.of(type),
+                            List.of(),
+                            1,
+                            new Contract.Limits(6, false, true, probing, false, true, 2000, PROBE_COST),
+                            new Contract.Obligations(2000, 4, 1500, 0.12, 24_000, 10_000),
+                            probing ? Contract.Reporting.WITH_PROBES : Contract.Reporting.NONE,
+                            false,
+                            of,
+                            ordinal),
+                    ordinal,
+                    this);
             dice = new Random(ordinal);
         }
 
@@ -115,9 +121,8 @@
             clock.after(ANSWER * (0.5 + dice.nextDouble()), () -> {
                 line.answered(clock.now());
                 attempts.remove(request.id);
-                module.outcome(clock.now(), request, attempt, Contract.Outcome.SERVED, clock.now() - sentAt,
-                        true,
-                        null);
+                module.outcome(
+                        clock.now(), request, attempt, Contract.Outcome.SERVED, clock.now() - sentAt, true, null);
             });
         }
 
@@ -142,9 +147,7 @@
         clock.runTo(SPAN);
     }
 
-    /**
-     * As stated: eight servers while all together have room for them, the room's part beyond, three at least.
-     */
+    /** As stated: eight servers while all together have room for them, the room's part beyond, three at least. */
     private static int subset(int count) {
         return Math.max(3, Math.min(8, (int) Math.ceil(SERVERS * 12.0 / count)));
     }
@@ -166,8 +169,7 @@
                 open += line == null ? 0 : line.open(now);
                 made += line == null ? 0 : line.made;
             }
-            assertTrue(users <= mean + 4 * Math.sqrt(mean) + 1,
-                    users + " sidecars at " + id + ", on average " + mean);
+            assertTrue(users <= mean + 4 * Math.sqrt(mean) + 1, users + " sidecars at " + id + ", on average " + mean);
         }
         for (Sidecar s : sidecars) {
             assertTrue(s.lines.size() <= subset(count), s.lines.size() + " servers of " + subset(count));
--- a/src/test/java/whinlead/decide/LargeFleetTest.java
+++ b/src/test/java/whinlead/decide/LargeFleetTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** Troubles met in large fleets of light sidecars, singly and together; each guard has one test that needs it. */
 class LargeFleetTest {
@@ -16,14 +16,16 @@
     private static final Contract.RequestClass LOW = Rig.kind("low", 2, Contract.Effect.SAFE, Contract.Group.ALL);
     private static final Contract.RequestClass CELL = Rig.kind("cell", 2, Contract.Effect.KEYED, Contract.Group.CELL);
 
-    private static Rig rig(Contract.Reporting reporting, int sidecars, List<Contract.Server> fleet,
-                           Contract.RequestClass... classes) {
+    private static Rig rig(
+            Contract.Reporting reporting, int sidecars, List<Contract.Server> fleet, Contract.RequestClass... classes) {
         Contract.Settings s = Rig.settings(false, classes);
         Contract.Limits l = s.limits();
-        Contract.Limits limits = new Contract.Limits(l.attempts(), false, true,
-                reporting == Contract.Reporting.WITH_PROBES, false, true, 2000, 0.002);
-        Rig rig = new Rig(new Contract.Settings(s.classes(), s.tenants(), 1, limits, s.obligations(), reporting, false,
-                sidecars, 0), 5);
+        Contract.Limits limits = new Contract.Limits(
+                l.attempts(), false, true, reporting == Contract.Reporting.WITH_PROBES, false, true, 2000, 0.002);
+        Rig rig = new Rig(
+                new Contract.Settings(
+                        s.classes(), s.tenants(), 1, limits, s.obligations(), reporting, false, sidecars, 0),
+                5);
         rig.module.start(0);
         rig.module.servers(0, Contract.ListKind.FULL, fleet);
         return rig;
@@ -43,8 +45,8 @@
     }
 
     /** One request each {@code gap}, its attempts ended at once; counts first attempts by server and class. */
-    private static Map<String, Integer> drive(Rig rig, double from, double to, double gap, Script script,
-                                              Reports reports) {
+    private static Map<String, Integer> drive(
+            Rig rig, double from, double to, double gap, Script script, Reports reports) {
         Map<String, Integer> count = new HashMap<>();
         int i = 0;
         for (double now = from; now < to; now += gap, i++) {
@@ -59,8 +61,14 @@
             for (int tries = 0; !rig.answers.containsKey(r.id) && tries < 6; tries++) {
                 String s = rig.lastServer(r);
                 Contract.Outcome o = script.end(s, kind);
-                rig.module.outcome(now, r, rig.sends(r) - 1, o, o == Contract.Outcome.SERVED ? 50 : 1,
-                        o == Contract.Outcome.SERVED, reports.of(s));
+                rig.module.outcome(
+                        now,
+                        r,
+                        rig.sends(r) - 1,
+                        o,
+                        o == Contract.Outcome.SERVED ? 50 : 1,
+                        o == Contract.Outcome.SERVED,
+                        reports.of(s));
                 if (o == Contract.Outcome.SERVED) {
                     break;
                 }
@@ -80,8 +88,13 @@
     @Test
     void anErrorShutsItsServerForItsClassOnly() {
         Rig rig = rig(Contract.Reporting.NONE, 4, Rig.fleet(4), HIGH, LOW);
-        Map<String, Integer> n = drive(rig, 1, 20000, 10, (s, k) -> s.equals("s2") && k == 0
-                ? Contract.Outcome.ERROR : Contract.Outcome.SERVED, s -> null);
+        Map<String, Integer> n = drive(
+                rig,
+                1,
+                20000,
+                10,
+                (s, k) -> s.equals("s2") && k == 0 ? Contract.Outcome.ERROR : Contract.Outcome.SERVED,
+                s -> null);
         assertTrue(of(n, "s2/0") < of(n, "s1/0") / 3, "the class that fails there goes elsewhere: " + n);
         assertTrue(of(n, "s2/1") > of(n, "s1/1") / 2, "the class that it serves still comes: " + n);
     }
@@ -111,11 +124,13 @@
             double now = 1 + i * 400;
             rig.runTo(now);
             Contract.Request r = rig.ask(now, 0);
-            int first = rig.sends(r) == 0 ? -1 : Integer.parseInt(rig.lastServer(r).substring(1));
+            int first =
+                    rig.sends(r) == 0 ? -1 : Integer.parseInt(rig.lastServer(r).substring(1));
             if (first >= 0) {
                 rig.end(now + 10, r, Contract.Outcome.RESET, 10);
                 if (rig.sends(r) == 2) {
-                    assertEquals(first ^ 1, Integer.parseInt(rig.lastServer(r).substring(1)), "its cell's other server");
+                    assertEquals(
+                            first ^ 1, Integer.parseInt(rig.lastServer(r).substring(1)), "its cell's other server");
                     again++;
                     rig.end(now + 20, r, Contract.Outcome.SERVED, 10);
                 }
@@ -125,7 +140,7 @@
     }
 
     @Test
-    void whatLeavesTheListLeavesNothingBehind(){
+    void whatLeavesTheListLeavesNothingBehind() {
         Rig rig = rig(Contract.Reporting.NONE, 4, Rig.fleet(6), HIGH);
         List<Contract.Request> out = new ArrayList<>();
         for (int round = 0; round < 500; round++) {
@@ -147,8 +162,10 @@
             }
             rig.module.servers(now, Contract.ListKind.FULL, next);
             if (round % 3 == 1) {
-                rig.module.servers(now, Contract.ListKind.CHANGES, List.of(
-                        new Contract.Server("r" + round + "-2", Contract.Standing.GONE, 1, "z", 0, 0)));
+                rig.module.servers(
+                        now,
+                        Contract.ListKind.CHANGES,
+                        List.of(new Contract.Server("r" + round + "-2", Contract.Standing.GONE, 1, "z", 0, 0)));
             }
             while (out.size() > 10) {
                 Contract.Request r = out.remove(0);
@@ -175,7 +192,12 @@
     @Test
     void aReportedOverloadMovesTrafficAndLightSidecarsNeedIt() {
         Rig rig = rig(Contract.Reporting.WITH_ANSWERS, 400, Rig.fleet(3), HIGH);
-        Map<String, Integer> n = drive(rig, 1, 30000, 50, (s, k) -> Contract.Outcome.SERVED,
+        Map<String, Integer> n = drive(
+                rig,
+                1,
+                30000,
+                50,
+                (s, k) -> Contract.Outcome.SERVED,
                 s -> report(s.equals("s1") ? 1 : 0.5, s.equals("s1") ? 200 : 100));
         assertTrue(of(n, "s1/0") < of(n, "s2/0") * 0.8, "the busy one gets less: " + n);
         assertTrue(of(n, "refused") < 10, "and nothing is refused for it: " + n);
@@ -184,16 +206,19 @@
     @Test
     void aServerThatDoesLessForItsBusyShareComesLater() {
         Rig rig = rig(Contract.Reporting.WITH_ANSWERS, 400, Rig.fleet(3), HIGH);
-        Map<String, Integer> n = drive(rig, 1, 30000, 50, (s, k) -> Contract.Outcome.SERVED,
-                s -> report(0.5, s.equals("s1") ? 20 : 100));
+        Map<String, Integer> n = drive(
+                rig, 1, 30000, 50, (s, k) -> Contract.Outcome.SERVED, s -> report(0.5, s.equals("s1") ? 20 : 100));
         assertTrue(of(n, "s1/0") < of(n, "s2/0") / 2, "a slow machine gets by its size: " + n);
         assertTrue(of(n, "s1/0") > 10, "and is not left out: " + n);
     }
 
     @Test
     void aDeclaredSizeOrdersTheWalkAndRefusesNothing() {
-        Rig rig = rig(Contract.Reporting.NONE, 400, List.of(server("s0", 1, 0, 0), server("s1", 4, 0, 0),
-                server("s2", 4, 0, 0)), HIGH);
+        Rig rig = rig(
+                Contract.Reporting.NONE,
+                400,
+                List.of(server("s0", 1, 0, 0), server("s1", 4, 0, 0), server("s2", 4, 0, 0)),
+                HIGH);
         Map<String, Integer> n = drive(rig, 1, 30000, 50, (s, k) -> Contract.Outcome.SERVED, s -> null);
         assertTrue(of(n, "s0/0") < of(n, "s1/0") * 0.6, "the small one gets less: " + n);
         assertEquals(0, of(n, "refused"));
@@ -242,10 +267,20 @@
         Map<String, Integer> n = new HashMap<>();
         for (int i = 0; i < 5; i++) {
             double now = 5000 + i * 2000;
-            rig.module.servers(now, Contract.ListKind.CHANGES, List.of(
-                    new Contract.Server("s" + i, Contract.Standing.GONE, 1, "z", 0, 0), server("n" + i, 1, 0, now)));
-            drive(rig, now, now + 2000, 10, (s, k) -> s.equals("s5") ? Contract.Outcome.TIMED_OUT
-                    : Contract.Outcome.SERVED, s -> null).forEach((k, v) -> n.merge(k, v, Integer::sum));
+            rig.module.servers(
+                    now,
+                    Contract.ListKind.CHANGES,
+                    List.of(
+                            new Contract.Server("s" + i, Contract.Standing.GONE, 1, "z", 0, 0),
+                            server("n" + i, 1, 0, now)));
+            drive(
+                            rig,
+                            now,
+                            now + 2000,
+                            10,
+                            (s, k) -> s.equals("s5") ? Contract.Outcome.TIMED_OUT : Contract.Outcome.SERVED,
+                            s -> null)
+                    .forEach((k, v) -> n.merge(k, v, Integer::sum));
         }
         int served = 0;
         for (String k : n.keySet()) {
@@ -263,8 +298,13 @@
         Rig rig = rig(Contract.Reporting.NONE, 4, Rig.fleet(8), HIGH);
         drive(rig, 1, 5000, 10, (s, k) -> Contract.Outcome.SERVED, s -> null);
         rig.module.servers(5000, Contract.ListKind.FAILED, List.of());
-        Map<String, Integer> n = drive(rig, 5000, 25000, 10, (s, k) -> s.charAt(1) < '3'
-                ? Contract.Outcome.CONNECT_FAILED : Contract.Outcome.SERVED, s -> null);
+        Map<String, Integer> n = drive(
+                rig,
+                5000,
+                25000,
+                10,
+                (s, k) -> s.charAt(1) < '3' ? Contract.Outcome.CONNECT_FAILED : Contract.Outcome.SERVED,
+                s -> null);
         int dead = of(n, "s0/0") + of(n, "s1/0") + of(n, "s2/0");
         assertTrue(dead < 300, "of 2000 first attempts to the dead three: " + dead);
         assertTrue(of(n, "refused") < 60, "the rest carries it: " + n);
--- a/src/test/java/whinlead/decide/LatenessTest.java
+++ b/src/test/java/whinlead/decide/LatenessTest.java
@@ -3,14 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** From when an answer counts as late, and how that reference falls and rises. The aim is 500 ms. */
 class LatenessTest {
-    private final Lateness lateness = new Lateness(
-            List.of(Rig.kind("k", 1, Contract.Effect.SAFE, Contract.Group.ALL)));
+    private final Lateness lateness = new Lateness(List.of(Rig.kind("k", 1, Contract.Effect.SAFE, Contract.Group.ALL)));
 
     private void answers(int count, double took, double refused) {
         for (int i = 0; i < count; i++) {
--- a/src/test/java/whinlead/decide/ListHerdTest.java
+++ b/src/test/java/whinlead/decide/ListHerdTest.java
@@ -2,17 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
-import whinlead.testbed.DrivenClock;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import whinlead.Contract;
+import whinlead.testbed.DrivenClock;
 
 /** All sidecars restart together and ask one discovery, which works through calls in turn. */
 class ListHerdTest {
     /** Discovery can take one call of every sidecar in this time, and turns away what would wait longer. */
     private static final double ALL_CALLS = 4000;
+
     private static final double MAX_WAIT = 1000;
 
     private final DrivenClock clock = new DrivenClock();
@@ -30,10 +31,19 @@
 
         private Sidecar(int ordinal, int of) {
             this.of = of;
-            this.module = new Decide(new Contract.Settings(List.of(Rig.kind("a", 1, Contract.Effect.SAFE,
-                    Contract.Group.ALL)), List.of(), 1, new Contract.Limits(6, false, true, false, false, true, 2000, 0),
-                    new Contract.Obligations(2000, 4, 1500, 0.12, 24_000, 10_000), Contract.Reporting.NONE, true, of,
-                    ordinal), ordinal + 1, this);
+            this.module = new Decide(
+                    new Contract.Settings(
+                            List.of(Rig.kind("a", 1, Contract.Effect.SAFE, Contract.Group.ALL)),
+                            List.of(),
+                            1,
+                            new Contract.Limits(6, false, true, false, false, true, 2000, 0),
+                            new Contract.Obligations(2000, 4, 1500, 0.12, 24_000, 10_000),
+                            Contract.Reporting.NONE,
+                            true,
+                            of,
+                            ordinal),
+                    ordinal + 1,
+                    this);
         }
 
         @Override
--- a/src/test/java/whinlead/decide/ModuleSizeTest.java
+++ b/src/test/java/whinlead/decide/ModuleSizeTest.java
@@ -27,7 +27,9 @@
     @Test
     void theDeployFileNamesEveryFileOfTheModule() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("policy = ")).findFirst().orElseThrow();
+                .filter(l -> l.startsWith("policy = "))
+                .findFirst()
+                .orElseThrow();
         for (Path file : files()) {
             assertTrue(policy.contains("\"" + file + "\""), () -> file + " is not named");
         }
--- a/src/test/java/whinlead/decide/NoActions.java
+++ b/src/test/java/whinlead/decide/NoActions.java
@@ -5,26 +5,26 @@
 /** Carries nothing out; tests override what they look at. */
 public abstract class NoActions implements Contract.Actions {
     @Override
-    public void send(Contract.Request request, String server, double within) { }
+    public void send(Contract.Request request, String server, double within) {}
 
     @Override
-    public void cancel(Contract.Request request, int attempt) { }
+    public void cancel(Contract.Request request, int attempt) {}
 
     @Override
-    public void refuse(Contract.Request request, double retryAfter) { }
+    public void refuse(Contract.Request request, double retryAfter) {}
 
     @Override
-    public void fail(Contract.Request request) { }
+    public void fail(Contract.Request request) {}
 
     @Override
-    public void probe(String server) { }
+    public void probe(String server) {}
 
     @Override
-    public void watchServers() { }
+    public void watchServers() {}
 
     @Override
-    public void tellPeers(byte[] text) { }
+    public void tellPeers(byte[] text) {}
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/src/test/java/whinlead/decide/RandomEventsTest.java
+++ b/src/test/java/whinlead/decide/RandomEventsTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** Seeded random event sequences against the rules, determinism, and that names mean nothing. */
 class RandomEventsTest {
@@ -29,14 +29,24 @@
 
     private static Contract.Settings settings(String prefix, boolean copies) {
         Contract.RequestClass[] k = {
-            new Contract.RequestClass(prefix + "a", 5, 0.3, 400, 1500, Contract.Effect.SAFE, Contract.Group.ALL, 0, false),
-            new Contract.RequestClass(prefix + "b", 3, 0, 300, 1000, Contract.Effect.KEYED, Contract.Group.ZONE, 700, false),
-            new Contract.RequestClass(prefix + "c", 1, 0, 300, 1000, Contract.Effect.UNSAFE, Contract.Group.ALL, 0, false)};
+            new Contract.RequestClass(
+                    prefix + "a", 5, 0.3, 400, 1500, Contract.Effect.SAFE, Contract.Group.ALL, 0, false),
+            new Contract.RequestClass(
+                    prefix + "b", 3, 0, 300, 1000, Contract.Effect.KEYED, Contract.Group.ZONE, 700, false),
+            new Contract.RequestClass(
+                    prefix + "c", 1, 0, 300, 1000, Contract.Effect.UNSAFE, Contract.Group.ALL, 0, false)
+        };
         Contract.Settings s = Rig.settings(copies, k);
-        return new Contract.Settings(s.classes(), List.of(new Contract.Tenant(prefix + "t", 0.6, 50),
-                new Contract.Tenant(prefix + "u", 0.4, 30)), 0.2,
-                new Contract.Limits(4, copies, true, true, false, true, 1000, 0.002), s.obligations(),
-                Contract.Reporting.WITH_PROBES, true, 4, 1);
+        return new Contract.Settings(
+                s.classes(),
+                List.of(new Contract.Tenant(prefix + "t", 0.6, 50), new Contract.Tenant(prefix + "u", 0.4, 30)),
+                0.2,
+                new Contract.Limits(4, copies, true, true, false, true, 1000, 0.002),
+                s.obligations(),
+                Contract.Reporting.WITH_PROBES,
+                true,
+                4,
+                1);
     }
 
     /** Plays one random day; checks the rules at every action; returns the actions. */
@@ -59,7 +69,8 @@
             rig.now = now;
             int what = dice.nextInt(100);
             if (what < 45) {
-                Contract.Request r = new Contract.Request(step, dice.nextInt(3), dice.nextInt(2), 200 + dice.nextInt(900), false);
+                Contract.Request r =
+                        new Contract.Request(step, dice.nextInt(3), dice.nextInt(2), 200 + dice.nextInt(900), false);
                 rig.requests.put(r.id, r);
                 rig.module.request(now, r);
             } else if (what < 85 && !out.isEmpty()) {
@@ -74,7 +85,8 @@
                 if (dice.nextInt(10) == 0) {
                     rig.module.outcome(now, o.request, o.attempt, end, now - o.at, true, null);
                 }
-                assertTrue(rig.answers.containsKey(o.request.id) || rig.outstanding(o.request) > 0,
+                assertTrue(
+                        rig.answers.containsKey(o.request.id) || rig.outstanding(o.request) > 0,
                         "held without an attempt out: " + o.request.id);
             } else if (what < 92) {
                 List<Contract.Server> list = new ArrayList<>();
@@ -90,8 +102,13 @@
             } else if (what < 94) {
                 rig.module.servers(now, Contract.ListKind.FAILED, List.of());
             } else if (what < 96) {
-                rig.module.probed(now, "s" + dice.nextInt(14), Contract.Outcome.SERVED, 1,
-                        new Contract.Report(dice.nextInt(6), dice.nextInt(5), Double.NaN, Double.NaN, Double.NaN, Double.NaN));
+                rig.module.probed(
+                        now,
+                        "s" + dice.nextInt(14),
+                        Contract.Outcome.SERVED,
+                        1,
+                        new Contract.Report(
+                                dice.nextInt(6), dice.nextInt(5), Double.NaN, Double.NaN, Double.NaN, Double.NaN));
             } else if (what < 98) {
                 rig.module.message(now, 2, new byte[dice.nextInt(9)]);
             } else if (!out.isEmpty()) {
@@ -105,8 +122,8 @@
     }
 
     /** Notes the attempts among the newest actions; each must have gone to a server that the list calls up. */
-    private static int scan(Rig rig, int from, List<Out> out, Map<Long, Integer> attempts,
-                            Contract.Standing[] standing) {
+    private static int scan(
+            Rig rig, int from, List<Out> out, Map<Long, Integer> attempts, Contract.Standing[] standing) {
         for (int i = from; i < rig.actions.size(); i++) {
             String[] a = rig.actions.get(i).split(" ");
             if (a[0].equals("send")) {
--- a/src/test/java/whinlead/decide/RecordedRunTest.java
+++ b/src/test/java/whinlead/decide/RecordedRunTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import whinlead.Contract;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -14,10 +13,11 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /**
- * Whole runs of random events against digests of the actions that they brought: a change that is meant to move
- * code and nothing else must give the same actions to the bit. Who changes a decision records anew, and says so.
+ * Whole runs of random events against digests of the actions that they brought: a change that is meant to move code and
+ * nothing else must give the same actions to the bit. Who changes a decision records anew, and says so.
  */
 class RecordedRunTest {
     private static final Map<String, String> RECORDED = Map.of(
@@ -40,10 +40,22 @@
     /** An hour-glass of a day: load up to twice of what six servers with reports can do, and back. */
     private static List<String> queues(long seed) {
         Random dice = new Random(seed);
-        Contract.Settings base = Rig.settings(false, Rig.kind("a", 5, Contract.Effect.SAFE, Contract.Group.ALL),
+        Contract.Settings base = Rig.settings(
+                false,
+                Rig.kind("a", 5, Contract.Effect.SAFE, Contract.Group.ALL),
                 Rig.kind("b", 2, Contract.Effect.UNSAFE, Contract.Group.ALL));
-        Rig rig = new Rig(new Contract.Settings(base.classes(), base.tenants(), 1, base.limits(), base.obligations(),
-                Contract.Reporting.WITH_ANSWERS, true, 4, 0), seed);
+        Rig rig = new Rig(
+                new Contract.Settings(
+                        base.classes(),
+                        base.tenants(),
+                        1,
+                        base.limits(),
+                        base.obligations(),
+                        Contract.Reporting.WITH_ANSWERS,
+                        true,
+                        4,
+                        0),
+                seed);
         rig.module.start(0);
         rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(6));
         double[] free = new double[6];
@@ -54,7 +66,13 @@
             for (Due d = due.peek(); d != null && d.at() <= now; d = due.peek()) {
                 due.poll();
                 rig.runTo(d.at());
-                rig.module.outcome(d.at(), d.request(), d.attempt(), Contract.Outcome.SERVED, d.at() - d.sent(), true,
+                rig.module.outcome(
+                        d.at(),
+                        d.request(),
+                        d.attempt(),
+                        Contract.Outcome.SERVED,
+                        d.at() - d.sent(),
+                        true,
                         new Contract.Report(Double.NaN, Double.NaN, d.util(), Double.NaN, 20 + dice.nextInt(9), 0));
             }
             rig.runTo(now);
@@ -69,7 +87,7 @@
         return rig.actions;
     }
 
-    private record Due(double at, double sent, Contract.Request request, int attempt, double util) { }
+    private record Due(double at, double sent, Contract.Request request, int attempt, double util) {}
 
     private static String digest(List<String> actions) {
         try {
--- a/src/test/java/whinlead/decide/ReliefTest.java
+++ b/src/test/java/whinlead/decide/ReliefTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** Whether what is refused is refused for another reason than load. */
 class ReliefTest {
--- a/src/test/java/whinlead/decide/Rig.java
+++ b/src/test/java/whinlead/decide/Rig.java
@@ -1,16 +1,17 @@
 package whinlead.decide;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import whinlead.Contract;
 
 /** A scripted sidecar: collects the module's actions and lets a test answer them one by one. */
 final class Rig implements Contract.Actions {
     /** An action as text, for comparing whole runs. */
     final List<String> actions = new ArrayList<>();
+
     final Map<Long, List<String>> sentTo = new LinkedHashMap<>();
     final Map<Long, Contract.Request> requests = new LinkedHashMap<>();
     final Map<Long, String> answers = new LinkedHashMap<>();
@@ -34,16 +35,25 @@
     }
 
     static Contract.Settings settings(boolean copies, Contract.RequestClass... classes) {
-        return new Contract.Settings(List.of(classes), List.of(), 1,
+        return new Contract.Settings(
+                List.of(classes),
+                List.of(),
+                1,
                 new Contract.Limits(5, copies, true, false, false, true, 2000, 0),
-                new Contract.Obligations(1000, 3, 1000, 0.2, 20000, 10000), Contract.Reporting.NONE, true, 4, 0);
+                new Contract.Obligations(1000, 3, 1000, 0.2, 20000, 10000),
+                Contract.Reporting.NONE,
+                true,
+                4,
+                0);
     }
 
     /** The clock, and the ends of each request's attempts, for a test that checks the rules at each action. */
     double now;
+
     boolean checked;
     /** Of the places at the front those free as a request arrives; the servers with a free connection. */
     double room = 1;
+
     Set<String> connected;
     private final Map<Long, List<Contract.Outcome>> ends = new LinkedHashMap<>();
     private final Map<Long, List<Double>> sentAt = new LinkedHashMap<>();
--- a/src/test/java/whinlead/decide/RulesTest.java
+++ b/src/test/java/whinlead/decide/RulesTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** The four rules, each by a script that fails when its guard is taken out. */
 class RulesTest {
@@ -110,10 +110,14 @@
     @Test
     void nothingNewGoesToADrainingOrMissingServer() {
         Rig rig = rig(false, SAFE, Rig.fleet(3));
-        rig.module.servers(5, Contract.ListKind.CHANGES,
+        rig.module.servers(
+                5,
+                Contract.ListKind.CHANGES,
                 List.of(new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0)));
-        rig.module.servers(6, Contract.ListKind.FULL, List.of(
-                new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0), Rig.up("s1")));
+        rig.module.servers(
+                6,
+                Contract.ListKind.FULL,
+                List.of(new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0), Rig.up("s1")));
         for (int i = 0; i < 50; i++) {
             Contract.Request r = rig.ask(7 + i, 0);
             assertEquals("s1", rig.lastServer(r));
@@ -131,7 +135,9 @@
             now += 1;
             rig.runTo(now);
             if (i == 4000) {
-                rig.module.servers(now, Contract.ListKind.CHANGES,
+                rig.module.servers(
+                        now,
+                        Contract.ListKind.CHANGES,
                         List.of(new Contract.Server("s1", Contract.Standing.UP, 1, "z", 0, now)));
             }
             Contract.Request r = rig.ask(now, 0);
--- a/src/test/java/whinlead/decide/SilentClassTest.java
+++ b/src/test/java/whinlead/decide/SilentClassTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** Servers that leave one class without an answer and serve the rest, and lines that break on their own. */
 class SilentClassTest {
@@ -17,13 +17,17 @@
     private static final int SICK_CLASS = 1;
     /** One answer in so many breaks off. */
     private static final int BREAKS = 6;
+
     private static final double REFUSED_PART = 0.01;
 
-    private record Due(double at, Contract.Request request, Contract.Outcome outcome, double took) { }
+    private record Due(double at, Contract.Request request, Contract.Outcome outcome, double took) {}
 
-    private final Rig rig = new Rig(Rig.settings(false,
-            Rig.kind("low", 1, Contract.Effect.SAFE, Contract.Group.ALL),
-            Rig.kind("high", 3, Contract.Effect.UNSAFE, Contract.Group.ALL)), 7);
+    private final Rig rig = new Rig(
+            Rig.settings(
+                    false,
+                    Rig.kind("low", 1, Contract.Effect.SAFE, Contract.Group.ALL),
+                    Rig.kind("high", 3, Contract.Effect.UNSAFE, Contract.Group.ALL)),
+            7);
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
     private final int[] asked = new int[2];
     private final int[] refused = new int[2];
@@ -98,8 +102,11 @@
             rig.runTo(now);
             Contract.Request r = rig.ask(now, 0);
             if (rig.sends(r) > 0) {
-                rig.end(now, r, silent(rig.lastServer(r)) ? Contract.Outcome.TIMED_OUT
-                        : Contract.Outcome.SERVED, silent(rig.lastServer(r)) ? DEADLINE : TOOK);
+                rig.end(
+                        now,
+                        r,
+                        silent(rig.lastServer(r)) ? Contract.Outcome.TIMED_OUT : Contract.Outcome.SERVED,
+                        silent(rig.lastServer(r)) ? DEADLINE : TOOK);
             }
         }
         assertTrue(rig.module.dropShare("s0") > 0.9, "s0: " + rig.module.dropShare("s0"));
--- a/src/test/java/whinlead/decide/StrainTest.java
+++ b/src/test/java/whinlead/decide/StrainTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** Too little processor at the sidecar itself: told apart from what is wrong with servers. */
 class StrainTest {
@@ -12,9 +12,12 @@
     /** Over a tenth of Rig's aim of 500 ms, from which lateness of the loop counts. */
     private static final double LATE = 150;
 
-    private final Rig rig = new Rig(Rig.settings(false,
-            Rig.kind("high", 6, Contract.Effect.SAFE, Contract.Group.ALL),
-            Rig.kind("low", 2, Contract.Effect.SAFE, Contract.Group.ALL)), 11);
+    private final Rig rig = new Rig(
+            Rig.settings(
+                    false,
+                    Rig.kind("high", 6, Contract.Effect.SAFE, Contract.Group.ALL),
+                    Rig.kind("low", 2, Contract.Effect.SAFE, Contract.Group.ALL)),
+            11);
     private final int[] asked = new int[2];
     private final int[] refused = new int[2];
 
@@ -37,7 +40,9 @@
     }
 
     private double shut() {
-        return rig.module.list.nodes.values().stream().mapToDouble(n -> n.percentage).sum();
+        return rig.module.list.nodes.values().stream()
+                .mapToDouble(n -> n.percentage)
+                .sum();
     }
 
     @Test
--- a/src/test/java/whinlead/decide/UnreachableTest.java
+++ b/src/test/java/whinlead/decide/UnreachableTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** After a restart with an old list a sidecar tried 2,500 connections in a second to servers that were gone. */
 class UnreachableTest {
--- a/src/test/java/whinlead/engine/EngineRandomEventsTest.java
+++ b/src/test/java/whinlead/engine/EngineRandomEventsTest.java
@@ -3,12 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
-import whinlead.Contract.Outcome;
-import whinlead.decide.Decide;
-import whinlead.membership.EndpointList;
-import whinlead.testbed.DrivenClock;
-import whinlead.testbed.Settings;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,16 +11,22 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.Contract;
+import whinlead.Contract.Outcome;
+import whinlead.decide.Decide;
+import whinlead.membership.EndpointList;
+import whinlead.testbed.DrivenClock;
+import whinlead.testbed.Settings;
 
 /** The engine with the real module under random fronts, endpoints and lists, drawn by a seed. */
 class EngineRandomEventsTest {
     private static final int REQUESTS = 3000;
     private static final int ENDPOINTS = 6;
     private static final double GAP_MS = 4;
-    private static final Outcome[] FAULTS = {Outcome.ERROR, Outcome.FULL, Outcome.RESET,
-            Outcome.CONNECT_FAILED};
+    private static final Outcome[] FAULTS = {Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED};
     /** One attempt in so many ends badly, and one never; between these two requests one in two does. */
     private static final int BAD = 20;
+
     private static final int WORSE_FROM = 1500;
     private static final int WORSE_TO = 2000;
 
@@ -65,8 +65,7 @@
         public void refused(double retryAfter) {
             end();
             refused = true;
-            assertTrue(effect == Contract.Effect.SAFE || attempts.stream().allMatch(o -> o != null
-                    && o.neverRan));
+            assertTrue(effect == Contract.Effect.SAFE || attempts.stream().allMatch(o -> o != null && o.neverRan));
         }
 
         @Override
@@ -78,8 +77,8 @@
         public Sending send(String endpoint, int attempt, double within, Outcomes<String> told) {
             assertEquals(0, ends, "an attempt after the end");
             assertEquals(attempts.size(), attempt);
-            assertTrue(effect == Contract.Effect.SAFE || attempts.stream().allMatch(o -> o != null
-                    && o.neverRan),
+            assertTrue(
+                    effect == Contract.Effect.SAFE || attempts.stream().allMatch(o -> o != null && o.neverRan),
                     "an unsafe request goes out again that may have run");
             attempts.add(null);
             boolean bad = dice.nextInt(taken > WORSE_FROM && taken < WORSE_TO ? 2 : BAD) == 0;
@@ -124,8 +123,14 @@
         }
 
         @Override
-        public void outcome(double now, Contract.Request request, int attempt, Outcome outcome, double took,
-                boolean finished, Contract.Report report) {
+        public void outcome(
+                double now,
+                Contract.Request request,
+                int attempt,
+                Outcome outcome,
+                double took,
+                boolean finished,
+                Contract.Report report) {
             outcomes.merge(request.id + "/" + attempt, 1, Integer::sum);
             real.outcome(now, request, attempt, outcome, took, finished, report);
         }
@@ -145,15 +150,22 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void everyRequestHasOneEndInTimeAndEveryAttemptOneOutcome(long seed) {
         Random dice = new Random(seed);
-        Contract.Settings settings = Settings.of(true, Settings.type("read", 5, Contract.Effect.SAFE),
+        Contract.Settings settings = Settings.of(
+                true,
+                Settings.type("read", 5, Contract.Effect.SAFE),
                 Settings.type("write", 2, Contract.Effect.UNSAFE));
         List<String> log = new ArrayList<>();
         Watched watched = new Watched();
-        Engine engine = new Engine(clock, settings, actions -> {
-            watched.real = new Decide(settings, seed, actions);
-            return watched;
-        }, list -> { }, log::add);
-        engine.start(() -> { }, list(dice));
+        Engine engine = new Engine(
+                clock,
+                settings,
+                actions -> {
+                    watched.real = new Decide(settings, seed, actions);
+                    return watched;
+                },
+                list -> {},
+                log::add);
+        engine.start(() -> {}, list(dice));
         List<One> all = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
             int k = dice.nextInt(2);
@@ -186,9 +198,9 @@
     private static EndpointList list(Random dice) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            Contract.Standing standing = dice.nextInt(4) == 0 ? Contract.Standing.DRAINING
-                    : Contract.Standing.UP;
-            entries.add(new EndpointList.Entry(new Contract.Server("s" + i, standing, 1, "z", 0, 0),
+            Contract.Standing standing = dice.nextInt(4) == 0 ? Contract.Standing.DRAINING : Contract.Standing.UP;
+            entries.add(new EndpointList.Entry(
+                    new Contract.Server("s" + i, standing, 1, "z", 0, 0),
                     InetSocketAddress.createUnresolved("none", 1)));
         }
         return new EndpointList(1, true, entries);
--- a/src/test/java/whinlead/engine/EngineTest.java
+++ b/src/test/java/whinlead/engine/EngineTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 import whinlead.Contract.Outcome;
 import whinlead.membership.EndpointList;
 import whinlead.testbed.DrivenClock;
 import whinlead.testbed.Settings;
-import java.util.ArrayList;
-import java.util.List;
-import org.junit.jupiter.api.Test;
 
 /** The engine between a scripted front, a scripted transport and a scripted module, without sockets. */
 class EngineTest {
@@ -28,11 +28,18 @@
     private final ScriptedFront front = new ScriptedFront();
 
     private Engine with(ScriptedModule scripted) {
-        return new Engine(clock, Settings.of(true, Settings.type("read", 1, Contract.Effect.SAFE),
-                Settings.type("write", 1, Contract.Effect.UNSAFE)), actions -> {
-            scripted.actions = actions;
-            return scripted;
-        }, list -> lists.add(list.entries().size()), log::add);
+        return new Engine(
+                clock,
+                Settings.of(
+                        true,
+                        Settings.type("read", 1, Contract.Effect.SAFE),
+                        Settings.type("write", 1, Contract.Effect.UNSAFE)),
+                actions -> {
+                    scripted.actions = actions;
+                    return scripted;
+                },
+                list -> lists.add(list.entries().size()),
+                log::add);
     }
 
     private Engine.Held<String> take(int classIndex) {
@@ -131,8 +138,7 @@
         transport.sent.get(1).ends(Outcome.SERVED);
         transport.sent.get(0).ends(Outcome.SERVED);
         assertEquals(List.of("served answer"), front.ends);
-        assertEquals(List.of("request 0", "outcome 0/1 SERVED over", "outcome 0/0 SERVED over"),
-                module.heard);
+        assertEquals(List.of("request 0", "outcome 0/1 SERVED over", "outcome 0/0 SERVED over"), module.heard);
     }
 
     @Test
@@ -146,8 +152,9 @@
         transport.sent.get(0).ends(Outcome.SERVED);
         clock.runTo(10 * TIMEOUT);
         assertEquals(List.of(), front.ends);
-        assertEquals(List.of("request 0", "abandoned 0", "outcome 0/1 NEVER_SENT over",
-                "outcome 0/0 SERVED over"), module.heard);
+        assertEquals(
+                List.of("request 0", "abandoned 0", "outcome 0/1 NEVER_SENT over", "outcome 0/0 SERVED over"),
+                module.heard);
     }
 
     @Test
@@ -176,7 +183,9 @@
             });
         }
         engine.failAll();
-        assertEquals(List.of("failed 0", "failed 1", "failed 2"), told.stream().sorted().toList());
+        assertEquals(
+                List.of("failed 0", "failed 1", "failed 2"),
+                told.stream().sorted().toList());
         assertEquals(1, log.size());
     }
 
@@ -199,10 +208,14 @@
             }
         };
         // Ends while it is being sent, as when there is no such endpoint.
-        with(sends).take(new Request(READ, -1, TIMEOUT, false), (endpoint, attempt, within, told) -> {
-            told.ended(Outcome.NEVER_SENT, null, null);
-            return () -> false;
-        }, front);
+        with(sends)
+                .take(
+                        new Request(READ, -1, TIMEOUT, false),
+                        (endpoint, attempt, within, told) -> {
+                            told.ended(Outcome.NEVER_SENT, null, null);
+                            return () -> false;
+                        },
+                        front);
         assertEquals(List.of("request 0", "outcome 0/0 NEVER_SENT"), sends.heard);
     }
 
--- a/src/test/java/whinlead/engine/ScriptedModule.java
+++ b/src/test/java/whinlead/engine/ScriptedModule.java
@@ -1,8 +1,8 @@
 package whinlead.engine;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.List;
+import whinlead.Contract;
 
 /** A module that does what a test says and notes what it hears. */
 public class ScriptedModule implements Contract.Events {
@@ -30,9 +30,14 @@
     }
 
     @Override
-    public void outcome(double now, Contract.Request request, int attempt, Contract.Outcome outcome,
+    public void outcome(
+            double now,
+            Contract.Request request,
+            int attempt,
+            Contract.Outcome outcome,
             double took,
-            boolean finished, Contract.Report report) {
+            boolean finished,
+            Contract.Report report) {
         heard.add("outcome " + request.id + "/" + attempt + " " + outcome + (finished ? " over" : ""));
     }
 
@@ -47,8 +52,7 @@
     }
 
     @Override
-    public void probed(double now, String server, Contract.Outcome outcome, double took,
-            Contract.Report report) {
+    public void probed(double now, String server, Contract.Outcome outcome, double took, Contract.Report report) {
         heard.add("probed " + server + " " + outcome);
     }
 
--- a/src/test/java/whinlead/engine/ScriptedTransport.java
+++ b/src/test/java/whinlead/engine/ScriptedTransport.java
@@ -1,8 +1,8 @@
 package whinlead.engine;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.List;
+import whinlead.Contract;
 
 /** A transport that keeps what it is to send until a test says how it ended. */
 final class ScriptedTransport implements Transport<String> {
--- a/src/test/java/whinlead/front/extproc/ExtProcStreamTest.java
+++ b/src/test/java/whinlead/front/extproc/ExtProcStreamTest.java
@@ -4,6 +4,17 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.envoyproxy.envoy.config.core.v3.HeaderMap;
+import io.envoyproxy.envoy.config.core.v3.HeaderValue;
+import io.envoyproxy.envoy.service.ext_proc.v3.HttpBody;
+import io.envoyproxy.envoy.service.ext_proc.v3.HttpHeaders;
+import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
+import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
+import io.grpc.stub.ServerCallStreamObserver;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Function;
+import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 import whinlead.consult.Bounds;
 import whinlead.consult.Consultations;
@@ -17,23 +28,11 @@
 import whinlead.membership.EndpointList;
 import whinlead.testbed.DrivenClock;
 import whinlead.testbed.Settings;
-import io.envoyproxy.envoy.config.core.v3.HeaderMap;
-import io.envoyproxy.envoy.config.core.v3.HeaderValue;
-import io.envoyproxy.envoy.service.ext_proc.v3.HttpBody;
-import io.envoyproxy.envoy.service.ext_proc.v3.HttpHeaders;
-import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingRequest;
-import io.envoyproxy.envoy.service.ext_proc.v3.ProcessingResponse;
-import io.grpc.stub.ServerCallStreamObserver;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.Function;
-import org.junit.jupiter.api.Test;
 
 /** One stream of Envoy's without a socket, under a driven clock. */
 class ExtProcStreamTest {
     private final DrivenClock clock = new DrivenClock();
-    private final Contract.Settings settings = Settings.of(true, Settings.type("read", 1,
-            Contract.Effect.SAFE));
+    private final Contract.Settings settings = Settings.of(true, Settings.type("read", 1, Contract.Effect.SAFE));
     private Consultations all;
     private final Engine engine = engine(actions -> new Decide(settings, 7, actions));
     private final Call call = new Call();
@@ -109,17 +108,22 @@
     }
 
     private Engine engine(Function<Contract.Actions, Contract.Events> module) {
-        Engine made = new Engine(clock, settings, module, l -> all.update(l), line -> { });
-        all = new Consultations(made, clock, settings, new Bounds(100, 50, 100, 60_000, 60_000), line -> { });
-        made.start(() -> { }, new EndpointList(1, true, List.of(new EndpointList.Entry(
-                new Contract.Server("s0", Contract.Standing.UP, 1, "z", 0, 0),
-                EndpointList.address("127.0.0.1:81")))));
+        Engine made = new Engine(clock, settings, module, l -> all.update(l), line -> {});
+        all = new Consultations(made, clock, settings, new Bounds(100, 50, 100, 60_000, 60_000), line -> {});
+        made.start(
+                () -> {},
+                new EndpointList(
+                        1,
+                        true,
+                        List.of(new EndpointList.Entry(
+                                new Contract.Server("s0", Contract.Standing.UP, 1, "z", 0, 0),
+                                EndpointList.address("127.0.0.1:81")))));
         return made;
     }
 
     private ExtProcStream stream() {
-        return new ExtProcStream(all, clock, new ConsultRequest.Names(settings), new HeaderNames(),
-                new Peer(), () -> left++, call);
+        return new ExtProcStream(
+                all, clock, new ConsultRequest.Names(settings), new HeaderNames(), new Peer(), () -> left++, call);
     }
 
     private static HttpHeaders headers(String... pairs) {
@@ -131,8 +135,9 @@
     }
 
     private static ProcessingRequest ask() {
-        return ProcessingRequest.newBuilder().setRequestHeaders(headers("request-id", "a", "request-class",
-                "read")).build();
+        return ProcessingRequest.newBuilder()
+                .setRequestHeaders(headers("request-id", "a", "request-class", "read"))
+                .build();
     }
 
     @Test
@@ -141,7 +146,8 @@
         assertEquals(1, call.asked);
         call.ready = false;
         stream.onNext(ask());
-        ProcessingRequest body = ProcessingRequest.newBuilder().setRequestBody(HttpBody.getDefaultInstance())
+        ProcessingRequest body = ProcessingRequest.newBuilder()
+                .setRequestBody(HttpBody.getDefaultInstance())
                 .build();
         stream.onNext(body);
         assertEquals(2, call.said.size());
@@ -180,7 +186,9 @@
         clock.runTo(150);
         module.actions.refuse(module.requests.get(0), 50);
         assertInstanceOf(Directive.Refused.class, all.ended("a"));
-        stream.onNext(ProcessingRequest.newBuilder().setResponseHeaders(headers(":status", "200")).build());
+        stream.onNext(ProcessingRequest.newBuilder()
+                .setResponseHeaders(headers(":status", "200"))
+                .build());
         assertTrue(call.said.get(1).hasResponseHeaders(), call.said::toString);
         assertTrue(call.over);
     }
--- a/src/test/java/whinlead/front/spop/SpopConnectionTest.java
+++ b/src/test/java/whinlead/front/spop/SpopConnectionTest.java
@@ -5,6 +5,15 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 import whinlead.consult.Bounds;
 import whinlead.consult.Consultations;
@@ -15,37 +24,34 @@
 import whinlead.membership.EndpointList;
 import whinlead.testbed.DrivenClock;
 import whinlead.testbed.Settings;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.embedded.EmbeddedChannel;
-import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
-import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import org.junit.jupiter.api.Test;
 
 /** HAProxy's side of the protocol, kept and broken, without a socket. */
 class SpopConnectionTest {
     private final DrivenClock clock = new DrivenClock();
-    private final Contract.Settings settings = Settings.of(true, Settings.type("read", 1,
-            Contract.Effect.SAFE),
+    private final Contract.Settings settings = Settings.of(
+            true,
+            Settings.type("read", 1, Contract.Effect.SAFE),
             Settings.type("job-submit", 1, Contract.Effect.UNSAFE));
     private Consultations all;
-    private final Engine engine = new Engine(clock, settings, a -> new Decide(settings, 7, a), l ->
-            all.update(l),
-            line -> { });
+    private final Engine engine =
+            new Engine(clock, settings, a -> new Decide(settings, 7, a), l -> all.update(l), line -> {});
     private final Peer peer = new Peer(false, "");
 
     SpopConnectionTest() {
-        all = new Consultations(engine, clock, settings, new Bounds(100, 50, 100, 60_000, 200), line -> { });
-        engine.start(() -> { }, new EndpointList(1, true, List.of(new EndpointList.Entry(
-                new Contract.Server("s0", Contract.Standing.UP, 1, "z", 0, 0),
-                EndpointList.address("127.0.0.1:81")))));
+        all = new Consultations(engine, clock, settings, new Bounds(100, 50, 100, 60_000, 200), line -> {});
+        engine.start(
+                () -> {},
+                new EndpointList(
+                        1,
+                        true,
+                        List.of(new EndpointList.Entry(
+                                new Contract.Server("s0", Contract.Standing.UP, 1, "z", 0, 0),
+                                EndpointList.address("127.0.0.1:81")))));
     }
 
     private EmbeddedChannel channel(boolean room) {
-        return new EmbeddedChannel(new LengthFieldBasedFrameDecoder(SpopServer.MAX_FRAME + 4, 0, 4, 0, 4),
+        return new EmbeddedChannel(
+                new LengthFieldBasedFrameDecoder(SpopServer.MAX_FRAME + 4, 0, 4, 0, 4),
                 new SpopConnection(all, new ConsultRequest.Names(settings), peer, room));
     }
 
@@ -93,15 +99,15 @@
         c.writeInbound(hello("2.0", 16_380, false));
         SpopFrame f = answer(c);
         assertEquals(SpopFrame.Type.AGENT_HELLO, f.type());
-        assertEquals(Map.of("version", "2.0", "max-frame-size", "16380", "capabilities", "pipelining"),
-                f.pairs());
+        assertEquals(Map.of("version", "2.0", "max-frame-size", "16380", "capabilities", "pipelining"), f.pairs());
         return c;
     }
 
     @Test
     void severalRequestsAreAskedAboutAtOnceAndAnsweredEachOnItsStream() throws Exception {
         EmbeddedChannel c = greeted();
-        c.writeInbound(Unpooled.wrappedBuffer(notify(1, "ask", Map.of("id", "a", "class", "read")),
+        c.writeInbound(Unpooled.wrappedBuffer(
+                notify(1, "ask", Map.of("id", "a", "class", "read")),
                 notify(2, "ask", Map.of("id", "b", "class", "read", "timeout", "0.5"))));
         SpopFrame first = answer(c);
         assertEquals(SpopFrame.Type.ACK, first.type());
@@ -121,8 +127,7 @@
         EmbeddedChannel c = greeted();
         c.writeInbound(notify(1, "ask", Map.of("id", "a", "class", "read")));
         answer(c);
-        c.writeInbound(notify(1, "outcome", Map.of("id", "a", "attempt", "0", "status", "503", "connected",
-                "-1")));
+        c.writeInbound(notify(1, "outcome", Map.of("id", "a", "attempt", "0", "status", "503", "connected", "-1")));
         assertFalse(text(answer(c)).contains("send"));
         assertEquals(0, all.open());
     }
@@ -154,10 +159,8 @@
         refuses(hello("2.0", 100, false), SpopFrame.Status.BAD_FRAME_SIZE);
         refuses(notify(1, "ask", Map.of("id", "a")), SpopFrame.Status.INVALID);
         refuses(Unpooled.buffer().writeInt(100_000).writeZero(100), SpopFrame.Status.TOO_BIG);
-        refuses(Unpooled.buffer().writeInt(7).writeByte(3).writeInt(0).writeShort(0),
-                SpopFrame.Status.FRAGMENTED);
-        refuses(Unpooled.buffer().writeInt(7).writeByte(99).writeInt(1).writeShort(0),
-                SpopFrame.Status.INVALID);
+        refuses(Unpooled.buffer().writeInt(7).writeByte(3).writeInt(0).writeShort(0), SpopFrame.Status.FRAGMENTED);
+        refuses(Unpooled.buffer().writeInt(7).writeByte(99).writeInt(1).writeShort(0), SpopFrame.Status.INVALID);
         refuses(Unpooled.buffer().writeInt(2).writeShort(0x0100), SpopFrame.Status.INVALID);
         EmbeddedChannel full = channel(false);
         full.writeInbound(hello("2.0", 16_380, false));
--- a/src/test/java/whinlead/front/spop/SpopFrameTest.java
+++ b/src/test/java/whinlead/front/spop/SpopFrameTest.java
@@ -16,8 +16,8 @@
 /** The frames of SPOP, by the numbers of HAProxy's document and with random bytes. */
 class SpopFrameTest {
     @ParameterizedTest
-    @CsvSource({"0,00", "239,ef", "240,f000", "241,f100", "2287,ff7f", "2288,f08000", "264431,ffff7f",
-        "264432,f0808000"})
+    @CsvSource({"0,00", "239,ef", "240,f000", "241,f100", "2287,ff7f", "2288,f08000", "264431,ffff7f", "264432,f0808000"
+    })
     void numbersAreWrittenAsTheDocumentSays(long value, String hex) throws Exception {
         ByteBuf out = Unpooled.buffer();
         SpopFrame.number(out, value);
--- a/src/test/java/whinlead/http/DecimalsTest.java
+++ b/src/test/java/whinlead/http/DecimalsTest.java
@@ -15,8 +15,27 @@
     private static final Pattern PLAIN = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
     @ParameterizedTest
-    @ValueSource(strings = {"", ".", "1.", ".5", "1..2", "1.2.3", "-1", "+1", "1e3", "1d", "0x1p3", " 1", "1 ", "1,5",
-        "1234567890123", "0.1234567890123", "NaN", "\u0661"})
+    @ValueSource(
+            strings = {
+                "",
+                ".",
+                "1.",
+                ".5",
+                "1..2",
+                "1.2.3",
+                "-1",
+                "+1",
+                "1e3",
+                "1d",
+                "0x1p3",
+                " 1",
+                "1 ",
+                "1,5",
+                "1234567890123",
+                "0.1234567890123",
+                "NaN",
+                "\u0661"
+            })
     void whatIsNoPlainDecimalIsNaN(String text) {
         assertTrue(Double.isNaN(Decimals.parse(text, 1e15)), text);
     }
--- a/src/test/java/whinlead/membership/RosterTest.java
+++ b/src/test/java/whinlead/membership/RosterTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -17,12 +16,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.Contract;
 
 /** Lists that no source should send, and what they leave of the last good one. */
 class RosterTest {
     private static EndpointList.Entry entry(String id, Contract.Standing standing) {
-        return new EndpointList.Entry(new Contract.Server(id, standing, 1, "z", 0, 0),
-                new InetSocketAddress("127.0.0.1", 7001));
+        return new EndpointList.Entry(
+                new Contract.Server(id, standing, 1, "z", 0, 0), new InetSocketAddress("127.0.0.1", 7001));
     }
 
     private static EndpointList list(long seq, boolean whole, String... ids) {
@@ -66,8 +66,12 @@
         assertNull(roster.take(list(1, true, most)));
         assertNotNull(roster.take(list(2, false, "one-more")));
         assertEquals(1, roster.after());
-        assertNull(roster.take(new EndpointList(2, false, List.of(entry("s0", Contract.Standing.GONE),
-                entry("one-more", Contract.Standing.UP)))), "in place of one that is gone");
+        assertNull(
+                roster.take(new EndpointList(
+                        2,
+                        false,
+                        List.of(entry("s0", Contract.Standing.GONE), entry("one-more", Contract.Standing.UP)))),
+                "in place of one that is gone");
         String[] more = Arrays.copyOf(most, most.length + 1);
         more[most.length] = "t";
         assertNotNull(roster.take(list(3, true, more)));
@@ -97,11 +101,12 @@
             truth.forEach((s, standing) -> all.add(entry(s, standing)));
             boolean whole = roster.after() == null || roster.after() < seq - 1 || dice.nextInt(4) == 0;
             EndpointList good = new EndpointList(seq, whole, whole ? all : List.of(entry(id, now)));
-            EndpointList sent = switch (dice.nextInt(6)) {
-                case 0 -> past.isEmpty() ? good : past.get(dice.nextInt(past.size()));
-                case 1 -> new EndpointList(seq, true, twice(all));
-                default -> good;
-            };
+            EndpointList sent =
+                    switch (dice.nextInt(6)) {
+                        case 0 -> past.isEmpty() ? good : past.get(dice.nextInt(past.size()));
+                        case 1 -> new EndpointList(seq, true, twice(all));
+                        default -> good;
+                    };
             past.add(good);
             Long before = roster.after();
             if (roster.take(sent) == null) {
--- a/src/test/java/whinlead/mesh/AtMostOnceTest.java
+++ b/src/test/java/whinlead/mesh/AtMostOnceTest.java
@@ -4,10 +4,6 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.testbed.mesh.Relay;
-import whinlead.testbed.mesh.Relay.Mode;
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.SocketTimeoutException;
@@ -24,16 +20,19 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.Relay;
+import whinlead.testbed.mesh.Relay.Mode;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 
 /**
- * Point 5 on processes: whatever breaks between a client and the endpoint, what may not be repeated runs once
- * at most, each answer is its own request's, and nobody is told of what ran that it has not.
+ * Point 5 on processes: whatever breaks between a client and the endpoint, what may not be repeated runs once at most,
+ * each answer is its own request's, and nobody is told of what ran that it has not.
  */
 public class AtMostOnceTest {
     private static final double START_MS = 30_000;
     private static final long BEAT_MS = 200;
-    private static final double STORM_MS = Double.parseDouble(
-            System.getProperty("whinlead.storm-ms", "5000"));
+    private static final double STORM_MS = Double.parseDouble(System.getProperty("whinlead.storm-ms", "5000"));
     private static final long SEED = Long.getLong("whinlead.seed", 7);
     private static final long PAUSE_NS = 2_000_000;
     private static final double QUIET_MS = 500;
@@ -41,11 +40,13 @@
     private static final int TRIES = 2;
     /** How long a request by the route {@code /once/} may last, and how far from that its answer may come. */
     private static final double ROUTE_MS = 2000;
+
     private static final double LATE_MS = 500;
     /** After a request's time, until what held it back ends. */
     private static final double MARGIN_MS = 100;
     /** A silent connection between sidecars is given up after so long. */
     private static final int CONNECTION_GIVEN_UP_MS = 5000;
+
     private RelayedRig rig;
     private StandInApp far;
     private StandInApp near;
@@ -167,8 +168,12 @@
     }
 
     // The answer of one that may not be repeated is late, or the way there is: then it may run after all.
-    @Test(dependsOnMethods = {"aConnectionResetWithARequestUnderWay",
-        "anEndpointThatResetsRanItOnceAndNobodySaysOtherwise"}, alwaysRun = true)
+    @Test(
+            dependsOnMethods = {
+                "aConnectionResetWithARequestUnderWay",
+                "anEndpointThatResetsRanItOnceAndNobodySaysOtherwise"
+            },
+            alwaysRun = true)
     public void aConnectionHeldBackAndLetGo() throws Exception {
         for (Relay.Way way : Relay.Way.values()) {
             // Before the connection is given up on, and after that.
@@ -197,7 +202,8 @@
                 rig.relay("c0", "c1").set(Mode.OPEN);
                 mends();
                 long after = far.runs(s.id());
-                System.out.printf("held %s, deadline %d ms: answered %d after %.0f ms, runs %d, then %d%n",
+                System.out.printf(
+                        "held %s, deadline %d ms: answered %d after %.0f ms, runs %d, then %d%n",
                         way, deadline, m.status(), answered, before, after);
                 says(m, 502, 504);
                 assertTrue(after <= 1, "ran " + after + " times");
@@ -210,7 +216,8 @@
                 for (int i = 0; i < 20; i++) {
                     Sent next = send(0, "POST /b/x", 2000);
                     Talk.Message own = next.get();
-                    assertTrue(own.status() != 200 || next.id().equals(own.headers().get("attempt-id")));
+                    assertTrue(own.status() != 200
+                            || next.id().equals(own.headers().get("attempt-id")));
                 }
             }
         }
@@ -242,7 +249,7 @@
      * @param once whether it may run once only, by its kind or its route's bound on endpoints
      * @param status 0 where its connection broke
      */
-    private record End(String id, boolean once, int status, String echoed) { }
+    private record End(String id, boolean once, int status, String echoed) {}
 
     @Test(dependsOnMethods = "aConnectionThatCantBeDialled", alwaysRun = true)
     public void aStormOfResetsCutsHoldsAndAKill() throws Exception {
@@ -253,8 +260,8 @@
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             int client = i;
-            clients.add(CompletableFuture.runAsync(() -> client(client, until, ends),
-                    r -> new Thread(r, "client").start()));
+            clients.add(CompletableFuture.runAsync(
+                    () -> client(client, until, ends), r -> new Thread(r, "client").start()));
         }
         trouble(until);
         for (CompletableFuture<Void> c : clients) {
@@ -284,8 +291,8 @@
             assertEquals(far.runs(s.id()) + near.runs(s.id()), 0);
             return false;
         }
-        System.out.printf("at sidecar %d, route of %.0f ms: answered %d after %.0f ms%n", sidecar, ROUTE_MS,
-                m.status(), took);
+        System.out.printf(
+                "at sidecar %d, route of %.0f ms: answered %d after %.0f ms%n", sidecar, ROUTE_MS, m.status(), took);
         says(m, 504);
         assertTrue(took > ROUTE_MS - LATE_MS && took < ROUTE_MS + LATE_MS, "after " + took + " ms");
         return true;
@@ -301,7 +308,10 @@
             Map<String, String> h = rig.headers(700);
             try (Talk talk = new Talk(rig.cards.egress(client % 2))) {
                 Talk.Message m = talk.ask(path, h, new byte[mutating ? 50 : 0]);
-                ends.add(new End(h.get("Attempt-Id"), once, m == null ? 0 : m.status(),
+                ends.add(new End(
+                        h.get("Attempt-Id"),
+                        once,
+                        m == null ? 0 : m.status(),
                         m == null ? null : m.headers().get("attempt-id")));
             } catch (IOException e) {
                 ends.add(new End(h.get("Attempt-Id"), once, 0, null));
@@ -372,8 +382,8 @@
             assertTrue(e.echoed() == null || e.echoed().equals(e.id()), e.toString());
             unknown += e.status() != 200 && n > 0 ? 1 : 0;
         }
-        System.out.println("storm: " + ends.size() + " requests, by status " + statuses + ", not 200 but run "
-                + unknown);
+        System.out.println(
+                "storm: " + ends.size() + " requests, by status " + statuses + ", not 200 but run " + unknown);
         assertTrue(statuses.getOrDefault(200, 0) > 100, "most of the time some are served: " + statuses);
     }
 }
--- a/src/test/java/whinlead/mesh/ConfigUpdateProbe.java
+++ b/src/test/java/whinlead/mesh/ConfigUpdateProbe.java
@@ -1,8 +1,5 @@
 package whinlead.mesh;
 
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
-import whinlead.testbed.mesh.TestbedSettings;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.EOFException;
@@ -13,13 +10,16 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+import whinlead.testbed.mesh.TestbedSettings;
 
 /** Asks one control node for what it would have a sidecar begin with, some tens of times a second, and notes it. */
 final class ConfigUpdateProbe implements AutoCloseable {
     private static final long EVERY_MS = 20;
 
     /** An answer: when it came, by {@link RelayedRig#now()}, and what it said. */
-    record Seen(double at, long version, boolean confirmed) { }
+    record Seen(double at, long version, boolean confirmed) {}
 
     private final Socket socket;
     private final List<Seen> seen = new CopyOnWriteArrayList<>();
@@ -32,13 +32,17 @@
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
         say(out, new PeerMessage.Hello("probe", false));
         threads.execute(this::hear);
-        threads.scheduleAtFixedRate(() -> {
-            try {
-                say(out, new PeerMessage.FetchConfig());
-            } catch (IOException e) {
-                throw new IllegalStateException("the control node closed the probe's link", e);
-            }
-        }, 0, EVERY_MS, TimeUnit.MILLISECONDS);
+        threads.scheduleAtFixedRate(
+                () -> {
+                    try {
+                        say(out, new PeerMessage.FetchConfig());
+                    } catch (IOException e) {
+                        throw new IllegalStateException("the control node closed the probe's link", e);
+                    }
+                },
+                0,
+                EVERY_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private static void say(DataOutputStream out, PeerMessage message) throws IOException {
--- a/src/test/java/whinlead/mesh/ConfigurationTest.java
+++ b/src/test/java/whinlead/mesh/ConfigurationTest.java
@@ -5,20 +5,20 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.settings.NodeSettingsException;
-import whinlead.mesh.settings.NodeSettingsReader;
-import whinlead.mesh.config.RoutingTable;
-import whinlead.mesh.config.ConfigValidator;
-import whinlead.mesh.config.InvalidConfigException;
-import whinlead.mesh.config.ConfigReader;
-import whinlead.testbed.mesh.TestbedSettings;
-import whinlead.testbed.mesh.LocalMeshRun;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import whinlead.mesh.config.ConfigReader;
+import whinlead.mesh.config.ConfigValidator;
+import whinlead.mesh.config.InvalidConfigException;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.settings.NodeSettingsException;
+import whinlead.mesh.settings.NodeSettingsReader;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.testbed.mesh.TestbedSettings;
 
 /** Bad input gets a line that names the field; good input finds its route, service and tenant. */
 public class ConfigurationTest {
@@ -69,11 +69,15 @@
 
     @Test
     public void sharesAreDrawnByWeight() throws InvalidConfigException {
-        String json = LocalMeshRun.config("00000001", "svc").replace("\"Target\":\"svc\",\"Tries\":2,\"Public\":false},",
-                "\"Shares\":[{\"Target\":\"svc\",\"Weight\":90},{\"Target\":\"two\",\"Weight\":10}],"
-                + "\"Tries\":2,\"Public\":false},").replace("\"Services\":{", "\"Services\":{\"two\":{},");
+        String json = LocalMeshRun.config("00000001", "svc")
+                .replace(
+                        "\"Target\":\"svc\",\"Tries\":2,\"Public\":false},",
+                        "\"Shares\":[{\"Target\":\"svc\",\"Weight\":90},{\"Target\":\"two\",\"Weight\":10}],"
+                                + "\"Tries\":2,\"Public\":false},")
+                .replace("\"Services\":{", "\"Services\":{\"two\":{},");
         take(json);
-        RoutingTable.NamedRoute way = new RoutingTable(1, new ConfigReader().read(json.getBytes(StandardCharsets.UTF_8)))
+        RoutingTable.NamedRoute way = new RoutingTable(
+                        1, new ConfigReader().read(json.getBytes(StandardCharsets.UTF_8)))
                 .route("post.example", "/a/");
         assertEquals(way.service(0), "svc");
         assertEquals(way.service(0.899), "svc");
@@ -97,10 +101,12 @@
 
     @Test(dataProvider = "badSettings")
     public void badSettingsAreNamedByTheirField(String line, String instead, String named) throws Exception {
-        List<String> lines = new TestbedSettings(1).sidecar(0, "svc").stream()
-                .map(l -> l.startsWith(line) ? instead : l).toList();
-        NodeSettingsException e = expectThrows(NodeSettingsException.class,
-                () -> new NodeSettingsReader(new ObjectMapper()).parse(lines));
+        List<String> lines = new TestbedSettings(1)
+                .sidecar(0, "svc").stream()
+                        .map(l -> l.startsWith(line) ? instead : l)
+                        .toList();
+        NodeSettingsException e = expectThrows(
+                NodeSettingsException.class, () -> new NodeSettingsReader(new ObjectMapper()).parse(lines));
         assertTrue(e.getMessage().toLowerCase().contains(named.toLowerCase()), e.getMessage());
     }
 
