--- a/src/test/java/whinlead/mesh/ConsensusContactTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusContactTest.java
@@ -4,14 +4,14 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
+import java.util.HashSet;
+import java.util.Set;
+import org.testng.annotations.Test;
+import whinlead.mesh.consensus.Acceptor;
 import whinlead.mesh.consensus.Ballot;
 import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Acceptor;
 import whinlead.mesh.consensus.Message;
-import java.util.HashSet;
-import java.util.Set;
-import org.testng.annotations.Test;
 
 /** Contact with a majority, and what a control node without it says; calls that are sent again. */
 public class ConsensusContactTest {
@@ -90,28 +90,27 @@
         // Its own promise was not on disk when it went; what it had called may still be on its way.
         Set<Ballot> ballots = new HashSet<>();
         for (int life = 0; life < 3; life++) {
-            Acceptor.State founding = new Acceptor.State(Decision.founding(ConsensusNodes.FOUNDERS), Ballot.NONE,
-                    null);
+            Acceptor.State founding = new Acceptor.State(Decision.founding(ConsensusNodes.FOUNDERS), Ballot.NONE, null);
             ConsensusNode c = new ConsensusNode("a#0", founding, life, new ConsensusNode.Actions() {
-                        @Override
-                        public void send(String to, Message message) {
-                            if (message instanceof Message.Prepare p) {
-                                ballots.add(p.ballot());
-                            }
-                        }
+                @Override
+                public void send(String to, Message message) {
+                    if (message instanceof Message.Prepare p) {
+                        ballots.add(p.ballot());
+                    }
+                }
 
-                        @Override
-                        public void sync(Acceptor.State memory, String to, Message message) { }
+                @Override
+                public void sync(Acceptor.State memory, String to, Message message) {}
 
-                        @Override
-                        public void replaced(long call, ConsensusNode.CallResult verdict) { }
+                @Override
+                public void replaced(long call, ConsensusNode.CallResult verdict) {}
 
-                        @Override
-                        public void read(long call, Decision newest) { }
+                @Override
+                public void read(long call, Decision newest) {}
 
-                        @Override
-                        public void decided(Decision decision) { }
-                    });
+                @Override
+                public void decided(Decision decision) {}
+            });
             ConsensusNodes.FOUNDERS.forEach(other -> c.echoed(0, other, 0));
             c.replace(0, 1, 5, 0, "digest", new byte[] {1});
         }
@@ -126,8 +125,10 @@
         }
         for (int v = 1; v <= 300; v++) {
             ConsensusNode.CallResult verdict = c.replace("b#0", v, v - 1, "d" + v);
-            assertEquals(verdict, v > 300 - Decision.MAX_TAKEN ? ConsensusNode.CallResult.TAKEN
-                    : ConsensusNode.CallResult.UNCLEAR, "version " + v);
+            assertEquals(
+                    verdict,
+                    v > 300 - Decision.MAX_TAKEN ? ConsensusNode.CallResult.TAKEN : ConsensusNode.CallResult.UNCLEAR,
+                    "version " + v);
         }
         assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.CallResult.MISMATCH);
     }
--- a/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
@@ -4,11 +4,11 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
+import java.util.List;
+import org.testng.annotations.Test;
 import whinlead.mesh.consensus.ConsensusNode;
 import whinlead.mesh.consensus.Decision;
 import whinlead.mesh.consensus.Message;
-import java.util.List;
-import org.testng.annotations.Test;
 
 /** Who gets a vote, and when; how one goes out. */
 public class ConsensusMembershipTest {
@@ -157,7 +157,9 @@
             b.received(c.now, "a#0", new Message.Decided(c.decisions.lastEntry().getValue()));
         } while (!b.left(c.now) && version < 20);
         assertTrue(b.left(c.now), "it waits for slots that are decided without it");
-        assertEquals(c.replace("b#0", version + 1, version, "next"), ConsensusNode.CallResult.UNCLEAR,
+        assertEquals(
+                c.replace("b#0", version + 1, version, "next"),
+                ConsensusNode.CallResult.UNCLEAR,
                 "one that may end takes on nothing new");
     }
 
--- a/src/test/java/whinlead/mesh/ConsensusNodeTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodeTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.testbed.mesh.ConsensusSimulation;
 import java.util.List;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.ConsensusSimulation;
 
 /** What control nodes agree on outlasts the losses that are borne, on the real consensus nodes under a driven clock. */
 public class ConsensusNodeTest {
--- a/src/test/java/whinlead/mesh/ConsensusNodes.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodes.java
@@ -1,10 +1,5 @@
 package whinlead.mesh;
 
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.ConsensusNode;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Acceptor;
-import whinlead.mesh.consensus.Message;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,6 +10,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.ConsensusNode;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
 
 /** Real consensus nodes that hear and answer each other at once, but for those that a test cuts off. */
 final class ConsensusNodes {
@@ -33,6 +33,7 @@
     final Set<String> deaf = new HashSet<>();
     /** Control nodes that can't reach each other, by {@link #pair}, whatever else they reach. */
     final Set<Set<String>> cutPairs = new HashSet<>();
+
     double now;
     private final ArrayDeque<Runnable> mail = new ArrayDeque<>();
     private final Map<String, Boolean> stalled = new HashMap<>();
@@ -47,8 +48,8 @@
     }
 
     ConsensusNode start(String id, Decision known) {
-        ConsensusNode consensusNode = new ConsensusNode(id, new Acceptor.State(known, Ballot.NONE, null), id.hashCode(),
-                new Driver(id));
+        ConsensusNode consensusNode =
+                new ConsensusNode(id, new Acceptor.State(known, Ballot.NONE, null), id.hashCode(), new Driver(id));
         all.put(id, consensusNode);
         return consensusNode;
     }
@@ -73,8 +74,11 @@
         @Override
         public void send(String to, Message message) {
             all.forEach((name, c) -> {
-                boolean open = name.equals(id) || !cutOff.contains(id) && !cutOff.contains(name)
-                        && !deaf.contains(name) && !cutPairs.contains(pair(id, name));
+                boolean open = name.equals(id)
+                        || !cutOff.contains(id)
+                                && !cutOff.contains(name)
+                                && !deaf.contains(name)
+                                && !cutPairs.contains(pair(id, name));
                 if ((to == null && !name.equals(id) || name.equals(to)) && open && !lost.test(message)) {
                     mail.add(() -> c.received(now, id, message));
                 }
@@ -120,8 +124,7 @@
     void pass(double millis) {
         for (double end = now + millis; now < end; now += TICK) {
             all.forEach((id, c) -> all.forEach((other, o) -> {
-                boolean way = !cutOff.contains(id) && !cutOff.contains(other)
-                        && !cutPairs.contains(pair(id, other));
+                boolean way = !cutOff.contains(id) && !cutOff.contains(other) && !cutPairs.contains(pair(id, other));
                 if (way && !deaf.contains(id) && !deaf.contains(other)) {
                     c.echoed(now, other, o.storedSlot());
                 }
--- a/src/test/java/whinlead/mesh/CutOffControlNodeTest.java
+++ b/src/test/java/whinlead/mesh/CutOffControlNodeTest.java
@@ -4,8 +4,6 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.testbed.mesh.Relay.Mode;
-import whinlead.testbed.mesh.Talk;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Arrays;
@@ -17,25 +15,30 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.Relay.Mode;
+import whinlead.testbed.mesh.Talk;
 
 /**
  * Point 1 on processes: a control node that reaches no other, but sidecars and operators, hands out nothing old as
- * confirmed, takes and confirms no order, and lets no sidecar begin with what is old while something newer
- * can be reached.
+ * confirmed, takes and confirms no order, and lets no sidecar begin with what is old while something newer can be
+ * reached.
  */
 public class CutOffControlNodeTest {
     /** How long it is cut off, in milliseconds. */
     private static final double CUT_MS = Double.parseDouble(System.getProperty("whinlead.cut-ms", "3000"));
+
     private static final double CONVERGE_MS = 2500;
     private static final double ACK_MS = 5000;
     /** Within this a control node that has noticed says that it reaches no majority. */
     private static final double REFUSED_MS = 1000;
     /** What is confirmed may be of so long ago: an answer proves nothing older. */
     private static final double CONFIRMED_MS = 1000;
+
     private static final double SLACK_MS = 250;
     private static final double START_MS = 30_000;
     /** Until a sidecar begins with what nobody confirms; less than it waits there is too soon. */
     private static final double WAIT_MS = 2000;
+
     private static final int OUT = 0;
     private RelayedRig rig;
     private int version;
@@ -63,8 +66,10 @@
     public void mend() throws Exception {
         rig.open();
         rig.signal("o" + OUT, "CONT");
-        RelayedRig.await("all have the newest", START_MS, () -> rig.read(OUT).status() == 200
-                && rig.serves(0, version) && rig.serves(1, version));
+        RelayedRig.await(
+                "all have the newest",
+                START_MS,
+                () -> rig.read(OUT).status() == 200 && rig.serves(0, version) && rig.serves(1, version));
     }
 
     private interface Step {
@@ -102,7 +107,9 @@
         double at = RelayedRig.now();
         for (int i = 0; i < 2; i++) {
             int sidecar = i;
-            RelayedRig.await("sidecar " + i + " has the change", CONVERGE_MS - (RelayedRig.now() - at),
+            RelayedRig.await(
+                    "sidecar " + i + " has the change",
+                    CONVERGE_MS - (RelayedRig.now() - at),
                     () -> rig.serves(sidecar, version));
         }
         RelayedRig.figure(name + ": change acknowledged", acked);
@@ -126,7 +133,8 @@
         for (int i = 0; i < 5; i++) {
             double asked = RelayedRig.now();
             assertEquals(rig.read(OUT).status(), 503);
-            assertEquals(rig.replace(OUT, version, RelayedRig.config(version + 1000)).status(), 503);
+            assertEquals(
+                    rig.replace(OUT, version, RelayedRig.config(version + 1000)).status(), 503);
             slowest = Math.max(slowest, RelayedRig.now() - asked);
         }
         RelayedRig.figure(name + ": read and replace refused, slowest pair of 5", slowest);
@@ -150,8 +158,9 @@
 
     private void confirmsNothingOld(List<ConfigUpdateProbe.Seen> seen, int old, double from) {
         assertFalse(seen.isEmpty());
-        List<ConfigUpdateProbe.Seen> wrong = seen.stream().filter(s -> s.at() > from && s.confirmed()
-                && s.version() <= old).toList();
+        List<ConfigUpdateProbe.Seen> wrong = seen.stream()
+                .filter(s -> s.at() > from && s.confirmed() && s.version() <= old)
+                .toList();
         assertEquals(wrong, List.of(), "confirmed an old configuration");
     }
 
@@ -162,17 +171,22 @@
         double began = RelayedRig.now();
         RelayedRig.await("the restarted sidecar is ready", START_MS, () -> rig.ready(1));
         assertTrue(rig.serves(1, version), "ready with an old configuration");
-        RelayedRig.figure(name + ": sidecar restarted with seeds " + Arrays.toString(seeds)
-                + " ready with the newest", RelayedRig.now() - began);
+        RelayedRig.figure(
+                name + ": sidecar restarted with seeds " + Arrays.toString(seeds) + " ready with the newest",
+                RelayedRig.now() - began);
     }
 
     @Test
     public void oneThatIsCutOff() throws Exception {
-        out("cut", () -> others(Mode.CUT, Mode.CUT), () -> {
-            restartBeginsWithTheNewest("cut", 0, 1, 2);
-            restartBeginsWithTheNewest("cut", 0);
-            restartWhereItAloneCanBeReached();
-        }, () -> others(Mode.OPEN, Mode.OPEN));
+        out(
+                "cut",
+                () -> others(Mode.CUT, Mode.CUT),
+                () -> {
+                    restartBeginsWithTheNewest("cut", 0, 1, 2);
+                    restartBeginsWithTheNewest("cut", 0);
+                    restartWhereItAloneCanBeReached();
+                },
+                () -> others(Mode.OPEN, Mode.OPEN));
     }
 
     private void restartWhereItAloneCanBeReached() throws Exception {
@@ -191,7 +205,8 @@
         assertTrue(ready > WAIT_MS - SLACK_MS, "not before it has looked for better: " + ready);
         rig.between("c1", "o1", Mode.OPEN, Mode.OPEN);
         rig.between("c1", "o2", Mode.OPEN, Mode.OPEN);
-        RelayedRig.figure("alone: newest in force after another control node is back in reach",
+        RelayedRig.figure(
+                "alone: newest in force after another control node is back in reach",
                 RelayedRig.await("it takes the newest", CONVERGE_MS, () -> rig.serves(1, version)));
     }
 
@@ -201,22 +216,22 @@
 
     @Test
     public void oneThatIsNotHeard() throws Exception {
-        out("cut one way, from it", () -> others(Mode.CUT, Mode.OPEN),
+        out(
+                "cut one way, from it",
+                () -> others(Mode.CUT, Mode.OPEN),
                 () -> restartBeginsWithTheNewest("cut one way, from it", 0),
                 () -> others(Mode.OPEN, Mode.OPEN));
     }
 
     @Test
     public void oneThatHearsNothing() throws Exception {
-        out("cut one way, to it", () -> others(Mode.OPEN, Mode.CUT), () -> { },
-                () -> others(Mode.OPEN, Mode.OPEN));
+        out("cut one way, to it", () -> others(Mode.OPEN, Mode.CUT), () -> {}, () -> others(Mode.OPEN, Mode.OPEN));
     }
 
     @Test
     public void oneWhosePacketsComeAllAtOnce() throws Exception {
-        out("held back", () -> others(Mode.HELD, Mode.HELD), () -> { }, () -> others(Mode.OPEN, Mode.OPEN));
-        out("held back one way", () -> others(Mode.OPEN, Mode.HELD), () -> { },
-                () -> others(Mode.OPEN, Mode.OPEN));
+        out("held back", () -> others(Mode.HELD, Mode.HELD), () -> {}, () -> others(Mode.OPEN, Mode.OPEN));
+        out("held back one way", () -> others(Mode.OPEN, Mode.HELD), () -> {}, () -> others(Mode.OPEN, Mode.OPEN));
     }
 
     @Test
@@ -241,11 +256,16 @@
             assertTrue(order == 503 || order == 412, "an order built on the old one: " + order);
             System.out.println("frozen: read at the thaw " + first.status() + ", order " + order);
             caughtUp("frozen", thawed);
-            RelayedRig.await("answers of after the thaw", ACK_MS, () -> probe.seen().stream()
-                    .anyMatch(s -> s.at() > thawed && s.confirmed() && s.version() == version));
+            RelayedRig.await(
+                    "answers of after the thaw",
+                    ACK_MS,
+                    () -> probe.seen().stream()
+                            .anyMatch(s -> s.at() > thawed && s.confirmed() && s.version() == version));
             confirmsNothingOld(probe.seen(), old, thawed);
             System.out.println("frozen: told unconfirmed after the thaw "
-                    + probe.seen().stream().filter(s -> s.at() > thawed && !s.confirmed()).count());
+                    + probe.seen().stream()
+                            .filter(s -> s.at() > thawed && !s.confirmed())
+                            .count());
         }
     }
 
--- a/src/test/java/whinlead/mesh/DataPlaneTest.java
+++ b/src/test/java/whinlead/mesh/DataPlaneTest.java
@@ -4,19 +4,19 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.quota.TenantQuota;
-import whinlead.mesh.quota.DemandTotals;
-import whinlead.mesh.sidecar.EndpointGate;
-import whinlead.mesh.sidecar.RetryBudget;
-import whinlead.mesh.registry.EndpointRegistry;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.rpc.RpcCall;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
+import whinlead.mesh.quota.DemandTotals;
+import whinlead.mesh.quota.TenantQuota;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.rpc.RpcCall;
+import whinlead.mesh.sidecar.EndpointGate;
+import whinlead.mesh.sidecar.RetryBudget;
 
 /** The sidecars' own decisions: who may go in, what a tenant gets, what may be sent again, whose word holds. */
 public class DataPlaneTest {
@@ -132,8 +132,7 @@
     }
 
     // What gets through in a window, after some seconds of the same.
-    private static int play(double limit, double burst, double windowS, int n, double[] split, double perS,
-            int seed) {
+    private static int play(double limit, double burst, double windowS, int n, double[] split, double perS, int seed) {
         Random random = new Random(seed);
         DemandTotals sum = new DemandTotals();
         List<TenantQuota> nodes = new ArrayList<>();
@@ -148,7 +147,8 @@
         for (int ms = 0; ms < 12_000 + windowS * 1000; ms++) {
             for (int i = 0; i < n; i++) {
                 if (random.nextDouble() < perS * split[i] / total / 1000
-                        && nodes.get(i).take(ms, "t", limit, burst, n) == 0 && ms >= 12_000) {
+                        && nodes.get(i).take(ms, "t", limit, burst, n) == 0
+                        && ms >= 12_000) {
                     got++;
                 }
                 if ((ms + 37 * i) % 350 == 0) {
@@ -191,8 +191,16 @@
         for (int i = 0; i < 60; i++) {
             int life = random.nextInt(3);
             int seq = random.nextInt(6);
-            said.add(new EndpointRecord("n" + random.nextInt(3), life, seq, "z", "i-" + life + seq, "svc",
-                    EndpointRecord.Phase.values()[(life + seq) % 3], 6, 0));
+            said.add(new EndpointRecord(
+                    "n" + random.nextInt(3),
+                    life,
+                    seq,
+                    "z",
+                    "i-" + life + seq,
+                    "svc",
+                    EndpointRecord.Phase.values()[(life + seq) % 3],
+                    6,
+                    0));
         }
         HashSet<List<EndpointRecord>> ends = new HashSet<>();
         for (int i = 0; i < 50; i++) {
--- a/src/test/java/whinlead/mesh/HangupTest.java
+++ b/src/test/java/whinlead/mesh/HangupTest.java
@@ -3,14 +3,14 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
-import whinlead.testbed.mesh.LocalMeshRun;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 
 /** SIGHUP at a sidecar's process: its settings are read again, and nothing under way is cut off. */
 public class HangupTest {
@@ -25,10 +25,11 @@
     @Test
     public void whatIsUnderWayIsAnsweredAndTheSidecarStaysReady() throws Exception {
         try (MeshRig mesh = new MeshRig(1)) {
-            String configuration = LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2",
-                    "\"DeadlineS\":20");
-            MeshRig.await("a configuration is taken", () -> mesh.replace(0, "0", configuration).status()
-                    == 200);
+            String configuration =
+                    LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2", "\"DeadlineS\":20");
+            MeshRig.await(
+                    "a configuration is taken",
+                    () -> mesh.replace(0, "0", configuration).status() == 200);
             MeshRig.await("the sidecar is ready", () -> mesh.ready(0));
             MeshRig.await("it serves", () -> mesh.get(0, "/a/x").status() == 200);
             StandInApp app = mesh.apps.get(0);
@@ -39,12 +40,14 @@
                     throw new UncheckedIOException(e);
                 }
             });
-            MeshRig.await("it is at its endpoint", () -> app.ran().stream()
-                    .anyMatch(m -> m.first().contains(StandInApp.SLOW)));
+            MeshRig.await(
+                    "it is at its endpoint",
+                    () -> app.ran().stream().anyMatch(m -> m.first().contains(StandInApp.SLOW)));
             for (int i = 0; i < SIGNALS; i++) {
                 hangUp(mesh.sidecars.get(0));
                 assertTrue(mesh.ready(0));
-                MeshRig.await("it serves after a signal", () -> mesh.get(0, "/a/x").status() == 200);
+                MeshRig.await(
+                        "it serves after a signal", () -> mesh.get(0, "/a/x").status() == 200);
             }
             app.release();
             assertEquals(slow.get(WAIT_S, TimeUnit.SECONDS).status(), 200);
--- a/src/test/java/whinlead/mesh/LocalMesh.java
+++ b/src/test/java/whinlead/mesh/LocalMesh.java
@@ -1,13 +1,5 @@
 package whinlead.mesh;
 
-import whinlead.mesh.settings.NodeSettingsReader;
-import whinlead.mesh.sidecar.Sidecar;
-import whinlead.mesh.log.Logs;
-import whinlead.mesh.control.ControlNode;
-import whinlead.testbed.mesh.TestbedSettings;
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
-import whinlead.testbed.mesh.LocalMeshRun;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -25,11 +17,19 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import whinlead.mesh.control.ControlNode;
+import whinlead.mesh.log.Logs;
+import whinlead.mesh.settings.NodeSettingsReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.TestbedSettings;
 
 /**
- * The real parts of a mesh in one process, over sockets on loopback: a control node, a sidecar that takes clients
- * and has no endpoint, and a sidecar beside an endpoint whose answers come from a script. Each has a loop of
- * its own, whose end stands for the end of a process.
+ * The real parts of a mesh in one process, over sockets on loopback: a control node, a sidecar that takes clients and
+ * has no endpoint, and a sidecar beside an endpoint whose answers come from a script. Each has a loop of its own, whose
+ * end stands for the end of a process.
  */
 final class LocalMesh implements AutoCloseable {
     private static final long BEAT_MS = 100;
@@ -45,8 +45,8 @@
     private final AtomicInteger attempts = new AtomicInteger();
 
     /**
-     * A mesh that has no configuration yet. Ports that were free when they were drawn may be taken when they
-     * are bound, by a connection of another process; then others are drawn.
+     * A mesh that has no configuration yet. Ports that were free when they were drawn may be taken when they are bound,
+     * by a connection of another process; then others are drawn.
      *
      * @param graceS from SIGTERM to the kill, in seconds
      */
@@ -68,10 +68,14 @@
         cards = new TestbedSettings(1);
         NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         EventLoop others = otherLoops.next();
-        new ControlNode(reader.parse(cards.controlNode(0, Files.createTempDirectory("mesh").toString(), true)), others,
-                new ObjectMapper()).start();
-        near = new Sidecar(reader.parse(grace(cards.sidecar(0, "client"), graceS)), nearLoop.next(),
-                new ObjectMapper());
+        new ControlNode(
+                        reader.parse(cards.controlNode(
+                                0, Files.createTempDirectory("mesh").toString(), true)),
+                        others,
+                        new ObjectMapper())
+                .start();
+        near = new Sidecar(
+                reader.parse(grace(cards.sidecar(0, "client"), graceS)), nearLoop.next(), new ObjectMapper());
         far = new Sidecar(reader.parse(grace(cards.sidecar(1, "svc"), graceS)), others, new ObjectMapper());
         near.start();
         far.start();
@@ -85,7 +89,9 @@
 
     private static List<String> grace(List<String> lines, int graceS) {
         String name = "Clauses.Bounds.GraceS=";
-        return lines.stream().map(line -> line.startsWith(name) ? name + graceS : line).toList();
+        return lines.stream()
+                .map(line -> line.startsWith(name) ? name + graceS : line)
+                .toList();
     }
 
     /** A configuration under this number, with this time for each route. */
@@ -100,13 +106,21 @@
     /** Has the configuration of this number taken, on top of the one before. */
     void replace(int version, String configuration) throws Exception {
         String before = version == 1 ? "0" : number(version - 1);
-        MeshRig.await("version " + version + " is taken", () -> Talk.ask(cards.control(0),
-                "POST /whinlead/rpc?call=config.replace", Map.of("If-Match", before),
-                configuration.getBytes(StandardCharsets.UTF_8)).status() == 200);
+        MeshRig.await(
+                "version " + version + " is taken",
+                () -> Talk.ask(
+                                        cards.control(0),
+                                        "POST /whinlead/rpc?call=config.replace",
+                                        Map.of("If-Match", before),
+                                        configuration.getBytes(StandardCharsets.UTF_8))
+                                .status()
+                        == 200);
     }
 
     boolean ready() throws IOException {
-        return Talk.ask(cards.readiness(0), "GET /whinlead/readiness", Map.of(), new byte[0]).status() == 200;
+        return Talk.ask(cards.readiness(0), "GET /whinlead/readiness", Map.of(), new byte[0])
+                        .status()
+                == 200;
     }
 
     /** A request that is under way at the sidecar without an endpoint. */
@@ -118,17 +132,27 @@
     }
 
     Sent send(String first, int bodyLength) {
-        Map<String, String> headers = new LinkedHashMap<>(Map.of("Host", "post.example", "Attempt-Id",
-                "a-" + attempts.incrementAndGet(), "Deadline-Ms", Integer.toString(DEADLINE_MS), "Api-Key",
+        Map<String, String> headers = new LinkedHashMap<>(Map.of(
+                "Host",
+                "post.example",
+                "Attempt-Id",
+                "a-" + attempts.incrementAndGet(),
+                "Deadline-Ms",
+                Integer.toString(DEADLINE_MS),
+                "Api-Key",
                 "key-1"));
-        return new Sent(headers.get("Attempt-Id"), CompletableFuture.supplyAsync(() -> {
-            try (Talk talk = new Talk(cards.egress(0))) {
-                talk.say(first + " HTTP/1.1", headers, new byte[bodyLength]);
-                return heard(talk);
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        }, task -> new Thread(task, "client").start()));
+        return new Sent(
+                headers.get("Attempt-Id"),
+                CompletableFuture.supplyAsync(
+                        () -> {
+                            try (Talk talk = new Talk(cards.egress(0))) {
+                                talk.say(first + " HTTP/1.1", headers, new byte[bodyLength]);
+                                return heard(talk);
+                            } catch (IOException e) {
+                                throw new UncheckedIOException(e);
+                            }
+                        },
+                        task -> new Thread(task, "client").start()));
     }
 
     // A deadline is longer than one wait of the connection.
@@ -163,10 +187,12 @@
 
     /** SIGTERM, and the end of the process: the future ends once it has ended. */
     CompletableFuture<Void> stop() {
-        return CompletableFuture.runAsync(() -> {
-            near.leave();
-            nearLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-        }, task -> new Thread(task, "leave").start());
+        return CompletableFuture.runAsync(
+                () -> {
+                    near.leave();
+                    nearLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+                },
+                task -> new Thread(task, "leave").start());
     }
 
     @Override
--- a/src/test/java/whinlead/mesh/MeshProcessTest.java
+++ b/src/test/java/whinlead/mesh/MeshProcessTest.java
@@ -5,9 +5,6 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
-import whinlead.testbed.mesh.LocalMeshRun;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
@@ -19,30 +16,39 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 
 /** The mesh as processes on loopback, among stand-in endpoints: what clients, endpoints and operators see. */
 public class MeshProcessTest {
-    private static final String FIRST = LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2",
-            "\"DeadlineS\":20");
+    private static final String FIRST =
+            LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2", "\"DeadlineS\":20");
     /** Far less than what the requests have left, and enough for a busy machine. */
     private static final double ENDED_MS = 3000;
+
     private static final long ARRIVES_NS = 500_000_000;
     private MeshRig mesh;
 
     @BeforeClass
     public void start() throws Exception {
         mesh = new MeshRig(3);
-        MeshRig.await("a control node takes the first configuration", () -> mesh.replace(0, "0", FIRST).status()
-                == 200);
+        MeshRig.await(
+                "a control node takes the first configuration",
+                () -> mesh.replace(0, "0", FIRST).status() == 200);
         for (int i = 0; i < 3; i++) {
             int controlNode = i;
             // Two are enough for the first configuration; the third may still be starting.
-            MeshRig.await("control node " + i + " answers", () -> mesh.read(controlNode).status() == 200);
+            MeshRig.await(
+                    "control node " + i + " answers",
+                    () -> mesh.read(controlNode).status() == 200);
         }
         for (int i = 0; i < 3; i++) {
             int sidecar = i;
             MeshRig.await("sidecar " + i + " is ready", () -> mesh.ready(sidecar));
-            MeshRig.await("sidecar " + i + " serves", () -> mesh.get(sidecar, "/a/first").status() == 200);
+            MeshRig.await(
+                    "sidecar " + i + " serves",
+                    () -> mesh.get(sidecar, "/a/first").status() == 200);
         }
     }
 
@@ -58,8 +64,8 @@
         Talk.Message old = mesh.replace(0, "00000001", FIRST.replace("\"Rank\":1", "\"Rank\":2"));
         assertEquals(old.status(), 400);
         assertTrue(old.text().contains("Epoch"), old.text());
-        Talk.Message bad = mesh.replace(0, "00000001", FIRST.replace("00000001", "00000009")
-                .replace("mutating", "odd"));
+        Talk.Message bad = mesh.replace(
+                0, "00000001", FIRST.replace("00000001", "00000009").replace("mutating", "odd"));
         assertEquals(bad.status(), 400);
         assertTrue(bad.text().contains("kind"), bad.text());
         assertEquals(mesh.replace(0, "x", FIRST).status(), 400);
@@ -79,8 +85,10 @@
         assertEquals(answer.status(), 200);
         assertNotNull(answer.headers().get("server-seal"));
         assertEquals(answer.headers().get("attempt-id"), headers.get("Attempt-Id"));
-        Talk.Message ran = mesh.apps.stream().flatMap(a -> a.ran().stream())
-                .filter(m -> headers.get("Attempt-Id").equals(m.headers().get("attempt-id"))).findFirst()
+        Talk.Message ran = mesh.apps.stream()
+                .flatMap(a -> a.ran().stream())
+                .filter(m -> headers.get("Attempt-Id").equals(m.headers().get("attempt-id")))
+                .findFirst()
                 .orElseThrow();
         assertEquals(ran.first(), "POST /b/x?q=1%202 HTTP/1.1");
         assertEquals(ran.text(), "a body");
@@ -97,18 +105,23 @@
         assertEquals(mesh.get(0, "/none/").status(), 404);
         Map<String, String> stranger = mesh.headers();
         stranger.put("Api-Key", "no-one's");
-        assertEquals(Talk.ask(mesh.cards.egress(0), "GET /a/x", stranger, new byte[0]).status(), 401);
+        assertEquals(
+                Talk.ask(mesh.cards.egress(0), "GET /a/x", stranger, new byte[0])
+                        .status(),
+                401);
         Map<String, String> odd = mesh.headers();
         odd.put("Deadline-Ms", "soon");
-        assertEquals(Talk.ask(mesh.cards.egress(0), "GET /a/x", odd, new byte[0]).status(), 400);
+        assertEquals(
+                Talk.ask(mesh.cards.egress(0), "GET /a/x", odd, new byte[0]).status(), 400);
         Map<String, String> large = mesh.headers();
         large.put("X-Large", "x".repeat(20_000));
-        assertEquals(Talk.ask(mesh.cards.egress(0), "GET /a/x", large, new byte[0]).status(), 431);
+        assertEquals(
+                Talk.ask(mesh.cards.egress(0), "GET /a/x", large, new byte[0]).status(), 431);
         // One request may hide in another where both framings are told.
         try (Talk talk = new Talk(mesh.cards.egress(0))) {
             String hidden = "GET /a/hidden HTTP/1.1\r\nHost: post.example\r\nAttempt-Id: h\r\n\r\n";
             talk.raw(("POST /b/x HTTP/1.1\r\nHost: post.example\r\nAttempt-Id: s\r\nApi-Key: key-1\r\n"
-                    + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden)
+                            + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden)
                     .getBytes(StandardCharsets.ISO_8859_1));
             assertEquals(talk.hear().status(), 400);
         }
@@ -123,7 +136,8 @@
             try (Talk talk = new Talk(mesh.cards.egress(1))) {
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 10; i++) {
-                    all.append("GET /a/p HTTP/1.1\r\nHost: post.example\r\nAttempt-Id: p-").append(i)
+                    all.append("GET /a/p HTTP/1.1\r\nHost: post.example\r\nAttempt-Id: p-")
+                            .append(i)
                             .append("\r\nDeadline-Ms: 20000\r\nApi-Key: key-1\r\n\r\n");
                 }
                 talk.raw(all.toString().getBytes(StandardCharsets.ISO_8859_1));
@@ -187,16 +201,23 @@
         return mesh.apps.stream().flatMap(a -> a.cancelled().stream()).toList();
     }
 
-    @Test(dependsOnMethods = {"operatorsGetClearAnswers", "requestsReachAnEndpointAsTheyWereSent",
-        "whatIsNotAllowedIsTurnedAwayAndNotRun", "whatRunsForAClientThatLeavesIsEndedWhereItMayBeRepeated"})
+    @Test(
+            dependsOnMethods = {
+                "operatorsGetClearAnswers",
+                "requestsReachAnEndpointAsTheyWereSent",
+                "whatIsNotAllowedIsTurnedAwayAndNotRun",
+                "whatRunsForAClientThatLeavesIsEndedWhereItMayBeRepeated"
+            })
     public void aControlNodeLostTakesNothingWithIt() throws Exception {
         mesh.controlNodes.get(0).destroyForcibly().waitFor();
         String second = FIRST.replace("00000001", "00000004").replace("/a/", "/c/");
-        MeshRig.await("two control nodes take a configuration", () -> mesh.replace(1, "00000001", second).status()
-                == 200);
+        MeshRig.await(
+                "two control nodes take a configuration",
+                () -> mesh.replace(1, "00000001", second).status() == 200);
         for (int i = 0; i < 3; i++) {
             int sidecar = i;
-            MeshRig.await("sidecar " + i + " has it", () -> mesh.get(sidecar, "/c/x").status() == 200);
+            MeshRig.await(
+                    "sidecar " + i + " has it", () -> mesh.get(sidecar, "/c/x").status() == 200);
             assertEquals(mesh.get(sidecar, "/a/x").status(), 404);
         }
         mesh.controlNodes.set(0, mesh.controlNode(0, true));
@@ -230,8 +251,11 @@
                 throw new UncheckedIOException(e);
             }
         });
-        MeshRig.await("it is at an endpoint", () -> mesh.apps.stream().flatMap(a -> a.ran().stream())
-                .anyMatch(m -> m.first().contains(StandInApp.SLOW)));
+        MeshRig.await(
+                "it is at an endpoint",
+                () -> mesh.apps.stream()
+                        .flatMap(a -> a.ran().stream())
+                        .anyMatch(m -> m.first().contains(StandInApp.SLOW)));
         mesh.sidecars.get(2).destroy();
         MeshRig.await("it tells that it leaves", () -> !mesh.ready(2));
         mesh.apps.forEach(StandInApp::release);
--- a/src/test/java/whinlead/mesh/MeshRig.java
+++ b/src/test/java/whinlead/mesh/MeshRig.java
@@ -1,8 +1,5 @@
 package whinlead.mesh;
 
-import whinlead.testbed.mesh.TestbedSettings;
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
 import java.io.File;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -14,6 +11,9 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.TestbedSettings;
 
 /** A mesh of processes on loopback: three control nodes, sidecars, and an endpoint of one service beside each. */
 final class MeshRig implements AutoCloseable {
@@ -41,17 +41,28 @@
     }
 
     Process controlNode(int i, boolean bootstrap) throws IOException {
-        return run("control", "control-" + i, cards.controlNode(i, folder.resolve("disk-" + i).toString(), bootstrap));
+        return run(
+                "control",
+                "control-" + i,
+                cards.controlNode(i, folder.resolve("disk-" + i).toString(), bootstrap));
     }
 
     private Process run(String role, String name, List<String> lines) throws IOException {
         Path settings = Files.write(folder.resolve(name + ".conf"), lines);
-        ProcessBuilder b = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx96m", "-cp",
-                System.getProperty("java.class.path"), "whinlead.run.Main", role);
+        ProcessBuilder b = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xmx96m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "whinlead.run.Main",
+                role);
         b.environment().put("WHINLEAD_NODE_FILE", settings.toString());
         File log = folder.resolve(name + ".log").toFile();
-        return b.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log)).start();
+        return b.redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
+                .start();
     }
 
     /** Waits until it holds, asking again and again, within a bound. */
@@ -71,8 +82,11 @@
     }
 
     Talk.Message replace(int controlNode, String ifMatch, String body) throws IOException {
-        return Talk.ask(cards.control(controlNode), "POST /whinlead/rpc?call=config.replace", Map.of("If-Match",
-                ifMatch, "Content-Type", "application/json"), body.getBytes(StandardCharsets.UTF_8));
+        return Talk.ask(
+                cards.control(controlNode),
+                "POST /whinlead/rpc?call=config.replace",
+                Map.of("If-Match", ifMatch, "Content-Type", "application/json"),
+                body.getBytes(StandardCharsets.UTF_8));
     }
 
     Talk.Message read(int controlNode) throws IOException {
@@ -80,7 +94,8 @@
     }
 
     boolean ready(int sidecar) throws IOException {
-        return Talk.ask(cards.readiness(sidecar), "GET /whinlead/readiness", Map.of(), new byte[0]).status()
+        return Talk.ask(cards.readiness(sidecar), "GET /whinlead/readiness", Map.of(), new byte[0])
+                        .status()
                 == 200;
     }
 
--- a/src/test/java/whinlead/mesh/OlderPeer.java
+++ b/src/test/java/whinlead/mesh/OlderPeer.java
@@ -13,8 +13,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * A connection of a program before protocol versions: its messages by hand, fields by position. Such a program
- * ends a connection by which a kind of message comes that it does not know; here that fails the test.
+ * A connection of a program before protocol versions: its messages by hand, fields by position. Such a program ends a
+ * connection by which a kind of message comes that it does not know; here that fails the test.
  */
 final class OlderPeer implements AutoCloseable {
     static final byte HELLO = 1;
@@ -39,7 +39,7 @@
     }
 
     /** A message's kind, and what stands behind it. */
-    record Heard(byte kind, MessageUnpacker fields) { }
+    record Heard(byte kind, MessageUnpacker fields) {}
 
     private final Socket socket;
     private final String id;
@@ -56,8 +56,8 @@
     /** One that connects to ADDRESS:PORT and greets. */
     static OlderPeer dial(String address, String id, boolean controlNode) throws IOException {
         int colon = address.lastIndexOf(':');
-        OlderPeer peer = new OlderPeer(new Socket(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1))), id, true);
+        OlderPeer peer = new OlderPeer(
+                new Socket(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))), id, true);
         peer.say(HELLO, p -> p.packString(id).packBoolean(controlNode));
         return peer;
     }
@@ -74,8 +74,8 @@
     /** Where such a program listens. */
     static ServerSocket listen(String address) throws IOException {
         int colon = address.lastIndexOf(':');
-        ServerSocket server = new ServerSocket(Integer.parseInt(address.substring(colon + 1)), 16,
-                InetAddress.getByName(address.substring(0, colon)));
+        ServerSocket server = new ServerSocket(
+                Integer.parseInt(address.substring(colon + 1)), 16, InetAddress.getByName(address.substring(0, colon)));
         server.setSoTimeout(WAIT_MS);
         return server;
     }
--- a/src/test/java/whinlead/mesh/OlderPeersTest.java
+++ b/src/test/java/whinlead/mesh/OlderPeersTest.java
@@ -3,14 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.settings.NodeSettingsReader;
-import whinlead.mesh.sidecar.Sidecar;
-import whinlead.mesh.control.ConfigCodec;
-import whinlead.mesh.control.ControlNode;
-import whinlead.testbed.mesh.TestbedSettings;
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
-import whinlead.testbed.mesh.LocalMeshRun;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -30,6 +22,14 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.mesh.control.ConfigCodec;
+import whinlead.mesh.control.ControlNode;
+import whinlead.mesh.settings.NodeSettingsReader;
+import whinlead.mesh.sidecar.Sidecar;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.TestbedSettings;
 
 /** A real control node and a real sidecar beside peers of the program before protocol versions, both ways. */
 public class OlderPeersTest {
@@ -40,8 +40,8 @@
     private static final byte ACCEPTED = 4;
     private static final byte QUERY = 8;
     private static final byte STATE = 9;
-    private static final String CONFIG = LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2",
-            "\"DeadlineS\":20");
+    private static final String CONFIG =
+            LocalMeshRun.config("00000001", "svc").replace("\"DeadlineS\":2", "\"DeadlineS\":20");
 
     private EventLoopGroup loops;
     private EventLoop loop;
@@ -62,13 +62,20 @@
 
     private void controlNode(TestbedSettings cards) throws Exception {
         String disk = Files.createTempDirectory("control").toString();
-        new ControlNode(new NodeSettingsReader(new ObjectMapper()).parse(cards.controlNode(0, disk, true)), loop,
-                new ObjectMapper()).start();
+        new ControlNode(
+                        new NodeSettingsReader(new ObjectMapper()).parse(cards.controlNode(0, disk, true)),
+                        loop,
+                        new ObjectMapper())
+                .start();
     }
 
     private static int replace(TestbedSettings cards) throws IOException {
-        return Talk.ask(cards.control(0), "POST /whinlead/rpc?call=config.replace", Map.of("If-Match", "0"),
-                CONFIG.getBytes(StandardCharsets.UTF_8)).status();
+        return Talk.ask(
+                        cards.control(0),
+                        "POST /whinlead/rpc?call=config.replace",
+                        Map.of("If-Match", "0"),
+                        CONFIG.getBytes(StandardCharsets.UTF_8))
+                .status();
     }
 
     @Test
@@ -81,11 +88,13 @@
             sidecar.say(OlderPeer.POST, p -> record(p, cards.ingress(0), "i-0"));
             sidecar.say(OlderPeer.ASK, p -> p.packLong(-1));
             assertEquals(sidecar.hear(OlderPeer.NOTICE).unpackLong(), 1);
-            sidecar.say(OlderPeer.FETCH, p -> { });
+            sidecar.say(OlderPeer.FETCH, p -> {});
             MessageUnpacker update = sidecar.hear(OlderPeer.NEWS);
             assertEquals(decision(update), CONFIG);
             assertTrue(update.unpackBoolean(), "its control node reaches a quorum: itself");
-            sidecar.say(OlderPeer.USES, p -> p.packInt(1).packString("t-1").packFloat(2).packBoolean(true));
+            sidecar.say(
+                    OlderPeer.USES,
+                    p -> p.packInt(1).packString("t-1").packFloat(2).packBoolean(true));
             MessageUnpacker sums = sidecar.hear(OlderPeer.SUMS);
             assertEquals(sums.unpackInt(), 1);
             assertEquals(sums.unpackInt(), 1);
@@ -94,7 +103,12 @@
     }
 
     private static void record(MessageBufferPacker p, String node, String endpoint) throws IOException {
-        p.packInt(1).packString(node).packLong(1).packLong(1).packString("hall-a").packString(endpoint);
+        p.packInt(1)
+                .packString(node)
+                .packLong(1)
+                .packLong(1)
+                .packString("hall-a")
+                .packString(endpoint);
         p.packString("svc").packInt(0).packInt(6).packInt(0);
     }
 
@@ -125,7 +139,9 @@
             threads.execute(() -> vote(in, out, accepted, promised));
             MeshRig.await("the configuration is taken by both", () -> replace(cards) == 200);
             assertEquals(accepted.get(WAIT_MS, TimeUnit.MILLISECONDS), CONFIG);
-            out.say(OlderPeer.PAPER, p -> p.packByte(PREPARE).packLong(2).packLong(1000).packString(older));
+            out.say(
+                    OlderPeer.PAPER,
+                    p -> p.packByte(PREPARE).packLong(2).packLong(1000).packString(older));
             promised.get(WAIT_MS, TimeUnit.MILLISECONDS);
             in.close();
             out.close();
@@ -133,8 +149,8 @@
     }
 
     // An acceptor of the older program: it promises and votes as it is asked, until its connection ends.
-    private static void vote(OlderPeer in, OlderPeer out, CompletableFuture<String> accepted,
-            CompletableFuture<Void> promised) {
+    private static void vote(
+            OlderPeer in, OlderPeer out, CompletableFuture<String> accepted, CompletableFuture<Void> promised) {
         try {
             while (true) {
                 MessageUnpacker paper = in.hear(OlderPeer.PAPER);
@@ -143,18 +159,28 @@
                     long slot = paper.unpackLong();
                     long round = paper.unpackLong();
                     String by = paper.unpackString();
-                    out.say(OlderPeer.PAPER, p -> p.packByte(PROMISE).packLong(slot).packLong(round)
-                            .packString(by).packNil());
+                    out.say(
+                            OlderPeer.PAPER,
+                            p -> p.packByte(PROMISE)
+                                    .packLong(slot)
+                                    .packLong(round)
+                                    .packString(by)
+                                    .packNil());
                 } else if (kind == ACCEPT) {
                     long round = paper.unpackLong();
                     String by = paper.unpackString();
                     accepted.complete(decision(paper));
-                    out.say(OlderPeer.PAPER, p -> p.packByte(ACCEPTED).packLong(1).packLong(round)
-                            .packString(by));
+                    out.say(
+                            OlderPeer.PAPER,
+                            p -> p.packByte(ACCEPTED)
+                                    .packLong(1)
+                                    .packLong(round)
+                                    .packString(by));
                 } else if (kind == QUERY) {
                     long nonce = paper.unpackLong();
-                    out.say(OlderPeer.PAPER, p -> p.packByte(STATE).packLong(nonce).packLong(0)
-                            .packBoolean(false));
+                    out.say(
+                            OlderPeer.PAPER,
+                            p -> p.packByte(STATE).packLong(nonce).packLong(0).packBoolean(false));
                 } else if (kind == PROMISE) {
                     assertEquals(paper.unpackLong(), 2, "slot");
                     assertEquals(paper.unpackLong(), 1000, "round");
@@ -169,12 +195,12 @@
     }
 
     private static int get(TestbedSettings cards, String attempt) throws IOException {
-        return Talk.ask(cards.egress(0), "GET /a/x", headers(attempt), new byte[0]).status();
+        return Talk.ask(cards.egress(0), "GET /a/x", headers(attempt), new byte[0])
+                .status();
     }
 
     private static Map<String, String> headers(String attempt) {
-        return Map.of("Host", "post.example", "Attempt-Id", attempt, "Deadline-Ms", "20000", "Api-Key",
-                "key-1");
+        return Map.of("Host", "post.example", "Attempt-Id", attempt, "Deadline-Ms", "20000", "Api-Key", "key-1");
     }
 
     @Test
@@ -183,12 +209,18 @@
         try (ServerSocket controlNodeServer = OlderPeer.listen(cards.talk(0));
                 ServerSocket sidecarServer = OlderPeer.listen(cards.ingress(1));
                 StandInApp endpoint = new StandInApp("i-0", "svc", cards.app(0), cards.beats(0))) {
-            new Sidecar(new NodeSettingsReader(new ObjectMapper()).parse(cards.sidecar(0, "svc")), loop,
-                    new ObjectMapper()).start();
+            new Sidecar(
+                            new NodeSettingsReader(new ObjectMapper()).parse(cards.sidecar(0, "svc")),
+                            loop,
+                            new ObjectMapper())
+                    .start();
             OlderPeer controlNode = OlderPeer.accept(controlNodeServer, "127.0.0.1#0");
             configure(controlNode, cards);
-            MeshRig.await("the sidecar is ready", () -> Talk.ask(cards.readiness(0),
-                    "GET /whinlead/readiness", Map.of(), new byte[0]).status() == 200);
+            MeshRig.await(
+                    "the sidecar is ready",
+                    () -> Talk.ask(cards.readiness(0), "GET /whinlead/readiness", Map.of(), new byte[0])
+                                    .status()
+                            == 200);
             OlderPeer far = passesOn(cards, sidecarServer);
             runsOf(cards, endpoint);
             far.close();
@@ -220,26 +252,30 @@
 
     // Requests of clients here run beside the older sidecar; it is told nothing that it can't read.
     private OlderPeer passesOn(TestbedSettings cards, ServerSocket server) throws Exception {
-        CompletableFuture<OlderPeer> accepted = CompletableFuture.supplyAsync(() -> {
-            try {
-                return OlderPeer.accept(server, cards.ingress(1));
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }, threads);
+        CompletableFuture<OlderPeer> accepted = CompletableFuture.supplyAsync(
+                () -> {
+                    try {
+                        return OlderPeer.accept(server, cards.ingress(1));
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                },
+                threads);
         OlderPeer far;
         try (Talk leaves = new Talk(cards.egress(0))) {
             leaves.say("GET /a/x HTTP/1.1", headers("leaves"), new byte[0]);
             far = accepted.get(WAIT_MS, TimeUnit.MILLISECONDS);
             request(far, "leaves");
         }
-        CompletableFuture<Integer> status = CompletableFuture.supplyAsync(() -> {
-            try {
-                return get(cards, "stays");
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }, threads);
+        CompletableFuture<Integer> status = CompletableFuture.supplyAsync(
+                () -> {
+                    try {
+                        return get(cards, "stays");
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                },
+                threads);
         long stream = request(far, "stays");
         far.say(OlderPeer.DELIVERED, p -> {
             p.packLong(stream).packInt(200).packInt(4).packString("Attempt-Id").packString("stays");
--- a/src/test/java/whinlead/mesh/OrderOutcomesTest.java
+++ b/src/test/java/whinlead/mesh/OrderOutcomesTest.java
@@ -3,9 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.consensus.Decision;
-import whinlead.testbed.mesh.Talk;
-import whinlead.testbed.mesh.LocalMeshRun;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
@@ -14,12 +11,15 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
+import whinlead.mesh.consensus.Decision;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.testbed.mesh.Talk;
 
 /**
- * One table of what an operator's order comes to, walked at every control node: at those that took the orders
- * before, after a restart of each, and without a quorum. The first column of statuses is what the users'
- * pages allow while a quorum is in contact, the second without one. All control nodes that are asked in one state
- * have to give the same status.
+ * One table of what an operator's order comes to, walked at every control node: at those that took the orders before,
+ * after a restart of each, and without a quorum. The first column of statuses is what the users' pages allow while a
+ * quorum is in contact, the second without one. All control nodes that are asked in one state have to give the same
+ * status.
  */
 public class OrderOutcomesTest {
     private static final int CONTROL_NODES = 3;
@@ -48,11 +48,9 @@
         OTHER_CONTENT_UNDER_CURRENT(other(CURRENT, CURRENT - 1), REFUSED, REFUSED_OR_UNCLEAR),
         OTHER_CONTENT_UNDER_CURRENT_ON_CURRENT(other(CURRENT, CURRENT), REFUSED, REFUSED_OR_UNCLEAR),
         OTHER_CONTENT_UNDER_REMEMBERED(other(REMEMBERED, REMEMBERED - 1), REFUSED, REFUSED_OR_UNCLEAR),
-        OTHER_CONTENT_UNDER_OLDEST(other(OLDEST_REMEMBERED, OLDEST_REMEMBERED - 1), REFUSED,
-                REFUSED_OR_UNCLEAR),
+        OTHER_CONTENT_UNDER_OLDEST(other(OLDEST_REMEMBERED, OLDEST_REMEMBERED - 1), REFUSED, REFUSED_OR_UNCLEAR),
         /** It can't be told from a repeat: 4xx would be right, and so is no clear answer. */
-        OTHER_CONTENT_UNDER_FORGOTTEN(other(FORGOTTEN, FORGOTTEN - 1), REFUSED_OR_UNCLEAR,
-                REFUSED_OR_UNCLEAR),
+        OTHER_CONTENT_UNDER_FORGOTTEN(other(FORGOTTEN, FORGOTTEN - 1), REFUSED_OR_UNCLEAR, REFUSED_OR_UNCLEAR),
         OLD_VERSION_ON_CURRENT(other(REMEMBERED, CURRENT), REFUSED, REFUSED_OR_UNCLEAR),
         FORGOTTEN_VERSION_ON_CURRENT(other(FORGOTTEN, CURRENT), REFUSED, REFUSED_OR_UNCLEAR),
         FORGOTTEN_VERSION_ON_ITSELF(other(FORGOTTEN, FORGOTTEN), REFUSED, REFUSED_OR_UNCLEAR),
@@ -64,16 +62,18 @@
         INVALID_AND_MISMATCH(invalid(CURRENT + 1, REMEMBERED), REFUSED, REFUSED),
         INVALID_UNDER_REMEMBERED(invalid(REMEMBERED, REMEMBERED - 1), REFUSED, REFUSED),
         INVALID_AND_FORGOTTEN(invalid(FORGOTTEN, FORGOTTEN - 1), REFUSED, REFUSED),
-        UNREADABLE_BODY(new Call(REPLACE, hex(CURRENT), "{\"Epoch\":".getBytes(StandardCharsets.UTF_8)),
-                INVALID, INVALID),
+        UNREADABLE_BODY(
+                new Call(REPLACE, hex(CURRENT), "{\"Epoch\":".getBytes(StandardCharsets.UTF_8)), INVALID, INVALID),
         EMPTY_BODY(new Call(REPLACE, hex(CURRENT), new byte[0]), INVALID, INVALID),
         UNREADABLE_IF_MATCH(new Call(REPLACE, "newest", body(CURRENT + 1, 2)), INVALID, INVALID),
         EMPTY_IF_MATCH(new Call(REPLACE, "", body(CURRENT + 1, 2)), INVALID, INVALID),
         TOO_LARGE_BODY(new Call(REPLACE, hex(CURRENT), new byte[TOO_LARGE_BYTES]), TOO_LARGE, TOO_LARGE),
-        UNKNOWN_CALL(new Call("POST /whinlead/rpc?call=config.drop", hex(CURRENT), body(CURRENT + 1, 2)),
-                NOT_FOUND, NOT_FOUND),
-        ENDPOINTS_CALL(new Call("POST /whinlead/rpc?call=members.depart&of=i-1", "0", new byte[0]), NOT_FOUND,
+        UNKNOWN_CALL(
+                new Call("POST /whinlead/rpc?call=config.drop", hex(CURRENT), body(CURRENT + 1, 2)),
+                NOT_FOUND,
                 NOT_FOUND),
+        ENDPOINTS_CALL(
+                new Call("POST /whinlead/rpc?call=members.depart&of=i-1", "0", new byte[0]), NOT_FOUND, NOT_FOUND),
         OTHER_METHOD(new Call("GET /whinlead/rpc?call=config.read", "0", new byte[0]), NOT_FOUND, NOT_FOUND),
         READ(new Call("POST /whinlead/rpc?call=config.read", "0", new byte[0]), TAKEN, UNCLEAR);
 
@@ -88,7 +88,7 @@
         }
     }
 
-    private record Call(String line, String ifMatch, byte[] body) { }
+    private record Call(String line, String ifMatch, byte[] body) {}
 
     private MeshRig mesh;
 
@@ -97,7 +97,8 @@
     }
 
     private static byte[] body(long version, int rank) {
-        return LocalMeshRun.config(hex(version), "svc").replace("\"Rank\":1", "\"Rank\":" + rank)
+        return LocalMeshRun.config(hex(version), "svc")
+                .replace("\"Rank\":1", "\"Rank\":" + rank)
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -115,8 +116,12 @@
     }
 
     private int ask(int controlNode, Call call) throws IOException {
-        return Talk.ask(mesh.cards.control(controlNode), call.line(), Map.of("If-Match", call.ifMatch(),
-                "Content-Type", "application/json"), call.body()).status();
+        return Talk.ask(
+                        mesh.cards.control(controlNode),
+                        call.line(),
+                        Map.of("If-Match", call.ifMatch(), "Content-Type", "application/json"),
+                        call.body())
+                .status();
     }
 
     @BeforeClass
@@ -148,8 +153,7 @@
             for (int controlNode = 0; controlNode < CONTROL_NODES; controlNode++) {
                 int status = ask(controlNode, row.call);
                 statuses.add(status);
-                assertTrue(row.withQuorum.contains(status),
-                        state + ", " + row + " at " + controlNode + ": " + status);
+                assertTrue(row.withQuorum.contains(status), state + ", " + row + " at " + controlNode + ": " + status);
             }
             assertEquals(statuses.size(), 1, state + ", " + row + ": " + statuses);
         }
--- a/src/test/java/whinlead/mesh/OrderRulingTest.java
+++ b/src/test/java/whinlead/mesh/OrderRulingTest.java
@@ -2,11 +2,11 @@
 
 import static org.testng.Assert.assertEquals;
 
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.OrderRuling;
 import java.util.EnumSet;
 import java.util.Set;
 import org.testng.annotations.Test;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.OrderRuling;
 
 /** Every order, by its version, the version that it builds on and its content, against a full memory. */
 public class OrderRulingTest {
@@ -26,8 +26,10 @@
     public void aRepeatIsTakenOrUnclearNeverRefused() {
         Decision newest = newest();
         for (int version = 1; version <= CURRENT; version++) {
-            assertEquals(OrderRuling.of(newest, version, version - 1, "taken " + version),
-                    version < OLDEST_REMEMBERED ? OrderRuling.FORGOTTEN : OrderRuling.TAKEN, "of " + version);
+            assertEquals(
+                    OrderRuling.of(newest, version, version - 1, "taken " + version),
+                    version < OLDEST_REMEMBERED ? OrderRuling.FORGOTTEN : OrderRuling.TAKEN,
+                    "of " + version);
         }
     }
 
--- a/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
+++ b/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
@@ -3,16 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.quota.TenantDemand;
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Acceptor;
-import whinlead.mesh.consensus.Message;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.log.Event;
-import whinlead.mesh.wire.AcceptorRecord;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,34 +10,60 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.log.Event;
+import whinlead.mesh.quota.TenantDemand;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.wire.AcceptorRecord;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 
 /** PeerMessageCodec come back as they were written; bytes that are none are told so and do no other harm. */
 public class PeerMessageCodecTest {
-    private static final Decision DECISION = new Decision(7, 12, new byte[] {1, 2, 3},
-            List.of(new Decision.Taken(12, "d")), List.of("10.0.0.1#0", "10.0.0.2#a"));
+    private static final Decision DECISION = new Decision(
+            7, 12, new byte[] {1, 2, 3}, List.of(new Decision.Taken(12, "d")), List.of("10.0.0.1#0", "10.0.0.2#a"));
     private static final Ballot BALLOT = new Ballot(3, "10.0.0.1#0");
 
     private static List<PeerMessage> messages() {
-        return List.of(new PeerMessage.Hello("n", true),
-                new PeerMessage.EndpointUpdate(List.of(new EndpointRecord("n", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))),
-                new PeerMessage.Subscribe(-1), new PeerMessage.ConfigAvailable(8), new PeerMessage.FetchConfig(), new PeerMessage.ConfigUpdate(DECISION, true),
-                new PeerMessage.Ping(1), new PeerMessage.Ping(1, -5), new PeerMessage.Pong(1, "10.0.0.1#0", 7),
-                new PeerMessage.FindControlNodes(), new PeerMessage.ControlNodes(List.of("10.0.0.1")),
+        return List.of(
+                new PeerMessage.Hello("n", true),
+                new PeerMessage.EndpointUpdate(
+                        List.of(new EndpointRecord("n", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))),
+                new PeerMessage.Subscribe(-1),
+                new PeerMessage.ConfigAvailable(8),
+                new PeerMessage.FetchConfig(),
+                new PeerMessage.ConfigUpdate(DECISION, true),
+                new PeerMessage.Ping(1),
+                new PeerMessage.Ping(1, -5),
+                new PeerMessage.Pong(1, "10.0.0.1#0", 7),
+                new PeerMessage.FindControlNodes(),
+                new PeerMessage.ControlNodes(List.of("10.0.0.1")),
                 new PeerMessage.Consensus(new Message.Prepare(8, BALLOT)),
                 new PeerMessage.Consensus(new Message.Promise(8, BALLOT, null)),
                 new PeerMessage.Consensus(new Message.Promise(8, BALLOT, new Message.Vote(BALLOT, DECISION))),
                 new PeerMessage.Consensus(new Message.Accept(BALLOT, DECISION)),
                 new PeerMessage.Consensus(new Message.Accepted(8, BALLOT)),
                 new PeerMessage.Consensus(new Message.Nack(8, BALLOT, BALLOT)),
-                new PeerMessage.Consensus(new Message.Lagging(8, -1)), new PeerMessage.Consensus(new Message.Decided(DECISION)),
-                new PeerMessage.Consensus(new Message.Query(5, 3)), new PeerMessage.Consensus(new Message.State(5, 3, true)),
+                new PeerMessage.Consensus(new Message.Lagging(8, -1)),
+                new PeerMessage.Consensus(new Message.Decided(DECISION)),
+                new PeerMessage.Consensus(new Message.Query(5, 3)),
+                new PeerMessage.Consensus(new Message.State(5, 3, true)),
                 new PeerMessage.Consensus(new Message.Query(5, 3, List.of("10.0.0.1#0", "10.0.0.2#a"))),
-                new PeerMessage.Consensus(new Message.State(5, 3, true, List.of(
-                        new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT),
-                        new Message.Opinion("10.0.0.2#a", Message.Reachability.REACHED)))),
-                new PeerMessage.Consensus(new Message.Join(6)), new PeerMessage.DemandReport(List.of(new TenantDemand("t", 0.5)), true),
+                new PeerMessage.Consensus(new Message.State(
+                        5,
+                        3,
+                        true,
+                        List.of(
+                                new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT),
+                                new Message.Opinion("10.0.0.2#a", Message.Reachability.REACHED)))),
+                new PeerMessage.Consensus(new Message.Join(6)),
+                new PeerMessage.DemandReport(List.of(new TenantDemand("t", 0.5)), true),
                 new PeerMessage.DemandSums(3, List.of(new TenantDemand("t", 0.5))),
-                new PeerMessage.ForwardFailure(4, PeerMessage.FailureReason.MOVED, 0.5, 2), new PeerMessage.Cancel(4, true));
+                new PeerMessage.ForwardFailure(4, PeerMessage.FailureReason.MOVED, 0.5, 2),
+                new PeerMessage.Cancel(4, true));
     }
 
     @Test
@@ -55,16 +71,17 @@
         for (PeerMessage message : messages()) {
             assertEquals(PeerMessageCodec.read(PeerMessageCodec.write(message)), message);
         }
-        PeerMessage.ForwardRequest p = (PeerMessage.ForwardRequest) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.ForwardRequest(1, "GET", "/a", List.of(
-                "A", "b"), new byte[] {9}, 100, "s", "i", 2)));
+        PeerMessage.ForwardRequest p = (PeerMessage.ForwardRequest) PeerMessageCodec.read(PeerMessageCodec.write(
+                new PeerMessage.ForwardRequest(1, "GET", "/a", List.of("A", "b"), new byte[] {9}, 100, "s", "i", 2)));
         assertEquals(p.headers(), List.of("A", "b"));
         assertTrue(Arrays.equals(p.body(), new byte[] {9}));
         assertEquals(p.sentAt(), PeerMessage.UNSTAMPED);
-        PeerMessage.ForwardRequest stamped = (PeerMessage.ForwardRequest) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.ForwardRequest(1, "GET", "/a",
-                List.of(), new byte[0], 100, "s", "i", 2, Long.MAX_VALUE)));
+        PeerMessage.ForwardRequest stamped = (PeerMessage.ForwardRequest)
+                PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.ForwardRequest(
+                        1, "GET", "/a", List.of(), new byte[0], 100, "s", "i", 2, Long.MAX_VALUE)));
         assertEquals(stamped.sentAt(), Long.MAX_VALUE);
-        PeerMessage.ForwardResponse d = (PeerMessage.ForwardResponse) PeerMessageCodec.read(PeerMessageCodec.write(new PeerMessage.ForwardResponse(1, 200,
-                List.of("A", "b"), new byte[] {9}, 0.5, 2)));
+        PeerMessage.ForwardResponse d = (PeerMessage.ForwardResponse) PeerMessageCodec.read(PeerMessageCodec.write(
+                new PeerMessage.ForwardResponse(1, 200, List.of("A", "b"), new byte[] {9}, 0.5, 2)));
         assertEquals(d.status(), 200);
         Acceptor.State m = new Acceptor.State(DECISION, BALLOT, new Message.Vote(BALLOT, DECISION));
         assertEquals(AcceptorRecord.read(AcceptorRecord.write(m)), m);
@@ -76,14 +93,17 @@
     public void suspectsAndOpinionsFollowWhatAnOlderProgramReads() throws IOException {
         // A program from before them reads its own fields, passes over what follows, and sends none itself.
         startsAs(new Message.Query(5, 3, List.of("10.0.0.1#0")), new Message.Query(5, 3));
-        startsAs(new Message.State(5, 3, true, List.of(new Message.Opinion("10.0.0.1#0",
-                Message.Reachability.SILENT))), new Message.State(5, 3, true));
+        startsAs(
+                new Message.State(5, 3, true, List.of(new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT))),
+                new Message.State(5, 3, true));
         // A word that only a newer program knows says nothing: the last byte is its number.
-        byte[] newer = PeerMessageCodec.write(new PeerMessage.Consensus(new Message.State(5, 3, true, List.of(
-                new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT)))));
+        byte[] newer = PeerMessageCodec.write(new PeerMessage.Consensus(new Message.State(
+                5, 3, true, List.of(new Message.Opinion("10.0.0.1#0", Message.Reachability.SILENT)))));
         newer[newer.length - 1] = 100;
-        assertEquals(PeerMessageCodec.read(newer), new PeerMessage.Consensus(new Message.State(5, 3, true, List.of(
-                new Message.Opinion("10.0.0.1#0", Message.Reachability.UNSURE)))));
+        assertEquals(
+                PeerMessageCodec.read(newer),
+                new PeerMessage.Consensus(new Message.State(
+                        5, 3, true, List.of(new Message.Opinion("10.0.0.1#0", Message.Reachability.UNSURE)))));
     }
 
     private static void startsAs(Message longer, Message older) {
--- a/src/test/java/whinlead/mesh/PlannedWorkTest.java
+++ b/src/test/java/whinlead/mesh/PlannedWorkTest.java
@@ -5,14 +5,14 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.testbed.mesh.StandInApp;
-import whinlead.testbed.mesh.Talk;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.StandInApp;
+import whinlead.testbed.mesh.Talk;
 
 /** Planned work cuts nothing off: what was read whole gets a whole answer, its endpoint's if there is one. */
 public class PlannedWorkTest {
@@ -59,13 +59,17 @@
         mesh.replace(2, LocalMesh.configuration(2, SHORT_S).replace("/a/", "/new/"));
         inForce("GET /new/x");
         long began = System.nanoTime();
-        MeshRig.await("the shorter time is up", () -> mesh.ask("GET /new/x") != null
-                && System.nanoTime() - began > 2 * SHORT_S * SECOND_NS);
+        MeshRig.await(
+                "the shorter time is up",
+                () -> mesh.ask("GET /new/x") != null && System.nanoTime() - began > 2 * SHORT_S * SECOND_NS);
         mesh.replace(3, LocalMesh.configuration(3, LONG_S).replace("/a/", "/c/").replace("/b/", "/d/"));
         inForce("GET /c/x");
         assertEquals(mesh.ask("GET /new/x").status(), 404, "the route is dropped");
-        mesh.replace(4, LocalMesh.configuration(4, LONG_S).replace("\"svc\"", "\"moved\"")
-                .replace("/a/", "/m/"));
+        mesh.replace(
+                4,
+                LocalMesh.configuration(4, LONG_S)
+                        .replace("\"svc\"", "\"moved\"")
+                        .replace("/a/", "/m/"));
         inForce("GET /m/x");
         for (LocalMesh.Sent sent : new LocalMesh.Sent[] {once, repeatable}) {
             assertFalse(sent.answer().isDone(), sent + " " + sent.answer().getNow(null));
@@ -109,8 +113,7 @@
             LocalMesh.Sent slow = underWay("POST /b" + StandInApp.SLOW);
             CompletableFuture<Void> ended = mesh.stop();
             MeshRig.await("it tells that it leaves", () -> !mesh.ready());
-            Map<String, String> headers = Map.of("Host", "post.example", "Attempt-Id", "a-idle", "Api-Key",
-                    "key-1");
+            Map<String, String> headers = Map.of("Host", "post.example", "Attempt-Id", "a-idle", "Api-Key", "key-1");
             assertNotNull(idle.ask("GET /a/x", headers, new byte[0]), "connections are kept for a while");
             assertEquals(idle.hear(), null, "and then closed between two requests");
             mesh.app.release();
--- a/src/test/java/whinlead/mesh/RelayTest.java
+++ b/src/test/java/whinlead/mesh/RelayTest.java
@@ -3,7 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 
-import whinlead.testbed.mesh.Relay;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
@@ -15,6 +14,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.Relay;
 
 /** What the relay between processes does with bytes, by mode and direction. */
 public class RelayTest {
@@ -79,7 +79,8 @@
         relay.set(Relay.Mode.OPEN);
         assertEquals(far.getInputStream().read(), 'c');
         assertEquals(near.getInputStream().read(), 'd');
-        try (Socket again = dial(); Socket there = accept()) {
+        try (Socket again = dial();
+                Socket there = accept()) {
             again.getOutputStream().write('e');
             assertEquals(there.getInputStream().read(), 'e');
         }
@@ -128,7 +129,8 @@
             }
         });
         relay.set(Relay.Mode.OPEN);
-        try (Socket again = dial(); Socket there = accept()) {
+        try (Socket again = dial();
+                Socket there = accept()) {
             again.getOutputStream().write('f');
             assertEquals(there.getInputStream().read(), 'f');
         }
--- a/src/test/java/whinlead/mesh/RelayedRig.java
+++ b/src/test/java/whinlead/mesh/RelayedRig.java
@@ -1,10 +1,5 @@
 package whinlead.mesh;
 
-import whinlead.testbed.mesh.TestbedSettings;
-import whinlead.testbed.mesh.Relay;
-import whinlead.testbed.mesh.RelayedRole;
-import whinlead.testbed.mesh.Talk;
-import whinlead.testbed.mesh.LocalMeshRun;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.File;
@@ -23,28 +18,34 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import whinlead.testbed.mesh.LocalMeshRun;
+import whinlead.testbed.mesh.Relay;
+import whinlead.testbed.mesh.RelayedRole;
+import whinlead.testbed.mesh.Talk;
+import whinlead.testbed.mesh.TestbedSettings;
 
 /**
- * Processes of the mesh on loopback with a relay on each way from one to another. Processes are named
- * {@code o0} and on (control nodes; the first three found the set of voters) and {@code c0} and on (sidecars). Any
- * thread, but one at a time for what starts and ends processes.
+ * Processes of the mesh on loopback with a relay on each way from one to another. Processes are named {@code o0} and on
+ * (control nodes; the first three found the set of voters) and {@code c0} and on (sidecars). Any thread, but one at a
+ * time for what starts and ends processes.
  */
 final class RelayedRig implements AutoCloseable {
     static final int CONTROL_NODES = 5;
     static final int SIDECARS = 2;
     /** The control nodes that found the set of voters. */
     static final int[] FOUNDERS = {0, 1, 2};
+
     private static final double START_MS = 30_000;
     /** A route of repeatable requests that may be sent to one endpoint, and last two seconds. */
     private static final String ONCE = "\"r-0\":{\"Authority\":\"post.example\","
             + "\"PathPrefix\":\"/once/\",\"Kind\":\"idempotent\",\"DeadlineS\":2,"
             + "\"TargetS\":0.5,\"Rank\":1,\"Target\":\"svc\",\"Tries\":1,\"Public\":false},";
+
     private static final long PAUSE_NS = 5_000_000;
     private static final double NANOS = 1e6;
 
     final TestbedSettings cards;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Map<String, Relay> relays = new LinkedHashMap<>();
     private final Map<String, Process> processes = new LinkedHashMap<>();
     private final AtomicInteger attempts = new AtomicInteger();
@@ -142,18 +143,29 @@
         relays.forEach((way, relay) -> {
             if (way.startsWith(name + ">")) {
                 ways.add(real(way.substring(way.indexOf('>') + 1)) + " "
-                        + relay.address().getHostString() + ":" + relay.address().getPort());
+                        + relay.address().getHostString() + ":"
+                        + relay.address().getPort());
             }
         });
         Path file = Files.write(folder.resolve(name + ".relays"), ways);
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder b = new ProcessBuilder(java, "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC",
-                "-Xmx96m", "-D" + RelayedRole.RELAYS + "=" + file,
-                "-cp", System.getProperty("java.class.path"), RelayedRole.class.getName(), role);
+        ProcessBuilder b = new ProcessBuilder(
+                java,
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xmx96m",
+                "-D" + RelayedRole.RELAYS + "=" + file,
+                "-cp",
+                System.getProperty("java.class.path"),
+                RelayedRole.class.getName(),
+                role);
         b.environment().put("WHINLEAD_NODE_FILE", settings.toString());
         File log = folder.resolve(name + ".log").toFile();
-        Process old = processes.put(name, b.redirectErrorStream(true).redirectOutput(
-                ProcessBuilder.Redirect.appendTo(log)).start());
+        Process old = processes.put(
+                name,
+                b.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
+                        .start());
         if (old != null && old.isAlive()) {
             throw new IllegalStateException(name + " was still running");
         }
@@ -170,7 +182,9 @@
 
     /** {@code STOP} freezes a process, {@code CONT} thaws it. */
     void signal(String name, String signal) throws IOException, InterruptedException {
-        int code = new ProcessBuilder("kill", "-" + signal, Long.toString(processes.get(name).pid())).start()
+        int code = new ProcessBuilder(
+                        "kill", "-" + signal, Long.toString(processes.get(name).pid()))
+                .start()
                 .waitFor();
         if (code != 0) {
             throw new IOException("kill -" + signal + " " + name + " gave " + code);
@@ -184,7 +198,11 @@
 
     /** Of a control node's log, the voters of the last decision, or nothing. */
     String voters(int controlNode) throws IOException {
-        return log("o" + controlNode).lines().filter(l -> l.startsWith("201 ")).reduce((a, b) -> b).orElse("");
+        return log("o" + controlNode)
+                .lines()
+                .filter(l -> l.startsWith("201 "))
+                .reduce((a, b) -> b)
+                .orElse("");
     }
 
     // --- ways
@@ -217,18 +235,22 @@
     }
 
     /**
-     * A configuration that alone serves {@code /v<version>/}. Each serves {@code /b/}, and {@code /once/}
-     * whose requests may be repeated but not sent to a second endpoint.
+     * A configuration that alone serves {@code /v<version>/}. Each serves {@code /b/}, and {@code /once/} whose
+     * requests may be repeated but not sent to a second endpoint.
      */
     static String config(int version) {
-        return LocalMeshRun.config(epoch(version), "svc").replace("/a/", "/v" + version + "/")
+        return LocalMeshRun.config(epoch(version), "svc")
+                .replace("/a/", "/v" + version + "/")
                 .replace("\"DeadlineS\":2", "\"DeadlineS\":20")
                 .replace("\"Routes\":{", "\"Routes\":{" + ONCE);
     }
 
     Talk.Message replace(int controlNode, int builtOn, String body) throws IOException {
-        return Talk.ask(cards.control(controlNode), "POST /whinlead/rpc?call=config.replace", Map.of("If-Match",
-                epoch(builtOn), "Content-Type", "application/json"), body.getBytes(StandardCharsets.UTF_8));
+        return Talk.ask(
+                cards.control(controlNode),
+                "POST /whinlead/rpc?call=config.replace",
+                Map.of("If-Match", epoch(builtOn), "Content-Type", "application/json"),
+                body.getBytes(StandardCharsets.UTF_8));
     }
 
     Talk.Message read(int controlNode) throws IOException {
@@ -248,26 +270,39 @@
     }
 
     boolean ready(int sidecar) throws IOException {
-        return Talk.ask(cards.readiness(sidecar), "GET /whinlead/readiness", Map.of(), new byte[0]).status()
+        return Talk.ask(cards.readiness(sidecar), "GET /whinlead/readiness", Map.of(), new byte[0])
+                        .status()
                 == 200;
     }
 
     Map<String, String> headers(int deadlineMs) {
-        return Map.of("Host", "post.example", "Attempt-Id", "a-" + attempts.incrementAndGet(), "Deadline-Ms",
-                Integer.toString(deadlineMs), "Api-Key", "key-1");
+        return Map.of(
+                "Host",
+                "post.example",
+                "Attempt-Id",
+                "a-" + attempts.incrementAndGet(),
+                "Deadline-Ms",
+                Integer.toString(deadlineMs),
+                "Api-Key",
+                "key-1");
     }
 
     /** Whether this version's own route is there at the sidecar. */
     boolean serves(int sidecar, int version) throws IOException {
-        return Talk.ask(cards.egress(sidecar), "GET /v" + version + "/x", headers(2000), new byte[0]).status()
+        return Talk.ask(cards.egress(sidecar), "GET /v" + version + "/x", headers(2000), new byte[0])
+                        .status()
                 != 404;
     }
 
     /** Sends a change to these control nodes in turn until one says that it was taken; how long, in ms. */
     double change(int builtOn, int version, double mostMs, int... controlNodes) throws Exception {
         int[] turn = {0};
-        return await("a change is taken", mostMs, () -> replace(controlNodes[turn[0]++ % controlNodes.length], builtOn,
-                config(version)).status() == 200);
+        return await(
+                "a change is taken",
+                mostMs,
+                () -> replace(controlNodes[turn[0]++ % controlNodes.length], builtOn, config(version))
+                                .status()
+                        == 200);
     }
 
     /** Waits until it holds, asked again and again; the time that took in milliseconds, at most this. */
--- a/src/test/java/whinlead/mesh/ReplacedControlNodeTest.java
+++ b/src/test/java/whinlead/mesh/ReplacedControlNodeTest.java
@@ -8,8 +8,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Point 3 on processes: a control node is replaced, planned and not, and the next loss comes at once; the others
- * go on taking changes.
+ * Point 3 on processes: a control node is replaced, planned and not, and the next loss comes at once; the others go on
+ * taking changes.
  */
 public class ReplacedControlNodeTest {
     private static final double ACK_MS = 5000;
@@ -36,7 +36,9 @@
         int old = version++;
         RelayedRig.figure(name, rig.change(old, version, ACK_MS, controlNodes));
         for (int controlNode : controlNodes) {
-            RelayedRig.await("control node " + controlNode + " reads it", ACK_MS,
+            RelayedRig.await(
+                    "control node " + controlNode + " reads it",
+                    ACK_MS,
                     () -> rig.read(controlNode).text().equals(RelayedRig.config(version)));
         }
     }
@@ -66,8 +68,7 @@
         rig.kill("o2");
         RelayedRig.await("the set of voters is without it", ACK_MS, () -> !elects(1, 0) && !elects(3, 0));
         RelayedRig.figure("planned: process ended after SIGTERM", ended - told);
-        RelayedRig.figure("planned: set of voters known without it after SIGTERM, at most",
-                RelayedRig.now() - told);
+        RelayedRig.figure("planned: set of voters known without it after SIGTERM, at most", RelayedRig.now() - told);
         change("planned: change taken after the next loss", 1, 3);
         // Unplanned, right behind: the one that was lost has no disk any more; another comes elsewhere.
         rig.loseDisk(2);
--- a/src/test/java/whinlead/mesh/StateStoreCutTest.java
+++ b/src/test/java/whinlead/mesh/StateStoreCutTest.java
@@ -3,11 +3,11 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.testbed.mesh.hardening.LedgerPlay;
 import java.util.List;
 import java.util.stream.LongStream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.hardening.LedgerPlay;
 
 /** A promise that was said outlasts losses of power, on the real state store and a modelled disk. */
 public class StateStoreCutTest {
@@ -17,24 +17,33 @@
     @Test
     public void nothingSaidIsForgottenInAnySchedule() {
         // Side by side: a schedule mostly waits for the real disk.
-        long states = LongStream.range(0, SCHEDULES).parallel().map(seed -> {
-            LedgerPlay.Outcome o = LedgerPlay.play(seed, LedgerPlay.Bug.NONE);
-            assertEquals(o.broken(), List.of(), "schedule " + seed);
-            return o.figures().getOrDefault("states", 0L);
-        }).sum();
+        long states = LongStream.range(0, SCHEDULES)
+                .parallel()
+                .map(seed -> {
+                    LedgerPlay.Outcome o = LedgerPlay.play(seed, LedgerPlay.Bug.NONE);
+                    assertEquals(o.broken(), List.of(), "schedule " + seed);
+                    return o.figures().getOrDefault("states", 0L);
+                })
+                .sum();
         // Schedules in which the power hardly ever goes would show nothing.
         assertTrue(states > SCHEDULES * 4, states + " states were opened");
     }
 
     @DataProvider
     public Object[][] planted() {
-        return new Object[][] {{LedgerPlay.Bug.SYNCS_IGNORED}, {LedgerPlay.Bug.FOLDER_SYNCS_IGNORED},
-            {LedgerPlay.Bug.SAID_BEFORE_SYNC}, {LedgerPlay.Bug.KILLED_LOG_NOT_SYNCED}};
+        return new Object[][] {
+            {LedgerPlay.Bug.SYNCS_IGNORED},
+            {LedgerPlay.Bug.FOLDER_SYNCS_IGNORED},
+            {LedgerPlay.Bug.SAID_BEFORE_SYNC},
+            {LedgerPlay.Bug.KILLED_LOG_NOT_SYNCED}
+        };
     }
 
     @Test(dataProvider = "planted")
     public void aPlantedFaultIsFound(LedgerPlay.Bug bug) {
-        assertTrue(LongStream.range(0, FOUND_WITHIN)
-                .anyMatch(seed -> !LedgerPlay.play(seed, bug).broken().isEmpty()), bug + " was not found");
+        assertTrue(
+                LongStream.range(0, FOUND_WITHIN)
+                        .anyMatch(seed -> !LedgerPlay.play(seed, bug).broken().isEmpty()),
+                bug + " was not found");
     }
 }
--- a/src/test/java/whinlead/mesh/TenantQuotaTest.java
+++ b/src/test/java/whinlead/mesh/TenantQuotaTest.java
@@ -3,15 +3,15 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.quota.TenantQuota;
-import whinlead.mesh.quota.DemandTotals;
-import whinlead.mesh.quota.TenantDemand;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import org.testng.annotations.Test;
+import whinlead.mesh.quota.DemandTotals;
+import whinlead.mesh.quota.TenantDemand;
+import whinlead.mesh.quota.TenantQuota;
 
 /** What tenants get where there are many sidecars and few requests of each tenant at one of them. */
 public class TenantQuotaTest {
@@ -21,16 +21,18 @@
     private static final double EXCESS = 0.1;
     /** Of its limit, what a tenant usually asks for; and how many times as much when it is hot. */
     private static final double USUAL = 1 / 1.6;
+
     private static final double HOT = 9.6;
     /** One client asks for so many a second. */
     private static final double CLIENT = 1.4;
+
     private static final int BEGINS = 15_000;
     private static final int HOT_AT = 27_000;
     private static final int COOL_AT = 33_500;
     private static final int END = 39_000;
     private static final int TELL = 350;
 
-    private record Day(int asked, int refused, double worstOfBound) { }
+    private record Day(int asked, int refused, double worstOfBound) {}
 
     @Test
     public void ofATenantWithinItsLimitFewAreRefusedAndNoneGetsMoreThanTheRulesGive() {
@@ -44,8 +46,10 @@
                     refused += day.refused();
                     assertTrue(day.worstOfBound() <= 1, day.worstOfBound() + " of the bound, limit " + limit);
                 }
-                assertTrue(refused <= asked * 0.06 + 1, refused + " of " + asked + " refused, limit " + limit
-                        + (spread ? ", at all sidecars alike" : ", of few clients"));
+                assertTrue(
+                        refused <= asked * 0.06 + 1,
+                        refused + " of " + asked + " refused, limit " + limit
+                                + (spread ? ", at all sidecars alike" : ", of few clients"));
             }
         }
     }
@@ -101,8 +105,8 @@
         return new Day(asked, refused, worst);
     }
 
-    private static void tell(Map<Integer, List<Runnable>> post, int now, int way, TenantQuota node, DemandTotals sum,
-            String name) {
+    private static void tell(
+            Map<Integer, List<Runnable>> post, int now, int way, TenantQuota node, DemandTotals sum, String name) {
         List<TenantDemand> uses = node.uses(now);
         post.computeIfAbsent(now + way, t -> new ArrayList<>()).add(() -> {
             sum.say(now + way, name, uses);
--- a/src/test/java/whinlead/mesh/consensus/SuspicionTrackerTest.java
+++ b/src/test/java/whinlead/mesh/consensus/SuspicionTrackerTest.java
@@ -6,10 +6,10 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.consensus.Message.Opinion;
-import whinlead.mesh.consensus.Message.Reachability;
 import java.util.List;
 import org.testng.annotations.Test;
+import whinlead.mesh.consensus.Message.Opinion;
+import whinlead.mesh.consensus.Message.Reachability;
 
 /** When other voters' opinions make a silent voter removable, and for how long they count. */
 public class SuspicionTrackerTest {
--- a/src/test/java/whinlead/mesh/control/ConsensusTickerTest.java
+++ b/src/test/java/whinlead/mesh/control/ConsensusTickerTest.java
@@ -3,11 +3,11 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.engine.Timers;
 
 /** How often the consensus module acts. */
 public class ConsensusTickerTest {
@@ -53,8 +53,8 @@
         driven = new Driven();
         acts = new ArrayList<>();
         busy = false;
-        ticker = new ConsensusTicker(driven, () -> (long) (driven.now() * NANOS_IN_MILLI),
-                () -> acts.add(driven.now()), () -> busy);
+        ticker = new ConsensusTicker(
+                driven, () -> (long) (driven.now() * NANOS_IN_MILLI), () -> acts.add(driven.now()), () -> busy);
         ticker.activity();
     }
 
@@ -97,10 +97,14 @@
 
     @Test
     public void anActivityOfItsOwnActDoesNotAddATimer() {
-        ticker = new ConsensusTicker(driven, () -> (long) (driven.now() * NANOS_IN_MILLI), () -> {
-            acts.add(driven.now());
-            ticker.activity();
-        }, () -> false);
+        ticker = new ConsensusTicker(
+                driven,
+                () -> (long) (driven.now() * NANOS_IN_MILLI),
+                () -> {
+                    acts.add(driven.now());
+                    ticker.activity();
+                },
+                () -> false);
         driven.at = Double.POSITIVE_INFINITY;
         ticker.activity();
         assertTrue(actsIn(10_000) <= 401);
--- a/src/test/java/whinlead/mesh/control/SidecarContactTest.java
+++ b/src/test/java/whinlead/mesh/control/SidecarContactTest.java
@@ -3,15 +3,16 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.registry.EndpointRegistry;
-import whinlead.mesh.registry.EndpointRecord;
 import java.util.List;
 import org.testng.annotations.Test;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.registry.EndpointRegistry;
 
 /** What a control node concludes from when it heard of sidecars, and what it repeats to the others. */
 public class SidecarContactTest {
     /** How often a sidecar says its endpoint record again. */
     private static final double SAY_MS = 3100;
+
     private static final String NODE = "10.0.0.1:80";
 
     private static EndpointRecord record(long seq, EndpointRecord.Phase phase) {
--- a/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
@@ -4,7 +4,6 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.storage.StateStoreException;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -15,10 +14,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
+import whinlead.mesh.storage.StateStoreException;
 
 /**
- * The two threads that share a control node's memory, its loop and the one that writes to the disk, switched at
- * every point where one hands over to the other, in a seeded order; and as real threads that give way there.
+ * The two threads that share a control node's memory, its loop and the one that writes to the disk, switched at every
+ * point where one hands over to the other, in a seeded order; and as real threads that give way there.
  */
 public class StateWriterHandOverTest {
     private static final int SCHEDULES = 5000;
@@ -143,11 +143,14 @@
             BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
             SplittableRandom disk = new SplittableRandom(run);
             SplittableRandom own = disk.split();
-            StateWriter stateWriter = new StateWriter(bytes -> {
-                giveWay(disk);
-                record.written(memory(bytes));
-                giveWay(disk);
-            }, loop::add, () -> 0);
+            StateWriter stateWriter = new StateWriter(
+                    bytes -> {
+                        giveWay(disk);
+                        record.written(memory(bytes));
+                        giveWay(disk);
+                    },
+                    loop::add,
+                    () -> 0);
             stateWriter.start();
             int next = 0;
             while (record.said < MEMORIES - 1) {
--- a/src/test/java/whinlead/mesh/control/StateWriterTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterTest.java
@@ -4,7 +4,6 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.storage.StateStoreException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.mesh.storage.StateStoreException;
 
 /** What is said only once it is on disk, on disks that stall, are slow, are full or fail. */
 public class StateWriterTest {
@@ -25,6 +25,7 @@
     private double now;
     /** Happens while the disk is at work. */
     private Runnable meanwhile;
+
     private StateWriter stateWriter;
 
     @BeforeMethod
@@ -34,13 +35,13 @@
         loop.clear();
         full = false;
         now = 0;
-        meanwhile = () -> { };
+        meanwhile = () -> {};
         stateWriter = new StateWriter(this::write, loop::add, () -> now);
     }
 
     private void write(byte[] memory) throws StateStoreException {
         Runnable task = meanwhile;
-        meanwhile = () -> { };
+        meanwhile = () -> {};
         task.run();
         if (full) {
             throw new StateStoreException("the state store can't be written: disk is full");
@@ -163,14 +164,17 @@
     public void theThreadTriesAgainByItself() throws InterruptedException {
         CountDownLatch written = new CountDownLatch(1);
         int[] tries = new int[1];
-        StateWriter alone = new StateWriter(memory -> {
-            if (++tries[0] < 3) {
-                throw new StateStoreException("the state store can't be written: disk is full");
-            }
-            written.countDown();
-        }, Runnable::run, () -> 0);
+        StateWriter alone = new StateWriter(
+                memory -> {
+                    if (++tries[0] < 3) {
+                        throw new StateStoreException("the state store can't be written: disk is full");
+                    }
+                    written.countDown();
+                },
+                Runnable::run,
+                () -> 0);
         alone.start();
-        alone.write(new byte[] {1}, () -> { });
+        alone.write(new byte[] {1}, () -> {});
         assertTrue(written.await(WAIT_S, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/whinlead/mesh/registry/EndpointRegistryTest.java
+++ b/src/test/java/whinlead/mesh/registry/EndpointRegistryTest.java
@@ -15,7 +15,8 @@
 
     private static Set<EndpointRecord> walked(EndpointRegistry endpointRegistry, String service) {
         Set<EndpointRecord> open = new HashSet<>(endpointRegistry.all());
-        open.removeIf(l -> l.phase() == EndpointRecord.Phase.GONE || l.endpoint().isEmpty()
+        open.removeIf(l -> l.phase() == EndpointRecord.Phase.GONE
+                || l.endpoint().isEmpty()
                 || !l.target().equals(service));
         return open;
     }
@@ -26,11 +27,19 @@
             Random random = new Random(seed);
             EndpointRegistry endpointRegistry = new EndpointRegistry();
             for (int i = 0; i < 400; i++) {
-                endpointRegistry.merge(new EndpointRecord("node-" + random.nextInt(NODES), random.nextInt(3),
-                        random.nextInt(40), "zone", random.nextInt(4) == 0 ? "" : "endpoint",
+                endpointRegistry.merge(new EndpointRecord(
+                        "node-" + random.nextInt(NODES),
+                        random.nextInt(3),
+                        random.nextInt(40),
+                        "zone",
+                        random.nextInt(4) == 0 ? "" : "endpoint",
                         SERVICES.get(random.nextInt(SERVICES.size())),
-                        EndpointRecord.Phase.values()[random.nextInt(3)], 6, 0));
-                long present = endpointRegistry.all().stream().filter(l -> l.phase() != EndpointRecord.Phase.GONE).count();
+                        EndpointRecord.Phase.values()[random.nextInt(3)],
+                        6,
+                        0));
+                long present = endpointRegistry.all().stream()
+                        .filter(l -> l.phase() != EndpointRecord.Phase.GONE)
+                        .count();
                 assertEquals(endpointRegistry.present(), present);
                 for (String service : SERVICES) {
                     List<EndpointRecord> kept = endpointRegistry.endpoints(service);
--- a/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
+++ b/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
@@ -27,8 +27,9 @@
     public void connect() {
         open = new ArrayList<>();
         channel = new EmbeddedChannel();
-        channel.pipeline().addLast(new RpcServer(channel.eventLoop(), new ObjectMapper(),
-                (order, answer) -> open.add(answer)).handlers());
+        channel.pipeline()
+                .addLast(new RpcServer(channel.eventLoop(), new ObjectMapper(), (order, answer) -> open.add(answer))
+                        .handlers());
     }
 
     private void say(String text) {
--- a/src/test/java/whinlead/mesh/rpc/RpcServerTest.java
+++ b/src/test/java/whinlead/mesh/rpc/RpcServerTest.java
@@ -5,7 +5,6 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.testbed.mesh.Talk;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
@@ -23,11 +22,11 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.Talk;
 
 /** Calls over sockets: each is answered once, in the order of the calls of its connection. */
 public class RpcServerTest {
-    private static final String READ =
-            "POST /whinlead/rpc?call=config.read HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
+    private static final String READ = "POST /whinlead/rpc?call=config.read HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
     private static final String NO_CALL = READ.replace("config.read", "config.none");
     private static final long WAIT_S = 10;
 
@@ -40,7 +39,9 @@
         open.clear();
         loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         listener = new RpcServer(loops.next(), new ObjectMapper(), (order, answer) -> open.add(answer))
-                .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+                .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -49,8 +50,8 @@
     }
 
     private Talk talk(String said) throws Exception {
-        Talk talk = new Talk(new Socket(InetAddress.getLoopbackAddress(),
-                ((InetSocketAddress) listener.localAddress()).getPort()));
+        Talk talk = new Talk(
+                new Socket(InetAddress.getLoopbackAddress(), ((InetSocketAddress) listener.localAddress()).getPort()));
         talk.raw(said.getBytes(StandardCharsets.ISO_8859_1));
         return talk;
     }
@@ -133,7 +134,13 @@
             here.accept(answer("here"));
             assertEquals(talk.hear().text(), "here");
         }
-        assertEquals(Talk.ask("127.0.0.1:" + ((InetSocketAddress) listener.localAddress()).getPort(),
-                "POST /none", Map.of(), new byte[0]).status(), 404);
+        assertEquals(
+                Talk.ask(
+                                "127.0.0.1:" + ((InetSocketAddress) listener.localAddress()).getPort(),
+                                "POST /none",
+                                Map.of(),
+                                new byte[0])
+                        .status(),
+                404);
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/AlignedTimersTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/AlignedTimersTest.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.engine.Timers;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.TreeSet;
 import org.testng.annotations.Test;
+import whinlead.engine.Timers;
 
 /** How often a sidecar wakes for its services' modules. */
 public class AlignedTimersTest {
@@ -16,7 +16,7 @@
 
     /** A driven clock with its due tasks. */
     private static final class Driven implements Timers {
-        private record Due(double at, Runnable task) { }
+        private record Due(double at, Runnable task) {}
 
         private final List<Due> due = new ArrayList<>();
         private final TreeSet<Double> wakes = new TreeSet<>();
@@ -36,7 +36,9 @@
 
         private void until(double end) {
             while (true) {
-                Due next = due.stream().min((a, b) -> Double.compare(a.at(), b.at())).orElse(null);
+                Due next = due.stream()
+                        .min((a, b) -> Double.compare(a.at(), b.at()))
+                        .orElse(null);
                 if (next == null || next.at() > end) {
                     now = end;
                     return;
--- a/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
@@ -4,9 +4,6 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.engine.Timers;
-import whinlead.plan.Calendar;
-import whinlead.mesh.config.MeshConfig;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -18,6 +15,9 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.engine.Timers;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.plan.Calendar;
 
 /** One client's connection, byte by byte: which requests are taken, and whose answer goes out when. */
 public class ClientConnectionTest {
@@ -106,8 +106,7 @@
     }
 
     private static String post(String path, String more, int length, String body) {
-        return "POST " + path + " HTTP/1.1\r\n" + HOST + more + "Content-Length: " + length + "\r\n\r\n"
-                + body;
+        return "POST " + path + " HTTP/1.1\r\n" + HOST + more + "Content-Length: " + length + "\r\n\r\n" + body;
     }
 
     private void answer(int turn, String body) {
@@ -217,8 +216,7 @@
 
     @Test
     public void whatCannotBeReadMidwayIsNotTaken() {
-        say("POST /a HTTP/1.1\r\n" + HOST + "Transfer-Encoding: chunked\r\n\r\n2\r\nxx\r\nzz\r\n"
-                + get("/b"));
+        say("POST /a HTTP/1.1\r\n" + HOST + "Transfer-Encoding: chunked\r\n\r\n2\r\nxx\r\nzz\r\n" + get("/b"));
         assertTrue(heard().startsWith("HTTP/1.1 400"));
         assertEquals(taken, List.of());
         assertEquals(held, 0);
--- a/src/test/java/whinlead/mesh/sidecar/DemandReportsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DemandReportsTest.java
@@ -3,11 +3,11 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import java.util.List;
+import org.testng.annotations.Test;
 import whinlead.mesh.quota.DemandTotals;
 import whinlead.mesh.quota.TenantDemand;
 import whinlead.mesh.sidecar.DemandReports.Audience;
-import java.util.List;
-import org.testng.annotations.Test;
 
 /** What an idle sidecar leaves unsaid, and that the sums are no worse for it. */
 public class DemandReportsTest {
--- a/src/test/java/whinlead/mesh/sidecar/DesignTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DesignTest.java
@@ -3,9 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.Contract;
-import whinlead.decide.Decide;
-import whinlead.decide.NoActions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,6 +10,9 @@
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.Contract;
+import whinlead.decide.Decide;
+import whinlead.decide.NoActions;
 
 /** The design on a sidecar's ordinary path: the real module with the settings that a service balancer gives it. */
 public class DesignTest {
@@ -52,10 +52,10 @@
             sends.merge(server, 1, Integer::sum);
             did.add("send");
             int attempt = attempts.merge(r.id, 1, Integer::sum) - 1;
-            Contract.Outcome how = acceptsEach > 0 ? accept(server)
-                    : answers.getOrDefault(server, Contract.Outcome.SERVED);
-            due.add(() -> module.outcome(now, r, attempt, how, how.neverRan ? 1 : TOOK,
-                    how == Contract.Outcome.SERVED, null));
+            Contract.Outcome how =
+                    acceptsEach > 0 ? accept(server) : answers.getOrDefault(server, Contract.Outcome.SERVED);
+            due.add(() -> module.outcome(
+                    now, r, attempt, how, how.neverRan ? 1 : TOOK, how == Contract.Outcome.SERVED, null));
         }
 
         @Override
--- a/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -3,14 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.plan.Calendar;
-import whinlead.mesh.quota.TenantQuota;
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.config.RoutingTable;
-import whinlead.mesh.config.MeshConfig;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.ReconnectingConnection;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -24,11 +16,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.quota.TenantQuota;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
+import whinlead.plan.Calendar;
 
 /**
- * Requests from a client's connection through the real egress, engine, module and round, by a driven clock:
- * to how many endpoints they are sent, with what time, when they are answered, and what a client that leaves
- * leaves behind.
+ * Requests from a client's connection through the real egress, engine, module and round, by a driven clock: to how many
+ * endpoints they are sent, with what time, when they are answered, and what a client that leaves leaves behind.
  */
 public class EgressListenerTest {
     private static final int NODES = 5;
@@ -38,7 +37,7 @@
     private static final String END = "\r\n\r\n";
 
     /** What was written to another sidecar, and when. */
-    private record Written(Path path, double at, PeerMessage.ForwardRequest forwardRequest) { }
+    private record Written(Path path, double at, PeerMessage.ForwardRequest forwardRequest) {}
 
     /** A path to another sidecar that connects after a time and reacts to requests as the test says. */
     private final class Path implements RequestForwarder.Path {
@@ -96,28 +95,46 @@
     public void start() {
         calendar = new Calendar();
         connectMs = CONNECT_MS;
-        reaction = (path, forwardRequest) -> { };
+        reaction = (path, forwardRequest) -> {};
         written = new ArrayList<>();
         cancels = new ArrayList<>();
         heard = new StringBuilder();
         RequestClasses classes = new RequestClasses();
-        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "here", (forwardRequest, done) -> { },
-                (node, ear) -> new Path(ear), () -> { });
-        ServiceBalancer balancer = new ServiceBalancer(calendar, classes, settings(), NODES, 1, round, null, new RetryBudget(10, 1000));
+        RequestForwarder round = new RequestForwarder(
+                calendar,
+                task -> calendar.after(0, task),
+                "here",
+                (forwardRequest, done) -> {},
+                (node, ear) -> new Path(ear),
+                () -> {});
+        ServiceBalancer balancer =
+                new ServiceBalancer(calendar, classes, settings(), NODES, 1, round, null, new RetryBudget(10, 1000));
         List<EndpointRecord> records = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             records.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 4, 0));
         }
         balancer.update(records);
-        routing = new RoutingTable(1, new MeshConfig("00000001", Map.of(
-                "once", route("/once/", MeshConfig.IDEMPOTENT, 1),
-                "twice", route("/twice/", MeshConfig.IDEMPOTENT, 2),
-                "thrice", route("/thrice/", MeshConfig.IDEMPOTENT, 3),
-                "sign", route("/sign/", MeshConfig.MUTATING, 2)),
-                Map.of("svc", new MeshConfig.Service("/health", 100)), new MeshConfig.Limits(16384, 1000, 3, 15),
-                null));
-        EgressListener egress = new EgressListener(null, calendar, () -> routing, (target, large) -> balancer, () -> "own",
-                () -> NODES, new TenantQuota(0, 20, 0.1, 5, 1), classes);
+        routing = new RoutingTable(
+                1,
+                new MeshConfig(
+                        "00000001",
+                        Map.of(
+                                "once", route("/once/", MeshConfig.IDEMPOTENT, 1),
+                                "twice", route("/twice/", MeshConfig.IDEMPOTENT, 2),
+                                "thrice", route("/thrice/", MeshConfig.IDEMPOTENT, 3),
+                                "sign", route("/sign/", MeshConfig.MUTATING, 2)),
+                        Map.of("svc", new MeshConfig.Service("/health", 100)),
+                        new MeshConfig.Limits(16384, 1000, 3, 15),
+                        null));
+        EgressListener egress = new EgressListener(
+                null,
+                calendar,
+                () -> routing,
+                (target, large) -> balancer,
+                () -> "own",
+                () -> NODES,
+                new TenantQuota(0, 20, 0.1, 5, 1),
+                classes);
         channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
@@ -131,7 +148,8 @@
     }
 
     private static NodeSettings settings() {
-        return new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
+        return new NodeSettings(
+                new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
                 new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(7000, 7001), List.of()),
                 new NodeSettings.Substrate(1),
                 new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
@@ -178,7 +196,11 @@
 
     @DataProvider
     public Object[][] losses() {
-        return new Object[][] {{ReconnectingConnection.State.DOWN, 5.0}, {ReconnectingConnection.State.SUSPECT, 300.0}, {ReconnectingConnection.State.DOWN, 300.0}};
+        return new Object[][] {
+            {ReconnectingConnection.State.DOWN, 5.0},
+            {ReconnectingConnection.State.SUSPECT, 300.0},
+            {ReconnectingConnection.State.DOWN, 300.0}
+        };
     }
 
     @Test(dataProvider = "losses")
@@ -193,7 +215,9 @@
             assertEquals(written.size(), tries);
             assertEquals(written.stream().map(Written::path).distinct().count(), tries);
             // Silence ends nothing that may be asked of nobody else; its endpoint has until the deadline.
-            assertTrue(heard.toString().startsWith(to == ReconnectingConnection.State.SUSPECT ? "HTTP/1.1 504" : "HTTP/1.1 502"),
+            assertTrue(
+                    heard.toString()
+                            .startsWith(to == ReconnectingConnection.State.SUSPECT ? "HTTP/1.1 504" : "HTTP/1.1 502"),
                     heard.toString());
         }
     }
@@ -203,8 +227,10 @@
         reaction = (path, forwardRequest) -> {
             calendar.after(300, () -> path.to(ReconnectingConnection.State.SUSPECT));
             calendar.after(900, () -> path.to(ReconnectingConnection.State.UP));
-            calendar.after(1800, () -> path.ear.message(new PeerMessage.ForwardResponse(forwardRequest.stream(), 200,
-                    List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
+            calendar.after(
+                    1800,
+                    () -> path.ear.message(new PeerMessage.ForwardResponse(
+                            forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         };
         say(whole("/once/", ""));
         assertEquals(Math.floor(answered(DEADLINE_MS) / 100), 18.0);
@@ -216,7 +242,8 @@
     public void whatWasTurnedAwayBesideAnEndpointDoesNotCountAsSentToIt() {
         reaction = (path, forwardRequest) -> calendar.after(1, () -> {
             if (written.size() == 1) {
-                path.ear.message(new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.FULL, 0, 0));
+                path.ear.message(
+                        new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.FULL, 0, 0));
             } else {
                 path.to(ReconnectingConnection.State.DOWN);
             }
@@ -237,8 +264,9 @@
 
     @DataProvider
     public Object[][] deadlines() {
-        return new Object[][] {{"", DEADLINE_MS}, {"Deadline-Ms: 9000\r\n", DEADLINE_MS},
-                {"Deadline-Ms: 1500\r\n", 1500.0}};
+        return new Object[][] {
+            {"", DEADLINE_MS}, {"Deadline-Ms: 9000\r\n", DEADLINE_MS}, {"Deadline-Ms: 1500\r\n", 1500.0}
+        };
     }
 
     @Test(dataProvider = "deadlines")
@@ -346,8 +374,9 @@
             runTo(100);
             assertEquals(cancels, List.of());
             channel.close();
-            assertEquals(cancels, List.of(new PeerMessage.Cancel(written.get(0).forwardRequest.stream(),
-                    !path.equals("/sign/"))));
+            assertEquals(
+                    cancels,
+                    List.of(new PeerMessage.Cancel(written.get(0).forwardRequest.stream(), !path.equals("/sign/"))));
             runTo(2 * DEADLINE_MS);
             assertEquals(cancels.size(), 1);
         }
@@ -355,8 +384,10 @@
 
     @Test
     public void nothingIsCancelledOnceItIsAnswered() {
-        reaction = (path, forwardRequest) -> calendar.after(5, () -> path.ear.message(new PeerMessage.ForwardResponse(
-                forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
+        reaction = (path, forwardRequest) -> calendar.after(
+                5,
+                () -> path.ear.message(new PeerMessage.ForwardResponse(
+                        forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         say(whole("/thrice/", ""));
         answered(100);
         channel.close();
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -4,8 +4,6 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.plan.Calendar;
-import whinlead.mesh.wire.PeerMessage;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandler;
@@ -21,6 +19,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.plan.Calendar;
 
 /** The way to the endpoint, byte by byte: whose answer it is, how often it was asked, what is said of it. */
 public class EndpointConnectionsTest {
@@ -59,11 +59,15 @@
     }
 
     private EndpointConnections.Sent ask(String id, String method) {
-        PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(1, method, "/x", List.of("Host", "h", "Attempt-Id", id),
-                new byte[0], LEFT_MS, "svc", "i-1", 0);
-        return line.send(request, "i-1", message -> told.add(id + " " + (message instanceof PeerMessage.ForwardResponse d
-                ? d.status() + " " + new String(d.body(), StandardCharsets.US_ASCII)
-                : ((PeerMessage.ForwardFailure) message).why())));
+        PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(
+                1, method, "/x", List.of("Host", "h", "Attempt-Id", id), new byte[0], LEFT_MS, "svc", "i-1", 0);
+        return line.send(
+                request,
+                "i-1",
+                message -> told.add(id + " "
+                        + (message instanceof PeerMessage.ForwardResponse d
+                                ? d.status() + " " + new String(d.body(), StandardCharsets.US_ASCII)
+                                : ((PeerMessage.ForwardFailure) message).why())));
     }
 
     private void say(int connection, String text) {
@@ -150,8 +154,11 @@
         ask("a");
         say(0, served("a"));
         told.clear();
-        line.send(new PeerMessage.ForwardRequest(2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], LEFT_MS, "svc", "i-1",
-                0), "i-1", message -> told.add("b " + ((PeerMessage.ForwardFailure) message).why()));
+        line.send(
+                new PeerMessage.ForwardRequest(
+                        2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], LEFT_MS, "svc", "i-1", 0),
+                "i-1",
+                message -> told.add("b " + ((PeerMessage.ForwardFailure) message).why()));
         assertEquals(told, List.of("b UNREACHED"));
         ask("c");
         say(1, served("c"));
@@ -185,8 +192,7 @@
         String cut = served("a");
         return new Object[][] {
             {"200 without a seal", answer("200 OK", "a", "x", ""), "a BROKEN"},
-            {"200 encoded", answer("200 OK", "a", "x", "Server-Seal: s\r\nContent-Encoding: gzip\r\n"),
-                "a BROKEN"},
+            {"200 encoded", answer("200 OK", "a", "x", "Server-Seal: s\r\nContent-Encoding: gzip\r\n"), "a BROKEN"},
             {"503 without a word on it", answer("503 Full", "a", "", ""), "a BROKEN"},
             {"429 without a word on it", answer("429 Many", "a", "", ""), "a BROKEN"},
             {"408 without a word on it", answer("408 Late", "a", "", ""), "a BROKEN"},
@@ -194,17 +200,27 @@
             {"421", answer("421 Misdirected", "a", "", ""), "a MOVED"},
             {"500", answer("500 Error", "a", "no", ""), "a 500 no"},
             {"504", answer("504 Late", "a", "no", ""), "a 504 no"},
-            {"interim ones first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nAttempt-Id: a\r\n\r\n"
-                + cut, "a 200 of a"},
+            {
+                "interim ones first",
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nAttempt-Id: a\r\n\r\n" + cut,
+                "a 200 of a"
+            },
             {"no HTTP", "ice cream\r\n\r\n", "a BROKEN"},
             {"no HTTP before it", "ice\r\n" + cut, "a BROKEN"},
-            {"another coding", "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\n"
-                + "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nof\r\n0\r\n\r\n", "a BROKEN"},
-            {"two framings", cut.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"),
-                "a BROKEN"},
+            {
+                "another coding",
+                "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\n"
+                        + "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nof\r\n0\r\n\r\n",
+                "a BROKEN"
+            },
+            {"two framings", cut.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), "a BROKEN"},
             {"two lengths", cut.replace("Content-Length", "Content-Length: 1\r\nContent-Length"), "a BROKEN"},
-            {"a spoilt chunk", "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\n"
-                + "Transfer-Encoding: chunked\r\n\r\n2\r\nof\r\nzz\r\n", "a BROKEN"},
+            {
+                "a spoilt chunk",
+                "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\n"
+                        + "Transfer-Encoding: chunked\r\n\r\n2\r\nof\r\nzz\r\n",
+                "a BROKEN"
+            },
         };
     }
 
@@ -260,8 +276,10 @@
     @Test
     public void aConnectionCannotTakeAwayTheProofOfAnAnswer() {
         HttpHeaders headers = new DefaultHttpHeaders();
-        headers.add("Connection", "close, Server-Seal, Attempt-Id, X-Hop").add("Server-Seal", "s")
-                .add("Attempt-Id", "a").add("X-Hop", "1");
+        headers.add("Connection", "close, Server-Seal, Attempt-Id, X-Hop")
+                .add("Server-Seal", "s")
+                .add("Attempt-Id", "a")
+                .add("X-Hop", "1");
         assertEquals(ForwardedHeaders.onward(headers, false), List.of("Server-Seal", "s", "Attempt-Id", "a"));
     }
 
--- a/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
@@ -3,8 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.testbed.mesh.Talk;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -23,6 +21,8 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.testbed.mesh.Talk;
 
 /** The way to the endpoint over sockets: ends and resets as told by the system, bodies beyond its buffers. */
 public class EndpointSocketTest {
@@ -52,11 +52,15 @@
     }
 
     private void ask(String id, byte[] body) {
-        PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(1, "POST", "/" + id, List.of("Attempt-Id", id), body,
-                WAIT_MS, "svc", "i-1", 0);
-        loop.execute(() -> line.send(request, "i-1", message -> told.add(id + " "
-                + (message instanceof PeerMessage.ForwardResponse d ? d.status() + " " + d.body().length
-                        : ((PeerMessage.ForwardFailure) message).why()))));
+        PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(
+                1, "POST", "/" + id, List.of("Attempt-Id", id), body, WAIT_MS, "svc", "i-1", 0);
+        loop.execute(() -> line.send(
+                request,
+                "i-1",
+                message -> told.add(id + " "
+                        + (message instanceof PeerMessage.ForwardResponse d
+                                ? d.status() + " " + d.body().length
+                                : ((PeerMessage.ForwardFailure) message).why()))));
     }
 
     private String told() throws InterruptedException {
@@ -111,13 +115,15 @@
         ask("next", new byte[0]);
         Socket second = accept();
         assertTrue(head(second.getInputStream()).startsWith("POST /next "));
-        say(second, "HTTP/1.1 200 OK\r\nAttempt-Id: next\r\nServer-Seal: s\r\nConnection: close\r\n"
-                + "Content-Length: 0\r\n\r\n");
+        say(
+                second,
+                "HTTP/1.1 200 OK\r\nAttempt-Id: next\r\nServer-Seal: s\r\nConnection: close\r\n"
+                        + "Content-Length: 0\r\n\r\n");
         assertEquals(told(), "next 200 0");
         assertEquals(first.getInputStream().readNBytes(LONG_BODY), body);
         second.close();
         // Once it is, the connection serves again.
-        loop.submit(() -> { }).get(WAIT_MS, TimeUnit.MILLISECONDS);
+        loop.submit(() -> {}).get(WAIT_MS, TimeUnit.MILLISECONDS);
         ask("last", new byte[0]);
         assertTrue(head(first.getInputStream()).startsWith("POST /last "));
         say(first, "HTTP/1.1 200 OK\r\nAttempt-Id: last\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n");
--- a/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
@@ -2,11 +2,11 @@
 
 import static org.testng.Assert.assertEquals;
 
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.TransitClock;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.TransitClock;
 
 /** What is left of a forwarded request's time, also where the process that gets it stood still. */
 public class ForwardedTimeTest {
@@ -22,8 +22,8 @@
     }
 
     private static PeerMessage.ForwardRequest written(double at) {
-        return new PeerMessage.ForwardRequest(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0,
-                (long) (at * 1000));
+        return new PeerMessage.ForwardRequest(
+                1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0, (long) (at * 1000));
     }
 
     @Test
@@ -61,8 +61,8 @@
 
     @Test
     public void aPeerThatStampsNothingIsTakenAtItsWord() {
-        PeerMessage.ForwardRequest unstamped = new PeerMessage.ForwardRequest(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc",
-                "i-1", 0);
+        PeerMessage.ForwardRequest unstamped =
+                new PeerMessage.ForwardRequest(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0);
         assertEquals(time.left(FROZEN_MS, new TransitClock(), unstamped), LEFT_MS);
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
@@ -4,14 +4,6 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.plan.Calendar;
-import whinlead.mesh.settings.NodeSettings;
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.rpc.RpcCall;
-import whinlead.mesh.config.RoutingTable;
-import whinlead.mesh.config.MeshConfig;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.ReconnectingConnection;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -24,10 +16,18 @@
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.rpc.RpcCall;
+import whinlead.mesh.settings.NodeSettings;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
+import whinlead.plan.Calendar;
 
 /**
- * No kind of request fares worse than another for where it comes from: routes that were added later, and
- * calls of endpoints, which carry no key. Requests go through the real client side, by a driven clock.
+ * No kind of request fares worse than another for where it comes from: routes that were added later, and calls of
+ * endpoints, which carry no key. Requests go through the real client side, by a driven clock.
  */
 public class KindsOfRequestsTest {
     private static final int ADDED = 350;
@@ -65,8 +65,10 @@
         public boolean send(PeerMessage message) {
             PeerMessage.ForwardRequest forwardRequest = (PeerMessage.ForwardRequest) message;
             sent.add(forwardRequest);
-            calendar.after(1, () -> ear.message(new PeerMessage.ForwardResponse(forwardRequest.stream(), 200,
-                    List.of("Server-Seal", "s"), new byte[0], 0, 0)));
+            calendar.after(
+                    1,
+                    () -> ear.message(new PeerMessage.ForwardResponse(
+                            forwardRequest.stream(), 200, List.of("Server-Seal", "s"), new byte[0], 0, 0)));
             return true;
         }
 
@@ -87,9 +89,15 @@
     public void start() {
         calendar = new Calendar();
         sent = new ArrayList<>();
-        RequestForwarder round = new RequestForwarder(calendar, task -> calendar.after(0, task), "here", (forwardRequest, done) -> { },
-                (node, ear) -> new Answering(ear), () -> { });
-        NodeSettings nodeSettings = new NodeSettings(new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
+        RequestForwarder round = new RequestForwarder(
+                calendar,
+                task -> calendar.after(0, task),
+                "here",
+                (forwardRequest, done) -> {},
+                (node, ear) -> new Answering(ear),
+                () -> {});
+        NodeSettings nodeSettings = new NodeSettings(
+                new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
                 new NodeSettings.Network(new NodeSettings.Bind(null, null, null, null), List.of(1, 1), List.of()),
                 new NodeSettings.Substrate(1),
                 new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
@@ -111,9 +119,14 @@
     }
 
     private void inForce(long slot) {
-        routing = new RoutingTable(slot, new MeshConfig("%08x".formatted(slot), new LinkedHashMap<>(routes),
-                Map.of("svc", new MeshConfig.Service("/health", 100)), new MeshConfig.Limits(16384, 1000, 3, 15),
-                Map.of("t-1", new MeshConfig.Tenant(List.of("key-1"), 1, ratePerS, ratePerS))));
+        routing = new RoutingTable(
+                slot,
+                new MeshConfig(
+                        "%08x".formatted(slot),
+                        new LinkedHashMap<>(routes),
+                        Map.of("svc", new MeshConfig.Service("/health", 100)),
+                        new MeshConfig.Limits(16384, 1000, 3, 15),
+                        Map.of("t-1", new MeshConfig.Tenant(List.of("key-1"), 1, ratePerS, ratePerS))));
     }
 
     private int status(String path, String headers) {
@@ -131,7 +144,8 @@
             calendar.runTo(calendar.now() + 1);
             answer = client.readOutbound();
         }
-        int status = Integer.parseInt(answer.toString(StandardCharsets.ISO_8859_1).split(" ")[1]);
+        int status =
+                Integer.parseInt(answer.toString(StandardCharsets.ISO_8859_1).split(" ")[1]);
         answer.release();
         client.close();
         return status;
@@ -151,7 +165,8 @@
         assertEquals(served, ADDED, "served as the first one");
         assertEquals(status("/first/", KEY), 200);
         // The module tells requests apart by class alone, and these are of one class.
-        assertEquals(sent.stream().map(PeerMessage.ForwardRequest::rank).distinct().count(), 1);
+        assertEquals(
+                sent.stream().map(PeerMessage.ForwardRequest::rank).distinct().count(), 1);
     }
 
     @Test
--- a/src/test/java/whinlead/mesh/sidecar/OutdatedListsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/OutdatedListsTest.java
@@ -3,14 +3,14 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.registry.EndpointRegistry;
-import whinlead.mesh.registry.EndpointRecord;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.registry.EndpointRegistry;
 
 /** That a change makes anew the lists of the services that it concerns, and no others. */
 public class OutdatedListsTest {
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
@@ -5,8 +5,6 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -24,6 +22,8 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 
 /** Requests over real connections to a peer that plays the far sidecar. */
 public class RequestForwarderSocketTest {
@@ -46,8 +46,13 @@
     }
 
     private RequestForwarder round() {
-        return new RequestForwarder(loop, "here", (request, done) -> { }, new PeerMessage.Hello("here", false),
-                node -> server.getLocalSocketAddress(), () -> { });
+        return new RequestForwarder(
+                loop,
+                "here",
+                (request, done) -> {},
+                new PeerMessage.Hello("here", false),
+                node -> server.getLocalSocketAddress(),
+                () -> {});
     }
 
     @AfterMethod(alwaysRun = true)
@@ -97,12 +102,17 @@
 
     private void send(String id) {
         RequestForwarder from = round;
-        loop.execute(() -> from.send("there", new PeerMessage.ForwardRequest(0, "POST", "/x", List.of("Attempt-Id", id),
-                new byte[0], WAIT_MS, "svc", "i-1", 0), false, message -> told.add(id + " " + what(message))));
+        loop.execute(() -> from.send(
+                "there",
+                new PeerMessage.ForwardRequest(
+                        0, "POST", "/x", List.of("Attempt-Id", id), new byte[0], WAIT_MS, "svc", "i-1", 0),
+                false,
+                message -> told.add(id + " " + what(message))));
     }
 
     private static String what(PeerMessage message) {
-        return message instanceof PeerMessage.ForwardResponse d ? Integer.toString(d.status())
+        return message instanceof PeerMessage.ForwardResponse d
+                ? Integer.toString(d.status())
                 : ((PeerMessage.ForwardFailure) message).why().toString();
     }
 
@@ -159,7 +169,8 @@
             DataInputStream in = new DataInputStream(peer.socket.getInputStream());
             assertEquals(PeerMessageCodec.read(in.readNBytes(in.readInt())), new PeerMessage.Hello("here", false));
             PeerMessage.Ping ping = (PeerMessage.Ping) PeerMessageCodec.read(in.readNBytes(in.readInt()));
-            PeerMessage.ForwardRequest a = (PeerMessage.ForwardRequest) PeerMessageCodec.read(in.readNBytes(in.readInt()));
+            PeerMessage.ForwardRequest a =
+                    (PeerMessage.ForwardRequest) PeerMessageCodec.read(in.readNBytes(in.readInt()));
             assertNotEquals(ping.sentAt(), PeerMessage.UNSTAMPED);
             long apart = a.sentAt() - ping.sentAt();
             assertTrue(apart >= 0 && apart < WAIT_MS * 1000L, "by one clock: " + apart);
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -4,15 +4,15 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.engine.Transport;
-import whinlead.plan.Calendar;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.ReconnectingConnection;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.engine.Transport;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.ReconnectingConnection;
+import whinlead.plan.Calendar;
 
 /** Requests on their way to other sidecars, over paths that break, are silent, or are made anew. */
 public class RequestForwarderTest {
@@ -77,11 +77,17 @@
         soon = new ArrayDeque<>();
         paths = new ArrayList<>();
         told = new ArrayList<>();
-        round = new RequestForwarder(calendar, soon::add, "here", (request, done) -> { }, (node, ear) -> {
-            Script path = new Script(ear);
-            paths.add(path);
-            return path;
-        }, () -> { });
+        round = new RequestForwarder(
+                calendar,
+                soon::add,
+                "here",
+                (request, done) -> {},
+                (node, ear) -> {
+                    Script path = new Script(ear);
+                    paths.add(path);
+                    return path;
+                },
+                () -> {});
     }
 
     private void soon() {
@@ -91,10 +97,16 @@
     }
 
     private Transport.Sending send(String id, boolean repeatable) {
-        PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(0, "POST", "/x", List.of("Attempt-Id", id), new byte[0],
-                LEFT_MS, "svc", "i-1", 0);
-        Transport.Sending sending = round.send("there", draft, repeatable, message -> told.add(id + " "
-                + (message instanceof PeerMessage.ForwardResponse d ? d.status() : ((PeerMessage.ForwardFailure) message).why())));
+        PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(
+                0, "POST", "/x", List.of("Attempt-Id", id), new byte[0], LEFT_MS, "svc", "i-1", 0);
+        Transport.Sending sending = round.send(
+                "there",
+                draft,
+                repeatable,
+                message -> told.add(id + " "
+                        + (message instanceof PeerMessage.ForwardResponse d
+                                ? d.status()
+                                : ((PeerMessage.ForwardFailure) message).why())));
         soon();
         return sending;
     }
--- a/src/test/java/whinlead/mesh/sidecar/StartupConfigTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/StartupConfigTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 
-import whinlead.mesh.consensus.Decision;
 import java.util.List;
 import org.testng.annotations.Test;
+import whinlead.mesh.consensus.Decision;
 
 /** What a sidecar without a configuration begins with. */
 public class StartupConfigTest {
--- a/src/test/java/whinlead/mesh/sidecar/TicklessModuleTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/TicklessModuleTest.java
@@ -3,8 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.Contract;
-import whinlead.decide.Decide;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -13,6 +11,8 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import org.testng.annotations.Test;
+import whinlead.Contract;
+import whinlead.decide.Decide;
 
 /** That a balancer which sleeps while it is idle decides exactly as one that is woken each period. */
 public class TicklessModuleTest {
@@ -23,10 +23,10 @@
 
     /** A driven clock that carries out a balancer's decisions and notes them. */
     private static final class Driver implements Contract.Actions {
-        private record Due(double at, long order, Runnable task) { }
+        private record Due(double at, long order, Runnable task) {}
 
-        private final PriorityQueue<Due> due = new PriorityQueue<>(
-                Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+        private final PriorityQueue<Due> due =
+                new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
         private final List<String> decisions = new ArrayList<>();
         private final Map<Long, Integer> attempts = new HashMap<>();
         private final Contract.Settings settings = ServiceBalancer.settings(new RequestClasses(), 2.5, 14);
@@ -56,10 +56,13 @@
             int attempt = attempts.merge(request.id, 1, Integer::sum) - 1;
             Random random = new Random(request.id * 31 + attempt);
             double took = 5 + 300 * random.nextDouble() * random.nextDouble();
-            Contract.Outcome outcome = random.nextInt(10) < 6 ? Contract.Outcome.SERVED
+            Contract.Outcome outcome = random.nextInt(10) < 6
+                    ? Contract.Outcome.SERVED
                     : random.nextInt(2) == 0 ? Contract.Outcome.FULL : Contract.Outcome.ERROR;
-            at(now + took, () -> events.outcome(now, request, attempt, outcome, took,
-                    outcome == Contract.Outcome.SERVED, null));
+            at(
+                    now + took,
+                    () -> events.outcome(
+                            now, request, attempt, outcome, took, outcome == Contract.Outcome.SERVED, null));
         }
 
         @Override
@@ -134,8 +137,8 @@
         double at = BEGIN;
         for (long id = 0; at < BEGIN + DAY_MS; id++) {
             at += random.nextInt(60) == 0 ? 8000 * random.nextDouble() : 30 * random.nextDouble();
-            Contract.Request request = new Contract.Request(id, random.nextInt(d.settings.classes().size()), -1,
-                    800, false, 1);
+            Contract.Request request =
+                    new Contract.Request(id, random.nextInt(d.settings.classes().size()), -1, 800, false, 1);
             d.at(at, () -> d.events.request(d.now, request));
             if (random.nextInt(200) == 0) {
                 int count = SERVERS - random.nextInt(3);
--- a/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
+++ b/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
@@ -31,15 +31,19 @@
     /** The statements of an earlier program. */
     private enum Predecessor {
         /** Format 0: no checksum. */
-        WITHOUT_CHECKSUM("CREATE TABLE IF NOT EXISTS office"
-                + " (one INTEGER PRIMARY KEY CHECK (one = 1), id TEXT NOT NULL, memory BLOB NOT NULL)",
+        WITHOUT_CHECKSUM(
+                "CREATE TABLE IF NOT EXISTS office"
+                        + " (one INTEGER PRIMARY KEY CHECK (one = 1), id TEXT NOT NULL, memory BLOB NOT NULL)",
                 "INSERT INTO office VALUES (1, ?, ?)"
-                + " ON CONFLICT (one) DO UPDATE SET id = excluded.id, memory = excluded.memory", null),
+                        + " ON CONFLICT (one) DO UPDATE SET id = excluded.id, memory = excluded.memory",
+                null),
         /** Format 1, which accepts no other number in its file. */
-        WITH_COLUMN("CREATE TABLE IF NOT EXISTS office (one INTEGER PRIMARY KEY CHECK (one = 1),"
-                + " id TEXT NOT NULL, memory BLOB NOT NULL, crc INTEGER)",
+        WITH_COLUMN(
+                "CREATE TABLE IF NOT EXISTS office (one INTEGER PRIMARY KEY CHECK (one = 1),"
+                        + " id TEXT NOT NULL, memory BLOB NOT NULL, crc INTEGER)",
                 "INSERT INTO office VALUES (1, ?, ?, ?) ON CONFLICT (one) DO UPDATE SET id = excluded.id,"
-                + " memory = excluded.memory, crc = excluded.crc", "PRAGMA user_version=1");
+                        + " memory = excluded.memory, crc = excluded.crc",
+                "PRAGMA user_version=1");
 
         private final String create;
         private final String write;
@@ -124,17 +128,19 @@
     }
 
     private void execute(String statement) throws SQLException {
-        try (Connection c = connect(folder); Statement s = c.createStatement()) {
+        try (Connection c = connect(folder);
+                Statement s = c.createStatement()) {
             s.execute(statement);
         }
     }
 
     private String refused() {
         return expectThrows(StateStoreException.class, () -> {
-            try (StateStore l = StateStore.open(folder)) {
-                l.read();
-            }
-        }).getMessage();
+                    try (StateStore l = StateStore.open(folder)) {
+                        l.read();
+                    }
+                })
+                .getMessage();
     }
 
     @Test
@@ -199,7 +205,8 @@
                 l.write(ID, memory(2));
                 assertEquals(l.read().memory(), memory(2));
             }
-            try (Connection c = connect(folder); Statement s = c.createStatement();
+            try (Connection c = connect(folder);
+                    Statement s = c.createStatement();
                     ResultSet r = s.executeQuery("SELECT later FROM office")) {
                 assertEquals(r.getString(1), "kept");
             }
--- a/src/test/java/whinlead/mesh/storage/StateStoreTest.java
+++ b/src/test/java/whinlead/mesh/storage/StateStoreTest.java
@@ -59,10 +59,11 @@
 
     private String refused() {
         return expectThrows(StateStoreException.class, () -> {
-            try (StateStore l = StateStore.open(folder)) {
-                l.read();
-            }
-        }).getMessage();
+                    try (StateStore l = StateStore.open(folder)) {
+                        l.read();
+                    }
+                })
+                .getMessage();
     }
 
     // What a process that is killed now would leave.
@@ -227,15 +228,17 @@
     @Test
     public void aSyncThatFailsRefusesTheStateStore() throws StateStoreException {
         written("a#0", memory(1));
-        assertThrows(StateStoreException.class, () -> StateStore.open(base.resolve("other"), new Syncer() {
-            @Override
-            public void file(Path synced) { }
+        assertThrows(
+                StateStoreException.class,
+                () -> StateStore.open(base.resolve("other"), new Syncer() {
+                    @Override
+                    public void file(Path synced) {}
 
-            @Override
-            public void folder(Path synced) throws IOException {
-                throw new IOException("no sync");
-            }
-        }));
+                    @Override
+                    public void folder(Path synced) throws IOException {
+                        throw new IOException("no sync");
+                    }
+                }));
     }
 
     private static final class Recorder implements Syncer {
--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -6,11 +6,6 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import whinlead.mesh.consensus.Acceptor;
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Message;
-import whinlead.mesh.registry.EndpointRecord;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
@@ -34,6 +29,11 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.consensus.Message;
+import whinlead.mesh.registry.EndpointRecord;
 
 /** PeerMessageCodec of the protocol before versions, and of a later one, beside this program's; both ways. */
 public class OtherVersionTest {
@@ -64,7 +64,8 @@
     }
 
     private static byte[] hello(int newest, int oldest) throws IOException {
-        return bytes(HELLO, p -> p.packString("n").packBoolean(false).packInt(newest).packInt(oldest));
+        return bytes(
+                HELLO, p -> p.packString("n").packBoolean(false).packInt(newest).packInt(oldest));
     }
 
     private static byte[] unversionedHello() throws IOException {
@@ -72,16 +73,23 @@
     }
 
     private static void record(MessageBufferPacker p, String node, int phase) throws IOException {
-        p.packString(node).packLong(1).packLong(2).packString("z").packString("i").packString("s");
+        p.packString(node)
+                .packLong(1)
+                .packLong(2)
+                .packString("z")
+                .packString("i")
+                .packString("s");
         p.packInt(phase).packInt(6).packInt(5);
     }
 
     @Test
     public void aGreetingWithoutVersionsIsReadAndOursIsReadByItsSender() throws IOException {
-        assertEquals(PeerMessageCodec.read(unversionedHello()),
+        assertEquals(
+                PeerMessageCodec.read(unversionedHello()),
                 new PeerMessage.Hello("n", false, ProtocolVersion.NONE_NAMED));
         // The reader of the program before versions: it takes these fields and looks no further.
-        try (MessageUnpacker u = MessagePack.newDefaultUnpacker(PeerMessageCodec.write(new PeerMessage.Hello("n", true)))) {
+        try (MessageUnpacker u =
+                MessagePack.newDefaultUnpacker(PeerMessageCodec.write(new PeerMessage.Hello("n", true)))) {
             assertEquals(u.unpackByte(), HELLO);
             assertEquals(u.unpackString(), "n");
             assertTrue(u.unpackBoolean());
@@ -93,8 +101,7 @@
         ProtocolVersion later = new ProtocolVersion(9, 2);
         assertEquals(ProtocolVersion.OURS.agreedWith(later), ProtocolVersion.OURS.newest());
         assertEquals(later.agreedWith(ProtocolVersion.OURS), ProtocolVersion.OURS.newest());
-        assertEquals(ProtocolVersion.OURS.agreedWith(ProtocolVersion.NONE_NAMED),
-                ProtocolVersion.UNVERSIONED);
+        assertEquals(ProtocolVersion.OURS.agreedWith(ProtocolVersion.NONE_NAMED), ProtocolVersion.UNVERSIONED);
         assertFalse(later.sharesOneWith(ProtocolVersion.NONE_NAMED));
         assertFalse(ProtocolVersion.NONE_NAMED.sharesOneWith(later));
         assertThrows(IllegalArgumentException.class, () -> new ProtocolVersion(1, 2));
@@ -102,17 +109,24 @@
 
     @Test
     public void kindsOfALaterVersionAreNamedAndNoError() throws IOException {
-        assertEquals(PeerMessageCodec.read(bytes(LATER_KIND, p -> p.packString("x"))),
+        assertEquals(
+                PeerMessageCodec.read(bytes(LATER_KIND, p -> p.packString("x"))),
                 new PeerMessage.Unknown("message 99"));
-        assertEquals(PeerMessageCodec.read(bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1))),
+        assertEquals(
+                PeerMessageCodec.read(bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1))),
                 new PeerMessage.Unknown("ballot message 99"));
     }
 
     @Test
     public void fieldsOfALaterVersionArePassedOver() throws IOException {
         // Each with all the fields that this version knows; what follows them is unknown.
-        for (PeerMessage message : List.of(new PeerMessage.Hello("n", true), new PeerMessage.Subscribe(3), new PeerMessage.FetchConfig(),
-                new PeerMessage.Ping(4, 5), new PeerMessage.Pong(4, "n", 5), new PeerMessage.Cancel(6, true),
+        for (PeerMessage message : List.of(
+                new PeerMessage.Hello("n", true),
+                new PeerMessage.Subscribe(3),
+                new PeerMessage.FetchConfig(),
+                new PeerMessage.Ping(4, 5),
+                new PeerMessage.Pong(4, "n", 5),
+                new PeerMessage.Cancel(6, true),
                 new PeerMessage.Consensus(new Message.Query(1, 2, List.of("n"))),
                 new PeerMessage.ForwardFailure(7, PeerMessage.FailureReason.LATE, 0.5, 2))) {
             assertEquals(PeerMessageCodec.read(followedBy(PeerMessageCodec.write(message), "later")), message);
@@ -121,8 +135,11 @@
 
     @Test
     public void fieldsThatAFormerVersionDoesNotSendHaveTheirDefaults() throws IOException {
-        assertEquals(PeerMessageCodec.read(bytes(PING, p -> p.packLong(4))), new PeerMessage.Ping(4, PeerMessage.UNSTAMPED));
-        assertEquals(PeerMessageCodec.read(bytes(PAPER, p -> p.packByte(QUERY).packLong(1).packLong(2))),
+        assertEquals(
+                PeerMessageCodec.read(bytes(PING, p -> p.packLong(4))), new PeerMessage.Ping(4, PeerMessage.UNSTAMPED));
+        assertEquals(
+                PeerMessageCodec.read(
+                        bytes(PAPER, p -> p.packByte(QUERY).packLong(1).packLong(2))),
                 new PeerMessage.Consensus(new Message.Query(1, 2, List.of())));
     }
 
@@ -141,9 +158,13 @@
             record(p, "a", 7);
             record(p, "b", EndpointRecord.Phase.DRAINING.ordinal());
         });
-        assertEquals(PeerMessageCodec.read(post), new PeerMessage.EndpointUpdate(List.of(
-                new EndpointRecord("b", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))), "a's is passed over");
-        byte[] returned = bytes(RETURNED, p -> p.packLong(3).packInt(77).packDouble(0).packDouble(0));
+        assertEquals(
+                PeerMessageCodec.read(post),
+                new PeerMessage.EndpointUpdate(
+                        List.of(new EndpointRecord("b", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))),
+                "a's is passed over");
+        byte[] returned =
+                bytes(RETURNED, p -> p.packLong(3).packInt(77).packDouble(0).packDouble(0));
         PeerMessage.ForwardFailure read = (PeerMessage.ForwardFailure) PeerMessageCodec.read(returned);
         assertFalse(read.why().neverRan, "a reason that is not known promises nothing");
     }
@@ -151,8 +172,8 @@
     @Test
     public void whatIsMalformedIsRefusedByTheNameOfItsKind() throws IOException {
         byte[] request = bytes(REQUEST, p -> p.packString("no number"));
-        MalformedMessageException refused = expectThrows(MalformedMessageException.class,
-                () -> PeerMessageCodec.read(request));
+        MalformedMessageException refused =
+                expectThrows(MalformedMessageException.class, () -> PeerMessageCodec.read(request));
         assertTrue(refused.getMessage().contains("FORWARD_REQUEST"), refused.getMessage());
         assertThrows(MalformedMessageException.class, () -> PeerMessageCodec.read(hello(1, 2)));
     }
@@ -173,24 +194,31 @@
     @Test
     public void memoriesOfOtherFormatsAreReadUnlessTheyForbidIt() throws IOException {
         Acceptor.State read = AcceptorRecord.read(memory());
-        assertEquals(read, new Acceptor.State(new Decision(7, 12, new byte[] {1, 2},
-                List.of(new Decision.Taken(12, "digest")), List.of("10.0.0.1#0")),
-                new Ballot(3, "10.0.0.1#0"), null));
+        assertEquals(
+                read,
+                new Acceptor.State(
+                        new Decision(
+                                7,
+                                12,
+                                new byte[] {1, 2},
+                                List.of(new Decision.Taken(12, "digest")),
+                                List.of("10.0.0.1#0")),
+                        new Ballot(3, "10.0.0.1#0"),
+                        null));
         byte[] ours = AcceptorRecord.write(read);
         byte[] before = memory();
-        assertEquals(Arrays.copyOf(ours, before.length), before,
-                "ours begins as theirs, who read no further");
+        assertEquals(Arrays.copyOf(ours, before.length), before, "ours begins as theirs, who read no further");
         assertEquals(AcceptorRecord.read(memory(9, 1, 4, 5)), read);
-        LaterFormatException refused = expectThrows(LaterFormatException.class,
-                () -> AcceptorRecord.read(memory(9, 8)));
-        assertTrue(refused.getMessage().contains("of format 9 needs a program that knows format 8"),
-                refused.getMessage());
+        LaterFormatException refused =
+                expectThrows(LaterFormatException.class, () -> AcceptorRecord.read(memory(9, 8)));
+        assertTrue(
+                refused.getMessage().contains("of format 9 needs a program that knows format 8"), refused.getMessage());
     }
 
     /** Answers to greetings and pings, as control nodes and sidecars do. */
     private static final class Responder implements PeerConnection.MessageHandler {
         @Override
-        public void up(PeerConnection link) { }
+        public void up(PeerConnection link) {}
 
         @Override
         public void message(PeerConnection link, PeerMessage message) {
@@ -202,14 +230,18 @@
         }
 
         @Override
-        public void down(PeerConnection link) { }
+        public void down(PeerConnection link) {}
     }
 
     @BeforeClass
     public void listen() throws InterruptedException {
         loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        server = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
-                .childHandler(PeerConnection.handlers(new Responder())).bind(InetAddress.getLoopbackAddress(), 0).sync()
+        server = new ServerBootstrap()
+                .group(loops)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(PeerConnection.handlers(new Responder()))
+                .bind(InetAddress.getLoopbackAddress(), 0)
+                .sync()
                 .channel();
     }
 
@@ -251,9 +283,11 @@
         byte[] laterKind = bytes(LATER_KIND, p -> p.packString("x"));
         byte[] laterPaper = bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1));
         byte[] malformedPing = bytes(PING, p -> p.packString("no number"));
-        assertEquals(answerAfter(unversionedHello(), laterKind, laterPaper, malformedPing),
+        assertEquals(
+                answerAfter(unversionedHello(), laterKind, laterPaper, malformedPing),
                 new PeerMessage.Pong(4, "version 1", -1));
-        assertEquals(answerAfter(hello(9, 1), laterKind),
+        assertEquals(
+                answerAfter(hello(9, 1), laterKind),
                 new PeerMessage.Pong(4, "version " + ProtocolVersion.OURS.newest(), -1));
     }
 
--- a/src/test/java/whinlead/mesh/wire/TransitClockTest.java
+++ b/src/test/java/whinlead/mesh/wire/TransitClockTest.java
@@ -9,6 +9,7 @@
     private static final double EXACT = 1e-6;
     /** What the receiver's clock shows beyond the sender's. */
     private static final double APART = -7_000_000;
+
     private static final double WAY = 3;
 
     // The receiver's clock shows this when a message arrives that left so long ago.
--- a/src/test/java/whinlead/plan/Fleets.java
+++ b/src/test/java/whinlead/plan/Fleets.java
@@ -1,8 +1,8 @@
 package whinlead.plan;
 
-import whinlead.Contract;
 import java.util.Collections;
 import java.util.List;
+import whinlead.Contract;
 
 /** Descriptions for tests: 12 fronts of two cores in three zones before three sidecars. */
 final class Fleets {
@@ -10,7 +10,7 @@
     static final int FRONTS = 12;
     static final int CORES = 2;
 
-    private Fleets() { }
+    private Fleets() {}
 
     static Contract.RequestClass type(String name, double worth, Contract.Effect effect) {
         return new Contract.RequestClass(name, worth, 0, 500, 2000, effect, Contract.Group.ALL, 0, false);
@@ -19,17 +19,26 @@
     static Fleet fleet(int sidecars, Contract.Reporting reporting) {
         Contract.Settings settings = new Contract.Settings(
                 List.of(type("status", 5, Contract.Effect.SAFE), type("submit", 2, Contract.Effect.UNSAFE)),
-                List.of(), 1,
+                List.of(),
+                1,
                 new Contract.Limits(4, true, true, false, false, true, 1000, 0),
-                new Contract.Obligations(2000, 4, 1500, 0.2, 20_000, 10_000), reporting, false, sidecars, 0);
+                new Contract.Obligations(2000, 4, 1500, 0.2, 20_000, 10_000),
+                reporting,
+                false,
+                sidecars,
+                0);
         Law core = new Law(CORE_MS, 1);
-        Fleet f = new Fleet(settings, List.of(new Fleet.Model("m", CORES, 1, 1, 1)),
-                List.of(new Fleet.Zone("a", 0.4, 0.2), new Fleet.Zone("b", 0.3, 0.2), new Fleet.Zone("c",
-                0.3, 0.2)),
-                FRONTS, List.of(new Fleet.Work(core, new Law(5, 0)), new Fleet.Work(core, new Law(5, 0))),
+        Fleet f = new Fleet(
+                settings,
+                List.of(new Fleet.Model("m", CORES, 1, 1, 1)),
+                List.of(new Fleet.Zone("a", 0.4, 0.2), new Fleet.Zone("b", 0.3, 0.2), new Fleet.Zone("c", 0.3, 0.2)),
+                FRONTS,
+                List.of(new Fleet.Work(core, new Law(5, 0)), new Fleet.Work(core, new Law(5, 0))),
                 new Fleet.Front(false, 20, 500, 2, 0.2, 20_000, 0, 1, 0, false),
                 new Fleet.Sidecar(0.1, 1000, 1000, 250, 60_000),
-                Collections.nCopies(sidecars, 1.0 / sidecars), new Fleet.Clients(1, 100, 1), List.of());
+                Collections.nCopies(sidecars, 1.0 / sidecars),
+                new Fleet.Clients(1, 100, 1),
+                List.of());
         f.check();
         return f;
     }
--- a/src/test/java/whinlead/plan/Formulas.java
+++ b/src/test/java/whinlead/plan/Formulas.java
@@ -1,11 +1,11 @@
 package whinlead.plan;
 
 /**
- * Closed forms of queueing theory, as a cross-check on the simulation: Kleinrock, Queueing Systems I (1975),
- * 3.2 and 3.5, and II (1976), 4.4. Rates and times in one unit.
+ * Closed forms of queueing theory, as a cross-check on the simulation: Kleinrock, Queueing Systems I (1975), 3.2 and
+ * 3.5, and II (1976), 4.4. Rates and times in one unit.
  */
 final class Formulas {
-    private Formulas() { }
+    private Formulas() {}
 
     /** The share of cores that is busy; 1 or more where the load can't be carried. */
     static double utilisation(double arrivals, double meanWork, int cores) {
@@ -13,8 +13,8 @@
     }
 
     /**
-     * Erlang C: the chance that one that comes has to wait, with Poisson arrivals, exponential work and room
-     * for all. 1 at a utilisation of 1 or more.
+     * Erlang C: the chance that one that comes has to wait, with Poisson arrivals, exponential work and room for all. 1
+     * at a utilisation of 1 or more.
      */
     static double waits(double arrivals, double meanWork, int cores) {
         double offered = arrivals * meanWork;
@@ -46,15 +46,13 @@
         double tail = Math.exp(-rate * time);
         // Work alone, or a wait of rate `free` and work after it; one rate for both is the limit of the
         // second.
-        double both = Math.abs(rate - free) < 1e-9 * rate ? (1 + rate * time) * tail
+        double both = Math.abs(rate - free) < 1e-9 * rate
+                ? (1 + rate * time) * tail
                 : (rate * Math.exp(-free * time) - free * tail) / (rate - free);
         return (1 - waits) * tail + waits * both;
     }
 
-    /**
-     * Mean time of work in an M/G/1 that serves all at once in equal parts; it depends on the law by its
-     * mean only.
-     */
+    /** Mean time of work in an M/G/1 that serves all at once in equal parts; it depends on the law by its mean only. */
     static double meanSharedTime(double arrivals, double meanWork) {
         double u = utilisation(arrivals, meanWork, 1);
         return u >= 1 ? Double.POSITIVE_INFINITY : meanWork / (1 - u);
--- a/src/test/java/whinlead/plan/FrontModelTest.java
+++ b/src/test/java/whinlead/plan/FrontModelTest.java
@@ -15,10 +15,9 @@
 /** The queueing core against closed forms, and what holds whatever happens. */
 class FrontModelTest {
     private static final double MEAN = 10;
-    /**
-     * Batches of a run for its interval; Student's quantile at 0.999 for 19 degrees of freedom, two-sided.
-     */
+    /** Batches of a run for its interval; Student's quantile at 0.999 for 19 degrees of freedom, two-sided. */
     private static final int BATCHES = 20;
+
     private static final double QUANTILE = 3.883;
 
     private static final class Job implements Consumer<FrontModel.End> {
@@ -41,8 +40,7 @@
         }
     }
 
-    private static List<Job> poisson(FrontModel front, Calendar calendar, Law law, double perMs, int count,
-            long seed) {
+    private static List<Job> poisson(FrontModel front, Calendar calendar, Law law, double perMs, int count, long seed) {
         Random dice = new Random(seed);
         List<Job> jobs = new ArrayList<>();
         double at = 0;
@@ -64,14 +62,16 @@
         List<Double> means = new ArrayList<>();
         int size = all.size() / BATCHES;
         for (int b = 0; b < BATCHES; b++) {
-            means.add(all.subList(b * size,
-                    (b + 1) * size).stream().mapToDouble(d -> d).average().orElseThrow());
+            means.add(all.subList(b * size, (b + 1) * size).stream()
+                    .mapToDouble(d -> d)
+                    .average()
+                    .orElseThrow());
         }
         double mean = means.stream().mapToDouble(d -> d).average().orElseThrow();
-        double variance = means.stream().mapToDouble(d -> (d - mean) * (d - mean)).sum() / (BATCHES - 1);
+        double variance =
+                means.stream().mapToDouble(d -> (d - mean) * (d - mean)).sum() / (BATCHES - 1);
         double half = QUANTILE * Math.sqrt(variance / BATCHES);
-        assertTrue(Math.abs(mean - wanted) <= half,
-                "mean " + mean + " +- " + half + ", in closed form " + wanted);
+        assertTrue(Math.abs(mean - wanted) <= half, "mean " + mean + " +- " + half + ", in closed form " + wanted);
         assertTrue(half < 0.2 * wanted, "an interval that could tell: " + half);
     }
 
@@ -83,8 +83,11 @@
         double perMs = load * cores / MEAN;
         List<Job> jobs = poisson(front, calendar, new Law(MEAN, 1), perMs, 200_000, 7);
         List<Job> settled = jobs.subList(20_000, jobs.size());
-        within(Formulas.meanTime(perMs, MEAN, cores), settled.stream().map(j -> j.time).toList());
-        within(Formulas.timeOver(2 * MEAN, perMs, MEAN, cores),
+        within(
+                Formulas.meanTime(perMs, MEAN, cores),
+                settled.stream().map(j -> j.time).toList());
+        within(
+                Formulas.timeOver(2 * MEAN, perMs, MEAN, cores),
                 settled.stream().map(j -> j.time > 2 * MEAN ? 1.0 : 0.0).toList());
     }
 
@@ -95,7 +98,8 @@
         FrontModel front = new FrontModel(calendar, 1, true, Integer.MAX_VALUE, FrontModel.Thrash.NONE);
         double perMs = load / MEAN;
         List<Job> jobs = poisson(front, calendar, new Law(MEAN, cv), perMs, 200_000, 11);
-        within(Formulas.meanSharedTime(perMs, MEAN),
+        within(
+                Formulas.meanSharedTime(perMs, MEAN),
                 jobs.subList(20_000, jobs.size()).stream().map(j -> j.time).toList());
     }
 
@@ -136,8 +140,8 @@
             }
             calendar.runTo(20_000);
             boolean back = front.held() < 20;
-            assertEquals(t == FrontModel.Thrash.NONE, back,
-                    "it comes back only where nothing slows it: " + front.held());
+            assertEquals(
+                    t == FrontModel.Thrash.NONE, back, "it comes back only where nothing slows it: " + front.held());
         }
     }
 
@@ -149,8 +153,8 @@
         int cores = 1 + dice.nextInt(4);
         boolean sharing = dice.nextBoolean();
         int room = 1 + dice.nextInt(20);
-        FrontModel front = new FrontModel(calendar, cores, sharing, room, new FrontModel.Thrash(
-                dice.nextInt(20), 0.5, dice.nextInt(5)));
+        FrontModel front = new FrontModel(
+                calendar, cores, sharing, room, new FrontModel.Thrash(dice.nextInt(20), 0.5, dice.nextInt(5)));
         List<Job> jobs = new ArrayList<>();
         List<FrontModel.Visit> visits = new ArrayList<>();
         List<Job> left = new ArrayList<>();
--- a/src/test/java/whinlead/plan/LimitTest.java
+++ b/src/test/java/whinlead/plan/LimitTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** Which limit binds first, each in a fleet that is made short of it. */
 class LimitTest {
@@ -13,15 +13,21 @@
 
     private static List<Limit.Bound> ramp(Fleet f) {
         Load load = Fleets.load(f, 1, LENGTH);
-        return Limit.ramp(f, (fleet, times) -> List.of(
-                new Simulation(fleet, 1).play(load.times(times).arrivals(1))), 0.3, 1.1, 1.6);
+        return Limit.ramp(
+                f,
+                (fleet, times) ->
+                        List.of(new Simulation(fleet, 1).play(load.times(times).arrivals(1))),
+                0.3,
+                1.1,
+                1.6);
     }
 
     private static void first(Limit wanted, Fleet f) {
         List<Limit.Bound> found = ramp(f);
         assertEquals(wanted, found.get(0).limit(), found.toString());
         for (int i = 1; i < found.size(); i++) {
-            assertTrue(found.get(i).times() >= found.get(i - 1).times() && found.get(i).behind() >= 0);
+            assertTrue(found.get(i).times() >= found.get(i - 1).times()
+                    && found.get(i).behind() >= 0);
         }
     }
 
@@ -98,8 +104,7 @@
     }
 
     private static Recovery burst(Fleet f, Load mean) {
-        Load burst = new Load(mean.perSecond(), mean.mix(), List.of(new Load.Burst(8000, 9500, 8)),
-                mean.length());
+        Load burst = new Load(mean.perSecond(), mean.mix(), List.of(new Load.Burst(8000, 9500, 8)), mean.length());
         return Recovery.of(new Simulation(f, 1).play(burst.arrivals(1)).worthBySecond(), 8000, 9500);
     }
 
@@ -110,6 +115,7 @@
         assertEquals(1, r.before());
         assertEquals(0.2, r.worst());
         assertEquals(2, r.seconds(), "a single bad second later is chance");
-        assertTrue(Double.isInfinite(Recovery.of(new double[] {1, 1, 0, 0, 0, 0}, 2000, 3000).seconds()));
+        assertTrue(Double.isInfinite(
+                Recovery.of(new double[] {1, 1, 0, 0, 0, 0}, 2000, 3000).seconds()));
     }
 }
--- a/src/test/java/whinlead/plan/MachinesTest.java
+++ b/src/test/java/whinlead/plan/MachinesTest.java
@@ -3,49 +3,59 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** What a description comes to. */
 class MachinesTest {
     private static Fleet mixed(int fronts) {
-        Fleet f = Fleets.fleet(3, Contract.Reporting.NONE).with(List.of(new Fleet.Model("small", 2, 0.5, 1,
-                0.75),
-                new Fleet.Model("large", 4, 1, 2, 0.25)));
-        return f.fronts(fronts).changes(List.of(
-                new Fleet.Change(Fleet.Kind.SLOWED, null, 0.25, 0.5, 0, 1, 0),
-                new Fleet.Change(Fleet.Kind.ZONE_DIED, "a", 1, 1, 0, 1, 0)));
+        Fleet f = Fleets.fleet(3, Contract.Reporting.NONE)
+                .with(List.of(new Fleet.Model("small", 2, 0.5, 1, 0.75), new Fleet.Model("large", 4, 1, 2, 0.25)));
+        return f.fronts(fronts)
+                .changes(List.of(
+                        new Fleet.Change(Fleet.Kind.SLOWED, null, 0.25, 0.5, 0, 1, 0),
+                        new Fleet.Change(Fleet.Kind.ZONE_DIED, "a", 1, 1, 0, 1, 0)));
     }
 
     @Test
     void oneMoreFrontChangesNoneOfTheOthers() {
         for (int n = 1; n < 40; n++) {
-            assertEquals(Machines.of(mixed(n), 5).all(), Machines.of(mixed(n + 1), 5).all().subList(0, n));
+            assertEquals(
+                    Machines.of(mixed(n), 5).all(),
+                    Machines.of(mixed(n + 1), 5).all().subList(0, n));
         }
     }
 
     @Test
     void sharesOfModelsAndZonesAreKeptAndNoZoneIsAllOfOneModel() {
         Machines m = Machines.of(mixed(80), 5);
-        assertEquals(20, m.all().stream().filter(x -> x.model().name().equals("large")).count());
+        assertEquals(
+                20,
+                m.all().stream().filter(x -> x.model().name().equals("large")).count());
         for (Fleet.Zone z : mixed(80).zones()) {
-            List<Machines.Machine> there = m.all().stream().filter(x -> x.zone().equals(z)).toList();
+            List<Machines.Machine> there =
+                    m.all().stream().filter(x -> x.zone().equals(z)).toList();
             assertEquals(80 * z.share(), there.size(), 2, z.name());
-            assertEquals(0.25, there.stream().filter(x ->
-                    x.model().cores() == 4).count() / (double) there.size(),
-                    0.1, z.name());
+            assertEquals(
+                    0.25,
+                    there.stream().filter(x -> x.model().cores() == 4).count() / (double) there.size(),
+                    0.1,
+                    z.name());
         }
-        assertTrue(m.all().stream().allMatch(x -> x.speed() >= x.model().slowest()
-                && x.speed() <= x.model().fastest()));
+        assertTrue(m.all().stream()
+                .allMatch(x -> x.speed() >= x.model().slowest()
+                        && x.speed() <= x.model().fastest()));
     }
 
     @Test
     void aChangeMeetsItsShareOrAllOfItsZone() {
         Machines m = Machines.of(mixed(80), 5);
         assertEquals(20, m.met().get(0).size());
-        assertTrue(m.met().get(1).stream().allMatch(i -> m.all().get(i).zone().name().equals("a")));
-        assertEquals(m.all().stream().filter(x -> x.zone().name().equals("a")).count(),
+        assertTrue(m.met().get(1).stream()
+                .allMatch(i -> m.all().get(i).zone().name().equals("a")));
+        assertEquals(
+                m.all().stream().filter(x -> x.zone().name().equals("a")).count(),
                 m.met().get(1).size());
     }
 }
--- a/src/test/java/whinlead/plan/SimulationTest.java
+++ b/src/test/java/whinlead/plan/SimulationTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -14,11 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.Contract;
 
-/**
- * Sidecars before modelled fronts: what holds whatever is described, and that descriptions mean what they
- * say.
- */
+/** Sidecars before modelled fronts: what holds whatever is described, and that descriptions mean what they say. */
 class SimulationTest {
     private static Outcome play(Fleet f, Load load, long seed) {
         return new Simulation(f, seed).play(load.arrivals(seed));
@@ -50,16 +47,18 @@
         Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS);
         Load load = Fleets.load(f, 0.8, 20_000);
         double calm = play(f, load, 2).worth();
-        double slowed = play(f.changes(List.of(new Fleet.Change(Fleet.Kind.SLOWED, null, 0.25, 0.4, 5000,
-                20_000, 0))),
-                load, 2).worth();
+        double slowed = play(
+                        f.changes(List.of(new Fleet.Change(Fleet.Kind.SLOWED, null, 0.25, 0.4, 5000, 20_000, 0))),
+                        load,
+                        2)
+                .worth();
         assertTrue(slowed < calm - 0.002 && slowed > 0.8, "calm " + calm + ", slowed " + slowed);
     }
 
     @Test
     void aLostZoneComesBackColdAndIsUsedAgain() {
-        Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS).changes(List.of(
-                new Fleet.Change(Fleet.Kind.ZONE_LOST, "a", 1, 0, 5000, 12_000, 2000)));
+        Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS)
+                .changes(List.of(new Fleet.Change(Fleet.Kind.ZONE_LOST, "a", 1, 0, 5000, 12_000, 2000)));
         Outcome o = play(f, Fleets.load(f, 0.5, 40_000), 3);
         double[] s = o.worthBySecond();
         assertTrue(s[3] > 0.98, "before: " + s[3]);
@@ -75,8 +74,9 @@
         Load load = Fleets.load(f, 0.5, 12_000);
         double[] worth = new double[2];
         for (Fleet.Kind kind : List.of(Fleet.Kind.ZONE_LOST, Fleet.Kind.ZONE_DIED)) {
-            worth[kind == Fleet.Kind.ZONE_LOST ? 0 : 1] = play(f.changes(List.of(
-                    new Fleet.Change(kind, "a", 1, 1, 3000, 20_000, 1000))), load, 3).worth();
+            worth[kind == Fleet.Kind.ZONE_LOST ? 0 : 1] = play(
+                            f.changes(List.of(new Fleet.Change(kind, "a", 1, 1, 3000, 20_000, 1000))), load, 3)
+                    .worth();
         }
         assertTrue(worth[1] > worth[0] && worth[0] > 0.9, "silent " + worth[0] + ", ended " + worth[1]);
     }
@@ -84,9 +84,17 @@
     @Test
     void refusalsThatComeBackAsLoadAreCounted() {
         Fleet once = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS);
-        Fleet thrice = new Fleet(once.settings(), once.models(), once.zones(), once.fronts(), once.work(),
+        Fleet thrice = new Fleet(
+                once.settings(),
+                once.models(),
+                once.zones(),
+                once.fronts(),
+                once.work(),
                 once.front(),
-                once.sidecar(), once.shares(), new Fleet.Clients(3, 100, 0.5), List.of());
+                once.sidecar(),
+                once.shares(),
+                new Fleet.Clients(3, 100, 0.5),
+                List.of());
         Load load = Fleets.load(once, 1.5, 10_000);
         assertTrue(play(thrice, load, 4).asked() > 1.4 * play(once, load, 4).asked());
     }
@@ -105,25 +113,36 @@
     }
 
     private static Fleet with(Fleet f, Fleet.Sidecar s) {
-        return new Fleet(f.settings(), f.models(), f.zones(), f.fronts(), f.work(), f.front(), s,
-                f.shares(), f.clients(),
+        return new Fleet(
+                f.settings(),
+                f.models(),
+                f.zones(),
+                f.fronts(),
+                f.work(),
+                f.front(),
+                s,
+                f.shares(),
+                f.clients(),
                 f.changes());
     }
 
     @Test
     void theSameSeedGivesTheSameOutcomeOnOneThreadAndOnSeveral() {
-        Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS).changes(List.of(
-                new Fleet.Change(Fleet.Kind.ZONE_LOST, "b", 1, 0, 1000, 2000, 500)));
+        Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS)
+                .changes(List.of(new Fleet.Change(Fleet.Kind.ZONE_LOST, "b", 1, 0, 1000, 2000, 500)));
         Load load = Fleets.load(f, 0.9, 4000);
-        List<Outcome> alone = LongStream.range(0, 16).mapToObj(s -> play(f, load, s)).toList();
-        List<Outcome> together = LongStream.range(0, 16).parallel().mapToObj(s -> play(f, load, s)).toList();
+        List<Outcome> alone =
+                LongStream.range(0, 16).mapToObj(s -> play(f, load, s)).toList();
+        List<Outcome> together = LongStream.range(0, 16)
+                .parallel()
+                .mapToObj(s -> play(f, load, s))
+                .toList();
         for (int i = 0; i < 16; i++) {
             Outcome a = alone.get(i);
             Outcome b = together.get(i);
             assertEquals(a.worthGood(), b.worthGood());
             assertEquals(a.use(), b.use());
-            assertEquals(a.asked() + a.good() * 7 + a.refused() * 31,
-                    b.asked() + b.good() * 7 + b.refused() * 31);
+            assertEquals(a.asked() + a.good() * 7 + a.refused() * 31, b.asked() + b.good() * 7 + b.refused() * 31);
             assertArrayEquals(a.worthBySecond(), b.worthBySecond());
         }
     }
@@ -133,29 +152,55 @@
     void whateverIsDescribedEachTryEndsOnceAndCoresDoNoMoreThanTheyCan(long seed) {
         Random dice = new Random(seed);
         int sidecars = 1 + dice.nextInt(5);
-        Fleet f = Fleets.fleet(sidecars, dice.nextBoolean() ? Contract.Reporting.NONE
-                : Contract.Reporting.WITH_ANSWERS);
+        Fleet f =
+                Fleets.fleet(sidecars, dice.nextBoolean() ? Contract.Reporting.NONE : Contract.Reporting.WITH_ANSWERS);
         List<Fleet.Change> changes = new ArrayList<>();
         for (int i = dice.nextInt(4); i > 0; i--) {
             double from = dice.nextDouble() * 4000;
-            changes.add(dice.nextBoolean()
-                    ? new Fleet.Change(Fleet.Kind.SLOWED, null, dice.nextDouble(), dice.nextDouble(), from,
-                    from + 2000, 0)
-                    : new Fleet.Change(Fleet.Kind.ZONE_LOST, String.valueOf("abc".charAt(i - 1)), 1, 0, from,
-                    from + 2000,
-                            dice.nextDouble() * 1500));
+            changes.add(
+                    dice.nextBoolean()
+                            ? new Fleet.Change(
+                                    Fleet.Kind.SLOWED, null, dice.nextDouble(), dice.nextDouble(), from, from + 2000, 0)
+                            : new Fleet.Change(
+                                    Fleet.Kind.ZONE_LOST,
+                                    String.valueOf("abc".charAt(i - 1)),
+                                    1,
+                                    0,
+                                    from,
+                                    from + 2000,
+                                    dice.nextDouble() * 1500));
         }
-        Fleet odd = new Fleet(f.settings(), f.models(), f.zones(), 1 + dice.nextInt(12), f.work(),
-                new Fleet.Front(dice.nextBoolean(), 1 + dice.nextInt(20), 1 + dice.nextInt(30),
-                20 * dice.nextDouble(),
-                        0.2, 5000, dice.nextBoolean() ? 0 : 6, 0.5, 2, dice.nextBoolean()),
-                new Fleet.Sidecar(dice.nextDouble(), 5 + dice.nextInt(200), 1 + dice.nextInt(100), 250,
-                        dice.nextInt(3000)), f.shares(), new Fleet.Clients(1 + dice.nextInt(3), 50,
-                        dice.nextDouble()),
+        Fleet odd = new Fleet(
+                f.settings(),
+                f.models(),
+                f.zones(),
+                1 + dice.nextInt(12),
+                f.work(),
+                new Fleet.Front(
+                        dice.nextBoolean(),
+                        1 + dice.nextInt(20),
+                        1 + dice.nextInt(30),
+                        20 * dice.nextDouble(),
+                        0.2,
+                        5000,
+                        dice.nextBoolean() ? 0 : 6,
+                        0.5,
+                        2,
+                        dice.nextBoolean()),
+                new Fleet.Sidecar(
+                        dice.nextDouble(), 5 + dice.nextInt(200), 1 + dice.nextInt(100), 250, dice.nextInt(3000)),
+                f.shares(),
+                new Fleet.Clients(1 + dice.nextInt(3), 50, dice.nextDouble()),
                 changes);
         odd.check();
-        Outcome o = play(odd, new Load(Fleets.capacity(odd) * 2 * dice.nextDouble(), List.of(0.5, 0.5),
-                List.of(new Load.Burst(1000, 1500, 5)), 6000), seed);
+        Outcome o = play(
+                odd,
+                new Load(
+                        Fleets.capacity(odd) * 2 * dice.nextDouble(),
+                        List.of(0.5, 0.5),
+                        List.of(new Load.Burst(1000, 1500, 5)),
+                        6000),
+                seed);
         assertEquals(o.asked(), o.good() + o.late() + o.refused() + o.failed(), "each ends once");
         assertTrue(o.use().cores() <= 1 + 1e-9, "busy: " + o.use());
         assertTrue(o.worthGood() <= o.worthAsked());
@@ -164,14 +209,24 @@
     @Test
     void whatContradictsItselfIsNamed() {
         Fleet f = Fleets.fleet(3, Contract.Reporting.NONE);
-        Fleet zones = new Fleet(f.settings(), f.models(), List.of(new Fleet.Zone("a", 0.5, 1)), 3, f.work(),
+        Fleet zones = new Fleet(
+                f.settings(),
+                f.models(),
+                List.of(new Fleet.Zone("a", 0.5, 1)),
+                3,
+                f.work(),
                 f.front(),
-                f.sidecar(), f.shares(), f.clients(), List.of());
-        assertTrue(assertThrows(IllegalArgumentException.class,
-                zones::check).getMessage().startsWith("zones:"));
+                f.sidecar(),
+                f.shares(),
+                f.clients(),
+                List.of());
+        assertTrue(assertThrows(IllegalArgumentException.class, zones::check)
+                .getMessage()
+                .startsWith("zones:"));
         Fleet nowhere = f.changes(List.of(new Fleet.Change(Fleet.Kind.ZONE_LOST, "x", 1, 0, 0, 1, 0)));
-        assertEquals("changes: no zone x", assertThrows(IllegalArgumentException.class,
-                nowhere::check).getMessage());
+        assertEquals(
+                "changes: no zone x",
+                assertThrows(IllegalArgumentException.class, nowhere::check).getMessage());
         for (double bad : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY}) {
             assertThrows(IllegalArgumentException.class, () -> new Law(bad, 0));
         }
--- a/src/test/java/whinlead/plan/SolverTest.java
+++ b/src/test/java/whinlead/plan/SolverTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
 import java.util.Random;
 import java.util.function.IntToDoubleFunction;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.Contract;
 
 /** The least number of fronts, under noise and where service does not rise with them. */
 class SolverTest {
@@ -46,17 +46,15 @@
     void anIslandThatMeetsItIsNotTheAnswer() {
         // As where a few fronts happen to be of the fast model: three and eight meet it, four and nine do
         // not.
-        Solver.Answer a = new Solver(noisy(n -> n == 3 || n == 8 || n >= 21 ? 0.97 : 0.93, 0.002), 0.95,
-                BOUNDS)
-                .solve();
+        Solver.Answer a =
+                new Solver(noisy(n -> n == 3 || n == 8 || n >= 21 ? 0.97 : 0.93, 0.002), 0.95, BOUNDS).solve();
         assertEquals(21, a.fronts());
     }
 
     @Test
     void serviceThatFallsAgainWithMoreIsFoundWhereItHolds() {
         // Handshakes and thin evidence: past 24 it is missed again.
-        Solver.Answer a = new Solver(noisy(n -> n >= 12 && n <= 24 ? 0.97 : 0.9, 0.002), 0.95,
-                BOUNDS).solve();
+        Solver.Answer a = new Solver(noisy(n -> n >= 12 && n <= 24 ? 0.97 : 0.9, 0.002), 0.95, BOUNDS).solve();
         assertTrue(a.fronts() == 12, "found " + a.fronts() + " of " + a.points().keySet());
     }
 
@@ -64,42 +62,56 @@
     void aGoalWithinTheNoiseIsNotDecidedAndCostsNoMoreThanAllowed() {
         int[] runs = new int[1];
         Solver.Trial exact = noisy(n -> 0.95, 0.05);
-        Solver.Answer a = new Solver((n, seeds) -> {
-            runs[0] += seeds.length;
-            return exact.service(n, seeds);
-        }, 0.95, new Solver.Bounds(1, 64, 4, 16, 100, 1)).solve();
+        Solver.Answer a = new Solver(
+                        (n, seeds) -> {
+                            runs[0] += seeds.length;
+                            return exact.service(n, seeds);
+                        },
+                        0.95,
+                        new Solver.Bounds(1, 64, 4, 16, 100, 1))
+                .solve();
         assertFalse(a.certain() && a.fronts() > 1, "certain of " + a.fronts());
         assertTrue(runs[0] <= 100 + 16, "runs: " + runs[0]);
     }
 
     @Test
     void theSameSeedsAreTriedForEachNumber() {
-        new Solver((n, seeds) -> {
-            assertEquals(1, seeds[0] % 4, "seeds go on where they stopped");
-            double[] v = new double[seeds.length];
-            java.util.Arrays.fill(v, n >= 5 ? 1 : 0);
-            return v;
-        }, 0.5, BOUNDS).solve();
+        new Solver(
+                        (n, seeds) -> {
+                            assertEquals(1, seeds[0] % 4, "seeds go on where they stopped");
+                            double[] v = new double[seeds.length];
+                            java.util.Arrays.fill(v, n >= 5 ? 1 : 0);
+                            return v;
+                        },
+                        0.5,
+                        BOUNDS)
+                .solve();
     }
 
     @Test
     void badBoundsAreRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new Solver((n, s) -> s == null ? null
-                : new double[0], 1,
-                new Solver.Bounds(1, 4, 1, 4, 10, 1)));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Solver((n, s) -> s == null ? null : new double[0], 1, new Solver.Bounds(1, 4, 1, 4, 10, 1)));
     }
 
     @Test
     void aFleetIsSolvedNearWhatItsCapacitySays() {
         Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS);
         Load load = Fleets.load(f, 0.5, 8000);
-        Solver.Answer a = new Solver((n, seeds) -> {
-            double[] v = new double[seeds.length];
-            for (int i = 0; i < v.length; i++) {
-                v[i] = new Simulation(f.fronts(n), seeds[i]).play(load.arrivals(seeds[i])).worth();
-            }
-            return v;
-        }, 0.97, new Solver.Bounds(1, 24, 3, 6, 300, 1)).solve();
+        Solver.Answer a = new Solver(
+                        (n, seeds) -> {
+                            double[] v = new double[seeds.length];
+                            for (int i = 0; i < v.length; i++) {
+                                v[i] = new Simulation(f.fronts(n), seeds[i])
+                                        .play(load.arrivals(seeds[i]))
+                                        .worth();
+                            }
+                            return v;
+                        },
+                        0.97,
+                        new Solver.Bounds(1, 24, 3, 6, 300, 1))
+                .solve();
         // Six fronts are the capacity for it: fewer can't, and double is enough.
         assertTrue(a.fronts() >= 6 && a.fronts() <= 12, "fronts: " + a.fronts() + " " + a.points());
     }
--- a/src/test/java/whinlead/replication/GroupRouteTest.java
+++ b/src/test/java/whinlead/replication/GroupRouteTest.java
@@ -16,12 +16,12 @@
 class GroupRouteTest {
     private static final Command ANY = new Command.Report("r", 0, Command.How.SERVED);
 
-    private record Sent(String to, long token, Command command) { }
+    private record Sent(String to, long token, Command command) {}
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<Reply> heard = new ArrayList<>();
-    private final GroupRoute way = new GroupRoute(List.of("a", "b", "c"), 100, (to, token, command) -> sent.add(new Sent(to, token,
-            command)));
+    private final GroupRoute way =
+            new GroupRoute(List.of("a", "b", "c"), 100, (to, token, command) -> sent.add(new Sent(to, token, command)));
 
     private Sent last() {
         return sent.get(sent.size() - 1);
--- a/src/test/java/whinlead/replication/PlacementTest.java
+++ b/src/test/java/whinlead/replication/PlacementTest.java
@@ -22,8 +22,9 @@
     @Test
     void whereARequestIsKeptNeverChanges() {
         Placement p = new Placement(groups(33));
-        assertEquals(List.of("g8", "g18", "g8", "g21"), List.of(p.of("r1"), p.of("r2"),
-                p.of("7f3c0a52-job-submit"), p.of("")));
+        assertEquals(
+                List.of("g8", "g18", "g8", "g21"),
+                List.of(p.of("r1"), p.of("r2"), p.of("7f3c0a52-job-submit"), p.of("")));
         assertEquals(List.of("p2", "p1", "p3"), Placement.ranked("g0", List.of("p3", "p1", "p2")));
     }
 
