--- a/src/test/java/whinlead/replication/ReplicatedStateTest.java
+++ b/src/test/java/whinlead/replication/ReplicatedStateTest.java
@@ -3,10 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.Command.Attempt;
-import whinlead.replication.Command.Ending;
-import whinlead.replication.Command.Guard;
-import whinlead.replication.Command.How;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -17,6 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.replication.Command.Attempt;
+import whinlead.replication.Command.Ending;
+import whinlead.replication.Command.Guard;
+import whinlead.replication.Command.How;
 
 class ReplicatedStateTest {
     private static final long LEFT = 1000;
@@ -25,8 +25,8 @@
     private final ReplicatedState book = new ReplicatedState(LIMITS);
 
     private static Command.Allow allow(String id, Guard guard, String owner, long number, Long... neverRan) {
-        return new Command.Allow(id, "proxy", guard, new Attempt(owner, number), List.of(neverRan), "e", LEFT,
-                Long.MAX_VALUE, false);
+        return new Command.Allow(
+                id, "proxy", guard, new Attempt(owner, number), List.of(neverRan), "e", LEFT, Long.MAX_VALUE, false);
     }
 
     private Reply look(long time, String id) {
@@ -73,8 +73,20 @@
         Command.Refuse refuse = new Command.Refuse("r", "proxy", Guard.UNSAFE, "a", List.of(), LEFT);
         assertEquals(new Reply.Over(Ending.REFUSED), book.apply(0, refuse));
         assertEquals(new Reply.Over(Ending.REFUSED), book.apply(1, allow("r", Guard.UNSAFE, "b", 1)));
-        assertEquals(new Reply.Granted(0), book.apply(2, new Command.Allow("r", "proxy", Guard.UNSAFE,
-                new Attempt("b", 2), List.of(), "e", LEFT, Long.MAX_VALUE, true)));
+        assertEquals(
+                new Reply.Granted(0),
+                book.apply(
+                        2,
+                        new Command.Allow(
+                                "r",
+                                "proxy",
+                                Guard.UNSAFE,
+                                new Attempt("b", 2),
+                                List.of(),
+                                "e",
+                                LEFT,
+                                Long.MAX_VALUE,
+                                true)));
         assertEquals(new Reply.Out(), book.apply(3, refuse));
         book.apply(3, new Command.Refuse("s", "proxy", Guard.UNSAFE, "a", List.of(), 10));
         assertEquals(new Reply.Free(), look(13, "s"));
@@ -88,30 +100,29 @@
         assertEquals(LIMITS.requests() / 4, book.size());
         ReplicatedState copy = new ReplicatedState(LIMITS);
         copy.restore(book.snapshot());
-        assertEquals(new Reply.Full(), copy.apply(1, new Command.Refuse("y", "proxy", Guard.UNSAFE, "a",
-                List.of(), LEFT)));
+        assertEquals(
+                new Reply.Full(), copy.apply(1, new Command.Refuse("y", "proxy", Guard.UNSAFE, "a", List.of(), LEFT)));
         assertEquals(new Reply.Granted(0), book.apply(1, allow("r", Guard.UNSAFE, "a", 1)));
         book.apply(LEFT, new Command.Tick());
-        assertEquals(new Reply.Over(Ending.REFUSED), book.apply(LEFT, new Command.Refuse("y", "proxy",
-                Guard.UNSAFE, "a", List.of(), LEFT)));
+        assertEquals(
+                new Reply.Over(Ending.REFUSED),
+                book.apply(LEFT, new Command.Refuse("y", "proxy", Guard.UNSAFE, "a", List.of(), LEFT)));
     }
 
     @Test
     void whatMayHaveRunIsNotRefused() {
         book.apply(0, allow("r", Guard.UNSAFE, "a", 1));
-        assertEquals(new Reply.Out(), book.apply(1, new Command.Refuse("r", "proxy", Guard.UNSAFE, "b", List
-                .of(1L),
-                LEFT)));
-        assertEquals(new Reply.Over(Ending.REFUSED), book.apply(1, new Command.Refuse("r", "proxy",
-                Guard.UNSAFE,
-                "a", List.of(1L), LEFT)));
+        assertEquals(
+                new Reply.Out(), book.apply(1, new Command.Refuse("r", "proxy", Guard.UNSAFE, "b", List.of(1L), LEFT)));
+        assertEquals(
+                new Reply.Over(Ending.REFUSED),
+                book.apply(1, new Command.Refuse("r", "proxy", Guard.UNSAFE, "a", List.of(1L), LEFT)));
     }
 
     @Test
     void whatComesLateIsNotGrantedAndLeavesNothingBehind() {
-        Command late = new Command.Allow("r", "proxy", Guard.UNSAFE, new Attempt("a", 1), List.of(), "e",
-                LEFT,
-                10, false);
+        Command late =
+                new Command.Allow("r", "proxy", Guard.UNSAFE, new Attempt("a", 1), List.of(), "e", LEFT, 10, false);
         assertEquals(new Reply.Late(), book.apply(11, late));
         assertEquals(0, book.size());
     }
@@ -132,11 +143,9 @@
         book.apply(0, allow("s", Guard.UNSAFE, "a", 2));
         assertEquals(new Reply.Over(Ending.REFUSED), book.apply(0, end("s", Ending.REFUSED, "a", 2L)));
         book.apply(0, allow("t", Guard.UNSAFE, "a", 3));
-        assertEquals(new Reply.Over(Ending.REFUSED), book.apply(0, new Command.Report("t", 0,
-                How.NEVER_RAN)));
+        assertEquals(new Reply.Over(Ending.REFUSED), book.apply(0, new Command.Report("t", 0, How.NEVER_RAN)));
         book.apply(0, allow("u", Guard.UNSAFE, "a", 4));
-        assertEquals(new Reply.Over(Ending.FAILED), book.apply(0, new Command.Report("u", 0,
-                How.MAY_HAVE_RAN)));
+        assertEquals(new Reply.Over(Ending.FAILED), book.apply(0, new Command.Report("u", 0, How.MAY_HAVE_RAN)));
     }
 
     @Test
@@ -202,9 +211,17 @@
             case 2 -> new Command.End(id, Ending.values()[dice.nextInt(3)], owner, never);
             case 3 -> new Command.Refuse(id, "proxy", Guard.UNSAFE, owner, never, LEFT);
             case 4 -> new Command.Drain("e" + dice.nextInt(4), dice.nextInt(200));
-            default -> new Command.Allow(id, "p" + dice.nextInt(2), Guard.values()[dice.nextInt(2)], attempt,
-                    never,
-                    "e" + dice.nextInt(4), LEFT, dice.nextInt(20_000), dice.nextInt(4) == 0);
+            default ->
+                new Command.Allow(
+                        id,
+                        "p" + dice.nextInt(2),
+                        Guard.values()[dice.nextInt(2)],
+                        attempt,
+                        never,
+                        "e" + dice.nextInt(4),
+                        LEFT,
+                        dice.nextInt(20_000),
+                        dice.nextInt(4) == 0);
         };
     }
 
@@ -249,8 +266,7 @@
             if (e.guard() == Guard.UNSAFE) {
                 assertTrue(standing.size() <= 1, () -> "out twice: " + e);
             }
-            assertTrue(standing.stream().map(Attempt::owner).distinct().count() <= 1,
-                    () -> "two let it out: " + e);
+            assertTrue(standing.stream().map(Attempt::owner).distinct().count() <= 1, () -> "two let it out: " + e);
             assertTrue(e.attempts().size() <= ReplicatedState.MAX_ATTEMPTS);
             if (e.ending() == Ending.REFUSED) {
                 assertTrue(standing.isEmpty(), () -> "refused, but it may have run: " + e);
@@ -269,7 +285,8 @@
         ended.keySet().retainAll(here);
         assertTrue(here.size() <= LIMITS.requests());
         assertTrue(all.drains().size() <= LIMITS.drains());
-        assertTrue(open.entrySet().stream().filter(o -> o.getKey().startsWith("p"))
+        assertTrue(open.entrySet().stream()
+                .filter(o -> o.getKey().startsWith("p"))
                 .allMatch(o -> o.getValue() <= LIMITS.perCaller()));
     }
 }
--- a/src/test/java/whinlead/replication/ReplicationClientTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.consult.Directive;
-import whinlead.consult.Keeper;
-import whinlead.engine.Timers;
-import whinlead.plan.Calendar;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import whinlead.consult.Directive;
+import whinlead.consult.Keeper;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
 
 /** A member's side of its promises, before a group that answers, answers late or doesn't. */
 class ReplicationClientTest {
@@ -47,8 +47,13 @@
             return (long) time;
         }
     };
-    private final ReplicationClient desk = new ReplicationClient("a/1", timers, new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000), group,
-            (id, ending) -> { }, (id, step, detail) -> steps.add(id + " " + step + " " + detail));
+    private final ReplicationClient desk = new ReplicationClient(
+            "a/1",
+            timers,
+            new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000),
+            group,
+            (id, ending) -> {},
+            (id, step, detail) -> steps.add(id + " " + step + " " + detail));
     private final Keeper.Kept kept = desk.open("r", "proxy", false, false, TIME);
 
     private Command last() {
@@ -124,8 +129,13 @@
         answer(new Reply.Out());
         kept.end(new Directive.Refused(70), told::add);
         world.runTo(150 + 1);
-        assertEquals(List.of(new Directive.Refused(70), new Directive.Served(), new Directive.AlreadyOut(),
-                new Directive.Failed()), told);
+        assertEquals(
+                List.of(
+                        new Directive.Refused(70),
+                        new Directive.Served(),
+                        new Directive.AlreadyOut(),
+                        new Directive.Failed()),
+                told);
     }
 
     @Test
@@ -154,18 +164,23 @@
     void oneThatStoodStillTakesBackWhatItWasGranted() {
         // Its timers have not run yet when the answer is read.
         double[] jump = new double[1];
-        ReplicationClient slow = new ReplicationClient("b/1", new Timers() {
-            @Override
-            public double now() {
-                return jump[0];
-            }
-
-            @Override
-            public Timer after(double millis, Runnable task) {
-                return () -> { };
-            }
-        }, new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000), group, (id, ending) -> { },
-                (id, step, detail) -> { });
+        ReplicationClient slow = new ReplicationClient(
+                "b/1",
+                new Timers() {
+                    @Override
+                    public double now() {
+                        return jump[0];
+                    }
+
+                    @Override
+                    public Timer after(double millis, Runnable task) {
+                        return () -> {};
+                    }
+                },
+                new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000),
+                group,
+                (id, ending) -> {},
+                (id, step, detail) -> {});
         slow.open("s", "proxy", false, false, TIME).allow("e", VALID, told::add);
         jump[0] = VALID + 50;
         answer(new Reply.Granted(0));
--- a/src/test/java/whinlead/replication/disk/DiskLogTest.java
+++ b/src/test/java/whinlead/replication/disk/DiskLogTest.java
@@ -5,10 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.Command;
-import whinlead.replication.raft.LogMirror;
-import whinlead.replication.raft.Member;
-import whinlead.replication.raft.MemberId;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
 import io.microraft.model.impl.DefaultRaftModelFactory;
@@ -26,6 +22,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import whinlead.replication.Command;
+import whinlead.replication.raft.LogMirror;
+import whinlead.replication.raft.Member;
+import whinlead.replication.raft.MemberId;
 
 /** A member's log on a disk: what comes back, what is cut, what is refused. */
 class DiskLogTest {
@@ -34,6 +34,7 @@
 
     @TempDir
     private Path folder;
+
     private final List<String> notes = new ArrayList<>();
 
     private DiskLog open() throws IOException {
@@ -41,9 +42,10 @@
     }
 
     private static LogEntry entry(long index, int term, int size) {
-        return MODELS.createLogEntryBuilder().setIndex(index).setTerm(term)
-                .setOperation(new Member.Batch(index, List.of(new Command.Drain("r" + index + "x"
-                .repeat(size), 1))))
+        return MODELS.createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(term)
+                .setOperation(new Member.Batch(index, List.of(new Command.Drain("r" + index + "x".repeat(size), 1))))
                 .build();
     }
 
@@ -51,10 +53,16 @@
         LogMirror log = disk.found();
         log.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(ME)
-                .setVoting(true).build());
-        log.persistAndFlushInitialGroupMembers(MODELS.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                .setMembers(List.<RaftEndpoint>of(ME)).setVotingMembers(List.<RaftEndpoint>of(ME)).build());
-        log.persistAndFlushTerm(MODELS.createRaftTermPersistentStateBuilder().setTerm(3).setVotedFor(ME)
+                .setVoting(true)
+                .build());
+        log.persistAndFlushInitialGroupMembers(MODELS.createRaftGroupMembersViewBuilder()
+                .setLogIndex(0)
+                .setMembers(List.<RaftEndpoint>of(ME))
+                .setVotingMembers(List.<RaftEndpoint>of(ME))
+                .build());
+        log.persistAndFlushTerm(MODELS.createRaftTermPersistentStateBuilder()
+                .setTerm(3)
+                .setVotedFor(ME)
                 .build());
         return log;
     }
@@ -79,7 +87,8 @@
             assertEquals(ME, state.getTermPersistentState().getVotedFor());
             assertEquals(List.of(1L, 2L, 3L), indices(state));
             assertEquals(4, state.getLogEntries().get(2).getTerm());
-            assertEquals(new Member.Batch(2, List.of(new Command.Drain("r2", 1))),
+            assertEquals(
+                    new Member.Batch(2, List.of(new Command.Drain("r2", 1))),
                     state.getLogEntries().get(1).getOperation());
         }
         assertEquals(List.of(), notes);
@@ -99,8 +108,7 @@
             assertEquals("rwx------", PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)));
             try (var files = Files.list(folder)) {
                 for (Path file : files.toList()) {
-                    assertEquals("rw-------", PosixFilePermissions.toString(Files
-                            .getPosixFilePermissions(file)));
+                    assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(file)));
                 }
             }
         }
@@ -196,12 +204,18 @@
             for (long i = 1; i <= 3000; i++) {
                 log.persistLogEntries(List.of(entry(i, 3, 1000)));
             }
-            log.persistSnapshotChunk(MODELS.createSnapshotChunkBuilder().setIndex(2990).setTerm(3)
-                    .setSnapshotChunkIndex(0).setSnapshotChunkCount(1)
-                    .setGroupMembersView(MODELS.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                            .setMembers(List.<RaftEndpoint>of(ME)).setVotingMembers(List.<RaftEndpoint>of(ME))
+            log.persistSnapshotChunk(MODELS.createSnapshotChunkBuilder()
+                    .setIndex(2990)
+                    .setTerm(3)
+                    .setSnapshotChunkIndex(0)
+                    .setSnapshotChunkCount(1)
+                    .setGroupMembersView(MODELS.createRaftGroupMembersViewBuilder()
+                            .setLogIndex(0)
+                            .setMembers(List.<RaftEndpoint>of(ME))
+                            .setVotingMembers(List.<RaftEndpoint>of(ME))
                             .build())
-                    .setOperation(new Member.Chunk(2990, 99, Map.of("e", 5L), List.of())).build());
+                    .setOperation(new Member.Chunk(2990, 99, Map.of("e", 5L), List.of()))
+                    .build());
             log.flush();
             log.truncateLogEntriesUntil(2990);
             log.persistLogEntries(List.of(entry(3001, 3, 0)));
--- a/src/test/java/whinlead/replication/raft/GroupHostTest.java
+++ b/src/test/java/whinlead/replication/raft/GroupHostTest.java
@@ -5,14 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.replication.Command;
-import whinlead.replication.Placement;
-import whinlead.replication.Reply;
-import whinlead.replication.net.Frames;
-import whinlead.replication.wire.Wire;
-import whinlead.engine.Timers;
-import whinlead.plan.Calendar;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,13 +21,24 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
+import whinlead.replication.Command;
+import whinlead.replication.Placement;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.Reply;
+import whinlead.replication.net.Frames;
+import whinlead.replication.wire.Wire;
 
 /** Processes of a site with two groups and one process more, by a driven clock and a network in memory. */
 class GroupHostTest {
-    private static final RaftConfig CONFIG = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(300)
-            .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(2).build();
-    private static final SortedMap<String, SortedSet<String>> GROUPS = new TreeMap<>(Map.of(
-            "g", new TreeSet<>(Set.of("a", "b", "c")), "h", new TreeSet<>(Set.of("d", "e", "f"))));
+    private static final RaftConfig CONFIG = RaftConfig.newBuilder()
+            .setLeaderElectionTimeoutMillis(300)
+            .setLeaderHeartbeatPeriodSecs(1)
+            .setLeaderHeartbeatTimeoutSecs(2)
+            .build();
+    private static final SortedMap<String, SortedSet<String>> GROUPS =
+            new TreeMap<>(Map.of("g", new TreeSet<>(Set.of("a", "b", "c")), "h", new TreeSet<>(Set.of("d", "e", "f"))));
     private static final SortedSet<String> ALL = new TreeSet<>(Set.of("a", "b", "c", "d", "e", "f", "x"));
     private static final double REPLACE_AFTER = 3000;
 
@@ -58,10 +61,18 @@
             this.name = name;
             this.disks = disks;
             this.speaks = speaks;
-            host = new GroupHost(new GroupHost.Setup(name, ALL, GROUPS,
-                    speaks < GroupMessage.GUESTS ? 0 : REPLACE_AFTER, CONFIG,
-                    new ReplicatedState.Limits(1000, 1000, 10, 60_000)), this, new Random(dice.nextLong()), this, (id,
-                    step, detail) -> { });
+            host = new GroupHost(
+                    new GroupHost.Setup(
+                            name,
+                            ALL,
+                            GROUPS,
+                            speaks < GroupMessage.GUESTS ? 0 : REPLACE_AFTER,
+                            CONFIG,
+                            new ReplicatedState.Limits(1000, 1000, 10, 60_000)),
+                    this,
+                    new Random(dice.nextLong()),
+                    this,
+                    (id, step, detail) -> {});
         }
 
         @Override
@@ -86,8 +97,7 @@
 
         private void deliver(String group, Process to, GroupMessage p) {
             // As it goes between processes.
-            Wire.Frame frame = Frames.of(group, new GroupMessage(p.from(), p.fromLife(), p.toLife(), speaks,
-            p.what()));
+            Wire.Frame frame = Frames.of(group, new GroupMessage(p.from(), p.fromLife(), p.toLife(), speaks, p.what()));
             if (to != null && !dead) {
                 world.after(1, () -> {
                     if (!to.dead) {
@@ -149,12 +159,14 @@
     }
 
     private Set<String> voters(String group) {
-        return all.values().stream().filter(p -> !p.dead && p.votes(group)).map(p -> p.name)
+        return all.values().stream()
+                .filter(p -> !p.dead && p.votes(group))
+                .map(p -> p.name)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
     private static String kept(String group) {
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             if (new Placement(GROUPS.keySet()).of("r" + i).equals(group)) {
                 return "r" + i;
             }
@@ -169,8 +181,18 @@
         for (int i = 0; i < 40 && replies.isEmpty(); i++) {
             long time = p.host.time(id);
             if (time >= 0) {
-                command = command != null ? command : new Command.Allow(id, "p", Command.Guard.UNSAFE,
-                        new Command.Attempt(at, ++attempts), List.of(), "e", 100_000, time + 4000, false);
+                command = command != null
+                        ? command
+                        : new Command.Allow(
+                                id,
+                                "p",
+                                Command.Guard.UNSAFE,
+                                new Command.Attempt(at, ++attempts),
+                                List.of(),
+                                "e",
+                                100_000,
+                                time + 4000,
+                                false);
                 p.host.submit(command, replies::add);
             }
             pass(80);
@@ -192,8 +214,9 @@
             for (String other : List.of("a", "d", "f")) {
                 assertEquals(new Reply.Out(), ask(other, id), other);
             }
-            GROUPS.get(group).forEach(m -> assertEquals(1, all.get(m).host.seat(group).status().requests(),
-                    m));
+            GROUPS.get(group)
+                    .forEach(m ->
+                            assertEquals(1, all.get(m).host.seat(group).status().requests(), m));
         }
     }
 
@@ -202,8 +225,11 @@
         site();
         String id = kept("h");
         assertEquals(new Reply.Granted(0), ask("x", id));
-        kill(all.values().stream().filter(p -> p.votes("h") && p.host.seat("h").status().leads()).findFirst()
-                .orElseThrow().name);
+        kill(all.values().stream()
+                .filter(p -> p.votes("h") && p.host.seat("h").status().leads())
+                .findFirst()
+                .orElseThrow()
+                .name);
         assertEquals(new Reply.Out(), ask("x", id));
     }
 
@@ -216,7 +242,10 @@
         pass(12_000);
         Set<String> voters = voters("g");
         assertEquals(3, voters.size());
-        String guest = voters.stream().filter(n -> !GROUPS.get("g").contains(n)).findFirst().orElseThrow();
+        String guest = voters.stream()
+                .filter(n -> !GROUPS.get("g").contains(n))
+                .findFirst()
+                .orElseThrow();
         assertEquals(1, all.get(guest).host.seat("g").status().requests());
         // Another loss is borne: the guest knows what was promised.
         kill("c");
@@ -233,13 +262,20 @@
     @Test
     void aMemberThatIsGivenUpIsReplacedAtOnce() {
         site();
-        Seat leads = all.values().stream().filter(p -> p.votes("g")
-                && p.host.seat("g").status().leads()).findFirst()
-                .orElseThrow().host.seat("g");
-        String gone = GROUPS.get("g").stream().filter(n -> !n.equals(leads.status().id().name())).findFirst()
+        Seat leads = all.values().stream()
+                .filter(p -> p.votes("g") && p.host.seat("g").status().leads())
+                .findFirst()
+                .orElseThrow()
+                .host
+                .seat("g");
+        String gone = GROUPS.get("g").stream()
+                .filter(n -> !n.equals(leads.status().id().name()))
+                .findFirst()
+                .orElseThrow();
+        String other = GROUPS.get("g").stream()
+                .filter(n -> !n.equals(gone) && !n.equals(leads.status().id().name()))
+                .findFirst()
                 .orElseThrow();
-        String other = GROUPS.get("g").stream().filter(n -> !n.equals(gone)
-                && !n.equals(leads.status().id().name())).findFirst().orElseThrow();
         assertTrue(all.get(other).host.seat("g").replace(gone).contains("does not lead"));
         assertTrue(leads.replace("x").contains("no other member"));
         kill(gone);
@@ -261,9 +297,14 @@
         start("a", GroupMessage.SPEAKS);
         start("b", GroupMessage.SPEAKS);
         pass(20_000);
-        assertEquals(GROUPS.get("g"), voters("g"),
-                () -> all.values().stream().filter(p -> p.host.seat("g") != null)
-                .map(p -> p.name + " " + p.host.seat("g").status()).toList().toString());
+        assertEquals(
+                GROUPS.get("g"),
+                voters("g"),
+                () -> all.values().stream()
+                        .filter(p -> p.host.seat("g") != null)
+                        .map(p -> p.name + " " + p.host.seat("g").status())
+                        .toList()
+                        .toString());
         assertEquals(new Reply.Out(), ask("x", id));
     }
 
@@ -291,6 +332,8 @@
         assertFalse(all.get("x").host.groups().contains("g"));
         List<GroupMessage> said = new ArrayList<>();
         all.get("x").host.received("g", new GroupMessage("a", 0, 0, new Envelope.Pass(7, null)), said::add);
-        assertEquals(List.of(new Envelope.Passed(7, null, -1, "")), said.stream().map(GroupMessage::what).toList());
+        assertEquals(
+                List.of(new Envelope.Passed(7, null, -1, "")),
+                said.stream().map(GroupMessage::what).toList());
     }
 }
--- a/src/test/java/whinlead/replication/raft/MemberTest.java
+++ b/src/test/java/whinlead/replication/raft/MemberTest.java
@@ -2,12 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.replication.Command;
-import whinlead.replication.GroupClock;
-import whinlead.replication.Reply;
-import whinlead.engine.Timers;
-import whinlead.plan.Calendar;
 import io.microraft.RaftConfig;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import java.util.ArrayList;
@@ -15,6 +9,12 @@
 import java.util.Optional;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
+import whinlead.replication.Command;
+import whinlead.replication.GroupClock;
+import whinlead.replication.ReplicatedState;
+import whinlead.replication.Reply;
 
 /** A life of a member that ends with messages still to be worked off. */
 class MemberTest {
@@ -38,9 +38,15 @@
     }
 
     private static Envelope asksForVote(int term) {
-        return new Envelope.Consensus(new DefaultRaftModelFactory().createVoteRequestBuilder()
-                .setGroupId(Member.GROUP).setSender(OTHER).setTerm(term).setLastLogTerm(term)
-                .setLastLogIndex(100).setSticky(false).build());
+        return new Envelope.Consensus(new DefaultRaftModelFactory()
+                .createVoteRequestBuilder()
+                .setGroupId(Member.GROUP)
+                .setSender(OTHER)
+                .setTerm(term)
+                .setLastLogTerm(term)
+                .setLastLogIndex(100)
+                .setSticky(false)
+                .build());
     }
 
     /** Its log may be wiped or another's by then: a vote written to it would be one that nobody gave. */
@@ -48,12 +54,21 @@
     void whatItHadNotYetWorkedOffIsWrittenAndAnsweredNoMore() {
         WorldTimers timers = new WorldTimers();
         LogMirror log = new LogMirror();
-        Member member = new Member(ME, List.of(ME, OTHER, new MemberId("c", 1)), timers, new GroupClock(0),
-                (to, what) -> sent.add(what), new ReplicatedState(new ReplicatedState.Limits(10, 10, 10, 1000)),
-                RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(300_000)
+        Member member = new Member(
+                ME,
+                List.of(ME, OTHER, new MemberId("c", 1)),
+                timers,
+                new GroupClock(0),
+                (to, what) -> sent.add(what),
+                new ReplicatedState(new ReplicatedState.Limits(10, 10, 10, 1000)),
+                RaftConfig.newBuilder()
+                        .setLeaderElectionTimeoutMillis(300_000)
                         .setLeaderHeartbeatPeriodSecs(300)
-                        .setLeaderHeartbeatTimeoutSecs(600).build(), log, new Random(1),
-                        who -> Optional.empty());
+                        .setLeaderHeartbeatTimeoutSecs(600)
+                        .build(),
+                log,
+                new Random(1),
+                who -> Optional.empty());
         member.start(100);
         world.runTo(10);
         member.received(OTHER, asksForVote(3));
@@ -69,18 +84,37 @@
 
     private Member led(LogMirror log, long seed) {
         WorldTimers timers = new WorldTimers();
-        Member member = new Member(ME, List.of(ME, OTHER, new MemberId("c", 1)), timers, new GroupClock(0),
-                (to, what) -> sent.add(what), new ReplicatedState(new ReplicatedState.Limits(10, 10, 10, 1000)),
-                RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(300_000)
+        Member member = new Member(
+                ME,
+                List.of(ME, OTHER, new MemberId("c", 1)),
+                timers,
+                new GroupClock(0),
+                (to, what) -> sent.add(what),
+                new ReplicatedState(new ReplicatedState.Limits(10, 10, 10, 1000)),
+                RaftConfig.newBuilder()
+                        .setLeaderElectionTimeoutMillis(300_000)
                         .setLeaderHeartbeatPeriodSecs(300)
-                        .setLeaderHeartbeatTimeoutSecs(600).build(), log, new Random(seed),
-                        who -> Optional.empty());
+                        .setLeaderHeartbeatTimeoutSecs(600)
+                        .build(),
+                log,
+                new Random(seed),
+                who -> Optional.empty());
         member.start(100);
         world.runTo(world.now() + 10);
-        member.received(OTHER, new Envelope.Consensus(new DefaultRaftModelFactory()
-                .createAppendEntriesRequestBuilder().setGroupId(Member.GROUP).setSender(OTHER).setTerm(3)
-                .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setLogEntries(List.of())
-                .setQuerySequenceNumber(0).setFlowControlSequenceNumber(0).build()));
+        member.received(
+                OTHER,
+                new Envelope.Consensus(new DefaultRaftModelFactory()
+                        .createAppendEntriesRequestBuilder()
+                        .setGroupId(Member.GROUP)
+                        .setSender(OTHER)
+                        .setTerm(3)
+                        .setPreviousLogTerm(0)
+                        .setPreviousLogIndex(0)
+                        .setCommitIndex(0)
+                        .setLogEntries(List.of())
+                        .setQuerySequenceNumber(0)
+                        .setFlowControlSequenceNumber(0)
+                        .build()));
         world.runTo(world.now() + 10);
         assertEquals("b", member.leader());
         return member;
@@ -91,10 +125,7 @@
         return (Envelope.Forward) sent.get(sent.size() - 1);
     }
 
-    /**
-     * Schedules 113260 and 155882: with its disk it is the same life, and a late answer was taken for
-     * another's.
-     */
+    /** Schedules 113260 and 155882: with its disk it is the same life, and a late answer was taken for another's. */
     @Test
     void anAnswerToTheProcessBeforeItFitsNoneOfItsQuestions() {
         LogMirror log = new LogMirror();
--- a/src/test/java/whinlead/replication/raft/ReplacementTest.java
+++ b/src/test/java/whinlead/replication/raft/ReplacementTest.java
@@ -42,7 +42,8 @@
     }
 
     private void join(Replacement rule, MemberId who) {
-        MembershipManager.next(who, members, voters, rule.claim(who.name(), view(), now)).ifPresent(this::take);
+        MembershipManager.next(who, members, voters, rule.claim(who.name(), view(), now))
+                .ifPresent(this::take);
     }
 
     private static Set<String> names(Set<MemberId> all) {
@@ -58,7 +59,7 @@
     }
 
     private Optional<Replacement.Act> pass(Replacement rule, double millis, String... alive) {
-        for (double until = now + millis; now < until;) {
+        for (double until = now + millis; now < until; ) {
             now += TICK;
             for (String name : alive) {
                 rule.heard(name, now);
@@ -95,14 +96,14 @@
     }
 
     /**
-     * Schedule 1935 of a fleet: with one that votes lost for good, the guest's going left two seats, one of
-     * them the lost one's, and nobody that could ever agree on anything.
+     * Schedule 1935 of a fleet: with one that votes lost for good, the guest's going left two seats, one of them the
+     * lost one's, and nobody that could ever agree on anything.
      */
     @Test
     void aGuestKeepsItsSeatWhileAnotherThatVotesIsNotHeard() {
         Replacement rule = three();
-        MemberId who = new MemberId(((Replacement.Act.Invite) pass(rule, 3 * AFTER,
-                "b").orElseThrow()).name(), 1);
+        MemberId who = new MemberId(
+                ((Replacement.Act.Invite) pass(rule, 3 * AFTER, "b").orElseThrow()).name(), 1);
         for (int i = 0; i < 3; i++) {
             join(rule, who);
         }
@@ -125,8 +126,8 @@
         String guest = ((Replacement.Act.Invite) pass(rule, 3 * AFTER, "b").orElseThrow()).name();
         join(rule, new MemberId(guest, 1));
         assertEquals(4, members.size());
-        assertEquals(Optional.of(new Replacement.Act.Dismiss(new MemberId(guest, 1))),
-                pass(rule, TICK, "b", "c", guest));
+        assertEquals(
+                Optional.of(new Replacement.Act.Dismiss(new MemberId(guest, 1))), pass(rule, TICK, "b", "c", guest));
     }
 
     /** Its earlier life is lost as well: it must not keep the seat from everybody. */
@@ -135,8 +136,7 @@
         Replacement rule = three();
         join(rule, new MemberId("c", 2));
         assertEquals(4, members.size());
-        assertEquals(Optional.of(new Replacement.Act.Dismiss(new MemberId("c", 2))), pass(rule, 2 * AFTER,
-                "b"));
+        assertEquals(Optional.of(new Replacement.Act.Dismiss(new MemberId("c", 2))), pass(rule, 2 * AFTER, "b"));
         members.remove(new MemberId("c", 2));
         assertTrue(pass(rule, AFTER, "b").orElseThrow() instanceof Replacement.Act.Invite);
     }
@@ -169,9 +169,7 @@
         assertEquals(Set.of("a", "b", "c"), names(members));
     }
 
-    /**
-     * Processes of all kinds die, come back with nothing, and ask; the one that leads may change at any time.
-     */
+    /** Processes of all kinds die, come back with nothing, and ask; the one that leads may change at any time. */
     @ParameterizedTest
     @CsvSource({"3, 1", "3, 2", "3, 3", "3, 4", "5, 5", "5, 6", "5, 7", "5, 8", "7, 9", "7, 10"})
     void seatsAreNeverMoreNorFewerThanTheyMay(int size, long seed) {
@@ -205,7 +203,11 @@
                     }
                 }
             }
-            String leads = voters.stream().map(MemberId::name).filter(up::get).findFirst().orElseThrow();
+            String leads = voters.stream()
+                    .map(MemberId::name)
+                    .filter(up::get)
+                    .findFirst()
+                    .orElseThrow();
             if (rule == null || dice.nextInt(100) == 0 || !up.get(leads)) {
                 rule = new Replacement("g", leads, first, all, AFTER);
             }
@@ -242,9 +244,11 @@
             assertTrue(names(voters).size() == voters.size(), () -> "a name twice " + voters);
             // One that is there and is heard loses its seat to nobody but its first owner.
             for (MemberId m : before) {
-                assertTrue(voters.contains(m) || !up.get(m.name()) || lives.getOrDefault(m.name(),
-                        0) + 1 > m.life()
-                        || !first.contains(m.name()),
+                assertTrue(
+                        voters.contains(m)
+                                || !up.get(m.name())
+                                || lives.getOrDefault(m.name(), 0) + 1 > m.life()
+                                || !first.contains(m.name()),
                         () -> m + " of " + before + " lost its seat: " + voters);
             }
         }
@@ -255,7 +259,8 @@
             now += TICK;
             for (String name : all) {
                 last.heard(name, now);
-                if (first.contains(name) && voters.stream().noneMatch(m -> m.name().equals(name))) {
+                if (first.contains(name)
+                        && voters.stream().noneMatch(m -> m.name().equals(name))) {
                     asks.computeIfAbsent(name, n -> new MemberId(n, 1 + lives.merge(n, 1, Integer::sum)));
                 }
             }
--- a/src/test/java/whinlead/replication/raft/SeatTest.java
+++ b/src/test/java/whinlead/replication/raft/SeatTest.java
@@ -6,10 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.ReplicatedState;
-import whinlead.replication.GroupClock;
-import whinlead.engine.Timers;
-import whinlead.plan.Calendar;
 import io.microraft.RaftConfig;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,11 +22,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.engine.Timers;
+import whinlead.plan.Calendar;
+import whinlead.replication.GroupClock;
+import whinlead.replication.ReplicatedState;
 
 /** Processes that find their place in a group, by a driven clock and a network in memory. */
 class SeatTest {
-    private static final RaftConfig CONFIG = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(300)
-            .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(2).build();
+    private static final RaftConfig CONFIG = RaftConfig.newBuilder()
+            .setLeaderElectionTimeoutMillis(300)
+            .setLeaderHeartbeatPeriodSecs(1)
+            .setLeaderHeartbeatTimeoutSecs(2)
+            .build();
     private static final SortedSet<String> NAMES = new TreeSet<>(Set.of("a", "b", "c"));
 
     /** Kept, or its level goes with it. */
@@ -39,6 +42,7 @@
     private final Calendar world = new Calendar();
     /** By address: two processes may have one name, and one address leads to one of them. */
     private final Map<String, Process> addresses = new HashMap<>();
+
     private final Random dice = new Random(5);
 
     private final class Process implements Seat.Outside, Timers {
@@ -49,8 +53,13 @@
         private double frozenUntil;
 
         private Process(String name, LogMirror log) {
-            seat = new Seat(new Seat.Setup(name, NAMES, CONFIG, new ReplicatedState.Limits(100, 100, 10, 1000)), this,
-                    new GroupClock(now()), log, new Random(dice.nextLong()), this);
+            seat = new Seat(
+                    new Seat.Setup(name, NAMES, CONFIG, new ReplicatedState.Limits(100, 100, 10, 1000)),
+                    this,
+                    new GroupClock(now()),
+                    log,
+                    new Random(dice.nextLong()),
+                    this);
         }
 
         @Override
@@ -138,7 +147,8 @@
         Set<Set<MemberId>> known = new HashSet<>();
         all.values().forEach(p -> known.add(p.seat.status().members()));
         assertEquals(1, known.size());
-        assertEquals(1, all.values().stream().filter(p -> p.seat.status().leads()).count());
+        assertEquals(
+                1, all.values().stream().filter(p -> p.seat.status().leads()).count());
     }
 
     @Test
@@ -265,9 +275,12 @@
         old.dead = true;
         Process back = start("b");
         for (int i = 0; i < 20; i++) {
-            GroupMessage late = new GroupMessage("b", before.life(), all.get("a").seat.status().id().life(),
+            GroupMessage late = new GroupMessage(
+                    "b",
+                    before.life(),
+                    all.get("a").seat.status().id().life(),
                     new Envelope.Standing(i, i, Set.of(), Set.of(), 0));
-            world.after(i * 100, () -> all.get("a").seat.received(late, p -> { }));
+            world.after(i * 100, () -> all.get("a").seat.received(late, p -> {}));
         }
         pass(8000);
         assertFalse(back.taken);
@@ -279,8 +292,11 @@
         Map<String, Process> all = group();
         all.get("c").seat.diskFailed("no space left");
         pass(5000);
-        assertEquals(1, all.values().stream().filter(p -> p != all.get("c") && p.seat.status().leads())
-                .count());
+        assertEquals(
+                1,
+                all.values().stream()
+                        .filter(p -> p != all.get("c") && p.seat.status().leads())
+                        .count());
         assertTrue(all.get("c").notes.toString().contains("steps aside"));
     }
 }
--- a/src/test/java/whinlead/run/AdmissionConfigTest.java
+++ b/src/test/java/whinlead/run/AdmissionConfigTest.java
@@ -35,13 +35,25 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "[]", "{", "{\"conections\":1}", "{\"connections\":0}",
-        "{\"connections\":1.5}", "{\"connections\":2000}", "{\"connections\":9,\"connections_known\":8}",
-        "{\"ipv4_prefix\":33}",
-        "{\"ipv6_prefix\":-1}", "{\"move_descriptors\":1}", "{\"burst\":0}", "{\"remembered\":100000}"})
+    @ValueSource(
+            strings = {
+                "",
+                "[]",
+                "{",
+                "{\"conections\":1}",
+                "{\"connections\":0}",
+                "{\"connections\":1.5}",
+                "{\"connections\":2000}",
+                "{\"connections\":9,\"connections_known\":8}",
+                "{\"ipv4_prefix\":33}",
+                "{\"ipv6_prefix\":-1}",
+                "{\"move_descriptors\":1}",
+                "{\"burst\":0}",
+                "{\"remembered\":100000}"
+            })
     void aBadFileIsOneLine(String text) {
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-                () -> AdmissionConfig.parse(text, mapper));
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> AdmissionConfig.parse(text, mapper));
         assertFalse(e.getMessage().contains("\n"), e.getMessage());
     }
 
--- a/src/test/java/whinlead/run/AttemptTest.java
+++ b/src/test/java/whinlead/run/AttemptTest.java
@@ -19,14 +19,16 @@
 /** What becomes of attempts: what has run, what goes out again, and what the client is told. */
 class AttemptTest {
     private static final FakeServer.Script OK = (r, w) -> w.ok("done");
-    private static final FakeServer.Script SILENT = (r, w) -> { };
+    private static final FakeServer.Script SILENT = (r, w) -> {};
 
     @Test
     void aRequestGoesOnUnchangedAndConnectionsAreReused() throws Exception {
-        try (FakeServer e = new FakeServer(OK); TestNode n = new TestNode(FakeServer.refusing(), e.address());
+        try (FakeServer e = new FakeServer(OK);
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
-            TestClient.Answer a = c.ask("POST /api?obj=7f%20x HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\n"
-                    + "Request-Class: pay\r\nIdempotency-Key: k7\r\nRequest-Timeout: 5\r\nContent-Length: 3\r\n\r\nabc");
+            TestClient.Answer a = c.ask(
+                    "POST /api?obj=7f%20x HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\n"
+                            + "Request-Class: pay\r\nIdempotency-Key: k7\r\nRequest-Timeout: 5\r\nContent-Length: 3\r\n\r\nabc");
             assertEquals(200, a.status());
             assertEquals("done", a.body());
             FakeServer.Request r = e.awaitRequest();
@@ -47,7 +49,8 @@
 
     @Test
     void aRefusedConnectionProvesThatNothingRan() throws Exception {
-        try (TestNode n = new TestNode(FakeServer.refusing(), FakeServer.refusing()); TestClient c = n.client()) {
+        try (TestNode n = new TestNode(FakeServer.refusing(), FakeServer.refusing());
+                TestClient c = n.client()) {
             TestClient.Answer a = c.ask(TestClient.submit("5"));
             assertEquals(503, a.status());
             assertTrue(Double.parseDouble(a.headers().get("retry-after")) > 0);
@@ -64,7 +67,8 @@
                 w.ok("done");
             }
         };
-        try (FakeServer e = new FakeServer(firstIsFull); FakeServer f = new FakeServer(firstIsFull);
+        try (FakeServer e = new FakeServer(firstIsFull);
+                FakeServer f = new FakeServer(firstIsFull);
                 TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals("done", c.ask(TestClient.submit("5")).body());
@@ -88,7 +92,8 @@
 
     @Test
     void aResetAfterTheWriteFailsAnUnsafeRequestAfterOneAttempt() throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.reset()); FakeServer f = new FakeServer((r, w) -> w.reset());
+        try (FakeServer e = new FakeServer((r, w) -> w.reset());
+                FakeServer f = new FakeServer((r, w) -> w.reset());
                 TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals(502, c.ask(TestClient.submit("5")).status());
@@ -107,7 +112,8 @@
             }
         };
         try (FakeServer e = new FakeServer(onceThenReset);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             int status = c.ask(TestClient.submit("5")).status();
             for (int i = 0; status == 200 && i < 1000; i++) {
                 status = c.ask(TestClient.submit("5")).status();
@@ -127,7 +133,8 @@
                 w.ok("done");
             }
         };
-        try (FakeServer e = new FakeServer(firstBreaks); FakeServer f = new FakeServer(firstBreaks);
+        try (FakeServer e = new FakeServer(firstBreaks);
+                FakeServer f = new FakeServer(firstBreaks);
                 TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals("done", c.ask(TestClient.status("5")).body());
@@ -135,21 +142,25 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-        "HTTP/1.1 200 OK\r\n\r\nwho knows",
-        "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nhalf",
-        "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\nContent-Length: 0\r\n\r\n",
-        "nonsense\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+                "HTTP/1.1 200 OK\r\n\r\nwho knows",
+                "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\nContent-Length: 0\r\n\r\n",
+                "nonsense\r\n\r\n"
+            })
     void aBodyThatIsNotProvedWholeIsNotServed(String raw) throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> {
-            w.text(raw.contains("99999") ? raw + "y".repeat(99999) : raw);
-            w.socket().close();
-        }); TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                    w.text(raw.contains("99999") ? raw + "y".repeat(99999) : raw);
+                    w.socket().close();
+                });
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             TestClient.Answer a = c.ask(TestClient.submit("5"));
             assertEquals(502, a.status());
             assertEquals("", a.body());
@@ -158,28 +169,34 @@
 
     @Test
     void aChunkedBodyAndOneAfterAnInterimAnswerAreServed() throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.text("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\n"
-                + "Transfer-Encoding: chunked\r\nServer-Load: util=oops\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+        try (FakeServer e = new FakeServer(
+                        (r, w) -> w.text(
+                                "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\n"
+                                        + "Transfer-Encoding: chunked\r\nServer-Load: util=oops\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"));
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             assertEquals("abc", c.ask(TestClient.submit("5")).body());
         }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "nonsense\r\n\r\n",
-        "no line at all",
-        "HTTP/1.1 200 OK\r\nServer-Load: ut",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nit goes on",
-        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-        "HTTP/1.1 200 OK\r\n\r\nwho knows",
-        "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\ngood",
-        "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\ngood",
-        "INTERIM"})
+    @ValueSource(
+            strings = {
+                "nonsense\r\n\r\n",
+                "no line at all",
+                "HTTP/1.1 200 OK\r\nServer-Load: ut",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nit goes on",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\n\r\nwho knows",
+                "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\ngood",
+                "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\ngood",
+                "INTERIM"
+            })
     void aSpoiltAnswerFailsLongBeforeTheDeadlineThoughItsConnectionStaysOpen(String raw) throws Exception {
         String text = raw.replace("INTERIM", "HTTP/1.1 100 Continue\r\n\r\n".repeat(50));
         try (FakeServer e = new FakeServer((r, w) -> w.text(text));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             // Its own deadline is longer than this test has patience, and it may not go out again.
             assertEquals(502, c.ask(TestClient.submit("50")).status());
             e.awaitEnd();
@@ -188,13 +205,18 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nover", "noise",
-        "HTTP/1.1 200 OK\r\n",
-        "noise with\r\nlines\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nover",
+                "noise",
+                "HTTP/1.1 200 OK\r\n",
+                "noise with\r\nlines\r\n\r\n"
+            })
     void whatFollowsAnAnswerNeverAnswersTheNextRequest(String surplus) throws Exception {
         String text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood" + surplus;
         try (FakeServer e = new FakeServer((r, w) -> w.text(text));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             for (int i = 0; i < 20; i++) {
                 assertEquals("good", c.ask(TestClient.submit("5")).body());
                 e.awaitEnd();
@@ -205,7 +227,8 @@
 
     @Test
     void aSilentEndpointIsGivenUpInTimeAndItsConnectionClosed() throws Exception {
-        try (FakeServer e = new FakeServer(SILENT); TestNode n = new TestNode(FakeServer.refusing(), e.address());
+        try (FakeServer e = new FakeServer(SILENT);
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             assertEquals(502, c.ask(TestClient.submit("0.4")).status());
             e.awaitEnd();
@@ -217,7 +240,8 @@
     void anAnswerAfterTheEndIsDropped() throws Exception {
         FakeServer.Wire[] late = new FakeServer.Wire[1];
         try (FakeServer e = new FakeServer((r, w) -> late[0] = w);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             assertEquals(502, c.ask(TestClient.submit("0.3")).status());
             e.awaitEnd();
             e.script(OK);
@@ -240,7 +264,8 @@
 
     @Test
     void aClientThatLeavesCallsItsAttemptOff() throws Exception {
-        try (FakeServer e = new FakeServer(SILENT); TestNode n = new TestNode(FakeServer.refusing(), e.address())) {
+        try (FakeServer e = new FakeServer(SILENT);
+                TestNode n = new TestNode(FakeServer.refusing(), e.address())) {
             try (TestClient c = n.client()) {
                 c.send(TestClient.submit("50"));
                 assertNotNull(e.awaitRequest());
@@ -252,9 +277,11 @@
     @Test
     void aConnectionThatTheEndpointClosedIsNotUsedAgain() throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> {
-            w.ok("done");
-            w.socket().shutdownOutput();
-        }); TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                    w.ok("done");
+                    w.socket().shutdownOutput();
+                });
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             assertEquals(200, c.ask(TestClient.submit("5")).status());
             e.awaitEnd();
             assertEquals(200, c.ask(TestClient.submit("5")).status());
@@ -265,7 +292,8 @@
     @Test
     void withFewSocketsIdleConnectionsMakeRoom() throws Exception {
         // Room for one connection to all endpoints together.
-        try (FakeServer e = new FakeServer(OK); FakeServer f = new FakeServer(OK);
+        try (FakeServer e = new FakeServer(OK);
+                FakeServer f = new FakeServer(OK);
                 TestNode n = new TestNode(4, FakeServer.refusing(), "ask", e.address(), f.address());
                 TestClient c = n.client()) {
             for (int i = 0; i < 20; i++) {
@@ -280,12 +308,14 @@
         // It breaks any connection that is used a second time, as if that had been idle for too long.
         Set<Socket> served = ConcurrentHashMap.newKeySet();
         try (FakeServer e = new FakeServer((r, w) -> {
-            if (served.add(w.socket())) {
-                w.ok("done");
-            } else {
-                w.reset();
-            }
-        }); TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                    if (served.add(w.socket())) {
+                        w.ok("done");
+                    } else {
+                        w.reset();
+                    }
+                });
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             assertEquals(200, c.ask(TestClient.submit("5")).status());
             long from = System.nanoTime();
             Thread.sleep(200);
--- a/src/test/java/whinlead/run/AuthRequestProxy.java
+++ b/src/test/java/whinlead/run/AuthRequestProxy.java
@@ -17,9 +17,9 @@
 
 /**
  * A stand-in for nginx under {@code deploy/examples/nginx.conf}, by nginx's public documentation of
- * {@code ngx_http_auth_request_module}, {@code ngx_http_proxy_module} and {@code error_page}. What it sends to
- * the consult API (paths, headers and the variables in them) it reads from that file, and what it takes from
- * the answers too.
+ * {@code ngx_http_auth_request_module}, {@code ngx_http_proxy_module} and {@code error_page}. What it sends to the
+ * consult API (paths, headers and the variables in them) it reads from that file, and what it takes from the answers
+ * too.
  */
 final class AuthRequestProxy extends ExampleProxy {
     private static final Pattern PASS = Pattern.compile("proxy_pass http://whinlead(\\S+);");
@@ -52,8 +52,8 @@
             int said = subrequest(asks, "GET", request, variables, place);
             if (said != 200) {
                 // auth_request takes 401 and 403 for no, 2xx for yes and all else for an error.
-                return report(request, variables, hop, said == FORBIDDEN ? ended(variables)
-                        : new Answer(500, Map.of()));
+                return report(
+                        request, variables, hop, said == FORBIDDEN ? ended(variables) : new Answer(500, Map.of()));
             }
             String[] address = variables.get("address").split(":");
             hop = hop(address[0], Integer.parseInt(address[1]), id, 502);
@@ -75,8 +75,9 @@
     }
 
     // A location that proxies to the API; the variables that the asking location takes from the answer.
-    private int subrequest(String location, String method, Map<String, String> request,
-            Map<String, String> variables, String place) throws Exception {
+    private int subrequest(
+            String location, String method, Map<String, String> request, Map<String, String> variables, String place)
+            throws Exception {
         String text = block(config, "location = " + location + " {");
         Matcher pass = PASS.matcher(text);
         assertTrue(pass.find(), "no proxy_pass in " + location);
@@ -85,7 +86,9 @@
         request.forEach(b::header);
         Matcher header = HEADER.matcher(text);
         while (header.find()) {
-            String value = header.group(2).equals("\"\"") ? "" : variables.get(header.group(2).substring(1));
+            String value = header.group(2).equals("\"\"")
+                    ? ""
+                    : variables.get(header.group(2).substring(1));
             // An empty one is not sent; these two are the client library's own.
             if (!value.isEmpty() && !header.group(1).matches("Connection|Content-Length")) {
                 b.header(header.group(1), value);
@@ -94,18 +97,22 @@
         HttpResponse<String> answer = client.send(b.build(), HttpResponse.BodyHandlers.ofString());
         Matcher taken = TAKEN.matcher(block(config, place));
         while (taken.find()) {
-            variables.put(taken.group(1),
-                    answer.headers().firstValue(taken.group(2).replace('_', '-')).orElse(""));
+            variables.put(
+                    taken.group(1),
+                    answer.headers()
+                            .firstValue(taken.group(2).replace('_', '-'))
+                            .orElse(""));
         }
         return answer.statusCode();
     }
 
     private static Answer ended(Map<String, String> variables) {
-        int status = switch (variables.get("do")) {
-            case "refuse" -> 503;
-            case "too_many" -> 429;
-            default -> 502;
-        };
+        int status =
+                switch (variables.get("do")) {
+                    case "refuse" -> 503;
+                    case "too_many" -> 429;
+                    default -> 502;
+                };
         return new Answer(status, Map.of("Retry-After", variables.get("retry_after")));
     }
 
--- a/src/test/java/whinlead/run/CaptureConfigTest.java
+++ b/src/test/java/whinlead/run/CaptureConfigTest.java
@@ -5,10 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.capture.CaptureInput;
-import whinlead.capture.Entry;
-import whinlead.capture.Recorder;
-import whinlead.engine.RequestListener;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,6 +13,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.capture.CaptureInput;
+import whinlead.capture.Entry;
+import whinlead.capture.Recorder;
+import whinlead.engine.RequestListener;
 
 /** Where load is captured, and that what a sidecar serves is. */
 class CaptureConfigTest {
@@ -28,16 +28,24 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {", \"files\": 0", ", \"file_mb\": 1.5", ", \"queue\": 1", ", \"folders\": 2",
-            ", \"files\": \"4\""})
+    @ValueSource(
+            strings = {
+                ", \"files\": 0",
+                ", \"file_mb\": 1.5",
+                ", \"queue\": 1",
+                ", \"folders\": 2",
+                ", \"files\": \"4\""
+            })
     void aBadFieldIsNamedInOneLine(String more) {
-        String message = assertThrows(IllegalArgumentException.class, () -> config(more)).getMessage();
+        String message =
+                assertThrows(IllegalArgumentException.class, () -> config(more)).getMessage();
         assertTrue(message.startsWith("capture.") && message.lines().count() == 1, message);
     }
 
     @Test
     void aFolderThatIsNotThereIsRefused() {
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> CaptureConfig.parse("{\"folder\": \"" + dir + "/no\"}", new ObjectMapper()));
         assertThrows(IllegalArgumentException.class, () -> CaptureConfig.parse("{}", new ObjectMapper()));
     }
@@ -45,8 +53,9 @@
     @Test
     void requestsThatASidecarServesAreCapturedWithTheirEnds() throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
-            Recorder recorder = config("").start(n.settings, line -> { });
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
+            Recorder recorder = config("").start(n.settings, line -> {});
             n.group.next().submit(() -> n.engine.journal(recorder)).get();
             for (int i = 0; i < 5; i++) {
                 assertEquals(200, c.ask(TestClient.submit("5")).status());
--- a/src/test/java/whinlead/run/ClientServerTest.java
+++ b/src/test/java/whinlead/run/ClientServerTest.java
@@ -61,8 +61,10 @@
 
     @Test
     void halfARequestIsAnsweredInTime() throws Exception {
-        try (FakeServer e = new FakeServer(OK); TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient head = n.client(); TestClient body = n.client()) {
+        try (FakeServer e = new FakeServer(OK);
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient head = n.client();
+                TestClient body = n.client()) {
             head.send("GET /api HTTP/1.1\r\nRequest-Id: 1\r\n");
             body.send("POST /api HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Class: submit\r\n"
                     + "Content-Length: 9\r\n\r\nhalf");
@@ -75,8 +77,10 @@
 
     @Test
     void aHeadWithoutEndIsCutShort() throws Exception {
-        try (TestNode n = new TestNode(FakeServer.refusing()); TestClient c = n.client()) {
-            assertEquals(400, c.ask("GET /api HTTP/1.1\r\nX: " + "y".repeat(100_000)).status());
+        try (TestNode n = new TestNode(FakeServer.refusing());
+                TestClient c = n.client()) {
+            assertEquals(
+                    400, c.ask("GET /api HTTP/1.1\r\nX: " + "y".repeat(100_000)).status());
             assertNull(c.read());
         }
     }
@@ -97,10 +101,13 @@
     void anIdThatIsOpenIsNotRunAgain() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (FakeServer e = new FakeServer((r, w) -> {
-            await(release);
-            w.ok("done");
-        }); TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client();
-                TestClient other = n.client(); TestClient later = n.client()) {
+                    await(release);
+                    w.ok("done");
+                });
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client();
+                TestClient other = n.client();
+                TestClient later = n.client()) {
             String request = TestClient.submit("50");
             c.send(request);
             e.awaitRequest();
@@ -115,8 +122,9 @@
 
     @Test
     void aSecondRequestBeforeTheAnswerEndsBoth() throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> { });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+        try (FakeServer e = new FakeServer((r, w) -> {});
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             e.awaitRequest();
             assertEquals(400, c.ask(TestClient.submit("50")).status());
@@ -128,22 +136,28 @@
 
     @Test
     void onlyWhatWasCheckedGoesOn() throws Exception {
-        try (FakeServer e = new FakeServer(OK); TestNode n = new TestNode(FakeServer.refusing(), e.address());
+        try (FakeServer e = new FakeServer(OK);
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             c.ask("POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                     + "X-Secret: s\r\nContent-Type: text/plain\r\nServer-Load: util=1\r\nConnection: X-Secret\r\n"
                     + "Content-Length: 0\r\n\r\n");
-            assertEquals(Set.of("host", "request-id", "request-class", "request-timeout", "content-type",
-                    "content-length"), e.awaitRequest().headers().keySet());
+            assertEquals(
+                    Set.of("host", "request-id", "request-class", "request-timeout", "content-type", "content-length"),
+                    e.awaitRequest().headers().keySet());
         }
     }
 
     @Test
     void aDrainDoesNotWaitForWhatWasTurnedAway() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
-        try (TestNode n = new TestNode(FakeServer.refusing()); TestClient c = n.client()) {
-            assertEquals(413, c.ask("POST /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
-                    + "Content-Length: 99999999\r\n\r\nbegun").status());
+        try (TestNode n = new TestNode(FakeServer.refusing());
+                TestClient c = n.client()) {
+            assertEquals(
+                    413,
+                    c.ask("POST /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
+                                    + "Content-Length: 99999999\r\n\r\nbegun")
+                            .status());
             n.group.next().execute(() -> n.server.drain(drained::countDown));
             assertTrue(drained.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
         }
--- a/src/test/java/whinlead/run/ConsultApiTest.java
+++ b/src/test/java/whinlead/run/ConsultApiTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.consult.Tally;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.Socket;
@@ -23,6 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import whinlead.consult.Tally;
 
 /** The consult API on a whole sidecar, by a caller of this test's own. */
 class ConsultApiTest {
@@ -37,8 +37,8 @@
 
     @BeforeEach
     void start() throws Exception {
-        node = new TestNode(ProcessorConfig.parse(CONFIG, mapper), 1024, NOWHERE, "ask", "127.0.0.1:7001",
-                "127.0.0.1:7002");
+        node = new TestNode(
+                ProcessorConfig.parse(CONFIG, mapper), 1024, NOWHERE, "ask", "127.0.0.1:7001", "127.0.0.1:7002");
     }
 
     @AfterEach
@@ -47,8 +47,7 @@
     }
 
     private HttpResponse<String> post(String path, String body, String... headers) throws Exception {
-        HttpRequest.Builder b = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + node.consultPort
-                + path))
+        HttpRequest.Builder b = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + node.consultPort + path))
                 .POST(HttpRequest.BodyPublishers.ofString(body));
         if (headers.length > 0) {
             b.headers(headers);
@@ -62,28 +61,33 @@
 
     @Test
     void aRequestIsAskedAboutAndReportedInJson() throws Exception {
-        HttpResponse<String> asked = post("/v1/ask",
-                "{\"id\":\"r1\",\"class\":\"status\",\"timeout_ms\":800}");
+        HttpResponse<String> asked = post("/v1/ask", "{\"id\":\"r1\",\"class\":\"status\",\"timeout_ms\":800}");
         assertEquals(200, asked.statusCode(), asked.body());
         JsonNode send = mapper.readTree(asked.body());
         assertEquals("send", send.get("do").asText());
         assertTrue(send.get("address").asText().matches("127\\.0\\.0\\.1:700[12]"));
         assertTrue(send.get("within_ms").asDouble() <= 800);
         assertTrue(send.get("valid_ms").asDouble() > 0);
-        assertEquals(send.get("address").asText(), asked.headers().firstValue("Consult-Address").orElse(""));
+        assertEquals(
+                send.get("address").asText(),
+                asked.headers().firstValue("Consult-Address").orElse(""));
         HttpResponse<String> again = post("/v1/ask", "{\"id\":\"r1\",\"class\":\"status\"}");
         assertEquals(409, again.statusCode());
-        HttpResponse<String> ended = post("/v1/outcome", "{\"id\":\"r1\",\"attempt\":0,\"endpoint\":\""
-                + send.get("endpoint").asText() + "\",\"outcome\":\"served\",\"load\":\"util=0.5\"}");
+        HttpResponse<String> ended = post(
+                "/v1/outcome",
+                "{\"id\":\"r1\",\"attempt\":0,\"endpoint\":\""
+                        + send.get("endpoint").asText() + "\",\"outcome\":\"served\",\"load\":\"util=0.5\"}");
         assertEquals("{\"do\":\"served\"}", ended.body());
         assertEquals(0, onLoop(() -> node.consultations.open()));
     }
 
     @Test
     void aRetryIsToldInAnswerToTheReport() throws Exception {
-        JsonNode first = mapper.readTree(post("/v1/ask", "{\"id\":\"r1\",\"class\":\"status\"}").body());
-        JsonNode next = mapper.readTree(post("/v1/outcome",
-                "{\"id\":\"r1\",\"attempt\":0,\"outcome\":\"connect_failed\"}").body());
+        JsonNode first = mapper.readTree(
+                post("/v1/ask", "{\"id\":\"r1\",\"class\":\"status\"}").body());
+        JsonNode next =
+                mapper.readTree(post("/v1/outcome", "{\"id\":\"r1\",\"attempt\":0,\"outcome\":\"connect_failed\"}")
+                        .body());
         assertEquals("send", next.get("do").asText());
         assertEquals(1, next.get("attempt").asInt());
         assertTrue(!next.get("endpoint").equals(first.get("endpoint")));
@@ -93,20 +97,32 @@
     void headersDoAsWellAndAnAskMayTellTheLastEnd() throws Exception {
         HttpResponse<String> asked = post("/v1/ask", "", "Request-Id", "r1", "Request-Class", "status");
         assertEquals("0", asked.headers().firstValue("Consult-Attempt").orElse(""));
-        HttpResponse<String> next = post("/v1/ask?deny=403", "", "Request-Id", "r1", "Request-Class",
+        HttpResponse<String> next = post(
+                "/v1/ask?deny=403",
+                "",
+                "Request-Id",
+                "r1",
+                "Request-Class",
                 "status",
-                "Consult-Attempt", "0", "Consult-Status", "502", "Consult-Connect-Time", "-");
+                "Consult-Attempt",
+                "0",
+                "Consult-Status",
+                "502",
+                "Consult-Connect-Time",
+                "-");
         assertEquals("1", next.headers().firstValue("Consult-Attempt").orElse(""));
     }
 
     @Test
     void whatMayHaveRunIsFailedAndStaysSo() throws Exception {
         post("/v1/ask", "{\"id\":\"w1\",\"class\":\"submit\"}");
-        HttpResponse<String> ended = post("/v1/outcome?deny=403",
+        HttpResponse<String> ended = post(
+                "/v1/outcome?deny=403",
                 "{\"id\":\"w1\",\"attempt\":0,\"status\":502,\"connected\":true,\"answered\":false}");
         assertEquals(403, ended.statusCode());
         assertEquals("fail", ended.headers().firstValue("Consult-Do").orElse(""));
-        assertEquals(502, post("/v1/ask", "{\"id\":\"w1\",\"class\":\"submit\"}").statusCode());
+        assertEquals(
+                502, post("/v1/ask", "{\"id\":\"w1\",\"class\":\"submit\"}").statusCode());
     }
 
     @Test
@@ -139,37 +155,60 @@
     void headersAreCalledWhatTheFileSays() throws Exception {
         try (TestNode n = new TestNode(ProcessorConfig.parse("""
                 {"http": {"listen": "127.0.0.1:0"}, "class": "status",
-                 "headers": {"id": "X-Id", "class": "X-Kind", "timeout": "X-Wait-Ms"}}""", mapper), 1024,
-                NOWHERE, "ask", "127.0.0.1:7001")) {
+                 "headers": {"id": "X-Id", "class": "X-Kind", "timeout": "X-Wait-Ms"}}""", mapper), 1024, NOWHERE, "ask", "127.0.0.1:7001")) {
             URI at = URI.create("http://127.0.0.1:" + n.consultPort + "/v1/ask");
-            HttpResponse<String> told = client.send(HttpRequest.newBuilder(at).header("X-Id", "a")
-                    .header("X-Wait-Ms", "700").build(), HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> told = client.send(
+                    HttpRequest.newBuilder(at)
+                            .header("X-Id", "a")
+                            .header("X-Wait-Ms", "700")
+                            .build(),
+                    HttpResponse.BodyHandlers.ofString());
             assertEquals(200, told.statusCode(), told.body());
             assertTrue(mapper.readTree(told.body()).get("within_ms").asDouble() <= 700);
-            HttpResponse<String> unknown = client.send(HttpRequest.newBuilder(at).header("X-Id", "b")
-                    .header("X-Kind", "none").build(), HttpResponse.BodyHandlers.ofString());
-            assertEquals("class 'none' is unknown", mapper.readTree(unknown.body()).get("error").asText());
+            HttpResponse<String> unknown = client.send(
+                    HttpRequest.newBuilder(at)
+                            .header("X-Id", "b")
+                            .header("X-Kind", "none")
+                            .build(),
+                    HttpResponse.BodyHandlers.ofString());
+            assertEquals(
+                    "class 'none' is unknown",
+                    mapper.readTree(unknown.body()).get("error").asText());
         }
-        assertThrows(IllegalArgumentException.class, () -> new TestNode(ProcessorConfig.parse(
-                "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"class\":\"none\"}", mapper), 1024, NOWHERE, "ask",
-                "127.0.0.1:7001"));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new TestNode(
+                        ProcessorConfig.parse("{\"http\":{\"listen\":\"127.0.0.1:0\"},\"class\":\"none\"}", mapper),
+                        1024,
+                        NOWHERE,
+                        "ask",
+                        "127.0.0.1:7001"));
     }
 
     @Test
     void aStreamedAnswerEndsWhatIsOwed() throws Exception {
         post("/v1/ask", "{\"id\":\"w1\",\"class\":\"submit\"}");
         assertEquals(204, post("/v1/streaming", "{\"id\":\"w1\",\"attempt\":0}").statusCode());
-        assertEquals("{\"do\":\"served\"}",
-                post("/v1/outcome", "{\"id\":\"w1\",\"attempt\":0,\"outcome\":\"reset\"}").body());
+        assertEquals(
+                "{\"do\":\"served\"}",
+                post("/v1/outcome", "{\"id\":\"w1\",\"attempt\":0,\"outcome\":\"reset\"}")
+                        .body());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"{", "[]", "{\"class\":\"status\"}", "{\"id\":\"a b\",\"class\":\"status\"}",
-            "{\"id\":\"a\"}",
-        "{\"id\":\"a\",\"class\":\"none\"}", "{\"id\":\"a\",\"class\":\"status\",\"timeout_ms\":-1}",
-        "{\"id\":\"a\",\"class\":\"status\",\"timeout_ms\":1e12}",
-        "{\"id\":\"a\",\"class\":\"status\",\"attempt\":1.5,\"status\":200}",
-        "{\"id\":\"a\",\"class\":\"status\",\"attempt\":0,\"outcome\":\"fine\"}"})
+    @ValueSource(
+            strings = {
+                "{",
+                "[]",
+                "{\"class\":\"status\"}",
+                "{\"id\":\"a b\",\"class\":\"status\"}",
+                "{\"id\":\"a\"}",
+                "{\"id\":\"a\",\"class\":\"none\"}",
+                "{\"id\":\"a\",\"class\":\"status\",\"timeout_ms\":-1}",
+                "{\"id\":\"a\",\"class\":\"status\",\"timeout_ms\":1e12}",
+                "{\"id\":\"a\",\"class\":\"status\",\"attempt\":1.5,\"status\":200}",
+                "{\"id\":\"a\",\"class\":\"status\",\"attempt\":0,\"outcome\":\"fine\"}"
+            })
     void aBadCallIsToldWhyAndOpensNothing(String body) throws Exception {
         HttpResponse<String> answer = post("/v1/ask", body);
         assertEquals(400, answer.statusCode());
@@ -179,8 +218,10 @@
 
     @Test
     void reportsOnWhatWasNeverAskedAreCountedAndChangeNothing() throws Exception {
-        assertEquals(404, post("/v1/outcome",
-                "{\"id\":\"x\",\"attempt\":0,\"outcome\":\"served\"}").statusCode());
+        assertEquals(
+                404,
+                post("/v1/outcome", "{\"id\":\"x\",\"attempt\":0,\"outcome\":\"served\"}")
+                        .statusCode());
         assertEquals(1, onLoop(() -> node.consultations.tally().count(Tally.Kind.LATE)));
         assertEquals(404, post("/v2/ask", "{}").statusCode());
     }
@@ -199,13 +240,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "[]", "{\"http\":{\"listen\":\"x\"}}", "{\"htp\":{}}", "{\"http\":[]}",
-        "{\"http\":{\"listen\":\"127.0.0.1:0\",\"connections\":0}}",
-        "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"bounds\":{\"open\":1e9}}",
-        "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"bounds\":{\"opn\":1}}",
-        "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"headers\":{\"outcome\":\"x\"}}",
-        "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"headers\":{\"id\":\"a b\"}}",
-        "{\"envoy\":{\"listen\":\"127.0.0.1:0\",\"streams\":0}}"})
+    @ValueSource(
+            strings = {
+                "",
+                "[]",
+                "{\"http\":{\"listen\":\"x\"}}",
+                "{\"htp\":{}}",
+                "{\"http\":[]}",
+                "{\"http\":{\"listen\":\"127.0.0.1:0\",\"connections\":0}}",
+                "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"bounds\":{\"open\":1e9}}",
+                "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"bounds\":{\"opn\":1}}",
+                "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"headers\":{\"outcome\":\"x\"}}",
+                "{\"http\":{\"listen\":\"127.0.0.1:0\"},\"headers\":{\"id\":\"a b\"}}",
+                "{\"envoy\":{\"listen\":\"127.0.0.1:0\",\"streams\":0}}"
+            })
     void aBadFileIsOneLine(String text) {
         String why = assertThrows(IllegalArgumentException.class, () -> ProcessorConfig.parse(text, mapper))
                 .getMessage();
--- a/src/test/java/whinlead/run/CrowdingTest.java
+++ b/src/test/java/whinlead/run/CrowdingTest.java
@@ -32,7 +32,8 @@
         };
         List<TestClient> waiting = new ArrayList<>();
         try (FakeServer e = new FakeServer(silentOnSubmits);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             serve(c, SERVED_BETWEEN);
             for (int i = 0; i < SILENT; i++) {
                 waiting.add(leaveWithoutAnswer(n, unanswered));
@@ -56,10 +57,13 @@
             w.ok("done");
         };
         try (FakeServer e = new FakeServer(slowly);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             serve(c, SERVED_BETWEEN);
             // Nothing else is asked meanwhile.
-            assertEquals(502, c.ask(TestClient.status("4").replace("obj=k", "obj=silent")).status());
+            assertEquals(
+                    502,
+                    c.ask(TestClient.status("4").replace("obj=k", "obj=silent")).status());
             int refused = 0;
             for (int i = 0; i < ASKED_AFTER; i++) {
                 refused += c.ask(TestClient.status("5")).status() == 503 ? 1 : 0;
@@ -81,7 +85,8 @@
         };
         List<TestClient> waiting = new ArrayList<>();
         try (FakeServer e = new FakeServer(idle);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient c = n.client()) {
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient c = n.client()) {
             serve(c, SERVED_BETWEEN);
             waiting.add(leaveWithoutAnswer(n, unanswered));
             waiting.add(leaveWithoutAnswer(n, unanswered));
@@ -111,7 +116,7 @@
     // A refusal now and then is the module's right; what is asked must come through within the bound.
     private static void serve(TestClient c, int wanted) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
-        for (int served = 0; served < wanted;) {
+        for (int served = 0; served < wanted; ) {
             assertTrue(System.nanoTime() < end, "only " + served + " served");
             if (c.ask(TestClient.status("5")).status() == 200) {
                 served++;
--- a/src/test/java/whinlead/run/DescriptorsTest.java
+++ b/src/test/java/whinlead/run/DescriptorsTest.java
@@ -22,12 +22,21 @@
     Path dir;
 
     private Process start(Path config) throws IOException {
-        List<String> line = new ArrayList<>(List.of("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$@\"", "sh",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "whinlead.run.Main", "serve"));
+        List<String> line = new ArrayList<>(List.of(
+                "sh",
+                "-c",
+                "ulimit -n " + LIMIT + "; exec \"$@\"",
+                "sh",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "whinlead.run.Main",
+                "serve"));
         ProcessBuilder b = new ProcessBuilder(line);
         b.environment().put("PROXY_CONFIG", config.toString());
-        return b.redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile()).start();
+        return b.redirectErrorStream(true)
+                .redirectOutput(dir.resolve("log").toFile())
+                .start();
     }
 
     private static TestClient connect(Process p, int port) throws Exception {
@@ -74,8 +83,8 @@
         })) {
             String listen = FakeServer.refusing();
             int port = Integer.parseInt(listen.substring(listen.indexOf(':') + 1));
-            p = start(Files.writeString(dir.resolve("c.json"),
-                    TestNode.config(listen, FakeServer.refusing(), 1024, e.address())));
+            p = start(Files.writeString(
+                    dir.resolve("c.json"), TestNode.config(listen, FakeServer.refusing(), 1024, e.address())));
             try (TestClient submit = connect(p, port)) {
                 submit.send(TestClient.submit("60"));
                 e.awaitRequest();
--- a/src/test/java/whinlead/run/DiscoveryTest.java
+++ b/src/test/java/whinlead/run/DiscoveryTest.java
@@ -24,9 +24,7 @@
         return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
     }
 
-    /**
-     * Discovery that answers its first call with this and breaks it, and leaves the second open and silent.
-     */
+    /** Discovery that answers its first call with this and breaks it, and leaves the second open and silent. */
     private static FakeServer failing(String first) throws IOException {
         FakeServer[] self = new FakeServer[1];
         self[0] = new FakeServer((r, w) -> {
@@ -52,16 +50,21 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "{'seq':42,'whole':false,'hosts':[NEXT,{'host':'s0','dial':'127.0.0.1:9','health':'draining'}]}",
-        "{'seq':42,'whole':false,'hosts':[NEXT,{'host':'s0','health':'gone'}]}",
-        "{'seq':50,'whole':true,'hosts':[NEXT]}"})
+    @ValueSource(
+            strings = {
+                "{'seq':42,'whole':false,'hosts':[NEXT,{'host':'s0','dial':'127.0.0.1:9','health':'draining'}]}",
+                "{'seq':42,'whole':false,'hosts':[NEXT,{'host':'s0','health':'gone'}]}",
+                "{'seq':50,'whole':true,'hosts':[NEXT]}"
+            })
     void whatDrainsOrIsGoneOrMissingFromAWholeListGetsNothingNew(String change) throws Exception {
         try (FakeServer old = new FakeServer((r, w) -> w.ok("old"));
                 FakeServer next = new FakeServer((r, w) -> w.ok("next"));
-                FakeServer d = new FakeServer((r, w) -> w.text(WATCH + chunk("") + chunk(change.replace('\'', '"')
-                        .replace("NEXT", TestNode.host("s1", next.address(), "ready")))));
-                TestNode n = new TestNode(d.address(), old.address()); TestClient c = n.client()) {
+                FakeServer d = new FakeServer((r, w) -> w.text(WATCH
+                        + chunk("")
+                        + chunk(change.replace('\'', '"')
+                                .replace("NEXT", TestNode.host("s1", next.address(), "ready")))));
+                TestNode n = new TestNode(d.address(), old.address());
+                TestClient c = n.client()) {
             assertTrue(d.awaitRequest().line().contains("/registry/instances?watch=1&after=41 "));
             askUntil(c, "next");
             int before = old.requests.size();
@@ -73,16 +76,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{[\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n16\r\n{\"seq\":99,\"whole\":true}\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-        ""})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{[\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n16\r\n{\"seq\":99,\"whole\":true}\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+                ""
+            })
     void afterAFailedCallTheOldListStandsAndItIsAskedForAgain(String first) throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done")); FakeServer d = failing(first);
-                TestNode n = new TestNode(d.address(), e.address()); TestClient c = n.client()) {
+        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
+                FakeServer d = failing(first);
+                TestNode n = new TestNode(d.address(), e.address());
+                TestClient c = n.client()) {
             d.awaitRequest();
             assertTrue(d.awaitRequest().line().contains("after=41 "));
             assertEquals("done", c.ask(TestClient.submit("5")).body());
@@ -90,16 +97,19 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "{'seq':50,'whole':true,'hosts':[{'host':'x','dial':'127.0.0.1:9'},{'host':'x','dial':'127.0.0.1:9'}]}",
-        "{'seq':50,'whole':true,'hosts':[{'host':'x','health':'ready','dial':'127.0.0.1:9'},"
-            + "{'host':'x','health':'draining','dial':'127.0.0.1:9'}]}",
-        "{'seq':7,'whole':true,'hosts':[]}",
-        "{'seq':50,'whole':true,'hosts':[{'host':'x','health':'ready','dial':'127.0.0.1:9'"})
+    @ValueSource(
+            strings = {
+                "{'seq':50,'whole':true,'hosts':[{'host':'x','dial':'127.0.0.1:9'},{'host':'x','dial':'127.0.0.1:9'}]}",
+                "{'seq':50,'whole':true,'hosts':[{'host':'x','health':'ready','dial':'127.0.0.1:9'},"
+                        + "{'host':'x','health':'draining','dial':'127.0.0.1:9'}]}",
+                "{'seq':7,'whole':true,'hosts':[]}",
+                "{'seq':50,'whole':true,'hosts':[{'host':'x','health':'ready','dial':'127.0.0.1:9'"
+            })
     void aListThatIsNotBelievedIsAFailedCall(String list) throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
                 FakeServer d = failing(WATCH + chunk(list.replace('\'', '"')));
-                TestNode n = new TestNode(d.address(), e.address()); TestClient c = n.client()) {
+                TestNode n = new TestNode(d.address(), e.address());
+                TestClient c = n.client()) {
             d.awaitRequest();
             assertTrue(d.awaitRequest().line().contains("after=41 "));
             assertEquals("done", c.ask(TestClient.submit("5")).body());
@@ -111,12 +121,18 @@
         FakeServer[] self = new FakeServer[1];
         try (FakeServer old = new FakeServer((r, w) -> w.ok("old"));
                 FakeServer next = new FakeServer((r, w) -> w.ok("next"))) {
-            String both = TestNode.list(41, true, TestNode.host("s0", old.address(), "ready"),
+            String both = TestNode.list(
+                    41,
+                    true,
+                    TestNode.host("s0", old.address(), "ready"),
                     TestNode.host("s1", next.address(), "ready"));
-            String drains = TestNode.list(60, true, TestNode.host("s0", old.address(), "draining"),
+            String drains = TestNode.list(
+                    60,
+                    true,
+                    TestNode.host("s0", old.address(), "draining"),
                     TestNode.host("s1", next.address(), "ready"));
-            List<String> calls = List.of(chunk(drains), chunk(both), "fff\r\n" + both.substring(0, 90),
-                    chunk("{" + both));
+            List<String> calls =
+                    List.of(chunk(drains), chunk(both), "fff\r\n" + both.substring(0, 90), chunk("{" + both));
             try (FakeServer d = new FakeServer((r, w) -> {
                 int call = self[0].requests.size() - 1;
                 w.text(WATCH + (call < calls.size() ? calls.get(call) : chunk("")));
@@ -125,7 +141,8 @@
                 }
             })) {
                 self[0] = d;
-                try (TestNode n = new TestNode(d.address(), old.address()); TestClient c = n.client()) {
+                try (TestNode n = new TestNode(d.address(), old.address());
+                        TestClient c = n.client()) {
                     askUntil(c, "next");
                     int before = old.requests.size();
                     for (int i = 0; i <= calls.size(); i++) {
@@ -146,9 +163,15 @@
         FakeServer[] self = new FakeServer[1];
         try (FakeServer old = new FakeServer((r, w) -> w.ok("old"));
                 FakeServer next = new FakeServer((r, w) -> w.ok("next"))) {
-            String both = chunk(TestNode.list(41, true, TestNode.host("s0", old.address(), "ready"),
+            String both = chunk(TestNode.list(
+                    41,
+                    true,
+                    TestNode.host("s0", old.address(), "ready"),
                     TestNode.host("s1", next.address(), "ready")));
-            String drains = chunk(TestNode.list(60, true, TestNode.host("s0", old.address(), "draining"),
+            String drains = chunk(TestNode.list(
+                    60,
+                    true,
+                    TestNode.host("s0", old.address(), "draining"),
                     TestNode.host("s1", next.address(), "ready")));
             try (FakeServer d = new FakeServer((r, w) -> {
                 switch (self[0].requests.size()) {
@@ -166,7 +189,8 @@
                 }
             })) {
                 self[0] = d;
-                try (TestNode n = new TestNode(d.address(), old.address()); TestClient c = n.client()) {
+                try (TestNode n = new TestNode(d.address(), old.address());
+                        TestClient c = n.client()) {
                     d.awaitRequest();
                     askUntil(c, "next");
                     int before = old.requests.size();
@@ -188,8 +212,8 @@
     @Test
     void aWatchThatFallsSilentIsBrokenAndAskedForAgain() throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                FakeServer d = new FakeServer((r, w) -> w.text(WATCH
-                        + chunk(TestNode.list(77, false, TestNode.host("s0", e.address(), "ready")))));
+                FakeServer d = new FakeServer((r, w) ->
+                        w.text(WATCH + chunk(TestNode.list(77, false, TestNode.host("s0", e.address(), "ready")))));
                 TestNode n = new TestNode(d.address(), e.address())) {
             assertTrue(d.awaitRequest().line().contains("after=41 "));
             d.awaitEnd();
@@ -202,8 +226,10 @@
 
     @Test
     void aPushedListIsWatchedAndTheWatchRenewed() throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done")); FakeServer d = failing("");
-                TestNode n = new TestNode(1024, d.address(), "push", e.address()); TestClient c = n.client()) {
+        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
+                FakeServer d = failing("");
+                TestNode n = new TestNode(1024, d.address(), "push", e.address());
+                TestClient c = n.client()) {
             d.awaitRequest();
             d.awaitRequest();
             assertEquals("done", c.ask(TestClient.submit("5")).body());
@@ -236,18 +262,22 @@
                 }
                 n.group.next().submit(reload).get();
             }
-            assertEquals(3, log.stream().filter(l -> l.contains("not taken over")).count());
+            assertEquals(
+                    3, log.stream().filter(l -> l.contains("not taken over")).count());
             assertEquals(0, moved.connections());
 
             // Twice in a row is no more than once; what the old watch has said is read too late, for the
             // loop is busy.
             Files.writeString(file, good);
-            n.group.next().submit(() -> {
-                late[0].text(chunk(TestNode.list(99, true)));
-                reload.run();
-                reload.run();
-                return null;
-            }).get();
+            n.group
+                    .next()
+                    .submit(() -> {
+                        late[0].text(chunk(TestNode.list(99, true)));
+                        reload.run();
+                        reload.run();
+                        return null;
+                    })
+                    .get();
             d.awaitEnd();
             assertFalse(moved.awaitRequest().line().contains("after"));
             try (TestClient c = n.client()) {
--- a/src/test/java/whinlead/run/EndpointPoolTest.java
+++ b/src/test/java/whinlead/run/EndpointPoolTest.java
@@ -4,12 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
-import whinlead.admit.Budget;
-import whinlead.engine.Clock;
-import whinlead.http.HttpAsk;
-import whinlead.membership.EndpointList;
-import whinlead.transport.EndpointPool;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -21,6 +15,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.engine.Clock;
+import whinlead.http.HttpAsk;
+import whinlead.membership.EndpointList;
+import whinlead.transport.EndpointPool;
 
 /** The pool when there are no descriptors left. */
 class EndpointPoolTest {
@@ -41,11 +41,15 @@
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"))) {
             // Room for one connection only, so that one wrongly counted as open would be one too many.
-            EndpointPool pool = new EndpointPool(loop, ScarceChannel.class, new Clock(), 1000, 60000,
-                    Budget.fixed(Budget.Purpose.ENDPOINTS, 1));
-            loop.submit(() -> pool.update(new EndpointList(1, true, List.of(new EndpointList.Entry(
-                    new Contract.Server("s", Contract.Standing.UP, 1, "a", 0, 0),
-                    EndpointList.address(e.address())))))).get();
+            EndpointPool pool = new EndpointPool(
+                    loop, ScarceChannel.class, new Clock(), 1000, 60000, Budget.fixed(Budget.Purpose.ENDPOINTS, 1));
+            loop.submit(() -> pool.update(new EndpointList(
+                            1,
+                            true,
+                            List.of(new EndpointList.Entry(
+                                    new Contract.Server("s", Contract.Standing.UP, 1, "a", 0, 0),
+                                    EndpointList.address(e.address()))))))
+                    .get();
             EXHAUSTED.set(true);
             for (int i = 0; i < 3; i++) {
                 assertEquals(Contract.Outcome.CONNECT_FAILED, send(loop, pool));
@@ -62,11 +66,15 @@
     void anEndpointIsConnectedWhileOneOfItsConnectionsIsFree() throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"))) {
-            EndpointPool pool = new EndpointPool(loop, NioSocketChannel.class, new Clock(), 1000, 60000,
-                    Budget.fixed(Budget.Purpose.ENDPOINTS, 4));
-            loop.submit(() -> pool.update(new EndpointList(1, true, List.of(new EndpointList.Entry(
-                    new Contract.Server("s", Contract.Standing.UP, 1, "a", 0, 0),
-                    EndpointList.address(e.address())))))).get();
+            EndpointPool pool = new EndpointPool(
+                    loop, NioSocketChannel.class, new Clock(), 1000, 60000, Budget.fixed(Budget.Purpose.ENDPOINTS, 4));
+            loop.submit(() -> pool.update(new EndpointList(
+                            1,
+                            true,
+                            List.of(new EndpointList.Entry(
+                                    new Contract.Server("s", Contract.Standing.UP, 1, "a", 0, 0),
+                                    EndpointList.address(e.address()))))))
+                    .get();
             assertFalse(connected(loop, pool, "s"));
             assertEquals(Contract.Outcome.SERVED, send(loop, pool));
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
@@ -80,15 +88,15 @@
     }
 
     private static boolean connected(EventLoop loop, EndpointPool pool, String id) throws Exception {
-        return loop.submit(() -> pool.transport(
-                new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
-                .connected(id)).get();
+        return loop.submit(
+                        () -> pool.transport(new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
+                                .connected(id))
+                .get();
     }
 
     private static Contract.Outcome send(EventLoop loop, EndpointPool pool) throws Exception {
         CompletableFuture<Contract.Outcome> ended = new CompletableFuture<>();
-        loop.execute(() -> pool.transport(
-                new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
+        loop.execute(() -> pool.transport(new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
                 .send("s", 0, 1000, (outcome, answer, report) -> ended.complete(outcome)));
         return ended.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
     }
--- a/src/test/java/whinlead/run/ExampleProxy.java
+++ b/src/test/java/whinlead/run/ExampleProxy.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What stand-ins for other people's proxies share that follow a worked example under {@code deploy/examples}:
- * the client's request, and a hop to an endpoint with what such a proxy knows of it. One request at a time.
+ * What stand-ins for other people's proxies share that follow a worked example under {@code deploy/examples}: the
+ * client's request, and a hop to an endpoint with what such a proxy knows of it. One request at a time.
  */
 abstract class ExampleProxy implements AutoCloseable {
     /** An answer to the client. */
-    record Answer(int status, Map<String, String> headers) { }
+    record Answer(int status, Map<String, String> headers) {}
 
     /**
      * What became of one hop.
@@ -60,7 +60,9 @@
             }
             Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
             for (String h = FakeServer.line(in); h != null && !h.isEmpty(); h = FakeServer.line(in)) {
-                headers.put(h.substring(0, h.indexOf(':')), h.substring(h.indexOf(':') + 1).trim());
+                headers.put(
+                        h.substring(0, h.indexOf(':')),
+                        h.substring(h.indexOf(':') + 1).trim());
             }
             return new Hop(Integer.parseInt(line.split(" ")[1]), true, true, headers);
         } catch (SocketTimeoutException e) {
--- a/src/test/java/whinlead/run/ExampleProxyTest.java
+++ b/src/test/java/whinlead/run/ExampleProxyTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.consult.Tally;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import whinlead.consult.Tally;
 
 /** The worked examples under {@code deploy/examples}, followed by stand-ins for the proxies that they are for. */
 class ExampleProxyTest {
@@ -40,8 +40,12 @@
         abstract ExampleProxy proxy(int port) throws Exception;
 
         TestNode node(String... endpoints) throws Exception {
-            return new TestNode(ProcessorConfig.parse("{\"" + front + "\":{\"listen\":\"127.0.0.1:0\"}}",
-                    new ObjectMapper()), 1024, NOWHERE, "ask", endpoints);
+            return new TestNode(
+                    ProcessorConfig.parse("{\"" + front + "\":{\"listen\":\"127.0.0.1:0\"}}", new ObjectMapper()),
+                    1024,
+                    NOWHERE,
+                    "ask",
+                    endpoints);
         }
 
         ExampleProxy before(TestNode node) throws Exception {
@@ -99,8 +103,7 @@
             boolean afterAnother = false;
             for (int i = 0; i < 50 && !afterAnother; i++) {
                 long before = count(n, Tally.Kind.JOINED);
-                afterAnother = proxy.ask("r" + i, "status").status() == 200
-                        && count(n, Tally.Kind.JOINED) > before;
+                afterAnother = proxy.ask("r" + i, "status").status() == 200 && count(n, Tally.Kind.JOINED) > before;
             }
             assertTrue(afterAnother, "none was served at the second endpoint that it was told");
         }
--- a/src/test/java/whinlead/run/ExtProcTest.java
+++ b/src/test/java/whinlead/run/ExtProcTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.consult.Tally;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.google.protobuf.ByteString;
 import com.google.protobuf.Struct;
@@ -45,6 +44,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import whinlead.consult.Tally;
 
 /** Envoy's external processing on a whole sidecar, by a real gRPC client and Envoy's own messages. */
 class ExtProcTest {
@@ -61,8 +61,13 @@
 
     @BeforeEach
     void start() throws Exception {
-        node = new TestNode(ProcessorConfig.parse(CONFIG, new ObjectMapper()), 1024, NOWHERE, "ask",
-                "127.0.0.1:7001", "127.0.0.1:7002");
+        node = new TestNode(
+                ProcessorConfig.parse(CONFIG, new ObjectMapper()),
+                1024,
+                NOWHERE,
+                "ask",
+                "127.0.0.1:7001",
+                "127.0.0.1:7002");
     }
 
     @AfterEach
@@ -72,7 +77,9 @@
     }
 
     private ManagedChannel channel() {
-        ManagedChannel c = NettyChannelBuilder.forAddress(node.consulted.get("envoy")).usePlaintext().build();
+        ManagedChannel c = NettyChannelBuilder.forAddress(node.consulted.get("envoy"))
+                .usePlaintext()
+                .build();
         channels.add(c);
         return c;
     }
@@ -89,8 +96,7 @@
     }
 
     /** One stream, and what comes back on it; its end is a message too. */
-    private static final class Stream
-            implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
+    private static final class Stream implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
         private final BlockingQueue<Object> said = new LinkedBlockingQueue<>();
         private final boolean reads;
         private final StreamObserver<ProcessingRequest> out;
@@ -138,29 +144,44 @@
         }
 
         ProcessingResponse response(String status, String details, String address) throws Exception {
-            out.onNext(ProcessingRequest.newBuilder().setResponseHeaders(headers(Map.of(":status", status)))
-                    .putAttributes(FILTER, Struct.newBuilder()
-                    .putFields("response.code_details", Value.newBuilder().setStringValue(details).build())
-                    .putFields("upstream.address", Value.newBuilder().setStringValue(address).build())
-                    .build()).build());
+            out.onNext(ProcessingRequest.newBuilder()
+                    .setResponseHeaders(headers(Map.of(":status", status)))
+                    .putAttributes(
+                            FILTER,
+                            Struct.newBuilder()
+                                    .putFields(
+                                            "response.code_details",
+                                            Value.newBuilder()
+                                                    .setStringValue(details)
+                                                    .build())
+                                    .putFields(
+                                            "upstream.address",
+                                            Value.newBuilder()
+                                                    .setStringValue(address)
+                                                    .build())
+                                    .build())
+                    .build());
             return answer();
         }
     }
 
     private static HttpHeaders headers(Map<String, String> headers) {
         HeaderMap.Builder map = HeaderMap.newBuilder();
-        headers.forEach((name, value) -> map.addHeaders(HeaderValue.newBuilder().setKey(name)
-                .setRawValue(ByteString.copyFromUtf8(value))));
+        headers.forEach((name, value) ->
+                map.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value))));
         return HttpHeaders.newBuilder().setHeaders(map).build();
     }
 
     private static ProcessingRequest request(Map<String, String> headers) {
-        return ProcessingRequest.newBuilder().setRequestHeaders(headers(headers)).build();
+        return ProcessingRequest.newBuilder()
+                .setRequestHeaders(headers(headers))
+                .build();
     }
 
     private static Map<String, String> set(List<HeaderValueOption> options) {
         Map<String, String> set = new LinkedHashMap<>();
-        options.forEach(o -> set.put(o.getHeader().getKey(), o.getHeader().getRawValue().toStringUtf8()));
+        options.forEach(
+                o -> set.put(o.getHeader().getKey(), o.getHeader().getRawValue().toStringUtf8()));
         return set;
     }
 
@@ -174,7 +195,8 @@
     }
 
     private static String word(ProcessingResponse answer) {
-        return set(answer.getImmediateResponse().getHeaders().getSetHeadersList()).get("consult-do");
+        return set(answer.getImmediateResponse().getHeaders().getSetHeadersList())
+                .get("consult-do");
     }
 
     @Test
@@ -186,8 +208,13 @@
         Struct own = told.getDynamicMetadata().getFieldsOrThrow("whinlead").getStructValue();
         assertEquals(address, own.getFieldsOrThrow("destination").getStringValue());
         assertTrue(own.getFieldsOrThrow("valid_ms").getNumberValue() > 0);
-        assertEquals(sent(told).get("x-whinlead-endpoint"), told.getDynamicMetadata()
-                .getFieldsOrThrow("envoy.lb").getStructValue().getFieldsOrThrow("endpoint").getStringValue());
+        assertEquals(
+                sent(told).get("x-whinlead-endpoint"),
+                told.getDynamicMetadata()
+                        .getFieldsOrThrow("envoy.lb")
+                        .getStructValue()
+                        .getFieldsOrThrow("endpoint")
+                        .getStringValue());
         assertTrue(s.response("200", "via_upstream", address).hasResponseHeaders());
         assertEquals(Status.Code.OK, s.next());
         awaitOpen(0);
@@ -211,12 +238,13 @@
         ManagedChannel c = channel();
         Stream first = new Stream(c, true).ask("w1", "submit");
         sent(first.answer());
-        ProcessingResponse second = new Stream(channel(), true).ask("w1", "submit").answer();
+        ProcessingResponse second =
+                new Stream(channel(), true).ask("w1", "submit").answer();
         assertEquals(409, status(second));
         assertEquals("already_out", word(second));
         // Envoy's own answer would be 503, which reads as a refusal.
-        ProcessingResponse ended = first.response("503",
-                "upstream_reset_before_response_started{connection_termination}", "");
+        ProcessingResponse ended =
+                first.response("503", "upstream_reset_before_response_started{connection_termination}", "");
         assertEquals(502, status(ended));
         ProcessingResponse third = new Stream(c, true).ask("w1", "submit").answer();
         assertEquals("fail", word(third));
@@ -226,18 +254,28 @@
     void aLastTryThatNeverConnectedProvesNothingOfARoutersTriesBefore() throws Exception {
         Stream s = new Stream(channel(), true).ask("w1", "submit");
         sent(s.answer());
-        s.out.onNext(ProcessingRequest.newBuilder().setResponseHeaders(headers(Map.of(":status", "503")))
-                .putAttributes(FILTER, Struct.newBuilder()
-                .putFields("response.code_details", Value.newBuilder()
-                        .setStringValue("upstream_reset_before_response_started{connection_failure}").build())
-                .putFields("upstream.request_attempt_count", Value.newBuilder().setNumberValue(2).build())
-                .build()).build());
+        s.out.onNext(ProcessingRequest.newBuilder()
+                .setResponseHeaders(headers(Map.of(":status", "503")))
+                .putAttributes(
+                        FILTER,
+                        Struct.newBuilder()
+                                .putFields(
+                                        "response.code_details",
+                                        Value.newBuilder()
+                                                .setStringValue(
+                                                        "upstream_reset_before_response_started{connection_failure}")
+                                                .build())
+                                .putFields(
+                                        "upstream.request_attempt_count",
+                                        Value.newBuilder().setNumberValue(2).build())
+                                .build())
+                .build());
         assertEquals("fail", word(s.answer()));
     }
 
     @Test
     void whatIsProvenNotToHaveRunIsRefusedAndSaysWhen() throws Exception {
-        node.group.next().submit(() -> { }).get();
+        node.group.next().submit(() -> {}).get();
         ManagedChannel c = channel();
         ProcessingResponse end = null;
         // Each attempt that never connected is followed by another, until there is none left.
@@ -247,8 +285,8 @@
             if (told.hasImmediateResponse()) {
                 end = told;
             } else {
-                ProcessingResponse r = s.response("503",
-                        "upstream_reset_before_response_started{connection_failure}", "");
+                ProcessingResponse r =
+                        s.response("503", "upstream_reset_before_response_started{connection_failure}", "");
                 end = r.hasImmediateResponse() ? r : null;
             }
         }
@@ -272,7 +310,8 @@
         s.out.onCompleted();
         assertEquals(Status.Code.OK, s.next());
         awaitOpen(0);
-        assertEquals("fail", word(new Stream(channel(), true).ask("w1", "submit").answer()));
+        assertEquals(
+                "fail", word(new Stream(channel(), true).ask("w1", "submit").answer()));
     }
 
     @Test
@@ -297,8 +336,9 @@
     void oneThatDoesNotReadHoldsUpItselfOnly() throws Exception {
         ManagedChannel c = channel();
         Stream stalled = new Stream(c, false).ask("r1", "status");
-        ProcessingRequest body = ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()
-                .setBody(ByteString.copyFrom(new byte[60_000]))).build();
+        ProcessingRequest body = ProcessingRequest.newBuilder()
+                .setRequestBody(HttpBody.newBuilder().setBody(ByteString.copyFrom(new byte[60_000])))
+                .build();
         for (int i = 0; i < 20; i++) {
             stalled.out.onNext(body);
         }
@@ -311,12 +351,16 @@
 
     @Test
     void aRequestThatCantBeUnderstoodIsToldSo() throws Exception {
-        ProcessingResponse unknown = new Stream(channel(), true).ask("r1", "none").answer();
+        ProcessingResponse unknown =
+                new Stream(channel(), true).ask("r1", "none").answer();
         assertEquals(400, status(unknown));
-        assertEquals("class 'none' is unknown", unknown.getImmediateResponse().getBody().toStringUtf8());
+        assertEquals(
+                "class 'none' is unknown",
+                unknown.getImmediateResponse().getBody().toStringUtf8());
         Stream noId = new Stream(channel(), true);
         noId.out.onNext(request(Map.of(":path", "/")));
-        assertEquals("x-request-id is missing or malformed",
+        assertEquals(
+                "x-request-id is missing or malformed",
                 noId.answer().getImmediateResponse().getBody().toStringUtf8());
         // One that names no class has the usual one.
         Stream usual = new Stream(channel(), true);
@@ -328,7 +372,8 @@
     void breachesOfTheProtocolEndTheirStreamOnly() throws Exception {
         ManagedChannel c = channel();
         Stream early = new Stream(c, true);
-        early.out.onNext(ProcessingRequest.newBuilder().setResponseHeaders(headers(Map.of(":status", "200")))
+        early.out.onNext(ProcessingRequest.newBuilder()
+                .setResponseHeaders(headers(Map.of(":status", "200")))
                 .build());
         assertEquals(Status.Code.INVALID_ARGUMENT, early.next());
         Stream empty = new Stream(c, true);
@@ -362,15 +407,17 @@
                 }
             }
         };
-        ClientCall<byte[], byte[]> call = channel.newCall(ExternalProcessorGrpc.getProcessMethod()
-                .toBuilder(plain, plain).build(), CallOptions.DEFAULT);
+        ClientCall<byte[], byte[]> call = channel.newCall(
+                ExternalProcessorGrpc.getProcessMethod().toBuilder(plain, plain).build(), CallOptions.DEFAULT);
         BlockingQueue<Status.Code> end = new LinkedBlockingQueue<>();
-        call.start(new ClientCall.Listener<>() {
-            @Override
-            public void onClose(Status status, Metadata trailers) {
-                end.add(status.getCode());
-            }
-        }, new Metadata());
+        call.start(
+                new ClientCall.Listener<>() {
+                    @Override
+                    public void onClose(Status status, Metadata trailers) {
+                        end.add(status.getCode());
+                    }
+                },
+                new Metadata());
         call.request(1);
         call.sendMessage(bytes);
         call.halfClose();
@@ -399,7 +446,8 @@
         int first = -1;
         while (first == -1) {
             assertTrue(System.nanoTime() < end, "closed connections still count");
-            try (Socket again = new Socket("127.0.0.1", node.consulted.get("envoy").getPort())) {
+            try (Socket again =
+                    new Socket("127.0.0.1", node.consulted.get("envoy").getPort())) {
                 first = again.getInputStream().read();
             }
         }
--- a/src/test/java/whinlead/run/FakeServer.java
+++ b/src/test/java/whinlead/run/FakeServer.java
@@ -23,7 +23,7 @@
     static final int PATIENCE_S = 20;
 
     /** What came in, read whole. */
-    record Request(String line, Map<String, String> headers, byte[] body) { }
+    record Request(String line, Map<String, String> headers, byte[] body) {}
 
     /** A connection that the script may answer on, leave silent or break. */
     record Wire(Socket socket) {
@@ -151,7 +151,9 @@
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
             int colon = h.indexOf(':');
-            headers.put(h.substring(0, colon).toLowerCase(Locale.ROOT), h.substring(colon + 1).trim());
+            headers.put(
+                    h.substring(0, colon).toLowerCase(Locale.ROOT),
+                    h.substring(colon + 1).trim());
         }
         return new Request(line, headers, in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))));
     }
--- a/src/test/java/whinlead/run/FaultTest.java
+++ b/src/test/java/whinlead/run/FaultTest.java
@@ -3,18 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.Contract;
-import whinlead.admit.Budget;
-import whinlead.decide.Decide;
-import whinlead.engine.Request;
-import whinlead.engine.ResponseSink;
-import whinlead.engine.Clock;
-import whinlead.engine.Engine;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
-import whinlead.loop.LoopTimers;
-import whinlead.membership.EndpointList;
-import whinlead.transport.EndpointPool;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -26,6 +14,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
+import whinlead.admit.Budget;
+import whinlead.decide.Decide;
+import whinlead.engine.Clock;
+import whinlead.engine.Engine;
+import whinlead.engine.Request;
+import whinlead.engine.ResponseSink;
+import whinlead.http.HttpAnswer;
+import whinlead.http.HttpAsk;
+import whinlead.loop.LoopTimers;
+import whinlead.membership.EndpointList;
+import whinlead.transport.EndpointPool;
 
 /** A fault in carrying out a decision: the request that it strikes still has its one end. */
 class FaultTest {
@@ -34,18 +34,26 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             var loop = group.next();
-            Contract.Settings settings = Config.parse(TestNode.config("127.0.0.1:0", "127.0.0.1:1", 64),
-                    new ObjectMapper()).settings();
+            Contract.Settings settings = Config.parse(
+                            TestNode.config("127.0.0.1:0", "127.0.0.1:1", 64), new ObjectMapper())
+                    .settings();
             Clock clock = new Clock();
             BlockingQueue<String> log = new LinkedBlockingQueue<>();
             BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-            EndpointPool pool = new EndpointPool(loop, NioSocketChannel.class, clock, 250, 1000,
-                    Budget.fixed(Budget.Purpose.ENDPOINTS, 8));
-            Engine engine = new Engine(new LoopTimers(loop, clock), settings,
-                    actions -> new Decide(settings, 1, actions), pool::update, log::add);
+            EndpointPool pool = new EndpointPool(
+                    loop, NioSocketChannel.class, clock, 250, 1000, Budget.fixed(Budget.Purpose.ENDPOINTS, 8));
+            Engine engine = new Engine(
+                    new LoopTimers(loop, clock),
+                    settings,
+                    actions -> new Decide(settings, 1, actions),
+                    pool::update,
+                    log::add);
             // To connect to no address throws.
-            EndpointList list = new EndpointList(0, true, List.of(new EndpointList.Entry(
-                    new Contract.Server("s0", Contract.Standing.UP, 1, "", 0, 0), null)));
+            EndpointList list = new EndpointList(
+                    0,
+                    true,
+                    List.of(new EndpointList.Entry(
+                            new Contract.Server("s0", Contract.Standing.UP, 1, "", 0, 0), null)));
             ResponseSink<HttpAnswer> caller = new ResponseSink<>() {
                 @Override
                 public void served(HttpAnswer answer) {
@@ -63,10 +71,11 @@
                 }
             };
             loop.submit(() -> {
-                engine.start(() -> { }, list);
-                HttpAsk http = new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
-                engine.take(new Request(0, -1, 300, false), pool.transport(http), caller);
-            }).get();
+                        engine.start(() -> {}, list);
+                        HttpAsk http = new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
+                        engine.take(new Request(0, -1, 300, false), pool.transport(http), caller);
+                    })
+                    .get();
             assertTrue(log.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS).startsWith("decision failed"));
             assertEquals("failed", ends.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
             assertTrue(ends.isEmpty());
--- a/src/test/java/whinlead/run/PlacesTest.java
+++ b/src/test/java/whinlead/run/PlacesTest.java
@@ -31,8 +31,11 @@
         while (endpoints.size() < PLACES) {
             endpoints.add(new FakeServer(holds));
         }
-        try (TestNode n = new TestNode(PLACES * 3, FakeServer.refusing(), "ask",
-                endpoints.stream().map(FakeServer::address).toArray(String[]::new));
+        try (TestNode n = new TestNode(
+                        PLACES * 3,
+                        FakeServer.refusing(),
+                        "ask",
+                        endpoints.stream().map(FakeServer::address).toArray(String[]::new));
                 TestClient c = n.client()) {
             int taken = 0;
             for (int i = 0; i < TRIES; i++) {
--- a/src/test/java/whinlead/run/ProcessTest.java
+++ b/src/test/java/whinlead/run/ProcessTest.java
@@ -36,7 +36,8 @@
         line.addAll(List.of(options));
         // As in the jar: with what the planner's libraries log by, and nowhere for it to go.
         String path = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
-                .filter(entry -> !entry.contains("slf4j-jdk14")).collect(Collectors.joining(File.pathSeparator));
+                .filter(entry -> !entry.contains("slf4j-jdk14"))
+                .collect(Collectors.joining(File.pathSeparator));
         line.addAll(List.of("-cp", path, "whinlead.run.Main", command));
         ProcessBuilder b = new ProcessBuilder(line);
         b.environment().remove("PROXY_CONFIG");
@@ -72,8 +73,13 @@
     @Test
     void whatServingOnSocketsNeedsIsLoadedBeforeTheSidecarIsReady() throws Exception {
         Path loaded = dir.resolve("loaded");
-        assertEquals(0, exit(start("check", Path.of("deploy/example.json"), dir.resolve("err"),
-                "-Xlog:class+load:file=" + loaded)));
+        assertEquals(
+                0,
+                exit(start(
+                        "check",
+                        Path.of("deploy/example.json"),
+                        dir.resolve("err"),
+                        "-Xlog:class+load:file=" + loaded)));
         // The kind of channel that a connection is, once there is one.
         assertTrue(Files.readString(loaded).contains("sun.nio.ch.SocketChannelImpl "));
     }
@@ -81,8 +87,9 @@
     @Test
     void anAddressInUseIsOneLineAndAFailedExit() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Path config = Files.writeString(dir.resolve("c.json"), TestNode.config(
-                    "127.0.0.1:" + taken.getLocalPort(), FakeServer.refusing(), 1024));
+            Path config = Files.writeString(
+                    dir.resolve("c.json"),
+                    TestNode.config("127.0.0.1:" + taken.getLocalPort(), FakeServer.refusing(), 1024));
             Path errors = dir.resolve("err");
             assertNotEquals(0, exit(start(config, errors)));
             assertEquals(1, Files.readAllLines(errors).size(), Files.readString(errors));
@@ -95,10 +102,14 @@
         try (FakeServer e = new FakeServer(FakeServer.holding(release))) {
             String listen = FakeServer.refusing();
             int port = Integer.parseInt(listen.substring(listen.indexOf(':') + 1));
-            Process p = start(Files.writeString(dir.resolve("c.json"),
-                    TestNode.config(listen, FakeServer.refusing(), 1024, e.address()), StandardCharsets.UTF_8),
+            Process p = start(
+                    Files.writeString(
+                            dir.resolve("c.json"),
+                            TestNode.config(listen, FakeServer.refusing(), 1024, e.address()),
+                            StandardCharsets.UTF_8),
                     dir.resolve("err"));
-            try (TestClient c = connect(p, port); TestClient idle = new TestClient(port)) {
+            try (TestClient c = connect(p, port);
+                    TestClient idle = new TestClient(port)) {
                 assertEquals(200, idle.ask("GET /health/ready HTTP/1.1\r\n\r\n").status());
                 c.send(TestClient.submit("60"));
                 e.awaitRequest();
@@ -120,17 +131,20 @@
     @Test
     void aHangupMovesTheWatchAndEndsNothing() throws Exception {
         FakeServer.Script watch = (r, w) -> w.text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done")); FakeServer d = new FakeServer(watch);
+        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
+                FakeServer d = new FakeServer(watch);
                 FakeServer moved = new FakeServer(watch)) {
             String listen = FakeServer.refusing();
-            Path config = Files.writeString(dir.resolve("c.json"),
-                    TestNode.config(listen, d.address(), 1024, e.address()));
+            Path config =
+                    Files.writeString(dir.resolve("c.json"), TestNode.config(listen, d.address(), 1024, e.address()));
             Process p = start(config, dir.resolve("err"));
             try {
                 d.awaitRequest();
                 Files.writeString(config, TestNode.config(listen, moved.address(), 1024));
                 for (int i = 0; i < 3; i++) {
-                    new ProcessBuilder("kill", "-HUP", Long.toString(p.pid())).start().waitFor();
+                    new ProcessBuilder("kill", "-HUP", Long.toString(p.pid()))
+                            .start()
+                            .waitFor();
                 }
                 d.awaitEnd();
                 moved.awaitRequest();
@@ -147,8 +161,9 @@
     @Test
     void whatTheKillWouldFindIsFailedBeforeIt() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
-        try (FakeServer silent = new FakeServer((r, w) -> { });
-                TestNode n = new TestNode(FakeServer.refusing(), silent.address()); TestClient c = n.client()) {
+        try (FakeServer silent = new FakeServer((r, w) -> {});
+                TestNode n = new TestNode(FakeServer.refusing(), silent.address());
+                TestClient c = n.client()) {
             // Its client waits far longer than a stopped process may live.
             c.send(TestClient.submit("60"));
             silent.awaitRequest();
@@ -174,15 +189,19 @@
     void oldAndNewConnectionsAreServedForAWhileAfterTheStop() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address()); TestClient before = n.client()) {
+                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestClient before = n.client()) {
             assertEquals(200, before.ask(TestClient.status("5")).status());
             // In one turn of the loop, so that they come in time however slow the machine is.
             String again = TestClient.status("5");
-            try (TestClient c = n.group.next().submit(() -> {
-                n.server.drain(drained::countDown);
-                before.send(again);
-                return n.client();
-            }).get()) {
+            try (TestClient c = n.group
+                    .next()
+                    .submit(() -> {
+                        n.server.drain(drained::countDown);
+                        before.send(again);
+                        return n.client();
+                    })
+                    .get()) {
                 assertEquals(200, before.read().status());
                 assertEquals(200, c.ask(TestClient.status("5")).status());
                 assertNull(before.read());
--- a/src/test/java/whinlead/run/ReplicationConfigTest.java
+++ b/src/test/java/whinlead/run/ReplicationConfigTest.java
@@ -6,13 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.ReplicatedState;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetSocketAddress;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import whinlead.replication.ReplicatedState;
 
 /** The operator's file of copies: what it means, and one line for each thing that is wrong with it. */
 class ReplicationConfigTest {
@@ -28,17 +28,20 @@
 
     @Test
     void whatIsLeftOutHasItsUsualValue() {
-        ReplicationConfig c = ReplicationConfig.parse("{'group':'g','name':'a','members':{'a':'127.0.0.1:1'}}"
-                .replace('\'', '"'), MAPPER);
+        ReplicationConfig c = ReplicationConfig.parse(
+                "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'}}".replace('\'', '"'), MAPPER);
         assertNull(c.disk());
         assertEquals(new ReplicatedState.Limits(20_000, 1000, 10_000, 60_000), c.limits());
     }
 
     @Test
     void manyGroupsHaveSomeOfTheProcessesEach() {
-        ReplicationConfig c = ReplicationConfig.parse("{'name':'a','replace_after_ms':9000,".concat(
-                "'groups':{'g':['a','b'],'h':['c']},'processes':{'a':'127.0.0.1:1','b':'127.0.0.1:2','c':'127.0.0.1:3'}}")
-                .replace('\'', '"'), MAPPER);
+        ReplicationConfig c = ReplicationConfig.parse(
+                "{'name':'a','replace_after_ms':9000,"
+                        .concat(
+                                "'groups':{'g':['a','b'],'h':['c']},'processes':{'a':'127.0.0.1:1','b':'127.0.0.1:2','c':'127.0.0.1:3'}}")
+                        .replace('\'', '"'),
+                MAPPER);
         assertEquals(Set.of("a", "b"), c.groups().get("g"));
         assertEquals(Set.of("a", "b"), c.close());
         assertEquals(9000, c.replaceAfterMs());
@@ -46,25 +49,30 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '~', value = {
-        "{ | not JSON",
-        "[] | object",
-        "{'group':'g','name':'a'} | members",
-        "{'group':'G!','name':'a','members':{'a':'127.0.0.1:1'}} | group",
-        "{'group':'g','name':'b','members':{'a':'127.0.0.1:1'}} | lacks b",
-        "{'group':'g','name':'a','members':{'a':'nowhere'}} | nowhere",
-        "{'group':'g','name':'a','members':{'a':'127.0.0.1:1','b':'127.0.0.1:1'}} | twice",
-        "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'bounds':{'requests':0}} | requests",
-        "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'bounds':{'remember':1}} | remember",
-        "{'name':'a','processes':{'a':'127.0.0.1:1'},'groups':{'g':['a','b']}} | lacks b of g",
-        "{'name':'a','processes':{'a':'127.0.0.1:1'},'groups':{}} | groups",
-        "{'name':'a','group':'g','processes':{'a':'127.0.0.1:1'},'groups':{'g':['a']}} | group",
-        "{'name':'a','members':{'a':'127.0.0.1:1'},'groups':{'g':['a']}} | members",
-        "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'replace_after_ms':1} | replace_after_ms",
-        "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'disc':'x'} | disc"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '~',
+            value = {
+                "{ | not JSON",
+                "[] | object",
+                "{'group':'g','name':'a'} | members",
+                "{'group':'G!','name':'a','members':{'a':'127.0.0.1:1'}} | group",
+                "{'group':'g','name':'b','members':{'a':'127.0.0.1:1'}} | lacks b",
+                "{'group':'g','name':'a','members':{'a':'nowhere'}} | nowhere",
+                "{'group':'g','name':'a','members':{'a':'127.0.0.1:1','b':'127.0.0.1:1'}} | twice",
+                "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'bounds':{'requests':0}} | requests",
+                "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'bounds':{'remember':1}} | remember",
+                "{'name':'a','processes':{'a':'127.0.0.1:1'},'groups':{'g':['a','b']}} | lacks b of g",
+                "{'name':'a','processes':{'a':'127.0.0.1:1'},'groups':{}} | groups",
+                "{'name':'a','group':'g','processes':{'a':'127.0.0.1:1'},'groups':{'g':['a']}} | group",
+                "{'name':'a','members':{'a':'127.0.0.1:1'},'groups':{'g':['a']}} | members",
+                "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'replace_after_ms':1} | replace_after_ms",
+                "{'group':'g','name':'a','members':{'a':'127.0.0.1:1'},'disc':'x'} | disc"
+            })
     void whatIsWrongIsToldInOneLine(String json, String says) {
-        String told = assertThrows(IllegalArgumentException.class,
-                () -> ReplicationConfig.parse(json.replace('\'', '"'), MAPPER)).getMessage();
+        String told = assertThrows(
+                        IllegalArgumentException.class, () -> ReplicationConfig.parse(json.replace('\'', '"'), MAPPER))
+                .getMessage();
         assertTrue(told.contains(says), told);
         assertFalse(told.contains("\n"), told);
     }
--- a/src/test/java/whinlead/run/SignalsTest.java
+++ b/src/test/java/whinlead/run/SignalsTest.java
@@ -25,6 +25,7 @@
             (r, w) -> w.text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     /** What the deploy file has the shell do first. */
     private static final String TRAP = "trap '' HUP; ";
+
     private static final int ENDED_BY_TERM = 128 + 15;
 
     @TempDir
@@ -32,9 +33,16 @@
 
     // As `run` starts it: by a shell that the program replaces.
     private Process start(String first, Path config) throws IOException {
-        ProcessBuilder b = new ProcessBuilder("sh", "-c", first + "echo; exec \"$@\"", "sh",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "whinlead.run.Main", "serve");
+        ProcessBuilder b = new ProcessBuilder(
+                "sh",
+                "-c",
+                first + "echo; exec \"$@\"",
+                "sh",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "whinlead.run.Main",
+                "serve");
         b.environment().put("PROXY_CONFIG", config.toString());
         return b.redirectError(dir.resolve("err").toFile()).start();
     }
@@ -58,7 +66,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"", TRAP})
     void aHangupAsSoonAsTheFileIsReadIsTakenOver(String first) throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done")); FakeServer old = new FakeServer(WATCH);
+        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
+                FakeServer old = new FakeServer(WATCH);
                 FakeServer moved = new FakeServer(WATCH)) {
             String listen = FakeServer.refusing();
             Path config = pipe();
@@ -85,9 +94,10 @@
 
     @Test
     void hangupsFromTheFirstMomentOnEndNothing() throws Exception {
-        try (FakeServer d = new FakeServer(WATCH); FakeServer moved = new FakeServer(WATCH)) {
-            Path config = Files.writeString(dir.resolve("c.json"),
-                    TestNode.config(FakeServer.refusing(), d.address(), 1024));
+        try (FakeServer d = new FakeServer(WATCH);
+                FakeServer moved = new FakeServer(WATCH)) {
+            Path config =
+                    Files.writeString(dir.resolve("c.json"), TestNode.config(FakeServer.refusing(), d.address(), 1024));
             Process p = start(TRAP, config);
             try {
                 // The shell says so once it ignores the signal.
@@ -126,9 +136,13 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             EventLoop loop = group.next();
-            Main.Parts parts = Main.wire(Config.parse(TestNode.config("127.0.0.1:0", FakeServer.refusing(),
-                    64),
-                    mapper), AdmissionConfig.usual(), null, null, mapper, loop);
+            Main.Parts parts = Main.wire(
+                    Config.parse(TestNode.config("127.0.0.1:0", FakeServer.refusing(), 64), mapper),
+                    AdmissionConfig.usual(),
+                    null,
+                    null,
+                    mapper,
+                    loop);
             CountDownLatch over = new CountDownLatch(1);
             loop.execute(() -> parts.server().drain(over::countDown));
             assertTrue(over.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
@@ -140,15 +154,16 @@
     @Test
     void hangupsDuringTheDrainLoseNoRequest() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (FakeServer e = new FakeServer(FakeServer.holding(release)); FakeServer d = new FakeServer(WATCH); FakeServer moved = new FakeServer(WATCH)) {
+        try (FakeServer e = new FakeServer(FakeServer.holding(release));
+                FakeServer d = new FakeServer(WATCH);
+                FakeServer moved = new FakeServer(WATCH)) {
             String listen = FakeServer.refusing();
-            Path config = Files.writeString(dir.resolve("c.json"),
-                    TestNode.config(listen, d.address(), 1024, e.address()));
+            Path config =
+                    Files.writeString(dir.resolve("c.json"), TestNode.config(listen, d.address(), 1024, e.address()));
             Process p = start(TRAP, config);
             try {
                 d.awaitRequest();
-                try (TestClient c = new TestClient(Integer.parseInt(listen.substring(listen.indexOf(':')
-                        + 1)))) {
+                try (TestClient c = new TestClient(Integer.parseInt(listen.substring(listen.indexOf(':') + 1)))) {
                     c.send(TestClient.submit("60"));
                     e.awaitRequest();
                     replace(config, TestNode.config(listen, moved.address(), 1024, e.address()));
--- a/src/test/java/whinlead/run/SpoeProxy.java
+++ b/src/test/java/whinlead/run/SpoeProxy.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.front.spop.SpopFrame;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.DataInputStream;
@@ -17,11 +16,12 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import whinlead.front.spop.SpopFrame;
 
 /**
- * A stand-in for HAProxy under {@code deploy/examples/haproxy.cfg} and {@code whinlead.spoe.conf}, by its
- * public {@code doc/SPOE.txt} (2.5 the configuration, 3.2 the frames, 3.4 the actions) and configuration
- * manual. The arguments of both messages are read from the file; the frontend's rules are followed here.
+ * A stand-in for HAProxy under {@code deploy/examples/haproxy.cfg} and {@code whinlead.spoe.conf}, by its public
+ * {@code doc/SPOE.txt} (2.5 the configuration, 3.2 the frames, 3.4 the actions) and configuration manual. The arguments
+ * of both messages are read from the file; the frontend's rules are followed here.
  */
 final class SpoeProxy extends ExampleProxy {
     private static final Pattern ARGUMENT = Pattern.compile("(\\w+)=([\\w.]+)(?:\\(([^)]*)\\))?");
@@ -59,8 +59,7 @@
         if (denied != null) {
             return denied;
         }
-        Hop hop = hop(samples.get(variable("ip")), Integer.parseInt(samples.get(variable("port"))), id,
-                UNAVAILABLE);
+        Hop hop = hop(samples.get(variable("ip")), Integer.parseInt(samples.get(variable("port"))), id, UNAVAILABLE);
         samples.put("status", Integer.toString(hop.status()));
         samples.put("res.hdr(Consult-Connect-Time)", hop.time(hop.connected(), "-1"));
         samples.put("res.hdr(Consult-Header-Time)", hop.time(hop.answered(), "-1"));
@@ -68,7 +67,8 @@
         if (samples.containsKey(variable("attempt"))) {
             message("outcome", samples);
         }
-        return "refuse".equals(samples.get(variable("do"))) ? refused(samples)
+        return "refuse".equals(samples.get(variable("do")))
+                ? refused(samples)
                 : new Answer(hop.status(), hop.headers());
     }
 
@@ -123,8 +123,7 @@
             if ((payload.getByte(payload.readerIndex()) & TYPE_MASK) == IPV4) {
                 byte[] ip = new byte[4];
                 payload.skipBytes(1).readBytes(ip);
-                samples.put(name, (ip[0] & 0xff) + "." + (ip[1] & 0xff) + "." + (ip[2] & 0xff) + "."
-                        + (ip[3] & 0xff));
+                samples.put(name, (ip[0] & 0xff) + "." + (ip[1] & 0xff) + "." + (ip[2] & 0xff) + "." + (ip[3] & 0xff));
             } else {
                 samples.put(name, SpopFrame.value(payload));
             }
--- a/src/test/java/whinlead/run/TestClient.java
+++ b/src/test/java/whinlead/run/TestClient.java
@@ -12,7 +12,7 @@
 
 /** The application: one connection to a sidecar. */
 final class TestClient implements AutoCloseable {
-    record Answer(int status, Map<String, String> headers, String body) { }
+    record Answer(int status, Map<String, String> headers, String body) {}
 
     private static final AtomicInteger IDS = new AtomicInteger();
     private final Socket socket;
@@ -51,7 +51,9 @@
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         for (String h = FakeServer.line(in); !h.isEmpty(); h = FakeServer.line(in)) {
-            headers.put(h.substring(0, h.indexOf(':')), h.substring(h.indexOf(':') + 1).trim());
+            headers.put(
+                    h.substring(0, h.indexOf(':')),
+                    h.substring(h.indexOf(':') + 1).trim());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
         return new Answer(Integer.parseInt(line.split(" ")[1]), headers, new String(body, StandardCharsets.UTF_8));
--- a/src/test/java/whinlead/run/TestNode.java
+++ b/src/test/java/whinlead/run/TestNode.java
@@ -1,10 +1,5 @@
 package whinlead.run;
 
-import whinlead.Contract;
-import whinlead.consult.Consultations;
-import whinlead.engine.Engine;
-import whinlead.front.http1.ClientServer;
-import whinlead.membership.Discovery;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -13,6 +8,11 @@
 import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import whinlead.Contract;
+import whinlead.consult.Consultations;
+import whinlead.engine.Engine;
+import whinlead.front.http1.ClientServer;
+import whinlead.membership.Discovery;
 
 /** A whole sidecar in this process, on a free port, from a configuration as the platform gives it. */
 final class TestNode implements AutoCloseable {
@@ -46,13 +46,26 @@
     }
 
     /** The same with limits by client. */
-    TestNode(AdmissionConfig admission, ProcessorConfig processor, int sockets, String discovery, String how,
-            String... endpoints) throws Exception {
+    TestNode(
+            AdmissionConfig admission,
+            ProcessorConfig processor,
+            int sockets,
+            String discovery,
+            String how,
+            String... endpoints)
+            throws Exception {
         this(true, admission, processor, sockets, discovery, how, endpoints);
     }
 
-    private TestNode(boolean started, AdmissionConfig admission, ProcessorConfig processor, int sockets,
-            String discovery, String how, String... endpoints) throws Exception {
+    private TestNode(
+            boolean started,
+            AdmissionConfig admission,
+            ProcessorConfig processor,
+            int sockets,
+            String discovery,
+            String how,
+            String... endpoints)
+            throws Exception {
         String json = config("127.0.0.1:0", discovery, sockets, endpoints)
                 .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + how + "\"");
         ObjectMapper mapper = new ObjectMapper();
@@ -63,7 +76,9 @@
         engine = parts.engine();
         settings = config.settings();
         watch = parts.discovery();
-        port = ((InetSocketAddress) server.listen(config.listen()).sync().channel().localAddress()).getPort();
+        port = ((InetSocketAddress)
+                        server.listen(config.listen()).sync().channel().localAddress())
+                .getPort();
         if (started) {
             start();
         }
@@ -86,23 +101,20 @@
     /** Has the loop do what it has to: each round sees to the sockets once. */
     void rounds(int count) throws Exception {
         for (int i = 0; i < count; i++) {
-            loop.submit(() -> { }).get();
+            loop.submit(() -> {}).get();
         }
     }
 
     static String host(String name, String address, String health) {
         return """
-                {"host":"%s","dial":"%s","site":"a","class":"m","block":0,"health":"%s","share":1.0,"born_ms":0}"""
-                .formatted(name, address, health);
+                {"host":"%s","dial":"%s","site":"a","class":"m","block":0,"health":"%s","share":1.0,"born_ms":0}""".formatted(name, address, health);
     }
 
     static String list(long seq, boolean whole, String... hosts) {
-        return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"extra\":1,\"hosts\":[" + String.join(",",
-                hosts) + "]}";
+        return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"extra\":1,\"hosts\":[" + String.join(",", hosts) + "]}";
     }
 
-    static String config(String listen, String discovery, int sockets,
-            String... endpoints) throws IOException {
+    static String config(String listen, String discovery, int sockets, String... endpoints) throws IOException {
         String[] hosts = new String[endpoints.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = host("s" + i, endpoints[i], "ready");
@@ -120,8 +132,7 @@
                   "obligations":{"drain_grace":2000,"fall_multiple":4,"overload_for":1500,"cold_share":0.12,
                    "cold":24000,"ask_within":10000},
                   "discovery":"ask","reporting":{"how":"inline","fields":["util","qps"]},"tenants":[],
-                  "over_share_worth":0.1,"peers_total":1,"ordinal":0}}"""
-                .formatted(listen, discovery, sockets, list(41, true, hosts));
+                  "over_share_worth":0.1,"peers_total":1,"ordinal":0}}""".formatted(listen, discovery, sockets, list(41, true, hosts));
     }
 
     TestClient client() throws IOException {
--- a/src/test/java/whinlead/run/ToolsTest.java
+++ b/src/test/java/whinlead/run/ToolsTest.java
@@ -31,9 +31,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"copies check absent.json, 1", "copies replace deploy/copies.json no-such a, 1",
-        "copies follow r pom.xml, 1", "plan ask absent.json, 1", "no-such, 2", "copies check, 2",
-                "rehearse no-such, 2"})
+    @CsvSource({
+        "copies check absent.json, 1",
+        "copies replace deploy/copies.json no-such a, 1",
+        "copies follow r pom.xml, 1",
+        "plan ask absent.json, 1",
+        "no-such, 2",
+        "copies check, 2",
+        "rehearse no-such, 2"
+    })
     void whatIsBadIsToldByItsExitCode(String line, int code) {
         int[] exit = new int[1];
         String said = errors(() -> exit[0] = Tools.execute(line.split(" ")));
--- a/src/test/java/whinlead/run/TraceFileTest.java
+++ b/src/test/java/whinlead/run/TraceFileTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.replication.Trace;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -12,6 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import whinlead.replication.Trace;
 
 /** One request followed over the files of two processes. */
 class TraceFileTest {
@@ -28,14 +28,20 @@
         System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
         int exit;
         try {
-            exit = Tools.execute("copies", "follow", "r1", dir.resolve("other.0").toString(),
+            exit = Tools.execute(
+                    "copies",
+                    "follow",
+                    "r1",
+                    dir.resolve("other.0").toString(),
                     dir.resolve("one.0").toString());
         } finally {
             System.setOut(console);
         }
         assertEquals(0, exit);
-        List<String> steps = said.toString(StandardCharsets.UTF_8).lines()
-                .map(l -> l.substring(l.indexOf("  ") + 2)).toList();
+        List<String> steps = said.toString(StandardCharsets.UTF_8)
+                .lines()
+                .map(l -> l.substring(l.indexOf("  ") + 2))
+                .toList();
         assertEquals(List.of("p1  asked  e1", "p2  passed_here  p1", "p1  granted  0"), steps);
         assertTrue(said.toString(StandardCharsets.UTF_8).startsWith("20"));
     }
--- a/src/test/java/whinlead/run/WarmupTest.java
+++ b/src/test/java/whinlead/run/WarmupTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.engine.Clock;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
+import whinlead.engine.Clock;
 
 /** What runs before the sidecar is ready. */
 class WarmupTest {
--- a/src/test/java/whinlead/testbed/LedgerTest.java
+++ b/src/test/java/whinlead/testbed/LedgerTest.java
@@ -2,17 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import whinlead.Contract;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import whinlead.Contract;
 
 /** The ledger must see each kind of broken rule: a check that can't fail shows nothing. */
 class LedgerTest {
     private static final int SAFE = 0;
     private static final int UNSAFE = 1;
-    private final Ledger ledger = new Ledger(List.of(Settings.type("safe", 5, Contract.Effect.SAFE),
-            Settings.type("unsafe", 2, Contract.Effect.UNSAFE)));
+    private final Ledger ledger = new Ledger(List.of(
+            Settings.type("safe", 5, Contract.Effect.SAFE), Settings.type("unsafe", 2, Contract.Effect.UNSAFE)));
 
     @Test
     void aRequestThatNeverEndsIsLost() {
--- a/src/test/java/whinlead/testbed/OverloadTest.java
+++ b/src/test/java/whinlead/testbed/OverloadTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.decide.Decide;
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import whinlead.decide.Decide;
 
 /** The decisions alone, under a driven clock: what recovers when there is room must still refuse when there is none. */
 class OverloadTest {
--- a/src/test/java/whinlead/testbed/PlanDayTest.java
+++ b/src/test/java/whinlead/testbed/PlanDayTest.java
@@ -3,19 +3,19 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
-import whinlead.plan.Bounds;
-import whinlead.plan.Fleet;
-import whinlead.plan.Load;
-import whinlead.plan.tool.Description;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import whinlead.plan.Bounds;
+import whinlead.plan.Fleet;
+import whinlead.plan.Load;
+import whinlead.plan.tool.Description;
 
 /**
- * The planner's answer beside a real sidecar before stand-ins, briefly; {@code rehearse plan} does it at
- * length. A machine that is busy with other things gives a sidecar less than the planner thinks, so a play
- * that differs is played again: a planner that is wrong is so each time.
+ * The planner's answer beside a real sidecar before stand-ins, briefly; {@code rehearse plan} does it at length. A
+ * machine that is busy with other things gives a sidecar less than the planner thinks, so a play that differs is played
+ * again: a planner that is wrong is so each time.
  */
 class PlanDayTest {
     private static final int MAX_PLAYS = 3;
@@ -47,10 +47,20 @@
     @Test
     void anOverloadIsServedAsFarAsThePlannerSays() throws Exception {
         Description d = Description.of("/whinlead/plan/rehearsal.json");
-        Fleet small = new Fleet(d.fleet().settings(), d.fleet().models(), d.fleet().zones(), 4,
+        Fleet small = new Fleet(
+                d.fleet().settings(),
+                d.fleet().models(),
+                d.fleet().zones(),
+                4,
                 d.fleet().work(),
-                d.fleet().front(), d.fleet().sidecar(), d.fleet().shares(), d.fleet().clients(), List.of());
-        Load load = new Load(2 * d.load().perSecond() / Bounds.utilisation(small, d.load()), d.load().mix(),
+                d.fleet().front(),
+                d.fleet().sidecar(),
+                d.fleet().shares(),
+                d.fleet().clients(),
+                List.of());
+        Load load = new Load(
+                2 * d.load().perSecond() / Bounds.utilisation(small, d.load()),
+                d.load().mix(),
                 List.of(),
                 4000);
         PlanDay day = new PlanDay(small, load, Habit.NONE);
--- a/src/test/java/whinlead/testbed/ProcessorDayTest.java
+++ b/src/test/java/whinlead/testbed/ProcessorDayTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.consult.Tally;
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import whinlead.consult.Tally;
 
 /** A short day of proxies that do all that proxies do wrong, over real connections on loopback. */
 class ProcessorDayTest {
--- a/src/test/java/whinlead/testbed/RoomTest.java
+++ b/src/test/java/whinlead/testbed/RoomTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import whinlead.decide.Decide;
 import java.util.Map;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
+import whinlead.decide.Decide;
 
 /** The decisions alone, under a driven clock: with room at the endpoints nearly nothing is refused. */
 class RoomTest {
@@ -35,7 +35,8 @@
         Ledger ledger = day.play(Decide::new, JITTER, 7);
         assertEquals(Map.of(), ledger.broken(), day.name());
         assertTrue(day.refused(ledger) < RoomDay.MAX_REFUSED, () -> day.name() + ": " + day.refused(ledger));
-        assertTrue(day.refusedFor(ledger) < RoomDay.BOUND_MS,
+        assertTrue(
+                day.refusedFor(ledger) < RoomDay.BOUND_MS,
                 () -> day.name() + ", milliseconds after a change: " + day.refusedFor(ledger));
     }
 }
--- a/src/test/java/whinlead/testbed/fleet/CopiesFleetTest.java
+++ b/src/test/java/whinlead/testbed/fleet/CopiesFleetTest.java
@@ -12,10 +12,7 @@
 
 /** A group of real processes that are killed, stopped and cut off while proxies ask them and resend. */
 class CopiesFleetTest {
-    /**
-     * What depends on how busy the machine is: a call answered late by half a second. The rehearsal judges
-     * it.
-     */
+    /** What depends on how busy the machine is: a call answered late by half a second. The rehearsal judges it. */
     private static final String LATE = "unanswered";
 
     @ParameterizedTest
@@ -26,9 +23,11 @@
             Map<String, Integer> broken = new TreeMap<>(r.ledger().broken());
             broken.remove(LATE);
             assertEquals(Map.of(), broken, () -> r.ledger().cases().toString());
-            assertTrue(r.ledger().seen().getOrDefault("ends compared", 0) > 20,
+            assertTrue(
+                    r.ledger().seen().getOrDefault("ends compared", 0) > 20,
                     () -> r.ledger().seen().toString());
-            assertTrue(r.ledger().seen().keySet().stream().anyMatch(k -> k.startsWith("killed")),
+            assertTrue(
+                    r.ledger().seen().keySet().stream().anyMatch(k -> k.startsWith("killed")),
                     () -> r.ledger().seen().toString());
         }
     }
@@ -43,7 +42,8 @@
             assertEquals(Map.of(), broken, () -> fleet.ledger().cases().toString());
             assertEquals(1, loss.lost());
             assertEquals(1, loss.moved());
-            assertTrue(fleet.ledger().seen().getOrDefault("ends compared", 0) > 20,
+            assertTrue(
+                    fleet.ledger().seen().getOrDefault("ends compared", 0) > 20,
                     () -> fleet.ledger().seen().toString());
         }
     }
@@ -57,7 +57,8 @@
             Map<String, Integer> broken = new TreeMap<>(fleet.ledger().broken());
             broken.remove(LATE);
             assertEquals(Map.of(), broken, () -> fleet.ledger().cases().toString());
-            assertTrue(fleet.ledger().seen().getOrDefault("ends compared", 0) > 100,
+            assertTrue(
+                    fleet.ledger().seen().getOrDefault("ends compared", 0) > 100,
                     () -> fleet.ledger().seen().toString());
         }
     }
--- a/src/test/java/whinlead/testbed/fleet/FaultScriptTest.java
+++ b/src/test/java/whinlead/testbed/fleet/FaultScriptTest.java
@@ -19,14 +19,17 @@
     void ofTheFirstFourOneIsAKillWhateverTheSeed(boolean disks) {
         Set<FaultScript.Kind> all = EnumSet.noneOf(FaultScript.Kind.class);
         for (long seed = 0; seed < 1000; seed++) {
-            List<FaultScript.Fault> faults = Stream.generate(new FaultScript(seed, 3, disks)::next).limit(6).toList();
+            List<FaultScript.Fault> faults = Stream.generate(new FaultScript(seed, 3, disks)::next)
+                    .limit(6)
+                    .toList();
             assertTrue(faults.subList(0, 4).stream().anyMatch(f -> f.kind().kills()), "seed " + seed);
             assertEquals(3, faults.stream().filter(f -> f.kind().kills()).count(), "seed " + seed);
             assertTrue(faults.stream().allMatch(f -> f.member() >= 0 && f.member() < 3 && f.lastsMs() > 0));
             faults.forEach(f -> all.add(f.kind()));
         }
         Set<FaultScript.Kind> wanted = Stream.of(FaultScript.Kind.values())
-                .filter(k -> disks || k != FaultScript.Kind.KILL_KEEPING_DISK).collect(Collectors.toSet());
+                .filter(k -> disks || k != FaultScript.Kind.KILL_KEEPING_DISK)
+                .collect(Collectors.toSet());
         assertEquals(wanted, all);
     }
 
--- a/src/test/java/whinlead/testbed/mesh/hardening/AnswerPlayTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/AnswerPlayTest.java
@@ -34,8 +34,10 @@
 
     @DataProvider
     public Object[][] planted() {
-        return Arrays.stream(AnswerBug.values()).filter(b -> b != AnswerBug.NONE)
-                .map(b -> new Object[] {b}).toArray(Object[][]::new);
+        return Arrays.stream(AnswerBug.values())
+                .filter(b -> b != AnswerBug.NONE)
+                .map(b -> new Object[] {b})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "planted")
--- a/src/test/java/whinlead/testbed/mesh/hardening/DiskTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/DiskTest.java
@@ -5,9 +5,6 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import whinlead.mesh.consensus.Ballot;
-import whinlead.mesh.consensus.Decision;
-import whinlead.mesh.consensus.Acceptor;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -15,6 +12,9 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.mesh.consensus.Acceptor;
+import whinlead.mesh.consensus.Ballot;
+import whinlead.mesh.consensus.Decision;
 
 /** The rig's disk: what lasts, when it is told, and what its troubles do. */
 public class DiskTest {
@@ -30,8 +30,8 @@
     }
 
     private static Disk.Entry entry(long round) {
-        return new Disk.Entry("a#0", new Acceptor.State(Decision.founding(List.of("a#0")),
-                new Ballot(round, "a#0"), null));
+        return new Disk.Entry(
+                "a#0", new Acceptor.State(Decision.founding(List.of("a#0")), new Ballot(round, "a#0"), null));
     }
 
     private void write(long round) {
--- a/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
@@ -24,15 +24,21 @@
     public void aMachineThatIsCutOffClaimsAndRefusesNothing() throws InterruptedException {
         Hunt hunt = hunt(Point.CUT, 150);
         // Schedules in which hardly anything is taken, or nobody starts, would show nothing.
-        assertTrue(hunt.counts().get("orders acknowledged") > 150 * 15, hunt.counts().toString());
-        assertTrue(hunt.samples().get("a sidecar, ms to its beginning with a confirmed version").size()
+        assertTrue(
+                hunt.counts().get("orders acknowledged") > 150 * 15,
+                hunt.counts().toString());
+        assertTrue(hunt.samples()
+                        .get("a sidecar, ms to its beginning with a confirmed version")
+                        .size()
                 > 150);
     }
 
     @Test
     public void operatorsHistoriesAreThoseOfOneRegister() throws InterruptedException {
         Hunt hunt = hunt(Point.HISTORY, 150);
-        assertTrue(hunt.counts().get("orders acknowledged") > 150 * 10, hunt.counts().toString());
+        assertTrue(
+                hunt.counts().get("orders acknowledged") > 150 * 10,
+                hunt.counts().toString());
         assertTrue(hunt.counts().get("calls of a change that was taken, again: TAKEN") > 150 * 10);
     }
 
@@ -46,7 +52,9 @@
     @Test
     public void aMemberThatMissedHundredsOfChangesCatchesUp() throws InterruptedException {
         Hunt hunt = hunt(Point.CATCH_UP, 60);
-        assertTrue(hunt.counts().get("orders acknowledged") > 60 * 300, hunt.counts().toString());
+        assertTrue(
+                hunt.counts().get("orders acknowledged") > 60 * 300,
+                hunt.counts().toString());
     }
 
     @DataProvider
@@ -78,13 +86,13 @@
     @Test
     public void aChangeOfVotersTakesItsTurnAmongTheOrders() throws InterruptedException {
         for (int underWay : new int[] {1, 4, 8}) {
-            Hunt hunt = Hunt.of(1, 60, THREADS,
-                    seed -> MembershipPlay.play(seed, Bug.NONE, Trace.NONE, underWay));
+            Hunt hunt = Hunt.of(1, 60, THREADS, seed -> MembershipPlay.play(seed, Bug.NONE, Trace.NONE, underWay));
             assertEquals(hunt.broken(), Map.of(), "by seed");
             hunt.samples().forEach((name, samples) -> {
-                double bound = name.endsWith("changes decided meanwhile") ? 15
-                        : name.contains("process's end") ? 4000 : 3000;
-                assertTrue(!name.contains("under way") || samples.part(1) < bound,
+                double bound =
+                        name.endsWith("changes decided meanwhile") ? 15 : name.contains("process's end") ? 4000 : 3000;
+                assertTrue(
+                        !name.contains("under way") || samples.part(1) < bound,
                         name + ": " + samples.part(1) + " in seed " + samples.worstSeed());
             });
         }
@@ -95,7 +103,9 @@
         Hunt hunt = hunt(Point.PAIR_CUT, 100);
         assertTrue(hunt.counts().get("losses") > 100 * 3, hunt.counts().toString());
         assertTrue(hunt.counts().get("cuts, BOTH") > 100 * 2, hunt.counts().toString());
-        assertTrue(hunt.samples().get("an unplanned replacement, ms from the loss to the new voters").size()
+        assertTrue(hunt.samples()
+                        .get("an unplanned replacement, ms from the loss to the new voters")
+                        .size()
                 > 50);
     }
 
@@ -108,7 +118,9 @@
 
     @DataProvider
     public Object[][] bugs() {
-        return Arrays.stream(Bug.values()).filter(b -> b != Bug.NONE).map(b -> new Object[] {b})
+        return Arrays.stream(Bug.values())
+                .filter(b -> b != Bug.NONE)
+                .map(b -> new Object[] {b})
                 .toArray(Object[][]::new);
     }
 
--- a/src/test/java/whinlead/testbed/mesh/hardening/LinearizabilityTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/LinearizabilityTest.java
@@ -3,13 +3,13 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 
-import whinlead.testbed.mesh.hardening.Operation.Change;
-import whinlead.testbed.mesh.hardening.Operation.End;
-import whinlead.testbed.mesh.hardening.Operation.Value;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import whinlead.testbed.mesh.hardening.Operation.Change;
+import whinlead.testbed.mesh.hardening.Operation.End;
+import whinlead.testbed.mesh.hardening.Operation.Value;
 
 /** Which histories one register with compare-and-set could have given, and which it could not. */
 public class LinearizabilityTest {
--- a/src/test/java/whinlead/testbed/mesh/hardening/RelayPlayTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/RelayPlayTest.java
@@ -27,8 +27,10 @@
 
     @DataProvider
     public Object[][] planted() {
-        return Arrays.stream(RelayPlay.Bug.values()).filter(b -> b != RelayPlay.Bug.NONE)
-                .map(b -> new Object[] {b}).toArray(Object[][]::new);
+        return Arrays.stream(RelayPlay.Bug.values())
+                .filter(b -> b != RelayPlay.Bug.NONE)
+                .map(b -> new Object[] {b})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "planted")
--- a/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
+++ b/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
@@ -5,13 +5,6 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import whinlead.mesh.registry.EndpointRecord;
-import whinlead.mesh.config.RoutingTable;
-import whinlead.mesh.config.MeshConfig;
-import whinlead.mesh.config.ConfigValidator;
-import whinlead.mesh.config.ConfigReader;
-import whinlead.mesh.wire.PeerMessage;
-import whinlead.mesh.wire.PeerMessageCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -28,6 +21,13 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 import picocli.CommandLine;
+import whinlead.mesh.config.ConfigReader;
+import whinlead.mesh.config.ConfigValidator;
+import whinlead.mesh.config.MeshConfig;
+import whinlead.mesh.config.RoutingTable;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
 
 /** A scale run's figures are those of what it ran, and its fits those of its figures. */
 public class ScaleTest {
@@ -57,8 +57,7 @@
 
     @Test
     public void sizesThatTellNothingAreRefused() {
-        expectThrows(IllegalArgumentException.class, () -> Fit.of(new double[] {5, 5, 5},
-                new double[] {1, 2, 3}, 1));
+        expectThrows(IllegalArgumentException.class, () -> Fit.of(new double[] {5, 5, 5}, new double[] {1, 2, 3}, 1));
         expectThrows(IllegalArgumentException.class, () -> Fit.of(new double[] {5}, new double[] {1}, 1));
     }
 
@@ -69,14 +68,20 @@
         MeshConfig meshConfig = new ConfigReader().read(first);
         new ConfigValidator().check(meshConfig);
         assertEquals(meshConfig.version(), 7);
-        assertEquals(List.of(meshConfig.routes().size(), meshConfig.services().size(), meshConfig.tenants().size()),
+        assertEquals(
+                List.of(
+                        meshConfig.routes().size(),
+                        meshConfig.services().size(),
+                        meshConfig.tenants().size()),
                 List.of(10, 3, 5));
         RoutingTable routing = new RoutingTable(1, meshConfig);
-        assertEquals(routing.route(Sizes.service(0) + ".mesh.example", sizes.path()).name(), "route-00000");
+        assertEquals(
+                routing.route(Sizes.service(0) + ".mesh.example", sizes.path()).name(), "route-00000");
         assertEquals(routing.payer(Sizes.key(4)).name(), "tenant-00004");
         MeshConfig next = new ConfigReader().read(sizes.config(8).getBytes(StandardCharsets.UTF_8));
         long changed = meshConfig.routes().entrySet().stream()
-                .filter(e -> !e.getValue().equals(next.routes().get(e.getKey()))).count();
+                .filter(e -> !e.getValue().equals(next.routes().get(e.getKey())))
+                .count();
         assertEquals(changed, 2, "the route of either version");
     }
 
@@ -87,14 +92,20 @@
         assertEquals(small.get("ping, bytes"), 4.0 + PeerMessageCodec.write(new PeerMessage.Ping(100_000)).length);
         double more = large.get("configuration deflated, bytes") - small.get("configuration deflated, bytes");
         assertTrue(more > 5_000 && more < 100_000, "a thousand routes more: " + more);
-        assertEquals(large.get("news of it to a sidecar, bytes") - small.get("news of it to a sidecar, bytes"),
-                more, 4, "but for longer lengths");
+        assertEquals(
+                large.get("news of it to a sidecar, bytes") - small.get("news of it to a sidecar, bytes"),
+                more,
+                4,
+                "but for longer lengths");
         // A version and its digest of 22 characters each, between control nodes only.
         double remembered = small.get("decision between control nodes, bytes, all that is remembered")
                 - small.get("decision between control nodes, bytes, nothing remembered");
         assertTrue(remembered > 256 * 25 && remembered < 256 * 30, "remembered " + remembered);
-        assertTrue(Math.abs(small.get("news of it to a sidecar, bytes")
-                - small.get("decision between control nodes, bytes, nothing remembered")) < 4, small.toString());
+        assertTrue(
+                Math.abs(small.get("news of it to a sidecar, bytes")
+                                - small.get("decision between control nodes, bytes, nothing remembered"))
+                        < 4,
+                small.toString());
         assertTrue(small.get("one endpoint record more, bytes") > 50, small.toString());
     }
 
@@ -121,11 +132,13 @@
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         try (ServerSocket controlNode = new ServerSocket(0, 4, InetAddress.getByName("127.0.0.1"))) {
             Relay relay = new Relay(loop);
-            InetSocketAddress here = (InetSocketAddress) relay.listen(new InetSocketAddress("127.0.0.1", 0),
-                    controlNode.getLocalSocketAddress()).localAddress();
+            InetSocketAddress here = (InetSocketAddress)
+                    relay.listen(new InetSocketAddress("127.0.0.1", 0), controlNode.getLocalSocketAddress())
+                            .localAddress();
             byte[] ping = PeerMessageCodec.write(new PeerMessage.Ping(5));
             byte[] pong = PeerMessageCodec.write(new PeerMessage.Pong(5, "10.0.0.1#0", 5));
-            try (Socket near = new Socket(here.getAddress(), here.getPort()); Socket far = controlNode.accept()) {
+            try (Socket near = new Socket(here.getAddress(), here.getPort());
+                    Socket far = controlNode.accept()) {
                 say(near, ping);
                 say(near, ping);
                 assertEquals(hear(far), ping);
@@ -151,8 +164,18 @@
             try (Socket socket = controlNode.accept()) {
                 assertEquals(PeerMessageCodec.read(hear(socket)), new PeerMessage.Hello("ghosts", false));
                 PeerMessage.EndpointUpdate post = (PeerMessage.EndpointUpdate) PeerMessageCodec.read(hear(socket));
-                assertEquals(post.records().stream().map(EndpointRecord::node).distinct().count(), 700);
-                assertEquals(post.records().stream().map(EndpointRecord::target).distinct().count(), 3);
+                assertEquals(
+                        post.records().stream()
+                                .map(EndpointRecord::node)
+                                .distinct()
+                                .count(),
+                        700);
+                assertEquals(
+                        post.records().stream()
+                                .map(EndpointRecord::target)
+                                .distinct()
+                                .count(),
+                        3);
                 assertTrue(post.records().stream().allMatch(EndpointRecord::open));
             }
         } finally {
@@ -183,19 +206,23 @@
             double each = figures.get("changes, each, messages in, " + kind);
             assertTrue(each > 0.5 && each < 2.5, kind + " " + each);
         }
-        assertTrue(figures.get("changes, in force at all sidecars, worst ms")
-                >= figures.get("changes, in force at half of the sidecars, median ms"), figures.toString());
+        assertTrue(
+                figures.get("changes, in force at all sidecars, worst ms")
+                        >= figures.get("changes, in force at half of the sidecars, median ms"),
+                figures.toString());
         assertTrue(figures.get("endpoint records, changed") >= 1, figures.toString());
         assertTrue(figures.get("endpoint records, each, sidecar, bytes in") > 20, figures.toString());
-        // An endpoint record each three seconds and what is asked for three times a second, to one control node; pings when idle.
+        // An endpoint record each three seconds and what is asked for three times a second, to one control node; pings
+        // when idle.
         assertTrue(figures.get("calm, messages/s out, EndpointUpdate") > 0.2, figures.toString());
         assertTrue(figures.get("calm, messages/s out, DemandReport") > 0.5, figures.toString());
-        assertTrue(figures.containsKey("connections lost by all sidecars")
-                && figures.containsKey("endpoints whose beats stayed away"), figures.toString());
+        assertTrue(
+                figures.containsKey("connections lost by all sidecars")
+                        && figures.containsKey("endpoints whose beats stayed away"),
+                figures.toString());
         assertTrue(figures.get("sidecar, heap in use, MB") > 1, figures.toString());
         assertTrue(figures.get("control node, heap in use, MB") > 1, figures.toString());
-        assertTrue(figures.get("calm, sidecar, MB") > figures.get("sidecar, heap in use, MB"),
-                figures.toString());
+        assertTrue(figures.get("calm, sidecar, MB") > figures.get("sidecar, heap in use, MB"), figures.toString());
     }
 
     @Test
--- a/src/test/java/whinlead/testbed/replication/CopiesDayTest.java
+++ b/src/test/java/whinlead/testbed/replication/CopiesDayTest.java
@@ -36,7 +36,8 @@
     void noScheduleOfFaultsBreaksAPromise() {
         Map<Long, Map<String, Integer>> broken = new TreeMap<>();
         Map<String, Integer> seen = new TreeMap<>();
-        LongStream.rangeClosed(1, SCHEDULES).parallel()
+        LongStream.rangeClosed(1, SCHEDULES)
+                .parallel()
                 .mapToObj(seed -> Map.entry(seed, CopiesDay.play(seed, members(seed), Bug.NONE)))
                 .forEachOrdered(e -> {
                     if (!e.getValue().broken().isEmpty()) {
@@ -47,21 +48,34 @@
         assertEquals(Map.of(), broken);
         assertEquals(0, seen.getOrDefault(CopiesDay.STOPPED, 0));
         // Days on which nothing happens prove nothing.
-        for (String what : new String[] {"killed", "killed with its disk", "freeze", "cut", "bad weather",
-                "drain",
-                "Granted", "Out", "Over", "Unknown", "send", "served", "fail", "refuse", "already_out"}) {
+        for (String what : new String[] {
+            "killed",
+            "killed with its disk",
+            "freeze",
+            "cut",
+            "bad weather",
+            "drain",
+            "Granted",
+            "Out",
+            "Over",
+            "Unknown",
+            "send",
+            "served",
+            "fail",
+            "refuse",
+            "already_out"
+        }) {
             assertTrue(seen.getOrDefault(what, 0) > 0, () -> what + " never came: " + seen);
         }
     }
 
-    /**
-     * Two groups, processes that pass on what is another group's, and others that take the seats of the lost.
-     */
+    /** Two groups, processes that pass on what is another group's, and others that take the seats of the lost. */
     @Test
     void noScheduleOfFaultsBreaksAPromiseOfAFleet() {
         Map<Long, Map<String, Integer>> broken = new TreeMap<>();
         Map<String, Integer> seen = new TreeMap<>();
-        LongStream.rangeClosed(1, FLEET_SCHEDULES).parallel()
+        LongStream.rangeClosed(1, FLEET_SCHEDULES)
+                .parallel()
                 .mapToObj(seed -> Map.entry(seed, CopiesDay.playFleet(seed, Bug.NONE)))
                 .forEachOrdered(e -> {
                     if (!e.getValue().broken().isEmpty()) {
@@ -71,16 +85,24 @@
                 });
         assertEquals(Map.of(), broken, seen::toString);
         assertEquals(0, seen.getOrDefault(CopiesDay.STOPPED, 0), seen::toString);
-        for (String what : new String[] {"killed with its disk", "stays away", "is asked in as a guest",
-            "has no seat any more", "Granted", "Out", "Over", "served"}) {
+        for (String what : new String[] {
+            "killed with its disk",
+            "stays away",
+            "is asked in as a guest",
+            "has no seat any more",
+            "Granted",
+            "Out",
+            "Over",
+            "served"
+        }) {
             assertTrue(seen.getOrDefault(what, 0) > 0, () -> what + " never came: " + seen);
         }
     }
 
     /**
-     * Schedules that stop a group for good where Member does not guard against a fault of the library: 15 and
-     * 22, entries right behind a snapshot; 793, entries that begin before one's end; 56, a piece of a snapshot
-     * that was lost; 869, one that knows most but is of a lower term; 329, nobody that looks after the leader.
+     * Schedules that stop a group for good where Member does not guard against a fault of the library: 15 and 22,
+     * entries right behind a snapshot; 793, entries that begin before one's end; 56, a piece of a snapshot that was
+     * lost; 869, one that knows most but is of a lower term; 329, nobody that looks after the leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {15, 22, 56, 329, 793, 869})
@@ -96,10 +118,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"ANSWER_BEFORE_COPY, 1, 100", "VOTE_AFTER_LOST_DISK, 1, 800",
-            "BLIND_TO_STANDING_STILL, 1, 300"})
+    @CsvSource({"ANSWER_BEFORE_COPY, 1, 100", "VOTE_AFTER_LOST_DISK, 1, 800", "BLIND_TO_STANDING_STILL, 1, 300"})
     void plantedFaultsAreFound(Bug bug, long from, long to) {
-        assertFalse(LongStream.rangeClosed(from, to).parallel()
-                .allMatch(seed -> CopiesDay.play(seed, members(seed), bug).broken().isEmpty()));
+        assertFalse(LongStream.rangeClosed(from, to)
+                .parallel()
+                .allMatch(seed ->
+                        CopiesDay.play(seed, members(seed), bug).broken().isEmpty()));
     }
 }
--- a/src/test/java/whinlead/testbed/replication/PointsDayTest.java
+++ b/src/test/java/whinlead/testbed/replication/PointsDayTest.java
@@ -18,6 +18,7 @@
 class PointsDayTest {
     /** Kept, or its level goes with it. */
     private static final Logger CONSENSUS = Logger.getLogger("io.microraft");
+
     private static final Set<String> ENDS = Set.of("served", "fail", "refuse");
 
     @BeforeAll
