--- a/src/main/java/whinlead/decide/Call.java
+++ b/src/main/java/whinlead/decide/Call.java
@@ -9,7 +9,8 @@
     final Contract.Request request;
     final Contract.RequestClass type;
     final int level;
-    final double aimAt, endAt;
+    final double aimAt;
+    final double endAt;
     final List<Attempt> attempts = new ArrayList<>(1);
     boolean ended;
     // The first attempt that may have run; null while every one is known not to have.
--- a/src/main/java/whinlead/decide/Ceiling.java
+++ b/src/main/java/whinlead/decide/Ceiling.java
@@ -16,7 +16,9 @@
     // No usual time counts as less than this share of the aim: nobody is served worse for it.
     private static final double FLOOR = 0.28;
 
-    private double answered, well, highest;
+    private double answered;
+    private double well;
+    private double highest;
 
     void answered(double usual, double aim) {
         answered += Math.max(usual, aim * FLOOR);
--- a/src/main/java/whinlead/decide/ColdBudget.java
+++ b/src/main/java/whinlead/decide/ColdBudget.java
@@ -19,11 +19,14 @@
 
     /** The tokens of one server, as of a time. */
     static final class Bucket {
-        private double tokens, at = Double.NaN;
+        private double tokens;
+        private double at = Double.NaN;
     }
 
     private final Contract.Obligations obligations;
-    private final double first, least, byAnswer;
+    private final double first;
+    private final double least;
+    private final double byAnswer;
     private double warmRate;
 
     ColdBudget(Contract.Settings settings, double aim) {
--- a/src/main/java/whinlead/decide/Controller.java
+++ b/src/main/java/whinlead/decide/Controller.java
@@ -38,7 +38,9 @@
     }
 
     void step(double now, Node n) {
-        double bad = n.evidence.bad, all = n.evidence.all, lateOut = 0;
+        double bad = n.evidence.bad;
+        double all = n.evidence.all;
+        double lateOut = 0;
         int count = 0;
         Attempt a = n.out.mark.newer;
         for (int i = 0; i < Outstanding.LOOK && a != n.out.mark; i++, a = a.newer) {
--- a/src/main/java/whinlead/decide/Decide.java
+++ b/src/main/java/whinlead/decide/Decide.java
@@ -35,7 +35,8 @@
     private final Probes probes;
     private final Relief relief = new Relief();
     private final Strain strain;
-    private double lastWake, wakeAt;
+    private double lastWake;
+    private double wakeAt;
 
     /** A module for one sidecar; the same seed and events give the same actions. */
     public Decide(Contract.Settings settings, long seed, Contract.Actions out) {
--- a/src/main/java/whinlead/decide/Evidence.java
+++ b/src/main/java/whinlead/decide/Evidence.java
@@ -2,7 +2,9 @@
 
 /** Outcomes, weighed: how many there were lately, and how many of them were not accepted. */
 final class Evidence {
-    double bad, all, broken;
+    double bad;
+    double all;
+    double broken;
 
     void note(double badness, double weight) {
         bad += badness * weight;
--- a/src/main/java/whinlead/decide/Lateness.java
+++ b/src/main/java/whinlead/decide/Lateness.java
@@ -27,8 +27,11 @@
 
     private final double[] aim;
     // Recent mean time of each class's answers, and the usual one: the lowest that the recent one has been.
-    private final double[] recent, usual;
-    private double stall, usualSum = 1, tookSum = 1;
+    private final double[] recent;
+    private final double[] usual;
+    private double stall;
+    private double usualSum = 1;
+    private double tookSum = 1;
     // How fast answers come, against the usual: 1, or less.
     double pace = 1;
 
--- a/src/main/java/whinlead/decide/Node.java
+++ b/src/main/java/whinlead/decide/Node.java
@@ -20,7 +20,8 @@
     double sendRate;
     double wellHeld;
     // Of this period: sends, and the usual times of the answers.
-    double sends, answered;
+    double sends;
+    double answered;
     // Periods in the subset; the drop percentage, as a share.
     int periods;
     double percentage;
--- a/src/main/java/whinlead/decide/Probes.java
+++ b/src/main/java/whinlead/decide/Probes.java
@@ -10,8 +10,11 @@
     // Weight of a period in the rate at which requests pay for probes.
     private static final double WEIGHT = 0.02;
 
-    private final double perRequest, reportStands;
-    private double tokens, earned, rate;
+    private final double perRequest;
+    private final double reportStands;
+    private double tokens;
+    private double earned;
+    private double rate;
     private int next;
 
     Probes(Contract.Settings settings, double shortestAim) {
--- a/src/main/java/whinlead/decide/Relief.java
+++ b/src/main/java/whinlead/decide/Relief.java
@@ -16,8 +16,12 @@
     private static final double EASE = 0.5;
 
     // Counts of this period.
-    int asked, refused, answered;
-    private double refusedShare, rate, highest;
+    int asked;
+    int refused;
+    int answered;
+    private double refusedShare;
+    private double rate;
+    private double highest;
 
     // The share lately refused, where load is not the reason, else 0.
     double period(double span, Node[] subset) {
--- a/src/main/java/whinlead/decide/ServerList.java
+++ b/src/main/java/whinlead/decide/ServerList.java
@@ -20,7 +20,8 @@
     private final long salt;
     private final double spread;
     final Map<String, Node> nodes = new LinkedHashMap<>();
-    private double askAt = Double.NaN, askWait = ASK_FIRST;
+    private double askAt = Double.NaN;
+    private double askWait = ASK_FIRST;
     private boolean asked;
 
     ServerList(Contract.Settings settings, SplittableRandom random, Contract.Actions out) {
--- a/src/main/java/whinlead/decide/Subset.java
+++ b/src/main/java/whinlead/decide/Subset.java
@@ -24,7 +24,8 @@
     // Every server that the list calls up.
     Node[] usable = walked;
     // What the subset holds when well; what it does hold; the size for that.
-    private double width, held;
+    private double width;
+    private double held;
     private int size = LEAST;
 
     Subset(int sidecars, double period) {
--- a/src/main/java/whinlead/decide/Worth.java
+++ b/src/main/java/whinlead/decide/Worth.java
@@ -12,8 +12,11 @@
     private final Contract.Settings settings;
     private final SplittableRandom random;
     // Levels, lowest first: that of each class within and over its tenant's share.
-    private final int[] within, over;
-    private final double[] mix, below, tenantSeen;
+    private final int[] within;
+    private final int[] over;
+    private final double[] mix;
+    private final double[] below;
+    private final double[] tenantSeen;
     private double seen;
 
     Worth(Contract.Settings settings, SplittableRandom random) {
--- /dev/null
+++ b/src/main/java/whinlead/decide/package-info.java
@@ -0,0 +1,7 @@
+/**
+ * The decision module: which endpoint a request goes to, when it is tried again, and when it is refused at once.
+ *
+ * <p>Begin with {@link whinlead.decide.Decide}, which implements the events of {@link whinlead.Contract}; each rule has
+ * a class of its own. Pure: no I/O, no clock, no threads; the same events and seed give the same actions to the bit.
+ */
+package whinlead.decide;
--- a/src/main/java/whinlead/front/http1/ClientServer.java
+++ b/src/main/java/whinlead/front/http1/ClientServer.java
@@ -244,6 +244,7 @@
                 }
                 case ANSWERING, ENDING -> closeIf(c, age > MAX_WRITE_MS);
                 case OPEN -> {}
+                default -> throw new IllegalStateException("no phase of a connection: " + c.phase());
             }
         }
         // Guards against clients that ask once and stay: the room they take is wanted by those that ask
--- /dev/null
+++ b/src/main/java/whinlead/loop/package-info.java
@@ -0,0 +1,2 @@
+/** Netty's event loop as the engine's timers. */
+package whinlead.loop;
--- a/src/main/java/whinlead/plan/SimulatedAttempt.java
+++ b/src/main/java/whinlead/plan/SimulatedAttempt.java
@@ -71,6 +71,7 @@
                 answer(Contract.Outcome.FULL);
             }
             case LOST -> frontGone();
+            default -> throw new IllegalStateException("no such end: " + end);
         }
     }
 
--- a/src/main/java/whinlead/plan/Simulation.java
+++ b/src/main/java/whinlead/plan/Simulation.java
@@ -86,6 +86,7 @@
                 calendar.at(change.to(), () -> met.forEach(SimulatedFront::restart));
                 calendar.at(change.to() + change.notice(), () -> tellChanges(met));
             }
+            default -> throw new IllegalStateException("no such change: " + change.kind());
         }
     }
 
--- a/src/main/java/whinlead/replication/disk/DiskLog.java
+++ b/src/main/java/whinlead/replication/disk/DiskLog.java
@@ -221,7 +221,7 @@
             case CUT_FROM -> found.truncateLogEntriesFrom(r.getCutFrom());
             case CUT_UNTIL -> found.truncateLogEntriesUntil(r.getCutUntil());
             case CHUNKS_GONE -> found.deleteSnapshotChunks(r.getChunksGone(), 0);
-            case WHAT_NOT_SET -> throw new IllegalArgumentException("a record of no known kind");
+            default -> throw new IllegalArgumentException("a record of no known kind");
         }
     }
 
--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -376,6 +376,7 @@
             case PROVEN -> back.accept(message(ask.nonce(), new Envelope.Taken()));
             case EXPIRED -> answer(ask, back);
             case PENDING -> outside.send(from, message(0, new Envelope.Ask(challenge.token())));
+            default -> throw new IllegalStateException("no state of a challenge");
         }
     }
 
--- a/src/main/java/whinlead/testbed/DrivenDay.java
+++ b/src/main/java/whinlead/testbed/DrivenDay.java
@@ -16,6 +16,7 @@
     /** Makes the decisions under test. */
     @FunctionalInterface
     public interface Policy {
+        /** The decisions of one sidecar, which act by {@code out}. */
         Contract.Events make(Contract.Settings settings, long seed, Contract.Actions out);
     }
 
--- a/src/main/java/whinlead/testbed/Load.java
+++ b/src/main/java/whinlead/testbed/Load.java
@@ -12,6 +12,7 @@
     /** A rate that changes in time. */
     @FunctionalInterface
     public interface Rate {
+        /** Requests a second at this time. */
         double at(double now);
     }
 
--- a/src/test/java/whinlead/replication/ReplicatedStateTest.java
+++ b/src/test/java/whinlead/replication/ReplicatedStateTest.java
@@ -18,6 +18,7 @@
 import whinlead.replication.Command.Guard;
 import whinlead.replication.Command.How;
 
+/** The state that a group's members replicate, command by command. */
 class ReplicatedStateTest {
     private static final long LEFT = 1000;
     private static final ReplicatedState.Limits LIMITS = new ReplicatedState.Limits(8, 5, 2, 3000);
--- a/src/test/java/whinlead/run/FakeServer.java
+++ b/src/test/java/whinlead/run/FakeServer.java
@@ -48,6 +48,7 @@
         }
     }
 
+    /** What it does with a request. */
     interface Script {
         void on(Request request, Wire wire) throws IOException;
     }
--- a/src/test/java/whinlead/run/TestClient.java
+++ b/src/test/java/whinlead/run/TestClient.java
@@ -12,6 +12,7 @@
 
 /** The application: one connection to a sidecar. */
 final class TestClient implements AutoCloseable {
+    /** What the sidecar answered. */
     record Answer(int status, Map<String, String> headers, String body) {}
 
     private static final AtomicInteger IDS = new AtomicInteger();
