--- a/src/main/java/whinlead/testbed/mesh/scale/Fleet.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Fleet.java
@@ -203,7 +203,7 @@
 
     /** Has endpoints replaced at this rate from now on. */
     void replaceEndpointRecords(double perMin) {
-        toHollow.println("endpoint records " + perMin);
+        toHollow.println("replace-records " + perMin);
     }
 
     /** How many endpoints were replaced so far. */
--- a/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
@@ -104,7 +104,7 @@
     }
 
     private void run(String... command) {
-        if ("endpoint records".equals(command[0])) {
+        if ("replace-records".equals(command[0])) {
             double perMin = Double.parseDouble(command[1]);
             if (replacing != null) {
                 replacing.cancel(false);
--- a/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
+++ b/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
@@ -202,7 +202,7 @@
         assertTrue(figures.get("changes, taken") >= 1, figures.toString());
         // One notice from the one control node and the configuration once: neither less nor, but for one asked for
         // again beside other work, more.
-        for (String kind : List.of("Notice", "News")) {
+        for (String kind : List.of("ConfigAvailable", "ConfigUpdate")) {
             double each = figures.get("changes, each, messages in, " + kind);
             assertTrue(each > 0.5 && each < 2.5, kind + " " + each);
         }
