--- /dev/null
+++ b/src/main/java/whinlead/mesh/control/SidecarChannel.java
@@ -0,0 +1,163 @@
+package whinlead.mesh.control;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+import java.util.function.DoubleSupplier;
+import java.util.function.Supplier;
+import whinlead.mesh.consensus.Decision;
+import whinlead.mesh.quota.DemandTotals;
+import whinlead.mesh.registry.EndpointRecord;
+import whinlead.mesh.registry.EndpointRegistry;
+import whinlead.mesh.wire.PeerConnection;
+import whinlead.mesh.wire.PeerMessage;
+import whinlead.mesh.wire.PeerMessageCodec;
+
+/**
+ * What a control node tells sidecars, on the connections that these and other control nodes have made to it: newer
+ * configurations, the records of other sidecars' endpoints, and the demand of tenants in sum. On the loop's thread.
+ */
+final class SidecarChannel {
+    /** Stands in the ids of control nodes and not in those of sidecars. */
+    private static final char CONTROL_NODE_MARK = '#';
+
+    private final DoubleSupplier clockMs;
+    private final Supplier<Decision> decided;
+    private final BooleanSupplier confirmed;
+    private final ControlPeers peers;
+    private final EndpointRegistry registry = new EndpointRegistry();
+    private final SidecarContact contact = new SidecarContact();
+    private final DemandTotals demand = new DemandTotals();
+    /** The slot that each subscriber has; null for a connection that has not subscribed. */
+    private final Map<PeerConnection, Long> connections = new LinkedHashMap<>();
+    /** Subscribers that were sent a configuration that no quorum had confirmed. */
+    private final Set<PeerConnection> unconfirmed = new HashSet<>();
+
+    /**
+     * A channel without connections.
+     *
+     * @param clockMs steady, in milliseconds
+     * @param decided the newest decision, or null
+     * @param confirmed whether a quorum has lately confirmed that there is no newer one
+     */
+    SidecarChannel(DoubleSupplier clockMs, Supplier<Decision> decided, BooleanSupplier confirmed, ControlPeers peers) {
+        this.clockMs = clockMs;
+        this.decided = decided;
+        this.confirmed = confirmed;
+        this.peers = peers;
+    }
+
+    /** A process has connected. */
+    void opened(PeerConnection connection) {
+        connections.put(connection, null);
+    }
+
+    /** A connection has ended. */
+    void closed(PeerConnection connection) {
+        connections.remove(connection);
+        unconfirmed.remove(connection);
+    }
+
+    /** A sidecar has this slot's configuration and wants to hear of newer ones and of endpoints. */
+    void subscribe(PeerConnection connection, long slot) {
+        connections.put(connection, slot);
+        announce(connection, slot);
+    }
+
+    /** Tells all subscribers that a newer configuration than theirs can be fetched. */
+    void announceDecision() {
+        connections.forEach(this::announce);
+    }
+
+    private void announce(PeerConnection connection, Long subscriberSlot) {
+        Decision newest = decided.get();
+        if (subscriberSlot != null && newest != null && newest.version() > 0 && newest.slot() > subscriberSlot) {
+            connection.send(new PeerMessage.ConfigAvailable(newest.slot()));
+        }
+    }
+
+    /** Sends the newest configuration, which must be there; false if no quorum has confirmed it. */
+    boolean sendConfig(PeerConnection connection) {
+        boolean isConfirmed = confirmed.getAsBoolean();
+        if (!isConfirmed) {
+            unconfirmed.add(connection);
+        }
+        connection.send(new PeerMessage.ConfigUpdate(decided.get().forSidecars(), isConfirmed));
+        return isConfirmed;
+    }
+
+    /** Whether someone waits to have its configuration confirmed. */
+    boolean awaitsConfirmation() {
+        return !unconfirmed.isEmpty();
+    }
+
+    /** A sidecar that starts waits for what is confirmed: it is sent again as soon as that is so. */
+    void sendConfirmed() {
+        if (!unconfirmed.isEmpty() && confirmed.getAsBoolean()) {
+            List<PeerConnection> waiting = List.copyOf(unconfirmed);
+            unconfirmed.clear();
+            waiting.forEach(this::sendConfig);
+        }
+    }
+
+    /** All records that are known, as a message. */
+    PeerMessage.EndpointUpdate allRecords() {
+        return new PeerMessage.EndpointUpdate(List.copyOf(registry.all()));
+    }
+
+    /** Takes records in and passes on what is new. */
+    void merge(PeerConnection from, List<EndpointRecord> records) {
+        List<EndpointRecord> changed = new ArrayList<>();
+        boolean fromSidecar = from.peer().indexOf(CONTROL_NODE_MARK) < 0;
+        for (EndpointRecord each : records) {
+            if (registry.merge(each)) {
+                changed.add(each);
+            }
+            // Of those that there is room for only: these tables grow by what peers say.
+            if (registry.of(each.node()) != null && each.phase() != EndpointRecord.Phase.GONE) {
+                contact.heard(clockMs.getAsDouble(), each.node(), fromSidecar);
+            }
+        }
+        spread(from, changed);
+    }
+
+    /**
+     * Lists silent sidecars as gone, and tells the other control nodes of whom this one hears, so that one that no
+     * sidecar is connected to counts nobody out. To be called each {@link SidecarContact#REPEAT_MS}.
+     */
+    void shareContact() {
+        List<EndpointRecord> lost = contact.lost(clockMs.getAsDouble(), registry);
+        lost.forEach(registry::merge);
+        spread(null, lost);
+        List<EndpointRecord> fresh = contact.fresh(clockMs.getAsDouble(), registry);
+        if (!fresh.isEmpty()) {
+            peers.broadcast(new PeerMessage.EndpointUpdate(fresh));
+        }
+    }
+
+    private void spread(PeerConnection from, List<EndpointRecord> records) {
+        if (records.isEmpty()) {
+            return;
+        }
+        PeerMessage.EndpointUpdate update = new PeerMessage.EndpointUpdate(records);
+        byte[] encoded = PeerMessageCodec.write(update);
+        connections.forEach((connection, slot) -> {
+            if (connection != from && slot != null) {
+                connection.send(encoded);
+            }
+        });
+        peers.broadcast(update);
+    }
+
+    /** A sidecar reports its demand; it is sent the sums if it asks for them. */
+    void report(PeerConnection connection, PeerMessage.DemandReport report) {
+        demand.say(clockMs.getAsDouble(), connection.peer(), report.uses());
+        if (report.wanted()) {
+            connection.send(new PeerMessage.DemandSums(demand.nodes(), demand.of(connection.peer())));
+        }
+    }
+}
--- a/src/main/java/whinlead/mesh/rpc/RpcConnection.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcConnection.java
@@ -24,18 +24,15 @@
 
 /**
  * One caller's connection: reads whole calls and writes their answers in the order of the calls, whatever order they
- * come in (HTTP/1.1 pipelining). Reading stops while {@link #UNDER_WAY} calls, or bodies of {@link #MAX_BODY} bytes,
- * wait for their answers; it needs a flow control handler in front for that. On the loop's thread; answers may come
- * from any.
+ * come in (HTTP/1.1 pipelining). Reading stops while {@link #MAX_PENDING} calls, or bodies of {@link #MAX_BODY_BYTES}
+ * bytes, wait for their answers; it needs a flow control handler in front for that. On the loop's thread; answers may
+ * come from any.
  */
 final class RpcConnection extends ChannelInboundHandlerAdapter {
     /** Calls of one connection that are under way at a time. */
-    static final int UNDER_WAY = 16;
+    static final int MAX_PENDING = 16;
     /** The largest body that is read, in bytes. */
-    static final int MAX_BODY = 8 << 20;
-
-    private static final int BAD = 400;
-    private static final int TOO_LARGE = 413;
+    static final int MAX_BODY_BYTES = 8 << 20;
 
     /** Runs whole calls. */
     interface Calls {
@@ -44,12 +41,12 @@
     }
 
     /** One call's place in the order of answers. */
-    private final class Turn implements Consumer<RpcResponse> {
+    private final class PendingResponse implements Consumer<RpcResponse> {
         private final boolean keep;
         private final int bytes;
         private RpcResponse answer;
 
-        private Turn(boolean keep, int bytes) {
+        private PendingResponse(boolean keep, int bytes) {
             this.keep = keep;
             this.bytes = bytes;
         }
@@ -65,7 +62,7 @@
     }
 
     private final Calls calls;
-    private final ArrayDeque<Turn> turns = new ArrayDeque<>();
+    private final ArrayDeque<PendingResponse> pending = new ArrayDeque<>();
     private Channel channel;
     private HttpRequest head;
     private ByteBuf body;
@@ -90,7 +87,7 @@
                 return;
             }
             if (message instanceof HttpObject o && o.decoderResult().isFailure()) {
-                refuse(BAD, "the call can't be read");
+                refuse(HttpResponseStatus.BAD_REQUEST, "the call can't be read");
                 return;
             }
             if (message instanceof HttpRequest r) {
@@ -107,25 +104,25 @@
     private void begin(HttpRequest r) {
         head = r;
         body = Unpooled.buffer(0);
-        tooLarge = HttpUtil.getContentLength(r, 0L) > MAX_BODY;
+        tooLarge = HttpUtil.getContentLength(r, 0L) > MAX_BODY_BYTES;
         awaitsContinue = HttpUtil.is100ContinueExpected(r);
         if (tooLarge && awaitsContinue) {
-            refuse(TOO_LARGE, "the body is too large");
+            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
             return;
         }
-        goOn();
+        sendContinueIfDue();
     }
 
     // The go-ahead is a message of its own and would be taken for a part of an earlier call's answer.
-    private void goOn() {
-        if (head != null && awaitsContinue && turns.isEmpty()) {
+    private void sendContinueIfDue() {
+        if (head != null && awaitsContinue && pending.isEmpty()) {
             awaitsContinue = false;
             channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
     }
 
     private void more(HttpContent c) {
-        tooLarge |= body.readableBytes() + (long) c.content().readableBytes() > MAX_BODY;
+        tooLarge |= body.readableBytes() + (long) c.content().readableBytes() > MAX_BODY_BYTES;
         if (!tooLarge) {
             body.writeBytes(c.content());
         }
@@ -134,67 +131,70 @@
             byte[] bytes = ByteBufUtil.getBytes(body);
             head = null;
             body = null;
-            Turn turn = begun(new Turn(HttpUtil.isKeepAlive(whole), bytes.length));
+            PendingResponse response = begun(new PendingResponse(HttpUtil.isKeepAlive(whole), bytes.length));
             if (tooLarge) {
-                turn.accept(RpcResponse.not(TOO_LARGE, "the body is too large"));
+                response.accept(
+                        RpcResponse.error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large"));
             } else {
-                calls.run(whole, bytes, turn);
+                calls.run(whole, bytes, response);
             }
         }
     }
 
-    private Turn begun(Turn turn) {
-        turns.add(turn);
-        bytesUnderWay += turn.bytes;
-        ending |= !turn.keep;
-        reading();
-        return turn;
+    private PendingResponse begun(PendingResponse response) {
+        pending.add(response);
+        bytesUnderWay += response.bytes;
+        ending |= !response.keep;
+        updateAutoRead();
+        return response;
     }
 
-    // An answer to what can't be taken, in its turn, and the end of the connection.
-    private void refuse(int status, String why) {
+    // An answer to what can't be taken, in its response, and the end of the connection.
+    private void refuse(HttpResponseStatus status, String why) {
         head = null;
         body = null;
-        begun(new Turn(false, 0)).accept(RpcResponse.not(status, why));
+        begun(new PendingResponse(false, 0)).accept(RpcResponse.error(status, why));
     }
 
-    private void answered(Turn turn, RpcResponse a) {
-        if (turn.answer != null || !channel.isActive()) {
+    private void answered(PendingResponse response, RpcResponse a) {
+        if (response.answer != null || !channel.isActive()) {
             return;
         }
-        turn.answer = a;
+        response.answer = a;
         boolean wrote = false;
-        while (!turns.isEmpty() && turns.peek().answer != null) {
-            Turn next = turns.poll();
+        while (!pending.isEmpty() && pending.peek().answer != null) {
+            PendingResponse next = pending.poll();
             bytesUnderWay -= next.bytes;
             write(next);
             wrote = true;
         }
         if (wrote) {
             channel.flush();
-            goOn();
-            reading();
+            sendContinueIfDue();
+            updateAutoRead();
         }
     }
 
-    private void write(Turn turn) {
-        byte[] said = turn.answer.body();
-        DefaultFullHttpResponse response = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(turn.answer.status()), Unpooled.wrappedBuffer(said));
-        response.headers()
+    private void write(PendingResponse response) {
+        byte[] content = response.answer.body();
+        DefaultFullHttpResponse message = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1,
+                HttpResponseStatus.valueOf(response.answer.status()),
+                Unpooled.wrappedBuffer(content));
+        message.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
-                .setInt(HttpHeaderNames.CONTENT_LENGTH, said.length);
-        if (!turn.keep) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                .setInt(HttpHeaderNames.CONTENT_LENGTH, content.length);
+        if (!response.keep) {
+            message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        ChannelFuture sent = channel.write(response);
-        if (!turn.keep) {
+        ChannelFuture sent = channel.write(message);
+        if (!response.keep) {
             sent.addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    private void reading() {
-        boolean want = turns.size() < UNDER_WAY && bytesUnderWay < MAX_BODY;
+    private void updateAutoRead() {
+        boolean want = pending.size() < MAX_PENDING && bytesUnderWay < MAX_BODY_BYTES;
         if (want != channel.config().isAutoRead()) {
             channel.config().setAutoRead(want);
         }
@@ -203,7 +203,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         // Who called is gone: what is still answered has nowhere to go.
-        turns.clear();
+        pending.clear();
     }
 
     @Override
--- a/src/main/java/whinlead/mesh/rpc/RpcServer.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcServer.java
@@ -11,6 +11,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.handler.flow.FlowControlHandler;
@@ -25,27 +26,26 @@
  */
 public final class RpcServer {
     private static final String PATH = "/whinlead/rpc";
-    private static final int BAD = 400;
-    private static final int NOT_FOUND = 404;
+    private static final int HEXADECIMAL = 16;
 
-    /** Runs orders. */
+    /** Carries out calls. */
     public interface CallHandler {
-        /** Runs one and answers it once. */
-        void run(RpcCall order, Consumer<RpcResponse> answer);
+        /** Carries one out and answers it once, from any thread. */
+        void run(RpcCall call, Consumer<RpcResponse> respond);
     }
 
     private final EventLoop loop;
     private final CallHandler callHandler;
     private final ObjectMapper mapper;
 
-    /** A server whose orders this worker runs, called on the loop. */
+    /** A server whose calls this handler carries out; it is called on the loop. */
     public RpcServer(EventLoop loop, ObjectMapper mapper, CallHandler callHandler) {
         this.loop = loop;
         this.mapper = mapper.copy().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
         this.callHandler = callHandler;
     }
 
-    /** Listens. */
+    /** Begins to listen; the future fails if the address is taken. */
     public ChannelFuture listen(SocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
@@ -54,7 +54,7 @@
                 .bind(address);
     }
 
-    /** What goes on each connection. */
+    /** Sets up the handlers of each new connection. */
     public ChannelInitializer<Channel> handlers() {
         return new ChannelInitializer<>() {
             @Override
@@ -68,20 +68,20 @@
         };
     }
 
-    private void run(HttpRequest head, byte[] body, Consumer<RpcResponse> answer) {
+    private void run(HttpRequest head, byte[] body, Consumer<RpcResponse> respond) {
         try {
-            callHandler.run(decode(head, body), answer);
-        } catch (BadCall e) {
-            answer.accept(RpcResponse.not(e.status, e.getMessage()));
+            callHandler.run(decode(head, body), respond);
+        } catch (InvalidCallException e) {
+            respond.accept(RpcResponse.error(e.status, e.getMessage()));
         } catch (IOException e) {
-            answer.accept(RpcResponse.not(BAD, "the body can't be read"));
+            respond.accept(RpcResponse.error(HttpResponseStatus.BAD_REQUEST, "the body can't be read"));
         }
     }
 
-    private RpcCall decode(HttpRequest request, byte[] body) throws IOException, BadCall {
+    private RpcCall decode(HttpRequest request, byte[] body) throws IOException, InvalidCallException {
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
         if (!PATH.equals(query.path()) || !HttpMethod.POST.equals(request.method())) {
-            throw new BadCall(NOT_FOUND, "nothing is at " + query.path());
+            throw new InvalidCallException(HttpResponseStatus.NOT_FOUND, "nothing is at " + query.path());
         }
         String call = first(query, "call");
         return switch (call) {
@@ -90,7 +90,7 @@
             case "members.depart" -> new RpcCall.Depart(id(query));
             case "config.replace" -> new RpcCall.Replace(version(request), body);
             case "config.read" -> new RpcCall.Read();
-            default -> throw new BadCall(NOT_FOUND, "call names nothing: " + call);
+            default -> throw new InvalidCallException(HttpResponseStatus.NOT_FOUND, "call names nothing: " + call);
         };
     }
 
@@ -99,32 +99,32 @@
         return values.isEmpty() ? "" : values.get(0);
     }
 
-    private static String id(QueryStringDecoder query) throws BadCall {
+    private static String id(QueryStringDecoder query) throws InvalidCallException {
         String id = first(query, "of");
         if (id.isEmpty()) {
-            throw new BadCall(BAD, "of is missing");
+            throw new InvalidCallException(HttpResponseStatus.BAD_REQUEST, "of is missing");
         }
         return id;
     }
 
-    private static long version(HttpRequest request) throws BadCall {
+    private static long version(HttpRequest request) throws InvalidCallException {
         String text = request.headers()
                 .get(HttpHeaderNames.IF_MATCH, "")
                 .replace("\"", "")
                 .trim();
         try {
-            return Long.parseLong(text, 16);
+            return Long.parseLong(text, HEXADECIMAL);
         } catch (NumberFormatException e) {
-            throw new BadCall(BAD, "If-Match is no version: " + text);
+            throw new InvalidCallException(HttpResponseStatus.BAD_REQUEST, "If-Match is no version: " + text);
         }
     }
 
-    /** A call that can't be made an order. */
-    private static final class BadCall extends Exception {
+    /** A request that is no call; the message is one line for whoever sent it. */
+    private static final class InvalidCallException extends Exception {
         private static final long serialVersionUID = 1L;
-        private final int status;
+        private final transient HttpResponseStatus status;
 
-        private BadCall(int status, String message) {
+        private InvalidCallException(HttpResponseStatus status, String message) {
             super(message);
             this.status = status;
         }
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -5,6 +5,7 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import java.net.InetSocketAddress;
 import java.security.SecureRandom;
 import java.util.HashMap;
@@ -49,7 +50,6 @@
     private static final int MAX_BALANCERS = 256;
 
     private static final int BACKLOG = 512;
-    private static final int NONE = 404;
     private static final double NANOS_IN_MILLI = 1e6;
 
     private final NodeSettings nodeSettings;
@@ -351,7 +351,7 @@
     private void run(RpcCall order, Consumer<RpcResponse> answer) {
         if (order instanceof RpcCall.Heartbeat beat) {
             if (beat.status() == null || beat.status().target() == null) {
-                answer.accept(RpcResponse.not(400, "Target is missing"));
+                answer.accept(RpcResponse.error(HttpResponseStatus.BAD_REQUEST, "Target is missing"));
                 return;
             }
             String before = gate.endpoint();
@@ -371,7 +371,7 @@
             }
             answer.accept(RpcResponse.done());
         } else {
-            answer.accept(RpcResponse.not(NONE, "operators call the control nodes"));
+            answer.accept(RpcResponse.error(HttpResponseStatus.NOT_FOUND, "operators call the control nodes"));
         }
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
@@ -131,8 +131,8 @@
                                         if (of < 0) {
                                             say.accept(
                                                     ctx,
-                                                    RpcResponse.not(
-                                                            404,
+                                                    RpcResponse.error(
+                                                            HttpResponseStatus.NOT_FOUND,
                                                             "call names nothing: "
                                                                     + request.uri()
                                                                             .replaceFirst(".*call=", "")));
--- a/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
+++ b/src/test/java/whinlead/mesh/rpc/RpcConnectionTest.java
@@ -47,19 +47,19 @@
 
     @Test
     public void noMoreAreUnderWayThanTheBound() {
-        say(READ.repeat(RpcConnection.UNDER_WAY * 3));
-        assertEquals(open.size(), RpcConnection.UNDER_WAY);
+        say(READ.repeat(RpcConnection.MAX_PENDING * 3));
+        assertEquals(open.size(), RpcConnection.MAX_PENDING);
         open.get(1).accept(RpcResponse.done());
-        assertEquals(open.size(), RpcConnection.UNDER_WAY, "the first is still unanswered");
+        assertEquals(open.size(), RpcConnection.MAX_PENDING, "the first is still unanswered");
         open.get(0).accept(RpcResponse.done());
         channel.runPendingTasks();
-        assertEquals(open.size(), RpcConnection.UNDER_WAY + 2);
+        assertEquals(open.size(), RpcConnection.MAX_PENDING + 2);
         for (int i = 2; i < open.size(); i++) {
             open.get(i).accept(RpcResponse.done());
             channel.runPendingTasks();
         }
-        assertEquals(open.size(), RpcConnection.UNDER_WAY * 3);
-        assertEquals(heard().split("HTTP/1.1 200").length - 1, RpcConnection.UNDER_WAY * 3);
+        assertEquals(open.size(), RpcConnection.MAX_PENDING * 3);
+        assertEquals(heard().split("HTTP/1.1 200").length - 1, RpcConnection.MAX_PENDING * 3);
     }
 
     @Test
@@ -75,9 +75,9 @@
 
     @Test
     public void aBodyThatIsTooLargeIsAnsweredInItsTurn() {
-        say(READ + HEAD + "Content-Length: " + (RpcConnection.MAX_BODY + 1) + "\r\n\r\n");
+        say(READ + HEAD + "Content-Length: " + (RpcConnection.MAX_BODY_BYTES + 1) + "\r\n\r\n");
         String piece = "x".repeat(1 << 16);
-        for (int left = RpcConnection.MAX_BODY + 1; left > 0; left -= piece.length()) {
+        for (int left = RpcConnection.MAX_BODY_BYTES + 1; left > 0; left -= piece.length()) {
             say(piece.substring(0, Math.min(left, piece.length())));
         }
         say(READ);
