--- a/src/main/java/whinlead/mesh/consensus/Acceptor.java
+++ b/src/main/java/whinlead/mesh/consensus/Acceptor.java
@@ -2,7 +2,7 @@
 
 /**
  * One control node's vote, as Lamport's single-decree Paxos has it, slot after slot: it promises, votes, and keeps its
- * word. Pure; whoever drives it syncs {@link #memory} to disk before a reply that says so leaves.
+ * word. Pure; whoever drives it syncs {@link #state} to disk before a reply that says so leaves.
  */
 public final class Acceptor {
     /**
@@ -17,29 +17,29 @@
     /** A reply, and whether the memory must be on disk before it leaves. */
     public record Reply(Message message, boolean synced) {}
 
-    private State memory;
+    private State state;
 
     /** A voter that remembers this. */
-    public Acceptor(State memory) {
-        this.memory = memory;
+    public Acceptor(State state) {
+        this.state = state;
     }
 
     /** What it remembers now. */
-    public State memory() {
-        return memory;
+    public State state() {
+        return state;
     }
 
     /** The newest decision that it knows, or null. */
     public Decision decided() {
-        return memory.decided();
+        return state.decided();
     }
 
     /** Takes in a decision; false if it knew as much. */
     public boolean learn(Decision decision) {
-        if (memory.decided() != null && decision.slot() <= memory.decided().slot()) {
+        if (state.decided() != null && decision.slot() <= state.decided().slot()) {
             return false;
         }
-        memory = new State(decision, Ballot.NONE, null);
+        state = new State(decision, Ballot.NONE, null);
         return true;
     }
 
@@ -49,8 +49,8 @@
         if (reply != null) {
             return reply;
         }
-        memory = new State(memory.decided(), call.ballot(), memory.vote());
-        return new Reply(new Message.Promise(call.slot(), call.ballot(), memory.vote()), true);
+        state = new State(state.decided(), call.ballot(), state.vote());
+        return new Reply(new Message.Promise(call.slot(), call.ballot(), state.vote()), true);
     }
 
     /** Answers to a call for a vote. */
@@ -59,21 +59,21 @@
         if (reply != null) {
             return reply;
         }
-        memory = new State(memory.decided(), call.ballot(), new Message.Vote(call.ballot(), call.value()));
+        state = new State(state.decided(), call.ballot(), new Message.Vote(call.ballot(), call.value()));
         return new Reply(new Message.Accepted(call.value().slot(), call.ballot()), true);
     }
 
     // The reply where the call is not about the slot to be voted on next, or a promise stands against it.
     private Reply place(long slot, Ballot ballot) {
-        long have = memory.decided() == null ? -1 : memory.decided().slot();
+        long have = state.decided() == null ? -1 : state.decided().slot();
         if (slot <= have) {
-            return new Reply(new Message.Decided(memory.decided()), false);
+            return new Reply(new Message.Decided(state.decided()), false);
         }
         if (slot > have + 1 || have < 0) {
             return new Reply(new Message.Lagging(slot, have), false);
         }
-        return ballot.compareTo(memory.promised()) < 0
-                ? new Reply(new Message.Nack(slot, ballot, memory.promised()), false)
+        return ballot.compareTo(state.promised()) < 0
+                ? new Reply(new Message.Nack(slot, ballot, state.promised()), false)
                 : null;
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -4,17 +4,21 @@
 import java.util.SplittableRandom;
 
 /**
- * One control node's part in what the control nodes agree on: its vote ({@link Acceptor}), the operations that it puts
- * to the ballot one after the other ({@link OperationQueue}, {@link ConsensusRound}, {@link QuorumRead}), and its place
- * among the voters ({@link Membership}). No control node leads. Pure: events with the time in, actions out; one thread;
- * times in milliseconds on this control node's steady clock.
+ * One control node's part in what the control nodes agree on: its vote ({@link Acceptor}), the operations that it
+ * carries out one after the other ({@link OperationRunner}), and its place among the voters ({@link Membership}). No
+ * control node leads. Pure: events with the time in, actions out; one thread; times in milliseconds on this control
+ * node's steady clock.
  */
 public final class ConsensusNode {
     /** How a call of an operator ended. */
     public enum CallResult {
+        /** The change is in force, or the read was confirmed. */
         TAKEN,
+        /** Refused: it was built on another version than the newest. */
         MISMATCH,
+        /** Refused: its version does not exceed the newest. */
         OLD_VERSION,
+        /** Nobody can tell: it may come into force yet. */
         UNCLEAR
     }
 
@@ -36,58 +40,45 @@
         void decided(Decision decision);
     }
 
-    /** An answer to a question that left so many milliseconds ago tells nothing of whom it reaches now. */
-    private static final double CONTACT_LIMIT = 1000;
-    /** Without contact with a quorum for so long, operations end unclear at once, in milliseconds. */
-    private static final double WITHOUT_QUORUM_LIMIT = 500;
     /** A vote older than this that was never told decided is brought to its end, in milliseconds. */
     private static final double OPEN_VOTE_LIMIT = 400;
-    /** How often a control node without a vote asks for one, in milliseconds. */
-    private static final double JOIN_INTERVAL = 250;
-    /** How often it asks at most, as what it has on disk gets newer, in milliseconds. */
-    private static final double MIN_JOIN_INTERVAL = 100;
 
     private final String self;
     private final Acceptor acceptor;
     private final SplittableRandom random;
     private final Actions actions;
     private final ContactTracker contact = new ContactTracker();
+    private final QuorumMonitor quorum;
     private final FailureDetector failures;
-    private final OperationQueue queue = new OperationQueue();
-    private final QuorumRead quorumRead = new QuorumRead();
-    private final ConsensusRound round;
     private final Membership membership;
-    private final MembershipTurn membershipTurn = new MembershipTurn();
-    /** What the ballot under way is for; null for a change of voters. */
-    private PendingOperation balloted;
+    private final OperationRunner operations;
+    private final JoinTimer joinTimer = new JoinTimer();
     /** Since when a vote of this control node is open; NaN while none is. */
     private double votedAt;
-
-    private double joinAt;
-    private double joinedAt = Double.NEGATIVE_INFINITY;
+    /** Whether it has seen its first event. */
     private boolean awake;
-    /** Since when no quorum is in contact; NaN while one is. */
-    private double withoutQuorumSince = Double.NEGATIVE_INFINITY;
-
-    private boolean withoutQuorum;
+    /** The newest slot that is on disk here, or -1. */
     private long storedSlot;
 
     /**
-     * A control node's consensus node.
+     * A control node's part in the consensus.
      *
      * @param self its id, drawn anew with each new disk
+     * @param state what its disk holds
      * @param seed of all that it draws; another in each life, or it would call an old ballot anew
      */
-    public ConsensusNode(String self, Acceptor.State memory, long seed, Actions actions) {
+    public ConsensusNode(String self, Acceptor.State state, long seed, Actions actions) {
         this.self = self;
-        this.acceptor = new Acceptor(memory);
+        this.acceptor = new Acceptor(state);
         this.random = new SplittableRandom(seed);
         this.actions = actions;
-        // Names this life's ballots: what an earlier life called, this one may not remember.
-        this.round = new ConsensusRound(self + "/" + Long.toHexString(random.nextLong()), random);
+        this.quorum = new QuorumMonitor(self, contact);
         this.failures = new FailureDetector(self, contact);
         this.membership = new Membership(self, contact, failures);
-        this.votedAt = memory.vote() == null ? Double.NaN : Double.NEGATIVE_INFINITY;
+        // Names this life's ballots: what an earlier life called, this one may not remember.
+        String proposerName = self + "/" + Long.toHexString(random.nextLong());
+        this.operations = new OperationRunner(self, proposerName, random, new Host(), actions);
+        this.votedAt = state.vote() == null ? Double.NaN : Double.NEGATIVE_INFINITY;
         this.storedSlot = decidedSlot();
         if (decided() != null) {
             membership.learned(Double.NEGATIVE_INFINITY, decided());
@@ -119,15 +110,7 @@
      * answered a question that left within so many milliseconds, and none of those knows a newer decision.
      */
     public boolean inTouch(double now, double within) {
-        if (decided() == null) {
-            return false;
-        }
-        List<String> reached = decided().voters().stream()
-                .filter(voter -> voter.equals(self) || contact.reached(now, within, voter))
-                .toList();
-        return reached.size() >= decided().quorum()
-                && reached.stream()
-                        .allMatch(voter -> contact.stored(voter) <= decided().slot());
+        return quorum.reachesQuorum(now, within, decided());
     }
 
     /** The decision of this slot is on disk here. */
@@ -136,8 +119,7 @@
         if (slot > storedSlot) {
             storedSlot = slot;
             if (!isVoter()) {
-                // What it waited for to ask for a vote.
-                joinAt = Math.min(joinAt, Math.max(now, joinedAt + MIN_JOIN_INTERVAL));
+                joinTimer.stored(now);
             }
         }
     }
@@ -166,7 +148,7 @@
     public void leave(double now) {
         wake(now);
         membership.leave(decided());
-        advance(now);
+        operations.advance(now);
     }
 
     /** Whether it may end: it is out, or need not be, and a quorum and all in contact store why. */
@@ -186,14 +168,14 @@
 
     private void submit(double now, PendingOperation operation) {
         wake(now);
-        watchQuorum(now);
+        quorum.watch(now, decided());
         // One that may end takes on nothing new: whoever asks goes on to a control node that stays.
         boolean ending = membership.isLeaving() && left(now);
-        if (withoutQuorum || ending || !queue.offer(now, operation)) {
-            end(operation, CallResult.UNCLEAR);
-            return;
+        if (quorum.isLost() || ending) {
+            operations.reject(operation);
+        } else {
+            operations.submit(now, operation);
         }
-        advance(now);
     }
 
     // One that is dead since before this control node began is silent from now on, not for ever unknown.
@@ -205,16 +187,6 @@
         awake = true;
     }
 
-    // Whether no quorum has been in contact for so long that no operation is worth the wait.
-    private void watchQuorum(double now) {
-        if (decided() == null || inTouch(now, CONTACT_LIMIT)) {
-            withoutQuorumSince = Double.NaN;
-        } else if (Double.isNaN(withoutQuorumSince) || withoutQuorumSince == Double.NEGATIVE_INFINITY) {
-            withoutQuorumSince = now;
-        }
-        withoutQuorum = now - withoutQuorumSince > WITHOUT_QUORUM_LIMIT;
-    }
-
     /** A message came, from this control node itself too. */
     public void received(double now, String from, Message message) {
         wake(now);
@@ -229,21 +201,21 @@
         } else if (message instanceof Message.Join join) {
             join(now, from, join.slot());
         } else if (message instanceof Message.State state) {
-            quorumRead.answered(from, state, decided());
+            operations.answered(from, state);
             failures.answered(now, from, state);
         } else if (message instanceof Message.Lagging lagging) {
             if (lagging.have() < decidedSlot()) {
                 actions.send(from, new Message.Decided(decided()));
             }
         } else {
-            round.received(now, from, message);
+            operations.received(now, from, message);
         }
-        advance(now);
+        operations.advance(now);
     }
 
     private void accept(double now, String from, Message.Accept accept) {
         reply(from, acceptor.accept(accept));
-        if (acceptor.memory().vote() != null && Double.isNaN(votedAt)) {
+        if (acceptor.state().vote() != null && Double.isNaN(votedAt)) {
             votedAt = now;
         }
     }
@@ -255,7 +227,7 @@
             return;
         }
         if (reply.synced()) {
-            actions.sync(acceptor.memory(), to, reply.message());
+            actions.sync(acceptor.state(), to, reply.message());
         } else {
             actions.send(to, reply.message());
         }
@@ -268,7 +240,7 @@
         if (query.slot() < decided().slot()) {
             actions.send(from, new Message.Decided(decided()));
         }
-        boolean voted = acceptor.memory().vote() != null;
+        boolean voted = acceptor.state().vote() != null;
         actions.send(
                 from,
                 new Message.State(query.nonce(), decided().slot(), voted, failures.opinions(now, query.suspects())));
@@ -277,8 +249,7 @@
     private void learn(double now, Decision decision) {
         if (acceptor.learn(decision)) {
             votedAt = Double.NaN;
-            round.cancel();
-            quorumRead.reset();
+            operations.learned();
             actions.decided(decision);
             keep(now, decision.voters());
             membership.learned(now, decision);
@@ -303,35 +274,20 @@
     /** Time passes; to be called some tens of times a second. */
     public void tick(double now) {
         wake(now);
-        watchQuorum(now);
-        endOverdue(now);
+        quorum.watch(now, decided());
+        operations.endOverdue(now, quorum.isLost());
         if (!isVoter()) {
             askForVote(now);
-        } else if (!withoutQuorum) {
+        } else if (!quorum.isLost()) {
             askAboutSilent(now);
             finishOpenVote(now);
         }
-        advance(now);
-    }
-
-    private void endOverdue(double now) {
-        PendingOperation head = queue.head();
-        List<PendingOperation> overdue = withoutQuorum ? queue.removeAll() : queue.removeExpired(now);
-        overdue.forEach(operation -> {
-            membershipTurn.operationEnded();
-            end(operation, CallResult.UNCLEAR);
-        });
-        if (queue.head() != head) {
-            quorumRead.reset();
-        }
-        if (withoutQuorum || balloted != null && balloted != queue.head()) {
-            round.cancel();
-        }
+        operations.advance(now);
     }
 
     // A vote that nobody came back for: it may be decided, and nobody knows.
     private void finishOpenVote(double now) {
-        if (queue.isEmpty() && now - votedAt > OPEN_VOTE_LIMIT * (1 + random.nextDouble())) {
+        if (operations.isEmpty() && now - votedAt > OPEN_VOTE_LIMIT * (1 + random.nextDouble())) {
             votedAt = now;
             submit(now, new PendingOperation.FinishVote());
         }
@@ -340,7 +296,7 @@
     // A second opinion on whoever is silent here, from the voters that are not.
     private void askAboutSilent(double now) {
         List<String> voters = decided().voters();
-        SuspicionTracker.Question question = failures.question(now, voters, this::nextNonce);
+        SuspicionTracker.Question question = failures.question(now, voters, operations::nextNonce);
         if (question != null) {
             Message.Query query = new Message.Query(question.nonce(), decided().slot(), question.suspects());
             failures.witnesses(now, voters).forEach(voter -> actions.send(voter, query));
@@ -349,161 +305,46 @@
 
     // To all that it knows of: who is asked by name is the driver's to know while there is no decision.
     private void askForVote(double now) {
-        if (now < joinAt) {
+        if (!joinTimer.isDue(now)) {
             return;
         }
-        joinAt = now + JOIN_INTERVAL * (0.75 + 0.5 * random.nextDouble());
+        joinTimer.restart(now, random.nextDouble());
         if (storedSlot >= 0 && !membership.isLeaving()) {
-            joinedAt = now;
+            joinTimer.asked(now);
             decided().voters().forEach(voter -> actions.send(voter, new Message.Join(storedSlot)));
         }
         actions.send(null, new Message.Query(0, decidedSlot()));
     }
 
-    // Carries what is under way, or else what is next, as far as it goes now.
-    private void advance(double now) {
-        boolean progressed = true;
-        while (progressed && decided() != null && round.mayAct(now)) {
-            progressed = round.isActive() ? advanceRound(now) : beginNext(now);
-        }
-    }
-
-    // False while it waits, or nothing is to be done.
-    private boolean beginNext(double now) {
-        boolean betweenOperations = quorumRead.state() == QuorumRead.State.IDLE;
-        if (betweenOperations && (queue.isEmpty() || membershipTurn.isNext())) {
-            VoterChange change = isVoter() && !withoutQuorum ? membership.due(now, decided()) : null;
-            if (change != null) {
-                propose(now, null, decided().with(change.applyTo(decided().voters())));
-                return true;
-            }
-        }
-        return !queue.isEmpty() && advance(now, queue.head());
-    }
-
-    // False while it waits.
-    private boolean advance(double now, PendingOperation operation) {
-        if (operation instanceof PendingOperation.FinishVote) {
-            propose(now, operation, null);
-        } else if (operation instanceof PendingOperation.Replace replace
-                && quorumRead.state() == QuorumRead.State.IDLE) {
-            advance(now, replace);
-        } else {
-            return advanceRead(now, operation);
-        }
-        return true;
+    private long decidedSlot() {
+        return decided() == null ? -1 : decided().slot();
     }
 
-    private void advance(double now, PendingOperation.Replace replace) {
-        switch (ruling(replace)) {
-            case TAKEN -> finishHead(CallResult.TAKEN);
-            case FORGOTTEN -> finishHead(CallResult.UNCLEAR);
-            case NEXT -> propose(now, replace, decided().with(replace.version(), replace.digest(), replace.body()));
-            case MISMATCH, OLD_VERSION -> quorumRead.begin(now, nextNonce());
-            default -> throw new IllegalStateException("no such ruling");
+    /** What the operations need of this control node. */
+    private final class Host implements OperationRunner.Host {
+        @Override
+        public Decision decided() {
+            return acceptor.decided();
         }
-    }
 
-    // A read, or a change that may only be refused after one. False while it waits.
-    private boolean advanceRead(double now, PendingOperation operation) {
-        switch (quorumRead.state()) {
-            case IDLE -> quorumRead.begin(now, nextNonce());
-            case ASKING -> {
-                if (!quorumRead.confirm(decided())) {
-                    quorumRead
-                            .unanswered(now, decided())
-                            .forEach(voter -> actions.send(voter, quorumRead.question(decided())));
-                    return false;
-                }
-                if (quorumRead.isVoteOpen()) {
-                    propose(now, operation, null);
-                }
-            }
-            case CONFIRMED -> finishHead(refusal(operation));
-            default -> throw new IllegalStateException("not a state of a read");
+        @Override
+        public Ballot promised() {
+            return acceptor.state().promised();
         }
-        return true;
-    }
-
-    private CallResult refusal(PendingOperation operation) {
-        boolean isOld =
-                operation instanceof PendingOperation.Replace replace && ruling(replace) == OrderRuling.OLD_VERSION;
-        return isOld ? CallResult.OLD_VERSION : CallResult.MISMATCH;
-    }
-
-    private OrderRuling ruling(PendingOperation.Replace replace) {
-        return OrderRuling.of(decided(), replace.version(), replace.builtOn(), replace.digest());
-    }
 
-    private long nextNonce() {
-        return random.nextLong() | 1;
-    }
-
-    private void propose(double now, PendingOperation operation, Decision wanted) {
-        balloted = operation;
-        round.begin(now, decided(), wanted, acceptor.memory().promised());
-    }
-
-    // False while it waits.
-    private boolean advanceRound(double now) {
-        switch (round.advance(now, actions::send)) {
-            case WON -> {
-                won(now, round.won());
-                return true;
-            }
-            case OUTBID -> {
-                if (quorumRead.state() == QuorumRead.State.CONFIRMED) {
-                    quorumRead.reset();
-                }
-                return false;
-            }
-            case NOTHING_TO_FINISH -> {
-                if (balloted instanceof PendingOperation.FinishVote) {
-                    votedAt = Double.NaN;
-                    removeHead();
-                }
-                return true;
-            }
-            default -> {
-                return false;
-            }
+        @Override
+        public VoterChange dueChange(double now) {
+            return isVoter() && !quorum.isLost() ? membership.due(now, acceptor.decided()) : null;
         }
-    }
 
-    private void won(double now, Decision decision) {
-        if (!decision.voters().equals(decided().voters())) {
-            membershipTurn.changed();
+        @Override
+        public void learn(double now, Decision decision) {
+            ConsensusNode.this.learn(now, decision);
         }
-        learn(now, decision);
-        decision.voters().stream()
-                .filter(voter -> !voter.equals(self))
-                .forEach(voter -> actions.send(voter, new Message.Decided(decision)));
-        if (balloted instanceof PendingOperation.FinishVote) {
-            removeHead();
-        }
-    }
 
-    private void finishHead(CallResult verdict) {
-        PendingOperation operation = queue.head();
-        removeHead();
-        end(operation, verdict);
-    }
-
-    private void removeHead() {
-        queue.removeHead();
-        membershipTurn.operationEnded();
-        quorumRead.reset();
-    }
-
-    private void end(PendingOperation operation, CallResult verdict) {
-        if (operation instanceof PendingOperation.Read read) {
-            actions.read(read.call(), verdict == CallResult.UNCLEAR ? null : decided());
-        } else if (operation instanceof PendingOperation.Replace replace) {
-            actions.replaced(replace.call(), verdict);
+        @Override
+        public void voteFinished() {
+            votedAt = Double.NaN;
         }
     }
-
-    private long decidedSlot() {
-        return decided() == null ? -1 : decided().slot();
-    }
 }
