--- /dev/null
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
@@ -0,0 +1,109 @@
+package whinlead.mesh.sidecar;
+
+import java.util.concurrent.Executor;
+import java.util.function.Consumer;
+import whinlead.engine.Timers;
+import whinlead.mesh.wire.PeerConnection;
+import whinlead.mesh.wire.PeerMessage;
+
+/**
+ * Takes requests for the endpoint beside this sidecar, from this sidecar and from others: asks the gate whether each
+ * may go to the endpoint now, sends it there, and tells once what became of it. On the loop's thread.
+ */
+final class EndpointDelivery implements RequestForwarder.LocalEndpoint {
+    private final Executor loop;
+    private final Timers timers;
+    private final String node;
+    private final EndpointGate gate;
+    private final EndpointConnections connections;
+    private final EndpointRequests requests = new EndpointRequests();
+    private final ForwardedTime forwardedTime = new ForwardedTime();
+
+    /**
+     * Delivers to the endpoint of this gate.
+     *
+     * @param node this sidecar's, which stands for the sender of its own requests
+     */
+    EndpointDelivery(Executor loop, Timers timers, String node, EndpointGate gate, EndpointConnections connections) {
+        this.loop = loop;
+        this.timers = timers;
+        this.node = node;
+        this.gate = gate;
+        this.connections = connections;
+    }
+
+    @Override
+    public void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
+        deliver(node, request, done);
+    }
+
+    @Override
+    public void cancel(PeerMessage.Cancel cancel) {
+        requests.cancel(node, cancel);
+    }
+
+    /** The client of a request that came on this connection has left. */
+    void cancel(PeerConnection from, PeerMessage.Cancel cancel) {
+        requests.cancel(from, cancel);
+    }
+
+    /** This process runs: by this it tells that it was frozen. */
+    void running() {
+        forwardedTime.running(timers.now());
+    }
+
+    /** Another sidecar forwards a request; it is answered on its connection while that is open. */
+    void forwarded(PeerConnection from, PeerMessage.ForwardRequest request) {
+        int leftMs = forwardedTime.left(timers.now(), from.transit(), request);
+        if (leftMs == 0) {
+            // What waited on its way until its time was up is not begun: its caller has been answered.
+            from.send(failure(request, PeerMessage.FailureReason.UNREACHED));
+            return;
+        }
+        deliver(from, request.withLeft(leftMs), answer -> {
+            if (from.open()) {
+                from.send(answer);
+            }
+        });
+    }
+
+    private void deliver(Object sender, PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
+        EndpointGate.Admission admission = gate.enter(timers.now(), request.target(), request.rank());
+        if (admission != EndpointGate.Admission.OPEN) {
+            PeerMessage refusal = failure(
+                    request,
+                    admission == EndpointGate.Admission.FULL
+                            ? PeerMessage.FailureReason.FULL
+                            : PeerMessage.FailureReason.MOVED);
+            // Not in the caller's own call: it has not noted yet that it sent.
+            loop.execute(() -> done.accept(refusal));
+            return;
+        }
+        gate.began(timers.now());
+        requests.begin(sender, request.stream());
+        EndpointConnections.Sent sent = connections.send(request, gate.endpoint(), outcome -> {
+            requests.ended(sender, request.stream());
+            gate.ended(timers.now(), outcome instanceof PeerMessage.ForwardResponse);
+            done.accept(withLoad(request, outcome));
+        });
+        requests.sent(sender, request.stream(), sent);
+    }
+
+    // What came of it at the endpoint, with how busy that is.
+    private PeerMessage withLoad(PeerMessage.ForwardRequest request, PeerMessage outcome) {
+        if (outcome instanceof PeerMessage.ForwardResponse response) {
+            return new PeerMessage.ForwardResponse(
+                    response.stream(),
+                    response.status(),
+                    response.headers(),
+                    response.body(),
+                    gate.util(),
+                    gate.perSecond());
+        }
+        return failure(request, ((PeerMessage.ForwardFailure) outcome).why());
+    }
+
+    private PeerMessage.ForwardFailure failure(PeerMessage.ForwardRequest request, PeerMessage.FailureReason why) {
+        return new PeerMessage.ForwardFailure(request.stream(), why, gate.util(), gate.perSecond());
+    }
+}
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -8,15 +8,11 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.net.InetSocketAddress;
 import java.security.SecureRandom;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Objects;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
-import java.util.stream.Stream;
 import whinlead.engine.Clock;
 import whinlead.engine.Timers;
 import whinlead.loop.LoopTimers;
@@ -37,137 +33,105 @@
 import whinlead.mesh.wire.TimerGrid;
 
 /**
- * A sidecar: the sidecar of one auxiliary machine. It takes the requests that begin there, carries them to the sidecar
- * beside the endpoint that the module chose, and hands in those that are for its own endpoint.
+ * The sidecar of one auxiliary machine: assembles its parts and carries events between them. It takes the requests that
+ * begin there ({@link EgressListener}), has the decision module of each service choose an endpoint
+ * ({@link ServiceBalancers}), forwards each to the sidecar beside it ({@link RequestForwarder}), and hands those that
+ * are for its own endpoint in ({@link EndpointDelivery}). All state is the loop's.
  */
-public final class Sidecar implements PeerConnection.MessageHandler {
+public final class Sidecar {
     private static final long TICK_MS = 100;
-    /** How often an unchanged endpoint record is said again, in milliseconds. */
-    private static final double SAY_MS = 3000;
-    /** How often the control nodes are told what is asked for here, in milliseconds. */
-    private static final double USES_MS = 350;
-    /** Services that modules are kept for. */
-    private static final int MAX_BALANCERS = 256;
-
+    /** How often the control nodes are told the demand here, in milliseconds. */
+    private static final double REPORT_MS = 350;
+    /** Connections of peers that wait to be accepted. */
     private static final int BACKLOG = 512;
+
     private static final double NANOS_IN_MILLI = 1e6;
+    private static final double MILLIS_IN_SECOND = 1000;
 
-    private final NodeSettings nodeSettings;
+    private final NodeSettings settings;
     private final EventLoop loop;
     private final ObjectMapper mapper;
     private final Timers timers;
-    /** On which the services' modules act together. */
-    private final Timers beat;
-
     private final String node;
     private final PeerMessage.Hello greeting;
     private final EndpointGate gate;
-    private final EndpointConnections line;
-    private final EndpointRequests requests = new EndpointRequests();
-    private final ForwardedTime forwardedTime = new ForwardedTime();
-    private final EndpointRegistry endpointRegistry = new EndpointRegistry();
-    private final Map<String, ServiceBalancer> balancers = new HashMap<>();
-    private final Map<String, ServiceBalancer> largeBalancers = new HashMap<>();
-    private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
-    private final RequestClasses classes = new RequestClasses();
-    private final RequestForwarder round;
-    private final EgressListener egress;
-    private final OutdatedLists outdated;
+    private final EndpointConnections endpointConnections;
+    private final EndpointDelivery delivery;
+    private final EndpointRegistry registry = new EndpointRegistry();
+    private final OutdatedLists outdatedLists;
+    private final RequestForwarder forwarder;
+    private final ServiceBalancers balancers;
+    private final TenantQuota quota;
     private final ControlClient controlClient;
-    private final TenantQuota allowance;
-    private long life = System.currentTimeMillis();
-    private long seq;
-    private double saidAt;
-    private double usesAt;
+    private final RecordPublisher publisher;
+    private final EgressListener egress;
+    private double reportedAt;
     private boolean ready;
-    private boolean leaving;
 
     /** A sidecar that has not begun. */
-    public Sidecar(NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper) {
-        this(nodeSettings, loop, mapper, UnaryOperator.identity());
+    public Sidecar(NodeSettings settings, EventLoop loop, ObjectMapper mapper) {
+        this(settings, loop, mapper, UnaryOperator.identity());
     }
 
-    /** One that dials what this makes of a control node's or another sidecar's address. */
+    /**
+     * A sidecar that has not begun.
+     *
+     * @param dialAddresses gives the address to dial for that of a control node or another sidecar
+     */
     public Sidecar(
-            NodeSettings nodeSettings, EventLoop loop, ObjectMapper mapper, UnaryOperator<InetSocketAddress> dials) {
-        this.nodeSettings = nodeSettings;
+            NodeSettings settings,
+            EventLoop loop,
+            ObjectMapper mapper,
+            UnaryOperator<InetSocketAddress> dialAddresses) {
+        this.settings = settings;
         this.loop = loop;
         this.mapper = mapper;
         this.timers = new LoopTimers(loop, new Clock());
-        this.beat = new AlignedTimers(
-                timers,
-                RequestClasses.period(),
-                timers.now() + untilNext((long) RequestClasses.period()) / NANOS_IN_MILLI);
-        this.node = NodeSettings.present(nodeSettings.network().bind().ingress(), "Network.Bind.Ingress");
-        this.gate = new EndpointGate(nodeSettings.substrate().heartbeatS() * 1000);
-        this.line = new EndpointConnections(
-                loop,
-                EndpointList.address(NodeSettings.present(nodeSettings.self().appAddr(), "Self.AppAddr")));
+        this.node = NodeSettings.present(settings.network().bind().ingress(), "Network.Bind.Ingress");
         this.greeting = new PeerMessage.Hello(node, false);
-        this.round = new RequestForwarder(
+        this.gate = new EndpointGate(settings.substrate().heartbeatS() * MILLIS_IN_SECOND);
+        this.endpointConnections = new EndpointConnections(
+                loop, EndpointList.address(NodeSettings.present(settings.self().appAddr(), "Self.AppAddr")));
+        this.delivery = new EndpointDelivery(loop, timers, node, gate, endpointConnections);
+        this.forwarder = new RequestForwarder(
                 loop,
                 node,
-                new RequestForwarder.LocalEndpoint() {
-                    @Override
-                    public void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
-                        Sidecar.this.deliver(node, request, done);
-                    }
-
-                    @Override
-                    public void cancel(PeerMessage.Cancel cancel) {
-                        requests.cancel(node, cancel);
-                    }
-                },
+                delivery,
                 greeting,
-                address -> dials.apply(EndpointList.address(address)),
+                address -> dialAddresses.apply(EndpointList.address(address)),
                 this::reachChanged);
-        this.outdated = new OutdatedLists(loop, endpointRegistry, this::refresh);
-        NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
-        this.allowance = new TenantQuota(
+        this.outdatedLists = new OutdatedLists(loop, registry, this::refresh);
+        RequestClasses classes = new RequestClasses();
+        this.balancers = new ServiceBalancers(periodTimers(), classes, settings, registry, forwarder);
+        this.quota = quota();
+        this.controlClient = new ControlClient(loop, settings, greeting, dialAddresses, new ControlListener());
+        this.publisher = new RecordPublisher(
+                timers,
+                node,
+                settings.self().zone(),
+                gate,
+                this::service,
+                registry,
+                outdatedLists,
+                record -> controlClient.post(List.of(record)));
+        this.egress = new EgressListener(
+                loop, timers, controlClient::routing, balancers::of, this::service, registry::present, quota, classes);
+    }
+
+    // The balancers' periods begin together, so that the process wakes once for all of them.
+    private Timers periodTimers() {
+        double period = RequestClasses.period();
+        return new AlignedTimers(timers, period, timers.now() + untilNext((long) period) / NANOS_IN_MILLI);
+    }
+
+    private TenantQuota quota() {
+        NodeSettings.Bounds bounds = settings.clauses().bounds();
+        return new TenantQuota(
                 timers.now(),
                 bounds.quotaSlack(),
                 bounds.quotaExcess(),
                 bounds.quotaWindowS(),
                 new SecureRandom().nextLong());
-        this.controlClient = new ControlClient(loop, nodeSettings, greeting, dials, new ControlClient.Listener() {
-            @Override
-            public void posted(List<EndpointRecord> records) {
-                Sidecar.this.posted(records);
-            }
-
-            @Override
-            public List<String> others() {
-                return endpointRegistry.all().stream()
-                        .filter(l -> l.phase() != EndpointRecord.Phase.GONE
-                                && !l.node().equals(node))
-                        .map(EndpointRecord::node)
-                        .toList();
-            }
-
-            @Override
-            public void controlNodeUp() {
-                controlClient().post(List.of(endpointRegistry.of(node)));
-            }
-
-            @Override
-            public void inForce(RoutingTable routing) {
-                Sidecar.this.inForce(routing);
-            }
-
-            @Override
-            public void sums(int nodes, List<TenantDemand> totals) {
-                allowance.sums(timers.now(), nodes, totals);
-            }
-        });
-        this.egress = new EgressListener(
-                loop,
-                timers,
-                controlClient::routing,
-                this::balancer,
-                this::service,
-                endpointRegistry::present,
-                allowance,
-                classes);
     }
 
     /**
@@ -176,25 +140,25 @@
      * @throws InterruptedException if interrupted
      */
     public void start() throws InterruptedException {
-        NodeSettings.Bind bind = nodeSettings.network().bind();
+        NodeSettings.Bind bind = settings.network().bind();
         new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .childHandler(PeerConnection.handlers(this))
+                .childHandler(PeerConnection.handlers(new PeerMessageHandler()))
                 .bind(EndpointList.address(node))
                 .sync();
         new RpcServer(loop, mapper, this::run)
                 .listen(EndpointList.address(NodeSettings.present(bind.control(), "Network.Bind.Control")))
                 .sync();
-        new Readiness(loop, () -> ready && !leaving)
+        new Readiness(loop, () -> ready && !publisher.isLeaving())
                 .listen(EndpointList.address(NodeSettings.present(bind.readiness(), "Network.Bind.Readiness")))
                 .sync();
         egress.listen(EndpointList.address(NodeSettings.present(bind.egress(), "Network.Bind.Egress")))
                 .sync();
-        Event.STARTED.log("sidecar " + node + " of " + nodeSettings.self().node());
+        Event.STARTED.log("sidecar " + node + " of " + settings.self().node());
         loop.execute(() -> {
-            say(true);
+            publisher.changed();
             controlClient.start();
             loop.scheduleAtFixedRate(
                     this::tick, untilNext(TICK_MS), TimeUnit.MILLISECONDS.toNanos(TICK_MS), TimeUnit.NANOSECONDS);
@@ -213,11 +177,10 @@
 
     /** Leaves: runs while the process ends on SIGTERM, on a thread of its own. */
     public void leave() {
-        Shutdown shutdown = new Shutdown(timers, nodeSettings.clauses().bounds().graceS(), egress, gate::held);
+        Shutdown shutdown = new Shutdown(timers, settings.clauses().bounds().graceS(), egress, gate::held);
         loop.execute(() -> {
-            leaving = true;
             Event.LEAVING.log(egress.underWay() + " requests under way");
-            say(true);
+            publisher.leave();
             shutdown.begin();
         });
         try {
@@ -229,230 +192,150 @@
     }
 
     private String service() {
-        return gate.target().isEmpty() && nodeSettings.self().target() != null
-                ? nodeSettings.self().target()
+        return gate.target().isEmpty() && settings.self().target() != null
+                ? settings.self().target()
                 : gate.target();
     }
 
-    // Requests with large bodies have a service balancer of their own, which looks in this zone first: they are most of
-    // the bytes between zones.
-    private ServiceBalancer balancer(String target, boolean large) {
-        Map<String, ServiceBalancer> kind = large ? largeBalancers : balancers;
-        ServiceBalancer known = kind.get(target);
-        if (known == null) {
-            if (kind.size() >= MAX_BALANCERS) {
-                throw new IllegalStateException("over " + MAX_BALANCERS + " services");
-            }
-            NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
-            RetryBudget paid = retryBudgets.computeIfAbsent(
-                    target, t -> new RetryBudget(bounds.retryRatio(), bounds.retrySlack()));
-            known = new ServiceBalancer(
-                    beat,
-                    classes,
-                    nodeSettings,
-                    endpointRegistry.present(),
-                    new SecureRandom().nextLong(),
-                    round,
-                    large ? nodeSettings.self().zone() : null,
-                    paid);
-            kind.put(target, known);
-            known.update(endpointRegistry.endpoints(target));
-        }
-        return known;
-    }
-
     // Which services the node served is not looked up: reach changes seldom.
     private void reachChanged() {
-        outdated.add(balancers.keySet());
-        outdated.add(largeBalancers.keySet());
+        balancers.services().forEach(outdatedLists::add);
     }
 
     private void refresh(Set<String> services) {
-        round.keep(endpointRegistry);
-        for (String service : services) {
-            List<EndpointRecord> endpoints = endpointRegistry.endpoints(service);
-            Stream.of(balancers, largeBalancers)
-                    .map(kind -> kind.get(service))
-                    .filter(Objects::nonNull)
-                    .forEach(balancer -> balancer.update(endpoints));
-        }
+        forwarder.keep(registry);
+        balancers.refresh(services);
     }
 
     private void tick() {
-        forwardedTime.running(timers.now());
+        delivery.running();
         if (gate.tick(timers.now())) {
             Event.ENDPOINT.log(gate.endpoint() + " is silent");
-            line.clear();
-            say(true);
+            endpointChanged();
         }
-        line.tick();
+        endpointConnections.tick();
         egress.tick();
         controlClient.tick();
-        say(false);
-        if (timers.now() - usesAt > USES_MS) {
-            usesAt = timers.now();
-            controlClient.uses(allowance.uses(timers.now()));
+        publisher.repeatIfDue();
+        if (timers.now() - reportedAt > REPORT_MS) {
+            reportedAt = timers.now();
+            controlClient.uses(quota.uses(timers.now()));
         }
     }
 
-    // --- what others say
-
-    private void posted(List<EndpointRecord> records) {
-        for (EndpointRecord record : records) {
-            if (record.node().equals(node)) {
-                if (record.life() > life || record.life() == life && record.seq() > seq) {
-                    // Someone holds an older life's word, or a rumour, for newer than this one's own.
-                    life = record.life();
-                    seq = record.seq();
-                    say(true);
-                }
-            } else {
-                outdated.merge(record);
-            }
-        }
+    // Connections to the endpoint that was there before are of no use any more.
+    private void endpointChanged() {
+        endpointConnections.clear();
+        publisher.changed();
     }
 
-    private ControlClient controlClient() {
-        return controlClient;
-    }
-
-    private void inForce(RoutingTable routing) {
-        if (!ready) {
-            ready = true;
-            Event.READY.log(node);
+    private void run(RpcCall call, Consumer<RpcResponse> respond) {
+        if (call instanceof RpcCall.Heartbeat heartbeat) {
+            respond.accept(heartbeat(heartbeat));
+        } else if (call instanceof RpcCall.Depart depart) {
+            if (gate.depart(depart.endpoint())) {
+                Event.ENDPOINT.log(depart.endpoint() + " has left");
+                endpointChanged();
+            }
+            respond.accept(RpcResponse.done());
+        } else {
+            respond.accept(RpcResponse.error(HttpResponseStatus.NOT_FOUND, "operators call the control nodes"));
         }
-        // Ahead of the first request: a new module and its endpoints take a moment.
-        routing.config().services().keySet().stream().limit(MAX_BALANCERS).forEach(s -> balancer(s, false));
     }
 
-    private void say(boolean changed) {
-        if (changed) {
-            seq++;
-            EndpointRecord mine = new EndpointRecord(
-                    node,
-                    life,
-                    seq,
-                    nodeSettings.self().zone(),
-                    gate.endpoint(),
-                    service(),
-                    leaving ? EndpointRecord.Phase.DRAINING : gate.phase(),
-                    gate.capacity(),
-                    gate.warmMs(timers.now()));
-            outdated.merge(mine);
+    private RpcResponse heartbeat(RpcCall.Heartbeat heartbeat) {
+        if (heartbeat.status() == null || heartbeat.status().target() == null) {
+            return RpcResponse.error(HttpResponseStatus.BAD_REQUEST, "Target is missing");
         }
-        if (changed || timers.now() - saidAt > SAY_MS) {
-            saidAt = timers.now();
-            controlClient.post(List.of(endpointRegistry.of(node)));
+        String before = gate.endpoint();
+        if (gate.beat(timers.now(), heartbeat.endpoint(), heartbeat.status())) {
+            Event.ENDPOINT.log(heartbeat.endpoint() + " of " + gate.target() + " " + gate.state());
+            if (heartbeat.endpoint().equals(before)) {
+                publisher.changed();
+            } else {
+                endpointChanged();
+            }
         }
+        return RpcResponse.done();
     }
 
-    // --- the endpoint beside
+    /** Where it takes requests for its endpoint. */
+    public InetSocketAddress ingress() {
+        return EndpointList.address(node);
+    }
 
-    private void run(RpcCall order, Consumer<RpcResponse> answer) {
-        if (order instanceof RpcCall.Heartbeat beat) {
-            if (beat.status() == null || beat.status().target() == null) {
-                answer.accept(RpcResponse.error(HttpResponseStatus.BAD_REQUEST, "Target is missing"));
-                return;
-            }
-            String before = gate.endpoint();
-            if (gate.beat(timers.now(), beat.endpoint(), beat.status())) {
-                if (!beat.endpoint().equals(before)) {
-                    line.clear();
+    /** Hears of the control nodes. */
+    private final class ControlListener implements ControlClient.Listener {
+        @Override
+        public void posted(List<EndpointRecord> records) {
+            for (EndpointRecord each : records) {
+                if (each.node().equals(node)) {
+                    publisher.heard(each);
+                } else {
+                    outdatedLists.merge(each);
                 }
-                Event.ENDPOINT.log(beat.endpoint() + " of " + gate.target() + " " + gate.state());
-                say(true);
             }
-            answer.accept(RpcResponse.done());
-        } else if (order instanceof RpcCall.Depart depart) {
-            if (gate.depart(depart.endpoint())) {
-                Event.ENDPOINT.log(depart.endpoint() + " has left");
-                line.clear();
-                say(true);
-            }
-            answer.accept(RpcResponse.done());
-        } else {
-            answer.accept(RpcResponse.error(HttpResponseStatus.NOT_FOUND, "operators call the control nodes"));
         }
-    }
 
-    private void deliver(Object sender, PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
-        EndpointGate.Admission entry = gate.enter(timers.now(), request.target(), request.rank());
-        if (entry != EndpointGate.Admission.OPEN) {
-            PeerMessage no = new PeerMessage.ForwardFailure(
-                    request.stream(),
-                    entry == EndpointGate.Admission.FULL
-                            ? PeerMessage.FailureReason.FULL
-                            : PeerMessage.FailureReason.MOVED,
-                    gate.util(),
-                    gate.perSecond());
-            // Not in the caller's own call: it has not noted yet that it sent.
-            loop.execute(() -> done.accept(no));
-            return;
+        @Override
+        public List<String> others() {
+            return registry.all().stream()
+                    .filter(each -> each.phase() != EndpointRecord.Phase.GONE
+                            && !each.node().equals(node))
+                    .map(EndpointRecord::node)
+                    .toList();
         }
-        gate.began(timers.now());
-        requests.begin(sender, request.stream());
-        EndpointConnections.Sent sent = line.send(request, gate.endpoint(), message -> {
-            requests.ended(sender, request.stream());
-            gate.ended(timers.now(), message instanceof PeerMessage.ForwardResponse);
-            done.accept(
-                    message instanceof PeerMessage.ForwardResponse d
-                            ? new PeerMessage.ForwardResponse(
-                                    d.stream(), d.status(), d.headers(), d.body(), gate.util(), gate.perSecond())
-                            : new PeerMessage.ForwardFailure(
-                                    request.stream(),
-                                    ((PeerMessage.ForwardFailure) message).why(),
-                                    gate.util(),
-                                    gate.perSecond()));
-        });
-        requests.sent(sender, request.stream(), sent);
-    }
-
-    // --- other sidecars' links to this one
 
-    @Override
-    public void up(PeerConnection link) {}
-
-    @Override
-    public void down(PeerConnection link) {}
+        @Override
+        public void controlNodeUp() {
+            controlClient.post(List.of(registry.of(node)));
+        }
 
-    @Override
-    public void message(PeerConnection link, PeerMessage message) {
-        if (message instanceof PeerMessage.Ping ping) {
-            forwardedTime.running(timers.now());
-            link.transit().waited(timers.now(), ping.sentAt());
-            link.send(new PeerMessage.Pong(ping.number(), node, -1));
-        } else if (message instanceof PeerMessage.ForwardRequest request) {
-            forwarded(link, request);
-        } else if (message instanceof PeerMessage.Cancel cancel) {
-            requests.cancel(link, cancel);
-        } else if (message instanceof PeerMessage.FindControlNodes) {
-            link.send(new PeerMessage.ControlNodes(controlClient.addresses()));
-        } else if (message instanceof PeerMessage.Hello hello) {
-            link.peer(hello.id());
-            // A program without versions would not know what a greeting on a connection of its own means.
-            if (link.version() > ProtocolVersion.UNVERSIONED) {
-                link.send(greeting);
+        @Override
+        public void inForce(RoutingTable routing) {
+            if (!ready) {
+                ready = true;
+                Event.READY.log(node);
             }
+            // Ahead of the first request: a new module and its endpoints take a moment.
+            routing.config().services().keySet().stream()
+                    .limit(ServiceBalancers.MAX_SERVICES)
+                    .forEach(service -> balancers.of(service, false));
         }
-    }
 
-    // What waited on its way until its time was up is not begun: its caller has been answered.
-    private void forwarded(PeerConnection link, PeerMessage.ForwardRequest request) {
-        int left = forwardedTime.left(timers.now(), link.transit(), request);
-        if (left == 0) {
-            link.send(new PeerMessage.ForwardFailure(
-                    request.stream(), PeerMessage.FailureReason.UNREACHED, gate.util(), gate.perSecond()));
-            return;
+        @Override
+        public void sums(int nodes, List<TenantDemand> totals) {
+            quota.sums(timers.now(), nodes, totals);
         }
-        deliver(link, request.withLeft(left), answer -> {
-            if (link.open()) {
-                link.send(answer);
-            }
-        });
     }
 
-    /** Where it takes requests for its endpoint. */
-    public InetSocketAddress ingress() {
-        return EndpointList.address(node);
+    /** Takes what other sidecars send on connections of theirs. */
+    private final class PeerMessageHandler implements PeerConnection.MessageHandler {
+        @Override
+        public void up(PeerConnection connection) {}
+
+        @Override
+        public void down(PeerConnection connection) {}
+
+        @Override
+        public void message(PeerConnection connection, PeerMessage message) {
+            if (message instanceof PeerMessage.Ping ping) {
+                delivery.running();
+                connection.transit().waited(timers.now(), ping.sentAt());
+                connection.send(new PeerMessage.Pong(ping.number(), node, -1));
+            } else if (message instanceof PeerMessage.ForwardRequest request) {
+                delivery.forwarded(connection, request);
+            } else if (message instanceof PeerMessage.Cancel cancel) {
+                delivery.cancel(connection, cancel);
+            } else if (message instanceof PeerMessage.FindControlNodes) {
+                connection.send(new PeerMessage.ControlNodes(controlClient.addresses()));
+            } else if (message instanceof PeerMessage.Hello hello) {
+                connection.peer(hello.id());
+                // A program without versions would not know what a greeting on a connection of its own means.
+                if (connection.version() > ProtocolVersion.UNVERSIONED) {
+                    connection.send(greeting);
+                }
+            }
+        }
     }
 }
