--- a/src/main/java/whinlead/mesh/run/MeshCommand.java
+++ b/src/main/java/whinlead/mesh/run/MeshCommand.java
@@ -46,49 +46,21 @@
         run(UnaryOperator.identity(), args);
     }
 
-    /** The same for a role that dials what this makes of another process's address. */
-    public static void run(UnaryOperator<InetSocketAddress> dials, String... args) {
+    /**
+     * Runs a role as {@link #main} does.
+     *
+     * @param dialAddresses gives the address to dial for that of another process
+     */
+    public static void run(UnaryOperator<InetSocketAddress> dialAddresses, String... args) {
         Logs.start();
         Hangup hangup = guard();
-        Options options = new Options()
-                .addOption(Option.builder("s")
-                        .longOpt("settings")
-                        .hasArg()
-                        .argName("FILE")
-                        .desc("the settings file; else " + SETTINGS + " names it")
-                        .get())
-                .addOption(Option.builder("c")
-                        .longOpt("check")
-                        .desc("only read and check the settings")
-                        .get())
-                .addOption(Option.builder("h").longOpt("help").desc("tell this").get());
+        Options options = options();
         try {
             CommandLine line = new DefaultParser().parse(options, args);
             if (line.hasOption("help")) {
-                System.out.println("usage: sidecar | control [-s FILE] [-c]");
-                options.getOptions()
-                        .forEach(o -> System.out.println("  -" + o.getOpt() + ", --"
-                                + o.getLongOpt() + (o.hasArg() ? " " + o.getArgName() : "") + "  "
-                                + o.getDescription()));
-                return;
-            }
-            if (line.getArgList().size() != 1) {
-                throw new ParseException("which role?");
-            }
-            ObjectMapper mapper = new ObjectMapper();
-            String path = line.getOptionValue("settings", System.getenv(SETTINGS));
-            if (path == null) {
-                throw new NodeSettingsException(SETTINGS + " is not set");
-            }
-            NodeSettings nodeSettings = new NodeSettingsReader(mapper).read(Path.of(path));
-            if (!line.hasOption("check")) {
-                start(
-                        line.getArgList().get(0),
-                        nodeSettings,
-                        new SettingsWatcher(Path.of(path), nodeSettings, new NodeSettingsReader(mapper)),
-                        hangup,
-                        mapper,
-                        dials);
+                printHelp(options);
+            } else {
+                run(line, hangup, dialAddresses);
             }
         } catch (ParseException e) {
             quit(e.getMessage(), USAGE);
@@ -102,6 +74,48 @@
         }
     }
 
+    private static Options options() {
+        return new Options()
+                .addOption(Option.builder("s")
+                        .longOpt("settings")
+                        .hasArg()
+                        .argName("FILE")
+                        .desc("the settings file; else " + SETTINGS + " names it")
+                        .get())
+                .addOption(Option.builder("c")
+                        .longOpt("check")
+                        .desc("only read and check the settings")
+                        .get())
+                .addOption(Option.builder("h").longOpt("help").desc("tell this").get());
+    }
+
+    private static void printHelp(Options options) {
+        System.out.println("usage: sidecar | control [-s FILE] [-c]");
+        for (Option option : options.getOptions()) {
+            String argument = option.hasArg() ? " " + option.getArgName() : "";
+            System.out.println(
+                    "  -" + option.getOpt() + ", --" + option.getLongOpt() + argument + "  " + option.getDescription());
+        }
+    }
+
+    private static void run(CommandLine line, Hangup hangup, UnaryOperator<InetSocketAddress> dialAddresses)
+            throws Exception {
+        if (line.getArgList().size() != 1) {
+            throw new ParseException("which role?");
+        }
+        ObjectMapper mapper = new ObjectMapper();
+        String path = line.getOptionValue("settings", System.getenv(SETTINGS));
+        if (path == null) {
+            throw new NodeSettingsException(SETTINGS + " is not set");
+        }
+        NodeSettingsReader reader = new NodeSettingsReader(mapper);
+        NodeSettings settings = reader.read(Path.of(path));
+        if (!line.hasOption("check")) {
+            SettingsWatcher watcher = new SettingsWatcher(Path.of(path), settings, reader);
+            start(line.getArgList().get(0), settings, watcher, hangup, mapper, dialAddresses);
+        }
+    }
+
     // From here on SIGHUP ends nothing.
     private static Hangup guard() {
         try {
--- a/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
@@ -13,17 +13,14 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.net.SocketAddress;
@@ -44,19 +41,17 @@
  */
 public final class EndpointConnections {
     /** The largest answer that is held, in bytes. */
-    private static final int MAX_ANSWER = 16 << 20;
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
 
-    private static final int CONNECT_MS = 800;
-    /** Taken off what the endpoint is told: for its answer's way back. */
-    private static final int BACK_MS = 15;
+    private static final int CONNECT_TIMEOUT_MS = 800;
     /** How long after its time an endpoint's own 504 may still come. */
-    private static final int SLACK_MS = 10;
+    private static final int TIMEOUT_SLACK_MS = 10;
     /** Of the idle time that the endpoint keeps a connection, the part in which it is used again. */
     private static final double IDLE_PART = 0.6;
     /** The idle time where the endpoint tells none, in milliseconds. */
-    private static final double IDLE_MS = 4000;
+    private static final double DEFAULT_IDLE_MS = 4000;
     /** Requests of one connection whose ids are remembered. */
-    private static final int REMEMBERED = 64;
+    private static final int MAX_REMEMBERED_IDS = 64;
 
     /** Makes a connection to the endpoint with these handlers on it. */
     public interface Connector {
@@ -66,8 +61,8 @@
 
     private final Timers timers;
     private final Connector connector;
-    private final ArrayDeque<Wire> idle = new ArrayDeque<>();
-    private double idleMs = IDLE_MS;
+    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    private double idleMs = DEFAULT_IDLE_MS;
 
     EndpointConnections(EventLoop loop, SocketAddress address) {
         this(
@@ -76,12 +71,12 @@
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .handler(handlers)
                         .connect(address));
     }
 
-    /** A line by these timers, whose thread is its own too. */
+    /** Connections by these timers, on whose thread all of it runs. */
     public EndpointConnections(Timers timers, Connector connector) {
         this.timers = timers;
         this.connector = connector;
@@ -106,13 +101,13 @@
      */
     public Sent send(PeerMessage.ForwardRequest forwardRequest, String instance, Consumer<PeerMessage> done) {
         double until = timers.now() + forwardRequest.leftMs();
-        String attempt = attempt(forwardRequest);
-        Wire wire = idle(attempt);
-        if (wire != null) {
-            wire.ask(forwardRequest, attempt, until, instance, done);
-            return whileRunning -> wire.cancel(forwardRequest, whileRunning);
+        String attempt = EndpointRequestEncoder.attemptId(forwardRequest);
+        Connection connection = idle(attempt);
+        if (connection != null) {
+            connection.start(forwardRequest, attempt, until, instance, done);
+            return whileRunning -> connection.cancel(forwardRequest, whileRunning);
         }
-        Wire made = new Wire();
+        Connection made = new Connection();
         made.forwardRequest = forwardRequest;
         connector
                 .connect(new ChannelInitializer<Channel>() {
@@ -123,7 +118,7 @@
                 })
                 .addListener(f -> {
                     if (f.isSuccess()) {
-                        made.ask(forwardRequest, attempt, made.forwardRequest == null ? 0 : until, instance, done);
+                        made.start(forwardRequest, attempt, made.forwardRequest == null ? 0 : until, instance, done);
                     } else {
                         done.accept(new PeerMessage.ForwardFailure(
                                 forwardRequest.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
@@ -134,17 +129,17 @@
 
     // The one that was used last of those that are still good, but none that was asked under this id before:
     // a late answer to that would be taken for the answer to this.
-    private Wire idle(String attempt) {
-        List<Wire> passed = new ArrayList<>();
-        Wire found = null;
+    private Connection idle(String attempt) {
+        List<Connection> passed = new ArrayList<>();
+        Connection found = null;
         while (found == null && !idle.isEmpty()) {
-            Wire wire = idle.pollLast();
-            if (!wire.usable()) {
-                wire.close();
-            } else if (wire.asked.contains(attempt)) {
-                passed.add(wire);
+            Connection connection = idle.pollLast();
+            if (!connection.usable()) {
+                connection.close();
+            } else if (connection.asked.contains(attempt)) {
+                passed.add(connection);
             } else {
-                found = wire;
+                found = connection;
             }
         }
         for (int i = passed.size() - 1; i >= 0; i--) {
@@ -153,15 +148,6 @@
         return found;
     }
 
-    private static String attempt(PeerMessage.ForwardRequest forwardRequest) {
-        String attempt = null;
-        List<String> headers = forwardRequest.headers();
-        for (int i = 0; i + 1 < headers.size(); i += 2) {
-            attempt = headers.get(i).equalsIgnoreCase(ForwardedHeaders.ATTEMPT) ? headers.get(i + 1) : attempt;
-        }
-        return attempt;
-    }
-
     /** Closes connections that have been idle for too long to be used again. */
     void tick() {
         while (!idle.isEmpty() && !idle.peekFirst().usable()) {
@@ -176,7 +162,7 @@
         }
     }
 
-    private final class Wire extends ChannelInboundHandlerAdapter {
+    private final class Connection extends ChannelInboundHandlerAdapter {
         private Channel channel;
         private PeerMessage.ForwardRequest forwardRequest;
         private String attempt;
@@ -209,11 +195,11 @@
             if (forwardRequest == sent && done == null) {
                 forwardRequest = null;
             } else if (forwardRequest == sent && whileRunning) {
-                spoilt(PeerMessage.FailureReason.BROKEN);
+                fail(PeerMessage.FailureReason.BROKEN);
             }
         }
 
-        void ask(
+        void start(
                 PeerMessage.ForwardRequest sent,
                 String id,
                 double until,
@@ -235,14 +221,14 @@
             remember(id);
             FullHttpRequest request;
             try {
-                request = written(sent, left, instance);
+                request = EndpointRequestEncoder.encode(sent, left, instance);
             } catch (IllegalArgumentException e) {
                 // Nothing goes out of what is no request; it must not end the connection that it came by, either.
                 end(PeerMessage.FailureReason.UNREACHED);
                 channel.close();
                 return;
             }
-            timer = timers.after(left + SLACK_MS, () -> spoilt(PeerMessage.FailureReason.LATE));
+            timer = timers.after(left + TIMEOUT_SLACK_MS, () -> fail(PeerMessage.FailureReason.LATE));
             writing = true;
             channel.writeAndFlush(request).addListener(f -> written(f.isSuccess()));
         }
@@ -251,38 +237,15 @@
         private void written(boolean whole) {
             writing = false;
             if (!whole) {
-                spoilt(PeerMessage.FailureReason.BROKEN);
+                fail(PeerMessage.FailureReason.BROKEN);
             } else if (forwardRequest == null && channel.isActive()) {
                 timer.cancel();
                 reusable();
             }
         }
 
-        private FullHttpRequest written(PeerMessage.ForwardRequest sent, double left, String instance) {
-            FullHttpRequest request = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1,
-                    HttpMethod.valueOf(sent.method()),
-                    sent.uri(),
-                    Unpooled.wrappedBuffer(sent.body()));
-            List<String> headers = sent.headers();
-            for (int i = 0; i + 1 < headers.size(); i += 2) {
-                request.headers().add(headers.get(i), headers.get(i + 1));
-            }
-            request.headers().set(ForwardedHeaders.DEADLINE, Integer.toString((int) Math.max(1, left - BACK_MS)));
-            if (!instance.isEmpty()) {
-                request.headers().set(ForwardedHeaders.INSTANCE, instance);
-            }
-            boolean bodied = sent.body().length > 0
-                    || !HttpMethod.GET.name().equals(sent.method())
-                            && !HttpMethod.HEAD.name().equals(sent.method());
-            if (bodied) {
-                request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, sent.body().length);
-            }
-            return request;
-        }
-
         private void remember(String id) {
-            if (id != null && asked.add(id) && asked.size() > REMEMBERED) {
+            if (id != null && asked.add(id) && asked.size() > MAX_REMEMBERED_IDS) {
                 asked.remove(asked.iterator().next());
             }
         }
@@ -291,7 +254,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
                 if (message instanceof HttpObject o && o.decoderResult().isFailure()) {
-                    spoilt(PeerMessage.FailureReason.BROKEN);
+                    fail(PeerMessage.FailureReason.BROKEN);
                     return;
                 }
                 if (message instanceof HttpResponse r) {
@@ -315,13 +278,13 @@
             body = Unpooled.buffer(256);
             if (!ResponseValidator.isFramed(r)) {
                 // Its end could not be told, or its body is not the endpoint's.
-                spoilt(PeerMessage.FailureReason.BROKEN);
+                fail(PeerMessage.FailureReason.BROKEN);
             }
         }
 
         private void more(HttpContent c) {
-            if (body.readableBytes() + c.content().readableBytes() > MAX_ANSWER) {
-                spoilt(PeerMessage.FailureReason.BROKEN);
+            if (body.readableBytes() + c.content().readableBytes() > MAX_RESPONSE_BYTES) {
+                fail(PeerMessage.FailureReason.BROKEN);
                 return;
             }
             body.writeBytes(c.content());
@@ -343,7 +306,7 @@
             }
             boolean keep =
                     HttpUtil.isKeepAlive(answer) && !HttpMethod.CONNECT.name().equals(forwardRequest.method());
-            idleMs = ResponseValidator.idleMs(answer, idleMs, IDLE_MS);
+            idleMs = ResponseValidator.idleMs(answer, idleMs, DEFAULT_IDLE_MS);
             PeerMessage.FailureReason why = ResponseValidator.reject(answer);
             Consumer<PeerMessage> tell = done;
             PeerMessage.ForwardRequest told = forwardRequest;
@@ -382,7 +345,7 @@
             idle.addLast(this);
         }
 
-        private void spoilt(PeerMessage.FailureReason why) {
+        private void fail(PeerMessage.FailureReason why) {
             // What still comes in the same breath belongs to nothing.
             head = null;
             body = null;
@@ -411,7 +374,7 @@
         // Before the connection is told to be closed: after a reset no answer ends with its connection.
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            spoilt(PeerMessage.FailureReason.BROKEN);
+            fail(PeerMessage.FailureReason.BROKEN);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -17,7 +17,6 @@
 import whinlead.engine.Timers;
 import whinlead.engine.Transport;
 import whinlead.loop.LoopTimers;
-import whinlead.mesh.log.Event;
 import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.registry.EndpointRegistry;
 import whinlead.mesh.wire.PeerMessage;
@@ -29,8 +28,6 @@
  * counts for the request of that number and no other. On its loop's thread.
  */
 public final class RequestForwarder {
-    private static final ReconnectingConnection.Timeouts PACE =
-            new ReconnectingConnection.Timeouts(250, 700, 5000, 250);
     private static final double MICROS = 1000;
 
     /** Takes requests for the endpoint beside this sidecar. */
@@ -51,43 +48,13 @@
         void cancel();
     }
 
-    /** A connection to another sidecar that is kept. */
-    public interface Path {
-        /** Begins to keep it. */
-        void dial();
-
-        /** Where it stands. */
-        ReconnectingConnection.State state();
-
-        /** Sends a message; false if nothing of it was sent. */
-        boolean send(PeerMessage message);
-
-        /** Ends it for good. */
-        void close();
-    }
-
-    /** Hears of a path. */
-    public interface Ear {
-        /** It stands otherwise than before. */
-        void changed(ReconnectingConnection.State now, ReconnectingConnection.State before);
-
-        /** A message came. */
-        void message(PeerMessage message);
-
-        /** Whether something is waited for. */
-        boolean waits();
-
-        /** The present time for what is written now, in microseconds of a steady clock. */
-        long stamp();
-    }
-
     private final Timers timers;
     private final Executor soon;
     private final String self;
     private final LocalEndpoint local;
-    private final BiFunction<String, Ear, Path> paths;
+    private final BiFunction<String, PeerPath.Listener, PeerPath> paths;
     private final Runnable changed;
-    private final Map<String, Way> ways = new HashMap<>();
+    private final Map<String, PeerRoute> routes = new HashMap<>();
     private long streams;
 
     /**
@@ -107,7 +74,7 @@
                 loop,
                 self,
                 local,
-                (node, ear) -> new Tied(loop, node, addresses.apply(node), hello, ear),
+                (node, ear) -> new ConnectionPath(loop, node, addresses.apply(node), hello, ear),
                 changed);
     }
 
@@ -121,7 +88,7 @@
             Executor soon,
             String self,
             LocalEndpoint local,
-            BiFunction<String, Ear, Path> paths,
+            BiFunction<String, PeerPath.Listener, PeerPath> paths,
             Runnable changed) {
         this.timers = timers;
         this.soon = soon;
@@ -131,64 +98,8 @@
         this.changed = changed;
     }
 
-    /** A path that is a connection. */
-    private static final class Tied implements Path, ReconnectingConnection.Listener {
-        private final String node;
-        private final Ear ear;
-        private final ReconnectingConnection connection;
-
-        private Tied(EventLoop loop, String node, SocketAddress address, PeerMessage hello, Ear ear) {
-            this.node = node;
-            this.ear = ear;
-            this.connection = new ReconnectingConnection(loop, address, hello, PACE, this);
-        }
-
-        @Override
-        public void dial() {
-            connection.dial();
-        }
-
-        @Override
-        public ReconnectingConnection.State state() {
-            return connection.state();
-        }
-
-        @Override
-        public boolean send(PeerMessage message) {
-            return connection.send(message);
-        }
-
-        @Override
-        public void close() {
-            connection.close();
-        }
-
-        @Override
-        public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
-            if (before == ReconnectingConnection.State.UP && t.state() != ReconnectingConnection.State.CLOSED) {
-                Event.PEER_DOWN.log(node + " " + t.state());
-            }
-            ear.changed(t.state(), before);
-        }
-
-        @Override
-        public void message(ReconnectingConnection t, PeerMessage message) {
-            ear.message(message);
-        }
-
-        @Override
-        public boolean waits() {
-            return ear.waits();
-        }
-
-        @Override
-        public long stamp() {
-            return ear.stamp();
-        }
-    }
-
-    /** One request's way out. */
-    static final class Out implements Sent {
+    /** One request's route out. */
+    static final class PendingForward implements Sent {
         private final Consumer<PeerMessage> done;
         private final boolean repeatable;
         private final BooleanSupplier elsewhere;
@@ -199,7 +110,7 @@
         private boolean written;
         private boolean over;
 
-        private Out(Consumer<PeerMessage> done, boolean repeatable, BooleanSupplier elsewhere) {
+        private PendingForward(Consumer<PeerMessage> done, boolean repeatable, BooleanSupplier elsewhere) {
             this.done = done;
             this.repeatable = repeatable;
             this.elsewhere = elsewhere;
@@ -238,13 +149,13 @@
     /** A request that waits for its path, and until when its answer is of use. */
     private record Waiting(PeerMessage.ForwardRequest request, double until) {}
 
-    private final class Way implements Ear {
-        private final Path path;
-        private final Map<Long, Out> out = new LinkedHashMap<>();
+    private final class PeerRoute implements PeerPath.Listener {
+        private final PeerPath path;
+        private final Map<Long, PendingForward> out = new LinkedHashMap<>();
         /** What waits for the connection's first moments. */
         private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
 
-        private Way(String node) {
+        private PeerRoute(String node) {
             this.path = paths.apply(node, this);
         }
 
@@ -266,8 +177,8 @@
         }
 
         private void fail(PeerMessage.FailureReason why, boolean silent) {
-            for (Map.Entry<Long, Out> e : new ArrayList<>(out.entrySet())) {
-                Out o = e.getValue();
+            for (Map.Entry<Long, PendingForward> e : new ArrayList<>(out.entrySet())) {
+                PendingForward o = e.getValue();
                 if (!silent || o.leavesSilence()) {
                     out.remove(e.getKey());
                     waiting.remove(e.getKey());
@@ -280,7 +191,7 @@
         // Its time runs while it waits; once that is up nobody waits for it any more, and it must not run.
         private void write(Waiting w) {
             long stream = w.request.stream();
-            Out o = out.get(stream);
+            PendingForward o = out.get(stream);
             if (o == null || o.over) {
                 out.remove(stream);
                 return;
@@ -309,7 +220,7 @@
             long stream = message instanceof PeerMessage.ForwardResponse d
                     ? d.stream()
                     : message instanceof PeerMessage.ForwardFailure r ? r.stream() : -1;
-            Out o = out.remove(stream);
+            PendingForward o = out.remove(stream);
             if (o != null) {
                 o.end(message);
             }
@@ -318,35 +229,35 @@
 
     /** Whether a request for this node can be sent now, or at least is worth a try. */
     boolean reaches(String node) {
-        Way way = ways.get(node);
+        PeerRoute route = routes.get(node);
         return node.equals(self)
-                || way == null
-                || way.path.state() == ReconnectingConnection.State.UP
-                || way.path.state() == ReconnectingConnection.State.DIALLING && !way.waiting.isEmpty();
+                || route == null
+                || route.path.state() == ReconnectingConnection.State.UP
+                || route.path.state() == ReconnectingConnection.State.DIALLING && !route.waiting.isEmpty();
     }
 
     /** Whether it would go out without waiting for a connection. */
     boolean connected(String node) {
-        Way way = ways.get(node);
-        return node.equals(self) || way != null && way.path.state() == ReconnectingConnection.State.UP;
+        PeerRoute route = routes.get(node);
+        return node.equals(self) || route != null && route.path.state() == ReconnectingConnection.State.UP;
     }
 
-    private Way way(String node) {
-        return ways.computeIfAbsent(node, n -> {
-            Way way = new Way(n);
+    private PeerRoute route(String node) {
+        return routes.computeIfAbsent(node, n -> {
+            PeerRoute route = new PeerRoute(n);
             // Not at once: what it tells must not reach the map while it changes.
-            soon.execute(way.path::dial);
-            return way;
+            soon.execute(route.path::dial);
+            return route;
         });
     }
 
     /** Ends the ways to nodes that have gone. */
     void keep(EndpointRegistry endpointRegistry) {
-        for (String node : List.copyOf(ways.keySet())) {
+        for (String node : List.copyOf(routes.keySet())) {
             EndpointRecord l = endpointRegistry.of(node);
             if ((l == null || l.phase() == EndpointRecord.Phase.GONE)
-                    && ways.get(node).out.isEmpty()) {
-                ways.remove(node).path.close();
+                    && routes.get(node).out.isEmpty()) {
+                routes.remove(node).path.close();
             }
         }
     }
@@ -370,7 +281,7 @@
             boolean repeatable,
             BooleanSupplier elsewhere,
             Consumer<PeerMessage> done) {
-        Out o = new Out(done, repeatable, elsewhere);
+        PendingForward o = new PendingForward(done, repeatable, elsewhere);
         long stream = ++streams;
         PeerMessage.Cancel cancel = new PeerMessage.Cancel(stream, repeatable);
         if (node.equals(self)) {
@@ -379,23 +290,23 @@
             local.deliver(numbered(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), o::end);
             return o;
         }
-        Way way = way(node);
-        way.out.put(stream, o);
+        PeerRoute route = route(node);
+        route.out.put(stream, o);
         o.forget = () -> {
-            way.out.remove(stream);
-            way.waiting.remove(stream);
+            route.out.remove(stream);
+            route.waiting.remove(stream);
         };
-        o.tellCancelled = () -> way.path.send(cancel);
+        o.tellCancelled = () -> route.path.send(cancel);
         Waiting w = new Waiting(
                 numbered(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), timers.now() + draft.leftMs());
-        if (way.path.state() == ReconnectingConnection.State.UP) {
-            way.write(w);
-        } else if (way.path.state() == ReconnectingConnection.State.SUSPECT) {
-            way.out.remove(stream);
+        if (route.path.state() == ReconnectingConnection.State.UP) {
+            route.write(w);
+        } else if (route.path.state() == ReconnectingConnection.State.SUSPECT) {
+            route.out.remove(stream);
             soon.execute(
                     () -> o.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0)));
         } else {
-            way.waiting.put(stream, w);
+            route.waiting.put(stream, w);
         }
         return o;
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import whinlead.mesh.sidecar.EndpointConnections;
-import whinlead.mesh.sidecar.RequestForwarder;
+import whinlead.mesh.sidecar.PeerPath;
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.PeerMessageCodec;
 import whinlead.mesh.wire.ReconnectingConnection;
@@ -17,7 +17,7 @@
 /**
  * A way to another sidecar that is sound, with the real line to the endpoint beside that one. One thread; driven time.
  */
-final class AnswerPath implements RequestForwarder.Path {
+final class AnswerPath implements PeerPath {
     private static final double DIAL_MS = 1;
     private static final double REDIAL_MS = 250;
     private static final double SILENCE_MS = 400;
@@ -25,7 +25,7 @@
 
     private final Calendar calendar;
     private final SplittableRandom random;
-    private final RequestForwarder.Ear ear;
+    private final PeerPath.Listener ear;
     private final AnswerBug bug;
     private final EndpointConnections line;
     private final Map<Long, EndpointConnections.Sent> sent = new HashMap<>();
@@ -35,11 +35,7 @@
     private double backAt;
 
     AnswerPath(
-            Calendar calendar,
-            SplittableRandom random,
-            RequestForwarder.Ear ear,
-            AnswerEndpoint endpoint,
-            AnswerBug bug) {
+            Calendar calendar, SplittableRandom random, PeerPath.Listener ear, AnswerEndpoint endpoint, AnswerBug bug) {
         this.calendar = calendar;
         this.random = random;
         this.ear = ear;
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -11,6 +11,7 @@
 import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.settings.NodeSettings;
 import whinlead.mesh.sidecar.ClientSide;
+import whinlead.mesh.sidecar.PeerPath;
 import whinlead.mesh.sidecar.RequestForwarder;
 import whinlead.plan.Calendar;
 
@@ -74,7 +75,7 @@
         sidecar.endpoints(SERVICE, records);
     }
 
-    private AnswerPath path(String node, RequestForwarder.Ear ear) {
+    private AnswerPath path(String node, PeerPath.Listener ear) {
         AnswerEndpoint endpoint = endpoints.get(Integer.parseInt(node));
         AnswerPath path = new AnswerPath(calendar, random.split(), ear, endpoint, bug);
         paths.add(path);
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import whinlead.mesh.sidecar.RequestForwarder;
+import whinlead.mesh.sidecar.PeerPath;
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.PeerMessageCodec;
 import whinlead.mesh.wire.ReconnectingConnection;
@@ -17,7 +17,7 @@
  * A modelled connection between two processes: connections in order, which break, are held back, and outlive at the far
  * end what the near one has closed. One thread; driven time.
  */
-final class RelayPath implements RequestForwarder.Path {
+final class RelayPath implements PeerPath {
     private static final double SUSPECT = 700;
     private static final double DEAD = 5000;
     private static final double REDIAL = 250;
@@ -38,7 +38,7 @@
     private final SplittableRandom random;
     private final RelayProcess near;
     private final RelayProcess far;
-    private final RequestForwarder.Ear ear;
+    private final PeerPath.Listener ear;
     private final FarEnd farEnd;
     /** Hears of what was written. */
     private final Consumer<PeerMessage> wrote;
@@ -54,7 +54,7 @@
             SplittableRandom random,
             RelayProcess near,
             RelayProcess far,
-            RequestForwarder.Ear ear,
+            PeerPath.Listener ear,
             FarEnd farEnd,
             Consumer<PeerMessage> wrote,
             boolean again) {
--- a/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -40,11 +40,11 @@
     private record Written(Path path, double at, PeerMessage.ForwardRequest forwardRequest) {}
 
     /** A path to another sidecar that connects after a time and reacts to requests as the test says. */
-    private final class Path implements RequestForwarder.Path {
-        private final RequestForwarder.Ear ear;
+    private final class Path implements PeerPath {
+        private final PeerPath.Listener ear;
         private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
 
-        private Path(RequestForwarder.Ear ear) {
+        private Path(PeerPath.Listener ear) {
             this.ear = ear;
         }
 
--- a/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
@@ -36,11 +36,11 @@
     private static final String KEY = "Api-Key: key-1\r\n";
 
     /** A way to another sidecar whose endpoint answers at once. */
-    private final class Answering implements RequestForwarder.Path {
-        private final RequestForwarder.Ear ear;
+    private final class Answering implements PeerPath {
+        private final PeerPath.Listener ear;
         private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
 
-        private Answering(RequestForwarder.Ear ear) {
+        private Answering(PeerPath.Listener ear) {
             this.ear = ear;
         }
 
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -19,14 +19,14 @@
     private static final int LEFT_MS = 1000;
 
     /** A path that stands as it is told to. */
-    private static final class Script implements RequestForwarder.Path {
-        private final RequestForwarder.Ear ear;
+    private static final class Script implements PeerPath {
+        private final PeerPath.Listener ear;
         private final List<PeerMessage.ForwardRequest> sent = new ArrayList<>();
         private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
         private boolean open = true;
         private boolean breaks;
 
-        private Script(RequestForwarder.Ear ear) {
+        private Script(PeerPath.Listener ear) {
             this.ear = ear;
         }
 
--- a/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
@@ -35,7 +35,7 @@
     }
 
     /** A connection that is never used. */
-    private static final class Unused implements RequestForwarder.Path {
+    private static final class Unused implements PeerPath {
         @Override
         public void dial() {}
 
