--- a/src/main/java/whinlead/mesh/config/RoutingTable.java
+++ b/src/main/java/whinlead/mesh/config/RoutingTable.java
@@ -15,7 +15,7 @@
     /** A route by its name. */
     public record NamedRoute(String name, MeshConfig.Route route) {
         /** Whether a request may run more than once. */
-        public boolean repeatable() {
+        public boolean isIdempotent() {
             return MeshConfig.IDEMPOTENT.equals(route.kind());
         }
 
@@ -99,12 +99,12 @@
     }
 
     /** Whether requests of routes that are not public need a key. */
-    public boolean keyed() {
+    public boolean requiresKeys() {
         return meshConfig.tenants() != null && !meshConfig.tenants().isEmpty();
     }
 
     /** Whose key it is; null if nobody's. */
-    public NamedTenant payer(String key) {
+    public NamedTenant tenantOf(String key) {
         return key == null ? null : keys.get(key);
     }
 
--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -109,12 +109,12 @@
      * Whether it is in contact with a quorum: more than half of the voters, itself with them if it is one, have
      * answered a question that left within so many milliseconds, and none of those knows a newer decision.
      */
-    public boolean inTouch(double now, double within) {
+    public boolean isInContactWithQuorum(double now, double within) {
         return quorum.reachesQuorum(now, within, decided());
     }
 
     /** The decision of this slot is on disk here. */
-    public void stored(double now, long slot) {
+    public void decisionStored(double now, long slot) {
         wake(now);
         if (slot > storedSlot) {
             storedSlot = slot;
@@ -130,9 +130,9 @@
      * @param sentAt when the question left here
      * @param slot the newest decision that the other has on disk, or -1
      */
-    public void echoed(double sentAt, String from, long slot) {
+    public void pongReceived(double sentAt, String from, long slot) {
         if (decided() != null && decided().voters().contains(from)) {
-            contact.echoed(sentAt, from, slot);
+            contact.answered(sentAt, from, slot);
         }
         // Whoever told it first may have gone, or the message was lost: who is behind asks until it has it.
         if (slot > decidedSlot()) {
@@ -152,7 +152,7 @@
     }
 
     /** Whether it may end: it is out, or need not be, and a quorum and all in contact store why. */
-    public boolean left(double now) {
+    public boolean mayEnd(double now) {
         return decided() == null || membership.mayEnd(now, decided(), storedSlot);
     }
 
@@ -170,7 +170,7 @@
         wake(now);
         quorum.watch(now, decided());
         // One that may end takes on nothing new: whoever asks goes on to a control node that stays.
-        boolean ending = membership.isLeaving() && left(now);
+        boolean ending = membership.isLeaving() && mayEnd(now);
         if (quorum.isLost() || ending) {
             operations.reject(operation);
         } else {
@@ -180,7 +180,7 @@
 
     // One that is dead since before this control node began is silent from now on, not for ever unknown.
     private void wake(double now) {
-        contact.wake(now);
+        contact.running(now);
         if (!awake && decided() != null) {
             keep(now, decided().voters());
         }
@@ -257,8 +257,8 @@
     }
 
     private void keep(double now, List<String> voters) {
-        contact.keep(now, voters);
-        failures.keep(voters);
+        contact.retain(now, voters);
+        failures.retain(voters);
     }
 
     private void join(double now, String from, long slot) {
--- a/src/main/java/whinlead/mesh/consensus/ContactTracker.java
+++ b/src/main/java/whinlead/mesh/consensus/ContactTracker.java
@@ -24,7 +24,7 @@
     private double awake = Double.NaN;
 
     /** This control node runs: what it slept through is nobody's silence. */
-    void wake(double now) {
+    void running(double now) {
         double gap = now - awake;
         // Before the first time nothing was missed: that comparison is false.
         if (gap > SLEPT) {
@@ -34,14 +34,14 @@
     }
 
     /** A voter answered what left at {@code sentAt}, and has this slot on disk. */
-    void echoed(double sentAt, String from, long slot) {
+    void answered(double sentAt, String from, long slot) {
         echoed.merge(from, sentAt, Math::max);
         heard.merge(from, sentAt, Math::max);
         stored.merge(from, slot, Math::max);
     }
 
     /** Only these matter from now on; one that is new among them counts as heard now. */
-    void keep(double now, Collection<String> voters) {
+    void retain(double now, Collection<String> voters) {
         Set<String> those = new HashSet<>(voters);
         heard.keySet().retainAll(those);
         echoed.keySet().retainAll(those);
@@ -60,7 +60,7 @@
     }
 
     /** The newest slot that it said to have on disk; -1 where it has said nothing. */
-    long stored(String voter) {
+    long storedSlot(String voter) {
         return stored.getOrDefault(voter, -1L);
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/FailureDetector.java
+++ b/src/main/java/whinlead/mesh/consensus/FailureDetector.java
@@ -34,8 +34,8 @@
     }
 
     /** From now on these are the voters. */
-    void keep(Collection<String> voters) {
-        suspicions.keep(voters);
+    void retain(Collection<String> voters) {
+        suspicions.retain(voters);
     }
 
     /** Those of the voters that this control node and a majority with it find silent, in the order given. */
--- a/src/main/java/whinlead/mesh/consensus/Membership.java
+++ b/src/main/java/whinlead/mesh/consensus/Membership.java
@@ -80,7 +80,7 @@
     }
 
     private boolean holdsDepartureSlot(String voter, long ownSlot) {
-        return (voter.equals(self) ? ownSlot : contact.stored(voter)) >= departureSlot;
+        return (voter.equals(self) ? ownSlot : contact.storedSlot(voter)) >= departureSlot;
     }
 
     /** The change that is due now, or null. */
--- a/src/main/java/whinlead/mesh/consensus/QuorumMonitor.java
+++ b/src/main/java/whinlead/mesh/consensus/QuorumMonitor.java
@@ -36,7 +36,7 @@
                 .filter(voter -> voter.equals(self) || contact.reached(now, within, voter))
                 .toList();
         return reached.size() >= decided.quorum()
-                && reached.stream().allMatch(voter -> contact.stored(voter) <= decided.slot());
+                && reached.stream().allMatch(voter -> contact.storedSlot(voter) <= decided.slot());
     }
 
     /** Looks whether a quorum is in contact now. */
--- a/src/main/java/whinlead/mesh/consensus/SuspicionTracker.java
+++ b/src/main/java/whinlead/mesh/consensus/SuspicionTracker.java
@@ -53,7 +53,7 @@
     }
 
     /** From now on these are the voters: what others have said, or what was said of others, is dropped. */
-    void keep(Collection<String> newVoters) {
+    void retain(Collection<String> newVoters) {
         voters = List.copyOf(newVoters);
         statements.keySet().retainAll(voters);
         statements.values().forEach(byVoter -> byVoter.keySet().retainAll(voters));
--- a/src/main/java/whinlead/mesh/control/ControlNode.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -91,8 +91,8 @@
      * @throws InterruptedException if interrupted
      */
     public void start() throws StateStoreException, InterruptedException {
-        String folder = NodeSettings.present(settings.self().dataDir(), "Self.DataDir");
-        String control = NodeSettings.present(settings.network().bind().control(), "Network.Bind.Control");
+        String folder = NodeSettings.require(settings.self().dataDir(), "Self.DataDir");
+        String control = NodeSettings.require(settings.network().bind().control(), "Network.Bind.Control");
         assemble(StateStore.open(Path.of(folder)));
         stateWriter.start();
         isVoter = consensus.isVoter();
@@ -104,7 +104,7 @@
                 .channel(NioServerSocketChannel.class)
                 .childHandler(PeerConnection.handlers(new PeerMessageHandler()))
                 .bind(new InetSocketAddress(
-                        settings.self().ip(), settings.network().talkPort()))
+                        settings.self().ip(), settings.network().peerPort()))
                 .sync();
         new RpcServer(loop, mapper, this::run)
                 .listen(EndpointList.address(control))
@@ -120,7 +120,10 @@
         calls = new OperatorCalls(loop, ControlNode::nowMs, consensus);
         peers = new ControlPeers(loop, settings, dialAddresses, id, new PeerListener());
         sidecars = new SidecarChannel(
-                ControlNode::nowMs, consensus::decided, () -> consensus.inTouch(nowMs(), CONFIRMED_MS), peers);
+                ControlNode::nowMs,
+                consensus::decided,
+                () -> consensus.isInContactWithQuorum(nowMs(), CONFIRMED_MS),
+                peers);
     }
 
     private void begin() {
@@ -164,7 +167,7 @@
         consensus.leave(nowMs());
         loop.scheduleAtFixedRate(
                 () -> GuardedTask.run(() -> {
-                    if (nowMs() > endAtMs || consensus.left(nowMs()) && calls.pending() == 0) {
+                    if (nowMs() > endAtMs || consensus.mayEnd(nowMs()) && calls.pending() == 0) {
                         ended.countDown();
                     }
                 }),
@@ -179,8 +182,8 @@
 
     private void tick() {
         // What was to be told of a write that the disk refused at first never is; that it is there now, is.
-        if (stateWriter.settled()) {
-            consensus.stored(nowMs(), decidedSlot());
+        if (stateWriter.isSynced()) {
+            consensus.decisionStored(nowMs(), decidedSlot());
         }
         consensus.tick(nowMs());
         sidecars.sendConfirmed();
@@ -212,20 +215,20 @@
         }
 
         @Override
-        public void echoed(double sentAt, PeerMessage.Pong pong) {
-            GuardedTask.run(() -> consensus.echoed(sentAt, pong.id(), pong.slot()));
+        public void pongReceived(double sentAt, PeerMessage.Pong pong) {
+            GuardedTask.run(() -> consensus.pongReceived(sentAt, pong.id(), pong.slot()));
         }
     }
 
     /** Takes the messages that sidecars and other control nodes send on connections of theirs. */
     private final class PeerMessageHandler implements PeerConnection.MessageHandler {
         @Override
-        public void up(PeerConnection connection) {
+        public void connected(PeerConnection connection) {
             sidecars.opened(connection);
         }
 
         @Override
-        public void down(PeerConnection connection) {
+        public void disconnected(PeerConnection connection) {
             sidecars.closed(connection);
         }
 
@@ -299,7 +302,7 @@
         public void decided(Decision decision) {
             stateWriter.write(
                     AcceptorRecord.write(new Acceptor.State(decision, Ballot.NONE, null)),
-                    () -> GuardedTask.run(() -> consensus.stored(nowMs(), decision.slot())));
+                    () -> GuardedTask.run(() -> consensus.decisionStored(nowMs(), decision.slot())));
             addVoters(decision);
             Event.DECIDED.log("slot " + decision.slot() + " version " + Long.toHexString(decision.version())
                     + " voters " + decision.voters());
--- a/src/main/java/whinlead/mesh/control/ControlPeers.java
+++ b/src/main/java/whinlead/mesh/control/ControlPeers.java
@@ -29,7 +29,7 @@
         List<PeerMessage> greeting();
 
         /** A ping that left at this time, by the steady clock in milliseconds, was answered. */
-        void echoed(double sentAt, PeerMessage.Pong pong);
+        void pongReceived(double sentAt, PeerMessage.Pong pong);
     }
 
     private final EventLoop loop;
@@ -74,7 +74,7 @@
         if (connections.size() >= MAX_PEERS) {
             return;
         }
-        InetSocketAddress address = new InetSocketAddress(ip, settings.network().talkPort());
+        InetSocketAddress address = new InetSocketAddress(ip, settings.network().peerPort());
         ReconnectingConnection connection = new ReconnectingConnection(
                 loop, dialAddresses.apply(address), hello, TIMEOUTS, new ConnectionListener());
         connections.put(ip, connection);
@@ -83,7 +83,7 @@
 
     private void removeOneThatIsDown() {
         connections.entrySet().stream()
-                .filter(each -> !each.getValue().up())
+                .filter(each -> !each.getValue().isUp())
                 .findFirst()
                 .ifPresent(each -> {
                     connections.remove(each.getKey());
@@ -130,12 +130,12 @@
         }
 
         @Override
-        public void echoed(double sentAt, PeerMessage.Pong pong) {
-            listener.echoed(sentAt, pong);
+        public void pongReceived(double sentAt, PeerMessage.Pong pong) {
+            listener.pongReceived(sentAt, pong);
         }
 
         @Override
-        public boolean steady() {
+        public boolean alwaysPings() {
             return true;
         }
     }
--- a/src/main/java/whinlead/mesh/control/SidecarChannel.java
+++ b/src/main/java/whinlead/mesh/control/SidecarChannel.java
@@ -118,7 +118,7 @@
                 changed.add(each);
             }
             // Of those that there is room for only: these tables grow by what peers say.
-            if (registry.of(each.node()) != null && each.phase() != EndpointRecord.Phase.GONE) {
+            if (registry.find(each.node()) != null && each.phase() != EndpointRecord.Phase.GONE) {
                 contact.heard(clockMs.getAsDouble(), each.node(), fromSidecar);
             }
         }
@@ -155,9 +155,9 @@
 
     /** A sidecar reports its demand; it is sent the sums if it asks for them. */
     void report(PeerConnection connection, PeerMessage.DemandReport report) {
-        demand.say(clockMs.getAsDouble(), connection.peer(), report.uses());
+        demand.report(clockMs.getAsDouble(), connection.peer(), report.uses());
         if (report.wanted()) {
-            connection.send(new PeerMessage.DemandSums(demand.nodes(), demand.of(connection.peer())));
+            connection.send(new PeerMessage.DemandSums(demand.reportingNodes(), demand.totalsFor(connection.peer())));
         }
     }
 }
--- a/src/main/java/whinlead/mesh/control/StateWriter.java
+++ b/src/main/java/whinlead/mesh/control/StateWriter.java
@@ -88,7 +88,7 @@
     }
 
     /** Whether the disk refused what it was last given. For any thread. */
-    boolean failing() {
+    boolean isFailing() {
         synchronized (lock) {
             return refused;
         }
@@ -103,7 +103,7 @@
     }
 
     /** Whether all that it was given is on disk. For any thread. */
-    boolean settled() {
+    boolean isSynced() {
         synchronized (lock) {
             return Double.isNaN(since) && Double.isNaN(sinceNext);
         }
--- a/src/main/java/whinlead/mesh/quota/DemandTotals.java
+++ b/src/main/java/whinlead/mesh/quota/DemandTotals.java
@@ -35,7 +35,7 @@
     private final Map<String, Total> totals = new HashMap<>();
 
     /** A sidecar says what it is asked for, in place of what it said before. */
-    public void say(double now, String node, List<TenantDemand> uses) {
+    public void report(double now, String node, List<TenantDemand> uses) {
         for (Iterator<Said> i = said.values().iterator(); i.hasNext(); ) {
             Said s = i.next();
             if (now - s.at() > STANDS) {
@@ -66,12 +66,12 @@
     }
 
     /** How many sidecars have said something lately. */
-    public int nodes() {
+    public int reportingNodes() {
         return said.size();
     }
 
     /** The totals of all tenants; where these are many, of those that this sidecar named. */
-    public List<TenantDemand> of(String node) {
+    public List<TenantDemand> totalsFor(String node) {
         Said own = said.get(node);
         if (own == null) {
             return List.of();
--- a/src/main/java/whinlead/mesh/quota/TenantQuota.java
+++ b/src/main/java/whinlead/mesh/quota/TenantQuota.java
@@ -100,7 +100,7 @@
     }
 
     /** What this sidecar is asked for, to be told to the control nodes. */
-    public List<TenantDemand> uses(double now) {
+    public List<TenantDemand> demand(double now) {
         List<TenantDemand> uses = new ArrayList<>();
         Map<String, Double> now1 = new HashMap<>();
         buckets.forEach((tenant, b) -> {
@@ -115,7 +115,7 @@
     }
 
     /** The sums that a control node made with what this sidecar told last, of so many sidecars. */
-    public void sums(double now, int nodes, List<TenantDemand> totals) {
+    public void updateTotals(double now, int nodes, List<TenantDemand> totals) {
         Map<String, Part> made = new HashMap<>();
         for (TenantDemand u : totals) {
             made.put(u.tenant(), new Part(told.getOrDefault(u.tenant(), 0.0), u.perSecond()));
@@ -132,7 +132,7 @@
      * @param listed how many sidecars are listed, 1 at least
      * @return 0 if it may go, else in how many milliseconds the next may
      */
-    public double take(double now, String tenant, double ratePerS, double burst, int listed) {
+    public double acquire(double now, String tenant, double ratePerS, double burst, int listed) {
         if (ratePerS <= 0) {
             return 0;
         }
--- a/src/main/java/whinlead/mesh/registry/EndpointRecord.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRecord.java
@@ -44,12 +44,12 @@
     }
 
     /** Whether this holds against the other. */
-    public boolean newerThan(EndpointRecord other) {
+    public boolean isNewerThan(EndpointRecord other) {
         return other == null || life > other.life || life == other.life && seq > other.seq;
     }
 
     /** Whether requests may be sent there. */
-    public boolean open() {
+    public boolean acceptsRequests() {
         return phase == Phase.SERVING && !endpoint.isEmpty();
     }
 }
--- a/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
@@ -24,7 +24,7 @@
     /** Takes an endpoint record in; true if it is news. */
     public boolean merge(EndpointRecord record) {
         EndpointRecord known = records.get(record.node());
-        if (known == null && records.size() >= MAX_NODES || !record.newerThan(known)) {
+        if (known == null && records.size() >= MAX_NODES || !record.isNewerThan(known)) {
             return false;
         }
         records.put(record.node(), record);
@@ -62,7 +62,7 @@
     }
 
     /** The newest of a node, or null. */
-    public EndpointRecord of(String node) {
+    public EndpointRecord find(String node) {
         return records.get(node);
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** How many sidecars are there now, as far as is known. */
-    public int present() {
+    public int presentCount() {
         return present;
     }
 }
--- a/src/main/java/whinlead/mesh/settings/NodeSettings.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettings.java
@@ -20,10 +20,10 @@
 
     /** Checks that every table is there. */
     public NodeSettings {
-        present(self, "Self");
-        present(network, "Network");
-        present(substrate, "Substrate");
-        present(clauses, "Clauses");
+        require(self, "Self");
+        require(network, "Network");
+        require(substrate, "Substrate");
+        require(clauses, "Clauses");
     }
 
     /**
@@ -42,9 +42,9 @@
             @JsonProperty("Limits") Limits limits) {
         /** Checks what both roles need. */
         public Self {
-            present(node, "Self.Node");
-            present(ip, "Self.Ip");
-            present(zone, "Self.Zone");
+            require(node, "Self.Node");
+            require(ip, "Self.Ip");
+            require(zone, "Self.Zone");
         }
     }
 
@@ -67,8 +67,8 @@
 
         /** Checks the ports and that there is someone to ask. */
         public Network {
-            present(bind, "Network.Bind");
-            present(seeds, "Network.Seeds");
+            require(bind, "Network.Bind");
+            require(seeds, "Network.Seeds");
             if (portRange == null
                     || portRange.size() != 2
                     || portRange.get(0) < 1
@@ -79,7 +79,7 @@
         }
 
         /** The port at which processes of the system talk to each other, alike on all machines. */
-        public int talkPort() {
+        public int peerPort() {
             return portRange.get(0);
         }
     }
@@ -103,7 +103,7 @@
     public record Clauses(@JsonProperty("Bounds") Bounds bounds) {
         /** Checks that the figures are there. */
         public Clauses {
-            present(bounds, "Clauses.Bounds");
+            require(bounds, "Clauses.Bounds");
         }
     }
 
@@ -135,7 +135,7 @@
      *
      * @throws NodeSettingsException if it is null
      */
-    public static <T> T present(T value, String field) {
+    public static <T> T require(T value, String field) {
         if (value == null) {
             throw new NodeSettingsException(field + " is missing");
         }
--- a/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
+++ b/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
@@ -62,8 +62,8 @@
     }
 
     @Override
-    public boolean waits() {
-        return listener.waits();
+    public boolean hasPendingRequests() {
+        return listener.hasPendingRequests();
     }
 
     @Override
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -69,19 +69,19 @@
     /** Hears what the control nodes say. */
     interface Listener {
         /** Endpoint records, old and new. */
-        void posted(List<EndpointRecord> records);
+        void recordsReceived(List<EndpointRecord> records);
 
         /** Where other sidecars are. */
-        List<String> others();
+        List<String> otherSidecars();
 
         /** A control node has come into reach. */
         void controlNodeUp();
 
         /** A newer configuration is in force. */
-        void inForce(RoutingTable routing);
+        void configChanged(RoutingTable routing);
 
         /** What all sidecars are asked for. */
-        void sums(int nodes, List<TenantDemand> totals);
+        void demandTotals(int nodes, List<TenantDemand> totals);
     }
 
     /** A desk that dials what {@code dials} makes of an address. */
@@ -114,20 +114,20 @@
     }
 
     /** Says endpoint records to all control nodes in reach. */
-    void post(List<EndpointRecord> records) {
+    void publish(List<EndpointRecord> records) {
         PeerMessage.EndpointUpdate post = new PeerMessage.EndpointUpdate(records);
         controlNodes.values().forEach(t -> t.send(post));
     }
 
     /** Tells control nodes in reach what is asked for here, where it is due, and asks the first for the sums. */
-    void uses(List<TenantDemand> uses) {
+    void reportDemand(List<TenantDemand> uses) {
         DemandReports.Audience audience = reports.next(!uses.isEmpty());
         if (audience == DemandReports.Audience.NONE) {
             return;
         }
         boolean wanted = true;
         for (ReconnectingConnection connection : controlNodes.values()) {
-            if (connection.up() && (wanted || audience == DemandReports.Audience.ALL)) {
+            if (connection.isUp() && (wanted || audience == DemandReports.Audience.ALL)) {
                 connection.send(new PeerMessage.DemandReport(uses, wanted));
                 wanted = false;
             }
@@ -153,7 +153,7 @@
         }
         if (controlNodes.size() >= MAX_CONTROL_NODES) {
             controlNodes.entrySet().stream()
-                    .filter(e -> !e.getValue().up())
+                    .filter(e -> !e.getValue().isUp())
                     .findFirst()
                     .ifPresent(e -> drop(e.getKey()));
         }
@@ -162,7 +162,7 @@
         }
         ReconnectingConnection connection = new ReconnectingConnection(
                 loop,
-                dials.apply(new InetSocketAddress(ip, nodeSettings.network().talkPort())),
+                dials.apply(new InetSocketAddress(ip, nodeSettings.network().peerPort())),
                 hello,
                 PACE,
                 new ReconnectingConnection.Listener() {
@@ -186,7 +186,7 @@
                     }
 
                     @Override
-                    public boolean waits() {
+                    public boolean hasPendingRequests() {
                         return newest == null || noticed.getOrDefault(controlNodes.get(ip), -1L) > slot();
                     }
                 });
@@ -196,14 +196,14 @@
 
     private void came(ReconnectingConnection connection, PeerMessage message) {
         if (message instanceof PeerMessage.EndpointUpdate post) {
-            owner.posted(post.records());
+            owner.recordsReceived(post.records());
         } else if (message instanceof PeerMessage.ConfigAvailable notice) {
             noticed.put(connection, notice.slot());
             fetch();
         } else if (message instanceof PeerMessage.ConfigUpdate update) {
             offered(update);
         } else if (message instanceof PeerMessage.DemandSums sums) {
-            owner.sums(sums.nodes(), sums.totals());
+            owner.demandTotals(sums.nodes(), sums.totals());
         }
     }
 
@@ -235,13 +235,13 @@
 
     // Control nodes beyond those known: other sidecars may know them where all have changed since.
     private void seek() {
-        boolean reached = controlNodes.values().stream().anyMatch(ReconnectingConnection::up)
+        boolean reached = controlNodes.values().stream().anyMatch(ReconnectingConnection::isUp)
                 && !(newest == null && beginning.unconfirmed());
         if (reached) {
             seekAt = now();
         } else if (now() - seekAt > SEEK_MS) {
             seekAt = now();
-            List<String> others = owner.others();
+            List<String> others = owner.otherSidecars();
             if (!others.isEmpty()) {
                 ask(others.get((int) (Math.random() * others.size())));
             }
@@ -278,7 +278,7 @@
         }
         List<ReconnectingConnection> have = new ArrayList<>();
         noticed.forEach((connection, slot) -> {
-            if (slot > slot() && connection.up()) {
+            if (slot > slot() && connection.isUp()) {
                 have.add(connection);
             }
         });
@@ -310,7 +310,7 @@
         List<String> voters =
                 decision.voters().stream().map(ConsensusNode::address).toList();
         for (String ip : List.copyOf(controlNodes.keySet())) {
-            if (!voters.contains(ip) && !controlNodes.get(ip).up()) {
+            if (!voters.contains(ip) && !controlNodes.get(ip).isUp()) {
                 drop(ip);
             }
         }
@@ -330,7 +330,7 @@
                 if (routing == null || made.slot() > routing.slot()) {
                     routing = made;
                     Event.IN_FORCE.log("version " + meshConfig.epoch() + " slot " + made.slot());
-                    owner.inForce(made);
+                    owner.configChanged(made);
                 }
             });
         } catch (IOException | InvalidConfigException e) {
--- a/src/main/java/whinlead/mesh/sidecar/EgressListener.java
+++ b/src/main/java/whinlead/mesh/sidecar/EgressListener.java
@@ -190,13 +190,13 @@
             plain(turn, BAD);
             return;
         }
-        RoutingTable.NamedTenant payer = now.payer(head.headers().get(ForwardedHeaders.KEY));
-        if (payer == null && !way.route().open() && now.keyed()) {
+        RoutingTable.NamedTenant payer = now.tenantOf(head.headers().get(ForwardedHeaders.KEY));
+        if (payer == null && !way.route().open() && now.requiresKeys()) {
             plain(turn, UNKNOWN_KEY);
             return;
         }
         if (payer != null) {
-            double wait = allowance.take(
+            double wait = allowance.acquire(
                     timers.now(),
                     payer.name(),
                     payer.tenant().ratePerS(),
@@ -311,7 +311,7 @@
         private void go(ServiceBalancer balancer) {
             exchanges.add(this);
             Request ask = new Request(
-                    classes.of(way.repeatable(), rank, way.route().targetS() * 1000),
+                    classes.of(way.isIdempotent(), rank, way.route().targetS() * 1000),
                     -1,
                     timeout,
                     false,
@@ -342,7 +342,7 @@
 
         @Override
         public boolean repeatable() {
-            return way.repeatable();
+            return way.isIdempotent();
         }
 
         @Override
--- a/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
@@ -61,14 +61,14 @@
             return;
         }
         deliver(from, request.withLeft(leftMs), answer -> {
-            if (from.open()) {
+            if (from.isOpen()) {
                 from.send(answer);
             }
         });
     }
 
     private void deliver(Object sender, PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
-        EndpointGate.Admission admission = gate.enter(timers.now(), request.target(), request.rank());
+        EndpointGate.Admission admission = gate.admit(timers.now(), request.target(), request.rank());
         if (admission != EndpointGate.Admission.OPEN) {
             PeerMessage refusal = failure(
                     request,
@@ -79,11 +79,11 @@
             loop.execute(() -> done.accept(refusal));
             return;
         }
-        gate.began(timers.now());
+        gate.requestStarted(timers.now());
         requests.begin(sender, request.stream());
         EndpointConnections.Sent sent = connections.send(request, gate.endpoint(), outcome -> {
             requests.ended(sender, request.stream());
-            gate.ended(timers.now(), outcome instanceof PeerMessage.ForwardResponse);
+            gate.requestEnded(timers.now(), outcome instanceof PeerMessage.ForwardResponse);
             done.accept(withLoad(request, outcome));
         });
         requests.sent(sender, request.stream(), sent);
@@ -97,13 +97,13 @@
                     response.status(),
                     response.headers(),
                     response.body(),
-                    gate.util(),
+                    gate.utilization(),
                     gate.perSecond());
         }
         return failure(request, ((PeerMessage.ForwardFailure) outcome).why());
     }
 
     private PeerMessage.ForwardFailure failure(PeerMessage.ForwardRequest request, PeerMessage.FailureReason why) {
-        return new PeerMessage.ForwardFailure(request.stream(), why, gate.util(), gate.perSecond());
+        return new PeerMessage.ForwardFailure(request.stream(), why, gate.utilization(), gate.perSecond());
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
@@ -60,7 +60,7 @@
     }
 
     /** An endpoint beats; true if that changes what others need to know. */
-    public boolean beat(double now, String id, RpcCall.EndpointStatus settings) {
+    public boolean heartbeat(double now, String id, RpcCall.EndpointStatus settings) {
         if (id.equals(endpoint) && (settings.callSeq() <= callSeq || state == State.GONE && callSeq < 0)) {
             return false;
         }
@@ -84,7 +84,7 @@
     }
 
     /** The endpoint has left; true if that is news. */
-    public boolean depart(String id) {
+    public boolean departed(String id) {
         if (!id.equals(endpoint) || state == State.GONE) {
             return false;
         }
@@ -145,7 +145,7 @@
     }
 
     /** Whether a request for this service, of this rank, may go to the endpoint now. */
-    public Admission enter(double now, String service, int rank) {
+    public Admission admit(double now, String service, int rank) {
         boolean there = service.equals(target)
                 && (state == State.SERVING || state == State.DRAINING && now - drainAt < LAST_CALLS_MS);
         if (!there) {
@@ -162,13 +162,13 @@
     }
 
     /** A request goes to the endpoint. */
-    public void began(double now) {
+    public void requestStarted(double now) {
         load(now, 0);
         held++;
     }
 
     /** It has ended there. */
-    public void ended(double now, boolean answered) {
+    public void requestEnded(double now, boolean answered) {
         load(now, answered ? 1 : 0);
         held--;
     }
@@ -181,12 +181,12 @@
     }
 
     /** Requests at the endpoint. */
-    public int held() {
+    public int inFlight() {
         return held;
     }
 
     /** The part of its places that are taken, lately; over 1 where requests wait. */
-    public double util() {
+    public double utilization() {
         return util;
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
+++ b/src/main/java/whinlead/mesh/sidecar/OutdatedLists.java
@@ -35,7 +35,7 @@
 
     /** Takes an endpoint record in; if it is news, the lists that it concerns are made anew. */
     void merge(EndpointRecord record) {
-        EndpointRecord before = endpointRegistry.of(record.node());
+        EndpointRecord before = endpointRegistry.find(record.node());
         if (!endpointRegistry.merge(record)) {
             return;
         }
--- a/src/main/java/whinlead/mesh/sidecar/PeerPath.java
+++ b/src/main/java/whinlead/mesh/sidecar/PeerPath.java
@@ -26,7 +26,7 @@
         void message(PeerMessage message);
 
         /** Whether something is waited for. */
-        boolean waits();
+        boolean hasPendingRequests();
 
         /** The present time for what is written now, in microseconds of a steady clock. */
         long stamp();
--- a/src/main/java/whinlead/mesh/sidecar/RecordPublisher.java
+++ b/src/main/java/whinlead/mesh/sidecar/RecordPublisher.java
@@ -76,7 +76,7 @@
     /** Publishes the record as it is. */
     void publish() {
         publishedAt = timers.now();
-        publish.accept(registry.of(node));
+        publish.accept(registry.find(node));
     }
 
     /** Publishes again if that is due. */
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -206,7 +206,7 @@
         }
 
         @Override
-        public boolean waits() {
+        public boolean hasPendingRequests() {
             return !out.isEmpty();
         }
 
@@ -228,7 +228,7 @@
     }
 
     /** Whether a request for this node can be sent now, or at least is worth a try. */
-    boolean reaches(String node) {
+    boolean isReachable(String node) {
         PeerRoute route = routes.get(node);
         return node.equals(self)
                 || route == null
@@ -237,7 +237,7 @@
     }
 
     /** Whether it would go out without waiting for a connection. */
-    boolean connected(String node) {
+    boolean isConnected(String node) {
         PeerRoute route = routes.get(node);
         return node.equals(self) || route != null && route.path.state() == ReconnectingConnection.State.UP;
     }
@@ -252,9 +252,9 @@
     }
 
     /** Ends the ways to nodes that have gone. */
-    void keep(EndpointRegistry endpointRegistry) {
+    void retain(EndpointRegistry endpointRegistry) {
         for (String node : List.copyOf(routes.keySet())) {
-            EndpointRecord l = endpointRegistry.of(node);
+            EndpointRecord l = endpointRegistry.find(node);
             if ((l == null || l.phase() == EndpointRecord.Phase.GONE)
                     && routes.get(node).out.isEmpty()) {
                 routes.remove(node).path.close();
--- a/src/main/java/whinlead/mesh/sidecar/RetryBudget.java
+++ b/src/main/java/whinlead/mesh/sidecar/RetryBudget.java
@@ -19,18 +19,18 @@
     }
 
     /** A request for the service was taken, by one of so many sidecars. */
-    public void asked(int sidecars) {
+    public void requestReceived(int sidecars) {
         tokens = Math.min(Math.max(1, slack / sidecars), tokens + earn);
     }
 
     /** Whether a further arrival could be paid for now. */
-    boolean affords() {
+    boolean canSpend() {
         return tokens >= 1;
     }
 
     /** Whether a further arrival may be paid for; if so, it is. */
-    public boolean spend() {
-        if (!affords()) {
+    public boolean trySpend() {
+        if (!canSpend()) {
             return false;
         }
         tokens--;
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -93,7 +93,7 @@
         List<EndpointList.Entry> entries = new ArrayList<>();
         Map<String, Double> times = new HashMap<>();
         for (EndpointRecord l : records) {
-            boolean up = l.open() && round.reaches(l.node());
+            boolean up = l.acceptsRequests() && round.isReachable(l.node());
             double now = timers.now();
             double start = started.getOrDefault(l.endpoint(), l.warmMs() > 0 ? now - (COLD_MS - l.warmMs()) : 0);
             times.put(l.endpoint(), start);
@@ -136,7 +136,7 @@
 
     /** Takes a request; the caller is told its end once, unless it is abandoned. */
     Taken take(Request ask, int sidecars, Shipment shipment, ResponseSink<PeerMessage.ForwardResponse> caller) {
-        retryBudgets.asked(sidecars);
+        retryBudgets.requestReceived(sidecars);
         Delivery delivery = new Delivery(shipment);
         Engine.Held<PeerMessage.ForwardResponse> held = engine.take(ask, delivery, caller);
         return () -> {
@@ -161,7 +161,7 @@
         @Override
         public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.ForwardResponse> told) {
             String node = nodes.get(endpoint);
-            if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && retryBudgets.spend())) {
+            if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && retryBudgets.trySpend())) {
                 told.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
@@ -171,7 +171,7 @@
                     node,
                     shipment.request(endpoint),
                     shipment.repeatable(),
-                    () -> attempts.mayBeSent() && retryBudgets.affords(),
+                    () -> attempts.mayBeSent() && retryBudgets.canSpend(),
                     message -> came(message, told));
             out = sent;
             return () -> {
@@ -218,7 +218,7 @@
         @Override
         public boolean connected(String endpoint) {
             String node = nodes.get(endpoint);
-            return node == null || round.connected(node);
+            return node == null || round.isConnected(node);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancers.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancers.java
@@ -67,7 +67,7 @@
                 periodTimers,
                 classes,
                 settings,
-                registry.present(),
+                registry.presentCount(),
                 new SecureRandom().nextLong(),
                 forwarder,
                 large ? settings.self().zone() : null,
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -87,11 +87,11 @@
         this.loop = loop;
         this.mapper = mapper;
         this.timers = new LoopTimers(loop, new Clock());
-        this.node = NodeSettings.present(settings.network().bind().ingress(), "Network.Bind.Ingress");
+        this.node = NodeSettings.require(settings.network().bind().ingress(), "Network.Bind.Ingress");
         this.greeting = new PeerMessage.Hello(node, false);
         this.gate = new EndpointGate(settings.substrate().heartbeatS() * MILLIS_IN_SECOND);
         this.endpointConnections = new EndpointConnections(
-                loop, EndpointList.address(NodeSettings.present(settings.self().appAddr(), "Self.AppAddr")));
+                loop, EndpointList.address(NodeSettings.require(settings.self().appAddr(), "Self.AppAddr")));
         this.delivery = new EndpointDelivery(loop, timers, node, gate, endpointConnections);
         this.forwarder = new RequestForwarder(
                 loop,
@@ -113,9 +113,16 @@
                 this::service,
                 registry,
                 outdatedLists,
-                record -> controlClient.post(List.of(record)));
+                record -> controlClient.publish(List.of(record)));
         this.egress = new EgressListener(
-                loop, timers, controlClient::routing, balancers::of, this::service, registry::present, quota, classes);
+                loop,
+                timers,
+                controlClient::routing,
+                balancers::of,
+                this::service,
+                registry::presentCount,
+                quota,
+                classes);
     }
 
     // The balancers' periods begin together, so that the process wakes once for all of them.
@@ -149,12 +156,12 @@
                 .bind(EndpointList.address(node))
                 .sync();
         new RpcServer(loop, mapper, this::run)
-                .listen(EndpointList.address(NodeSettings.present(bind.control(), "Network.Bind.Control")))
+                .listen(EndpointList.address(NodeSettings.require(bind.control(), "Network.Bind.Control")))
                 .sync();
         new Readiness(loop, () -> ready && !publisher.isLeaving())
-                .listen(EndpointList.address(NodeSettings.present(bind.readiness(), "Network.Bind.Readiness")))
+                .listen(EndpointList.address(NodeSettings.require(bind.readiness(), "Network.Bind.Readiness")))
                 .sync();
-        egress.listen(EndpointList.address(NodeSettings.present(bind.egress(), "Network.Bind.Egress")))
+        egress.listen(EndpointList.address(NodeSettings.require(bind.egress(), "Network.Bind.Egress")))
                 .sync();
         Event.STARTED.log("sidecar " + node + " of " + settings.self().node());
         loop.execute(() -> {
@@ -177,7 +184,7 @@
 
     /** Leaves: runs while the process ends on SIGTERM, on a thread of its own. */
     public void leave() {
-        Shutdown shutdown = new Shutdown(timers, settings.clauses().bounds().graceS(), egress, gate::held);
+        Shutdown shutdown = new Shutdown(timers, settings.clauses().bounds().graceS(), egress, gate::inFlight);
         loop.execute(() -> {
             Event.LEAVING.log(egress.underWay() + " requests under way");
             publisher.leave();
@@ -203,7 +210,7 @@
     }
 
     private void refresh(Set<String> services) {
-        forwarder.keep(registry);
+        forwarder.retain(registry);
         balancers.refresh(services);
     }
 
@@ -219,7 +226,7 @@
         publisher.repeatIfDue();
         if (timers.now() - reportedAt > REPORT_MS) {
             reportedAt = timers.now();
-            controlClient.uses(quota.uses(timers.now()));
+            controlClient.reportDemand(quota.demand(timers.now()));
         }
     }
 
@@ -233,7 +240,7 @@
         if (call instanceof RpcCall.Heartbeat heartbeat) {
             respond.accept(heartbeat(heartbeat));
         } else if (call instanceof RpcCall.Depart depart) {
-            if (gate.depart(depart.endpoint())) {
+            if (gate.departed(depart.endpoint())) {
                 Event.ENDPOINT.log(depart.endpoint() + " has left");
                 endpointChanged();
             }
@@ -248,7 +255,7 @@
             return RpcResponse.error(HttpResponseStatus.BAD_REQUEST, "Target is missing");
         }
         String before = gate.endpoint();
-        if (gate.beat(timers.now(), heartbeat.endpoint(), heartbeat.status())) {
+        if (gate.heartbeat(timers.now(), heartbeat.endpoint(), heartbeat.status())) {
             Event.ENDPOINT.log(heartbeat.endpoint() + " of " + gate.target() + " " + gate.state());
             if (heartbeat.endpoint().equals(before)) {
                 publisher.changed();
@@ -267,7 +274,7 @@
     /** Hears of the control nodes. */
     private final class ControlListener implements ControlClient.Listener {
         @Override
-        public void posted(List<EndpointRecord> records) {
+        public void recordsReceived(List<EndpointRecord> records) {
             for (EndpointRecord each : records) {
                 if (each.node().equals(node)) {
                     publisher.heard(each);
@@ -278,7 +285,7 @@
         }
 
         @Override
-        public List<String> others() {
+        public List<String> otherSidecars() {
             return registry.all().stream()
                     .filter(each -> each.phase() != EndpointRecord.Phase.GONE
                             && !each.node().equals(node))
@@ -288,11 +295,11 @@
 
         @Override
         public void controlNodeUp() {
-            controlClient.post(List.of(registry.of(node)));
+            controlClient.publish(List.of(registry.find(node)));
         }
 
         @Override
-        public void inForce(RoutingTable routing) {
+        public void configChanged(RoutingTable routing) {
             if (!ready) {
                 ready = true;
                 Event.READY.log(node);
@@ -304,18 +311,18 @@
         }
 
         @Override
-        public void sums(int nodes, List<TenantDemand> totals) {
-            quota.sums(timers.now(), nodes, totals);
+        public void demandTotals(int nodes, List<TenantDemand> totals) {
+            quota.updateTotals(timers.now(), nodes, totals);
         }
     }
 
     /** Takes what other sidecars send on connections of theirs. */
     private final class PeerMessageHandler implements PeerConnection.MessageHandler {
         @Override
-        public void up(PeerConnection connection) {}
+        public void connected(PeerConnection connection) {}
 
         @Override
-        public void down(PeerConnection connection) {}
+        public void disconnected(PeerConnection connection) {}
 
         @Override
         public void message(PeerConnection connection, PeerMessage message) {
--- a/src/main/java/whinlead/mesh/wire/PeerConnection.java
+++ b/src/main/java/whinlead/mesh/wire/PeerConnection.java
@@ -24,13 +24,13 @@
     /** Hears what comes. */
     public interface MessageHandler {
         /** The link is up. */
-        void up(PeerConnection link);
+        void connected(PeerConnection link);
 
         /** A message came. */
         void message(PeerConnection link, PeerMessage message);
 
         /** The link is down; told once if it was up. */
-        void down(PeerConnection link);
+        void disconnected(PeerConnection link);
     }
 
     private final Channel channel;
@@ -71,7 +71,7 @@
     }
 
     /** Whether more can be sent without piling up. */
-    public boolean writable() {
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** Whether it is up. */
-    public boolean open() {
+    public boolean isOpen() {
         return channel.isActive();
     }
 
@@ -130,7 +130,7 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             link = new PeerConnection(ctx.channel());
-            ear.up(link);
+            ear.connected(link);
         }
 
         @Override
@@ -155,7 +155,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ear.down(link);
+            ear.disconnected(link);
         }
 
         // A message that is too long, and connections that break, end alike: by a close.
--- a/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
+++ b/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
@@ -47,10 +47,10 @@
         void message(ReconnectingConnection connection, PeerMessage message);
 
         /** A ping that left at this time, by the loop's steady clock in milliseconds, was answered. */
-        default void echoed(double sentAt, PeerMessage.Pong pong) {}
+        default void pongReceived(double sentAt, PeerMessage.Pong pong) {}
 
         /** Whether a sign of life is asked for whatever else comes: only its answer tells of contact. */
-        default boolean steady() {
+        default boolean alwaysPings() {
             return false;
         }
 
@@ -60,7 +60,7 @@
         }
 
         /** Whether something is waited for; if not, a sign of life is asked for less often. */
-        default boolean waits() {
+        default boolean hasPendingRequests() {
             return true;
         }
     }
@@ -122,13 +122,13 @@
     }
 
     /** Whether a message may be sent with hope of an answer. */
-    public boolean up() {
+    public boolean isUp() {
         return state == State.UP;
     }
 
     /** Sends a message; false if the link is down. */
     public boolean send(PeerMessage message) {
-        boolean can = link != null && link.open();
+        boolean can = link != null && link.isOpen();
         if (can) {
             link.send(message);
         }
@@ -180,8 +180,8 @@
             to(State.SUSPECT);
         }
         // Whatever comes is a sign of life.
-        boolean quiet = silent >= (owner.waits() || pinged ? pace.ping() / 2 : pace.ping() * IDLE_TIMES);
-        if (quiet || owner.steady()) {
+        boolean quiet = silent >= (owner.hasPendingRequests() || pinged ? pace.ping() / 2 : pace.ping() * IDLE_TIMES);
+        if (quiet || owner.alwaysPings()) {
             ping();
         }
         timer = loop.schedule(
@@ -198,7 +198,7 @@
 
     private final class Handler implements PeerConnection.MessageHandler {
         @Override
-        public void up(PeerConnection up) {
+        public void connected(PeerConnection up) {
             if (state == State.CLOSED) {
                 up.close();
                 return;
@@ -223,7 +223,7 @@
                     && pong.number() <= pings
                     && pong.number() > pings - PINGS_OUT
                     && pong.number() > 0) {
-                owner.echoed(sentAt[(int) (pong.number() % PINGS_OUT)], pong);
+                owner.pongReceived(sentAt[(int) (pong.number() % PINGS_OUT)], pong);
             }
             if (state == State.SUSPECT) {
                 to(State.UP);
@@ -234,7 +234,7 @@
         }
 
         @Override
-        public void down(PeerConnection down) {
+        public void disconnected(PeerConnection down) {
             if (link == down) {
                 lost();
             }
--- a/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
+++ b/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
@@ -89,7 +89,7 @@
                         long slot = m.consensusNode.storedSlot();
                         at(1 + random.nextDouble() * 4, () -> {
                             if (up && life == mine) {
-                                consensusNode.echoed(sentAt, answers, slot);
+                                consensusNode.pongReceived(sentAt, answers, slot);
                             }
                         });
                     }
@@ -159,7 +159,7 @@
             at(written(1), () -> {
                 if (life == mine && up) {
                     disk = new Acceptor.State(decision, Ballot.NONE, null);
-                    consensusNode.stored(now, decision.slot());
+                    consensusNode.decisionStored(now, decision.slot());
                 }
             });
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -145,7 +145,7 @@
 
     /** Whether it may end: its consensus node is out, and no call is under way. */
     boolean left() {
-        return up() && consensusNode.left(local()) && replaces.isEmpty() && reads.isEmpty();
+        return up() && consensusNode.mayEnd(local()) && replaces.isEmpty() && reads.isEmpty();
     }
 
     /** Whether it was told to. */
@@ -222,7 +222,7 @@
 
     private void tick() {
         if (disk.settled()) {
-            consensusNode.stored(local(), slot(consensusNode.decided()));
+            consensusNode.decisionStored(local(), slot(consensusNode.decided()));
         }
         consensusNode.tick(local());
     }
@@ -243,7 +243,7 @@
                 consensusNode
                         .decided()
                         .voters()
-                        .forEach(e -> consensusNode.echoed(local(), e, consensusNode.storedSlot()));
+                        .forEach(e -> consensusNode.pongReceived(local(), e, consensusNode.storedSlot()));
             }
             loop(mine, this::tick);
         }
@@ -266,7 +266,7 @@
 
     private void pinged(String from, String asker, int askersLife, double sentAt) {
         if (core.bug() == Bug.CONTACT_FROM_ARRIVAL) {
-            consensusNode.echoed(local(), asker, -1);
+            consensusNode.pongReceived(local(), asker, -1);
         }
         String answerer = id;
         long has = consensusNode.storedSlot();
@@ -276,7 +276,7 @@
     private void ponged(int askersLife, String from, double sentAt, long slot) {
         // An answer to an earlier life's question came on a connection that is gone.
         if (askersLife == life) {
-            consensusNode.echoed(core.bug() == Bug.CONTACT_FROM_ARRIVAL ? local() : sentAt, from, slot);
+            consensusNode.pongReceived(core.bug() == Bug.CONTACT_FROM_ARRIVAL ? local() : sentAt, from, slot);
         }
     }
 
@@ -301,7 +301,7 @@
 
     /** What it says of its contact with a majority. */
     boolean claimsContact() {
-        return consensusNode.inTouch(local(), IN_TOUCH);
+        return consensusNode.isInContactWithQuorum(local(), IN_TOUCH);
     }
 
     /** Whether a majority of the voters that it knows has answered what left here so lately. */
@@ -486,7 +486,9 @@
                     + decision.voters());
         }
         core.checker().decided(decision);
-        write(new Acceptor.State(decision, Ballot.NONE, null), () -> consensusNode.stored(local(), decision.slot()));
+        write(
+                new Acceptor.State(decision, Ballot.NONE, null),
+                () -> consensusNode.decisionStored(local(), decision.slot()));
         decision.voters().forEach(e -> know(ConsensusNode.address(e)));
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -102,7 +102,7 @@
         // Signs of life are asked for more often while something is waited for.
         private void ping(int periods) {
             if (nearOpen) {
-                boolean due = ear.waits() || periods >= IDLE_TIMES;
+                boolean due = ear.hasPendingRequests() || periods >= IDLE_TIMES;
                 if (due) {
                     send(PeerMessageCodec.write(new PeerMessage.Ping(1, ear.stamp())));
                 }
--- a/src/main/java/whinlead/testbed/mesh/scale/Ghosts.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Ghosts.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void up(PeerConnection link) {
+    public void connected(PeerConnection link) {
         link.send(new PeerMessage.Hello("ghosts", false));
         link.send(post);
         loop.scheduleAtFixedRate(() -> link.send(post), AGAIN_S, AGAIN_S, TimeUnit.SECONDS);
@@ -64,5 +64,5 @@
     public void message(PeerConnection link, PeerMessage message) {}
 
     @Override
-    public void down(PeerConnection link) {}
+    public void disconnected(PeerConnection link) {}
 }
--- a/src/test/java/whinlead/mesh/ConfigurationTest.java
+++ b/src/test/java/whinlead/mesh/ConfigurationTest.java
@@ -63,8 +63,8 @@
         assertNull(r.route("post.example", "/ab/"));
         assertNull(r.route("other.example", "/a/"));
         assertNull(r.route(null, "/a/"));
-        assertEquals(r.payer("key-1").name(), "t-1");
-        assertNull(r.payer("key-2"));
+        assertEquals(r.tenantOf("key-1").name(), "t-1");
+        assertNull(r.tenantOf("key-2"));
     }
 
     @Test
--- a/src/test/java/whinlead/mesh/ConsensusContactTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusContactTest.java
@@ -21,26 +21,26 @@
     public void whatArrivesLateIsNoContact() {
         ConsensusNodes c = new ConsensusNodes();
         ConsensusNode a = c.all.get("a#0");
-        assertTrue(a.inTouch(c.now, WITHIN));
+        assertTrue(a.isInContactWithQuorum(c.now, WITHIN));
         double cutAt = c.now;
         c.cutOff.add("a#0");
         c.now += 20_000;
         // Held back for twenty seconds: what the others asked, and answers to questions of before the cut.
         a.received(c.now, "b#0", new Message.Query(1, 0));
         a.received(c.now, "c#0", new Message.Query(1, 0));
-        a.echoed(cutAt, "b#0", 0);
-        a.echoed(cutAt, "c#0", 0);
-        assertFalse(a.inTouch(c.now, WITHIN));
-        a.echoed(c.now - 5, "b#0", 0);
-        assertTrue(a.inTouch(c.now, WITHIN));
+        a.pongReceived(cutAt, "b#0", 0);
+        a.pongReceived(cutAt, "c#0", 0);
+        assertFalse(a.isInContactWithQuorum(c.now, WITHIN));
+        a.pongReceived(c.now - 5, "b#0", 0);
+        assertTrue(a.isInContactWithQuorum(c.now, WITHIN));
     }
 
     @Test
     public void contactWithOneThatKnowsMoreConfirmsNothing() {
         ConsensusNodes c = new ConsensusNodes();
         ConsensusNode a = c.all.get("a#0");
-        a.echoed(c.now, "b#0", 1);
-        assertFalse(a.inTouch(c.now, WITHIN));
+        a.pongReceived(c.now, "b#0", 1);
+        assertFalse(a.isInContactWithQuorum(c.now, WITHIN));
     }
 
     @Test
@@ -111,7 +111,7 @@
                 @Override
                 public void decided(Decision decision) {}
             });
-            ConsensusNodes.FOUNDERS.forEach(other -> c.echoed(0, other, 0));
+            ConsensusNodes.FOUNDERS.forEach(other -> c.pongReceived(0, other, 0));
             c.replace(0, 1, 5, 0, "digest", new byte[] {1});
         }
         assertEquals(ballots.size(), 3);
--- a/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
@@ -98,11 +98,11 @@
         ConsensusNode b = c.all.get("b#0");
         double from = c.now;
         b.leave(c.now);
-        assertFalse(b.left(c.now));
-        for (int i = 0; i < 40 && !b.left(c.now); i++) {
+        assertFalse(b.mayEnd(c.now));
+        for (int i = 0; i < 40 && !b.mayEnd(c.now); i++) {
             c.pass(25);
         }
-        assertTrue(b.left(c.now) && c.now - from <= 500, "left after " + (c.now - from) + " ms");
+        assertTrue(b.mayEnd(c.now) && c.now - from <= 500, "left after " + (c.now - from) + " ms");
         c.all.remove("b#0");
         assertEquals(c.voters(), List.of("a#0", "c#0", "d#1"));
         // The next loss comes at once, and is borne.
@@ -120,7 +120,7 @@
         b.leave(c.now);
         c.pass(2000);
         assertEquals(c.voters(), List.of("a#0", "c#0", "d#1"));
-        assertFalse(b.left(c.now), "c has told that its disk has an older decision");
+        assertFalse(b.mayEnd(c.now), "c has told that its disk has an older decision");
     }
 
     @Test
@@ -155,8 +155,8 @@
             assertEquals(c.replace("a#0", version, version - 1, "d" + version), ConsensusNode.CallResult.TAKEN);
             // It knows of this before any of the others has told it what is on its disk.
             b.received(c.now, "a#0", new Message.Decided(c.decisions.lastEntry().getValue()));
-        } while (!b.left(c.now) && version < 20);
-        assertTrue(b.left(c.now), "it waits for slots that are decided without it");
+        } while (!b.mayEnd(c.now) && version < 20);
+        assertTrue(b.mayEnd(c.now), "it waits for slots that are decided without it");
         assertEquals(
                 c.replace("b#0", version + 1, version, "next"),
                 ConsensusNode.CallResult.UNCLEAR,
@@ -175,7 +175,7 @@
         c.cutOff.add("c#0");
         c.cutOff.add("d#0");
         c.pass(2000);
-        assertFalse(b.left(c.now), "two of four have it on disk, and the others are out of contact");
+        assertFalse(b.mayEnd(c.now), "two of four have it on disk, and the others are out of contact");
     }
 
     @Test
@@ -184,7 +184,7 @@
         ConsensusNode b = c.all.get("b#0");
         b.leave(c.now);
         c.pass(100);
-        assertTrue(b.left(c.now));
+        assertTrue(b.mayEnd(c.now));
         assertEquals(c.voters(), ConsensusNodes.FOUNDERS, "it may come back, and two would bear no loss");
     }
 
@@ -212,7 +212,7 @@
             ConsensusNode consensusNode = c.all.get(leaver);
             consensusNode.leave(c.now);
             c.pass(400);
-            assertTrue(consensusNode.left(c.now), leaver);
+            assertTrue(consensusNode.mayEnd(c.now), leaver);
             c.all.remove(leaver);
         }
         assertEquals(c.voters().size(), 5);
--- a/src/test/java/whinlead/mesh/ConsensusNodes.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodes.java
@@ -107,7 +107,7 @@
             decisions.put(decision.slot(), decision);
             mail.add(() -> {
                 if (!stalled.containsKey(id) && all.containsKey(id)) {
-                    all.get(id).stored(now, decision.slot());
+                    all.get(id).decisionStored(now, decision.slot());
                 }
             });
         }
@@ -126,7 +126,7 @@
             all.forEach((id, c) -> all.forEach((other, o) -> {
                 boolean way = !cutOff.contains(id) && !cutOff.contains(other) && !cutPairs.contains(pair(id, other));
                 if (way && !deaf.contains(id) && !deaf.contains(other)) {
-                    c.echoed(now, other, o.storedSlot());
+                    c.pongReceived(now, other, o.storedSlot());
                 }
             }));
             all.values().forEach(c -> c.tick(now));
--- a/src/test/java/whinlead/mesh/DataPlaneTest.java
+++ b/src/test/java/whinlead/mesh/DataPlaneTest.java
@@ -27,74 +27,74 @@
     @Test
     public void oneThatDrainsIsSentNothingSoonAfterItsAcknowledgement() {
         EndpointGate gate = new EndpointGate(1500);
-        assertEquals(gate.enter(0, "svc", 0), EndpointGate.Admission.MOVED);
-        assertTrue(gate.beat(0, "i-1", settings("serving", 1)));
-        assertEquals(gate.enter(10, "svc", 0), EndpointGate.Admission.OPEN);
-        assertEquals(gate.enter(10, "other", 0), EndpointGate.Admission.MOVED);
-        assertTrue(gate.beat(1000, "i-1", settings("draining", 2)));
-        assertEquals(gate.enter(1100, "svc", 0), EndpointGate.Admission.OPEN);
+        assertEquals(gate.admit(0, "svc", 0), EndpointGate.Admission.MOVED);
+        assertTrue(gate.heartbeat(0, "i-1", settings("serving", 1)));
+        assertEquals(gate.admit(10, "svc", 0), EndpointGate.Admission.OPEN);
+        assertEquals(gate.admit(10, "other", 0), EndpointGate.Admission.MOVED);
+        assertTrue(gate.heartbeat(1000, "i-1", settings("draining", 2)));
+        assertEquals(gate.admit(1100, "svc", 0), EndpointGate.Admission.OPEN);
         // A late beat of before does not open it again, and one of the draining does not put its end off.
-        assertFalse(gate.beat(1200, "i-1", settings("serving", 1)));
-        assertFalse(gate.beat(1300, "i-1", settings("draining", 3)));
-        assertEquals(gate.enter(1500, "svc", 0), EndpointGate.Admission.MOVED);
+        assertFalse(gate.heartbeat(1200, "i-1", settings("serving", 1)));
+        assertFalse(gate.heartbeat(1300, "i-1", settings("draining", 3)));
+        assertEquals(gate.admit(1500, "svc", 0), EndpointGate.Admission.MOVED);
     }
 
     @Test
     public void oneThatHasLeftStaysGoneAndAnotherLifeIsNew() {
         EndpointGate gate = new EndpointGate(1500);
-        gate.beat(0, "i-1", settings("serving", 1));
-        assertTrue(gate.depart("i-1"));
-        assertFalse(gate.beat(10, "i-1", settings("serving", 2)));
-        assertEquals(gate.enter(20, "svc", 0), EndpointGate.Admission.MOVED);
-        assertTrue(gate.beat(30, "i-2", settings("serving", 1)));
-        assertEquals(gate.enter(40, "svc", 0), EndpointGate.Admission.OPEN);
-        assertFalse(gate.depart("i-1"));
-        assertEquals(gate.enter(50, "svc", 0), EndpointGate.Admission.OPEN);
+        gate.heartbeat(0, "i-1", settings("serving", 1));
+        assertTrue(gate.departed("i-1"));
+        assertFalse(gate.heartbeat(10, "i-1", settings("serving", 2)));
+        assertEquals(gate.admit(20, "svc", 0), EndpointGate.Admission.MOVED);
+        assertTrue(gate.heartbeat(30, "i-2", settings("serving", 1)));
+        assertEquals(gate.admit(40, "svc", 0), EndpointGate.Admission.OPEN);
+        assertFalse(gate.departed("i-1"));
+        assertEquals(gate.admit(50, "svc", 0), EndpointGate.Admission.OPEN);
     }
 
     @Test
     public void oneThatIsSilentIsGoneUntilItBeatsAgain() {
         EndpointGate gate = new EndpointGate(1000);
-        gate.beat(0, "i-1", settings("serving", 1));
+        gate.heartbeat(0, "i-1", settings("serving", 1));
         assertFalse(gate.tick(3000));
         assertTrue(gate.tick(3600));
-        assertEquals(gate.enter(3600, "svc", 0), EndpointGate.Admission.MOVED);
-        assertTrue(gate.beat(4000, "i-1", settings("serving", 2)));
-        assertEquals(gate.enter(4000, "svc", 0), EndpointGate.Admission.OPEN);
+        assertEquals(gate.admit(3600, "svc", 0), EndpointGate.Admission.MOVED);
+        assertTrue(gate.heartbeat(4000, "i-1", settings("serving", 2)));
+        assertEquals(gate.admit(4000, "svc", 0), EndpointGate.Admission.OPEN);
     }
 
     @Test
     public void lowRanksFindItFullFirst() {
         EndpointGate gate = new EndpointGate(1500);
-        gate.beat(0, "i-1", settings("serving", 1));
+        gate.heartbeat(0, "i-1", settings("serving", 1));
         int[] taken = new int[3];
         for (int rank = 2; rank >= 0; rank--) {
-            while (gate.enter(1, "svc", rank) == EndpointGate.Admission.OPEN) {
-                gate.began(1);
+            while (gate.admit(1, "svc", rank) == EndpointGate.Admission.OPEN) {
+                gate.requestStarted(1);
                 taken[rank]++;
             }
         }
         assertTrue(taken[2] >= 4 && taken[1] > 0 && taken[0] > 0, taken[2] + " " + taken[1] + " " + taken[0]);
-        assertEquals(gate.enter(1, "svc", 0), EndpointGate.Admission.FULL);
-        gate.ended(2, true);
-        assertEquals(gate.enter(2, "svc", 0), EndpointGate.Admission.OPEN);
+        assertEquals(gate.admit(1, "svc", 0), EndpointGate.Admission.FULL);
+        gate.requestEnded(2, true);
+        assertEquals(gate.admit(2, "svc", 0), EndpointGate.Admission.OPEN);
     }
 
     @Test
     public void whereTheHighestRankComesTheOthersDoNotQueueAheadOfIt() {
         EndpointGate gate = new EndpointGate(1500);
-        gate.beat(0, "i-1", settings("serving", 1));
+        gate.heartbeat(0, "i-1", settings("serving", 1));
         for (int ms = 0; ms < 3000; ms += 50) {
-            assertEquals(gate.enter(ms, "svc", 0), EndpointGate.Admission.OPEN);
+            assertEquals(gate.admit(ms, "svc", 0), EndpointGate.Admission.OPEN);
         }
         for (int i = 0; i < 4; i++) {
-            assertEquals(gate.enter(3000, "svc", 2), EndpointGate.Admission.OPEN);
-            gate.began(3000);
+            assertEquals(gate.admit(3000, "svc", 2), EndpointGate.Admission.OPEN);
+            gate.requestStarted(3000);
         }
-        assertEquals(gate.enter(3000, "svc", 2), EndpointGate.Admission.FULL);
-        assertEquals(gate.enter(3000, "svc", 0), EndpointGate.Admission.OPEN);
+        assertEquals(gate.admit(3000, "svc", 2), EndpointGate.Admission.FULL);
+        assertEquals(gate.admit(3000, "svc", 0), EndpointGate.Admission.OPEN);
         // Once none comes any more the others may queue again.
-        assertEquals(gate.enter(30_000, "svc", 2), EndpointGate.Admission.OPEN);
+        assertEquals(gate.admit(30_000, "svc", 2), EndpointGate.Admission.OPEN);
     }
 
     @Test
@@ -147,13 +147,13 @@
         for (int ms = 0; ms < 12_000 + windowS * 1000; ms++) {
             for (int i = 0; i < n; i++) {
                 if (random.nextDouble() < perS * split[i] / total / 1000
-                        && nodes.get(i).take(ms, "t", limit, burst, n) == 0
+                        && nodes.get(i).acquire(ms, "t", limit, burst, n) == 0
                         && ms >= 12_000) {
                     got++;
                 }
                 if ((ms + 37 * i) % 350 == 0) {
-                    sum.say(ms, "n" + i, nodes.get(i).uses(ms));
-                    nodes.get(i).sums(ms, sum.nodes(), sum.of("n" + i));
+                    sum.report(ms, "n" + i, nodes.get(i).demand(ms));
+                    nodes.get(i).updateTotals(ms, sum.reportingNodes(), sum.totalsFor("n" + i));
                 }
             }
         }
@@ -174,10 +174,10 @@
         int again = 0;
         for (int i = 0; i < 5000; i++) {
             RetryBudget p = parts.get(random.nextInt(n));
-            p.asked(n);
+            p.requestReceived(n);
             asked++;
             for (int k = 0; k < 3; k++) {
-                again += p.spend() ? 1 : 0;
+                again += p.trySpend() ? 1 : 0;
             }
             assertTrue(again <= asked * ratio + slack);
         }
@@ -207,7 +207,7 @@
             Collections.shuffle(said, random);
             EndpointRegistry d = new EndpointRegistry();
             said.forEach(d::merge);
-            ends.add(List.of(d.of("n0"), d.of("n1"), d.of("n2")));
+            ends.add(List.of(d.find("n0"), d.find("n1"), d.find("n2")));
         }
         assertEquals(ends.size(), 1);
     }
--- a/src/test/java/whinlead/mesh/TenantQuotaTest.java
+++ b/src/test/java/whinlead/mesh/TenantQuotaTest.java
@@ -80,7 +80,7 @@
             double perMs = (ms < BEGINS ? 0 : ms >= HOT_AT && ms < COOL_AT ? usual * HOT : usual) / 1000;
             for (int i = 0; i < NODES; i++) {
                 if (random.nextDouble() < perMs * split[i]) {
-                    double wait = nodes.get(i).take(ms, "t", limit, limit, NODES);
+                    double wait = nodes.get(i).acquire(ms, "t", limit, limit, NODES);
                     assertTrue(wait >= 0 && wait <= WINDOW_S * 1000, "told to come back in " + wait + " ms");
                     boolean may = wait == 0;
                     got[ms] += may ? 1 : 0;
@@ -107,13 +107,13 @@
 
     private static void tell(
             Map<Integer, List<Runnable>> post, int now, int way, TenantQuota node, DemandTotals sum, String name) {
-        List<TenantDemand> uses = node.uses(now);
+        List<TenantDemand> uses = node.demand(now);
         post.computeIfAbsent(now + way, t -> new ArrayList<>()).add(() -> {
-            sum.say(now + way, name, uses);
-            int count = sum.nodes();
-            List<TenantDemand> totals = sum.of(name);
+            sum.report(now + way, name, uses);
+            int count = sum.reportingNodes();
+            List<TenantDemand> totals = sum.totalsFor(name);
             post.computeIfAbsent(now + 2 * way, t -> new ArrayList<>())
-                    .add(() -> node.sums(now + 2 * way, count, totals));
+                    .add(() -> node.updateTotals(now + 2 * way, count, totals));
         });
     }
 
@@ -131,16 +131,16 @@
             last.put(node, said);
             List<TenantDemand> uses = new ArrayList<>();
             said.forEach((tenant, perS) -> uses.add(new TenantDemand(tenant, perS)));
-            sum.say(i, node, uses);
+            sum.report(i, node, uses);
             Map<String, Double> want = new HashMap<>();
             last.values().forEach(m -> m.forEach((t, perS) -> want.merge(t, perS, Double::sum)));
             Map<String, Double> have = new HashMap<>();
-            sum.of(node).forEach(u -> have.put(u.tenant(), u.perSecond()));
+            sum.totalsFor(node).forEach(u -> have.put(u.tenant(), u.perSecond()));
             assertEquals(have.keySet(), want.keySet());
             want.forEach((t, perS) -> assertEquals(have.get(t), perS, 1e-6));
         }
-        sum.say(9000, "n0", List.of());
-        assertEquals(sum.nodes(), 1);
-        assertTrue(sum.of("n0").isEmpty(), "what was said long ago counts no more");
+        sum.report(9000, "n0", List.of());
+        assertEquals(sum.reportingNodes(), 1);
+        assertTrue(sum.totalsFor("n0").isEmpty(), "what was said long ago counts no more");
     }
 }
--- a/src/test/java/whinlead/mesh/consensus/SuspicionTrackerTest.java
+++ b/src/test/java/whinlead/mesh/consensus/SuspicionTrackerTest.java
@@ -22,7 +22,7 @@
 
     private SuspicionTracker tracker(String... voters) {
         SuspicionTracker tracker = new SuspicionTracker(OBSERVER);
-        tracker.keep(List.of(voters));
+        tracker.retain(List.of(voters));
         now = START;
         nonce = 0;
         return tracker;
@@ -120,9 +120,9 @@
         SuspicionTracker tracker = tracker(OBSERVER, "b", SUSPECT);
         due(tracker, SUSPECT);
         says(tracker, "b", Reachability.SILENT);
-        tracker.keep(List.of(OBSERVER, "c", SUSPECT));
+        tracker.retain(List.of(OBSERVER, "c", SUSPECT));
         assertFalse(tracker.removable(now, SUSPECT));
-        tracker.keep(List.of("b", "c", SUSPECT));
+        tracker.retain(List.of("b", "c", SUSPECT));
         assertFalse(tracker.removable(now, SUSPECT), "an observer without a vote removes nobody");
     }
 }
--- a/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
@@ -93,7 +93,7 @@
             } else if (random.nextInt(4) > 0) {
                 int memory = ++newest;
                 stateWriter.write(bytes(memory), () -> record.said(memory));
-            } else if (stateWriter.settled() && record.onDisk != newest) {
+            } else if (stateWriter.isSynced() && record.onDisk != newest) {
                 faults.add("settled with " + record.onDisk + " of " + newest);
             }
         }
@@ -108,7 +108,7 @@
                 }
             }
             refuses = false;
-            while (!stateWriter.settled()) {
+            while (!stateWriter.isSynced()) {
                 stateWriter.step();
             }
             while (!loop.isEmpty()) {
@@ -125,7 +125,7 @@
             assertEquals(schedule.faults, List.of(), "seed " + seed);
             assertEquals(schedule.record.wrong, 0, "seed " + seed);
             assertEquals(schedule.record.onDisk, schedule.newest, "seed " + seed);
-            assertFalse(schedule.stateWriter.failing(), "seed " + seed);
+            assertFalse(schedule.stateWriter.isFailing(), "seed " + seed);
         }
     }
 
--- a/src/test/java/whinlead/mesh/control/StateWriterTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterTest.java
@@ -83,7 +83,7 @@
             assertEquals(said, List.of());
             now = 3000;
             assertEquals(stateWriter.stalledMs(), 3000.0);
-            assertFalse(stateWriter.failing(), "slow is not failing");
+            assertFalse(stateWriter.isFailing(), "slow is not failing");
         };
         step();
         assertEquals(said, List.of("one"));
@@ -111,8 +111,8 @@
         hand(1, "one");
         step();
         now = 500;
-        assertTrue(stateWriter.failing());
-        assertFalse(stateWriter.settled());
+        assertTrue(stateWriter.isFailing());
+        assertFalse(stateWriter.isSynced());
         assertEquals(stateWriter.stalledMs(), 500.0);
         step();
         assertEquals(onDisk, List.of());
@@ -120,8 +120,8 @@
         step();
         assertEquals(onDisk, List.of(1));
         assertEquals(said, List.of());
-        assertFalse(stateWriter.failing());
-        assertTrue(stateWriter.settled());
+        assertFalse(stateWriter.isFailing());
+        assertTrue(stateWriter.isSynced());
         assertEquals(stateWriter.stalledMs(), 0.0);
     }
 
@@ -145,7 +145,7 @@
         };
         hand(1, "one");
         step();
-        assertTrue(stateWriter.failing());
+        assertTrue(stateWriter.isFailing());
         step();
         assertEquals(onDisk, List.of(1));
     }
--- a/src/test/java/whinlead/mesh/registry/EndpointRegistryTest.java
+++ b/src/test/java/whinlead/mesh/registry/EndpointRegistryTest.java
@@ -40,7 +40,7 @@
                 long present = endpointRegistry.all().stream()
                         .filter(l -> l.phase() != EndpointRecord.Phase.GONE)
                         .count();
-                assertEquals(endpointRegistry.present(), present);
+                assertEquals(endpointRegistry.presentCount(), present);
                 for (String service : SERVICES) {
                     List<EndpointRecord> kept = endpointRegistry.endpoints(service);
                     assertEquals(new HashSet<>(kept), walked(endpointRegistry, service));
--- a/src/test/java/whinlead/mesh/sidecar/DemandReportsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/DemandReportsTest.java
@@ -74,10 +74,10 @@
                 asked += demand ? 10 : 0;
                 Audience audience = reports[i].next(demand);
                 if (audience != Audience.NONE) {
-                    first.say(now, "sidecar-" + i, uses);
+                    first.report(now, "sidecar-" + i, uses);
                 }
                 if (audience == Audience.ALL) {
-                    other.say(now, "sidecar-" + i, uses);
+                    other.report(now, "sidecar-" + i, uses);
                 }
             }
             assertEquals(total(now, first), asked, 0.001, "at the first, round " + round);
@@ -89,7 +89,9 @@
 
     // What a sidecar that is asked for nothing is told.
     private static double total(double now, DemandTotals sum) {
-        sum.say(now, "observer", List.of());
-        return sum.of("observer").stream().mapToDouble(TenantDemand::perSecond).sum();
+        sum.report(now, "observer", List.of());
+        return sum.totalsFor("observer").stream()
+                .mapToDouble(TenantDemand::perSecond)
+                .sum();
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
@@ -190,16 +190,16 @@
     @Test
     public void nobodyTakesThePlacesOfTheHighestRankAtAnEndpoint() {
         EndpointGate gate = new EndpointGate(1500);
-        gate.beat(0, "i-1", new RpcCall.EndpointStatus("svc", "z", 4, "serving", 0, 1));
+        gate.heartbeat(0, "i-1", new RpcCall.EndpointStatus("svc", "z", 4, "serving", 0, 1));
         for (int ms = 0; ms < 3000; ms += 50) {
-            gate.enter(ms, "svc", 0);
+            gate.admit(ms, "svc", 0);
         }
         for (int rank = 3; rank > 0; rank--) {
-            while (gate.enter(3000, "svc", rank) == EndpointGate.Admission.OPEN) {
-                gate.began(3000);
+            while (gate.admit(3000, "svc", rank) == EndpointGate.Admission.OPEN) {
+                gate.requestStarted(3000);
             }
         }
-        assertEquals(gate.enter(3000, "svc", 0), EndpointGate.Admission.OPEN);
-        assertNotEquals(gate.enter(3000, "svc", 1), EndpointGate.Admission.OPEN);
+        assertEquals(gate.admit(3000, "svc", 0), EndpointGate.Admission.OPEN);
+        assertNotEquals(gate.admit(3000, "svc", 1), EndpointGate.Admission.OPEN);
     }
 }
--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -218,7 +218,7 @@
     /** Answers to greetings and pings, as control nodes and sidecars do. */
     private static final class Responder implements PeerConnection.MessageHandler {
         @Override
-        public void up(PeerConnection link) {}
+        public void connected(PeerConnection link) {}
 
         @Override
         public void message(PeerConnection link, PeerMessage message) {
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public void down(PeerConnection link) {}
+        public void disconnected(PeerConnection link) {}
     }
 
     @BeforeClass
--- a/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
+++ b/src/test/java/whinlead/testbed/mesh/scale/ScaleTest.java
@@ -77,7 +77,7 @@
         RoutingTable routing = new RoutingTable(1, meshConfig);
         assertEquals(
                 routing.route(Sizes.service(0) + ".mesh.example", sizes.path()).name(), "route-00000");
-        assertEquals(routing.payer(Sizes.key(4)).name(), "tenant-00004");
+        assertEquals(routing.tenantOf(Sizes.key(4)).name(), "tenant-00004");
         MeshConfig next = new ConfigReader().read(sizes.config(8).getBytes(StandardCharsets.UTF_8));
         long changed = meshConfig.routes().entrySet().stream()
                 .filter(e -> !e.getValue().equals(next.routes().get(e.getKey())))
@@ -176,7 +176,7 @@
                                 .distinct()
                                 .count(),
                         3);
-                assertTrue(post.records().stream().allMatch(EndpointRecord::open));
+                assertTrue(post.records().stream().allMatch(EndpointRecord::acceptsRequests));
             }
         } finally {
             loop.parent().shutdownGracefully();
