--- a/src/test/java/whinlead/replication/disk/DiskLogTest.java
+++ b/src/test/java/whinlead/replication/disk/DiskLogTest.java
@@ -11,6 +11,7 @@
 import io.microraft.model.log.LogEntry;
 import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
+import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -94,6 +95,25 @@
         assertEquals(List.of(), notes);
     }
 
+    /** A log that the program at commit ce55648 wrote, before names changed. */
+    @Test
+    void aLogOfAnEarlierProgramIsRead() throws IOException {
+        try (InputStream in = DiskLogTest.class.getResourceAsStream("/whinlead/state-of-ce55648/replication.log")) {
+            Files.copy(in, folder.resolve("log"));
+        }
+        try (DiskLog disk = open()) {
+            RestoredRaftState state = disk.found().restored();
+            assertEquals(ME, state.getLocalEndpointPersistentState().getLocalEndpoint());
+            assertEquals(3, state.getTermPersistentState().getTerm());
+            assertEquals(ME, state.getTermPersistentState().getVotedFor());
+            assertEquals(List.of(1L, 2L, 3L), indices(state));
+            assertEquals(
+                    new Member.Batch(2, List.of(new Command.Drain("request-2", 1))),
+                    state.getLogEntries().get(1).getOperation());
+        }
+        assertEquals(List.of(), notes);
+    }
+
     @Test
     void anEmptyDiskHoldsNoLife() throws IOException {
         try (DiskLog disk = open()) {
