--- a/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
@@ -21,7 +21,7 @@
 
     private int present;
 
-    /** Takes an endpoint record in; true if it is news. */
+    /** Takes an endpoint record in; true if it is new. */
     public boolean merge(EndpointRecord record) {
         EndpointRecord known = records.get(record.node());
         if (known == null && records.size() >= MAX_NODES || !record.isNewerThan(known)) {
--- a/src/main/java/whinlead/mesh/rpc/RpcCall.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcCall.java
@@ -4,10 +4,10 @@
 
 /** A call of an endpoint or an operator, decoded; whoever runs it answers it. */
 public sealed interface RpcCall {
-    /** An endpoint beats. */
+    /** An endpoint sends a heartbeat. */
     record Heartbeat(String endpoint, EndpointStatus status) implements RpcCall {}
 
-    /** What a beat says. */
+    /** What a heartbeat says. */
     record EndpointStatus(
             @JsonProperty("Target") String target,
             @JsonProperty("Zone") String zone,
--- a/src/main/java/whinlead/mesh/settings/NodeSettings.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettings.java
@@ -9,7 +9,7 @@
  *
  * @param self what this process is
  * @param network where it listens, and three machines that it may ask
- * @param substrate how often endpoints beat
+ * @param substrate how often endpoints send heartbeats
  * @param clauses the figures of the rules
  */
 public record NodeSettings(
--- a/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
+++ b/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
@@ -14,7 +14,7 @@
     private final double period;
     private final double phase;
 
-    /** A beat of so many milliseconds. */
+    /** Moments of so many milliseconds. */
     AlignedTimers(Timers timers, double period) {
         this(timers, period, 0);
     }
@@ -22,7 +22,7 @@
     /**
      * The same, with another phase.
      *
-     * @param firstAt one of the beat's moments, in milliseconds on the clock of the timers
+     * @param firstAt one of the moments, in milliseconds on the clock of the timers
      */
     AlignedTimers(Timers timers, double period, double firstAt) {
         this.timers = timers;
--- a/src/main/java/whinlead/mesh/sidecar/ClientSide.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientSide.java
@@ -21,7 +21,7 @@
     private final Timers timers;
     private final NodeSettings nodeSettings;
     private final long seed;
-    private final RequestForwarder round;
+    private final RequestForwarder forwarder;
     private final RequestClasses classes = new RequestClasses();
     private final Map<String, ServiceBalancer> balancers = new HashMap<>();
     private final EgressListener egress;
@@ -36,12 +36,12 @@
     public ClientSide(
             Timers timers,
             NodeSettings nodeSettings,
-            RequestForwarder round,
+            RequestForwarder forwarder,
             Supplier<RoutingTable> routing,
             long seed) {
         this.timers = timers;
         this.nodeSettings = nodeSettings;
-        this.round = round;
+        this.forwarder = forwarder;
         this.seed = seed;
         NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
         TenantQuota allowance =
@@ -68,7 +68,7 @@
                         nodeSettings,
                         SIDECARS,
                         seed,
-                        round,
+                        forwarder,
                         null,
                         new RetryBudget(bounds.retryRatio(), bounds.retrySlack())));
     }
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -84,7 +84,7 @@
         void demandTotals(int nodes, List<TenantDemand> totals);
     }
 
-    /** A desk that dials what {@code dials} makes of an address. */
+    /** A client that dials what {@code dials} makes of an address. */
     ControlClient(
             EventLoop loop,
             NodeSettings nodeSettings,
--- a/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
@@ -10,9 +10,9 @@
 public final class EndpointGate {
     /** Where the endpoint stands. */
     public enum State {
-        /** None has beaten yet. */
+        /** No heartbeat has come yet. */
         UNKNOWN,
-        /** It beats and serves. */
+        /** It sends heartbeats and serves. */
         SERVING,
         /** It has said that it leaves. */
         DRAINING,
@@ -20,7 +20,7 @@
         GONE
     }
 
-    /** Beats that may be missing before it counts as gone. */
+    /** Heartbeats that may be missing before it counts as gone. */
     private static final double BEATS_MISSING = 3.5;
     /** How long callers that have not heard yet may still send to one that drains. */
     private static final double LAST_CALLS_MS = 400;
@@ -54,12 +54,12 @@
     private double highest;
     private double highestAt;
 
-    /** An endpoint gate whose endpoint beats so often, in milliseconds. */
+    /** An endpoint gate whose endpoint sends heartbeats so often, in milliseconds. */
     public EndpointGate(double beatMs) {
         this.beatMs = beatMs;
     }
 
-    /** An endpoint beats; true if that changes what others need to know. */
+    /** An endpoint sends a heartbeat; true if that changes what others need to know. */
     public boolean heartbeat(double now, String id, RpcCall.EndpointStatus settings) {
         if (id.equals(endpoint) && (settings.callSeq() <= callSeq || state == State.GONE && callSeq < 0)) {
             return false;
@@ -83,12 +83,12 @@
         return fresh || state != before;
     }
 
-    /** The endpoint has left; true if that is news. */
+    /** The endpoint has left; true if that is new. */
     public boolean departed(String id) {
         if (!id.equals(endpoint) || state == State.GONE) {
             return false;
         }
-        // No late beat of this life counts any more.
+        // No late heartbeat of this life counts any more.
         callSeq = Long.MAX_VALUE;
         to(State.GONE);
         return true;
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -35,7 +35,7 @@
     private static final double FAR = 0.05;
 
     private final Engine engine;
-    private final RequestForwarder round;
+    private final RequestForwarder forwarder;
     private final RetryBudget retryBudgets;
     private final String near;
     private final Timers timers;
@@ -55,11 +55,11 @@
             NodeSettings nodeSettings,
             int sidecars,
             long seed,
-            RequestForwarder round,
+            RequestForwarder forwarder,
             String near,
             RetryBudget retryBudgets) {
         this.timers = timers;
-        this.round = round;
+        this.forwarder = forwarder;
         this.near = near;
         this.retryBudgets = retryBudgets;
         Contract.Settings settings =
@@ -93,7 +93,7 @@
         List<EndpointList.Entry> entries = new ArrayList<>();
         Map<String, Double> times = new HashMap<>();
         for (EndpointRecord l : records) {
-            boolean up = l.acceptsRequests() && round.isReachable(l.node());
+            boolean up = l.acceptsRequests() && forwarder.isReachable(l.node());
             double now = timers.now();
             double start = started.getOrDefault(l.endpoint(), l.warmMs() > 0 ? now - (COLD_MS - l.warmMs()) : 0);
             times.put(l.endpoint(), start);
@@ -167,7 +167,7 @@
             }
             attempts.sent();
             outcomes = told;
-            RequestForwarder.Sent sent = round.send(
+            RequestForwarder.Sent sent = forwarder.send(
                     node,
                     shipment.request(endpoint),
                     shipment.repeatable(),
@@ -218,7 +218,7 @@
         @Override
         public boolean connected(String endpoint) {
             String node = nodes.get(endpoint);
-            return node == null || round.isConnected(node);
+            return node == null || forwarder.isConnected(node);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
+++ b/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
@@ -28,10 +28,10 @@
             if (memory.decided() == null) {
                 p.packNil();
             } else {
-                PeerMessageCodec.decision(p, memory.decided());
+                ConsensusMessageCodec.decision(p, memory.decided());
             }
-            PeerMessageCodec.ballot(p, memory.promised());
-            PeerMessageCodec.vote(p, memory.vote());
+            ConsensusMessageCodec.ballot(p, memory.promised());
+            ConsensusMessageCodec.vote(p, memory.vote());
             p.packInt(FORMAT).packInt(READABLE_FROM);
             return p.toByteArray();
         } catch (IOException e) {
@@ -47,9 +47,9 @@
      */
     public static Acceptor.State read(byte[] bytes) throws IOException {
         try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
-            Decision decided = u.tryUnpackNil() ? null : PeerMessageCodec.decision(u);
-            Ballot promised = PeerMessageCodec.ballot(u);
-            Acceptor.State memory = new Acceptor.State(decided, promised, PeerMessageCodec.vote(u));
+            Decision decided = u.tryUnpackNil() ? null : ConsensusMessageCodec.decision(u);
+            Ballot promised = ConsensusMessageCodec.ballot(u);
+            Acceptor.State memory = new Acceptor.State(decided, promised, ConsensusMessageCodec.vote(u));
             checkFormat(u);
             return memory;
         } catch (RuntimeException e) {
--- a/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
+++ b/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A link that is kept: dialled again when it is down, and watched by pings, for a machine without power and one behind
- * a cut say nothing. On its loop's thread.
+ * A connection that is kept: dialled again when it is down, and watched by pings, for a machine without power and one
+ * behind a cut say nothing. On its loop's thread.
  */
 public final class ReconnectingConnection {
     /** Where it stands. */
@@ -65,36 +65,36 @@
         }
     }
 
-    private static final int CONNECT_MS = 800;
-    private static final double NANOS = 1e6;
+    private static final int CONNECT_TIMEOUT_MS = 800;
+    private static final double NANOS_IN_MILLI = 1e6;
     /** So many times as long between pings where nothing is waited for. */
-    private static final int IDLE_TIMES = 6;
+    private static final int IDLE_PING_FACTOR = 6;
     /** Pings whose answers are still told apart. */
-    private static final int PINGS_OUT = 16;
+    private static final int MAX_OUTSTANDING_PINGS = 16;
 
     private final EventLoop loop;
     private final SocketAddress address;
     private final PeerMessage hello;
-    private final Timeouts pace;
-    private final Listener owner;
+    private final Timeouts timeouts;
+    private final Listener listener;
     private State state = State.DOWN;
-    private PeerConnection link;
+    private PeerConnection connection;
     private Future<?> timer;
     private long heardAt;
     /** When the last pings left, by their number. */
-    private final double[] sentAt = new double[PINGS_OUT];
+    private final double[] sentAt = new double[MAX_OUTSTANDING_PINGS];
 
     private long pings;
     private boolean pinged;
 
     /** A connection that is not yet dialled. */
     public ReconnectingConnection(
-            EventLoop loop, SocketAddress address, PeerMessage hello, Timeouts pace, Listener owner) {
+            EventLoop loop, SocketAddress address, PeerMessage hello, Timeouts timeouts, Listener listener) {
         this.loop = loop;
         this.address = address;
         this.hello = hello;
-        this.pace = pace;
-        this.owner = owner;
+        this.timeouts = timeouts;
+        this.listener = listener;
     }
 
     /** Begins to keep it. */
@@ -106,7 +106,7 @@
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(PeerConnection.handlers(new Handler()))
                 .connect(address)
                 .addListener(f -> {
@@ -126,11 +126,11 @@
         return state == State.UP;
     }
 
-    /** Sends a message; false if the link is down. */
+    /** Sends a message; false if the connection is down. */
     public boolean send(PeerMessage message) {
-        boolean can = link != null && link.isOpen();
+        boolean can = connection != null && connection.isOpen();
         if (can) {
-            link.send(message);
+            connection.send(message);
         }
         return can;
     }
@@ -139,8 +139,8 @@
     public void close() {
         to(State.CLOSED);
         cancel();
-        if (link != null) {
-            link.close();
+        if (connection != null) {
+            connection.close();
         }
     }
 
@@ -157,43 +157,44 @@
         }
         State before = state;
         state = next;
-        owner.changed(this, before);
+        listener.changed(this, before);
     }
 
     private void lost() {
-        link = null;
+        connection = null;
         cancel();
         to(State.DOWN);
         if (state == State.DOWN) {
-            long wait = pace.redial() + ThreadLocalRandom.current().nextLong(pace.redial());
+            long wait = timeouts.redial() + ThreadLocalRandom.current().nextLong(timeouts.redial());
             loop.schedule(this::dial, wait, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void beat() {
-        double silent = (System.nanoTime() - heardAt) / NANOS;
-        if (silent > pace.dead()) {
-            link.close();
+    private void checkLiveness() {
+        double silent = (System.nanoTime() - heardAt) / NANOS_IN_MILLI;
+        if (silent > timeouts.dead()) {
+            connection.close();
             return;
         }
-        if (silent > pace.suspect() && pinged) {
+        if (silent > timeouts.suspect() && pinged) {
             to(State.SUSPECT);
         }
         // Whatever comes is a sign of life.
-        boolean quiet = silent >= (owner.hasPendingRequests() || pinged ? pace.ping() / 2 : pace.ping() * IDLE_TIMES);
-        if (quiet || owner.alwaysPings()) {
+        boolean quiet = silent
+                >= (listener.hasPendingRequests() || pinged ? timeouts.ping() / 2 : timeouts.ping() * IDLE_PING_FACTOR);
+        if (quiet || listener.alwaysPings()) {
             ping();
         }
         timer = loop.schedule(
-                this::beat,
-                TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(pace.ping())),
+                this::checkLiveness,
+                TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(timeouts.ping())),
                 TimeUnit.NANOSECONDS);
     }
 
     private void ping() {
         pinged = true;
-        sentAt[(int) (++pings % PINGS_OUT)] = System.nanoTime() / NANOS;
-        link.send(new PeerMessage.Ping(pings, owner.stamp()));
+        sentAt[(int) (++pings % MAX_OUTSTANDING_PINGS)] = System.nanoTime() / NANOS_IN_MILLI;
+        connection.send(new PeerMessage.Ping(pings, listener.stamp()));
     }
 
     private final class Handler implements PeerConnection.MessageHandler {
@@ -203,16 +204,16 @@
                 up.close();
                 return;
             }
-            link = up;
+            connection = up;
             heardAt = System.nanoTime();
             pinged = false;
             up.send(hello);
-            if (owner.stamp() != PeerMessage.UNSTAMPED) {
+            if (listener.stamp() != PeerMessage.UNSTAMPED) {
                 // Ahead of all else: what comes later is compared with how long this was on its way.
                 ping();
             }
             to(State.UP);
-            beat();
+            checkLiveness();
         }
 
         @Override
@@ -221,21 +222,21 @@
             pinged = false;
             if (message instanceof PeerMessage.Pong pong
                     && pong.number() <= pings
-                    && pong.number() > pings - PINGS_OUT
+                    && pong.number() > pings - MAX_OUTSTANDING_PINGS
                     && pong.number() > 0) {
-                owner.pongReceived(sentAt[(int) (pong.number() % PINGS_OUT)], pong);
+                listener.pongReceived(sentAt[(int) (pong.number() % MAX_OUTSTANDING_PINGS)], pong);
             }
             if (state == State.SUSPECT) {
                 to(State.UP);
             }
             if (!(message instanceof PeerMessage.Hello)) {
-                owner.message(ReconnectingConnection.this, message);
+                listener.message(ReconnectingConnection.this, message);
             }
         }
 
         @Override
         public void disconnected(PeerConnection down) {
-            if (link == down) {
+            if (connection == down) {
                 lost();
             }
         }
