--- a/src/main/java/whinlead/mesh/quota/TenantQuota.java
+++ b/src/main/java/whinlead/mesh/quota/TenantQuota.java
@@ -26,34 +26,53 @@
 
     private static final double EXCESS_PART = 0.3;
     /** A sum is fresh for so long. */
-    private static final double FRESH = 2500;
+    private static final double TOTALS_FRESH_MS = 2500;
     /** The time over which what is asked for is averaged. */
-    private static final double AVERAGE = 1500;
+    private static final double DEMAND_AVERAGE_MS = 1500;
     /** Tenants that are counted at most; beyond, the longest unused goes. */
     private static final int MAX_TENANTS = 4096;
     /** Of the limit, what goes to where the requests are; the rest is for those who have none yet. */
-    private static final double FOLLOWS = 0.9;
+    private static final double DEMAND_PART = 0.9;
     /** Old sums still tell where the requests are for so long. */
-    private static final double STALE = 15_000;
+    private static final double TOTALS_VALID_MS = 15_000;
     /** A tenant is calm until it asks for more than its limit and this part of the slack. */
-    private static final double CALM = 0.25;
+    private static final double CALM_PART = 0.25;
     /** What a calm tenant may overdraw its bucket by: so many seconds of the bucket's rate, and at least. */
     private static final double OVERDRAFT_S = 0.2;
 
     private static final double MIN_OVERDRAFT = 2;
     /** All debts of a tenant together: what it may ask for in so many seconds, less the rules' slack. */
-    private static final double DEBT_S = 9;
+    private static final double MAX_DEBT_S = 9;
     /** Less than this many requests a second is not worth telling. */
-    private static final double MIN_TOLD = 0.02;
+    private static final double MIN_REPORTED_PER_S = 0.02;
 
+    private static final double MILLIS_IN_SECOND = 1000;
+
+    /** One tenant's tokens, and the demand for them as an average that decays. */
     private static final class Bucket {
         private double tokens;
-        private double at;
-        private double asked;
-        private double askedAt;
+        private double refilledAt;
+        private double demandPerS;
+        private double demandAt;
+
+        private Bucket(double now, double tokens) {
+            this.tokens = tokens;
+            this.refilledAt = now;
+            this.demandAt = now;
+        }
+
+        private double demandPerS(double now) {
+            return demandPerS * Math.exp(-(now - demandAt) / DEMAND_AVERAGE_MS);
+        }
 
-        private double asked(double now) {
-            return asked * Math.exp(-(now - askedAt) / AVERAGE);
+        private void countRequest(double now) {
+            demandPerS = demandPerS(now) + MILLIS_IN_SECOND / DEMAND_AVERAGE_MS;
+            demandAt = now;
+        }
+
+        private void refill(double now, double ratePerMs, double capacity) {
+            tokens = Math.min(capacity, tokens + (now - refilledAt) * ratePerMs);
+            refilledAt = now;
         }
     }
 
@@ -76,13 +95,13 @@
     private final double slack;
     private final double excess;
     private final double windowS;
-    private final double born;
+    private final double startedAt;
     private final SplittableRandom random;
     private final Buckets buckets = new Buckets();
-    private Map<String, Double> told = Map.of();
+    private Map<String, Double> reported = Map.of();
     private Map<String, Part> parts = Map.of();
     private int sidecars = 1;
-    private double sumAt = Double.NEGATIVE_INFINITY;
+    private double totalsAt = Double.NEGATIVE_INFINITY;
 
     /**
      * Parts by the rules' figures.
@@ -93,36 +112,37 @@
      */
     public TenantQuota(double now, double slack, double excess, double windowS, long seed) {
         this.random = new SplittableRandom(seed);
-        this.born = now;
+        this.startedAt = now;
         this.slack = slack * SLACK_PART;
         this.excess = excess * EXCESS_PART;
         this.windowS = windowS;
     }
 
-    /** What this sidecar is asked for, to be told to the control nodes. */
+    /** The demand at this sidecar, to be reported to the control nodes. */
     public List<TenantDemand> demand(double now) {
-        List<TenantDemand> uses = new ArrayList<>();
-        Map<String, Double> now1 = new HashMap<>();
-        buckets.forEach((tenant, b) -> {
-            double asked = b.asked(now);
-            if (asked > MIN_TOLD) {
-                uses.add(new TenantDemand(tenant, asked));
-                now1.put(tenant, asked);
+        List<TenantDemand> demand = new ArrayList<>();
+        Map<String, Double> byTenant = new HashMap<>();
+        buckets.forEach((tenant, bucket) -> {
+            double perSecond = bucket.demandPerS(now);
+            if (perSecond > MIN_REPORTED_PER_S) {
+                demand.add(new TenantDemand(tenant, perSecond));
+                byTenant.put(tenant, perSecond);
             }
         });
-        told = now1;
-        return uses;
+        reported = byTenant;
+        return demand;
     }
 
-    /** The sums that a control node made with what this sidecar told last, of so many sidecars. */
+    /** The sums that a control node made with what this sidecar reported last, of so many sidecars. */
     public void updateTotals(double now, int nodes, List<TenantDemand> totals) {
-        Map<String, Part> made = new HashMap<>();
-        for (TenantDemand u : totals) {
-            made.put(u.tenant(), new Part(told.getOrDefault(u.tenant(), 0.0), u.perSecond()));
+        Map<String, Part> updated = new HashMap<>();
+        for (TenantDemand total : totals) {
+            double own = reported.getOrDefault(total.tenant(), 0.0);
+            updated.put(total.tenant(), new Part(own, total.perSecond()));
         }
-        parts = made;
+        parts = updated;
         sidecars = Math.max(1, nodes);
-        sumAt = now;
+        totalsAt = now;
     }
 
     /**
@@ -136,44 +156,44 @@
         if (ratePerS <= 0) {
             return 0;
         }
-        int n = Math.max(listed, sidecars);
-        double age = now - sumAt;
-        Part p = age > STALE ? null : parts.get(tenant);
-        double total = p == null ? 0 : Math.max(p.total(), p.own());
-        double share = total > 0 ? FOLLOWS * p.own() / total + (1 - FOLLOWS) / n : 1.0 / n;
-        double rate = ratePerS * share / 1000;
-        double most = (burst + slack + excess * (ratePerS * windowS + burst)) * share;
-        Bucket b = bucket(now, tenant, rate, most);
-        b.asked = b.asked(now) + 1000 / AVERAGE;
-        b.askedAt = now;
+        double age = now - totalsAt;
+        Part part = age > TOTALS_VALID_MS ? null : parts.get(tenant);
+        double total = part == null ? 0 : Math.max(part.total(), part.own());
+        double share = share(part, total, Math.max(listed, sidecars));
+        double ratePerMs = ratePerS * share / MILLIS_IN_SECOND;
+        double capacity = (burst + slack + excess * (ratePerS * windowS + burst)) * share;
+        Bucket bucket = bucket(now, tenant, ratePerMs, capacity);
+        bucket.countRequest(now);
         // With no word of where the requests are, each sidecar that has some gets one at least.
-        b.tokens = Math.min(age > STALE ? Math.max(1, most) : most, b.tokens + (now - b.at) * rate);
-        b.at = now;
-        boolean calm = age < FRESH && total < ratePerS + slack / windowS * CALM;
+        bucket.refill(now, ratePerMs, age > TOTALS_VALID_MS ? Math.max(1, capacity) : capacity);
+        boolean calm = age < TOTALS_FRESH_MS && total < ratePerS + slack / windowS * CALM_PART;
         double overdraft = calm ? Math.max(MIN_OVERDRAFT, OVERDRAFT_S * (ratePerS + slack) * share) : 0;
-        if (b.tokens - 1 >= -overdraft) {
+        if (bucket.tokens - 1 >= -overdraft) {
             // A small tenant's debts need not be kept whole: the rules' slack covers them.
-            double debt = calm ? share * Math.max(0, ratePerS * DEBT_S - slack) : 0;
-            b.tokens = Math.max(b.tokens - 1, Math.min(b.tokens, -debt));
+            double maxDebt = calm ? share * Math.max(0, ratePerS * MAX_DEBT_S - slack) : 0;
+            bucket.tokens = Math.max(bucket.tokens - 1, Math.min(bucket.tokens, -maxDebt));
             return 0;
         }
-        if (random.nextDouble() >= b.tokens) {
+        if (random.nextDouble() >= bucket.tokens) {
             // What is drawn by chance, or shared anew by then, need not be waited for in full.
-            return Math.min(windowS * 1000, (1 - b.tokens) / rate);
+            return Math.min(windowS * MILLIS_IN_SECOND, (1 - bucket.tokens) / ratePerMs);
         }
-        b.tokens--;
+        bucket.tokens--;
         return 0;
     }
 
-    private Bucket bucket(double now, String tenant, double rate, double most) {
-        Bucket b = buckets.get(tenant);
-        if (b == null) {
-            b = new Bucket();
-            b.tokens = Math.min(most, rate * (now - born));
-            b.at = now;
-            b.askedAt = now;
-            buckets.put(tenant, b);
+    // Of the limit, what is this sidecar's: most of it follows the demand, the rest is shared evenly.
+    private static double share(Part part, double total, int sidecars) {
+        return total > 0 ? DEMAND_PART * part.own() / total + (1 - DEMAND_PART) / sidecars : 1.0 / sidecars;
+    }
+
+    private Bucket bucket(double now, String tenant, double ratePerMs, double capacity) {
+        Bucket bucket = buckets.get(tenant);
+        if (bucket == null) {
+            // What an earlier life of this sidecar may have spent is not there again.
+            bucket = new Bucket(now, Math.min(capacity, ratePerMs * (now - startedAt)));
+            buckets.put(tenant, bucket);
         }
-        return b;
+        return bucket;
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
@@ -36,56 +36,50 @@
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     /** Requests of one connection that are under way at a time; reading stops at so many. */
-    private static final int UNDER_WAY = 16;
-
-    private static final int BAD = 400;
-    private static final int TIMEOUT = 408;
-    private static final int TOO_LARGE = 413;
-    private static final int HEAD_TOO_LARGE = 431;
-    private static final int FAULT = 500;
-    private static final int NOT_NOW = 503;
+    private static final int MAX_PENDING = 16;
+
     /** While it leaves, a connection that is so new or was so lately used may still bring a request. */
     private static final double LEAVING_IDLE_S = 0.2;
 
-    /** Takes whole requests. */
-    interface Taker {
-        /** Takes one; it is answered once, on this thread. */
-        void take(HttpRequest head, byte[] body, Turn turn);
+    /** Handles whole requests. */
+    interface RequestHandler {
+        /** Handles one; it is answered once, on this thread. */
+        void handle(HttpRequest head, byte[] body, PendingResponse response);
 
         /** The limits in force; never null. */
         MeshConfig.Limits limits();
 
-        /** Whether so many more bytes may be held; if so, they are until {@link #letGo}. */
-        boolean hold(int bytes);
+        /** Whether so many more bytes may be held; if so, they are reserved until {@link #release}. */
+        boolean tryReserve(int bytes);
 
-        /** They are held no more. */
-        void letGo(int bytes);
+        /** They are reserved no more. */
+        void release(int bytes);
 
         /** Whether connections are to end after the answer under way. */
         boolean leaving();
 
         /** How long a request with this head may be held, in milliseconds; infinite where nothing tells. */
-        double mostMs(HttpRequest head);
+        double timeoutMs(HttpRequest head);
 
         /** The time, and timers on this thread. */
         Timers timers();
     }
 
-    /** One request's place in the order of answers. */
-    final class Turn {
+    /** A request's response, in the order in which responses are sent. */
+    final class PendingResponse {
         private final boolean keep;
         private final boolean head;
-        private final int held;
+        private final int reservedBytes;
         /** How long it took from its head to its end, in milliseconds. */
         private final double readingMs;
 
         private FullHttpResponse answer;
         private Runnable gone = () -> {};
 
-        private Turn(boolean keep, boolean head, int held, double readingMs) {
+        private PendingResponse(boolean keep, boolean head, int reservedBytes, double readingMs) {
             this.keep = keep;
             this.head = head;
-            this.held = held;
+            this.reservedBytes = reservedBytes;
             this.readingMs = readingMs;
         }
 
@@ -99,31 +93,33 @@
             gone = task;
         }
 
-        /** Answers it; names and values in turn. */
-        void answer(int status, List<String> headers, byte[] body) {
+        /** Sends it as soon as those before it are sent; names and values of headers in turn. */
+        void send(HttpResponseStatus status, List<String> headers, byte[] body) {
             if (answer != null || ClientConnection.this.gone) {
                 return;
             }
-            FullHttpResponse r = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
+            FullHttpResponse r =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
             for (int i = 0; i + 1 < headers.size(); i += 2) {
                 r.headers().add(headers.get(i), headers.get(i + 1));
             }
-            if (status != 204 && status != 304 && !(head && body.length == 0)) {
+            if (!HttpResponseStatus.NO_CONTENT.equals(status)
+                    && !HttpResponseStatus.NOT_MODIFIED.equals(status)
+                    && !(head && body.length == 0)) {
                 r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
             }
             answer = r;
-            taker.letGo(held);
+            handler.release(reservedBytes);
             flush();
         }
     }
 
-    private final Taker taker;
-    private final ArrayDeque<Turn> turns = new ArrayDeque<>();
+    private final RequestHandler handler;
+    private final ArrayDeque<PendingResponse> pending = new ArrayDeque<>();
     private Channel channel;
     private HttpRequest head;
     private ByteBuf body;
-    private int held;
+    private int reservedBytes;
     private boolean awaitsContinue;
     private boolean ending;
     private boolean gone;
@@ -133,21 +129,21 @@
     /** Ends a request whose body is not whole in time; null while none is awaited. */
     private Timers.Timer bodyTimer;
 
-    ClientConnection(Taker taker) {
-        this.taker = taker;
+    ClientConnection(RequestHandler handler) {
+        this.handler = handler;
         this.since = now();
     }
 
     /** Puts it on a connection. What was read at once is handed in piece by piece: so the bound holds. */
     void on(Channel ch) {
-        int most = taker.limits().headerBytes();
+        int most = handler.limits().headerBytes();
         HttpDecoderConfig config =
                 new HttpDecoderConfig().setMaxInitialLineLength(most).setMaxHeaderSize(most);
         ch.pipeline().addLast(new HttpServerCodec(config), new FlowControlHandler(), this);
     }
 
     private double now() {
-        return taker.timers().now();
+        return handler.timers().now();
     }
 
     @Override
@@ -163,7 +159,7 @@
             }
             if (message instanceof HttpObject o && o.decoderResult().isFailure()) {
                 boolean size = o.decoderResult().cause() instanceof TooLongFrameException;
-                refuse(size ? HEAD_TOO_LARGE : BAD);
+                refuse(size ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST);
                 return;
             }
             if (message instanceof HttpRequest r) {
@@ -186,24 +182,24 @@
                 r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING) && !HttpUtil.isTransferEncodingChunked(r);
         // Where its end is in doubt, another request may hide behind it.
         if (lengths || both || coded || !HttpVersion.HTTP_1_1.equals(r.protocolVersion())) {
-            refuse(BAD);
+            refuse(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        if (HttpUtil.getContentLength(r, 0L) > taker.limits().bodyBytes()) {
-            refuse(TOO_LARGE);
+        if (HttpUtil.getContentLength(r, 0L) > handler.limits().bodyBytes()) {
+            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
         head = r;
         headAt = since;
         body = Unpooled.buffer(0);
-        held = 0;
+        reservedBytes = 0;
         awaitsContinue = HttpUtil.is100ContinueExpected(r);
-        goOn();
+        sendContinueIfDue();
     }
 
     // The go-ahead is a message of its own and would be taken for a part of an earlier request's answer.
-    private void goOn() {
-        if (head != null && awaitsContinue && turns.isEmpty()) {
+    private void sendContinueIfDue() {
+        if (head != null && awaitsContinue && pending.isEmpty()) {
             awaitsContinue = false;
             channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
@@ -211,15 +207,15 @@
 
     private void more(HttpContent c) {
         int bytes = c.content().readableBytes();
-        if (body.readableBytes() + (long) bytes > taker.limits().bodyBytes()) {
-            refuse(TOO_LARGE);
+        if (body.readableBytes() + (long) bytes > handler.limits().bodyBytes()) {
+            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        if (bytes > 0 && !taker.hold(bytes)) {
-            refuse(NOT_NOW);
+        if (bytes > 0 && !handler.tryReserve(bytes)) {
+            refuse(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        held += bytes;
+        reservedBytes += bytes;
         body.writeBytes(c.content());
         since = now();
         if (c instanceof LastHttpContent) {
@@ -231,9 +227,10 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (head != null && bodyTimer == null) {
-            double most = taker.mostMs(head);
+            double most = handler.timeoutMs(head);
             if (Double.isFinite(most)) {
-                bodyTimer = taker.timers().after(headAt + most - now(), () -> refuse(TIMEOUT));
+                bodyTimer =
+                        handler.timers().after(headAt + most - now(), () -> refuse(HttpResponseStatus.REQUEST_TIMEOUT));
             }
         }
         ctx.fireChannelReadComplete();
@@ -242,16 +239,16 @@
     private void whole() {
         HttpRequest request = head;
         byte[] bytes = ByteBufUtil.getBytes(body);
-        Turn turn = new Turn(
-                HttpUtil.isKeepAlive(request), "HEAD".equals(request.method().name()), held, since - headAt);
+        PendingResponse response = new PendingResponse(
+                HttpUtil.isKeepAlive(request), "HEAD".equals(request.method().name()), reservedBytes, since - headAt);
         head = null;
         body = null;
-        held = 0;
+        reservedBytes = 0;
         cancelBodyTimer();
-        turns.add(turn);
-        ending |= !turn.keep;
-        reading();
-        hand(request, bytes, turn);
+        pending.add(response);
+        ending |= !response.keep;
+        updateAutoRead();
+        handle(request, bytes, response);
     }
 
     private void cancelBodyTimer() {
@@ -262,34 +259,37 @@
     }
 
     // A fault in taking one request must neither leave it unanswered nor cut off the others.
-    private void hand(HttpRequest whole, byte[] bytes, Turn turn) {
+    private void handle(HttpRequest whole, byte[] bytes, PendingResponse response) {
         try {
-            taker.take(whole, bytes, turn);
+            handler.handle(whole, bytes, response);
         } catch (RuntimeException fault) {
-            tell(fault);
-            turn.answer(FAULT, List.of(), new byte[0]);
+            log(fault);
+            response.send(HttpResponseStatus.INTERNAL_SERVER_ERROR, List.of(), new byte[0]);
         }
     }
 
-    private static void tell(RuntimeException fault) {
+    private static void log(RuntimeException fault) {
         StackTraceElement[] trace = fault.getStackTrace();
         Event.FAULT.log(fault + " at " + (trace.length > 0 ? trace[0] : "?"));
     }
 
     // An answer of our own to what can't be taken, in its turn, and the end of the connection.
-    private void refuse(int status) {
+    private void refuse(HttpResponseStatus status) {
         ending = true;
         head = null;
         cancelBodyTimer();
-        taker.letGo(held);
-        held = 0;
-        Turn turn = new Turn(false, false, 0, 0);
-        turns.add(turn);
-        turn.answer(status, status == NOT_NOW ? List.of("Retry-After", "0.5") : List.of(), new byte[0]);
+        handler.release(reservedBytes);
+        reservedBytes = 0;
+        PendingResponse response = new PendingResponse(false, false, 0, 0);
+        pending.add(response);
+        response.send(
+                status,
+                HttpResponseStatus.SERVICE_UNAVAILABLE.equals(status) ? List.of("Retry-After", "0.5") : List.of(),
+                new byte[0]);
     }
 
-    private void reading() {
-        boolean want = turns.size() < UNDER_WAY;
+    private void updateAutoRead() {
+        boolean want = pending.size() < MAX_PENDING;
         if (want != read) {
             read = want;
             channel.config().setAutoRead(want);
@@ -298,10 +298,10 @@
 
     private void flush() {
         boolean wrote = false;
-        while (!turns.isEmpty() && turns.peek().answer != null) {
-            Turn turn = turns.poll();
-            FullHttpResponse answer = turn.answer;
-            boolean last = !turn.keep || taker.leaving() && turns.isEmpty() && head == null;
+        while (!pending.isEmpty() && pending.peek().answer != null) {
+            PendingResponse response = pending.poll();
+            FullHttpResponse answer = response.answer;
+            boolean last = !response.keep || handler.leaving() && pending.isEmpty() && head == null;
             if (last) {
                 ending = true;
                 answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -316,22 +316,23 @@
         since = now();
         if (wrote) {
             channel.flush();
-            goOn();
-            reading();
+            sendContinueIfDue();
+            updateAutoRead();
         }
     }
 
     /** Time passes: ends what stays silent, in the midst of a request or between two. */
     void tick() {
         double waited = (now() - since) / 1000;
-        if (channel == null || !turns.isEmpty() || ending) {
+        if (channel == null || !pending.isEmpty() || ending) {
             return;
         }
         if (head != null) {
-            if (waited > taker.limits().headerS() * 2) {
-                refuse(TIMEOUT);
+            if (waited > handler.limits().headerS() * 2) {
+                refuse(HttpResponseStatus.REQUEST_TIMEOUT);
             }
-        } else if (waited > (taker.leaving() ? LEAVING_IDLE_S : taker.limits().idleS())) {
+        } else if (waited
+                > (handler.leaving() ? LEAVING_IDLE_S : handler.limits().idleS())) {
             ending = true;
             channel.close();
         }
@@ -340,15 +341,15 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         cancelBodyTimer();
-        taker.letGo(held);
-        held = 0;
-        for (Turn turn : turns) {
-            if (turn.answer == null) {
-                taker.letGo(turn.held);
-                turn.gone.run();
+        handler.release(reservedBytes);
+        reservedBytes = 0;
+        for (PendingResponse response : pending) {
+            if (response.answer == null) {
+                handler.release(response.reservedBytes);
+                response.gone.run();
             }
         }
-        turns.clear();
+        pending.clear();
         gone = true;
     }
 
@@ -356,7 +357,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         // A connection that breaks is its client's affair; a fault of this program is told.
         if (cause instanceof RuntimeException fault) {
-            tell(fault);
+            log(fault);
         }
         ctx.close();
     }
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -27,44 +27,44 @@
 import whinlead.mesh.wire.ReconnectingConnection;
 
 /**
- * A sidecar's connections to the control nodes: says what it lists, asks with the configuration that it has, and takes
- * a newer one. It never goes back. On its loop's thread; configurations are read on another.
+ * A sidecar's connections to the control nodes: publishes its record, subscribes with the configuration that it has,
+ * and adopts a newer one. It never goes back. On its loop's thread; configurations are read on another.
  */
 final class ControlClient {
     /** Longer until it is given up than an idle connection goes without a ping. */
-    private static final ReconnectingConnection.Timeouts PACE =
+    private static final ReconnectingConnection.Timeouts TIMEOUTS =
             new ReconnectingConnection.Timeouts(300, 900, 3000, 150);
     /** Until another control node is asked for what one has not sent, in milliseconds. */
-    private static final double FETCH_MS = 500;
+    private static final double FETCH_RETRY_MS = 500;
 
     private static final int MAX_CONTROL_NODES = 16;
     /** The same for a control node that could confirm what another has sent, where nothing is in force yet. */
-    private static final double CONFIRM_MS = 200;
+    private static final double CONFIRM_RETRY_MS = 200;
     /** Without a control node in reach, or one that confirms, another sidecar is asked for control nodes so often. */
-    private static final double SEEK_MS = 1000;
+    private static final double SEEK_INTERVAL_MS = 1000;
 
-    private static final double NANOS = 1e6;
+    private static final double NANOS_IN_MILLI = 1e6;
 
     private final EventLoop loop;
-    private final NodeSettings nodeSettings;
+    private final NodeSettings settings;
     private final PeerMessage.Hello hello;
-    private final UnaryOperator<InetSocketAddress> dials;
-    private final Listener owner;
+    private final UnaryOperator<InetSocketAddress> dialAddresses;
+    private final Listener listener;
     private final ConfigReader reader = new ConfigReader();
-    private final ExecutorService reading = Executors.newSingleThreadExecutor(r -> {
+    private final ExecutorService readExecutor = Executors.newSingleThreadExecutor(r -> {
         Thread t = new Thread(r, "reader");
         t.setDaemon(true);
         return t;
     });
     private final Map<String, ReconnectingConnection> controlNodes = new LinkedHashMap<>();
-    private final Map<ReconnectingConnection, Long> noticed = new HashMap<>();
+    private final Map<ReconnectingConnection, Long> announcedSlots = new HashMap<>();
     private RoutingTable routing;
     private Decision newest;
-    private StartupConfig beginning = new StartupConfig();
-    private double fetchAt = Double.NEGATIVE_INFINITY;
-    private double seekAt;
-    private final DemandReports reports = new DemandReports();
-    private ReconnectingConnection seeking;
+    private StartupConfig startup = new StartupConfig();
+    private double fetchedAt = Double.NEGATIVE_INFINITY;
+    private double soughtAt;
+    private final DemandReports demandReports = new DemandReports();
+    private ReconnectingConnection seekConnection;
 
     /** Hears what the control nodes say. */
     interface Listener {
@@ -80,32 +80,32 @@
         /** A newer configuration is in force. */
         void configChanged(RoutingTable routing);
 
-        /** What all sidecars are asked for. */
+        /** The demand at all sidecars. */
         void demandTotals(int nodes, List<TenantDemand> totals);
     }
 
-    /** A client that dials what {@code dials} makes of an address. */
+    /** A client that dials what {@code dialAddresses} makes of an address. */
     ControlClient(
             EventLoop loop,
-            NodeSettings nodeSettings,
+            NodeSettings settings,
             PeerMessage.Hello hello,
-            UnaryOperator<InetSocketAddress> dials,
-            Listener owner) {
+            UnaryOperator<InetSocketAddress> dialAddresses,
+            Listener listener) {
         this.loop = loop;
-        this.nodeSettings = nodeSettings;
+        this.settings = settings;
         this.hello = hello;
-        this.dials = dials;
-        this.owner = owner;
+        this.dialAddresses = dialAddresses;
+        this.listener = listener;
     }
 
     void start() {
-        seekAt = now();
-        seeds(nodeSettings.network().seeds());
+        soughtAt = now();
+        seeds(settings.network().seeds());
     }
 
     /** Control nodes to ask as well. */
     void seeds(List<String> seeds) {
-        seeds.forEach(s -> know(s.substring(0, Math.max(0, s.lastIndexOf(':')))));
+        seeds.forEach(s -> addControlNode(s.substring(0, Math.max(0, s.lastIndexOf(':')))));
     }
 
     /** The configuration in force, or null. */
@@ -113,29 +113,29 @@
         return routing;
     }
 
-    /** Says endpoint records to all control nodes in reach. */
+    /** Sends endpoint records to all control nodes in reach. */
     void publish(List<EndpointRecord> records) {
-        PeerMessage.EndpointUpdate post = new PeerMessage.EndpointUpdate(records);
-        controlNodes.values().forEach(t -> t.send(post));
+        PeerMessage.EndpointUpdate update = new PeerMessage.EndpointUpdate(records);
+        controlNodes.values().forEach(t -> t.send(update));
     }
 
-    /** Tells control nodes in reach what is asked for here, where it is due, and asks the first for the sums. */
-    void reportDemand(List<TenantDemand> uses) {
-        DemandReports.Audience audience = reports.next(!uses.isEmpty());
+    /** Reports the demand here to control nodes in reach, where it is due, and asks the first for the sums. */
+    void reportDemand(List<TenantDemand> demand) {
+        DemandReports.Audience audience = demandReports.next(!demand.isEmpty());
         if (audience == DemandReports.Audience.NONE) {
             return;
         }
         boolean wanted = true;
         for (ReconnectingConnection connection : controlNodes.values()) {
             if (connection.isUp() && (wanted || audience == DemandReports.Audience.ALL)) {
-                connection.send(new PeerMessage.DemandReport(uses, wanted));
+                connection.send(new PeerMessage.DemandReport(demand, wanted));
                 wanted = false;
             }
         }
     }
 
     private static double now() {
-        return System.nanoTime() / NANOS;
+        return System.nanoTime() / NANOS_IN_MILLI;
     }
 
     private long slot() {
@@ -147,7 +147,7 @@
         return List.copyOf(controlNodes.keySet());
     }
 
-    private void know(String ip) {
+    private void addControlNode(String ip) {
         if (ip.isEmpty() || controlNodes.containsKey(ip)) {
             return;
         }
@@ -155,105 +155,109 @@
             controlNodes.entrySet().stream()
                     .filter(e -> !e.getValue().isUp())
                     .findFirst()
-                    .ifPresent(e -> drop(e.getKey()));
+                    .ifPresent(e -> removeControlNode(e.getKey()));
         }
         if (controlNodes.size() >= MAX_CONTROL_NODES) {
             return;
         }
         ReconnectingConnection connection = new ReconnectingConnection(
                 loop,
-                dials.apply(new InetSocketAddress(ip, nodeSettings.network().peerPort())),
+                dialAddresses.apply(new InetSocketAddress(ip, settings.network().peerPort())),
                 hello,
-                PACE,
+                TIMEOUTS,
                 new ReconnectingConnection.Listener() {
                     @Override
                     public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
                         if (t.state() == ReconnectingConnection.State.UP
                                 && before == ReconnectingConnection.State.DIALLING) {
                             Event.CONTROL_NODE_UP.log(ip);
-                            owner.controlNodeUp();
+                            listener.controlNodeUp();
                             t.send(new PeerMessage.Subscribe(slot()));
                         } else if (t.state() == ReconnectingConnection.State.DOWN
                                 && before != ReconnectingConnection.State.DIALLING) {
                             Event.CONTROL_NODE_DOWN.log(ip);
-                            noticed.remove(t);
+                            announcedSlots.remove(t);
                         }
                     }
 
                     @Override
                     public void message(ReconnectingConnection t, PeerMessage message) {
-                        came(t, message);
+                        received(t, message);
                     }
 
                     @Override
                     public boolean hasPendingRequests() {
-                        return newest == null || noticed.getOrDefault(controlNodes.get(ip), -1L) > slot();
+                        return newest == null || announcedSlots.getOrDefault(controlNodes.get(ip), -1L) > slot();
                     }
                 });
         controlNodes.put(ip, connection);
         connection.dial();
     }
 
-    private void came(ReconnectingConnection connection, PeerMessage message) {
-        if (message instanceof PeerMessage.EndpointUpdate post) {
-            owner.recordsReceived(post.records());
-        } else if (message instanceof PeerMessage.ConfigAvailable notice) {
-            noticed.put(connection, notice.slot());
-            fetch();
+    private void received(ReconnectingConnection connection, PeerMessage message) {
+        if (message instanceof PeerMessage.EndpointUpdate update) {
+            listener.recordsReceived(update.records());
+        } else if (message instanceof PeerMessage.ConfigAvailable available) {
+            announcedSlots.put(connection, available.slot());
+            fetchIfNewer();
         } else if (message instanceof PeerMessage.ConfigUpdate update) {
-            offered(update);
+            receivedConfig(update);
         } else if (message instanceof PeerMessage.DemandSums sums) {
-            owner.demandTotals(sums.nodes(), sums.totals());
+            listener.demandTotals(sums.nodes(), sums.totals());
         }
     }
 
     void tick() {
-        fetch();
+        fetchIfNewer();
         if (newest == null) {
-            begin(beginning.waited(now()));
+            begin(startup.waited(now()));
         }
-        seek();
+        seekIfAlone();
     }
 
     // What is in force here never goes back, and a decision is one whoever tells it; but where nothing is in
     // force yet, a control node that is cut off must not be the one to begin with while a better one can be reached.
-    private void offered(PeerMessage.ConfigUpdate update) {
+    private void receivedConfig(PeerMessage.ConfigUpdate update) {
         if (newest != null) {
-            take(update.decision());
+            adopt(update.decision());
             return;
         }
-        fetchAt = now() - FETCH_MS + CONFIRM_MS;
-        update.decision().voters().forEach(e -> know(ConsensusNode.address(e)));
-        begin(beginning.offered(now(), update.decision(), update.confirmed()));
+        fetchedAt = now() - FETCH_RETRY_MS + CONFIRM_RETRY_MS;
+        update.decision().voters().forEach(e -> addControlNode(ConsensusNode.address(e)));
+        begin(startup.offered(now(), update.decision(), update.confirmed()));
     }
 
     private void begin(Decision decision) {
         if (decision != null) {
-            take(decision);
+            adopt(decision);
         }
     }
 
     // Control nodes beyond those known: other sidecars may know them where all have changed since.
-    private void seek() {
+    private void seekIfAlone() {
         boolean reached = controlNodes.values().stream().anyMatch(ReconnectingConnection::isUp)
-                && !(newest == null && beginning.unconfirmed());
+                && !(newest == null && startup.unconfirmed());
         if (reached) {
-            seekAt = now();
-        } else if (now() - seekAt > SEEK_MS) {
-            seekAt = now();
-            List<String> others = owner.otherSidecars();
+            soughtAt = now();
+        } else if (now() - soughtAt > SEEK_INTERVAL_MS) {
+            soughtAt = now();
+            List<String> others = listener.otherSidecars();
             if (!others.isEmpty()) {
-                ask(others.get((int) (Math.random() * others.size())));
+                seekFrom(others.get((int) (Math.random() * others.size())));
             }
         }
     }
 
-    private void ask(String node) {
-        if (seeking != null) {
-            seeking.close();
+    private void seekFrom(String node) {
+        if (seekConnection != null) {
+            seekConnection.close();
         }
-        seeking = new ReconnectingConnection(
-                loop, dials.apply(EndpointList.address(node)), hello, PACE, new ReconnectingConnection.Listener() {
+        seekConnection = new ReconnectingConnection(
+                loop,
+                dialAddresses.apply(EndpointList.address(node)),
+                hello,
+                TIMEOUTS,
+                new ReconnectingConnection.Listener() {
                     @Override
                     public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
                         if (t.state() == ReconnectingConnection.State.UP) {
@@ -263,74 +267,74 @@
 
                     @Override
                     public void message(ReconnectingConnection t, PeerMessage message) {
-                        if (message instanceof PeerMessage.ControlNodes told) {
-                            told.addresses().forEach(ControlClient.this::know);
+                        if (message instanceof PeerMessage.ControlNodes found) {
+                            found.addresses().forEach(ControlClient.this::addControlNode);
                             t.close();
                         }
                     }
                 });
-        seeking.dial();
+        seekConnection.dial();
     }
 
-    private void fetch() {
-        if (now() - fetchAt < FETCH_MS) {
+    private void fetchIfNewer() {
+        if (now() - fetchedAt < FETCH_RETRY_MS) {
             return;
         }
-        List<ReconnectingConnection> have = new ArrayList<>();
-        noticed.forEach((connection, slot) -> {
+        List<ReconnectingConnection> sources = new ArrayList<>();
+        announcedSlots.forEach((connection, slot) -> {
             if (slot > slot() && connection.isUp()) {
-                have.add(connection);
+                sources.add(connection);
             }
         });
-        if (!have.isEmpty()) {
-            fetchAt = now();
-            have.get((int) (Math.random() * have.size())).send(new PeerMessage.FetchConfig());
+        if (!sources.isEmpty()) {
+            fetchedAt = now();
+            sources.get((int) (Math.random() * sources.size())).send(new PeerMessage.FetchConfig());
         }
     }
 
-    private void take(Decision decision) {
-        fetchAt = newest == null ? fetchAt : Double.NEGATIVE_INFINITY;
+    private void adopt(Decision decision) {
+        fetchedAt = newest == null ? fetchedAt : Double.NEGATIVE_INFINITY;
         if (decision.slot() <= slot()) {
             return;
         }
         boolean same = newest != null && newest.version() == decision.version();
         newest = decision;
-        PeerMessage.Subscribe ask = new PeerMessage.Subscribe(decision.slot());
-        controlNodes.values().forEach(t -> t.send(ask));
-        decision.voters().forEach(e -> know(ConsensusNode.address(e)));
-        forget(decision);
+        PeerMessage.Subscribe seekFrom = new PeerMessage.Subscribe(decision.slot());
+        controlNodes.values().forEach(t -> t.send(seekFrom));
+        decision.voters().forEach(e -> addControlNode(ConsensusNode.address(e)));
+        removeFormerVoters(decision);
         if (same && routing != null) {
             return;
         }
-        reading.execute(() -> read(decision));
+        readExecutor.execute(() -> read(decision));
     }
 
     // Control nodes that are no longer among the voters go, unless they are heard of.
-    private void forget(Decision decision) {
+    private void removeFormerVoters(Decision decision) {
         List<String> voters =
                 decision.voters().stream().map(ConsensusNode::address).toList();
         for (String ip : List.copyOf(controlNodes.keySet())) {
             if (!voters.contains(ip) && !controlNodes.get(ip).isUp()) {
-                drop(ip);
+                removeControlNode(ip);
             }
         }
     }
 
-    private void drop(String ip) {
+    private void removeControlNode(String ip) {
         ReconnectingConnection connection = controlNodes.remove(ip);
-        noticed.remove(connection);
+        announcedSlots.remove(connection);
         connection.close();
     }
 
     private void read(Decision decision) {
         try {
             MeshConfig meshConfig = reader.read(ConfigCodec.inflate(decision.body()));
-            RoutingTable made = new RoutingTable(decision.slot(), meshConfig);
+            RoutingTable table = new RoutingTable(decision.slot(), meshConfig);
             loop.execute(() -> {
-                if (routing == null || made.slot() > routing.slot()) {
-                    routing = made;
-                    Event.IN_FORCE.log("version " + meshConfig.epoch() + " slot " + made.slot());
-                    owner.configChanged(made);
+                if (routing == null || table.slot() > routing.slot()) {
+                    routing = table;
+                    Event.IN_FORCE.log("version " + meshConfig.epoch() + " slot " + table.slot());
+                    listener.configChanged(table);
                 }
             });
         } catch (IOException | InvalidConfigException e) {
--- a/src/main/java/whinlead/mesh/sidecar/EgressListener.java
+++ b/src/main/java/whinlead/mesh/sidecar/EgressListener.java
@@ -9,48 +9,37 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import java.net.SocketAddress;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import whinlead.engine.Request;
-import whinlead.engine.ResponseSink;
 import whinlead.engine.Timers;
 import whinlead.mesh.config.MeshConfig;
 import whinlead.mesh.config.RoutingTable;
 import whinlead.mesh.quota.TenantQuota;
-import whinlead.mesh.wire.PeerMessage;
 
 /**
  * Where the clients and the endpoint of this machine send their requests: finds route, tenant and quota, and has the
- * service's module decide the rest. On its loop's thread.
+ * service's balancer decide the rest. On its loop's thread.
  */
-final class EgressListener implements ClientConnection.Taker {
+final class EgressListener implements ClientConnection.RequestHandler {
     /** Bodies that are held at a time, in bytes; beyond, clients are told to come back. */
-    private static final long MAX_HOLD = 40L << 20;
-
-    private static final MeshConfig.Limits FIRST = new MeshConfig.Limits(16384, 64 << 20, 3, 15);
-    private static final int UNKNOWN_KEY = 401;
-    private static final int NO_ROUTE = 404;
-    private static final int BAD = 400;
-    private static final int OVER = 429;
-    private static final int FAILED = 502;
-    private static final int NOT_NOW = 503;
-    private static final int LATE = 504;
-    /** When to come back after a request's time was up and it had not gone out, in milliseconds. */
-    private static final double NOT_RUN_MS = 300;
+    private static final long MAX_RESERVED_BYTES = 40L << 20;
+    /** What holds before there is a configuration. */
+    private static final MeshConfig.Limits DEFAULT_LIMITS = new MeshConfig.Limits(16384, 64 << 20, 3, 15);
     /** Until when to come back where no configuration is known yet, in milliseconds. */
-    private static final double NO_ROUTES_MS = 300;
+    private static final double NO_CONFIG_RETRY_MS = 300;
 
     private static final int BACKLOG = 512;
+    private static final double MILLIS_IN_SECOND = 1000;
 
-    /** Finds a service's service balancer. */
-    interface Depots {
+    /** Finds a service's balancer. */
+    interface Balancers {
         /** For requests with large bodies, or for the others. */
         ServiceBalancer of(String target, boolean large);
     }
@@ -58,26 +47,33 @@
     private final EventLoop loop;
     private final Timers timers;
     private final Supplier<RoutingTable> routing;
-    private final Depots balancers;
+    private final Balancers balancers;
     private final Supplier<String> service;
     private final IntSupplier sidecars;
-    private final TenantQuota allowance;
+    private final TenantQuota quota;
     private final RequestClasses classes;
     private final SplittableRandom random = new SplittableRandom();
-    private final Set<ClientConnection> windows = new HashSet<>();
-    private long held;
-    private final Set<Exchange> exchanges = new LinkedHashSet<>();
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final Set<ClientExchange> exchanges = new LinkedHashSet<>();
+    private long reservedBytes;
     private boolean leaving;
     private boolean refusing;
 
+    /**
+     * A listener that does not listen yet.
+     *
+     * @param routing the configuration in force, or null
+     * @param service that of the endpoint beside this sidecar; empty where none is known
+     * @param sidecars how many there are, as far as is known
+     */
     EgressListener(
             EventLoop loop,
             Timers timers,
             Supplier<RoutingTable> routing,
-            Depots balancers,
+            Balancers balancers,
             Supplier<String> service,
             IntSupplier sidecars,
-            TenantQuota allowance,
+            TenantQuota quota,
             RequestClasses classes) {
         this.loop = loop;
         this.timers = timers;
@@ -85,10 +81,11 @@
         this.balancers = balancers;
         this.service = service;
         this.sidecars = sidecars;
-        this.allowance = allowance;
+        this.quota = quota;
         this.classes = classes;
     }
 
+    /** Begins to listen; the future fails if the address is taken. */
     ChannelFuture listen(SocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
@@ -105,15 +102,16 @@
     }
 
     /** A client has connected. */
-    void accept(Channel connection) {
-        ClientConnection window = new ClientConnection(this);
-        windows.add(window);
-        connection.closeFuture().addListener(f -> windows.remove(window));
-        window.on(connection);
+    void accept(Channel channel) {
+        ClientConnection connection = new ClientConnection(this);
+        connections.add(connection);
+        channel.closeFuture().addListener(closed -> connections.remove(connection));
+        connection.on(channel);
     }
 
+    /** Time passes: ends connections that are silent for too long. */
     void tick() {
-        List.copyOf(windows).forEach(ClientConnection::tick);
+        List.copyOf(connections).forEach(ClientConnection::tick);
     }
 
     /** From now on connections end after the answer under way. */
@@ -129,7 +127,7 @@
 
     /** Answers what is still under way with what can be said of it: the process is about to end. */
     void answerAll() {
-        List.copyOf(exchanges).forEach(Exchange::breakOff);
+        List.copyOf(exchanges).forEach(ClientExchange::breakOff);
     }
 
     /** Requests that have not been answered. */
@@ -139,27 +137,27 @@
 
     /** Connections of clients. */
     int connections() {
-        return windows.size();
+        return connections.size();
     }
 
     @Override
     public MeshConfig.Limits limits() {
-        RoutingTable now = routing.get();
-        return now == null ? FIRST : now.config().limits();
+        RoutingTable inForce = routing.get();
+        return inForce == null ? DEFAULT_LIMITS : inForce.config().limits();
     }
 
     @Override
-    public boolean hold(int bytes) {
-        if (held + bytes > MAX_HOLD) {
+    public boolean tryReserve(int bytes) {
+        if (reservedBytes + bytes > MAX_RESERVED_BYTES) {
             return false;
         }
-        held += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
     @Override
-    public void letGo(int bytes) {
-        held -= bytes;
+    public void release(int bytes) {
+        reservedBytes -= bytes;
     }
 
     @Override
@@ -173,72 +171,93 @@
     }
 
     @Override
-    public void take(HttpRequest head, byte[] body, ClientConnection.Turn turn) {
-        RoutingTable now = routing.get();
-        if (now == null || refusing) {
-            later(turn, NOT_NOW, NO_ROUTES_MS);
+    public void handle(HttpRequest head, byte[] body, ClientConnection.PendingResponse response) {
+        RoutingTable inForce = routing.get();
+        if (inForce == null || refusing) {
+            ClientExchange.refuse(response, HttpResponseStatus.SERVICE_UNAVAILABLE, NO_CONFIG_RETRY_MS);
             return;
         }
-        RoutingTable.NamedRoute way = now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
-        if (way == null) {
-            plain(turn, NO_ROUTE);
+        RoutingTable.NamedRoute route = inForce.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
+        if (route == null) {
+            ClientExchange.refuse(response, HttpResponseStatus.NOT_FOUND);
             return;
         }
         String attempt = head.headers().get(ForwardedHeaders.ATTEMPT);
-        double deadline = deadline(head);
-        if (attempt == null || attempt.isEmpty() || Double.isNaN(deadline)) {
-            plain(turn, BAD);
+        double deadlineMs = deadlineMs(head);
+        if (attempt == null || attempt.isEmpty() || Double.isNaN(deadlineMs)) {
+            ClientExchange.refuse(response, HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        RoutingTable.NamedTenant payer = now.tenantOf(head.headers().get(ForwardedHeaders.KEY));
-        if (payer == null && !way.route().open() && now.requiresKeys()) {
-            plain(turn, UNKNOWN_KEY);
+        RoutingTable.NamedTenant tenant = inForce.tenantOf(head.headers().get(ForwardedHeaders.KEY));
+        if (tenant == null && !route.route().open() && inForce.requiresKeys()) {
+            ClientExchange.refuse(response, HttpResponseStatus.UNAUTHORIZED);
             return;
         }
-        if (payer != null) {
-            double wait = allowance.acquire(
-                    timers.now(),
-                    payer.name(),
-                    payer.tenant().ratePerS(),
-                    payer.tenant().burst(),
-                    Math.max(1, sidecars.getAsInt()));
-            if (wait > 0) {
-                later(turn, OVER, wait);
-                return;
-            }
+        double waitMs = tenant == null ? 0 : acquireQuota(tenant);
+        if (waitMs > 0) {
+            ClientExchange.refuse(response, HttpResponseStatus.TOO_MANY_REQUESTS, waitMs);
+            return;
         }
-        String target = way.service(random.nextDouble());
+        double timeoutMs = Math.max(1, timeoutMs(route, deadlineMs) - response.readingMs());
+        begin(head, body, response, route, tenant, timeoutMs);
+    }
+
+    private double acquireQuota(RoutingTable.NamedTenant tenant) {
+        return quota.acquire(
+                timers.now(),
+                tenant.name(),
+                tenant.tenant().ratePerS(),
+                tenant.tenant().burst(),
+                sidecarCount());
+    }
+
+    private int sidecarCount() {
+        return Math.max(1, sidecars.getAsInt());
+    }
+
+    private void begin(
+            HttpRequest head,
+            byte[] body,
+            ClientConnection.PendingResponse response,
+            RoutingTable.NamedRoute route,
+            RoutingTable.NamedTenant tenant,
+            double timeoutMs) {
+        String target = route.service(random.nextDouble());
         ServiceBalancer balancer =
-                balancers.of(target, MeshConfig.INGEST.equals(way.route().kind()));
-        double timeout = Math.max(1, timeout(way, deadline) - turn.readingMs());
-        Integer rank = payer == null ? null : payer.tenant().rank();
-        new Exchange(
-                        head,
-                        body,
-                        turn,
-                        way,
-                        payer,
-                        target,
-                        timeout,
-                        rank == null ? way.route().rank() : rank)
-                .go(balancer);
+                balancers.of(target, MeshConfig.INGEST.equals(route.route().kind()));
+        Integer tenantRank = tenant == null ? null : tenant.tenant().rank();
+        ClientExchange exchange = new ClientExchange(
+                timers,
+                exchanges::remove,
+                head,
+                body,
+                response,
+                route,
+                tenant,
+                service.get(),
+                target,
+                timeoutMs,
+                tenantRank == null ? route.route().rank() : tenantRank);
+        exchanges.add(exchange);
+        exchange.begin(balancer, classes, sidecarCount());
     }
 
     @Override
-    public double mostMs(HttpRequest head) {
-        RoutingTable now = routing.get();
-        RoutingTable.NamedRoute way =
-                now == null ? null : now.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
-        double deadline = deadline(head);
-        return way == null || Double.isNaN(deadline) ? Double.POSITIVE_INFINITY : timeout(way, deadline);
+    public double timeoutMs(HttpRequest head) {
+        RoutingTable inForce = routing.get();
+        RoutingTable.NamedRoute route =
+                inForce == null ? null : inForce.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
+        double deadlineMs = deadlineMs(head);
+        return route == null || Double.isNaN(deadlineMs) ? Double.POSITIVE_INFINITY : timeoutMs(route, deadlineMs);
     }
 
-    // How long the request may be held, from when its head was read, in milliseconds.
-    private static double timeout(RoutingTable.NamedRoute way, double deadline) {
-        return Math.min(deadline, way.route().deadlineS() * 1000);
+    // How long the request may be held, from when its head was read.
+    private static double timeoutMs(RoutingTable.NamedRoute route, double deadlineMs) {
+        return Math.min(deadlineMs, route.route().deadlineS() * MILLIS_IN_SECOND);
     }
 
-    private static double deadline(HttpRequest head) {
+    // What the client allows; NaN where that can't be read.
+    private static double deadlineMs(HttpRequest head) {
         String text = head.headers().get(ForwardedHeaders.DEADLINE);
         if (text == null) {
             return Double.MAX_VALUE;
@@ -250,134 +269,4 @@
             return Double.NaN;
         }
     }
-
-    private static void plain(ClientConnection.Turn turn, int status) {
-        turn.answer(status, List.of(), new byte[0]);
-    }
-
-    private static void later(ClientConnection.Turn turn, int status, double waitMs) {
-        turn.answer(
-                status,
-                List.of("Retry-After", String.format(Locale.ROOT, "%.3f", Math.max(1, waitMs) / 1000)),
-                new byte[0]);
-    }
-
-    /** One request of a client's. */
-    private final class Exchange implements ServiceBalancer.Shipment, ResponseSink<PeerMessage.ForwardResponse> {
-        private final String method;
-        private final String uri;
-        private final List<String> headers;
-        private final byte[] body;
-        private final ClientConnection.Turn turn;
-        private final RoutingTable.NamedRoute way;
-        private final String target;
-        private final int rank;
-        private final double timeout;
-        private final double endAt;
-        private final EndpointAttempts attempts;
-        private ServiceBalancer.Taken taken = () -> {};
-        private PeerMessage.ForwardResponse last;
-
-        private Exchange(
-                HttpRequest head,
-                byte[] body,
-                ClientConnection.Turn turn,
-                RoutingTable.NamedRoute way,
-                RoutingTable.NamedTenant payer,
-                String target,
-                double timeout,
-                int rank) {
-            this.method = head.method().name();
-            this.uri = head.uri();
-            this.headers = ForwardedHeaders.onward(head.headers(), true);
-            this.body = body;
-            this.turn = turn;
-            this.way = way;
-            this.target = target;
-            this.rank = rank;
-            this.timeout = timeout;
-            this.endAt = timers.now() + timeout;
-            this.attempts = new EndpointAttempts(way.route().tries());
-            if (payer != null) {
-                headers.add(ForwardedHeaders.TENANT);
-                headers.add(payer.name());
-            }
-            if (!service.get().isEmpty()) {
-                headers.add(ForwardedHeaders.CALLER);
-                headers.add(service.get());
-            }
-        }
-
-        private void go(ServiceBalancer balancer) {
-            exchanges.add(this);
-            Request ask = new Request(
-                    classes.of(way.isIdempotent(), rank, way.route().targetS() * 1000),
-                    -1,
-                    timeout,
-                    false,
-                    1,
-                    body.length);
-            taken = balancer.take(ask, Math.max(1, sidecars.getAsInt()), this, this);
-            turn.onGone(() -> {
-                exchanges.remove(this);
-                taken.abandon();
-            });
-        }
-
-        private void breakOff() {
-            taken.abandon();
-            end(NOT_RUN_MS);
-        }
-
-        @Override
-        public PeerMessage.ForwardRequest request(String endpoint) {
-            return new PeerMessage.ForwardRequest(
-                    0, method, uri, headers, body, (int) Math.max(1, endAt - timers.now()), target, endpoint, rank);
-        }
-
-        @Override
-        public EndpointAttempts attempts() {
-            return attempts;
-        }
-
-        @Override
-        public boolean repeatable() {
-            return way.isIdempotent();
-        }
-
-        @Override
-        public void answered(PeerMessage.ForwardResponse answer) {
-            last = answer;
-        }
-
-        @Override
-        public void served(PeerMessage.ForwardResponse answer) {
-            exchanges.remove(this);
-            turn.answer(answer.status(), answer.headers(), answer.body());
-        }
-
-        @Override
-        public void refused(double retryAfter) {
-            end(retryAfter);
-        }
-
-        @Override
-        public void failed() {
-            end(NOT_RUN_MS);
-        }
-
-        // A 503 says that it has not run, whatever it is; of what may have run nothing is promised.
-        private void end(double retryAfter) {
-            if (last != null) {
-                served(last);
-                return;
-            }
-            exchanges.remove(this);
-            if (attempts.mayHaveRun()) {
-                plain(turn, timers.now() >= endAt - 50 ? LATE : FAILED);
-            } else {
-                later(turn, NOT_NOW, retryAfter);
-            }
-        }
-    }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -36,7 +36,7 @@
 
     private final Engine engine;
     private final RequestForwarder forwarder;
-    private final RetryBudget retryBudgets;
+    private final RetryBudget retryBudget;
     private final String near;
     private final Timers timers;
     private final Map<String, String> nodes = new HashMap<>();
@@ -57,11 +57,11 @@
             long seed,
             RequestForwarder forwarder,
             String near,
-            RetryBudget retryBudgets) {
+            RetryBudget retryBudget) {
         this.timers = timers;
         this.forwarder = forwarder;
         this.near = near;
-        this.retryBudgets = retryBudgets;
+        this.retryBudget = retryBudget;
         Contract.Settings settings =
                 settings(classes, nodeSettings.clauses().bounds().drainS(), sidecars);
         this.engine = new Engine(
@@ -114,7 +114,7 @@
     }
 
     /** A request of a client's, as it is to be sent on. */
-    interface Shipment {
+    interface ForwardedRequest {
         /** What is sent, with what is left of its time. */
         PeerMessage.ForwardRequest request(String endpoint);
 
@@ -122,60 +122,65 @@
         EndpointAttempts attempts();
 
         /** Whether it may run more than once. */
-        boolean repeatable();
+        boolean isIdempotent();
 
         /** An endpoint answered, whatever the answer. */
         void answered(PeerMessage.ForwardResponse answer);
     }
 
     /** A request that was taken. */
-    interface Taken {
+    interface AcceptedRequest {
         /** Its client has left: it is sent nowhere any more, and what is under way of it is cancelled. */
         void abandon();
     }
 
     /** Takes a request; the caller is told its end once, unless it is abandoned. */
-    Taken take(Request ask, int sidecars, Shipment shipment, ResponseSink<PeerMessage.ForwardResponse> caller) {
-        retryBudgets.requestReceived(sidecars);
-        Delivery delivery = new Delivery(shipment);
-        Engine.Held<PeerMessage.ForwardResponse> held = engine.take(ask, delivery, caller);
+    AcceptedRequest accept(
+            Request request,
+            int sidecars,
+            ForwardedRequest forwarded,
+            ResponseSink<PeerMessage.ForwardResponse> caller) {
+        retryBudget.requestReceived(sidecars);
+        AttemptTransport transport = new AttemptTransport(forwarded);
+        Engine.Held<PeerMessage.ForwardResponse> held = engine.take(request, transport, caller);
         return () -> {
             held.abandon();
-            delivery.cancel();
+            transport.cancel();
         };
     }
 
-    private final class Delivery implements Transport<PeerMessage.ForwardResponse> {
-        private final Shipment shipment;
+    private final class AttemptTransport implements Transport<PeerMessage.ForwardResponse> {
+        private final ForwardedRequest forwarded;
         private final EndpointAttempts attempts;
         /** The attempt that is out, of which there is one at most; and who hears of its end. */
-        private RequestForwarder.Sent out;
+        private RequestForwarder.Sent outstanding;
 
         private Outcomes<PeerMessage.ForwardResponse> outcomes;
 
-        private Delivery(Shipment shipment) {
-            this.shipment = shipment;
-            this.attempts = shipment.attempts();
+        private AttemptTransport(ForwardedRequest forwarded) {
+            this.forwarded = forwarded;
+            this.attempts = forwarded.attempts();
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.ForwardResponse> told) {
+        public Sending send(
+                String endpoint, int attempt, double within, Outcomes<PeerMessage.ForwardResponse> listener) {
             String node = nodes.get(endpoint);
-            if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && retryBudgets.trySpend())) {
-                told.ended(Contract.Outcome.NEVER_SENT, null, null);
+            if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && retryBudget.trySpend())) {
+                listener.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
             attempts.sent();
-            outcomes = told;
+            outcomes = listener;
             RequestForwarder.Sent sent = forwarder.send(
                     node,
-                    shipment.request(endpoint),
-                    shipment.repeatable(),
-                    () -> attempts.mayBeSent() && retryBudgets.canSpend(),
-                    message -> came(message, told));
-            out = sent;
+                    forwarded.request(endpoint),
+                    forwarded.isIdempotent(),
+                    () -> attempts.mayBeSent() && retryBudget.canSpend(),
+                    message -> received(message, listener));
+            outstanding = sent;
             return () -> {
-                out = null;
+                outstanding = null;
                 boolean written = sent.giveUp();
                 if (!written) {
                     attempts.neverWritten();
@@ -185,24 +190,24 @@
         }
 
         private void cancel() {
-            if (out != null) {
-                out.cancel();
-                out = null;
+            if (outstanding != null) {
+                outstanding.cancel();
+                outstanding = null;
                 outcomes.ended(Contract.Outcome.CANCELLED, null, null);
             }
         }
 
-        private void came(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> told) {
-            out = null;
+        private void received(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> listener) {
+            outstanding = null;
             Contract.Report report = null;
             if (message instanceof PeerMessage.ForwardResponse d) {
-                shipment.answered(d);
+                forwarded.answered(d);
                 report = report(d.util(), d.perSecond());
             } else if (message instanceof PeerMessage.ForwardFailure r) {
                 attempts.returned(r.why());
                 report = report(r.util(), r.perSecond());
             }
-            told.ended(
+            listener.ended(
                     RequestForwarder.outcome(message),
                     message instanceof PeerMessage.ForwardResponse d ? d : null,
                     report);
--- a/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
@@ -10,6 +10,7 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,9 +27,9 @@
     private static final double MAX_MS = 2000;
     private static final double IDLE_MS = 15_000;
 
-    private final class Taking implements ClientConnection.Taker {
+    private final class Taking implements ClientConnection.RequestHandler {
         @Override
-        public void take(HttpRequest head, byte[] body, ClientConnection.Turn turn) {
+        public void handle(HttpRequest head, byte[] body, ClientConnection.PendingResponse turn) {
             taken.add(head.uri());
             turns.add(turn);
             turn.onGone(() -> gone++);
@@ -40,7 +41,7 @@
         }
 
         @Override
-        public boolean hold(int bytes) {
+        public boolean tryReserve(int bytes) {
             if (held + bytes > holdMost) {
                 return false;
             }
@@ -49,7 +50,7 @@
         }
 
         @Override
-        public void letGo(int bytes) {
+        public void release(int bytes) {
             held -= bytes;
         }
 
@@ -59,7 +60,7 @@
         }
 
         @Override
-        public double mostMs(HttpRequest head) {
+        public double timeoutMs(HttpRequest head) {
             return MAX_MS;
         }
 
@@ -72,7 +73,7 @@
     private Calendar calendar;
     private ClientConnection window;
     private List<String> taken;
-    private List<ClientConnection.Turn> turns;
+    private List<ClientConnection.PendingResponse> turns;
     private EmbeddedChannel channel;
     private int held;
     private int holdMost;
@@ -110,7 +111,7 @@
     }
 
     private void answer(int turn, String body) {
-        turns.get(turn).answer(200, List.of(), body.getBytes(StandardCharsets.US_ASCII));
+        turns.get(turn).send(HttpResponseStatus.OK, List.of(), body.getBytes(StandardCharsets.US_ASCII));
         channel.runPendingTasks();
     }
 
