--- a/src/main/java/whinlead/replication/ReplicatedState.java
+++ b/src/main/java/whinlead/replication/ReplicatedState.java
@@ -11,7 +11,7 @@
 /**
  * What every member of a group knows of the requests that must not run twice: which attempts were let out, which of
  * them can have run, and how each request ended. The replicated state machine: the same commands in the same order,
- * with the same stamps, give the same book everywhere. Free of I/O, clocks and threads.
+ * with the same stamps, give the same state everywhere. Free of I/O, clocks and threads.
  *
  * <p>Time comes with each command, from the member that leads, and never goes back. It may pass more slowly than real
  * time does, and never faster: so nothing is forgotten too early. Whatever wants to be no later than some time (a key's
@@ -21,7 +21,7 @@
  */
 public final class ReplicatedState {
     /**
-     * What a book may hold.
+     * What it may hold.
      *
      * @param requests open or remembered, at least 1
      * @param perCaller open ones of one caller, at least 1
@@ -68,88 +68,16 @@
     }
 
     /**
-     * All that a book holds, in the order in which it came.
+     * All that it holds, in the order in which it came.
      *
-     * @param commands so many have been taken in: two books of one group with the same number are the same
+     * @param commands so many have been taken in: two states of one group with the same number are the same
      */
     public record Snapshot(long commands, long time, List<Entry> entries, Map<String, Long> drains) {}
 
-    private static final class Request {
-        private final String id;
-        private final String caller;
-        private final Command.Guard guard;
-        private List<Command.Attempt> attempts = new ArrayList<>(1);
-        private List<Boolean> known = new ArrayList<>(1);
-        private Command.Ending ending;
-        /** As snapshots carry it, made once it has ended: most have, and a snapshot of them all is quick. */
-        private Entry ended;
-        /** While open, when its time is up; then when it is forgotten. */
-        private long due;
-
-        private Request(String id, String caller, Command.Guard guard, long due) {
-            this.id = id;
-            this.caller = caller;
-            this.guard = guard;
-            this.due = due;
-        }
-
-        private Request(Entry e) {
-            this(e.id(), e.caller(), e.guard(), e.due());
-            ending = e.ending();
-            ended = ending == null ? null : e;
-            attempts = ending == null ? new ArrayList<>(e.attempts()) : e.attempts();
-            known = ending == null ? new ArrayList<>(e.neverRan()) : e.neverRan();
-        }
-
-        private Entry entry() {
-            if (ending == null) {
-                return new Entry(id, caller, guard, attempts, known, null, due);
-            }
-            if (ended == null) {
-                ended = new Entry(id, caller, guard, attempts, known, ending, due);
-            }
-            return ended;
-        }
-
-        private void end(Command.Ending how) {
-            ending = how;
-            attempts = List.copyOf(attempts);
-            known = List.copyOf(known);
-        }
-
-        private void reopen(long until) {
-            ending = null;
-            ended = null;
-            attempts = new ArrayList<>(attempts);
-            known = new ArrayList<>(known);
-            due = until;
-        }
-
-        private boolean neverRan() {
-            return !known.contains(false);
-        }
-
-        private int add(Command.Attempt attempt, boolean neverRan) {
-            attempts.add(attempt);
-            known.add(neverRan);
-            return attempts.size() - 1;
-        }
-
-        // Of one that has ended nothing more is to be known.
-        private void neverRan(String owner, List<Long> numbers) {
-            for (int i = 0; ending == null && i < attempts.size(); i++) {
-                Command.Attempt a = attempts.get(i);
-                if (a.owner().equals(owner) && numbers.contains(a.number())) {
-                    known.set(i, true);
-                }
-            }
-        }
-    }
-
-    private record Due(long time, Request request) {}
+    private record Due(long time, TrackedRequest request) {}
 
     private final Limits limits;
-    private final Map<String, Request> requests = new LinkedHashMap<>();
+    private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
     private final Map<String, Integer> openByCaller = new HashMap<>();
     private final Map<String, Long> drains = new LinkedHashMap<>();
     // One whose time has been moved since is passed over.
@@ -207,12 +135,12 @@
 
     /** What is known of a request; changes nothing. */
     public Reply look(String id) {
-        Request r = requests.get(id);
+        TrackedRequest r = requests.get(id);
         return r == null ? new Reply.Free() : state(r);
     }
 
     private Reply allow(Command.Allow c) {
-        Request r = requests.get(c.id());
+        TrackedRequest r = requests.get(c.id());
         if (r != null && r.ending != null) {
             if (!c.anew() || r.ending != Command.Ending.REFUSED || time > c.until()) {
                 return state(r);
@@ -254,8 +182,8 @@
         return requests.size() < limits.requests() && openByCaller.getOrDefault(caller, 0) < limits.perCaller();
     }
 
-    private Request open(String id, String caller, Command.Guard guard, long left) {
-        Request r = new Request(id, caller, guard, time + left);
+    private TrackedRequest open(String id, String caller, Command.Guard guard, long left) {
+        TrackedRequest r = new TrackedRequest(id, caller, guard, time + left);
         requests.put(id, r);
         openByCaller.merge(caller, 1, Integer::sum);
         dues.add(new Due(r.due, r));
@@ -263,7 +191,7 @@
     }
 
     private void withdraw(Command.Withdraw c) {
-        Request r = requests.get(c.id());
+        TrackedRequest r = requests.get(c.id());
         if (r == null && requests.size() < limits.requests()) {
             // It may still be on its way: it is to find that it was taken back.
             r = open(c.id(), c.attempt().owner(), Command.Guard.UNSAFE, c.left());
@@ -280,7 +208,7 @@
     }
 
     private Reply refuse(Command.Refuse c) {
-        Request r = requests.get(c.id());
+        TrackedRequest r = requests.get(c.id());
         if (r == null) {
             if (refused >= Math.max(1, limits.requests() / REFUSED_PART) || !room(c.caller())) {
                 return new Reply.Full();
@@ -295,7 +223,7 @@
     }
 
     // Nothing of it ran, so it is as if it had never been asked about.
-    private void reopen(Request r, long left) {
+    private void reopen(TrackedRequest r, long left) {
         r.reopen(time + left);
         refused--;
         openByCaller.merge(r.caller, 1, Integer::sum);
@@ -303,7 +231,7 @@
     }
 
     private Reply report(Command.Report c) {
-        Request r = requests.get(c.id());
+        TrackedRequest r = requests.get(c.id());
         if (r == null) {
             return new Reply.Free();
         }
@@ -317,7 +245,7 @@
     }
 
     private Reply end(Command.End c) {
-        Request r = requests.get(c.id());
+        TrackedRequest r = requests.get(c.id());
         if (r == null) {
             return new Reply.Free();
         }
@@ -334,14 +262,14 @@
         }
     }
 
-    private static Reply state(Request r) {
+    private static Reply state(TrackedRequest r) {
         if (r.ending != null) {
             return new Reply.Over(r.ending);
         }
         return r.neverRan() ? new Reply.Free() : new Reply.Out();
     }
 
-    private void over(Request r, Command.Ending ending) {
+    private void over(TrackedRequest r, Command.Ending ending) {
         // A refusal says that trying again does no harm.
         r.end(ending == Command.Ending.REFUSED && !r.neverRan() ? Command.Ending.FAILED : ending);
         openByCaller.computeIfPresent(r.caller, (caller, n) -> n == 1 ? null : n - 1);
@@ -362,7 +290,7 @@
     // What is open when its time is up has failed, or was refused where nothing can have run.
     private void expire() {
         for (long due = next(); due <= time; due = next()) {
-            Request r = dues.poll().request();
+            TrackedRequest r = dues.poll().request();
             if (r.ending == null) {
                 over(r, Command.Ending.REFUSED);
             }
@@ -393,7 +321,7 @@
         time = snapshot.time();
         drains.putAll(snapshot.drains());
         for (Entry e : snapshot.entries()) {
-            Request r = new Request(e);
+            TrackedRequest r = new TrackedRequest(e);
             requests.put(e.id(), r);
             if (r.ending == null) {
                 openByCaller.merge(r.caller, 1, Integer::sum);
--- a/src/main/java/whinlead/replication/net/GroupLink.java
+++ b/src/main/java/whinlead/replication/net/GroupLink.java
@@ -25,6 +25,7 @@
 import whinlead.replication.raft.GroupHost;
 import whinlead.replication.raft.GroupMessage;
 import whinlead.replication.raft.Seat;
+import whinlead.replication.raft.SeatStatus;
 import whinlead.replication.wire.CopiesGrpc;
 import whinlead.replication.wire.Wire;
 
@@ -220,7 +221,7 @@
             Seat seat = host == null ? null : host.seat(group);
             b.setGroup(group);
             if (seat != null && seat.status().id() != null) {
-                Seat.Status now = seat.status();
+                SeatStatus now = seat.status();
                 b.setId(Messages.of(now.id()))
                         .setLeads(now.leads())
                         .setVotes(now.votes())
--- a/src/main/java/whinlead/replication/raft/GroupFormation.java
+++ b/src/main/java/whinlead/replication/raft/GroupFormation.java
@@ -26,7 +26,7 @@
 final class GroupFormation {
     private static final long NOBODY = 0;
 
-    private final Seat.Setup setup;
+    private final SeatSetup setup;
     private final Random random;
     private final Map<String, Envelope.Standing> answers = new TreeMap<>();
     private long nonce;
@@ -34,7 +34,7 @@
     private long promised = NOBODY;
 
     /** One that has heard nothing yet. */
-    GroupFormation(Seat.Setup setup, Random random) {
+    GroupFormation(SeatSetup setup, Random random) {
         this.setup = setup;
         this.random = random;
         this.nonce = IncarnationNumbers.draw(random);
--- a/src/main/java/whinlead/replication/raft/GroupHost.java
+++ b/src/main/java/whinlead/replication/raft/GroupHost.java
@@ -82,8 +82,8 @@
             return groups.get(group).contains(name);
         }
 
-        private Seat.Setup seat(String group) {
-            return new Seat.Setup(name, group, groups.get(group), processes, replaceAfterMs, consensus, limits);
+        private SeatSetup seat(String group) {
+            return new SeatSetup(name, group, groups.get(group), processes, replaceAfterMs, consensus, limits);
         }
     }
 
--- a/src/main/java/whinlead/replication/raft/ReplacementDriver.java
+++ b/src/main/java/whinlead/replication/raft/ReplacementDriver.java
@@ -7,7 +7,7 @@
 
 /** Carries out what {@link Replacement} decides for one seat. On the engine's thread. */
 final class ReplacementDriver {
-    private final Seat.Setup setup;
+    private final SeatSetup setup;
     private final Timers timers;
     private final Seat.Outside outside;
     private final Replacement replacement;
@@ -15,7 +15,7 @@
     private final Map<String, Integer> versions = new HashMap<>();
 
     /** Of a seat's group, at its process. */
-    ReplacementDriver(Seat.Setup setup, Timers timers, Seat.Outside outside) {
+    ReplacementDriver(SeatSetup setup, Timers timers, Seat.Outside outside) {
         this.setup = setup;
         this.timers = timers;
         this.outside = outside;
--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -1,11 +1,7 @@
 package whinlead.replication.raft;
 
-import io.microraft.RaftConfig;
-import java.util.Collections;
 import java.util.Random;
 import java.util.Set;
-import java.util.SortedSet;
-import java.util.TreeSet;
 import java.util.function.Consumer;
 import whinlead.engine.Timers;
 import whinlead.replication.Command;
@@ -42,51 +38,6 @@
         void retired();
     }
 
-    /**
-     * What an operator sets.
-     *
-     * @param name of this process
-     * @param group by which its seats are told apart
-     * @param names of the first members, this one or not
-     * @param processes all that may have a seat, these among them
-     * @param replaceAfterMs of silence, until a member is replaced by a guest; 0 for never
-     */
-    public record Setup(
-            String name,
-            String group,
-            SortedSet<String> names,
-            SortedSet<String> processes,
-            double replaceAfterMs,
-            RaftConfig consensus,
-            ReplicatedState.Limits limits) {
-        /** Checks that it is one of them. */
-        public Setup {
-            names = Collections.unmodifiableSortedSet(new TreeSet<>(names));
-            processes = Collections.unmodifiableSortedSet(new TreeSet<>(processes));
-            if (!processes.contains(name) || !processes.containsAll(names)) {
-                throw new IllegalArgumentException(name + " is none of the members");
-            }
-        }
-
-        /** Of a group that only its first members ever belong to. */
-        public Setup(String name, SortedSet<String> names, RaftConfig consensus, ReplicatedState.Limits limits) {
-            this(name, Member.GROUP, names, names, 0, consensus, limits);
-        }
-
-        String coordinator() {
-            return names.first();
-        }
-
-        boolean guest() {
-            return !names.contains(name);
-        }
-    }
-
-    /** How it stands, for operators; {@code id} is null while it has no life. */
-    public record Status(MemberId id, boolean leads, boolean votes, Set<MemberId> members, int requests, long time) {
-        private static final Status NONE = new Status(null, false, false, Set.of(), 0, 0);
-    }
-
     private static final double ASK_EVERY_MS = 100;
     private static final double JOIN_EVERY_MS = 200;
     /** While it has a life but no vote, or has not heard whether its life is still the one. */
@@ -98,7 +49,7 @@
     /** After a link to a leader goes down, so much and up to as much again until votes are asked for. */
     private static final double SUSPECT_MS = 100;
 
-    private final Setup setup;
+    private final SeatSetup setup;
     private final Timers timers;
     private final GroupClock pace;
     private final Random random;
@@ -117,7 +68,7 @@
      * @param log what its disk holds; empty if it has none
      * @param random for what tells this process apart from all others: well seeded, or two could be one
      */
-    public Seat(Setup setup, Timers timers, GroupClock pace, LogMirror log, Random random, Outside outside) {
+    public Seat(SeatSetup setup, Timers timers, GroupClock pace, LogMirror log, Random random, Outside outside) {
         this.setup = setup;
         this.timers = timers;
         this.pace = pace;
@@ -190,10 +141,10 @@
     }
 
     /** How it stands. */
-    public Status status() {
+    public SeatStatus status() {
         return member == null
-                ? Status.NONE
-                : new Status(
+                ? SeatStatus.NONE
+                : new SeatStatus(
                         member.id(),
                         member.leads(),
                         member.votes(),
--- a/src/test/java/whinlead/replication/raft/SeatTest.java
+++ b/src/test/java/whinlead/replication/raft/SeatTest.java
@@ -54,7 +54,7 @@
 
         private Process(String name, LogMirror log) {
             seat = new Seat(
-                    new Seat.Setup(name, NAMES, CONFIG, new ReplicatedState.Limits(100, 100, 10, 1000)),
+                    new SeatSetup(name, NAMES, CONFIG, new ReplicatedState.Limits(100, 100, 10, 1000)),
                     this,
                     new GroupClock(now()),
                     log,
