--- a/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -26,8 +26,8 @@
 import whinlead.plan.Calendar;
 
 /**
- * Requests from a client's connection through the real egress, engine, module and round, by a driven clock: to how many
- * endpoints they are sent, with what time, when they are answered, and what a client that leaves leaves behind.
+ * Requests from a client's connection through the real egress, engine, module and forwarder, by a driven clock: to how
+ * many endpoints they are sent, with what time, when they are answered, and what a client that leaves leaves behind.
  */
 public class EgressListenerTest {
     private static final int NODES = 5;
@@ -40,31 +40,18 @@
     private record Written(Path path, double at, PeerMessage.ForwardRequest forwardRequest) {}
 
     /** A path to another sidecar that connects after a time and reacts to requests as the test says. */
-    private final class Path implements PeerPath {
-        private final PeerPath.Listener ear;
-        private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
+    private final class Path extends ScriptedPath {
 
-        private Path(PeerPath.Listener ear) {
-            this.ear = ear;
-        }
-
-        private void to(ReconnectingConnection.State next) {
-            ReconnectingConnection.State before = state;
-            state = next;
-            ear.changed(next, before);
+        private Path(PeerPath.Listener listener) {
+            super(listener);
         }
 
         @Override
         public void dial() {
-            to(ReconnectingConnection.State.DIALLING);
+            super.dial();
             calendar.after(connectMs, () -> to(ReconnectingConnection.State.UP));
         }
 
-        @Override
-        public ReconnectingConnection.State state() {
-            return state;
-        }
-
         @Override
         public boolean send(PeerMessage message) {
             if (message instanceof PeerMessage.ForwardRequest forwardRequest) {
@@ -75,11 +62,6 @@
             }
             return true;
         }
-
-        @Override
-        public void close() {
-            to(ReconnectingConnection.State.CLOSED);
-        }
     }
 
     private Calendar calendar;
@@ -100,15 +82,15 @@
         cancels = new ArrayList<>();
         heard = new StringBuilder();
         RequestClasses classes = new RequestClasses();
-        RequestForwarder round = new RequestForwarder(
+        RequestForwarder forwarder = new RequestForwarder(
                 calendar,
                 task -> calendar.after(0, task),
                 "here",
                 (forwardRequest, done) -> {},
                 (node, ear) -> new Path(ear),
                 () -> {});
-        ServiceBalancer balancer =
-                new ServiceBalancer(calendar, classes, settings(), NODES, 1, round, null, new RetryBudget(10, 1000));
+        ServiceBalancer balancer = new ServiceBalancer(
+                calendar, classes, settings(), NODES, 1, forwarder, null, new RetryBudget(10, 1000));
         List<EndpointRecord> records = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             records.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 4, 0));
@@ -229,7 +211,7 @@
             calendar.after(900, () -> path.to(ReconnectingConnection.State.UP));
             calendar.after(
                     1800,
-                    () -> path.ear.message(new PeerMessage.ForwardResponse(
+                    () -> path.listener.message(new PeerMessage.ForwardResponse(
                             forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         };
         say(whole("/once/", ""));
@@ -242,7 +224,7 @@
     public void whatWasTurnedAwayBesideAnEndpointDoesNotCountAsSentToIt() {
         reaction = (path, forwardRequest) -> calendar.after(1, () -> {
             if (written.size() == 1) {
-                path.ear.message(
+                path.listener.message(
                         new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.FULL, 0, 0));
             } else {
                 path.to(ReconnectingConnection.State.DOWN);
@@ -386,7 +368,7 @@
     public void nothingIsCancelledOnceItIsAnswered() {
         reaction = (path, forwardRequest) -> calendar.after(
                 5,
-                () -> path.ear.message(new PeerMessage.ForwardResponse(
+                () -> path.listener.message(new PeerMessage.ForwardResponse(
                         forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         say(whole("/thrice/", ""));
         answered(100);
--- a/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
@@ -36,46 +36,28 @@
     private static final String KEY = "Api-Key: key-1\r\n";
 
     /** A way to another sidecar whose endpoint answers at once. */
-    private final class Answering implements PeerPath {
-        private final PeerPath.Listener ear;
-        private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
+    private final class Answering extends ScriptedPath {
 
-        private Answering(PeerPath.Listener ear) {
-            this.ear = ear;
-        }
-
-        private void to(ReconnectingConnection.State next) {
-            ReconnectingConnection.State before = state;
-            state = next;
-            ear.changed(next, before);
+        private Answering(PeerPath.Listener listener) {
+            super(listener);
         }
 
         @Override
         public void dial() {
-            to(ReconnectingConnection.State.DIALLING);
+            super.dial();
             calendar.after(1, () -> to(ReconnectingConnection.State.UP));
         }
 
-        @Override
-        public ReconnectingConnection.State state() {
-            return state;
-        }
-
         @Override
         public boolean send(PeerMessage message) {
             PeerMessage.ForwardRequest forwardRequest = (PeerMessage.ForwardRequest) message;
             sent.add(forwardRequest);
             calendar.after(
                     1,
-                    () -> ear.message(new PeerMessage.ForwardResponse(
+                    () -> listener.message(new PeerMessage.ForwardResponse(
                             forwardRequest.stream(), 200, List.of("Server-Seal", "s"), new byte[0], 0, 0)));
             return true;
         }
-
-        @Override
-        public void close() {
-            to(ReconnectingConnection.State.CLOSED);
-        }
     }
 
     private Calendar calendar;
@@ -89,7 +71,7 @@
     public void start() {
         calendar = new Calendar();
         sent = new ArrayList<>();
-        RequestForwarder round = new RequestForwarder(
+        RequestForwarder forwarder = new RequestForwarder(
                 calendar,
                 task -> calendar.after(0, task),
                 "here",
@@ -106,7 +88,7 @@
         routes.put("first", route("/first/", 1, false));
         routes.put("call", route("/call/", 0, true));
         inForce(1);
-        sidecar = new ClientSide(calendar, nodeSettings, round, () -> routing, 1);
+        sidecar = new ClientSide(calendar, nodeSettings, forwarder, () -> routing, 1);
         List<EndpointRecord> records = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             records.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 10, 0));
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -19,31 +19,13 @@
     private static final int LEFT_MS = 1000;
 
     /** A path that stands as it is told to. */
-    private static final class Script implements PeerPath {
-        private final PeerPath.Listener ear;
+    private static final class Script extends ScriptedPath {
         private final List<PeerMessage.ForwardRequest> sent = new ArrayList<>();
-        private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
         private boolean open = true;
         private boolean breaks;
 
-        private Script(PeerPath.Listener ear) {
-            this.ear = ear;
-        }
-
-        private void to(ReconnectingConnection.State next) {
-            ReconnectingConnection.State before = state;
-            state = next;
-            ear.changed(next, before);
-        }
-
-        @Override
-        public void dial() {
-            to(ReconnectingConnection.State.DIALLING);
-        }
-
-        @Override
-        public ReconnectingConnection.State state() {
-            return state;
+        private Script(PeerPath.Listener listener) {
+            super(listener);
         }
 
         @Override
@@ -58,17 +40,12 @@
             }
             return open;
         }
-
-        @Override
-        public void close() {
-            to(ReconnectingConnection.State.CLOSED);
-        }
     }
 
     private Calendar calendar;
     private ArrayDeque<Runnable> soon;
     private List<Script> paths;
-    private RequestForwarder round;
+    private RequestForwarder forwarder;
     private List<String> told;
 
     @BeforeMethod
@@ -77,7 +54,7 @@
         soon = new ArrayDeque<>();
         paths = new ArrayList<>();
         told = new ArrayList<>();
-        round = new RequestForwarder(
+        forwarder = new RequestForwarder(
                 calendar,
                 soon::add,
                 "here",
@@ -99,7 +76,7 @@
     private Transport.Sending send(String id, boolean repeatable) {
         PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(
                 0, "POST", "/x", List.of("Attempt-Id", id), new byte[0], LEFT_MS, "svc", "i-1", 0);
-        Transport.Sending sending = round.send(
+        Transport.Sending sending = forwarder.send(
                 "there",
                 draft,
                 repeatable,
@@ -115,7 +92,7 @@
         if (paths.isEmpty()) {
             send("first", true);
             paths.get(0).to(ReconnectingConnection.State.UP);
-            paths.get(0).ear.message(answer(paths.get(0).sent.remove(0)));
+            paths.get(0).listener.message(answer(paths.get(0).sent.remove(0)));
             told.clear();
         } else {
             paths.get(0).to(ReconnectingConnection.State.UP);
@@ -159,10 +136,10 @@
         Transport.Sending a = send("a", false);
         assertTrue(a.giveUp(), "it may run");
         send("b", false);
-        path.ear.message(answer(path.sent.get(0)));
+        path.listener.message(answer(path.sent.get(0)));
         assertEquals(told, List.of());
-        path.ear.message(answer(path.sent.get(1)));
-        path.ear.message(answer(path.sent.get(1)));
+        path.listener.message(answer(path.sent.get(1)));
+        path.listener.message(answer(path.sent.get(1)));
         assertEquals(told, List.of("b 200"));
     }
 
@@ -178,10 +155,10 @@
         assertEquals(path.sent.size(), 2);
         send("c", false);
         // The numbers of before are not given again: what still comes of them is nobody's.
-        path.ear.message(answer(path.sent.get(0)));
-        path.ear.message(answer(path.sent.get(1)));
+        path.listener.message(answer(path.sent.get(0)));
+        path.listener.message(answer(path.sent.get(1)));
         assertEquals(told, List.of("a BROKEN", "b BROKEN"));
-        path.ear.message(answer(path.sent.get(2)));
+        path.listener.message(answer(path.sent.get(2)));
         assertEquals(told.get(2), "c 200");
     }
 
@@ -195,8 +172,8 @@
         send("c", false);
         assertEquals(told, List.of("b BROKEN", "c UNREACHED"));
         path.to(ReconnectingConnection.State.UP);
-        path.ear.message(answer(path.sent.get(1)));
-        path.ear.message(answer(path.sent.get(0)));
+        path.listener.message(answer(path.sent.get(1)));
+        path.listener.message(answer(path.sent.get(0)));
         assertEquals(told, List.of("b BROKEN", "c UNREACHED", "a 200"));
         assertEquals(path.sent.size(), 2);
     }
