--- a/src/main/java/whinlead/replication/codec/Messages.java
+++ b/src/main/java/whinlead/replication/codec/Messages.java
@@ -166,7 +166,16 @@
                     .setLogIndex(m.getExpectedNextIndex())
                     .setQuery(m.getQuerySequenceNumber())
                     .setFlow(m.getFlowControlSequenceNumber());
-        } else if (message instanceof InstallSnapshotRequest m) {
+        } else if (message instanceof InstallSnapshotRequest || message instanceof InstallSnapshotResponse) {
+            writeSnapshot(b, message);
+        } else {
+            writeVote(b, message);
+        }
+        return b.build();
+    }
+
+    private static void writeSnapshot(Wire.Message.Builder b, RaftMessage message) {
+        if (message instanceof InstallSnapshotRequest m) {
             b.setKind(Wire.Message.Kind.INSTALL)
                     .setYes(m.isSenderLeader())
                     .setLogTerm(m.getSnapshotTerm())
@@ -185,7 +194,11 @@
                     .setChunkIndex(m.getRequestedSnapshotChunkIndex())
                     .setQuery(m.getQuerySequenceNumber())
                     .setFlow(m.getFlowControlSequenceNumber());
-        } else if (message instanceof PreVoteRequest m) {
+        }
+    }
+
+    private static void writeVote(Wire.Message.Builder b, RaftMessage message) {
+        if (message instanceof PreVoteRequest m) {
             b.setKind(Wire.Message.Kind.PRE_VOTE).setLogTerm(m.getLastLogTerm()).setLogIndex(m.getLastLogIndex());
         } else if (message instanceof PreVoteResponse m) {
             b.setKind(Wire.Message.Kind.PRE_VOTED).setYes(m.isGranted());
@@ -201,110 +214,138 @@
         } else {
             throw new IllegalArgumentException("a message of no known kind");
         }
-        return b.build();
     }
 
     /** The same back, as of this group and from this member. */
     public static RaftMessage message(Wire.Message m, String group, RaftEndpoint from) {
         return switch (m.getKind()) {
-            case APPEND -> {
-                List<LogEntry> entries = new ArrayList<>(m.getEntriesCount());
-                m.getEntriesList().forEach(e -> entries.add(entry(e)));
-                yield MODELS.createAppendEntriesRequestBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setPreviousLogTerm(m.getLogTerm())
-                        .setPreviousLogIndex(m.getLogIndex())
-                        .setCommitIndex(m.getCommitIndex())
-                        .setLogEntries(entries)
-                        .setQuerySequenceNumber(m.getQuery())
-                        .setFlowControlSequenceNumber(m.getFlow())
-                        .build();
-            }
-            case APPENDED ->
-                MODELS.createAppendEntriesSuccessResponseBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setLastLogIndex(m.getLogIndex())
-                        .setQuerySequenceNumber(m.getQuery())
-                        .setFlowControlSequenceNumber(m.getFlow())
-                        .build();
-            case NOT_APPENDED ->
-                MODELS.createAppendEntriesFailureResponseBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setExpectedNextIndex(m.getLogIndex())
-                        .setQuerySequenceNumber(m.getQuery())
-                        .setFlowControlSequenceNumber(m.getFlow())
-                        .build();
-            case INSTALL ->
-                MODELS.createInstallSnapshotRequestBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setSenderLeader(m.getYes())
-                        .setSnapshotTerm(m.getLogTerm())
-                        .setSnapshotIndex(m.getLogIndex())
-                        .setTotalSnapshotChunkCount(m.getChunks())
-                        .setSnapshotChunk(m.hasChunk() ? chunk(m.getChunk()) : null)
-                        .setSnapshottedMembers(endpoints(m.getSnapshottedList()))
-                        .setGroupMembersView(members(m.getMembers()))
-                        .setQuerySequenceNumber(m.getQuery())
-                        .setFlowControlSequenceNumber(m.getFlow())
-                        .build();
-            case INSTALLED ->
-                MODELS.createInstallSnapshotResponseBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setSnapshotIndex(m.getLogIndex())
-                        .setRequestedSnapshotChunkIndex(m.getChunkIndex())
-                        .setQuerySequenceNumber(m.getQuery())
-                        .setFlowControlSequenceNumber(m.getFlow())
-                        .build();
-            case PRE_VOTE ->
-                MODELS.createPreVoteRequestBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setLastLogTerm(m.getLogTerm())
-                        .setLastLogIndex(m.getLogIndex())
-                        .build();
-            case PRE_VOTED ->
-                MODELS.createPreVoteResponseBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setGranted(m.getYes())
-                        .build();
-            case VOTE ->
-                MODELS.createVoteRequestBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setLastLogTerm(m.getLogTerm())
-                        .setLastLogIndex(m.getLogIndex())
-                        .setSticky(m.getYes())
-                        .build();
-            case VOTED ->
-                MODELS.createVoteResponseBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setGranted(m.getYes())
-                        .build();
-            case TRIGGER ->
-                MODELS.createTriggerLeaderElectionRequestBuilder()
-                        .setGroupId(group)
-                        .setSender(from)
-                        .setTerm(m.getTerm())
-                        .setLastLogTerm(m.getLogTerm())
-                        .setLastLogIndex(m.getLogIndex())
-                        .build();
+            case APPEND -> appendRequest(m, group, from);
+            case APPENDED -> appendSuccess(m, group, from);
+            case NOT_APPENDED -> appendFailure(m, group, from);
+            case INSTALL -> snapshotRequest(m, group, from);
+            case INSTALLED -> snapshotResponse(m, group, from);
+            case PRE_VOTE -> preVoteRequest(m, group, from);
+            case PRE_VOTED -> preVoteResponse(m, group, from);
+            case VOTE -> voteRequest(m, group, from);
+            case VOTED -> voteResponse(m, group, from);
+            case TRIGGER -> leaderElectionRequest(m, group, from);
             case UNKNOWN, UNRECOGNIZED -> throw new IllegalArgumentException("a message of no known kind");
         };
     }
+
+    private static RaftMessage appendRequest(Wire.Message m, String group, RaftEndpoint from) {
+        List<LogEntry> entries = new ArrayList<>(m.getEntriesCount());
+        m.getEntriesList().forEach(e -> entries.add(entry(e)));
+        return MODELS.createAppendEntriesRequestBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setPreviousLogTerm(m.getLogTerm())
+                .setPreviousLogIndex(m.getLogIndex())
+                .setCommitIndex(m.getCommitIndex())
+                .setLogEntries(entries)
+                .setQuerySequenceNumber(m.getQuery())
+                .setFlowControlSequenceNumber(m.getFlow())
+                .build();
+    }
+
+    private static RaftMessage appendSuccess(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createAppendEntriesSuccessResponseBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setLastLogIndex(m.getLogIndex())
+                .setQuerySequenceNumber(m.getQuery())
+                .setFlowControlSequenceNumber(m.getFlow())
+                .build();
+    }
+
+    private static RaftMessage appendFailure(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createAppendEntriesFailureResponseBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setExpectedNextIndex(m.getLogIndex())
+                .setQuerySequenceNumber(m.getQuery())
+                .setFlowControlSequenceNumber(m.getFlow())
+                .build();
+    }
+
+    private static RaftMessage snapshotRequest(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createInstallSnapshotRequestBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setSenderLeader(m.getYes())
+                .setSnapshotTerm(m.getLogTerm())
+                .setSnapshotIndex(m.getLogIndex())
+                .setTotalSnapshotChunkCount(m.getChunks())
+                .setSnapshotChunk(m.hasChunk() ? chunk(m.getChunk()) : null)
+                .setSnapshottedMembers(endpoints(m.getSnapshottedList()))
+                .setGroupMembersView(members(m.getMembers()))
+                .setQuerySequenceNumber(m.getQuery())
+                .setFlowControlSequenceNumber(m.getFlow())
+                .build();
+    }
+
+    private static RaftMessage snapshotResponse(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createInstallSnapshotResponseBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setSnapshotIndex(m.getLogIndex())
+                .setRequestedSnapshotChunkIndex(m.getChunkIndex())
+                .setQuerySequenceNumber(m.getQuery())
+                .setFlowControlSequenceNumber(m.getFlow())
+                .build();
+    }
+
+    private static RaftMessage preVoteRequest(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createPreVoteRequestBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setLastLogTerm(m.getLogTerm())
+                .setLastLogIndex(m.getLogIndex())
+                .build();
+    }
+
+    private static RaftMessage preVoteResponse(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createPreVoteResponseBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setGranted(m.getYes())
+                .build();
+    }
+
+    private static RaftMessage voteRequest(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createVoteRequestBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setLastLogTerm(m.getLogTerm())
+                .setLastLogIndex(m.getLogIndex())
+                .setSticky(m.getYes())
+                .build();
+    }
+
+    private static RaftMessage voteResponse(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createVoteResponseBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setGranted(m.getYes())
+                .build();
+    }
+
+    private static RaftMessage leaderElectionRequest(Wire.Message m, String group, RaftEndpoint from) {
+        return MODELS.createTriggerLeaderElectionRequestBuilder()
+                .setGroupId(group)
+                .setSender(from)
+                .setTerm(m.getTerm())
+                .setLastLogTerm(m.getLogTerm())
+                .setLastLogIndex(m.getLogIndex())
+                .build();
+    }
 }
