--- a/src/main/java/whinlead/mesh/settings/NodeSettings.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettings.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A process's address card: what the platform's settings file tells it. Checked where it is made, so that a sidecar
- * need not load a validator for it at its start. Times are in seconds, as in the file.
+ * A process's settings: what the platform's settings file tells it. Checked where it is made, so that a sidecar need
+ * not load a validator for it at its start. Times are in seconds, as in the file.
  *
  * @param self what this process is
  * @param network where it listens, and three machines that it may ask
--- a/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
+++ b/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
@@ -16,8 +16,8 @@
 import whinlead.mesh.sidecar.Sidecar;
 
 /**
- * A postman's walk: a control node, two sidecars and their endpoints in one process on loopback; a configuration is
- * taken and requests are served. The build runs it, for it notes which classes a start needs.
+ * A small mesh: a control node, two sidecars and their endpoints in one process on loopback; a configuration is taken
+ * and requests are served. The build runs it, for it notes which classes a start needs.
  */
 public final class LocalMeshRun {
     private static final int REQUESTS = 600;
