--- a/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
+++ b/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
@@ -3,31 +3,31 @@
 import whinlead.engine.Timers;
 
 /**
- * Timers of which those of about one period fall together: each service has modules of its own, and a sidecar would
- * wake for each of them apart. Spans of a period, a tenth more or less, end on its moments; all others end when they
- * were to. On the thread of its timers.
+ * Timers that align delays of about one period to common ticks. Each service has its own decision module, and without
+ * alignment a sidecar would wake up for each of them separately. Delays within 11 % of the period end on a tick; all
+ * other delays are left as they are. Used on the thread of the underlying timers.
  */
 final class AlignedTimers implements Timers {
-    private static final double ABOUT = 0.11;
+    private static final double PERIOD_TOLERANCE = 0.11;
 
     private final Timers timers;
-    private final double period;
-    private final double phase;
+    private final double periodMs;
+    private final double phaseMs;
 
-    /** Moments of so many milliseconds. */
-    AlignedTimers(Timers timers, double period) {
-        this(timers, period, 0);
+    /** Aligns to ticks at multiples of {@code periodMs}. */
+    AlignedTimers(Timers timers, double periodMs) {
+        this(timers, periodMs, 0);
     }
 
     /**
-     * The same, with another phase.
+     * Aligns to ticks at an offset from the multiples of {@code periodMs}.
      *
-     * @param firstAt one of the moments, in milliseconds on the clock of the timers
+     * @param firstTickMs one of the ticks, in milliseconds on the clock of the timers
      */
-    AlignedTimers(Timers timers, double period, double firstAt) {
+    AlignedTimers(Timers timers, double periodMs, double firstTickMs) {
         this.timers = timers;
-        this.period = period;
-        this.phase = firstAt % period;
+        this.periodMs = periodMs;
+        this.phaseMs = firstTickMs % periodMs;
     }
 
     @Override
@@ -36,12 +36,12 @@
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
-        if (Math.abs(millis - period) > period * ABOUT) {
-            return timers.after(millis, task);
+    public Timer after(double delayMs, Runnable task) {
+        if (Math.abs(delayMs - periodMs) > periodMs * PERIOD_TOLERANCE) {
+            return timers.after(delayMs, task);
         }
-        double now = timers.now();
-        // The nearest, but never sooner than half a period, by which the next one is nearer.
-        return timers.after(Math.rint((now + millis - phase) / period) * period + phase - now, task);
+        double nowMs = timers.now();
+        // The nearest tick. It is at least half a period away, since the delay is close to a whole period.
+        return timers.after(Math.rint((nowMs + delayMs - phaseMs) / periodMs) * periodMs + phaseMs - nowMs, task);
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
@@ -31,118 +31,128 @@
 import whinlead.mesh.log.Event;
 
 /**
- * One client's connection: reads whole requests, hands them in, and returns the answers in the same order. On its
- * loop's thread.
+ * One client's HTTP/1.1 connection: reads complete requests, passes them to the handler, and writes the responses in
+ * the order of the requests. Runs on its event loop's thread.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** Requests of one connection that are under way at a time; reading stops at so many. */
-    private static final int MAX_PENDING = 16;
+    /** Maximum number of requests pending on one connection; reading stops when it is reached. */
+    private static final int MAX_PENDING_REQUESTS = 16;
 
-    /** While it leaves, a connection that is so new or was so lately used may still bring a request. */
-    private static final double LEAVING_IDLE_S = 0.2;
+    /**
+     * Idle time in seconds after which a connection is closed during shutdown. A new or recently used connection may
+     * still receive a request within this time.
+     */
+    private static final double SHUTDOWN_IDLE_S = 0.2;
 
-    /** Handles whole requests. */
+    /** Handles complete requests. */
     interface RequestHandler {
-        /** Handles one; it is answered once, on this thread. */
+        /** Handles one request, which must be answered exactly once, on this thread. */
         void handle(HttpRequest head, byte[] body, PendingResponse response);
 
         /** The limits in force; never null. */
         MeshConfig.Limits limits();
 
-        /** Whether so many more bytes may be held; if so, they are reserved until {@link #release}. */
+        /** Whether this many more bytes may be buffered; if so, they are reserved until {@link #release}. */
         boolean tryReserve(int bytes);
 
-        /** They are reserved no more. */
+        /** Releases reserved bytes. */
         void release(int bytes);
 
-        /** Whether connections are to end after the answer under way. */
-        boolean leaving();
+        /** Whether connections are to be closed after their pending responses. */
+        boolean shuttingDown();
 
-        /** How long a request with this head may be held, in milliseconds; infinite where nothing tells. */
+        /** How long a request with this head may be held, in milliseconds; infinite if no limit is known. */
         double timeoutMs(HttpRequest head);
 
-        /** The time, and timers on this thread. */
+        /** The clock, and timers that run on this thread. */
         Timers timers();
     }
 
-    /** A request's response, in the order in which responses are sent. */
+    /** The response to one request. Responses are sent in the order of their requests. */
     final class PendingResponse {
-        private final boolean keep;
-        private final boolean head;
+        private final boolean keepAlive;
+        private final boolean headRequest;
         private final int reservedBytes;
-        /** How long it took from its head to its end, in milliseconds. */
-        private final double readingMs;
+        /** Time from the head to the end of the request, in milliseconds. */
+        private final double readDurationMs;
 
-        private FullHttpResponse answer;
-        private Runnable gone = () -> {};
+        private FullHttpResponse httpResponse;
+        private Runnable disconnectListener = () -> {};
 
-        private PendingResponse(boolean keep, boolean head, int reservedBytes, double readingMs) {
-            this.keep = keep;
-            this.head = head;
+        private PendingResponse(boolean keepAlive, boolean headRequest, int reservedBytes, double readDurationMs) {
+            this.keepAlive = keepAlive;
+            this.headRequest = headRequest;
             this.reservedBytes = reservedBytes;
-            this.readingMs = readingMs;
+            this.readDurationMs = readDurationMs;
         }
 
-        /** How long it took to read, from its head to its end, in milliseconds. */
-        double readingMs() {
-            return readingMs;
+        /** Time it took to read the request, from its head to its end, in milliseconds. */
+        double readDurationMs() {
+            return readDurationMs;
         }
 
-        /** Has this run if the client goes away before the answer. */
-        void onGone(Runnable task) {
-            gone = task;
+        /** Sets the listener that runs if the client disconnects before the response is sent. */
+        void onClientDisconnect(Runnable listener) {
+            disconnectListener = listener;
         }
 
-        /** Sends it as soon as those before it are sent; names and values of headers in turn. */
+        /**
+         * Sends the response as soon as all earlier ones are sent.
+         *
+         * @param headers names and values alternating
+         */
         void send(HttpResponseStatus status, List<String> headers, byte[] body) {
-            if (answer != null || ClientConnection.this.gone) {
+            if (httpResponse != null || ClientConnection.this.disconnected) {
                 return;
             }
-            FullHttpResponse r =
+            FullHttpResponse fullResponse =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
             for (int i = 0; i + 1 < headers.size(); i += 2) {
-                r.headers().add(headers.get(i), headers.get(i + 1));
+                fullResponse.headers().add(headers.get(i), headers.get(i + 1));
             }
             if (!HttpResponseStatus.NO_CONTENT.equals(status)
                     && !HttpResponseStatus.NOT_MODIFIED.equals(status)
-                    && !(head && body.length == 0)) {
-                r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
+                    && !(headRequest && body.length == 0)) {
+                fullResponse.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
             }
-            answer = r;
+            httpResponse = fullResponse;
             handler.release(reservedBytes);
-            flush();
+            writeReadyResponses();
         }
     }
 
     private final RequestHandler handler;
     private final ArrayDeque<PendingResponse> pending = new ArrayDeque<>();
     private Channel channel;
-    private HttpRequest head;
-    private ByteBuf body;
+    private HttpRequest requestHead;
+    private ByteBuf requestBody;
     private int reservedBytes;
-    private boolean awaitsContinue;
-    private boolean ending;
-    private boolean gone;
-    private boolean read = true;
-    private double since;
-    private double headAt;
-    /** Ends a request whose body is not whole in time; null while none is awaited. */
+    private boolean continueExpected;
+    private boolean closing;
+    private boolean disconnected;
+    private boolean autoRead = true;
+    private double lastActivityMs;
+    private double headReceivedMs;
+    /** Rejects a request whose body does not arrive in time; null while no body is awaited. */
     private Timers.Timer bodyTimer;
 
     ClientConnection(RequestHandler handler) {
         this.handler = handler;
-        this.since = now();
+        this.lastActivityMs = nowMs();
     }
 
-    /** Puts it on a connection. What was read at once is handed in piece by piece: so the bound holds. */
-    void on(Channel ch) {
-        int most = handler.limits().headerBytes();
+    /**
+     * Adds this handler and the codec to a channel. The flow control handler passes on what one read decoded message by
+     * message, so that {@link #MAX_PENDING_REQUESTS} holds.
+     */
+    void addTo(Channel newChannel) {
+        int maxHeaderBytes = handler.limits().headerBytes();
         HttpDecoderConfig config =
-                new HttpDecoderConfig().setMaxInitialLineLength(most).setMaxHeaderSize(most);
-        ch.pipeline().addLast(new HttpServerCodec(config), new FlowControlHandler(), this);
+                new HttpDecoderConfig().setMaxInitialLineLength(maxHeaderBytes).setMaxHeaderSize(maxHeaderBytes);
+        newChannel.pipeline().addLast(new HttpServerCodec(config), new FlowControlHandler(), this);
     }
 
-    private double now() {
+    private double nowMs() {
         return handler.timers().now();
     }
 
@@ -154,99 +164,106 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (ending) {
+            if (closing) {
                 return;
             }
-            if (message instanceof HttpObject o && o.decoderResult().isFailure()) {
-                boolean size = o.decoderResult().cause() instanceof TooLongFrameException;
-                refuse(size ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST);
+            if (message instanceof HttpObject object && object.decoderResult().isFailure()) {
+                boolean tooLarge = object.decoderResult().cause() instanceof TooLongFrameException;
+                reject(tooLarge ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST);
                 return;
             }
-            if (message instanceof HttpRequest r) {
-                begin(r);
+            if (message instanceof HttpRequest request) {
+                beginRequest(request);
             }
-            if (message instanceof HttpContent c && head != null && !ending) {
-                more(c);
+            if (message instanceof HttpContent content && requestHead != null && !closing) {
+                appendBody(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void begin(HttpRequest r) {
-        since = now();
-        boolean lengths = r.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1;
-        boolean both = r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
-                && r.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-        boolean coded =
-                r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING) && !HttpUtil.isTransferEncodingChunked(r);
-        // Where its end is in doubt, another request may hide behind it.
-        if (lengths || both || coded || !HttpVersion.HTTP_1_1.equals(r.protocolVersion())) {
-            refuse(HttpResponseStatus.BAD_REQUEST);
+    private void beginRequest(HttpRequest request) {
+        lastActivityMs = nowMs();
+        boolean multipleLengths =
+                request.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1;
+        boolean lengthAndCoding = request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
+                && request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+        boolean unsupportedCoding = request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
+                && !HttpUtil.isTransferEncodingChunked(request);
+        // Request smuggling: if the end of a request is ambiguous, another request may be hidden behind it.
+        if (multipleLengths
+                || lengthAndCoding
+                || unsupportedCoding
+                || !HttpVersion.HTTP_1_1.equals(request.protocolVersion())) {
+            reject(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        if (HttpUtil.getContentLength(r, 0L) > handler.limits().bodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+        if (HttpUtil.getContentLength(request, 0L) > handler.limits().bodyBytes()) {
+            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        head = r;
-        headAt = since;
-        body = Unpooled.buffer(0);
+        requestHead = request;
+        headReceivedMs = lastActivityMs;
+        requestBody = Unpooled.buffer(0);
         reservedBytes = 0;
-        awaitsContinue = HttpUtil.is100ContinueExpected(r);
+        continueExpected = HttpUtil.is100ContinueExpected(request);
         sendContinueIfDue();
     }
 
-    // The go-ahead is a message of its own and would be taken for a part of an earlier request's answer.
+    // A 100 Continue is a separate message; sent too early, the client would take it for part of an earlier response.
     private void sendContinueIfDue() {
-        if (head != null && awaitsContinue && pending.isEmpty()) {
-            awaitsContinue = false;
+        if (requestHead != null && continueExpected && pending.isEmpty()) {
+            continueExpected = false;
             channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
     }
 
-    private void more(HttpContent c) {
-        int bytes = c.content().readableBytes();
-        if (body.readableBytes() + (long) bytes > handler.limits().bodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+    private void appendBody(HttpContent content) {
+        int byteCount = content.content().readableBytes();
+        if (requestBody.readableBytes() + (long) byteCount > handler.limits().bodyBytes()) {
+            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        if (bytes > 0 && !handler.tryReserve(bytes)) {
-            refuse(HttpResponseStatus.SERVICE_UNAVAILABLE);
+        if (byteCount > 0 && !handler.tryReserve(byteCount)) {
+            reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        reservedBytes += bytes;
-        body.writeBytes(c.content());
-        since = now();
-        if (c instanceof LastHttpContent) {
-            whole();
+        reservedBytes += byteCount;
+        requestBody.writeBytes(content.content());
+        lastActivityMs = nowMs();
+        if (content instanceof LastHttpContent) {
+            completeRequest();
         }
     }
 
-    // Most requests come whole in one read and need no timer.
+    // Most requests arrive completely in one read and need no timer.
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (head != null && bodyTimer == null) {
-            double most = handler.timeoutMs(head);
-            if (Double.isFinite(most)) {
-                bodyTimer =
-                        handler.timers().after(headAt + most - now(), () -> refuse(HttpResponseStatus.REQUEST_TIMEOUT));
+        if (requestHead != null && bodyTimer == null) {
+            double timeoutMs = handler.timeoutMs(requestHead);
+            if (Double.isFinite(timeoutMs)) {
+                bodyTimer = handler.timers()
+                        .after(headReceivedMs + timeoutMs - nowMs(), () -> reject(HttpResponseStatus.REQUEST_TIMEOUT));
             }
         }
         ctx.fireChannelReadComplete();
     }
 
-    private void whole() {
-        HttpRequest request = head;
-        byte[] bytes = ByteBufUtil.getBytes(body);
+    private void completeRequest() {
+        HttpRequest request = requestHead;
+        byte[] bytes = ByteBufUtil.getBytes(requestBody);
         PendingResponse response = new PendingResponse(
-                HttpUtil.isKeepAlive(request), "HEAD".equals(request.method().name()), reservedBytes, since - headAt);
-        head = null;
-        body = null;
+                HttpUtil.isKeepAlive(request),
+                "HEAD".equals(request.method().name()),
+                reservedBytes,
+                lastActivityMs - headReceivedMs);
+        requestHead = null;
+        requestBody = null;
         reservedBytes = 0;
         cancelBodyTimer();
         pending.add(response);
-        ending |= !response.keep;
+        closing |= !response.keepAlive;
         updateAutoRead();
         handle(request, bytes, response);
     }
@@ -258,25 +275,25 @@
         }
     }
 
-    // A fault in taking one request must neither leave it unanswered nor cut off the others.
-    private void handle(HttpRequest whole, byte[] bytes, PendingResponse response) {
+    // An exception in the handling of one request must neither leave it unanswered nor affect the others.
+    private void handle(HttpRequest request, byte[] bytes, PendingResponse response) {
         try {
-            handler.handle(whole, bytes, response);
+            handler.handle(request, bytes, response);
         } catch (RuntimeException fault) {
-            log(fault);
+            logFault(fault);
             response.send(HttpResponseStatus.INTERNAL_SERVER_ERROR, List.of(), new byte[0]);
         }
     }
 
-    private static void log(RuntimeException fault) {
+    private static void logFault(RuntimeException fault) {
         StackTraceElement[] trace = fault.getStackTrace();
         Event.FAULT.log(fault + " at " + (trace.length > 0 ? trace[0] : "?"));
     }
 
-    // An answer of our own to what can't be taken, in its turn, and the end of the connection.
-    private void refuse(HttpResponseStatus status) {
-        ending = true;
-        head = null;
+    // Answers a request that can't be accepted, after the earlier responses, and closes the connection.
+    private void reject(HttpResponseStatus status) {
+        closing = true;
+        requestHead = null;
         cancelBodyTimer();
         handler.release(reservedBytes);
         reservedBytes = 0;
@@ -289,31 +306,32 @@
     }
 
     private void updateAutoRead() {
-        boolean want = pending.size() < MAX_PENDING;
-        if (want != read) {
-            read = want;
-            channel.config().setAutoRead(want);
+        boolean wanted = pending.size() < MAX_PENDING_REQUESTS;
+        if (wanted != autoRead) {
+            autoRead = wanted;
+            channel.config().setAutoRead(wanted);
         }
     }
 
-    private void flush() {
+    private void writeReadyResponses() {
         boolean wrote = false;
-        while (!pending.isEmpty() && pending.peek().answer != null) {
+        while (!pending.isEmpty() && pending.peek().httpResponse != null) {
             PendingResponse response = pending.poll();
-            FullHttpResponse answer = response.answer;
-            boolean last = !response.keep || handler.leaving() && pending.isEmpty() && head == null;
-            if (last) {
-                ending = true;
-                answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            FullHttpResponse httpResponse = response.httpResponse;
+            boolean lastResponse =
+                    !response.keepAlive || handler.shuttingDown() && pending.isEmpty() && requestHead == null;
+            if (lastResponse) {
+                closing = true;
+                httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            ChannelFuture sent = channel.write(answer);
+            ChannelFuture writeFuture = channel.write(httpResponse);
             wrote = true;
-            if (last) {
-                sent.addListener(ChannelFutureListener.CLOSE);
+            if (lastResponse) {
+                writeFuture.addListener(ChannelFutureListener.CLOSE);
                 break;
             }
         }
-        since = now();
+        lastActivityMs = nowMs();
         if (wrote) {
             channel.flush();
             sendContinueIfDue();
@@ -321,19 +339,19 @@
         }
     }
 
-    /** Time passes: ends what stays silent, in the midst of a request or between two. */
+    /** Called periodically: closes the connection if it is silent for too long within a request or between requests. */
     void tick() {
-        double waited = (now() - since) / 1000;
-        if (channel == null || !pending.isEmpty() || ending) {
+        double inactiveS = (nowMs() - lastActivityMs) / 1000;
+        if (channel == null || !pending.isEmpty() || closing) {
             return;
         }
-        if (head != null) {
-            if (waited > handler.limits().headerS() * 2) {
-                refuse(HttpResponseStatus.REQUEST_TIMEOUT);
+        if (requestHead != null) {
+            if (inactiveS > handler.limits().headerS() * 2) {
+                reject(HttpResponseStatus.REQUEST_TIMEOUT);
             }
-        } else if (waited
-                > (handler.leaving() ? LEAVING_IDLE_S : handler.limits().idleS())) {
-            ending = true;
+        } else if (inactiveS
+                > (handler.shuttingDown() ? SHUTDOWN_IDLE_S : handler.limits().idleS())) {
+            closing = true;
             channel.close();
         }
     }
@@ -344,20 +362,20 @@
         handler.release(reservedBytes);
         reservedBytes = 0;
         for (PendingResponse response : pending) {
-            if (response.answer == null) {
+            if (response.httpResponse == null) {
                 handler.release(response.reservedBytes);
-                response.gone.run();
+                response.disconnectListener.run();
             }
         }
         pending.clear();
-        gone = true;
+        disconnected = true;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // A connection that breaks is its client's affair; a fault of this program is told.
+        // A broken connection needs no log entry; an error of this program does.
         if (cause instanceof RuntimeException fault) {
-            log(fault);
+            logFault(fault);
         }
         ctx.close();
     }
--- a/src/main/java/whinlead/mesh/sidecar/ClientExchange.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientExchange.java
@@ -13,14 +13,16 @@
 import whinlead.mesh.config.RoutingTable;
 import whinlead.mesh.wire.PeerMessage;
 
-/** One request of a client's, from its acceptance by a service's balancer to its one response. On the loop's thread. */
+/**
+ * One request of a client, from its acceptance by a service's balancer to its only response. Runs on the loop's thread.
+ */
 final class ClientExchange implements ServiceBalancer.ForwardedRequest, ResponseSink<PeerMessage.ForwardResponse> {
-    /** When to come back after a request's time was up and it had not gone out, in milliseconds. */
+    /** {@code Retry-After} for a request whose time ran out before it was sent, in milliseconds. */
     private static final double NOT_RUN_RETRY_MS = 300;
-    /** So shortly before its end a request's time counts as up, in milliseconds. */
+    /** A request counts as timed out from this long before its deadline on, in milliseconds. */
     private static final double DEADLINE_SLACK_MS = 50;
 
-    private static final double MILLIS_IN_SECOND = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final Timers timers;
     private final Consumer<ClientExchange> onEnd;
@@ -33,20 +35,20 @@
     private final String target;
     private final int rank;
     private final double timeoutMs;
-    private final double endAt;
+    private final double deadlineMs;
     private final EndpointAttempts attempts;
-    private ServiceBalancer.AcceptedRequest accepted = () -> {};
-    private BooleanSupplier beginElsewhere = () -> false;
-    private PeerMessage.ForwardResponse last;
+    private ServiceBalancer.AcceptedRequest acceptedRequest = () -> {};
+    private BooleanSupplier otherBalancerAttempt = () -> false;
+    private PeerMessage.ForwardResponse lastResponse;
 
     /**
-     * An exchange that has not begun.
+     * Creates an exchange that is not yet started.
      *
-     * @param onEnd told once it has ended
-     * @param tenant whose request it is, or null
-     * @param caller the service of the endpoint beside this sidecar; empty where none is known
-     * @param target the service that it is for
-     * @param timeoutMs how long an answer is of use from now on
+     * @param onEnd called once when the exchange has ended
+     * @param tenant the tenant whose request it is, or null
+     * @param caller the service of the endpoint beside this sidecar; empty if none is known
+     * @param target the service that the request is for
+     * @param timeoutMs how long a response is of use from now on
      * @param rank 0 is the highest
      */
     ClientExchange(
@@ -65,65 +67,67 @@
         this.onEnd = onEnd;
         this.method = head.method().name();
         this.uri = head.uri();
-        this.headers = ForwardedHeaders.onward(head.headers(), true);
+        this.headers = ForwardedHeaders.copyForwardable(head.headers(), true);
         this.body = body;
         this.response = response;
         this.route = route;
         this.target = target;
         this.rank = rank;
         this.timeoutMs = timeoutMs;
-        this.endAt = timers.now() + timeoutMs;
+        this.deadlineMs = timers.now() + timeoutMs;
         this.attempts = new EndpointAttempts(route.route().tries());
         if (tenant != null) {
             headers.add(ForwardedHeaders.TENANT);
             headers.add(tenant.name());
         }
         if (!caller.isEmpty()) {
-            headers.add(ForwardedHeaders.CALLER);
+            headers.add(ForwardedHeaders.CALLER_SERVICE);
             headers.add(caller);
         }
     }
 
     /**
-     * Hands it to the balancer that is its own now, at one of so many sidecars. Where another one is by the time that
-     * this one can't serve it, as the owner of a request's key may change, that one has it then.
+     * Passes the request to its current balancer. The owner of a request's key may change; so if this balancer can't
+     * serve the request and another one is responsible by then, that one gets it.
+     *
+     * @param sidecarCount how many sidecars there are
      */
-    void begin(Supplier<ServiceBalancer> balancers, RequestClasses classes, int sidecars) {
+    void start(Supplier<ServiceBalancer> balancerSupplier, RequestClasses classes, int sidecarCount) {
         Request request = new Request(
-                classes.of(route.isIdempotent(), rank, route.route().targetS() * MILLIS_IN_SECOND),
+                classes.of(route.isIdempotent(), rank, route.route().targetS() * MILLIS_PER_SECOND),
                 -1,
                 timeoutMs,
                 false,
                 1,
                 body.length);
-        ServiceBalancer balancer = balancers.get();
-        accepted = balancer.accept(request, sidecars, this, this);
-        beginElsewhere = () -> {
-            ServiceBalancer other = balancers.get();
-            if (other == null || other == balancer) {
+        ServiceBalancer balancer = balancerSupplier.get();
+        acceptedRequest = balancer.accept(request, sidecarCount, this, this);
+        otherBalancerAttempt = () -> {
+            ServiceBalancer current = balancerSupplier.get();
+            if (current == null || current == balancer) {
                 return false;
             }
-            double leftMs = Math.max(1, endAt - timers.now());
-            accepted = other.accept(request.within(leftMs), sidecars, this, this);
+            double remainingMs = Math.max(1, deadlineMs - timers.now());
+            acceptedRequest = current.accept(request.within(remainingMs), sidecarCount, this, this);
             return true;
         };
-        response.onGone(() -> {
+        response.onClientDisconnect(() -> {
             onEnd.accept(this);
-            accepted.abandon();
+            acceptedRequest.abandon();
         });
     }
 
-    /** Ends it with what can be said of it now: the process is about to end. */
-    void breakOff() {
-        beginElsewhere = () -> false;
-        accepted.abandon();
-        end(NOT_RUN_RETRY_MS);
+    /** Ends the exchange with the response that is possible now, because the process is about to end. */
+    void abort() {
+        otherBalancerAttempt = () -> false;
+        acceptedRequest.abandon();
+        finish(NOT_RUN_RETRY_MS);
     }
 
     @Override
     public PeerMessage.ForwardRequest request(String endpoint) {
-        int leftMs = (int) Math.max(1, endAt - timers.now());
-        return new PeerMessage.ForwardRequest(0, method, uri, headers, body, leftMs, target, endpoint, rank);
+        int remainingMs = (int) Math.max(1, deadlineMs - timers.now());
+        return new PeerMessage.ForwardRequest(0, method, uri, headers, body, remainingMs, target, endpoint, rank);
     }
 
     @Override
@@ -137,61 +141,62 @@
     }
 
     @Override
-    public void answered(PeerMessage.ForwardResponse answer) {
-        last = answer;
+    public void responseReceived(PeerMessage.ForwardResponse attemptResponse) {
+        lastResponse = attemptResponse;
     }
 
     @Override
-    public void served(PeerMessage.ForwardResponse answer) {
+    public void served(PeerMessage.ForwardResponse finalResponse) {
         onEnd.accept(this);
-        response.send(HttpResponseStatus.valueOf(answer.status()), answer.headers(), answer.body());
+        response.send(
+                HttpResponseStatus.valueOf(finalResponse.status()), finalResponse.headers(), finalResponse.body());
     }
 
     @Override
-    public void refused(double retryAfter) {
-        if (!goesElsewhere()) {
-            end(retryAfter);
+    public void refused(double retryAfterMs) {
+        if (!movesToOtherBalancer()) {
+            finish(retryAfterMs);
         }
     }
 
     @Override
     public void failed() {
-        if (!goesElsewhere()) {
-            end(NOT_RUN_RETRY_MS);
+        if (!movesToOtherBalancer()) {
+            finish(NOT_RUN_RETRY_MS);
         }
     }
 
-    // Once, and only if it has arrived nowhere yet.
-    private boolean goesElsewhere() {
-        BooleanSupplier elsewhere = beginElsewhere;
-        beginElsewhere = () -> false;
-        return !attempts.mayHaveArrived() && last == null && elsewhere.getAsBoolean();
+    // At most once, and only if the request has not arrived at any endpoint yet.
+    private boolean movesToOtherBalancer() {
+        BooleanSupplier attempt = otherBalancerAttempt;
+        otherBalancerAttempt = () -> false;
+        return !attempts.mayHaveArrived() && lastResponse == null && attempt.getAsBoolean();
     }
 
-    // A 503 says that it has not run, whatever it is; of what may have run nothing is promised.
-    private void end(double retryAfterMs) {
-        if (last != null) {
-            served(last);
+    // A 503 promises that the request has not run, whatever its kind; nothing is promised of one that may have run.
+    private void finish(double retryAfterMs) {
+        if (lastResponse != null) {
+            served(lastResponse);
             return;
         }
         onEnd.accept(this);
         if (!attempts.mayHaveRun()) {
-            refuse(response, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterMs);
-        } else if (timers.now() >= endAt - DEADLINE_SLACK_MS) {
-            refuse(response, HttpResponseStatus.GATEWAY_TIMEOUT);
+            reject(response, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterMs);
+        } else if (timers.now() >= deadlineMs - DEADLINE_SLACK_MS) {
+            reject(response, HttpResponseStatus.GATEWAY_TIMEOUT);
         } else {
-            refuse(response, HttpResponseStatus.BAD_GATEWAY);
+            reject(response, HttpResponseStatus.BAD_GATEWAY);
         }
     }
 
-    /** Answers a request with a status alone. */
-    static void refuse(ClientConnection.PendingResponse response, HttpResponseStatus status) {
+    /** Answers a request with a status only. */
+    static void reject(ClientConnection.PendingResponse response, HttpResponseStatus status) {
         response.send(status, List.of(), new byte[0]);
     }
 
-    /** Answers a request that has not run, and tells when to come back. */
-    static void refuse(ClientConnection.PendingResponse response, HttpResponseStatus status, double retryAfterMs) {
-        String seconds = String.format(Locale.ROOT, "%.3f", Math.max(1, retryAfterMs) / MILLIS_IN_SECOND);
+    /** Answers a request that has not run, with a {@code Retry-After} header. */
+    static void reject(ClientConnection.PendingResponse response, HttpResponseStatus status, double retryAfterMs) {
+        String seconds = String.format(Locale.ROOT, "%.3f", Math.max(1, retryAfterMs) / MILLIS_PER_SECOND);
         response.send(status, List.of("Retry-After", seconds), new byte[0]);
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ClientSide.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientSide.java
@@ -13,11 +13,11 @@
 import whinlead.mesh.settings.NodeSettings;
 
 /**
- * The part of a sidecar that serves its clients, from their connections to its ways to other sidecars, for rigs that
- * drive it by timers of their own. One thread.
+ * The part of a sidecar that serves its clients, from their connections to the paths to other sidecars, for tests and
+ * simulations that drive it by their own timers. Used by one thread.
  */
 public final class ClientSide {
-    private static final int SIDECARS = 4;
+    private static final int SIDECAR_COUNT = 4;
 
     private final Timers timers;
     private final NodeSettings nodeSettings;
@@ -29,10 +29,10 @@
     private final Shutdown shutdown;
 
     /**
-     * A sidecar's part with no endpoints.
+     * Creates the client side of a sidecar without endpoints.
      *
      * @param routing the configuration in force, or null
-     * @param seed of what its modules draw
+     * @param seed seed of the random numbers that the decision modules draw
      */
     public ClientSide(
             Timers timers,
@@ -46,9 +46,16 @@
         this.seed = seed;
         NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
         QuotaRules rules = new QuotaRules(bounds.quotaWindowS(), bounds.quotaExcess(), bounds.quotaSlack());
-        QuotaClient quota = new QuotaClient(timers, new TenantQuota(rules, seed), () -> SIDECARS);
+        QuotaClient quota = new QuotaClient(timers, new TenantQuota(rules, seed), () -> SIDECAR_COUNT);
         this.egress = new EgressListener(
-                null, timers, routing, (target, large) -> balancer(target), () -> "", () -> SIDECARS, quota, classes);
+                null,
+                timers,
+                routing,
+                (target, largeBodies) -> balancer(target),
+                () -> "",
+                () -> SIDECAR_COUNT,
+                quota,
+                classes);
         this.shutdown = new Shutdown(timers, bounds.graceS(), egress, () -> 0);
     }
 
@@ -56,38 +63,38 @@
         NodeSettings.Bounds bounds = nodeSettings.clauses().bounds();
         return balancers.computeIfAbsent(
                 target,
-                t -> new ServiceBalancer(
+                service -> new ServiceBalancer(
                         timers,
                         classes,
                         nodeSettings,
-                        SIDECARS,
+                        SIDECAR_COUNT,
                         seed,
                         forwarder,
                         null,
                         new RetryBudget(bounds.retryRatio(), bounds.retrySlack())));
     }
 
-    /** The endpoints of a service. */
+    /** Sets the endpoints of a service. */
     public void endpoints(String target, List<EndpointRecord> records) {
         balancer(target).update(records);
     }
 
-    /** A client has connected. */
+    /** Accepts a client's connection. */
     public void accept(Channel connection) {
         egress.accept(connection);
     }
 
-    /** Time has passed: connections that rest for too long are closed. */
+    /** Called periodically: closes connections that are idle for too long. */
     public void tick() {
         egress.tick();
     }
 
-    /** SIGTERM. */
+    /** Begins the shutdown, as on SIGTERM. */
     public void terminate() {
         shutdown.begin();
     }
 
-    /** Whether the process has ended since. */
+    /** Whether the shutdown is complete, so that the process would have ended. */
     public boolean hasEnded() {
         return shutdown.hasEnded();
     }
--- a/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
+++ b/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
@@ -6,7 +6,9 @@
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.ReconnectingConnection;
 
-/** A path that is a TCP connection, dialled again when it is lost. On its loop's thread. */
+/**
+ * A path to another sidecar over a TCP connection, which is dialled again when it is lost. Runs on its loop's thread.
+ */
 final class ConnectionPath implements PeerPath, ReconnectingConnection.Listener {
     private static final ReconnectingConnection.Timeouts TIMEOUTS =
             new ReconnectingConnection.Timeouts(250, 700, 5000, 250);
@@ -16,9 +18,9 @@
     private final ReconnectingConnection connection;
 
     /**
-     * A path that is not yet dialled.
+     * Creates a path that is not yet dialled.
      *
-     * @param node the other sidecar's, for the log
+     * @param node the other sidecar's node, for the log
      */
     ConnectionPath(EventLoop loop, String node, SocketAddress address, PeerMessage hello, PeerPath.Listener listener) {
         this.node = node;
@@ -47,17 +49,17 @@
     }
 
     @Override
-    public void changed(ReconnectingConnection changed, ReconnectingConnection.State before) {
-        boolean lost =
-                before == ReconnectingConnection.State.UP && changed.state() != ReconnectingConnection.State.CLOSED;
+    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+        boolean lost = previousState == ReconnectingConnection.State.UP
+                && source.state() != ReconnectingConnection.State.CLOSED;
         if (lost) {
-            Event.PEER_DOWN.log(node + " " + changed.state());
+            Event.PEER_DOWN.log(node + " " + source.state());
         }
-        listener.changed(changed.state(), before);
+        listener.changed(source.state(), previousState);
     }
 
     @Override
-    public void message(ReconnectingConnection from, PeerMessage message) {
+    public void message(ReconnectingConnection source, PeerMessage message) {
         listener.message(message);
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -26,23 +26,27 @@
 import whinlead.mesh.wire.ReconnectingConnection;
 
 /**
- * A sidecar's connections to the control nodes: publishes its record, subscribes with the configuration that it has,
- * and adopts a newer one. It never goes back. On its loop's thread; configurations are read on another.
+ * A sidecar's connections to the control nodes: publishes its endpoint record, subscribes with the slot of the
+ * configuration it has, and adopts newer ones. It never goes back to an older one. Runs on its loop's thread;
+ * configurations are parsed on a thread of their own.
  */
 final class ControlClient {
-    /** Longer until it is given up than an idle connection goes without a ping. */
+    /** An idle connection is pinged well before the time after which it is given up. */
     private static final ReconnectingConnection.Timeouts TIMEOUTS =
             new ReconnectingConnection.Timeouts(300, 900, 3000, 150);
-    /** Until another control node is asked for what one has not sent, in milliseconds. */
+    /** How long after fetching a configuration from one control node the next one is asked, in milliseconds. */
     private static final double FETCH_RETRY_MS = 500;
 
     private static final int MAX_CONTROL_NODES = 16;
-    /** The same for a control node that could confirm what another has sent, where nothing is in force yet. */
+    /** The same while no configuration is in force, for a control node that could confirm what another has sent. */
     private static final double CONFIRM_RETRY_MS = 200;
-    /** Without a control node in reach, or one that confirms, another sidecar is asked for control nodes so often. */
+    /**
+     * Interval at which another sidecar is asked for control nodes while no control node is reachable, or none that
+     * confirms, in milliseconds.
+     */
     private static final double SEEK_INTERVAL_MS = 1000;
 
-    private static final double NANOS_IN_MILLI = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     private final EventLoop loop;
     private final NodeSettings settings;
@@ -51,7 +55,7 @@
     private final QuotaClient quota;
     private final KeyClient keys;
     private final Listener listener;
-    private final ConfigReader reader = new ConfigReader();
+    private final ConfigReader configReader = new ConfigReader();
     private final ExecutorService readExecutor = Executors.newSingleThreadExecutor(r -> {
         Thread t = new Thread(r, "reader");
         t.setDaemon(true);
@@ -60,31 +64,31 @@
     private final Map<String, ReconnectingConnection> controlNodes = new LinkedHashMap<>();
     private final Map<ReconnectingConnection, Long> announcedSlots = new HashMap<>();
     private RoutingTable routing;
-    private Decision newest;
-    private StartupConfig startup = new StartupConfig();
-    private double fetchedAt = Double.NEGATIVE_INFINITY;
-    private double soughtAt;
+    private Decision newestDecision;
+    private StartupConfig startupConfig = new StartupConfig();
+    private double lastFetchMs = Double.NEGATIVE_INFINITY;
+    private double lastSeekMs;
     private ReconnectingConnection seekConnection;
 
-    /** Hears what the control nodes say. */
+    /** Receives events and updates from the control nodes. */
     interface Listener {
-        /** Endpoint records, old and new. */
+        /** Receives endpoint records, which may be new or already known. */
         void recordsReceived(List<EndpointRecord> records);
 
-        /** Where other sidecars are. */
+        /** The addresses of other sidecars. */
         List<String> otherSidecars();
 
-        /** A control node has come into reach. */
+        /** Called when a connection to a control node is up. */
         void controlNodeUp();
 
-        /** Owners of keys. */
+        /** Receives the owners of keys. */
         void keyRoutesReceived(PeerMessage.KeyRoutesUpdate update);
 
-        /** A newer configuration is in force. */
+        /** Called when a newer configuration is in force. */
         void configChanged(RoutingTable routing);
     }
 
-    /** A client that dials what {@code dialAddresses} makes of an address. */
+    /** Creates a client that maps each address by {@code dialAddresses} before dialling it. */
     ControlClient(
             EventLoop loop,
             NodeSettings settings,
@@ -103,12 +107,12 @@
     }
 
     void start() {
-        soughtAt = now();
-        seeds(settings.network().seeds());
+        lastSeekMs = nowMs();
+        addSeeds(settings.network().seeds());
     }
 
-    /** Control nodes to ask as well. */
-    void seeds(List<String> seeds) {
+    /** Adds control nodes to connect to. */
+    void addSeeds(List<String> seeds) {
         seeds.forEach(s -> addControlNode(s.substring(0, Math.max(0, s.lastIndexOf(':')))));
     }
 
@@ -117,22 +121,22 @@
         return routing;
     }
 
-    /** Sends endpoint records to all control nodes in reach. */
+    /** Sends endpoint records to all connected control nodes. */
     void publish(List<EndpointRecord> records) {
         PeerMessage.EndpointUpdate update = new PeerMessage.EndpointUpdate(records);
         controlNodes.values().forEach(t -> t.send(update));
     }
 
-    private static double now() {
-        return System.nanoTime() / NANOS_IN_MILLI;
+    private static double nowMs() {
+        return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    private long slot() {
-        return newest == null ? -1 : newest.slot();
+    private long newestSlot() {
+        return newestDecision == null ? -1 : newestDecision.slot();
     }
 
-    /** The addresses of control nodes that are known. */
-    List<String> addresses() {
+    /** The addresses of the known control nodes. */
+    List<String> controlNodeAddresses() {
         return List.copyOf(controlNodes.keySet());
     }
 
@@ -156,48 +160,49 @@
                 TIMEOUTS,
                 new ReconnectingConnection.Listener() {
                     @Override
-                    public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
-                        if (t.state() == ReconnectingConnection.State.UP
-                                && before == ReconnectingConnection.State.DIALLING) {
+                    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+                        if (source.state() == ReconnectingConnection.State.UP
+                                && previousState == ReconnectingConnection.State.DIALLING) {
                             Event.CONTROL_NODE_UP.log(ip);
                             listener.controlNodeUp();
-                            ControlConnection opened = new ControlConnection(t);
-                            quota.connected(ip, opened);
-                            keys.connected(ip, opened);
-                            t.send(new PeerMessage.Subscribe(slot()));
-                        } else if (t.state() == ReconnectingConnection.State.DOWN
-                                && before != ReconnectingConnection.State.DIALLING) {
+                            ControlConnection controlConnection = new ControlConnection(source);
+                            quota.connected(ip, controlConnection);
+                            keys.connected(ip, controlConnection);
+                            source.send(new PeerMessage.Subscribe(newestSlot()));
+                        } else if (source.state() == ReconnectingConnection.State.DOWN
+                                && previousState != ReconnectingConnection.State.DIALLING) {
                             Event.CONTROL_NODE_DOWN.log(ip);
-                            announcedSlots.remove(t);
+                            announcedSlots.remove(source);
                         }
                     }
 
                     @Override
-                    public void message(ReconnectingConnection t, PeerMessage message) {
-                        received(ip, t, message);
+                    public void message(ReconnectingConnection source, PeerMessage message) {
+                        receive(ip, source, message);
                     }
 
                     @Override
                     public boolean hasPendingRequests() {
-                        return newest == null || announcedSlots.getOrDefault(controlNodes.get(ip), -1L) > slot();
+                        return newestDecision == null
+                                || announcedSlots.getOrDefault(controlNodes.get(ip), -1L) > newestSlot();
                     }
                 });
         controlNodes.put(ip, connection);
         connection.dial();
     }
 
-    private void received(String ip, ReconnectingConnection connection, PeerMessage message) {
+    private void receive(String ip, ReconnectingConnection connection, PeerMessage message) {
         if (message instanceof PeerMessage.EndpointUpdate update) {
             listener.recordsReceived(update.records());
         } else if (message instanceof PeerMessage.ConfigAvailable available) {
             announcedSlots.put(connection, available.slot());
             fetchIfNewer();
         } else if (message instanceof PeerMessage.ConfigUpdate update) {
-            receivedConfig(update);
+            receiveConfig(update);
         } else if (message instanceof PeerMessage.QuotaLeaseGrant lease) {
-            quota.granted(ip, lease.grant());
+            quota.leaseGranted(ip, lease.grant());
         } else if (message instanceof PeerMessage.QuotaTokenResponse token) {
-            quota.answered(token.response());
+            quota.tokenAnswered(token.response());
         } else if (message instanceof PeerMessage.KeyGrantorChanged) {
             keys.grantorChanged(ip);
         } else if (message instanceof PeerMessage.KeyLeaseGrant lease) {
@@ -209,38 +214,39 @@
 
     void tick() {
         fetchIfNewer();
-        if (newest == null) {
-            begin(startup.waited(now()));
+        if (newestDecision == null) {
+            adoptIfPresent(startupConfig.candidateAfterWait(nowMs()));
         }
-        seekIfAlone();
+        seekControlNodesIfIsolated();
     }
 
-    // What is in force here never goes back, and a decision is one whoever tells it; but where nothing is in
-    // force yet, a control node that is cut off must not be the one to begin with while a better one can be reached.
-    private void receivedConfig(PeerMessage.ConfigUpdate update) {
-        if (newest != null) {
+    // The configuration in force never goes back, and a decision is valid whichever control node sends it. But while
+    // no configuration is in force, an isolated control node must not supply the first one as long as a better one can
+    // be reached.
+    private void receiveConfig(PeerMessage.ConfigUpdate update) {
+        if (newestDecision != null) {
             adopt(update.decision());
             return;
         }
-        fetchedAt = now() - FETCH_RETRY_MS + CONFIRM_RETRY_MS;
+        lastFetchMs = nowMs() - FETCH_RETRY_MS + CONFIRM_RETRY_MS;
         update.decision().voters().forEach(e -> addControlNode(ConsensusNode.address(e)));
-        begin(startup.offered(now(), update.decision(), update.confirmed()));
+        adoptIfPresent(startupConfig.offer(nowMs(), update.decision(), update.confirmed()));
     }
 
-    private void begin(Decision decision) {
+    private void adoptIfPresent(Decision decision) {
         if (decision != null) {
             adopt(decision);
         }
     }
 
-    // Control nodes beyond those known: other sidecars may know them where all have changed since.
-    private void seekIfAlone() {
-        boolean reached = controlNodes.values().stream().anyMatch(ReconnectingConnection::isUp)
-                && !(newest == null && startup.unconfirmed());
-        if (reached) {
-            soughtAt = now();
-        } else if (now() - soughtAt > SEEK_INTERVAL_MS) {
-            soughtAt = now();
+    // If all control nodes have been replaced since, other sidecars may know the new ones.
+    private void seekControlNodesIfIsolated() {
+        boolean confirmedNodeInReach = controlNodes.values().stream().anyMatch(ReconnectingConnection::isUp)
+                && !(newestDecision == null && startupConfig.hasCandidate());
+        if (confirmedNodeInReach) {
+            lastSeekMs = nowMs();
+        } else if (nowMs() - lastSeekMs > SEEK_INTERVAL_MS) {
+            lastSeekMs = nowMs();
             List<String> others = listener.otherSidecars();
             if (!others.isEmpty()) {
                 seekFrom(others.get((int) (Math.random() * others.size())));
@@ -248,28 +254,28 @@
         }
     }
 
-    private void seekFrom(String node) {
+    private void seekFrom(String sidecarNode) {
         if (seekConnection != null) {
             seekConnection.close();
         }
         seekConnection = new ReconnectingConnection(
                 loop,
-                dialAddresses.apply(EndpointList.address(node)),
+                dialAddresses.apply(EndpointList.address(sidecarNode)),
                 hello,
                 TIMEOUTS,
                 new ReconnectingConnection.Listener() {
                     @Override
-                    public void changed(ReconnectingConnection t, ReconnectingConnection.State before) {
-                        if (t.state() == ReconnectingConnection.State.UP) {
-                            t.send(new PeerMessage.FindControlNodes());
+                    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+                        if (source.state() == ReconnectingConnection.State.UP) {
+                            source.send(new PeerMessage.FindControlNodes());
                         }
                     }
 
                     @Override
-                    public void message(ReconnectingConnection t, PeerMessage message) {
+                    public void message(ReconnectingConnection source, PeerMessage message) {
                         if (message instanceof PeerMessage.ControlNodes found) {
                             found.addresses().forEach(ControlClient.this::addControlNode);
-                            t.close();
+                            source.close();
                         }
                     }
                 });
@@ -277,39 +283,39 @@
     }
 
     private void fetchIfNewer() {
-        if (now() - fetchedAt < FETCH_RETRY_MS) {
+        if (nowMs() - lastFetchMs < FETCH_RETRY_MS) {
             return;
         }
         List<ReconnectingConnection> sources = new ArrayList<>();
         announcedSlots.forEach((connection, slot) -> {
-            if (slot > slot() && connection.isUp()) {
+            if (slot > newestSlot() && connection.isUp()) {
                 sources.add(connection);
             }
         });
         if (!sources.isEmpty()) {
-            fetchedAt = now();
+            lastFetchMs = nowMs();
             sources.get((int) (Math.random() * sources.size())).send(new PeerMessage.FetchConfig());
         }
     }
 
     private void adopt(Decision decision) {
-        fetchedAt = newest == null ? fetchedAt : Double.NEGATIVE_INFINITY;
-        if (decision.slot() <= slot()) {
+        lastFetchMs = newestDecision == null ? lastFetchMs : Double.NEGATIVE_INFINITY;
+        if (decision.slot() <= newestSlot()) {
             return;
         }
-        boolean same = newest != null && newest.version() == decision.version();
-        newest = decision;
-        PeerMessage.Subscribe seekFrom = new PeerMessage.Subscribe(decision.slot());
-        controlNodes.values().forEach(t -> t.send(seekFrom));
+        boolean sameVersion = newestDecision != null && newestDecision.version() == decision.version();
+        newestDecision = decision;
+        PeerMessage.Subscribe subscription = new PeerMessage.Subscribe(decision.slot());
+        controlNodes.values().forEach(t -> t.send(subscription));
         decision.voters().forEach(e -> addControlNode(ConsensusNode.address(e)));
         removeFormerVoters(decision);
-        if (same && routing != null) {
+        if (sameVersion && routing != null) {
             return;
         }
-        readExecutor.execute(() -> read(decision));
+        readExecutor.execute(() -> readConfig(decision));
     }
 
-    // Control nodes that are no longer among the voters go, unless they are heard of.
+    // Removes control nodes that are no longer voters, unless they are connected.
     private void removeFormerVoters(Decision decision) {
         List<String> voters =
                 decision.voters().stream().map(ConsensusNode::address).toList();
@@ -328,7 +334,7 @@
         connection.close();
     }
 
-    /** What the clients of tenants' limits and of keys see of a connection. */
+    /** A connection as the quota client and the key client use it. */
     private record ControlConnection(ReconnectingConnection connection)
             implements QuotaClient.Connection, KeyClient.Connection {
         @Override
@@ -347,9 +353,9 @@
         }
     }
 
-    private void read(Decision decision) {
+    private void readConfig(Decision decision) {
         try {
-            MeshConfig meshConfig = reader.read(ConfigCodec.inflate(decision.body()));
+            MeshConfig meshConfig = configReader.read(ConfigCodec.inflate(decision.body()));
             RoutingTable table = new RoutingTable(decision.slot(), meshConfig);
             loop.execute(() -> {
                 if (routing == null || table.slot() > routing.slot()) {
--- a/src/main/java/whinlead/mesh/sidecar/EgressListener.java
+++ b/src/main/java/whinlead/mesh/sidecar/EgressListener.java
@@ -24,32 +24,32 @@
 import whinlead.mesh.quota.QuotaDecision;
 
 /**
- * Where the clients and the endpoint of this machine send their requests: finds route, tenant and quota, and has the
- * service's balancer decide the rest. On its loop's thread.
+ * Accepts requests of the clients and of the endpoint on this machine: finds route, tenant and quota, and passes each
+ * request to the service's balancer. Runs on its loop's thread.
  */
 final class EgressListener implements ClientConnection.RequestHandler {
-    /** Bodies that are held at a time, in bytes; beyond, clients are told to come back. */
+    /** Maximum size of all buffered request bodies, in bytes; beyond it, clients get a 503 with {@code Retry-After}. */
     private static final long MAX_RESERVED_BYTES = 40L << 20;
-    /** What holds before there is a configuration. */
+    /** Limits until a configuration is known. */
     private static final MeshConfig.Limits DEFAULT_LIMITS = new MeshConfig.Limits(16384, 64 << 20, 3, 15);
-    /** Until when to come back where no configuration is known yet, in milliseconds. */
+    /** {@code Retry-After} while no configuration is known, in milliseconds. */
     private static final double NO_CONFIG_RETRY_MS = 300;
 
-    /** The same where nobody owns a request's key: it is about to be granted to someone. */
+    /** {@code Retry-After} while a request's key has no owner, in milliseconds: the key is about to be granted. */
     private static final double NO_OWNER_RETRY_MS = 200;
-    /** In place of a key, for a service whose endpoints run any request. */
-    private static final int NOT_DIVIDED = -2;
+    /** Stands for the key of a request to a service whose endpoints run any request. */
+    private static final int NOT_SHARDED = -2;
 
     private static final int BACKLOG = 512;
-    private static final double MILLIS_IN_SECOND = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    /** Finds a service's balancer. */
+    /** Finds the balancer for a request. */
     interface Balancers {
-        /** For requests with large bodies, or for the others. */
-        ServiceBalancer of(String target, boolean large);
+        /** The balancer of a service, separate for requests with large bodies. */
+        ServiceBalancer forService(String target, boolean largeBodies);
 
-        /** For requests of this key, at a service that is divided by key; null if no owner is known. */
-        default ServiceBalancer ofKey(String target, int key) {
+        /** The balancer for requests with this key, for a service that is sharded by key; null if no owner is known. */
+        default ServiceBalancer forKey(String target, int key) {
             return null;
         }
     }
@@ -58,8 +58,8 @@
     private final Timers timers;
     private final Supplier<RoutingTable> routing;
     private final Balancers balancers;
-    private final Supplier<String> service;
-    private final IntSupplier sidecars;
+    private final Supplier<String> callerService;
+    private final IntSupplier knownSidecars;
     private final QuotaClient quota;
     private final RequestClasses classes;
     private final SplittableRandom random = new SplittableRandom();
@@ -67,36 +67,36 @@
     private final Set<ClientExchange> exchanges = new LinkedHashSet<>();
     private final Set<QuotaAdmission> admissions = new LinkedHashSet<>();
     private long reservedBytes;
-    private boolean leaving;
-    private boolean refusing;
+    private boolean shuttingDown;
+    private boolean rejecting;
 
     /**
-     * A listener that does not listen yet.
+     * Creates a listener that does not listen yet.
      *
      * @param routing the configuration in force, or null
-     * @param service that of the endpoint beside this sidecar; empty where none is known
-     * @param sidecars how many there are, as far as is known
+     * @param callerService the service of the endpoint beside this sidecar; empty if none is known
+     * @param knownSidecars how many sidecars are known
      */
     EgressListener(
             EventLoop loop,
             Timers timers,
             Supplier<RoutingTable> routing,
             Balancers balancers,
-            Supplier<String> service,
-            IntSupplier sidecars,
+            Supplier<String> callerService,
+            IntSupplier knownSidecars,
             QuotaClient quota,
             RequestClasses classes) {
         this.loop = loop;
         this.timers = timers;
         this.routing = routing;
         this.balancers = balancers;
-        this.service = service;
-        this.sidecars = sidecars;
+        this.callerService = callerService;
+        this.knownSidecars = knownSidecars;
         this.quota = quota;
         this.classes = classes;
     }
 
-    /** Begins to listen; the future fails if the address is taken. */
+    /** Starts listening; the future fails if the address is in use. */
     ChannelFuture listen(SocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
@@ -112,50 +112,50 @@
                 .bind(address);
     }
 
-    /** A client has connected. */
+    /** Accepts a client's connection. */
     void accept(Channel channel) {
         ClientConnection connection = new ClientConnection(this);
         connections.add(connection);
         channel.closeFuture().addListener(closed -> connections.remove(connection));
-        connection.on(channel);
+        connection.addTo(channel);
     }
 
-    /** Time passes: ends connections that are silent for too long. */
+    /** Called periodically: closes connections that are silent for too long. */
     void tick() {
         List.copyOf(connections).forEach(ClientConnection::tick);
     }
 
-    /** From now on connections end after the answer under way. */
-    void leave() {
-        leaving = true;
+    /** From now on connections are closed after their pending responses. */
+    void closeConnections() {
+        shuttingDown = true;
         tick();
     }
 
-    /** From now on requests are refused: what they began might be cut off. */
-    void refuse() {
-        refusing = true;
+    /** From now on new requests are rejected, because they might be cut off before they end. */
+    void rejectRequests() {
+        rejecting = true;
     }
 
-    /** Answers what is still under way with what can be said of it: the process is about to end. */
-    void answerAll() {
-        List.copyOf(admissions).forEach(QuotaAdmission::breakOff);
-        List.copyOf(exchanges).forEach(ClientExchange::breakOff);
+    /** Answers all pending requests with the response that is possible now, because the process is about to end. */
+    void answerPending() {
+        List.copyOf(admissions).forEach(QuotaAdmission::abort);
+        List.copyOf(exchanges).forEach(ClientExchange::abort);
     }
 
-    /** Requests that have not been answered. */
-    int underWay() {
+    /** Number of requests that are not answered yet. */
+    int pendingCount() {
         return exchanges.size() + admissions.size();
     }
 
-    /** Connections of clients. */
+    /** Number of client connections. */
     int connections() {
         return connections.size();
     }
 
     @Override
     public MeshConfig.Limits limits() {
-        RoutingTable inForce = routing.get();
-        return inForce == null ? DEFAULT_LIMITS : inForce.config().limits();
+        RoutingTable currentRouting = routing.get();
+        return currentRouting == null ? DEFAULT_LIMITS : currentRouting.config().limits();
     }
 
     @Override
@@ -173,8 +173,8 @@
     }
 
     @Override
-    public boolean leaving() {
-        return leaving;
+    public boolean shuttingDown() {
+        return shuttingDown;
     }
 
     @Override
@@ -184,41 +184,41 @@
 
     @Override
     public void handle(HttpRequest head, byte[] body, ClientConnection.PendingResponse response) {
-        RoutingTable inForce = routing.get();
-        if (inForce == null || refusing) {
-            ClientExchange.refuse(response, HttpResponseStatus.SERVICE_UNAVAILABLE, NO_CONFIG_RETRY_MS);
+        RoutingTable currentRouting = routing.get();
+        if (currentRouting == null || rejecting) {
+            ClientExchange.reject(response, HttpResponseStatus.SERVICE_UNAVAILABLE, NO_CONFIG_RETRY_MS);
             return;
         }
-        RoutingTable.NamedRoute route = inForce.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
+        RoutingTable.NamedRoute route = currentRouting.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
         if (route == null) {
-            ClientExchange.refuse(response, HttpResponseStatus.NOT_FOUND);
+            ClientExchange.reject(response, HttpResponseStatus.NOT_FOUND);
             return;
         }
-        String attempt = head.headers().get(ForwardedHeaders.ATTEMPT);
-        double deadlineMs = deadlineMs(head);
-        if (attempt == null || attempt.isEmpty() || Double.isNaN(deadlineMs)) {
-            ClientExchange.refuse(response, HttpResponseStatus.BAD_REQUEST);
+        String attemptId = head.headers().get(ForwardedHeaders.ATTEMPT_ID);
+        double requestedTimeoutMs = requestedTimeoutMs(head);
+        if (attemptId == null || attemptId.isEmpty() || Double.isNaN(requestedTimeoutMs)) {
+            ClientExchange.reject(response, HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        RoutingTable.NamedTenant tenant = inForce.tenantOf(head.headers().get(ForwardedHeaders.KEY));
-        if (tenant == null && !route.route().open() && inForce.requiresKeys()) {
-            ClientExchange.refuse(response, HttpResponseStatus.UNAUTHORIZED);
+        RoutingTable.NamedTenant tenant = currentRouting.tenantOf(head.headers().get(ForwardedHeaders.API_KEY));
+        if (tenant == null && !route.route().open() && currentRouting.requiresKeys()) {
+            ClientExchange.reject(response, HttpResponseStatus.UNAUTHORIZED);
             return;
         }
-        double timeoutMs = Math.max(1, timeoutMs(route, deadlineMs) - response.readingMs());
+        double timeoutMs = Math.max(1, timeoutMs(route, requestedTimeoutMs) - response.readDurationMs());
         IncomingRequest request = new IncomingRequest(head, body, response, route, tenant, timers.now() + timeoutMs);
         if (tenant == null) {
-            begin(request);
+            forward(request);
         } else {
-            new QuotaAdmission(request).begin();
+            new QuotaAdmission(request).start();
         }
     }
 
     /**
-     * A request that is allowed by the configuration.
+     * A request that the configuration allows.
      *
-     * @param tenant whose it is, or null
-     * @param endAt when an answer is of no use any more, in milliseconds
+     * @param tenant the tenant whose request it is, or null
+     * @param deadlineMs the time from which a response is of no use, in milliseconds
      */
     private record IncomingRequest(
             HttpRequest head,
@@ -226,9 +226,9 @@
             ClientConnection.PendingResponse response,
             RoutingTable.NamedRoute route,
             RoutingTable.NamedTenant tenant,
-            double endAt) {}
+            double deadlineMs) {}
 
-    /** A tenant's request, until it is known whether the tenant's limit has room for it. */
+    /** A tenant's request until its quota is decided. */
     private final class QuotaAdmission {
         private final IncomingRequest request;
         private Runnable cancelSearch = () -> {};
@@ -237,58 +237,62 @@
             this.request = request;
         }
 
-        private void begin() {
+        private void start() {
             admissions.add(this);
-            request.response().onGone(this::end);
-            MeshConfig.Tenant limits = request.tenant().tenant();
-            double aimMs = request.route().route().targetS() * MILLIS_IN_SECOND;
-            cancelSearch =
-                    quota.acquire(request.tenant().name(), limits.ratePerS(), limits.burst(), aimMs, this::decided);
+            request.response().onClientDisconnect(this::cancel);
+            MeshConfig.Tenant tenantLimits = request.tenant().tenant();
+            double targetMs = request.route().route().targetS() * MILLIS_PER_SECOND;
+            cancelSearch = quota.acquire(
+                    request.tenant().name(),
+                    tenantLimits.ratePerS(),
+                    tenantLimits.burst(),
+                    targetMs,
+                    this::quotaDecided);
         }
 
-        private void decided(QuotaDecision decision) {
+        private void quotaDecided(QuotaDecision decision) {
             admissions.remove(this);
             if (decision instanceof QuotaDecision.Refused refused) {
-                ClientExchange.refuse(request.response(), HttpResponseStatus.TOO_MANY_REQUESTS, refused.retryAfterMs());
-            } else if (refusing) {
-                ClientExchange.refuse(request.response(), HttpResponseStatus.SERVICE_UNAVAILABLE, NO_CONFIG_RETRY_MS);
+                ClientExchange.reject(request.response(), HttpResponseStatus.TOO_MANY_REQUESTS, refused.retryAfterMs());
+            } else if (rejecting) {
+                ClientExchange.reject(request.response(), HttpResponseStatus.SERVICE_UNAVAILABLE, NO_CONFIG_RETRY_MS);
             } else {
-                EgressListener.this.begin(request);
+                EgressListener.this.forward(request);
             }
         }
 
-        private void breakOff() {
-            end();
-            ClientExchange.refuse(request.response(), HttpResponseStatus.SERVICE_UNAVAILABLE, NO_CONFIG_RETRY_MS);
+        private void abort() {
+            cancel();
+            ClientExchange.reject(request.response(), HttpResponseStatus.SERVICE_UNAVAILABLE, NO_CONFIG_RETRY_MS);
         }
 
-        private void end() {
+        private void cancel() {
             admissions.remove(this);
             cancelSearch.run();
         }
     }
 
     private int sidecarCount() {
-        return Math.max(1, sidecars.getAsInt());
+        return Math.max(1, knownSidecars.getAsInt());
     }
 
-    private void begin(IncomingRequest request) {
+    private void forward(IncomingRequest request) {
         RoutingTable.NamedRoute route = request.route();
         RoutingTable.NamedTenant tenant = request.tenant();
         String target = route.service(random.nextDouble());
-        RoutingTable inForce = routing.get();
-        int key = inForce != null && inForce.isDivided(target)
-                ? ShardKey.of(request.head().headers())
-                : NOT_DIVIDED;
+        RoutingTable currentRouting = routing.get();
+        int key = currentRouting != null && currentRouting.isDivided(target)
+                ? ShardKey.fromHeaders(request.head().headers())
+                : NOT_SHARDED;
         if (key == ShardKey.NONE) {
-            ClientExchange.refuse(request.response(), HttpResponseStatus.BAD_REQUEST);
+            ClientExchange.reject(request.response(), HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        boolean large = MeshConfig.INGEST.equals(route.route().kind());
+        boolean largeBodies = MeshConfig.INGEST.equals(route.route().kind());
         Supplier<ServiceBalancer> balancer =
-                () -> key == NOT_DIVIDED ? balancers.of(target, large) : balancers.ofKey(target, key);
+                () -> key == NOT_SHARDED ? balancers.forService(target, largeBodies) : balancers.forKey(target, key);
         if (balancer.get() == null) {
-            ClientExchange.refuse(request.response(), HttpResponseStatus.SERVICE_UNAVAILABLE, NO_OWNER_RETRY_MS);
+            ClientExchange.reject(request.response(), HttpResponseStatus.SERVICE_UNAVAILABLE, NO_OWNER_RETRY_MS);
             return;
         }
         Integer tenantRank = tenant == null ? null : tenant.tenant().rank();
@@ -300,31 +304,34 @@
                 request.response(),
                 route,
                 tenant,
-                service.get(),
+                callerService.get(),
                 target,
-                Math.max(1, request.endAt() - timers.now()),
+                Math.max(1, request.deadlineMs() - timers.now()),
                 tenantRank == null ? route.route().rank() : tenantRank);
         exchanges.add(exchange);
-        exchange.begin(balancer, classes, sidecarCount());
+        exchange.start(balancer, classes, sidecarCount());
     }
 
     @Override
     public double timeoutMs(HttpRequest head) {
-        RoutingTable inForce = routing.get();
-        RoutingTable.NamedRoute route =
-                inForce == null ? null : inForce.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
-        double deadlineMs = deadlineMs(head);
-        return route == null || Double.isNaN(deadlineMs) ? Double.POSITIVE_INFINITY : timeoutMs(route, deadlineMs);
+        RoutingTable currentRouting = routing.get();
+        RoutingTable.NamedRoute route = currentRouting == null
+                ? null
+                : currentRouting.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
+        double requestedTimeoutMs = requestedTimeoutMs(head);
+        return route == null || Double.isNaN(requestedTimeoutMs)
+                ? Double.POSITIVE_INFINITY
+                : timeoutMs(route, requestedTimeoutMs);
     }
 
-    // How long the request may be held, from when its head was read.
-    private static double timeoutMs(RoutingTable.NamedRoute route, double deadlineMs) {
-        return Math.min(deadlineMs, route.route().deadlineS() * MILLIS_IN_SECOND);
+    // How long a request may be held, counted from when its head was read.
+    private static double timeoutMs(RoutingTable.NamedRoute route, double requestedTimeoutMs) {
+        return Math.min(requestedTimeoutMs, route.route().deadlineS() * MILLIS_PER_SECOND);
     }
 
-    // What the client allows; NaN where that can't be read.
-    private static double deadlineMs(HttpRequest head) {
-        String text = head.headers().get(ForwardedHeaders.DEADLINE);
+    // The timeout that the client asks for; NaN if it can't be parsed.
+    private static double requestedTimeoutMs(HttpRequest head) {
+        String text = head.headers().get(ForwardedHeaders.DEADLINE_MS);
         if (text == null) {
             return Double.MAX_VALUE;
         }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
@@ -3,54 +3,57 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * Counts the attempts of one request of a client: at how many endpoints it may have arrived, which its route bounds,
- * and how often it may have run. An attempt counts from when it is sent until it is known not to have arrived, so that
- * one whose end is never told counts as well. Pure; one thread.
+ * Counts the attempts of one client request: at how many endpoints it may have arrived, which its route limits, and how
+ * often it may have run. An attempt counts from when it is sent until it is known not to have arrived; so an attempt
+ * whose result is never reported counts as well. Pure; used by one thread.
  */
 public final class EndpointAttempts {
-    private final int most;
-    private int arrived;
+    private final int maxArrivals;
+    private int arrivals;
     private int mayHaveRun;
 
-    /** Attempts of a request that may arrive at so many endpoints; the first is always allowed. */
-    public EndpointAttempts(int most) {
-        this.most = most;
+    /**
+     * Creates a counter for a request that may arrive at up to {@code maxArrivals} endpoints; the first is always
+     * allowed.
+     */
+    public EndpointAttempts(int maxArrivals) {
+        this.maxArrivals = maxArrivals;
     }
 
-    /** Whether it may be sent to one more endpoint. */
+    /** Whether the request may be sent to one more endpoint. */
     public boolean mayBeSent() {
-        return arrived == 0 || arrived < most;
+        return arrivals == 0 || arrivals < maxArrivals;
     }
 
-    /** Whether it may have arrived at an endpoint, so that one more attempt repeats it. */
+    /** Whether the request may have arrived at an endpoint, so that a further attempt is a retry. */
     public boolean mayHaveArrived() {
-        return arrived > 0;
+        return arrivals > 0;
     }
 
-    /** Whether it may have run. */
+    /** Whether the request may have run. */
     public boolean mayHaveRun() {
         return mayHaveRun > 0;
     }
 
-    /** It is sent. */
+    /** Counts an attempt that is being sent. */
     public void sent() {
-        arrived++;
+        arrivals++;
         mayHaveRun++;
     }
 
-    /** The attempt that was sent last was given up before anything of it was written. */
+    /** Takes back the last attempt, which was given up before any of it was written. */
     public void neverWritten() {
-        arrived--;
+        arrivals--;
         mayHaveRun--;
     }
 
-    /** An attempt came back without an answer. */
-    public void returned(PeerMessage.FailureReason why) {
-        if (why.neverRan) {
+    /** Records that an attempt ended without a response. */
+    public void returned(PeerMessage.FailureReason reason) {
+        if (reason.neverRan) {
             mayHaveRun--;
         }
-        if (why.neverRan && why != PeerMessage.FailureReason.TURNED_AWAY) {
-            arrived--;
+        if (reason.neverRan && reason != PeerMessage.FailureReason.TURNED_AWAY) {
+            arrivals--;
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
@@ -36,26 +36,29 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * Connections to the endpoint beside this sidecar, and what became of a request there: has run, may have run, has not.
- * An answer is passed on only when it is whole and this request's own. On its loop's thread.
+ * Connections to the endpoint beside this sidecar. Reports for each request whether it has run, may have run, or has
+ * not run. A response is passed on only if it is complete and belongs to the request. Runs on its loop's thread.
  */
 public final class EndpointConnections {
-    /** The largest answer that is held, in bytes. */
+    /** Largest response that is buffered, in bytes. */
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
 
     private static final int CONNECT_TIMEOUT_MS = 800;
-    /** How long after its time an endpoint's own 504 may still come. */
+    /** How long after a request's deadline the endpoint's own 504 is still awaited. */
     private static final int TIMEOUT_SLACK_MS = 10;
-    /** Of the idle time that the endpoint keeps a connection, the part in which it is used again. */
-    private static final double IDLE_PART = 0.6;
-    /** The idle time where the endpoint tells none, in milliseconds. */
+    /** Fraction of the endpoint's keep-alive time within which an idle connection is reused. */
+    private static final double IDLE_USE_FRACTION = 0.6;
+    /** Keep-alive time if the endpoint announces none, in milliseconds. */
     private static final double DEFAULT_IDLE_MS = 4000;
-    /** Requests of one connection whose ids are remembered. */
+    /** Maximum number of attempt ids remembered for each connection. */
     private static final int MAX_REMEMBERED_IDS = 64;
 
-    /** Makes a connection to the endpoint with these handlers on it. */
+    /** Opens a connection to the endpoint. */
     public interface Connector {
-        /** Begins to; who listens to the future is told before the channel is said to be active. */
+        /**
+         * Starts connecting, with these handlers on the channel. The listeners of the future are notified before the
+         * channel becomes active.
+         */
         ChannelFuture connect(ChannelHandler handlers);
     }
 
@@ -76,86 +79,94 @@
                         .connect(address));
     }
 
-    /** Connections by these timers, on whose thread all of it runs. */
+    /** Creates connections that use these timers, on whose thread everything runs. */
     public EndpointConnections(Timers timers, Connector connector) {
         this.timers = timers;
         this.connector = connector;
     }
 
-    /** A request that was sent, whose client may leave. */
+    /** A request that was sent and can be cancelled when its client disconnects. */
     @FunctionalInterface
     public interface Sent {
         /**
-         * Has it not written if it waits for a connection. Without effect once it has ended.
+         * Cancels the request: it is not written if it still waits for a connection. Has no effect once the request has
+         * ended.
          *
-         * @param whileRunning whether its connection is closed if it has been written, which ends it at most endpoints
+         * @param whileRunning whether to close its connection if the request was already written, which stops it at
+         *     most endpoints
          */
         void cancel(boolean whileRunning);
     }
 
     /**
-     * Sends a request, at most once; {@code done} gets the answer, a {@link PeerMessage.ForwardResponse} or
-     * {@link PeerMessage.ForwardFailure} with no figures of load, once, also if it is cancelled.
+     * Sends a request at most once.
      *
-     * @param instance the endpoint's id, which every other endpoint turns away; empty where none is known
+     * @param instance the endpoint's id, which any other endpoint rejects; empty if none is known
+     * @param resultListener gets the result exactly once, also after a cancellation: a
+     *     {@link PeerMessage.ForwardResponse} or a {@link PeerMessage.ForwardFailure}, without load figures
      */
-    public Sent send(PeerMessage.ForwardRequest forwardRequest, String instance, Consumer<PeerMessage> done) {
-        double until = timers.now() + forwardRequest.leftMs();
-        String attempt = EndpointRequestEncoder.attemptId(forwardRequest);
-        Connection connection = idle(attempt);
+    public Sent send(PeerMessage.ForwardRequest forwardRequest, String instance, Consumer<PeerMessage> resultListener) {
+        double deadlineMs = timers.now() + forwardRequest.leftMs();
+        String attemptId = EndpointRequestEncoder.attemptId(forwardRequest);
+        Connection connection = idle(attemptId);
         if (connection != null) {
-            connection.start(forwardRequest, attempt, until, instance, done);
+            connection.start(forwardRequest, attemptId, deadlineMs, instance, resultListener);
             return whileRunning -> connection.cancel(forwardRequest, whileRunning);
         }
-        Connection made = new Connection();
-        made.forwardRequest = forwardRequest;
+        Connection newConnection = new Connection();
+        newConnection.forwardRequest = forwardRequest;
         connector
                 .connect(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), made);
+                        ch.pipeline().addLast(new HttpClientCodec(), newConnection);
                     }
                 })
-                .addListener(f -> {
-                    if (f.isSuccess()) {
-                        made.start(forwardRequest, attempt, made.forwardRequest == null ? 0 : until, instance, done);
+                .addListener(connectFuture -> {
+                    if (connectFuture.isSuccess()) {
+                        newConnection.start(
+                                forwardRequest,
+                                attemptId,
+                                newConnection.forwardRequest == null ? 0 : deadlineMs,
+                                instance,
+                                resultListener);
                     } else {
-                        done.accept(new PeerMessage.ForwardFailure(
+                        resultListener.accept(new PeerMessage.ForwardFailure(
                                 forwardRequest.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
                     }
                 });
-        return whileRunning -> made.cancel(forwardRequest, whileRunning);
+        return whileRunning -> newConnection.cancel(forwardRequest, whileRunning);
     }
 
-    // The one that was used last of those that are still good, but none that was asked under this id before:
-    // a late answer to that would be taken for the answer to this.
-    private Connection idle(String attempt) {
-        List<Connection> passed = new ArrayList<>();
+    // The most recently used reusable connection, but none that already carried this attempt id: a late response to
+    // the earlier request would be taken for the response to this one.
+    private Connection idle(String attemptId) {
+        List<Connection> skipped = new ArrayList<>();
         Connection found = null;
         while (found == null && !idle.isEmpty()) {
             Connection connection = idle.pollLast();
-            if (!connection.usable()) {
+            if (!connection.isReusable()) {
                 connection.close();
-            } else if (connection.asked.contains(attempt)) {
-                passed.add(connection);
+            } else if (connection.sentAttemptIds.contains(attemptId)) {
+                skipped.add(connection);
             } else {
                 found = connection;
             }
         }
-        for (int i = passed.size() - 1; i >= 0; i--) {
-            idle.addLast(passed.get(i));
+        for (int i = skipped.size() - 1; i >= 0; i--) {
+            idle.addLast(skipped.get(i));
         }
         return found;
     }
 
-    /** Closes connections that have been idle for too long to be used again. */
+    /** Closes connections that have been idle for too long to be reused. */
     void tick() {
-        while (!idle.isEmpty() && !idle.peekFirst().usable()) {
+        while (!idle.isEmpty() && !idle.peekFirst().isReusable()) {
             idle.pollFirst().close();
         }
     }
 
-    /** Closes all that are idle: the endpoint has left. */
+    /** Closes all idle connections, because the endpoint has left. */
     void clear() {
         while (!idle.isEmpty()) {
             idle.pollFirst().close();
@@ -165,213 +176,218 @@
     private final class Connection extends ChannelInboundHandlerAdapter {
         private Channel channel;
         private PeerMessage.ForwardRequest forwardRequest;
-        private String attempt;
-        private Consumer<PeerMessage> done;
-        private Timers.Timer timer;
-        private HttpResponse head;
-        private boolean ours;
-        private boolean interim;
+        private String attemptId;
+        private Consumer<PeerMessage> resultListener;
+        private Timers.Timer responseTimer;
+        private HttpResponse responseHead;
+        private boolean matchesAttempt;
+        private boolean informational;
         private boolean writing;
-        private ByteBuf body;
-        private double idleSince;
-        private final Set<String> asked = new LinkedHashSet<>();
+        private ByteBuf responseBody;
+        private double idleSinceMs;
+        private final Set<String> sentAttemptIds = new LinkedHashSet<>();
 
-        // Not when it is active: who waits for the connect is told before that.
+        // Set here and not in channelActive: listeners of the connect future are notified before that.
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
             channel = ctx.channel();
         }
 
-        boolean usable() {
-            return channel.isActive() && timers.now() - idleSince < idleMs * IDLE_PART;
+        boolean isReusable() {
+            return channel.isActive() && timers.now() - idleSinceMs < idleMs * IDLE_USE_FRACTION;
         }
 
         void close() {
             channel.close();
         }
 
-        // While it connects it has no one to tell yet, and does without its request from then on.
-        void cancel(PeerMessage.ForwardRequest sent, boolean whileRunning) {
-            if (forwardRequest == sent && done == null) {
+        // While connecting there is no listener to notify yet; start() finds the request dropped.
+        void cancel(PeerMessage.ForwardRequest request, boolean whileRunning) {
+            if (forwardRequest == request && resultListener == null) {
                 forwardRequest = null;
-            } else if (forwardRequest == sent && whileRunning) {
+            } else if (forwardRequest == request && whileRunning) {
                 fail(PeerMessage.FailureReason.BROKEN);
             }
         }
 
         void start(
-                PeerMessage.ForwardRequest sent,
+                PeerMessage.ForwardRequest request,
                 String id,
-                double until,
+                double deadlineMs,
                 String instance,
-                Consumer<PeerMessage> whenDone) {
-            forwardRequest = sent;
-            attempt = id;
-            done = whenDone;
-            double left = until - timers.now();
-            if (channel == null || !channel.isActive() || left < 1) {
-                // Nothing was written. Its time may have gone by while this connection was being made.
-                boolean sound = channel != null && channel.isActive();
-                end(PeerMessage.FailureReason.UNREACHED);
-                if (sound) {
-                    reusable();
+                Consumer<PeerMessage> listener) {
+            forwardRequest = request;
+            attemptId = id;
+            resultListener = listener;
+            double remainingMs = deadlineMs - timers.now();
+            if (channel == null || !channel.isActive() || remainingMs < 1) {
+                // Nothing was written. The deadline may have passed while the connection was being opened.
+                boolean connected = channel != null && channel.isActive();
+                reportFailure(PeerMessage.FailureReason.UNREACHED);
+                if (connected) {
+                    returnToIdle();
                 }
                 return;
             }
-            remember(id);
-            FullHttpRequest request;
+            rememberAttemptId(id);
+            FullHttpRequest httpRequest;
             try {
-                request = EndpointRequestEncoder.encode(sent, left, instance);
+                httpRequest = EndpointRequestEncoder.encode(request, remainingMs, instance);
             } catch (IllegalArgumentException e) {
-                // Nothing goes out of what is no request; it must not end the connection that it came by, either.
-                end(PeerMessage.FailureReason.UNREACHED);
+                // An invalid request is never written. The exception must not break the peer connection that it came
+                // from.
+                reportFailure(PeerMessage.FailureReason.UNREACHED);
                 channel.close();
                 return;
             }
-            timer = timers.after(left + TIMEOUT_SLACK_MS, () -> fail(PeerMessage.FailureReason.LATE));
+            responseTimer = timers.after(remainingMs + TIMEOUT_SLACK_MS, () -> fail(PeerMessage.FailureReason.LATE));
             writing = true;
-            channel.writeAndFlush(request).addListener(f -> written(f.isSuccess()));
+            channel.writeAndFlush(httpRequest).addListener(f -> writeCompleted(f.isSuccess()));
         }
 
-        // An endpoint may have answered before this, and reads the rest of a long body only later.
-        private void written(boolean whole) {
+        // An endpoint may respond before this, and read the rest of a long body only later.
+        private void writeCompleted(boolean success) {
             writing = false;
-            if (!whole) {
+            if (!success) {
                 fail(PeerMessage.FailureReason.BROKEN);
             } else if (forwardRequest == null && channel.isActive()) {
-                timer.cancel();
-                reusable();
+                responseTimer.cancel();
+                returnToIdle();
             }
         }
 
-        private void remember(String id) {
-            if (id != null && asked.add(id) && asked.size() > MAX_REMEMBERED_IDS) {
-                asked.remove(asked.iterator().next());
+        private void rememberAttemptId(String id) {
+            if (id != null && sentAttemptIds.add(id) && sentAttemptIds.size() > MAX_REMEMBERED_IDS) {
+                sentAttemptIds.remove(sentAttemptIds.iterator().next());
             }
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
-                if (message instanceof HttpObject o && o.decoderResult().isFailure()) {
+                if (message instanceof HttpObject object
+                        && object.decoderResult().isFailure()) {
                     fail(PeerMessage.FailureReason.BROKEN);
                     return;
                 }
-                if (message instanceof HttpResponse r) {
-                    interim = HttpStatusClass.INFORMATIONAL == r.status().codeClass();
-                    if (!interim) {
-                        begin(r);
+                if (message instanceof HttpResponse response) {
+                    informational =
+                            HttpStatusClass.INFORMATIONAL == response.status().codeClass();
+                    if (!informational) {
+                        beginResponse(response);
                     }
                 }
-                if (message instanceof HttpContent c && !interim && head != null) {
-                    more(c);
+                if (message instanceof HttpContent content && !informational && responseHead != null) {
+                    appendBody(content);
                 }
             } finally {
                 ReferenceCountUtil.release(message);
             }
         }
 
-        // An answer to an earlier request may come late, in the place of the next: its id tells it.
-        private void begin(HttpResponse r) {
-            head = r;
-            ours = done != null && attempt != null && attempt.equals(r.headers().get(ForwardedHeaders.ATTEMPT));
-            body = Unpooled.buffer(256);
-            if (!ResponseValidator.isFramed(r)) {
-                // Its end could not be told, or its body is not the endpoint's.
+        // A late response to an earlier request may arrive in place of the next; the attempt id tells them apart.
+        private void beginResponse(HttpResponse response) {
+            responseHead = response;
+            matchesAttempt = resultListener != null
+                    && attemptId != null
+                    && attemptId.equals(response.headers().get(ForwardedHeaders.ATTEMPT_ID));
+            responseBody = Unpooled.buffer(256);
+            if (!ResponseValidator.isFramed(response)) {
+                // The end of the body is ambiguous, or an intermediary has encoded the body.
                 fail(PeerMessage.FailureReason.BROKEN);
             }
         }
 
-        private void more(HttpContent c) {
-            if (body.readableBytes() + c.content().readableBytes() > MAX_RESPONSE_BYTES) {
+        private void appendBody(HttpContent content) {
+            if (responseBody.readableBytes() + content.content().readableBytes() > MAX_RESPONSE_BYTES) {
                 fail(PeerMessage.FailureReason.BROKEN);
                 return;
             }
-            body.writeBytes(c.content());
-            if (c instanceof LastHttpContent) {
-                whole();
+            responseBody.writeBytes(content.content());
+            if (content instanceof LastHttpContent) {
+                completeResponse();
             }
         }
 
-        private void whole() {
-            HttpResponse answer = head;
-            byte[] bytes = ByteBufUtil.getBytes(body);
-            head = null;
-            body = null;
-            if (!ours) {
-                if (done == null && answer.headers().get(ForwardedHeaders.ATTEMPT) == null) {
+        private void completeResponse() {
+            HttpResponse response = responseHead;
+            byte[] bytes = ByteBufUtil.getBytes(responseBody);
+            responseHead = null;
+            responseBody = null;
+            if (!matchesAttempt) {
+                if (resultListener == null && response.headers().get(ForwardedHeaders.ATTEMPT_ID) == null) {
                     channel.close();
                 }
                 return;
             }
-            boolean keep =
-                    HttpUtil.isKeepAlive(answer) && !HttpMethod.CONNECT.name().equals(forwardRequest.method());
-            idleMs = ResponseValidator.idleMs(answer, idleMs, DEFAULT_IDLE_MS);
-            PeerMessage.FailureReason why = ResponseValidator.reject(answer);
-            Consumer<PeerMessage> tell = done;
-            PeerMessage.ForwardRequest told = forwardRequest;
-            rest(keep);
-            if (why != null) {
-                tell.accept(new PeerMessage.ForwardFailure(told.stream(), why, 0, 0));
+            boolean keepAlive =
+                    HttpUtil.isKeepAlive(response) && !HttpMethod.CONNECT.name().equals(forwardRequest.method());
+            idleMs = ResponseValidator.idleMs(response, idleMs, DEFAULT_IDLE_MS);
+            PeerMessage.FailureReason rejection = ResponseValidator.rejectionReason(response);
+            Consumer<PeerMessage> listener = resultListener;
+            PeerMessage.ForwardRequest answeredRequest = forwardRequest;
+            finishExchange(keepAlive);
+            if (rejection != null) {
+                listener.accept(new PeerMessage.ForwardFailure(answeredRequest.stream(), rejection, 0, 0));
             } else {
-                tell.accept(new PeerMessage.ForwardResponse(
-                        told.stream(),
-                        answer.status().code(),
-                        ForwardedHeaders.onward(answer.headers(), false),
+                listener.accept(new PeerMessage.ForwardResponse(
+                        answeredRequest.stream(),
+                        response.status().code(),
+                        ForwardedHeaders.copyForwardable(response.headers(), false),
                         bytes,
                         0,
                         0));
             }
         }
 
-        private void rest(boolean keep) {
-            timer.cancel();
-            done = null;
+        private void finishExchange(boolean keepAlive) {
+            responseTimer.cancel();
+            resultListener = null;
             forwardRequest = null;
-            if (!keep || !channel.isActive()) {
+            if (!keepAlive || !channel.isActive()) {
                 channel.close();
                 return;
             }
             if (writing) {
-                // The rest of its body is due before anything else.
-                timer = timers.after(idleMs * IDLE_PART, this::close);
+                // The rest of the request body must be written before the connection is used again.
+                responseTimer = timers.after(idleMs * IDLE_USE_FRACTION, this::close);
             } else {
-                reusable();
+                returnToIdle();
             }
         }
 
-        private void reusable() {
-            idleSince = timers.now();
+        private void returnToIdle() {
+            idleSinceMs = timers.now();
             idle.addLast(this);
         }
 
-        private void fail(PeerMessage.FailureReason why) {
-            // What still comes in the same breath belongs to nothing.
-            head = null;
-            body = null;
-            // Told first: the close would be told as a break.
-            end(why);
+        private void fail(PeerMessage.FailureReason reason) {
+            // Further content of the same read is ignored.
+            responseHead = null;
+            responseBody = null;
+            // Reported before closing, which would otherwise be reported as a broken connection.
+            reportFailure(reason);
             channel.close();
         }
 
-        private void end(PeerMessage.FailureReason why) {
-            if (timer != null) {
-                timer.cancel();
+        private void reportFailure(PeerMessage.FailureReason reason) {
+            if (responseTimer != null) {
+                responseTimer.cancel();
             }
             idle.remove(this);
-            Consumer<PeerMessage> tell = done;
-            done = null;
-            if (tell != null) {
-                tell.accept(new PeerMessage.ForwardFailure(forwardRequest.stream(), why, 0, 0));
+            Consumer<PeerMessage> listener = resultListener;
+            resultListener = null;
+            if (listener != null) {
+                listener.accept(new PeerMessage.ForwardFailure(forwardRequest.stream(), reason, 0, 0));
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end(PeerMessage.FailureReason.BROKEN);
+            reportFailure(PeerMessage.FailureReason.BROKEN);
         }
 
-        // Before the connection is told to be closed: after a reset no answer ends with its connection.
+        // Called before channelInactive: after a reset, the end of the connection does not complete a response.
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             fail(PeerMessage.FailureReason.BROKEN);
--- a/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
@@ -7,8 +7,8 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * Takes requests for the endpoint beside this sidecar, from this sidecar and from others: asks the gate whether each
- * may go to the endpoint now, sends it there, and tells once what became of it. On the loop's thread.
+ * Delivers requests from this sidecar and from others to the endpoint beside it: asks the gate whether each may go to
+ * the endpoint now, sends it, and reports its result once. Runs on the loop's thread.
  */
 final class EndpointDelivery implements RequestForwarder.LocalEndpoint {
     private final Executor loop;
@@ -17,16 +17,17 @@
     private final EndpointGate gate;
     private final EndpointConnections connections;
     private final KeyClient keys;
-    private final double lastCallsMs;
+    private final double ownerDrainMs;
     private final EndpointRequests requests = new EndpointRequests();
     private final ForwardedTime forwardedTime = new ForwardedTime();
 
     /**
-     * Delivers to the endpoint of this gate.
+     * Creates the delivery to the endpoint of this gate.
      *
-     * @param node this sidecar's, which stands for the sender of its own requests
-     * @param keys those that the endpoint owns, where its service is divided by key
-     * @param lastCallsMs how long the owner of keys still gets requests once it drains, for nobody else may have them
+     * @param node this sidecar's node, used as the sender of its own requests
+     * @param keys the keys that the endpoint owns, if its service is sharded by key
+     * @param ownerDrainMs how long a draining owner of keys still gets their requests, since no other endpoint may run
+     *     them
      */
     EndpointDelivery(
             Executor loop,
@@ -35,19 +36,19 @@
             EndpointGate gate,
             EndpointConnections connections,
             KeyClient keys,
-            double lastCallsMs) {
+            double ownerDrainMs) {
         this.loop = loop;
         this.timers = timers;
         this.node = node;
         this.gate = gate;
         this.connections = connections;
         this.keys = keys;
-        this.lastCallsMs = lastCallsMs;
+        this.ownerDrainMs = ownerDrainMs;
     }
 
     @Override
-    public void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
-        deliver(node, request, done);
+    public void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> resultListener) {
+        deliver(node, request, resultListener);
     }
 
     @Override
@@ -55,60 +56,61 @@
         requests.cancel(node, cancel);
     }
 
-    /** The client of a request that came on this connection has left. */
-    void cancel(PeerConnection from, PeerMessage.Cancel cancel) {
-        requests.cancel(from, cancel);
+    /** Cancels a request that arrived on this connection; its client has disconnected. */
+    void cancel(PeerConnection source, PeerMessage.Cancel cancel) {
+        requests.cancel(source, cancel);
     }
 
-    /** This process runs: by this it tells that it was frozen. */
-    void running() {
+    /** Records that this process is running; a long gap between calls shows that it was paused. */
+    void recordRunning() {
         forwardedTime.running(timers.now());
     }
 
-    /** Another sidecar forwards a request; it is answered on its connection while that is open. */
-    void forwarded(PeerConnection from, PeerMessage.ForwardRequest request) {
-        int leftMs = forwardedTime.left(timers.now(), from.transit(), request);
-        if (leftMs == 0) {
-            // What waited on its way until its time was up is not begun: its caller has been answered.
-            from.send(failure(request, PeerMessage.FailureReason.UNREACHED));
+    /** Delivers a request from another sidecar; its result is sent on the same connection if that is still open. */
+    void deliverForwarded(PeerConnection source, PeerMessage.ForwardRequest request) {
+        int remainingMs = forwardedTime.left(timers.now(), source.transit(), request);
+        if (remainingMs == 0) {
+            // Its time ran out on the way and its caller has been answered, so it is not started.
+            source.send(failure(request, PeerMessage.FailureReason.UNREACHED));
             return;
         }
-        deliver(from, request.withLeft(leftMs), answer -> {
-            if (from.isOpen()) {
-                from.send(answer);
+        deliver(source, request.withLeft(remainingMs), result -> {
+            if (source.isOpen()) {
+                source.send(result);
             }
         });
     }
 
-    private void deliver(Object sender, PeerMessage.ForwardRequest request, Consumer<PeerMessage> done) {
+    private void deliver(Object sender, PeerMessage.ForwardRequest request, Consumer<PeerMessage> resultListener) {
         EndpointGate.Admission admission = admit(request);
         if (admission != EndpointGate.Admission.OPEN) {
             PeerMessage refusal = failure(request, reason(admission));
-            // Not in the caller's own call: it has not noted yet that it sent.
-            loop.execute(() -> done.accept(refusal));
+            // Not within the call: the caller has not yet recorded that it sent the request.
+            loop.execute(() -> resultListener.accept(refusal));
             return;
         }
         gate.requestStarted(timers.now());
         requests.begin(sender, request.stream());
-        EndpointConnections.Sent sent = connections.send(request, gate.endpoint(), outcome -> {
+        EndpointConnections.Sent sentRequest = connections.send(request, gate.endpoint(), outcome -> {
             requests.ended(sender, request.stream());
             gate.requestEnded(timers.now(), outcome instanceof PeerMessage.ForwardResponse);
-            done.accept(withLoad(request, outcome));
+            resultListener.accept(addLoad(request, outcome));
         });
-        requests.sent(sender, request.stream(), sent);
+        requests.sent(sender, request.stream(), sentRequest);
     }
 
-    // Of divided services the key decides first: whoever asks the wrong owner learns nothing of this endpoint's load.
+    // For sharded services the key is checked first: a sidecar that asks the wrong owner must not learn this
+    // endpoint's load.
     private EndpointGate.Admission admit(PeerMessage.ForwardRequest request) {
-        double now = timers.now();
-        if (!keys.isDivided() || !request.target().equals(gate.target())) {
-            return gate.admit(now, request.target(), request.rank());
+        double nowMs = timers.now();
+        if (!keys.isSharded() || !request.target().equals(gate.target())) {
+            return gate.admit(nowMs, request.target(), request.rank());
         }
-        int key = ShardKey.of(request.headers());
+        int key = ShardKey.fromHeaders(request.headers());
         if (key == ShardKey.NONE || !keys.admit(key)) {
             return EndpointGate.Admission.NOT_OWNER;
         }
-        return gate.admit(now, request.target(), request.rank(), lastCallsMs);
+        return gate.admit(nowMs, request.target(), request.rank(), ownerDrainMs);
     }
 
     private static PeerMessage.FailureReason reason(EndpointGate.Admission admission) {
@@ -119,8 +121,8 @@
         };
     }
 
-    // What came of it at the endpoint, with how busy that is.
-    private PeerMessage withLoad(PeerMessage.ForwardRequest request, PeerMessage outcome) {
+    // The endpoint's result, with the endpoint's current load added.
+    private PeerMessage addLoad(PeerMessage.ForwardRequest request, PeerMessage outcome) {
         if (outcome instanceof PeerMessage.ForwardResponse response) {
             return new PeerMessage.ForwardResponse(
                     response.stream(),
@@ -133,7 +135,7 @@
         return failure(request, ((PeerMessage.ForwardFailure) outcome).why());
     }
 
-    private PeerMessage.ForwardFailure failure(PeerMessage.ForwardRequest request, PeerMessage.FailureReason why) {
-        return new PeerMessage.ForwardFailure(request.stream(), why, gate.utilization(), gate.perSecond());
+    private PeerMessage.ForwardFailure failure(PeerMessage.ForwardRequest request, PeerMessage.FailureReason reason) {
+        return new PeerMessage.ForwardFailure(request.stream(), reason, gate.utilization(), gate.perSecond());
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGate.java
@@ -4,145 +4,146 @@
 import whinlead.mesh.rpc.RpcCall;
 
 /**
- * What the sidecar knows first hand of the endpoint beside it, and whether a request may go to it now. Pure; one
- * thread; times in milliseconds on one clock.
+ * What the sidecar knows directly about the endpoint beside it, and whether a request may go to it now. Pure; used by
+ * one thread; times in milliseconds on one clock.
  */
 public final class EndpointGate {
-    /** Where the endpoint stands. */
+    /** The endpoint's state. */
     public enum State {
-        /** No heartbeat has come yet. */
+        /** No heartbeat has been received yet. */
         UNKNOWN,
-        /** It sends heartbeats and serves. */
+        /** It sends heartbeats and serves requests. */
         SERVING,
-        /** It has said that it leaves. */
+        /** It has announced that it is leaving. */
         DRAINING,
-        /** It has left, or is silent. */
+        /** It has left, or its heartbeats have stopped. */
         GONE
     }
 
-    /** Heartbeats that may be missing before it counts as gone. */
-    private static final double BEATS_MISSING = 3.5;
-    /** How long callers that have not heard yet may still send to one that drains. */
-    private static final double LAST_CALLS_MS = 400;
-    /** What the endpoint may hold beyond what it works on, as a part of that: by rank, 0 the highest. */
-    private static final double[] QUEUE = {1.0, 0.7, 0.4};
+    /** After this many missed heartbeats an endpoint counts as gone. */
+    private static final double MAX_MISSED_HEARTBEATS = 3.5;
+    /** How long a draining endpoint still accepts requests, from callers that have not been notified yet. */
+    private static final double DRAIN_ACCEPT_MS = 400;
+    /** Size of the endpoint's queue as a fraction of its capacity, by rank; 0 is the highest rank. */
+    private static final double[] QUEUE_SHARE = {1.0, 0.7, 0.4};
     /**
-     * Where requests of the highest rank come, the others get no place in the endpoint's queue but this, by rank: it
-     * serves in the order of arrival, and the highest would wait behind them.
+     * The same while requests of the highest rank arrive: the endpoint serves in order of arrival, so requests of lower
+     * ranks in its queue would delay the highest.
      */
-    private static final double[] QUEUE_BEHIND = {1.0, 0.1, 0};
-    /** From this many a second on, requests of the highest rank come. */
-    private static final double HIGHEST_COME = 0.5;
-    /** The time over which they are counted, in milliseconds. */
-    private static final double HIGHEST_MS = 3000;
-    /** Half-life of what is told of its load. */
-    private static final double LOAD_MS = 500;
-
-    private final double beatMs;
+    private static final double[] QUEUE_SHARE_BEHIND_TOP_RANK = {1.0, 0.1, 0};
+    /** Requests of the highest rank count as arriving from this rate on, per second. */
+    private static final double TOP_RANK_MIN_PER_SECOND = 0.5;
+    /** Time constant over which that rate is averaged, in milliseconds. */
+    private static final double TOP_RANK_DECAY_MS = 3000;
+    /** Half-life of the reported load figures, in milliseconds. */
+    private static final double LOAD_HALF_LIFE_MS = 500;
+
+    private final double heartbeatIntervalMs;
     private State state = State.UNKNOWN;
     private String endpoint = "";
     private String target = "";
     private int capacity = 1;
-    private double warmUntil;
+    private double warmUntilMs;
     private long callSeq = -1;
-    private double beatAt;
-    private double drainAt;
-    private int held;
-    private double util;
+    private double lastHeartbeatMs;
+    private double drainStartMs;
+    private int inFlight;
+    private double utilization;
     private double perSecond;
-    private double loadAt;
-    private double highest;
-    private double highestAt;
+    private double loadUpdatedMs;
+    private double topRankPerSecond;
+    private double topRankUpdatedMs;
 
-    /** An endpoint gate whose endpoint sends heartbeats so often, in milliseconds. */
-    public EndpointGate(double beatMs) {
-        this.beatMs = beatMs;
+    /** Creates a gate for an endpoint that sends a heartbeat once per {@code heartbeatIntervalMs}. */
+    public EndpointGate(double heartbeatIntervalMs) {
+        this.heartbeatIntervalMs = heartbeatIntervalMs;
     }
 
-    /** An endpoint sends a heartbeat; true if that changes what others need to know. */
-    public boolean heartbeat(double now, String id, RpcCall.EndpointStatus settings) {
-        if (id.equals(endpoint) && (settings.callSeq() <= callSeq || state == State.GONE && callSeq < 0)) {
+    /** Records a heartbeat; true if it changes what other nodes need to know. */
+    public boolean heartbeat(double nowMs, String id, RpcCall.EndpointStatus status) {
+        if (id.equals(endpoint) && (status.callSeq() <= callSeq || state == State.GONE && callSeq < 0)) {
             return false;
         }
-        boolean fresh = !id.equals(endpoint);
-        State before = state;
+        boolean newEndpoint = !id.equals(endpoint);
+        State previousState = state;
         endpoint = id;
-        target = settings.target();
-        capacity = Math.max(1, settings.capacity());
-        callSeq = settings.callSeq();
-        beatAt = now;
-        warmUntil = now + Math.max(0, settings.warmupS()) * 1000;
-        if ("draining".equals(settings.phase())) {
-            if (fresh || before != State.DRAINING) {
-                drainAt = now;
+        target = status.target();
+        capacity = Math.max(1, status.capacity());
+        callSeq = status.callSeq();
+        lastHeartbeatMs = nowMs;
+        warmUntilMs = nowMs + Math.max(0, status.warmupS()) * 1000;
+        if ("draining".equals(status.phase())) {
+            if (newEndpoint || previousState != State.DRAINING) {
+                drainStartMs = nowMs;
             }
-            to(State.DRAINING);
+            setState(State.DRAINING);
         } else {
-            to(State.SERVING);
+            setState(State.SERVING);
         }
-        return fresh || state != before;
+        return newEndpoint || state != previousState;
     }
 
-    /** The endpoint has left; true if that is new. */
+    /** Records that the endpoint has left; true if that is new. */
     public boolean departed(String id) {
         if (!id.equals(endpoint) || state == State.GONE) {
             return false;
         }
-        // No late heartbeat of this life counts any more.
+        // Late heartbeats of this endpoint are ignored from now on.
         callSeq = Long.MAX_VALUE;
-        to(State.GONE);
+        setState(State.GONE);
         return true;
     }
 
-    /** Time passes; true if the endpoint has fallen silent. */
-    public boolean tick(double now) {
-        if ((state == State.SERVING || state == State.DRAINING) && now - beatAt > beatMs * BEATS_MISSING) {
-            to(State.GONE);
+    /** Called periodically; true if the endpoint has stopped sending heartbeats. */
+    public boolean tick(double nowMs) {
+        if ((state == State.SERVING || state == State.DRAINING)
+                && nowMs - lastHeartbeatMs > heartbeatIntervalMs * MAX_MISSED_HEARTBEATS) {
+            setState(State.GONE);
             return true;
         }
         return false;
     }
 
-    private void to(State next) {
+    private void setState(State next) {
         state = next;
     }
 
-    /** Where it stands. */
+    /** The endpoint's state. */
     public State state() {
         return state;
     }
 
-    /** The endpoint's id; empty where none is known. */
+    /** The endpoint's id; empty if none is known. */
     public String endpoint() {
         return endpoint;
     }
 
-    /** Its service. */
+    /** The endpoint's service. */
     public String target() {
         return target;
     }
 
-    /** What it may be sent, as others are told. */
+    /** The phase that is published to other nodes. */
     public EndpointRecord.Phase phase() {
         return state == State.SERVING ? EndpointRecord.Phase.SERVING : EndpointRecord.Phase.DRAINING;
     }
 
-    /** When it was last heard of. */
-    public double heardAt() {
-        return beatAt;
+    /** Time of the last heartbeat. */
+    public double lastHeartbeatMs() {
+        return lastHeartbeatMs;
     }
 
-    /** Requests that it works on at a time. */
+    /** How many requests the endpoint works on at a time. */
     public int capacity() {
         return capacity;
     }
 
-    /** How long it stays slow, in milliseconds. */
-    public int warmMs(double now) {
-        return (int) Math.max(0, warmUntil - now);
+    /** Remaining warm-up time, in milliseconds. */
+    public int remainingWarmupMs(double nowMs) {
+        return (int) Math.max(0, warmUntilMs - nowMs);
     }
 
-    /** What may become of a request now. */
+    /** Whether the endpoint accepts a request, and if not, why. */
     public enum Admission {
         OPEN,
         FULL,
@@ -151,62 +152,62 @@
         NOT_OWNER
     }
 
-    /** Whether a request for this service, of this rank, may go to the endpoint now. */
-    public Admission admit(double now, String service, int rank) {
-        return admit(now, service, rank, LAST_CALLS_MS);
+    /** Whether a request for this service and of this rank may go to the endpoint now. */
+    public Admission admit(double nowMs, String service, int rank) {
+        return admit(nowMs, service, rank, DRAIN_ACCEPT_MS);
     }
 
     /**
-     * Whether a request for this service, of this rank, may go to the endpoint now.
+     * Whether a request for this service and of this rank may go to the endpoint now.
      *
-     * @param lastCallsMs how long requests may still go to it once it drains
+     * @param drainAcceptMs how long a draining endpoint still accepts requests
      */
-    public Admission admit(double now, String service, int rank, double lastCallsMs) {
-        boolean there = service.equals(target)
-                && (state == State.SERVING || state == State.DRAINING && now - drainAt < lastCallsMs);
-        if (!there) {
+    public Admission admit(double nowMs, String service, int rank, double drainAcceptMs) {
+        boolean accepting = service.equals(target)
+                && (state == State.SERVING || state == State.DRAINING && nowMs - drainStartMs < drainAcceptMs);
+        if (!accepting) {
             return Admission.MOVED;
         }
-        double highest = this.highest * Math.exp(-(now - highestAt) / HIGHEST_MS);
+        double decayedTopRank = this.topRankPerSecond * Math.exp(-(nowMs - topRankUpdatedMs) / TOP_RANK_DECAY_MS);
         if (rank <= 0) {
-            this.highest = highest + 1000 / HIGHEST_MS;
-            highestAt = now;
+            this.topRankPerSecond = decayedTopRank + 1000 / TOP_RANK_DECAY_MS;
+            topRankUpdatedMs = nowMs;
         }
-        double[] queues = highest > HIGHEST_COME ? QUEUE_BEHIND : QUEUE;
-        double queue = queues[Math.min(queues.length - 1, Math.max(0, rank))];
-        return held < capacity * (1 + queue) ? Admission.OPEN : Admission.FULL;
+        double[] queueShares = decayedTopRank > TOP_RANK_MIN_PER_SECOND ? QUEUE_SHARE_BEHIND_TOP_RANK : QUEUE_SHARE;
+        double queueShare = queueShares[Math.min(queueShares.length - 1, Math.max(0, rank))];
+        return inFlight < capacity * (1 + queueShare) ? Admission.OPEN : Admission.FULL;
     }
 
-    /** A request goes to the endpoint. */
-    public void requestStarted(double now) {
-        load(now, 0);
-        held++;
+    /** Records that a request is sent to the endpoint. */
+    public void requestStarted(double nowMs) {
+        updateLoad(nowMs, 0);
+        inFlight++;
     }
 
-    /** It has ended there. */
-    public void requestEnded(double now, boolean answered) {
-        load(now, answered ? 1 : 0);
-        held--;
+    /** Records that a request has ended at the endpoint. */
+    public void requestEnded(double nowMs, boolean answered) {
+        updateLoad(nowMs, answered ? 1 : 0);
+        inFlight--;
     }
 
-    private void load(double now, int answers) {
-        double keep = Math.pow(0.5, Math.max(0, now - loadAt) / LOAD_MS);
-        util = util * keep + (1 - keep) * held / capacity;
-        perSecond = perSecond * keep + answers * 1000 * Math.log(2) / LOAD_MS;
-        loadAt = now;
+    private void updateLoad(double nowMs, int answers) {
+        double retained = Math.pow(0.5, Math.max(0, nowMs - loadUpdatedMs) / LOAD_HALF_LIFE_MS);
+        utilization = utilization * retained + (1 - retained) * inFlight / capacity;
+        perSecond = perSecond * retained + answers * 1000 * Math.log(2) / LOAD_HALF_LIFE_MS;
+        loadUpdatedMs = nowMs;
     }
 
-    /** Requests at the endpoint. */
+    /** Number of requests at the endpoint. */
     public int inFlight() {
-        return held;
+        return inFlight;
     }
 
-    /** The part of its places that are taken, lately; over 1 where requests wait. */
+    /** Recent number of requests at the endpoint divided by its capacity; over 1 if requests queue. */
     public double utilization() {
-        return util;
+        return utilization;
     }
 
-    /** Answers a second, lately. */
+    /** Recent number of responses per second. */
     public double perSecond() {
         return perSecond;
     }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointGrants.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGrants.java
@@ -31,30 +31,36 @@
 import whinlead.mesh.keys.ReleaseCall;
 
 /**
- * Tells the endpoint beside this sidecar which keys it holds, by {@code POST /whinlead/grant} and
- * {@code /whinlead/release}. A call that is not answered in time ends with its connection, so that what was not
- * delivered of it never is. On the loop's thread.
+ * Informs the endpoint beside this sidecar of the keys it owns, by {@code POST /whinlead/grant} and
+ * {@code /whinlead/release}. If a call is not answered in time its connection is closed, so that undelivered data of it
+ * never arrives. Runs on the loop's thread.
  */
 final class EndpointGrants implements EndpointKeys {
     private static final int CONNECT_TIMEOUT_MS = 500;
-    /** Within this the endpoint answers a grant. */
+    /** How long a grant may take to be answered. */
     private static final int GRANT_TIMEOUT_MS = 800;
-    /** Within this it has ended what it runs, and answers a release. */
+    /** How long a release may take to be answered; the endpoint first finishes its running requests. */
     private static final int RELEASE_TIMEOUT_MS = 6000;
 
-    private static final int MAX_ANSWER_BYTES = 1 << 16;
-    /** Grants at a time, and connections that are kept for later calls: a connection costs more than a short wait. */
+    private static final int MAX_RESPONSE_BYTES = 1 << 16;
+    /**
+     * Maximum number of concurrent grants, and of idle connections kept for later calls; a further connection would
+     * cost more than the short wait.
+     */
     private static final int MAX_GRANTS = 2;
 
-    /** Releases at a time, each of which may wait for what runs. */
+    /** Maximum number of concurrent releases, each of which may wait for running requests. */
     private static final int MAX_RELEASES = 4;
 
     private static final int OK = 200;
     private static final int CONFLICT = 409;
     private static final String HANDOFF = "Handoff";
-    private static final double MILLIS_IN_SECOND = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    /** A request that is written when there is a connection, and where its answer goes; null for none. */
+    /**
+     * A call that is written once there is a connection, and whose response is passed on; a null response means that
+     * there is none.
+     */
     private interface Call {
         DefaultFullHttpRequest request();
 
@@ -62,7 +68,7 @@
 
         boolean isRelease();
 
-        void ended(FullHttpResponse answer);
+        void completed(FullHttpResponse response);
     }
 
     private final EventLoop loop;
@@ -82,14 +88,14 @@
     @Override
     public void grant(GrantCall call, DoubleUnaryOperator holdMs, GrantListener listener) {
         add(new Call() {
-            private double writtenAt;
-            private double heldMs;
+            private double writtenAtMs;
+            private double grantedMs;
 
             @Override
             public DefaultFullHttpRequest request() {
-                writtenAt = timers.now();
-                heldMs = holdMs.applyAsDouble(writtenAt);
-                return heldMs <= 0 ? null : post("/whinlead/grant", grantBody(call, heldMs));
+                writtenAtMs = timers.now();
+                grantedMs = holdMs.applyAsDouble(writtenAtMs);
+                return grantedMs <= 0 ? null : post("/whinlead/grant", grantBody(call, grantedMs));
             }
 
             @Override
@@ -103,10 +109,10 @@
             }
 
             @Override
-            public void ended(FullHttpResponse answer) {
-                int status = answer == null ? 0 : answer.status().code();
+            public void completed(FullHttpResponse response) {
+                int status = response == null ? 0 : response.status().code();
                 if (status == OK) {
-                    listener.granted(writtenAt, heldMs);
+                    listener.granted(writtenAtMs, grantedMs);
                 } else if (status == CONFLICT) {
                     listener.refused();
                 } else {
@@ -121,7 +127,7 @@
         add(new Call() {
             @Override
             public DefaultFullHttpRequest request() {
-                return post("/whinlead/release", "{" + range(call) + "}");
+                return post("/whinlead/release", "{" + rangeFields(call) + "}");
             }
 
             @Override
@@ -135,9 +141,9 @@
             }
 
             @Override
-            public void ended(FullHttpResponse answer) {
-                if (answer != null && answer.status().code() == OK) {
-                    String handoff = answer.headers().get(HANDOFF);
+            public void completed(FullHttpResponse response) {
+                if (response != null && response.status().code() == OK) {
+                    String handoff = response.headers().get(HANDOFF);
                     listener.released(handoff == null ? "" : handoff);
                 } else {
                     listener.failed();
@@ -146,18 +152,18 @@
         });
     }
 
-    private static String range(ReleaseCall call) {
+    private static String rangeFields(ReleaseCall call) {
         return "\"Source\":" + call.range().from() + ",\"TargetVersion\":"
                 + call.range().to() + ",\"fence\":" + call.fence();
     }
 
     private static String grantBody(GrantCall call, double holdMs) {
-        String seconds = String.format(Locale.ROOT, "%.3f", Math.floor(holdMs) / MILLIS_IN_SECOND);
-        String body = "{" + range(new ReleaseCall(call.range(), call.fence())) + ",\"HoldS\":" + seconds;
+        String seconds = String.format(Locale.ROOT, "%.3f", Math.floor(holdMs) / MILLIS_PER_SECOND);
+        String body = "{" + rangeFields(new ReleaseCall(call.range(), call.fence())) + ",\"HoldS\":" + seconds;
         return body + (call.handoff().isEmpty() ? "}" : ",\"" + HANDOFF + "\":\"" + escaped(call.handoff()) + "\"}");
     }
 
-    // What the endpoint before gave is passed on as it is.
+    // The handoff value from the previous endpoint is passed on unchanged.
     private static String escaped(String text) {
         return text.replace("\\", "\\\\").replace("\"", "\\\"");
     }
@@ -183,29 +189,29 @@
 
     private void add(Call call) {
         (call.isRelease() ? waitingReleases : waitingGrants).add(call);
-        beginWaiting();
+        startWaitingCalls();
     }
 
-    private void beginWaiting() {
-        begin(waitingGrants, MAX_GRANTS, false);
-        begin(waitingReleases, MAX_RELEASES, true);
+    private void startWaitingCalls() {
+        startCalls(waitingGrants, MAX_GRANTS, false);
+        startCalls(waitingReleases, MAX_RELEASES, true);
     }
 
-    private void begin(Deque<Call> waiting, int most, boolean releases) {
+    private void startCalls(Deque<Call> waiting, int maxCalls, boolean release) {
         while (!waiting.isEmpty()
                 && busy.stream()
-                                .filter(each -> each.call.isRelease() == releases)
+                                .filter(each -> each.call.isRelease() == release)
                                 .count()
-                        < most) {
+                        < maxCalls) {
             Call call = waiting.poll();
-            Connection kept = idle.poll();
-            while (kept != null && !kept.channel.isActive()) {
-                kept = idle.poll();
+            Connection idleConnection = idle.poll();
+            while (idleConnection != null && !idleConnection.channel.isActive()) {
+                idleConnection = idle.poll();
             }
-            Connection connection = kept == null ? new Connection() : kept;
+            Connection connection = idleConnection == null ? new Connection() : idleConnection;
             connection.call = call;
             busy.add(connection);
-            if (kept == null) {
+            if (idleConnection == null) {
                 connect(connection);
             } else {
                 connection.write();
@@ -223,7 +229,10 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES), connection);
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        connection);
                     }
                 })
                 .connect(address)
@@ -231,12 +240,12 @@
                     if (connected.isSuccess()) {
                         connection.write();
                     } else {
-                        connection.end(null);
+                        connection.finishCall(null);
                     }
                 });
     }
 
-    /** One call at a time. */
+    /** A connection that carries one call at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
         private Call call;
@@ -254,40 +263,40 @@
             }
             DefaultFullHttpRequest request = call.request();
             if (request == null) {
-                end(null);
+                finishCall(null);
                 return;
             }
-            timer = timers.after(call.timeoutMs(), () -> end(null));
+            timer = timers.after(call.timeoutMs(), () -> finishCall(null));
             channel.writeAndFlush(request);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             if (call == null) {
                 channel.close();
                 return;
             }
-            end(answer);
+            finishCall(response);
         }
 
-        // Without an answer the connection ends too: a call that lies in it must not arrive later.
-        private void end(FullHttpResponse answer) {
-            Call over = call;
-            abandonCall();
-            boolean keep = answer != null && HttpUtil.isKeepAlive(answer) && idle.size() < MAX_GRANTS;
-            if (keep) {
+        // Without a response the connection is closed: a call that is still buffered in it must not arrive later.
+        private void finishCall(FullHttpResponse response) {
+            Call finishedCall = call;
+            clearCall();
+            boolean reusable = response != null && HttpUtil.isKeepAlive(response) && idle.size() < MAX_GRANTS;
+            if (reusable) {
                 idle.add(this);
             } else if (channel != null) {
                 channel.close();
             }
-            if (over != null) {
-                over.ended(answer);
+            if (finishedCall != null) {
+                finishedCall.completed(response);
             }
-            // Not in the caller's own call, which may be a failed connect of one of many.
-            loop.execute(EndpointGrants.this::beginWaiting);
+            // Not within the call, which may be one of several failing connects.
+            loop.execute(EndpointGrants.this::startWaitingCalls);
         }
 
-        private void abandonCall() {
+        private void clearCall() {
             busy.remove(this);
             call = null;
             if (timer != null) {
@@ -297,7 +306,7 @@
         }
 
         private void abandon() {
-            abandonCall();
+            clearCall();
             if (channel != null) {
                 channel.close();
             }
@@ -307,7 +316,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.remove(this);
             if (call != null) {
-                end(null);
+                finishCall(null);
             }
         }
 
--- a/src/main/java/whinlead/mesh/sidecar/EndpointKeys.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointKeys.java
@@ -4,40 +4,39 @@
 import whinlead.mesh.keys.GrantCall;
 import whinlead.mesh.keys.ReleaseCall;
 
-/** The endpoint beside this sidecar, as far as its keys go. On the loop's thread. */
+/** Grants keys to the endpoint beside this sidecar and takes them back. Runs on the loop's thread. */
 public interface EndpointKeys {
-    /** What became of a grant. */
+    /** Receives the result of a grant. */
     interface GrantListener {
-        /** The endpoint holds the keys for so long from when this was written. */
-        void granted(double writtenAt, double holdMs);
+        /** The endpoint owns the keys for {@code holdMs} from the time at which the call was written. */
+        void granted(double writtenAtMs, double holdMs);
 
         /** The endpoint has seen a higher fence. */
         void refused();
 
-        /** Nothing is known. */
+        /** The result is unknown. */
         void failed();
     }
 
-    /** What became of a release. */
+    /** Receives the result of a release. */
     interface ReleaseListener {
-        /** Nothing runs on these keys any more; {@code handoff} is empty where the endpoint gave none. */
+        /** No request with these keys is running any more; {@code handoff} is empty if the endpoint gave none. */
         void released(String handoff);
 
-        /** Nothing is known. */
+        /** The result is unknown. */
         void failed();
     }
 
     /**
      * Grants keys.
      *
-     * @param holdMs gives, for the time at which it is written, how long the grant may last; 0 if it must not be
-     *     written
+     * @param holdMs returns how long the grant may last if it is written at the given time; 0 if it must not be written
      */
     void grant(GrantCall call, DoubleUnaryOperator holdMs, GrantListener listener);
 
     /** Takes keys back. */
     void release(ReleaseCall call, ReleaseListener listener);
 
-    /** Another endpoint is there: calls to the one before are over, and their outcome is of no use. */
+    /** Drops all calls to the previous endpoint, because another one has taken its place; their results are ignored. */
     void clear();
 }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointRequestEncoder.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointRequestEncoder.java
@@ -9,9 +9,11 @@
 import java.util.List;
 import whinlead.mesh.wire.PeerMessage;
 
-/** Makes the HTTP request that the endpoint gets of a forwarded one. For any thread. */
+/** Encodes a forwarded request as the HTTP request for the endpoint. Thread-safe. */
 final class EndpointRequestEncoder {
-    /** Taken off the time that the endpoint is told, for its answer's way back, in milliseconds. */
+    /**
+     * Subtracted from the deadline that the endpoint gets, to allow for the way back of its response, in milliseconds.
+     */
     private static final int RESPONSE_TRANSIT_MS = 15;
 
     private EndpointRequestEncoder() {}
@@ -19,11 +21,11 @@
     /**
      * Encodes a request.
      *
-     * @param leftMs how long its answer is of use
-     * @param instance the endpoint's id, which every other endpoint turns away; empty where none is known
-     * @throws IllegalArgumentException if method or headers are no HTTP
+     * @param remainingMs how long its response is of use
+     * @param instance the endpoint's id, which any other endpoint rejects; empty if none is known
+     * @throws IllegalArgumentException if the method or the headers are not valid HTTP
      */
-    static FullHttpRequest encode(PeerMessage.ForwardRequest forwarded, double leftMs, String instance) {
+    static FullHttpRequest encode(PeerMessage.ForwardRequest forwarded, double remainingMs, String instance) {
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(forwarded.method()),
@@ -33,10 +35,10 @@
         for (int i = 0; i + 1 < headers.size(); i += 2) {
             request.headers().add(headers.get(i), headers.get(i + 1));
         }
-        int deadlineMs = (int) Math.max(1, leftMs - RESPONSE_TRANSIT_MS);
-        request.headers().set(ForwardedHeaders.DEADLINE, Integer.toString(deadlineMs));
+        int deadlineMs = (int) Math.max(1, remainingMs - RESPONSE_TRANSIT_MS);
+        request.headers().set(ForwardedHeaders.DEADLINE_MS, Integer.toString(deadlineMs));
         if (!instance.isEmpty()) {
-            request.headers().set(ForwardedHeaders.INSTANCE, instance);
+            request.headers().set(ForwardedHeaders.TARGET_INSTANCE, instance);
         }
         if (hasBody(forwarded)) {
             request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, forwarded.body().length);
@@ -45,18 +47,18 @@
     }
 
     private static boolean hasBody(PeerMessage.ForwardRequest forwarded) {
-        boolean usuallyWithout = HttpMethod.GET.name().equals(forwarded.method())
+        boolean bodilessMethod = HttpMethod.GET.name().equals(forwarded.method())
                 || HttpMethod.HEAD.name().equals(forwarded.method());
-        return forwarded.body().length > 0 || !usuallyWithout;
+        return forwarded.body().length > 0 || !bodilessMethod;
     }
 
-    /** The id that the endpoint's answer must repeat, or null if the request has none. */
+    /** The attempt id that the endpoint's response must repeat, or null if the request has none. */
     static String attemptId(PeerMessage.ForwardRequest forwarded) {
-        String attempt = null;
+        String attemptId = null;
         List<String> headers = forwarded.headers();
         for (int i = 0; i + 1 < headers.size(); i += 2) {
-            attempt = headers.get(i).equalsIgnoreCase(ForwardedHeaders.ATTEMPT) ? headers.get(i + 1) : attempt;
+            attemptId = headers.get(i).equalsIgnoreCase(ForwardedHeaders.ATTEMPT_ID) ? headers.get(i + 1) : attemptId;
         }
-        return attempt;
+        return attemptId;
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
@@ -5,35 +5,35 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * The requests of other sidecars, and of this one, that are under way at the endpoint beside it, so that they can be
- * cancelled. One thread.
+ * The requests of this sidecar and of others that are running at the endpoint beside it, so that they can be cancelled.
+ * Used by one thread.
  */
 public final class EndpointRequests {
-    /** A request's sender, which is a link or this sidecar itself, and its number there. */
+    /** The sender of a request, which is a peer connection or this sidecar, and the request's stream number there. */
     private record Key(Object sender, long stream) {}
 
     private final Map<Key, EndpointConnections.Sent> requests = new HashMap<>();
 
-    /** A request is about to be sent; it may end before {@link #sent}. */
+    /** Registers a request that is about to be sent; it may end before its handle is recorded. */
     public void begin(Object sender, long stream) {
         requests.put(new Key(sender, stream), whileRunning -> {});
     }
 
-    /** It was sent. */
-    public void sent(Object sender, long stream, EndpointConnections.Sent sent) {
-        requests.replace(new Key(sender, stream), sent);
+    /** Records the handle by which the request can be cancelled. */
+    public void sent(Object sender, long stream, EndpointConnections.Sent sentRequest) {
+        requests.replace(new Key(sender, stream), sentRequest);
     }
 
-    /** It has ended. */
+    /** Removes a request that has ended. */
     public void ended(Object sender, long stream) {
         requests.remove(new Key(sender, stream));
     }
 
-    /** Its client has left. */
+    /** Cancels a request whose client has disconnected. */
     public void cancel(Object sender, PeerMessage.Cancel cancel) {
-        EndpointConnections.Sent sent = requests.get(new Key(sender, cancel.stream()));
-        if (sent != null) {
-            sent.cancel(cancel.whileRunning());
+        EndpointConnections.Sent sentRequest = requests.get(new Key(sender, cancel.stream()));
+        if (sentRequest != null) {
+            sentRequest.cancel(cancel.whileRunning());
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ForwardedHeaders.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedHeaders.java
@@ -8,19 +8,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which headers go on. For any thread. */
+/** Selects the headers that are forwarded. Thread-safe. */
 final class ForwardedHeaders {
-    static final String ATTEMPT = "Attempt-Id";
-    static final String DEADLINE = "Deadline-Ms";
-    static final String KEY = "Api-Key";
+    static final String ATTEMPT_ID = "Attempt-Id";
+    static final String DEADLINE_MS = "Deadline-Ms";
+    static final String API_KEY = "Api-Key";
     static final String TENANT = "Tenant";
-    static final String CALLER = "Caller-Service";
-    static final String INSTANCE = "Target-Instance";
-    static final String SEAL = "Server-Seal";
+    static final String CALLER_SERVICE = "Caller-Service";
+    static final String TARGET_INSTANCE = "Target-Instance";
+    static final String SERVER_SEAL = "Server-Seal";
     static final String NOT_EXECUTED = "Not-Executed";
 
-    /** Of one connection only, or made anew behind. */
-    private static final Set<String> OWN = Set.of(
+    /** Hop-by-hop headers, and headers that are set anew for the next hop. */
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -32,32 +32,40 @@
             "proxy-authorization",
             "content-length",
             "expect");
-    /** What the system alone tells endpoints. */
-    private static final Set<String> SYSTEM =
+    /** Headers that only this system may set on requests to endpoints. */
+    private static final Set<String> SYSTEM_HEADERS =
             Set.of("tenant", "api-key", "caller-service", "target-instance", "deadline-ms");
 
-    /** End to end, whatever a connection says of them: what an answer is known by and proved by. */
-    private static final Set<String> END_TO_END = Set.of("attempt-id", "server-seal");
+    /**
+     * Headers that are always forwarded, even if a {@code Connection} header names them: responses are matched and
+     * verified by them.
+     */
+    private static final Set<String> END_TO_END_HEADERS = Set.of("attempt-id", "server-seal");
 
     private ForwardedHeaders() {}
 
-    /** Names and values in turn, without those of one connection and, of requests, the system's. */
-    static List<String> onward(HttpHeaders headers, boolean request) {
-        Set<String> named = new HashSet<>();
+    /**
+     * Copies the headers as alternating names and values, without hop-by-hop headers and, for requests, without the
+     * system's own headers.
+     */
+    static List<String> copyForwardable(HttpHeaders headers, boolean request) {
+        Set<String> connectionOptions = new HashSet<>();
         for (String value : headers.getAll("Connection")) {
             for (String token : value.split(",")) {
-                named.add(token.trim().toLowerCase(Locale.ROOT));
+                connectionOptions.add(token.trim().toLowerCase(Locale.ROOT));
             }
         }
-        named.removeAll(END_TO_END);
-        List<String> out = new ArrayList<>(headers.size() * 2);
-        for (Map.Entry<String, String> e : headers) {
-            String name = e.getKey().toLowerCase(Locale.ROOT);
-            if (!OWN.contains(name) && !named.contains(name) && !(request && SYSTEM.contains(name))) {
-                out.add(e.getKey());
-                out.add(e.getValue());
+        connectionOptions.removeAll(END_TO_END_HEADERS);
+        List<String> forwardable = new ArrayList<>(headers.size() * 2);
+        for (Map.Entry<String, String> header : headers) {
+            String name = header.getKey().toLowerCase(Locale.ROOT);
+            if (!HOP_BY_HOP.contains(name)
+                    && !connectionOptions.contains(name)
+                    && !(request && SYSTEM_HEADERS.contains(name))) {
+                forwardable.add(header.getKey());
+                forwardable.add(header.getValue());
             }
         }
-        return out;
+        return forwardable;
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
@@ -4,37 +4,37 @@
 import whinlead.mesh.wire.TransitClock;
 
 /**
- * What is left of the time of a request that another sidecar forwarded. What it waited on its way is taken off; where
- * that can't be known, nothing is left: on a connection that was made while this process stood still (it was frozen, or
- * had no processor), the first messages have nothing to be compared with. Pure; one thread; times in milliseconds on
- * one steady clock.
+ * Computes the remaining time of a request that another sidecar forwarded, by subtracting the time it spent on its way.
+ * If that time can't be known, nothing remains: the first messages of a connection that was opened while this process
+ * was paused (frozen, or without processor time) have nothing to be compared with. Pure; used by one thread; times in
+ * milliseconds on one monotonic clock.
  */
 public final class ForwardedTime {
-    /** Standing still for less is not noticed. */
-    static final double STANDSTILL_MS = 500;
-    /** For so long after a standstill, messages that waited in sockets are read. */
-    static final double BACKLOG_MS = 100;
+    /** Pauses of the process that are shorter than this are not detected. */
+    static final double PAUSE_THRESHOLD_MS = 500;
+    /** How long after a pause messages that waited in socket buffers are read. */
+    static final double BACKLOG_WINDOW_MS = 100;
 
-    private double ranAt = Double.NaN;
-    private double resumedAt = Double.NEGATIVE_INFINITY;
+    private double lastRunningMs = Double.NaN;
+    private double resumedMs = Double.NEGATIVE_INFINITY;
 
-    /** This process runs; to be told at least every {@link #STANDSTILL_MS}. */
-    public void running(double now) {
-        if (now - ranAt > STANDSTILL_MS) {
-            resumedAt = now;
+    /** Records that this process is running; must be called at least every {@link #PAUSE_THRESHOLD_MS}. */
+    public void running(double nowMs) {
+        if (nowMs - lastRunningMs > PAUSE_THRESHOLD_MS) {
+            resumedMs = nowMs;
         }
-        ranAt = now;
+        lastRunningMs = nowMs;
     }
 
     /**
-     * What is left of a request that arrives now, in whole milliseconds; at 0 it must not be begun.
+     * The remaining time of a request that arrives now, in whole milliseconds; at 0 the request must not be started.
      *
-     * @param transit of the connection by which it came
+     * @param transit the transit clock of the connection that it arrived on
      */
-    public int left(double now, TransitClock transit, PeerMessage.ForwardRequest request) {
-        running(now);
-        int left = transit.left(now, request.sentAt(), request.leftMs());
-        boolean backlog = now - resumedAt < BACKLOG_MS;
-        return backlog && transit.firstArrivalAt() >= resumedAt ? 0 : left;
+    public int left(double nowMs, TransitClock transit, PeerMessage.ForwardRequest request) {
+        running(nowMs);
+        int remainingMs = transit.left(nowMs, request.sentAt(), request.leftMs());
+        boolean backlog = nowMs - resumedMs < BACKLOG_WINDOW_MS;
+        return backlog && transit.firstArrivalAt() >= resumedMs ? 0 : remainingMs;
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/KeyClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/KeyClient.java
@@ -19,30 +19,33 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * The keys of the endpoint beside this sidecar, where its service is divided: reports to the control node that grants
- * keys, takes its leases, and grants the keys on to the endpoint. On the loop's thread.
+ * Manages the keys of the endpoint beside this sidecar if its service is sharded: reports to the control node that
+ * grants keys, accepts its leases, and grants the keys to the endpoint. Runs on the loop's thread.
  */
 public final class KeyClient {
-    /** Without a lease for so long all control nodes are reported to, for another may grant keys by now. */
-    private static final double LOST_MS = 1600;
-    /** Between two reports with news. */
-    private static final double NEWS_MS = 20;
-    /** After a release came to nothing, the next one. */
-    private static final double RETRY_MS = 200;
-    /** The load of the keys is told in about so many parts. */
+    /**
+     * After this long without a lease the client reports to all control nodes, because another one may grant keys by
+     * now.
+     */
+    private static final double GRANTOR_LOST_MS = 1600;
+    /** Minimum interval between two reports with changes. */
+    private static final double MIN_REPORT_INTERVAL_MS = 20;
+    /** Delay before a failed release is tried again. */
+    private static final double RELEASE_RETRY_MS = 200;
+    /** Approximate number of parts in which the load of the keys is reported. */
     private static final int LOAD_PARTS = 16;
-    /** From so many grants in a row that came to nothing on, the endpoint counts as lost until it is heard of again. */
+    /** After this many failed grants in a row the endpoint counts as lost until its next heartbeat. */
     private static final int LOST_AFTER_FAILURES = 2;
-    /** From this part of its places taken on, requests may have been turned away. */
-    private static final double FULL_PART = 0.9;
-    /** Demand beyond so many times the capacity makes no difference. */
-    private static final double MAX_BUSY = 4;
-    /** Control nodes that are reported to at most. */
+    /** From this utilization on, requests may have been rejected. */
+    private static final double FULL_UTILIZATION = 0.9;
+    /** Reported demand is limited to this multiple of the capacity; more makes no difference. */
+    private static final double MAX_DEMAND_MULTIPLE = 4;
+    /** Maximum number of control nodes that are reported to. */
     private static final int MAX_CONTROL_NODES = 32;
 
     /** Sends messages to one control node. */
     public interface Connection {
-        /** Whether a message may be sent with hope of an answer. */
+        /** Whether the connection is up, so that an answer can be expected. */
         boolean isUp();
 
         /** Sends a message. */
@@ -52,68 +55,68 @@
     private final Timers timers;
     private final EndpointGate gate;
     private final EndpointKeys endpointKeys;
-    private final Predicate<String> divided;
-    private final BooleanSupplier leaving;
-    private final long life;
+    private final Predicate<String> shardedServices;
+    private final BooleanSupplier shuttingDown;
+    private final long incarnation;
     private final Map<String, Connection> connections = new LinkedHashMap<>();
-    private final KeyHolder holder;
-    private KeyLoadMeter meter;
+    private final KeyHolder keyHolder;
+    private KeyLoadMeter loadMeter;
     private String grantor = "";
-    private double leasedAt = Double.NEGATIVE_INFINITY;
-    private double reportedAt = Double.NEGATIVE_INFINITY;
-    private boolean wasLeaving;
-    private String endpoint = "";
-    private int heldRanges;
-    /** Grants in a row that came to nothing, and when the last one did. */
-    private int failures;
+    private double lastLeaseMs = Double.NEGATIVE_INFINITY;
+    private double lastReportMs = Double.NEGATIVE_INFINITY;
+    private boolean reportedDraining;
+    private String endpointId = "";
+    private int loggedRangeCount;
+    /** Number of failed grants in a row; the time of the last one follows. */
+    private int consecutiveGrantFailures;
 
-    private double failedAt;
+    private double lastGrantFailureMs;
 
     /**
-     * A client without control nodes.
+     * Creates a client without control nodes.
      *
      * @param gate knows the endpoint
-     * @param endpointKeys grants keys to it
-     * @param divided whether the service of this name is divided by key
-     * @param leaving whether this process is about to end
-     * @param maxHoldMs the endpoint may be granted keys for so long at a time, at most
-     * @param life tells this process from an earlier one at the same address
+     * @param endpointKeys grants keys to the endpoint
+     * @param shardedServices whether the service of this name is sharded by key
+     * @param shuttingDown whether this process is about to end
+     * @param maxHoldMs the longest time that the endpoint may be granted keys for at once
+     * @param incarnation distinguishes this process from an earlier one at the same address
      */
     public KeyClient(
             Timers timers,
             EndpointGate gate,
             EndpointKeys endpointKeys,
-            Predicate<String> divided,
-            BooleanSupplier leaving,
+            Predicate<String> shardedServices,
+            BooleanSupplier shuttingDown,
             double maxHoldMs,
-            long life) {
+            long incarnation) {
         this.timers = timers;
         this.gate = gate;
         this.endpointKeys = endpointKeys;
-        this.divided = divided;
-        this.leaving = leaving;
-        this.holder = new KeyHolder(maxHoldMs);
-        this.life = life;
+        this.shardedServices = shardedServices;
+        this.shuttingDown = shuttingDown;
+        this.keyHolder = new KeyHolder(maxHoldMs);
+        this.incarnation = incarnation;
     }
 
-    /** Whether the endpoint beside this sidecar runs requests of the keys that it holds only. */
-    public boolean isDivided() {
-        return divided.test(gate.target());
+    /** Whether the endpoint beside this sidecar runs only requests with keys that it owns. */
+    public boolean isSharded() {
+        return shardedServices.test(gate.target());
     }
 
-    /** A new connection to a control node is up. */
+    /** Adds a new connection to a control node. */
     public void connected(String controlNode, Connection connection) {
         if (connections.containsKey(controlNode) || connections.size() < MAX_CONTROL_NODES) {
             connections.put(controlNode, connection);
         }
     }
 
-    /** A control node is not known any more. */
+    /** Removes a control node that is no longer known. */
     public void removed(String controlNode) {
         connections.remove(controlNode);
     }
 
-    /** A control node grants keys from now on. */
+    /** Records that this control node grants keys from now on. */
     public void grantorChanged(String controlNode) {
         grantor = controlNode;
         if (isActive()) {
@@ -122,137 +125,141 @@
     }
 
     private boolean isActive() {
-        return isDivided() && !gate.endpoint().isEmpty() || !holder.isEmpty();
+        return isSharded() && !gate.endpoint().isEmpty() || !keyHolder.isEmpty();
     }
 
-    /** Time passes. To be called several times a second. */
+    /** Called periodically, several times a second. */
     public void tick() {
         if (!isActive()) {
             return;
         }
-        if (!gate.endpoint().equals(endpoint)) {
+        if (!gate.endpoint().equals(endpointId)) {
             endpointReplaced();
         }
         callEndpoint();
-        double now = timers.now();
-        boolean leavesNow = isLeaving();
-        boolean due = now - reportedAt >= KeyTerms.REPORT_MS;
-        boolean news = (holder.hasNews() || leavesNow != wasLeaving) && now - reportedAt >= NEWS_MS;
-        if (due || news) {
-            report(now);
+        double nowMs = timers.now();
+        boolean draining = isDraining();
+        boolean reportDue = nowMs - lastReportMs >= KeyTerms.REPORT_MS;
+        boolean changed =
+                (keyHolder.hasNews() || draining != reportedDraining) && nowMs - lastReportMs >= MIN_REPORT_INTERVAL_MS;
+        if (reportDue || changed) {
+            report(nowMs);
         }
     }
 
     private void endpointReplaced() {
-        if (!endpoint.isEmpty()) {
+        if (!endpointId.isEmpty()) {
             endpointKeys.clear();
-            holder.endpointReplaced();
-            failures = 0;
+            keyHolder.endpointReplaced();
+            consecutiveGrantFailures = 0;
         }
-        endpoint = gate.endpoint();
-        meter = new KeyLoadMeter(timers.now());
+        endpointId = gate.endpoint();
+        loadMeter = new KeyLoadMeter(timers.now());
     }
 
-    private boolean isLeaving() {
-        boolean lost = failures >= LOST_AFTER_FAILURES && gate.heardAt() < failedAt;
-        return lost || leaving.getAsBoolean() || gate.state() != EndpointGate.State.SERVING;
+    private boolean isDraining() {
+        boolean endpointLost =
+                consecutiveGrantFailures >= LOST_AFTER_FAILURES && gate.lastHeartbeatMs() < lastGrantFailureMs;
+        return endpointLost || shuttingDown.getAsBoolean() || gate.state() != EndpointGate.State.SERVING;
     }
 
-    private void report(double now) {
-        if (!gate.endpoint().equals(endpoint)) {
+    private void report(double nowMs) {
+        if (!gate.endpoint().equals(endpointId)) {
             endpointReplaced();
         }
-        reportedAt = now;
-        wasLeaving = isLeaving();
-        PeerMessage.KeyLeaseReport message = new PeerMessage.KeyLeaseReport(compose(now));
-        Connection known = connections.get(grantor);
-        if (known != null && known.isUp() && now - leasedAt < LOST_MS) {
-            known.send(message);
+        lastReportMs = nowMs;
+        reportedDraining = isDraining();
+        PeerMessage.KeyLeaseReport message = new PeerMessage.KeyLeaseReport(buildReport(nowMs));
+        Connection grantorConnection = connections.get(grantor);
+        if (grantorConnection != null && grantorConnection.isUp() && nowMs - lastLeaseMs < GRANTOR_LOST_MS) {
+            grantorConnection.send(message);
         } else {
             connections.values().stream().filter(Connection::isUp).forEach(each -> each.send(message));
         }
     }
 
-    private KeyReport compose(double now) {
-        List<HeldKeys> held = holder.held(now);
-        List<KeyRange> ranges = held.stream().map(HeldKeys::range).toList();
-        logHeld(held);
-        long number = holder.reportSent(now);
+    private KeyReport buildReport(double nowMs) {
+        List<HeldKeys> heldKeys = keyHolder.held(nowMs);
+        List<KeyRange> ranges = heldKeys.stream().map(HeldKeys::range).toList();
+        logHeld(heldKeys);
+        long reportNumber = keyHolder.reportSent(nowMs);
         return new KeyReport(
-                life,
-                number,
+                incarnation,
+                reportNumber,
                 gate.target(),
-                endpoint,
+                endpointId,
                 gate.capacity(),
-                wasLeaving,
-                busyPlaces(now, ranges),
-                held,
-                holder.released(),
-                meter.loads(now, ranges, LOAD_PARTS));
+                reportedDraining,
+                busyPlaces(nowMs, ranges),
+                heldKeys,
+                keyHolder.released(),
+                loadMeter.loads(nowMs, ranges, LOAD_PARTS));
     }
 
-    private void logHeld(List<HeldKeys> held) {
-        if ((heldRanges == 0) != held.isEmpty()) {
+    private void logHeld(List<HeldKeys> heldKeys) {
+        if ((loggedRangeCount == 0) != heldKeys.isEmpty()) {
             Event.KEYS_HELD.log(
-                    held.isEmpty()
+                    heldKeys.isEmpty()
                             ? "none"
-                            : held.size() + " ranges from " + held.get(0).range());
+                            : heldKeys.size() + " ranges from "
+                                    + heldKeys.get(0).range());
         }
-        heldRanges = held.size();
+        loggedRangeCount = heldKeys.size();
     }
 
-    // Also those that requests would take which were turned away, by how long the others stayed.
-    private double busyPlaces(double now, List<KeyRange> ranges) {
+    // Includes the places that rejected requests would have taken, estimated from how long the served ones stayed.
+    private double busyPlaces(double nowMs, List<KeyRange> ranges) {
         double places = gate.utilization() * gate.capacity();
-        if (gate.utilization() < FULL_PART) {
+        if (gate.utilization() < FULL_UTILIZATION) {
             return places;
         }
-        double asked = ranges.stream()
-                .mapToDouble(range -> meter.perSecond(now, range))
+        double requestsPerSecond = ranges.stream()
+                .mapToDouble(range -> loadMeter.perSecond(nowMs, range))
                 .sum();
-        double served = Math.max(gate.perSecond(), 1);
-        return Math.max(places, Math.min(places * asked / served, MAX_BUSY * gate.capacity()));
+        double servedPerSecond = Math.max(gate.perSecond(), 1);
+        return Math.max(
+                places, Math.min(places * requestsPerSecond / servedPerSecond, MAX_DEMAND_MULTIPLE * gate.capacity()));
     }
 
-    /** A control node leases keys. */
+    /** Accepts a lease from a control node. */
     public void leased(String controlNode, KeyLease lease) {
-        if (lease.sidecarLife() != life) {
+        if (lease.sidecarLife() != incarnation) {
             return;
         }
-        double now = timers.now();
+        double nowMs = timers.now();
         grantor = controlNode;
-        leasedAt = now;
-        holder.leased(now, lease);
+        lastLeaseMs = nowMs;
+        keyHolder.leased(nowMs, lease);
         tick();
     }
 
     private void callEndpoint() {
-        double now = timers.now();
-        holder.grantsDue(now).forEach(this::grant);
-        holder.releasesDue(now).forEach(this::release);
+        double nowMs = timers.now();
+        keyHolder.grantsDue(nowMs).forEach(this::grant);
+        keyHolder.releasesDue(nowMs).forEach(this::release);
     }
 
     private void grant(GrantCall call) {
-        endpointKeys.grant(call, now -> holder.holdMs(now, call), new EndpointKeys.GrantListener() {
+        endpointKeys.grant(call, nowMs -> keyHolder.holdMs(nowMs, call), new EndpointKeys.GrantListener() {
             @Override
-            public void granted(double writtenAt, double holdMs) {
-                failures = 0;
-                holder.granted(writtenAt, holdMs, call);
+            public void granted(double writtenAtMs, double holdMs) {
+                consecutiveGrantFailures = 0;
+                keyHolder.granted(writtenAtMs, holdMs, call);
                 tick();
             }
 
             @Override
             public void refused() {
                 Event.GRANT_REFUSED.log(call.range() + " fence " + call.fence());
-                holder.refused(call);
+                keyHolder.refused(call);
                 tick();
             }
 
             @Override
             public void failed() {
-                failures++;
-                failedAt = timers.now();
-                holder.notGranted(call);
+                consecutiveGrantFailures++;
+                lastGrantFailureMs = timers.now();
+                keyHolder.notGranted(call);
             }
         });
     }
@@ -261,25 +268,25 @@
         endpointKeys.release(call, new EndpointKeys.ReleaseListener() {
             @Override
             public void released(String handoff) {
-                meter.forget(call.range());
-                holder.released(call, handoff);
+                loadMeter.forget(call.range());
+                keyHolder.released(call, handoff);
                 tick();
             }
 
             @Override
             public void failed() {
-                timers.after(RETRY_MS, () -> holder.notReleased(timers.now(), call));
+                timers.after(RELEASE_RETRY_MS, () -> keyHolder.notReleased(timers.now(), call));
             }
         });
     }
 
-    /** Whether a request of this key may go to the endpoint now; it counts as load of the key. */
+    /** Whether a request with this key may go to the endpoint now; if so, it counts towards the load of the key. */
     public boolean admit(int key) {
-        double now = timers.now();
-        if (!holder.serves(now, key)) {
+        double nowMs = timers.now();
+        if (!keyHolder.serves(nowMs, key)) {
             return false;
         }
-        meter.count(now, key);
+        loadMeter.count(nowMs, key);
         return true;
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/PeerPath.java
+++ b/src/main/java/whinlead/mesh/sidecar/PeerPath.java
@@ -3,32 +3,35 @@
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.ReconnectingConnection;
 
-/** A kept connection to another sidecar, as the forwarder of requests sees it; a seam for rigs without sockets. */
+/**
+ * A persistent connection to another sidecar, as the request forwarder uses it; an interface so that simulations work
+ * without sockets.
+ */
 public interface PeerPath {
-    /** Begins to keep it. */
+    /** Starts connecting; from then on the path reconnects by itself. */
     void dial();
 
-    /** Its state. */
+    /** The state of the connection. */
     ReconnectingConnection.State state();
 
-    /** Sends a message; false if nothing of it was sent. */
+    /** Sends a message; false if none of it was sent. */
     boolean send(PeerMessage message);
 
-    /** Ends it for good. */
+    /** Closes the path for good. */
     void close();
 
-    /** Hears of a path. */
+    /** Receives the events of a path. */
     interface Listener {
-        /** Its state has changed. */
-        void changed(ReconnectingConnection.State now, ReconnectingConnection.State before);
+        /** Called when the state has changed. */
+        void changed(ReconnectingConnection.State newState, ReconnectingConnection.State previousState);
 
-        /** A message came. */
+        /** Called when a message has arrived. */
         void message(PeerMessage message);
 
-        /** Whether something is waited for. */
+        /** Whether responses are awaited on this path. */
         boolean hasPendingRequests();
 
-        /** The present time for what is written now, in microseconds of a steady clock. */
+        /** The time to be sent in messages that are written now, in microseconds of a monotonic clock. */
         long stamp();
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/QuotaClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/QuotaClient.java
@@ -23,22 +23,22 @@
 import whinlead.mesh.wire.ProtocolVersion;
 
 /**
- * Tenants' limits at a sidecar: keeps its leases with the control nodes, and asks them for single tokens where no token
- * is left here. On its loop's thread.
+ * Tenants' quotas at a sidecar: maintains leases with the control nodes, and requests single tokens from them when no
+ * leased token is left. Runs on its loop's thread.
  */
 final class QuotaClient {
-    /** Searches for tokens at a time; beyond, requests are refused at once. */
+    /** Maximum number of concurrent token searches; beyond it, requests are refused at once. */
     private static final int MAX_SEARCHES = 256;
-    /** The same tenant is told of in the log so often at most, in milliseconds. */
+    /** Minimum interval between two log entries for the same tenant, in milliseconds. */
     private static final double LOG_INTERVAL_MS = 5000;
-    /** Questions without an answer that are remembered. */
-    private static final int MAX_ASKED = 4 * MAX_SEARCHES;
-    /** Tenants whose last entry in the log is remembered. */
+    /** Maximum number of unanswered token requests that are remembered. */
+    private static final int MAX_TOKEN_REQUESTS = 4 * MAX_SEARCHES;
+    /** Maximum number of tenants whose last log entry is remembered. */
     private static final int MAX_LOGGED = 256;
 
-    /** A connection to a control node, as far as limits go. */
+    /** A connection to a control node, as far as quotas need it. */
     interface Connection {
-        /** Whether a message may be sent with hope of an answer. */
+        /** Whether the connection is up, so that an answer can be expected. */
         boolean isUp();
 
         /** The protocol version that both sides speak. */
@@ -50,73 +50,75 @@
 
     private final Timers timers;
     private final TenantQuota quota;
-    private final IntSupplier sidecars;
+    private final IntSupplier knownSidecars;
     private final Map<String, Connection> connections = new LinkedHashMap<>();
     private final Map<String, LeaseSchedule> schedules = new HashMap<>();
-    /** By number: who asked for a token, and of whom. What is answered late is still of use to others. */
-    private final Map<Long, AskedToken> asked = new LinkedHashMap<>();
+    /** The unanswered token requests by number. A token that arrives late can still be used for other requests. */
+    private final Map<Long, SentTokenRequest> tokenRequests = new LinkedHashMap<>();
 
-    private final Map<String, Double> loggedAt = new LinkedHashMap<>();
+    private final Map<String, Double> lastLoggedMs = new LinkedHashMap<>();
     private final Random random = new Random();
-    private long tokenRequests;
-    private int searches;
-    private boolean holds = true;
+    private long lastTokenRequest;
+    private int activeSearches;
+    private boolean leasesEnabled = true;
 
     /**
-     * A client without control nodes.
+     * Creates a client without control nodes.
      *
-     * @param sidecars how many there are, as far as is known
+     * @param knownSidecars how many sidecars are known
      */
-    QuotaClient(Timers timers, TenantQuota quota, IntSupplier sidecars) {
+    QuotaClient(Timers timers, TenantQuota quota, IntSupplier knownSidecars) {
         this.timers = timers;
         this.quota = quota;
-        this.sidecars = sidecars;
+        this.knownSidecars = knownSidecars;
     }
 
-    /** A new connection to a control node is up. */
+    /** Adds a new connection to a control node. */
     void connected(String controlNode, Connection connection) {
         connections.put(controlNode, connection);
         schedules.computeIfAbsent(controlNode, name -> new LeaseSchedule()).connected();
         quota.connected(controlNode);
     }
 
-    /** A control node is not known any more. */
+    /** Removes a control node that is no longer known. */
     void removed(String controlNode) {
         connections.remove(controlNode);
         schedules.remove(controlNode);
     }
 
-    /** Time passes: reports where that is due. */
+    /** Called periodically: sends the lease reports that are due. */
     void tick() {
-        double now = timers.now();
-        boolean hasNews = quota.hasNews(now);
+        double nowMs = timers.now();
+        boolean hasNews = quota.hasNews(nowMs);
         connections.forEach((controlNode, connection) -> {
             LeaseSchedule schedule = schedules.get(controlNode);
-            if (holds && grantsLeases(connection) && schedule.isDue(now, quota.hasNeeds(now, controlNode), hasNews)) {
-                schedule.sent(now);
-                report(now, controlNode, connection);
+            if (leasesEnabled
+                    && grantsLeases(connection)
+                    && schedule.isDue(nowMs, quota.hasNeeds(nowMs, controlNode), hasNews)) {
+                schedule.sent(nowMs);
+                report(nowMs, controlNode, connection);
             }
         });
-        quota.useEvenShare(now, evenShare());
+        quota.useEvenShare(nowMs, evenShare());
     }
 
-    private void report(double now, String controlNode, Connection connection) {
-        LeaseReport report = quota.report(now, controlNode);
+    private void report(double nowMs, String controlNode, Connection connection) {
+        LeaseReport report = quota.report(nowMs, controlNode);
         if (report != null) {
             connection.send(new PeerMessage.QuotaLeaseReport(report));
         }
     }
 
     /**
-     * Whether leases are held from now on. If not, what is held is given up at once, and single tokens serve requests:
-     * a machine that is about to go takes no part of a limit with it.
+     * Sets whether leases are used. If not, all leases are released at once and requests are served from single tokens,
+     * so that a machine that is about to stop keeps no share of a quota.
      */
-    void hold(boolean nowHolds) {
-        if (holds == nowHolds) {
+    void setLeasesEnabled(boolean enabled) {
+        if (leasesEnabled == enabled) {
             return;
         }
-        holds = nowHolds;
-        if (holds) {
+        leasesEnabled = enabled;
+        if (leasesEnabled) {
             schedules.values().forEach(LeaseSchedule::connected);
         } else {
             LeaseReport report = quota.release(timers.now());
@@ -130,153 +132,155 @@
         return connection.isUp() && connection.version() >= ProtocolVersion.LEASES;
     }
 
-    // While control nodes are upgraded, those of the earlier version grant nothing.
+    // During an upgrade of the control nodes, those of the earlier version grant no leases.
     private double evenShare() {
         boolean anyGrants = connections.values().stream().anyMatch(each -> each.version() >= ProtocolVersion.LEASES);
         boolean anyEarlier = connections.values().stream()
                 .anyMatch(each -> each.isUp() && each.version() == ProtocolVersion.TOLERANT);
-        return anyEarlier && !anyGrants ? 1.0 / Math.max(1, sidecars.getAsInt()) : 0;
+        return anyEarlier && !anyGrants ? 1.0 / Math.max(1, knownSidecars.getAsInt()) : 0;
     }
 
-    /** A control node leases. */
-    void granted(String controlNode, LeaseGrant grant) {
+    /** Accepts a lease from a control node. */
+    void leaseGranted(String controlNode, LeaseGrant grant) {
         quota.granted(timers.now(), controlNode, grant);
     }
 
-    /** A control node answers whether there is a token. */
-    void answered(TokenResponse response) {
-        AskedToken token = asked.remove(response.number());
-        if (token != null) {
-            token.search.answered(token.controlNode, response.granted(), response.waitMs());
+    /** Accepts a control node's answer to a token request. */
+    void tokenAnswered(TokenResponse response) {
+        SentTokenRequest tokenRequest = tokenRequests.remove(response.number());
+        if (tokenRequest != null) {
+            tokenRequest.search.answered(tokenRequest.controlNode, response.granted(), response.waitMs());
         }
     }
 
-    private record AskedToken(String controlNode, TokenSearch search) {}
+    private record SentTokenRequest(String controlNode, TokenSearch search) {}
 
-    private void remember(long number, AskedToken token) {
-        asked.put(number, token);
-        if (asked.size() > MAX_ASKED) {
-            asked.remove(asked.keySet().iterator().next());
+    private void rememberTokenRequest(long number, SentTokenRequest tokenRequest) {
+        tokenRequests.put(number, tokenRequest);
+        if (tokenRequests.size() > MAX_TOKEN_REQUESTS) {
+            tokenRequests.remove(tokenRequests.keySet().iterator().next());
         }
     }
 
     /**
-     * Decides on one request; at once where that can be done here.
+     * Decides whether a request is within its tenant's quota, at once if that is possible locally.
      *
-     * @param aimMs within which its answer is worth most
-     * @param then told {@code Admitted} or {@code Refused}, once
-     * @return ends the search for a token, if one goes on; then nothing is told
+     * @param targetMs the latency target of the request: within it, its response has full value
+     * @param decisionListener called once with {@code Admitted} or {@code Refused}
+     * @return cancels the token search if one was started; the listener is then not called
      */
-    Runnable acquire(String tenant, double limitPerS, double burst, double aimMs, Consumer<QuotaDecision> then) {
-        double now = timers.now();
-        QuotaDecision decision = quota.acquire(now, tenant, limitPerS, burst);
-        if (decision instanceof QuotaDecision.NeedsToken need) {
-            return search(need, aimMs, then);
+    Runnable acquire(
+            String tenant, double limitPerS, double burst, double targetMs, Consumer<QuotaDecision> decisionListener) {
+        double nowMs = timers.now();
+        QuotaDecision decision = quota.acquire(nowMs, tenant, limitPerS, burst);
+        if (decision instanceof QuotaDecision.NeedsToken tokenNeeded) {
+            return search(tokenNeeded, targetMs, decisionListener);
         }
         if (decision instanceof QuotaDecision.Refused) {
-            log(now, tenant);
+            logLimited(nowMs, tenant);
         }
-        then.accept(decision);
+        decisionListener.accept(decision);
         return () -> {};
     }
 
-    private Runnable search(QuotaDecision.NeedsToken need, double aimMs, Consumer<QuotaDecision> then) {
+    private Runnable search(
+            QuotaDecision.NeedsToken tokenNeeded, double targetMs, Consumer<QuotaDecision> decisionListener) {
         List<String> reachable = new ArrayList<>();
         connections.forEach((controlNode, connection) -> {
             if (grantsLeases(connection)) {
                 reachable.add(controlNode);
             }
         });
-        if (reachable.isEmpty() || searches >= MAX_SEARCHES) {
-            then.accept(refusal(need.tenant(), 0));
+        if (reachable.isEmpty() || activeSearches >= MAX_SEARCHES) {
+            decisionListener.accept(refusal(tokenNeeded.tenant(), 0));
             return () -> {};
         }
         Collections.shuffle(reachable, random);
-        searches++;
-        Asker asker = new Asker(need, then);
-        TokenSearch search = new TokenSearch(reachable, need.allowance(), asker);
-        asker.search = search;
-        double mostMs = Math.min(TokenSearch.MAX_MS, aimMs * TokenSearch.AIM_PART);
-        asker.hedge = timers.after(mostMs * TokenSearch.HEDGE_PART, search::hedge);
-        asker.end = timers.after(mostMs, search::end);
+        activeSearches++;
+        SearchActions actions = new SearchActions(tokenNeeded, decisionListener);
+        TokenSearch search = new TokenSearch(reachable, tokenNeeded.allowance(), actions);
+        actions.search = search;
+        double maxSearchMs = Math.min(TokenSearch.MAX_MS, targetMs * TokenSearch.AIM_PART);
+        actions.hedgeTimer = timers.after(maxSearchMs * TokenSearch.HEDGE_PART, search::hedge);
+        actions.endTimer = timers.after(maxSearchMs, search::end);
         search.begin();
         return search::cancel;
     }
 
     private QuotaDecision.Refused refusal(String tenant, double waitMs) {
-        double now = timers.now();
-        log(now, tenant);
-        return new QuotaDecision.Refused(quota.tokenDenied(now, tenant, waitMs));
+        double nowMs = timers.now();
+        logLimited(nowMs, tenant);
+        return new QuotaDecision.Refused(quota.tokenDenied(nowMs, tenant, waitMs));
     }
 
-    private void log(double now, String tenant) {
-        if (now - loggedAt.getOrDefault(tenant, Double.NEGATIVE_INFINITY) < LOG_INTERVAL_MS) {
+    private void logLimited(double nowMs, String tenant) {
+        if (nowMs - lastLoggedMs.getOrDefault(tenant, Double.NEGATIVE_INFINITY) < LOG_INTERVAL_MS) {
             return;
         }
-        loggedAt.remove(tenant);
-        loggedAt.put(tenant, now);
-        if (loggedAt.size() > MAX_LOGGED) {
-            loggedAt.remove(loggedAt.keySet().iterator().next());
+        lastLoggedMs.remove(tenant);
+        lastLoggedMs.put(tenant, nowMs);
+        if (lastLoggedMs.size() > MAX_LOGGED) {
+            lastLoggedMs.remove(lastLoggedMs.keySet().iterator().next());
         }
-        Event.TENANT_LIMITED.log(quota.describe(now, tenant));
+        Event.TENANT_LIMITED.log(quota.describe(nowMs, tenant));
     }
 
-    /** Requests that wait for a token. */
-    int pending() {
-        return searches;
+    /** Number of requests that wait for a token. */
+    int pendingSearches() {
+        return activeSearches;
     }
 
-    /** Does what one request's search asks for. */
-    private final class Asker implements TokenSearch.Actions {
-        private final QuotaDecision.NeedsToken need;
-        private final Consumer<QuotaDecision> then;
+    /** Carries out the actions of one request's token search. */
+    private final class SearchActions implements TokenSearch.Actions {
+        private final QuotaDecision.NeedsToken tokenNeeded;
+        private final Consumer<QuotaDecision> decisionListener;
         private TokenSearch search;
-        private Timers.Timer hedge;
-        private Timers.Timer end;
+        private Timers.Timer hedgeTimer;
+        private Timers.Timer endTimer;
 
-        private Asker(QuotaDecision.NeedsToken need, Consumer<QuotaDecision> then) {
-            this.need = need;
-            this.then = then;
+        private SearchActions(QuotaDecision.NeedsToken tokenNeeded, Consumer<QuotaDecision> decisionListener) {
+            this.tokenNeeded = tokenNeeded;
+            this.decisionListener = decisionListener;
         }
 
         @Override
         public void ask(String controlNode) {
-            long number = ++tokenRequests;
-            remember(number, new AskedToken(controlNode, search));
+            long number = ++lastTokenRequest;
+            rememberTokenRequest(number, new SentTokenRequest(controlNode, search));
             Connection connection = connections.get(controlNode);
             if (connection != null) {
-                connection.send(
-                        new PeerMessage.QuotaTokenRequest(new TokenRequest(number, need.tenant(), need.allowance())));
+                connection.send(new PeerMessage.QuotaTokenRequest(
+                        new TokenRequest(number, tokenNeeded.tenant(), tokenNeeded.allowance())));
             }
         }
 
         @Override
         public void granted() {
-            over();
-            quota.tokenGranted(need.tenant());
-            then.accept(new QuotaDecision.Admitted());
+            finish();
+            quota.tokenGranted(tokenNeeded.tenant());
+            decisionListener.accept(new QuotaDecision.Admitted());
         }
 
         @Override
         public void surplus(String controlNode) {
-            quota.tokenUnused(controlNode, need.tenant());
+            quota.tokenUnused(controlNode, tokenNeeded.tenant());
         }
 
         @Override
         public void denied(double waitMs) {
-            over();
-            then.accept(refusal(need.tenant(), waitMs));
+            finish();
+            decisionListener.accept(refusal(tokenNeeded.tenant(), waitMs));
         }
 
         @Override
         public void cancelled() {
-            over();
+            finish();
         }
 
-        private void over() {
-            searches--;
-            hedge.cancel();
-            end.cancel();
+        private void finish() {
+            activeSearches--;
+            hedgeTimer.cancel();
+            endTimer.cancel();
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/Readiness.java
+++ b/src/main/java/whinlead/mesh/sidecar/ReadinessServer.java
@@ -19,15 +19,15 @@
 import java.net.SocketAddress;
 import java.util.function.BooleanSupplier;
 
-/** Tells the platform whether this sidecar takes clients. On its loop's thread. */
-final class Readiness {
+/** Serves the platform's readiness probe: whether this sidecar accepts clients. Runs on its loop's thread. */
+final class ReadinessServer {
     private static final String PATH = "/whinlead/readiness";
     private static final int MAX_REQUEST_BYTES = 4096;
 
     private final EventLoop loop;
     private final BooleanSupplier ready;
 
-    Readiness(EventLoop loop, BooleanSupplier ready) {
+    ReadinessServer(EventLoop loop, BooleanSupplier ready) {
         this.loop = loop;
         this.ready = ready;
     }
@@ -43,22 +43,22 @@
                                 .addLast(
                                         new HttpServerCodec(),
                                         new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                                        new Asked());
+                                        new ReadinessHandler());
                     }
                 })
                 .bind(address);
     }
 
-    private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ReadinessHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             HttpResponseStatus status = !PATH.equals(request.uri())
                     ? HttpResponseStatus.NOT_FOUND
                     : ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
-            DefaultFullHttpResponse answer =
+            DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
-            ctx.writeAndFlush(answer);
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
+            ctx.writeAndFlush(response);
         }
 
         @Override
--- a/src/main/java/whinlead/mesh/sidecar/RecordPublisher.java
+++ b/src/main/java/whinlead/mesh/sidecar/RecordPublisher.java
@@ -7,12 +7,12 @@
 import whinlead.mesh.registry.EndpointRegistry;
 
 /**
- * Publishes this sidecar's own endpoint record: with a higher number whenever it changes, and again now and then, for a
- * message may be lost. On the loop's thread.
+ * Publishes this sidecar's own endpoint record: with a higher sequence number whenever it changes, and again at an
+ * interval, because messages may be lost. Runs on the loop's thread.
  */
 final class RecordPublisher {
-    /** How often an unchanged record is published again, in milliseconds. */
-    private static final double REPEAT_MS = 3000;
+    /** Interval at which an unchanged record is published again, in milliseconds. */
+    private static final double REPUBLISH_INTERVAL_MS = 3000;
 
     private final Timers timers;
     private final String node;
@@ -20,23 +20,23 @@
     private final EndpointGate gate;
     private final Supplier<String> service;
     private final EndpointRegistry registry;
-    private final OutdatedLists lists;
+    private final EndpointListRefresher listRefresher;
     private final Consumer<EndpointRecord> publish;
-    /** Rises with each start of this sidecar. */
+    /** Increases with each start of this sidecar. */
     private long incarnation = System.currentTimeMillis();
-    /** Counts the records of this incarnation. */
+    /** Sequence number of the last record of this incarnation. */
     private long sequence;
 
-    private double publishedAt;
-    private boolean leaving;
+    private double lastPublishMs;
+    private boolean draining;
 
     /**
-     * A publisher that has published nothing.
+     * Creates a publisher that has not published anything yet.
      *
      * @param gate knows the endpoint beside this sidecar
-     * @param service tells the endpoint's service
-     * @param lists takes the record in here
-     * @param publish sends it to the control nodes
+     * @param service returns the endpoint's service
+     * @param listRefresher stores the record locally
+     * @param publish sends the record to the control nodes
      */
     RecordPublisher(
             Timers timers,
@@ -45,7 +45,7 @@
             EndpointGate gate,
             Supplier<String> service,
             EndpointRegistry registry,
-            OutdatedLists lists,
+            EndpointListRefresher listRefresher,
             Consumer<EndpointRecord> publish) {
         this.timers = timers;
         this.node = node;
@@ -53,57 +53,60 @@
         this.gate = gate;
         this.service = service;
         this.registry = registry;
-        this.lists = lists;
+        this.listRefresher = listRefresher;
         this.publish = publish;
     }
 
-    /** Something that others need to know has changed. */
-    void changed() {
+    /** Publishes a new record, because something that other nodes need to know has changed. */
+    void publishChange() {
         sequence++;
-        lists.merge(new EndpointRecord(
+        listRefresher.merge(new EndpointRecord(
                 node,
                 incarnation,
                 sequence,
                 zone,
                 gate.endpoint(),
                 service.get(),
-                leaving ? EndpointRecord.Phase.DRAINING : gate.phase(),
+                draining ? EndpointRecord.Phase.DRAINING : gate.phase(),
                 gate.capacity(),
-                gate.warmMs(timers.now())));
+                gate.remainingWarmupMs(timers.now())));
         publish();
     }
 
-    /** Publishes the record as it is. */
+    /** Publishes the current record. */
     void publish() {
-        publishedAt = timers.now();
+        lastPublishMs = timers.now();
         publish.accept(registry.find(node));
     }
 
-    /** Publishes again if that is due. */
-    void repeatIfDue() {
-        if (timers.now() - publishedAt > REPEAT_MS) {
+    /** Publishes the current record again if that is due. */
+    void republishIfDue() {
+        if (timers.now() - lastPublishMs > REPUBLISH_INTERVAL_MS) {
             publish();
         }
     }
 
-    /** This sidecar is to end: from now on its endpoint is published as draining. */
-    void leave() {
-        leaving = true;
-        changed();
+    /** Publishes the endpoint as draining from now on, because this sidecar is shutting down. */
+    void startDraining() {
+        draining = true;
+        publishChange();
     }
 
-    /** Whether {@link #leave} was called. */
-    boolean isLeaving() {
-        return leaving;
+    /** Whether {@link #startDraining} was called. */
+    boolean isDraining() {
+        return draining;
     }
 
-    /** Someone has a record of this node: if it is newer than this one's, which is a rumour, it is overtaken. */
-    void heard(EndpointRecord other) {
+    /**
+     * Handles a record of this node that another node sent. If it is newer than this sidecar's own it is outdated
+     * information from elsewhere, and a record with a higher number is published.
+     */
+    void supersede(EndpointRecord other) {
         boolean newer = other.life() > incarnation || other.life() == incarnation && other.seq() > sequence;
         if (newer) {
             incarnation = other.life();
             sequence = other.seq();
-            changed();
+            publishChange();
         }
     }
 }
