--- a/src/main/java/whinlead/mesh/sidecar/RequestClasses.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestClasses.java
@@ -5,39 +5,40 @@
 import whinlead.Contract;
 
 /**
- * Requests in the module's classes, by what may be repeated, by rank and by target: a grid, so that a new configuration
- * never makes the module forget what it has learned. Immutable.
+ * Maps requests to the classes of the decision module, by idempotence, rank and latency target. The classes are a fixed
+ * grid, so that a new configuration never makes the module lose what it has learned. Immutable.
  */
 public final class RequestClasses {
-    /** Ranks told apart; beyond the last, all are alike. */
-    static final int RANKS = 4;
+    /** Number of ranks that are distinguished; all higher ones are treated like the last. */
+    static final int RANK_COUNT = 4;
     /**
-     * Targets, in milliseconds: from the first, each half as much again as the one before. The module acts ten times in
-     * the first; with 400 it found its way back after a loss of all processes a second later.
+     * Latency targets in milliseconds: from this one on, each is 1.5 times the one before. The module runs ten periods
+     * within the first target; with a first target of 400 ms it recovered one second later from a loss of all
+     * processes.
      */
-    private static final double FIRST_TARGET = 250;
+    private static final double MIN_TARGET_MS = 250;
 
-    private static final double STEP = 1.5;
-    private static final int TARGETS = 10;
-    /** How often a module acts in the first target. */
-    private static final double ACTS = 10;
-    /** What a late answer is worth of a timely one. */
-    private static final double LATE_WORTH = 0.3;
+    private static final double TARGET_STEP = 1.5;
+    private static final int TARGET_COUNT = 10;
+    /** Number of module periods in the shortest target. */
+    private static final double PERIODS_PER_MIN_TARGET = 10;
+    /** Value of a late response relative to a timely one. */
+    private static final double LATE_WORTH_FRACTION = 0.3;
 
     private final List<Contract.RequestClass> classes = new ArrayList<>();
 
-    /** The grid. */
+    /** Creates the grid. */
     public RequestClasses() {
         for (int effect = 0; effect < 2; effect++) {
-            for (int rank = 0; rank < RANKS; rank++) {
-                for (int t = 0; t < TARGETS; t++) {
-                    double target = FIRST_TARGET * Math.pow(STEP, t);
-                    double worth = RANKS - rank;
+            for (int rank = 0; rank < RANK_COUNT; rank++) {
+                for (int targetIndex = 0; targetIndex < TARGET_COUNT; targetIndex++) {
+                    double targetMs = MIN_TARGET_MS * Math.pow(TARGET_STEP, targetIndex);
+                    double worth = RANK_COUNT - rank;
                     classes.add(new Contract.RequestClass(
-                            effect + "-" + rank + "-" + t,
+                            effect + "-" + rank + "-" + targetIndex,
                             worth,
-                            worth * LATE_WORTH,
-                            target,
+                            worth * LATE_WORTH_FRACTION,
+                            targetMs,
                             0,
                             effect == 0 ? Contract.Effect.SAFE : Contract.Effect.UNSAFE,
                             Contract.Group.ALL,
@@ -48,19 +49,21 @@
         }
     }
 
-    /** How often a module with these classes acts, in milliseconds. */
-    static double period() {
-        return FIRST_TARGET / ACTS;
+    /** The period of a module with these classes, in milliseconds. */
+    static double periodMs() {
+        return MIN_TARGET_MS / PERIODS_PER_MIN_TARGET;
     }
 
-    /** All, in their order. */
+    /** All classes in the order of their indexes. */
     public List<Contract.RequestClass> all() {
         return List.copyOf(classes);
     }
 
-    /** The position of a request's class; a target between two counts as the shorter. */
+    /** The index of a request's class; a target between two grid values counts as the shorter one. */
     public int of(boolean repeatable, int rank, double targetMs) {
-        int t = (int) Math.floor(Math.log(Math.max(FIRST_TARGET, targetMs) / FIRST_TARGET) / Math.log(STEP));
-        return ((repeatable ? 0 : RANKS) + Math.min(RANKS - 1, Math.max(0, rank))) * TARGETS + Math.min(TARGETS - 1, t);
+        int targetIndex =
+                (int) Math.floor(Math.log(Math.max(MIN_TARGET_MS, targetMs) / MIN_TARGET_MS) / Math.log(TARGET_STEP));
+        return ((repeatable ? 0 : RANK_COUNT) + Math.min(RANK_COUNT - 1, Math.max(0, rank))) * TARGET_COUNT
+                + Math.min(TARGET_COUNT - 1, targetIndex);
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -23,309 +23,328 @@
 import whinlead.mesh.wire.ReconnectingConnection;
 
 /**
- * The ways to the sidecars beside the endpoints: a connection to each that was used, and the requests out on it. Each
- * request is written once at most, on one connection, under a number that this process gives once; what comes back
- * counts for the request of that number and no other. On its loop's thread.
+ * Forwards requests to the sidecars beside the endpoints, over one connection to each sidecar that is used. Each
+ * request is written at most once, on one connection, under a stream number that this process never reuses; a response
+ * is matched only to the request with its number. Runs on its loop's thread.
  */
 public final class RequestForwarder {
-    private static final double MICROS = 1000;
+    private static final double MICROS_PER_MILLI = 1000;
 
-    /** Takes requests for the endpoint beside this sidecar. */
+    /** Accepts requests for the endpoint beside this sidecar. */
     public interface LocalEndpoint {
-        /** Delivers it, and tells what became of it once. */
-        void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> done);
+        /** Delivers a request and reports its result once. */
+        void deliver(PeerMessage.ForwardRequest request, Consumer<PeerMessage> resultListener);
 
-        /** The client of a request that was delivered has left. */
+        /** Cancels a delivered request whose client has disconnected. */
         default void cancel(PeerMessage.Cancel cancel) {}
     }
 
     /** A request that was sent. */
     public interface Sent extends Transport.Sending {
         /**
-         * Gives it up because its client has left: what has not been written never is, and the other sidecar is told of
-         * what was. One that may be repeated is then ended at its endpoint.
+         * Cancels the request because its client has disconnected. If it is not written yet it never will be; otherwise
+         * the other sidecar is notified, and stops the request at its endpoint if it is repeatable.
          */
         void cancel();
     }
 
     private final Timers timers;
-    private final Executor soon;
-    private final String self;
-    private final LocalEndpoint local;
-    private final BiFunction<String, PeerPath.Listener, PeerPath> paths;
-    private final Runnable changed;
-    private final Map<String, PeerRoute> routes = new HashMap<>();
-    private long streams;
+    private final Executor deferred;
+    private final String localNode;
+    private final LocalEndpoint localEndpoint;
+    private final BiFunction<String, PeerPath.Listener, PeerPath> pathFactory;
+    private final Runnable reachabilityListener;
+    private final Map<String, PeerRoute> routesByNode = new HashMap<>();
+    private long lastStream;
 
     /**
-     * Ways of the sidecar whose node this is.
+     * Creates the forwarder of the sidecar with this node.
      *
-     * @param changed told when a node has come into reach or gone out of it
+     * @param reachabilityListener called when a node becomes reachable or unreachable
      */
     RequestForwarder(
             EventLoop loop,
-            String self,
-            LocalEndpoint local,
+            String localNode,
+            LocalEndpoint localEndpoint,
             PeerMessage hello,
             Function<String, SocketAddress> addresses,
-            Runnable changed) {
+            Runnable reachabilityListener) {
         this(
                 new LoopTimers(loop, new Clock()),
                 loop,
-                self,
-                local,
-                (node, ear) -> new ConnectionPath(loop, node, addresses.apply(node), hello, ear),
-                changed);
+                localNode,
+                localEndpoint,
+                (node, pathListener) -> new ConnectionPath(loop, node, addresses.apply(node), hello, pathListener),
+                reachabilityListener);
     }
 
     /**
-     * Ways by these timers.
+     * Creates a forwarder that uses these timers.
      *
-     * @param soon runs a task on this thread, after the one that runs
+     * @param deferred runs a task on this thread, after the current one
      */
     public RequestForwarder(
             Timers timers,
-            Executor soon,
-            String self,
-            LocalEndpoint local,
-            BiFunction<String, PeerPath.Listener, PeerPath> paths,
-            Runnable changed) {
+            Executor deferred,
+            String localNode,
+            LocalEndpoint localEndpoint,
+            BiFunction<String, PeerPath.Listener, PeerPath> pathFactory,
+            Runnable reachabilityListener) {
         this.timers = timers;
-        this.soon = soon;
-        this.self = self;
-        this.local = local;
-        this.paths = paths;
-        this.changed = changed;
+        this.deferred = deferred;
+        this.localNode = localNode;
+        this.localEndpoint = localEndpoint;
+        this.pathFactory = pathFactory;
+        this.reachabilityListener = reachabilityListener;
     }
 
-    /** One request's route out. */
+    /** A request that was passed to a path and has not ended. */
     static final class PendingForward implements Sent {
-        private final Consumer<PeerMessage> done;
+        private final Consumer<PeerMessage> resultListener;
         private final boolean repeatable;
-        private final BooleanSupplier elsewhere;
-        private Runnable forget = () -> {};
-        /** Tells the other sidecar that its client has left. */
-        private Runnable tellCancelled = () -> {};
+        private final BooleanSupplier otherEndpointAllowed;
+        private Runnable removal = () -> {};
+        /** Notifies the other sidecar that the client has disconnected. */
+        private Runnable cancelNotification = () -> {};
 
         private boolean written;
-        private boolean over;
+        private boolean ended;
 
-        private PendingForward(Consumer<PeerMessage> done, boolean repeatable, BooleanSupplier elsewhere) {
-            this.done = done;
+        private PendingForward(
+                Consumer<PeerMessage> resultListener, boolean repeatable, BooleanSupplier otherEndpointAllowed) {
+            this.resultListener = resultListener;
             this.repeatable = repeatable;
-            this.elsewhere = elsewhere;
+            this.otherEndpointAllowed = otherEndpointAllowed;
         }
 
-        private void end(PeerMessage message) {
-            if (!over) {
-                over = true;
-                done.accept(message);
+        private void end(PeerMessage result) {
+            if (!ended) {
+                ended = true;
+                resultListener.accept(result);
             }
         }
 
-        // Whether it needn't wait for a silent path: silence ends nothing that runs nowhere else.
-        private boolean leavesSilence() {
-            return repeatable && (!written || elsewhere.getAsBoolean());
+        // Whether the request fails at once on a silent path. Silence ends no request that can't be sent to another
+        // endpoint.
+        private boolean failsOnSilence() {
+            return repeatable && (!written || otherEndpointAllowed.getAsBoolean());
         }
 
         @Override
         public boolean giveUp() {
-            over = true;
+            ended = true;
             if (!written) {
-                forget.run();
+                removal.run();
             }
             return written;
         }
 
         @Override
         public void cancel() {
-            if (!over && giveUp()) {
-                forget.run();
-                tellCancelled.run();
+            if (!ended && giveUp()) {
+                removal.run();
+                cancelNotification.run();
             }
         }
     }
 
-    /** A request that waits for its path, and until when its answer is of use. */
-    private record Waiting(PeerMessage.ForwardRequest request, double until) {}
+    /** A request that waits for its path, and the time from which its response is of no use. */
+    private record WaitingRequest(PeerMessage.ForwardRequest request, double deadlineMs) {}
 
     private final class PeerRoute implements PeerPath.Listener {
         private final PeerPath path;
-        private final Map<Long, PendingForward> out = new LinkedHashMap<>();
-        /** What waits for the connection's first moments. */
-        private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
+        private final Map<Long, PendingForward> pending = new LinkedHashMap<>();
+        /** Requests that wait for the connection to be established. */
+        private final Map<Long, WaitingRequest> waiting = new LinkedHashMap<>();
 
         private PeerRoute(String node) {
-            this.path = paths.apply(node, this);
+            this.path = pathFactory.apply(node, this);
         }
 
         @Override
-        public void changed(ReconnectingConnection.State now, ReconnectingConnection.State before) {
-            if (now == ReconnectingConnection.State.UP) {
-                List<Waiting> requests = new ArrayList<>(waiting.values());
+        public void changed(ReconnectingConnection.State newState, ReconnectingConnection.State previousState) {
+            if (newState == ReconnectingConnection.State.UP) {
+                List<WaitingRequest> requests = new ArrayList<>(waiting.values());
                 waiting.clear();
                 requests.forEach(this::write);
-            } else if (now == ReconnectingConnection.State.SUSPECT) {
-                // The answers may still come; but what may run again had better be served elsewhere.
+            } else if (newState == ReconnectingConnection.State.SUSPECT) {
+                // Responses may still arrive, but a repeatable request is better served by another endpoint.
                 fail(PeerMessage.FailureReason.BROKEN, true);
-            } else if (now == ReconnectingConnection.State.DOWN || now == ReconnectingConnection.State.CLOSED) {
+            } else if (newState == ReconnectingConnection.State.DOWN
+                    || newState == ReconnectingConnection.State.CLOSED) {
                 fail(PeerMessage.FailureReason.BROKEN, false);
             }
-            if (now != ReconnectingConnection.State.DIALLING && now != ReconnectingConnection.State.CLOSED) {
-                changed.run();
+            if (newState != ReconnectingConnection.State.DIALLING && newState != ReconnectingConnection.State.CLOSED) {
+                reachabilityListener.run();
             }
         }
 
-        private void fail(PeerMessage.FailureReason why, boolean silent) {
-            for (Map.Entry<Long, PendingForward> e : new ArrayList<>(out.entrySet())) {
-                PendingForward o = e.getValue();
-                if (!silent || o.leavesSilence()) {
-                    out.remove(e.getKey());
-                    waiting.remove(e.getKey());
-                    o.end(new PeerMessage.ForwardFailure(
-                            e.getKey(), o.written ? why : PeerMessage.FailureReason.UNREACHED, 0, 0));
+        private void fail(PeerMessage.FailureReason reason, boolean onSilence) {
+            for (Map.Entry<Long, PendingForward> entry : new ArrayList<>(pending.entrySet())) {
+                PendingForward pendingForward = entry.getValue();
+                if (!onSilence || pendingForward.failsOnSilence()) {
+                    pending.remove(entry.getKey());
+                    waiting.remove(entry.getKey());
+                    pendingForward.end(new PeerMessage.ForwardFailure(
+                            entry.getKey(),
+                            pendingForward.written ? reason : PeerMessage.FailureReason.UNREACHED,
+                            0,
+                            0));
                 }
             }
         }
 
-        // Its time runs while it waits; once that is up nobody waits for it any more, and it must not run.
-        private void write(Waiting w) {
-            long stream = w.request.stream();
-            PendingForward o = out.get(stream);
-            if (o == null || o.over) {
-                out.remove(stream);
+        // A request's time runs while it waits; after its deadline the caller has given up, and it must not run.
+        private void write(WaitingRequest waitingRequest) {
+            long stream = waitingRequest.request.stream();
+            PendingForward pendingForward = pending.get(stream);
+            if (pendingForward == null || pendingForward.ended) {
+                pending.remove(stream);
                 return;
             }
-            double left = w.until - timers.now();
-            o.written = left >= 1;
-            if (!o.written || !path.send(numbered(stream, w.request, (int) Math.round(left), stamp()))) {
-                o.written = false;
-                out.remove(stream);
-                o.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0));
+            double remainingMs = waitingRequest.deadlineMs - timers.now();
+            pendingForward.written = remainingMs >= 1;
+            if (!pendingForward.written
+                    || !path.send(withStream(stream, waitingRequest.request, (int) Math.round(remainingMs), stamp()))) {
+                pendingForward.written = false;
+                pending.remove(stream);
+                pendingForward.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0));
             }
         }
 
         @Override
         public boolean hasPendingRequests() {
-            return !out.isEmpty();
+            return !pending.isEmpty();
         }
 
         @Override
         public long stamp() {
-            return (long) (timers.now() * MICROS);
+            return (long) (timers.now() * MICROS_PER_MILLI);
         }
 
         @Override
         public void message(PeerMessage message) {
-            long stream = message instanceof PeerMessage.ForwardResponse d
-                    ? d.stream()
-                    : message instanceof PeerMessage.ForwardFailure r ? r.stream() : -1;
-            PendingForward o = out.remove(stream);
-            if (o != null) {
-                o.end(message);
+            long stream = message instanceof PeerMessage.ForwardResponse response
+                    ? response.stream()
+                    : message instanceof PeerMessage.ForwardFailure failure ? failure.stream() : -1;
+            PendingForward pendingForward = pending.remove(stream);
+            if (pendingForward != null) {
+                pendingForward.end(message);
             }
         }
     }
 
-    /** Whether a request for this node can be sent now, or at least is worth a try. */
+    /** Whether a request for this node can be sent now, or is at least worth an attempt. */
     boolean isReachable(String node) {
-        PeerRoute route = routes.get(node);
-        return node.equals(self)
+        PeerRoute route = routesByNode.get(node);
+        return node.equals(localNode)
                 || route == null
                 || route.path.state() == ReconnectingConnection.State.UP
                 || route.path.state() == ReconnectingConnection.State.DIALLING && !route.waiting.isEmpty();
     }
 
-    /** Whether it would go out without waiting for a connection. */
+    /** Whether a request would be sent without waiting for a connection. */
     boolean isConnected(String node) {
-        PeerRoute route = routes.get(node);
-        return node.equals(self) || route != null && route.path.state() == ReconnectingConnection.State.UP;
+        PeerRoute route = routesByNode.get(node);
+        return node.equals(localNode) || route != null && route.path.state() == ReconnectingConnection.State.UP;
     }
 
     private PeerRoute route(String node) {
-        return routes.computeIfAbsent(node, n -> {
+        return routesByNode.computeIfAbsent(node, n -> {
             PeerRoute route = new PeerRoute(n);
-            // Not at once: what it tells must not reach the map while it changes.
-            soon.execute(route.path::dial);
+            // Not at once: the events of the dial must not modify the map during computeIfAbsent.
+            deferred.execute(route.path::dial);
             return route;
         });
     }
 
-    /** Ends the ways to nodes that have gone. */
-    void retain(EndpointRegistry endpointRegistry) {
-        for (String node : List.copyOf(routes.keySet())) {
-            EndpointRecord l = endpointRegistry.find(node);
-            if ((l == null || l.phase() == EndpointRecord.Phase.GONE)
-                    && routes.get(node).out.isEmpty()) {
-                routes.remove(node).path.close();
+    /** Closes the paths to nodes that have gone. */
+    void closeRemovedRoutes(EndpointRegistry registry) {
+        for (String node : List.copyOf(routesByNode.keySet())) {
+            EndpointRecord record = registry.find(node);
+            if ((record == null || record.phase() == EndpointRecord.Phase.GONE)
+                    && routesByNode.get(node).pending.isEmpty()) {
+                routesByNode.remove(node).path.close();
             }
         }
     }
 
-    /** Sends a request that may go elsewhere whenever it may run again. */
-    public Sent send(String node, PeerMessage.ForwardRequest draft, boolean repeatable, Consumer<PeerMessage> done) {
-        return send(node, draft, repeatable, () -> true, done);
+    /** Sends a request that may go to another endpoint whenever it is repeatable. */
+    public Sent send(
+            String node, PeerMessage.ForwardRequest draft, boolean repeatable, Consumer<PeerMessage> resultListener) {
+        return send(node, draft, repeatable, () -> true, resultListener);
     }
 
     /**
-     * Sends a request, at most once; {@code done} gets what became of it, once, unless it is given up before.
+     * Sends a request at most once.
      *
-     * @param draft with any number
-     * @param repeatable whether it may run again
-     * @param elsewhere whether another endpoint may be asked, so that it needn't wait for a path that is silent; asked
-     *     once the path is
+     * @param draft the request, with any stream number
+     * @param repeatable whether the request may run again
+     * @param otherEndpointAllowed whether another endpoint may be tried, so that the request need not wait for a silent
+     *     path; evaluated when the path becomes silent
+     * @param resultListener gets the result once, unless the request is given up before
      */
     public Sent send(
             String node,
             PeerMessage.ForwardRequest draft,
             boolean repeatable,
-            BooleanSupplier elsewhere,
-            Consumer<PeerMessage> done) {
-        PendingForward o = new PendingForward(done, repeatable, elsewhere);
-        long stream = ++streams;
+            BooleanSupplier otherEndpointAllowed,
+            Consumer<PeerMessage> resultListener) {
+        PendingForward pendingForward = new PendingForward(resultListener, repeatable, otherEndpointAllowed);
+        long stream = ++lastStream;
         PeerMessage.Cancel cancel = new PeerMessage.Cancel(stream, repeatable);
-        if (node.equals(self)) {
-            o.written = true;
-            o.tellCancelled = () -> local.cancel(cancel);
-            local.deliver(numbered(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), o::end);
-            return o;
+        if (node.equals(localNode)) {
+            pendingForward.written = true;
+            pendingForward.cancelNotification = () -> localEndpoint.cancel(cancel);
+            localEndpoint.deliver(
+                    withStream(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), pendingForward::end);
+            return pendingForward;
         }
         PeerRoute route = route(node);
-        route.out.put(stream, o);
-        o.forget = () -> {
-            route.out.remove(stream);
+        route.pending.put(stream, pendingForward);
+        pendingForward.removal = () -> {
+            route.pending.remove(stream);
             route.waiting.remove(stream);
         };
-        o.tellCancelled = () -> route.path.send(cancel);
-        Waiting w = new Waiting(
-                numbered(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), timers.now() + draft.leftMs());
+        pendingForward.cancelNotification = () -> route.path.send(cancel);
+        WaitingRequest waitingRequest = new WaitingRequest(
+                withStream(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), timers.now() + draft.leftMs());
         if (route.path.state() == ReconnectingConnection.State.UP) {
-            route.write(w);
+            route.write(waitingRequest);
         } else if (route.path.state() == ReconnectingConnection.State.SUSPECT) {
-            route.out.remove(stream);
-            soon.execute(
-                    () -> o.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0)));
+            route.pending.remove(stream);
+            deferred.execute(() -> pendingForward.end(
+                    new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0)));
         } else {
-            route.waiting.put(stream, w);
+            route.waiting.put(stream, waitingRequest);
         }
-        return o;
+        return pendingForward;
     }
 
-    private static PeerMessage.ForwardRequest numbered(
-            long stream, PeerMessage.ForwardRequest p, int leftMs, long sentAt) {
+    private static PeerMessage.ForwardRequest withStream(
+            long stream, PeerMessage.ForwardRequest draft, int leftMs, long sentAtMicros) {
         return new PeerMessage.ForwardRequest(
-                stream, p.method(), p.uri(), p.headers(), p.body(), leftMs, p.target(), p.endpoint(), p.rank(), sentAt);
+                stream,
+                draft.method(),
+                draft.uri(),
+                draft.headers(),
+                draft.body(),
+                leftMs,
+                draft.target(),
+                draft.endpoint(),
+                draft.rank(),
+                sentAtMicros);
     }
 
-    /** What the module is told of a message. */
+    /** The outcome that the decision module gets for a message. */
     public static Contract.Outcome outcome(PeerMessage message) {
-        if (message instanceof PeerMessage.ForwardResponse d) {
-            return d.status() >= 500 ? Contract.Outcome.ERROR : Contract.Outcome.SERVED;
+        if (message instanceof PeerMessage.ForwardResponse response) {
+            return response.status() >= 500 ? Contract.Outcome.ERROR : Contract.Outcome.SERVED;
         }
         return switch (((PeerMessage.ForwardFailure) message).why()) {
             case FULL, TURNED_AWAY -> Contract.Outcome.FULL;
             case MOVED, UNREACHED -> Contract.Outcome.CONNECT_FAILED;
-            // Tells nothing of the endpoint but whose keys it has.
+            // Says nothing about the endpoint except that it does not own the key.
             case NOT_OWNER -> Contract.Outcome.NEVER_SENT;
             case BROKEN -> Contract.Outcome.RESET;
             case LATE -> Contract.Outcome.TIMED_OUT;
--- a/src/main/java/whinlead/mesh/sidecar/ResponseValidator.java
+++ b/src/main/java/whinlead/mesh/sidecar/ResponseValidator.java
@@ -9,8 +9,8 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * Whether an endpoint's answer may be passed on, by its head. What may not is never passed on in part: the client gets
- * an answer of this system's own, with none of the endpoint's headers. For any thread.
+ * Decides by the head of an endpoint's response whether it may be passed on. A rejected response is never passed on in
+ * part: the client gets a response of this system's own, without any header of the endpoint's. Thread-safe.
  */
 final class ResponseValidator {
     private static final String KEEP_ALIVE = "Keep-Alive";
@@ -23,53 +23,53 @@
     private ResponseValidator() {}
 
     /**
-     * Whether the end of its body can be told, and the body is the endpoint's own: by a length, by chunks with no other
-     * coding, or by the end of the connection.
+     * Whether the end of the body can be determined and no intermediary has changed the body: it is framed by a length,
+     * by chunks without another transfer coding, or by the end of the connection.
      */
-    static boolean isFramed(HttpResponse answer) {
-        List<String> codings = answer.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+    static boolean isFramed(HttpResponse response) {
+        List<String> codings = response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.isEmpty()
                 || codings.size() == 1
-                        && !HttpUtil.isContentLengthSet(answer)
+                        && !HttpUtil.isContentLengthSet(response)
                         && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
                                 codings.get(0).trim());
     }
 
-    /** Why a whole answer is not for the client, or null if it is. */
-    static PeerMessage.FailureReason reject(HttpResponse answer) {
-        int status = answer.status().code();
-        // A 421 is the endpoint's own word: the request has arrived there, and the next arrival is paid for.
-        if (status == MISDIRECTED || answer.headers().contains(ForwardedHeaders.NOT_EXECUTED)) {
+    /** Why a complete response must not be passed to the client, or null if it may be. */
+    static PeerMessage.FailureReason rejectionReason(HttpResponse response) {
+        int status = response.status().code();
+        // A 421 comes from the endpoint itself: the request has arrived there, so a retry counts against the budget.
+        if (status == MISDIRECTED || response.headers().contains(ForwardedHeaders.NOT_EXECUTED)) {
             return PeerMessage.FailureReason.TURNED_AWAY;
         }
-        boolean success = answer.status().codeClass() == HttpStatusClass.SUCCESS;
+        boolean success = response.status().codeClass() == HttpStatusClass.SUCCESS;
         if (success
-                && (!answer.headers().contains(ForwardedHeaders.SEAL)
-                        || answer.headers().contains(HttpHeaderNames.CONTENT_ENCODING))) {
+                && (!response.headers().contains(ForwardedHeaders.SERVER_SEAL)
+                        || response.headers().contains(HttpHeaderNames.CONTENT_ENCODING))) {
             return PeerMessage.FailureReason.BROKEN;
         }
-        // Without a word of the endpoint's, these would promise that the request has not run.
-        boolean promises = status == TOO_MANY || status == UNAVAILABLE || status == TIMED_OUT;
-        return promises ? PeerMessage.FailureReason.BROKEN : null;
+        // Without confirmation by the endpoint, these statuses would promise that the request has not run.
+        boolean impliesNotRun = status == TOO_MANY || status == UNAVAILABLE || status == TIMED_OUT;
+        return impliesNotRun ? PeerMessage.FailureReason.BROKEN : null;
     }
 
     /**
-     * How long the endpoint keeps an idle connection, in milliseconds.
+     * How long the endpoint keeps an idle connection open, in milliseconds.
      *
-     * @param before what was known of it, where the answer tells nothing
-     * @param unreadable what is taken where the answer's word can't be read
+     * @param previousMs the value known so far, used if the response announces none
+     * @param fallbackMs used if the announced value can't be parsed
      */
-    static double idleMs(HttpResponse answer, double before, double unreadable) {
-        String value = answer.headers().get(KEEP_ALIVE);
-        int at = value == null ? -1 : value.indexOf(TIMEOUT);
-        if (at < 0) {
-            return before;
+    static double idleMs(HttpResponse response, double previousMs, double fallbackMs) {
+        String value = response.headers().get(KEEP_ALIVE);
+        int timeoutIndex = value == null ? -1 : value.indexOf(TIMEOUT);
+        if (timeoutIndex < 0) {
+            return previousMs;
         }
         try {
-            String seconds = value.substring(at + TIMEOUT.length()).split("[^0-9]")[0];
+            String seconds = value.substring(timeoutIndex + TIMEOUT.length()).split("[^0-9]")[0];
             return Math.max(1, Integer.parseInt(seconds)) * 1000.0;
         } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-            return unreadable;
+            return fallbackMs;
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/RetryBudget.java
+++ b/src/main/java/whinlead/mesh/sidecar/RetryBudget.java
@@ -1,34 +1,38 @@
 package whinlead.mesh.sidecar;
 
 /**
- * This sidecar's part of the budget of further arrivals at one service: each request pays in a part of what the rules
- * allow, and an even share of the rules' slack may be saved up. Pure; one thread.
+ * This sidecar's share of the retry budget of one service. Each request adds a fraction of the ratio that the rules
+ * allow, and an even share of the rules' slack can be saved up. A retry is an arrival of a request at a further
+ * endpoint. Pure; used by one thread.
  */
 public final class RetryBudget {
-    /** Of what the rules allow, what is spent: calls of a repeated run count too, and nobody counts them here. */
-    private static final double PART = 0.6;
+    /**
+     * Fraction of the allowed budget that is used: retries by callers of a repeated run count as well, and are not
+     * counted here.
+     */
+    private static final double SPENT_FRACTION = 0.6;
 
-    private final double earn;
+    private final double tokensPerRequest;
     private final double slack;
     private double tokens = 1;
 
-    /** A budget by the rules' ratio and slack. */
+    /** Creates a budget by the rules' ratio and slack. */
     public RetryBudget(double ratio, double slack) {
-        this.earn = ratio * PART;
-        this.slack = slack * PART;
+        this.tokensPerRequest = ratio * SPENT_FRACTION;
+        this.slack = slack * SPENT_FRACTION;
     }
 
-    /** A request for the service was taken, by one of so many sidecars. */
-    public void requestReceived(int sidecars) {
-        tokens = Math.min(Math.max(1, slack / sidecars), tokens + earn);
+    /** Records a request for the service that was accepted by one of {@code sidecarCount} sidecars. */
+    public void requestReceived(int sidecarCount) {
+        tokens = Math.min(Math.max(1, slack / sidecarCount), tokens + tokensPerRequest);
     }
 
-    /** Whether a further arrival could be paid for now. */
+    /** Whether the budget allows a retry now. */
     boolean canSpend() {
         return tokens >= 1;
     }
 
-    /** Whether a further arrival may be paid for; if so, it is. */
+    /** Spends budget for one retry; false if there is not enough. */
     public boolean trySpend() {
         if (!canSpend()) {
             return false;
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -19,154 +19,157 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * One service as this sidecar sees it: an engine with a module of its own, fed with the endpoints that are listed and
- * in reach. On its loop's thread.
+ * The balancer of one service: an engine with its own decision module, which gets the listed and reachable endpoints.
+ * Runs on its loop's thread.
  */
 public final class ServiceBalancer {
-    /** The module may try so many endpoints; what truly arrives is bounded by the route and the budget. */
-    private static final int ATTEMPTS = 4;
+    /** Number of endpoints that the module may try; actual arrivals are limited by the route and the retry budget. */
+    private static final int MAX_ATTEMPTS = 4;
 
-    private static final double MAX_RETRY_AFTER = 2000;
-    /** A cold endpoint is taken to do this part of what a warm one does, for so long. */
-    private static final double COLD_SHARE = 0.5;
+    private static final double MAX_RETRY_AFTER_MS = 2000;
+    /** Capacity of a cold endpoint relative to a warm one, assumed for {@link #COLD_MS}. */
+    private static final double COLD_CAPACITY_FRACTION = 0.5;
 
     private static final double COLD_MS = 3000;
     private static final double FALL_MULTIPLE = 3;
-    /** The size of an endpoint in another zone, where those of one zone come first. */
-    private static final double FAR = 0.05;
+    /** Size given to endpoints in other zones if one zone is preferred. */
+    private static final double OTHER_ZONE_SIZE = 0.05;
 
     private final Engine engine;
     private final RequestForwarder forwarder;
     private final RetryBudget retryBudget;
-    private final String near;
+    private final String preferredZone;
     private final Timers timers;
-    private final Map<String, String> nodes = new HashMap<>();
-    private final Map<String, Double> started = new HashMap<>();
-    private long seq;
-    /** What {@link #updateOwner} was told last. */
+    private final Map<String, String> nodesByEndpoint = new HashMap<>();
+    private final Map<String, Double> startTimesMs = new HashMap<>();
+    private long listSequence;
+    /** The last argument of {@link #updateOwner}. */
     private EndpointRecord lastOwner;
 
     private boolean ownerReachable;
 
     /**
-     * A service.
+     * Creates the balancer of a service.
      *
-     * @param near the zone whose endpoints come first in the walk, or null where all are alike
-     * @param retryBudgets the service's budget of further tries
+     * @param preferredZone the zone whose endpoints are tried first, or null if all zones are alike
+     * @param retryBudget the service's retry budget
      */
     ServiceBalancer(
             Timers timers,
             RequestClasses classes,
             NodeSettings nodeSettings,
-            int sidecars,
+            int sidecarCount,
             long seed,
             RequestForwarder forwarder,
-            String near,
+            String preferredZone,
             RetryBudget retryBudget) {
         this.timers = timers;
         this.forwarder = forwarder;
-        this.near = near;
+        this.preferredZone = preferredZone;
         this.retryBudget = retryBudget;
         Contract.Settings settings =
-                settings(classes, nodeSettings.clauses().bounds().drainS(), sidecars);
+                settings(classes, nodeSettings.clauses().bounds().drainS(), sidecarCount);
         this.engine = new Engine(
                 timers,
                 settings,
-                out -> new TicklessModule(out, watched -> new Decide(settings, seed, watched)),
+                actions -> new TicklessModule(actions, watched -> new Decide(settings, seed, watched)),
                 list -> {},
                 Event.MODULE::log);
         engine.start(() -> {}, null);
     }
 
-    /** What the module of a service starts from, at one of so many sidecars. */
-    public static Contract.Settings settings(RequestClasses classes, double drainS, int sidecars) {
+    /** The settings of a service's decision module, at one of {@code sidecarCount} sidecars. */
+    public static Contract.Settings settings(RequestClasses classes, double drainS, int sidecarCount) {
         return new Contract.Settings(
                 classes.all(),
                 List.of(),
                 1,
-                new Contract.Limits(ATTEMPTS, false, false, false, false, true, MAX_RETRY_AFTER, 1),
-                new Contract.Obligations(drainS * 1000, FALL_MULTIPLE, COLD_MS, COLD_SHARE, COLD_MS, COLD_MS),
+                new Contract.Limits(MAX_ATTEMPTS, false, false, false, false, true, MAX_RETRY_AFTER_MS, 1),
+                new Contract.Obligations(
+                        drainS * 1000, FALL_MULTIPLE, COLD_MS, COLD_CAPACITY_FRACTION, COLD_MS, COLD_MS),
                 Contract.Reporting.WITH_ANSWERS,
                 false,
-                Math.max(1, sidecars),
+                Math.max(1, sidecarCount),
                 0);
     }
 
     /**
-     * The one endpoint that owns the keys, or null: it gets their requests as long as it has them, also if it drains.
+     * Sets the one endpoint that owns the keys, or null. It gets their requests as long as it owns them, also while it
+     * drains.
      */
     void updateOwner(EndpointRecord owner) {
         boolean reachable = owner != null && forwarder.isReachable(owner.node());
-        // Of many owners few change at a time.
-        if (seq == 0 || reachable != ownerReachable || !Objects.equals(owner, lastOwner)) {
+        // Updates are frequent, and few owners change in each.
+        if (listSequence == 0 || reachable != ownerReachable || !Objects.equals(owner, lastOwner)) {
             lastOwner = owner;
             ownerReachable = reachable;
-            list(owner == null ? List.of() : List.of(owner), true);
+            applyList(owner == null ? List.of() : List.of(owner), true);
         }
     }
 
-    /** The endpoints as listed now. */
+    /** Sets the listed endpoints. */
     void update(List<EndpointRecord> records) {
-        list(records, false);
+        applyList(records, false);
     }
 
-    private void list(List<EndpointRecord> records, boolean ownsKeys) {
-        nodes.clear();
+    private void applyList(List<EndpointRecord> records, boolean ownsKeys) {
+        nodesByEndpoint.clear();
         List<EndpointList.Entry> entries = new ArrayList<>();
-        Map<String, Double> times = new HashMap<>();
-        for (EndpointRecord l : records) {
-            boolean up = (ownsKeys || l.acceptsRequests()) && forwarder.isReachable(l.node());
-            double now = timers.now();
-            double start = started.getOrDefault(l.endpoint(), l.warmMs() > 0 ? now - (COLD_MS - l.warmMs()) : 0);
-            times.put(l.endpoint(), start);
-            nodes.put(l.endpoint(), l.node());
+        Map<String, Double> listedStartTimesMs = new HashMap<>();
+        for (EndpointRecord record : records) {
+            boolean available = (ownsKeys || record.acceptsRequests()) && forwarder.isReachable(record.node());
+            double nowMs = timers.now();
+            double startMs = startTimesMs.getOrDefault(
+                    record.endpoint(), record.warmMs() > 0 ? nowMs - (COLD_MS - record.warmMs()) : 0);
+            listedStartTimesMs.put(record.endpoint(), startMs);
+            nodesByEndpoint.put(record.endpoint(), record.node());
             entries.add(new EndpointList.Entry(
                     new Contract.Server(
-                            l.endpoint(),
-                            up ? Contract.Standing.UP : Contract.Standing.DRAINING,
-                            near == null || near.equals(l.zone()) ? 1 : FAR,
-                            l.zone(),
+                            record.endpoint(),
+                            available ? Contract.Standing.UP : Contract.Standing.DRAINING,
+                            preferredZone == null || preferredZone.equals(record.zone()) ? 1 : OTHER_ZONE_SIZE,
+                            record.zone(),
                             -1,
-                            start),
+                            startMs),
                     null));
         }
-        started.clear();
-        started.putAll(times);
-        engine.list(Contract.ListKind.FULL, new EndpointList(++seq, true, entries));
+        startTimesMs.clear();
+        startTimesMs.putAll(listedStartTimesMs);
+        engine.list(Contract.ListKind.FULL, new EndpointList(++listSequence, true, entries));
     }
 
-    /** A request of a client's, as it is to be sent on. */
+    /** A client's request that is to be forwarded. */
     interface ForwardedRequest {
-        /** What is sent, with what is left of its time. */
+        /** The message to send, with the remaining time. */
         PeerMessage.ForwardRequest request(String endpoint);
 
-        /** Its attempts so far. */
+        /** The request's attempts so far. */
         EndpointAttempts attempts();
 
-        /** Whether it may run more than once. */
+        /** Whether the request may run more than once. */
         boolean isIdempotent();
 
-        /** An endpoint answered, whatever the answer. */
-        void answered(PeerMessage.ForwardResponse answer);
+        /** Called with each response of an endpoint, whatever its status. */
+        void responseReceived(PeerMessage.ForwardResponse answer);
     }
 
-    /** A request that was taken. */
+    /** A request that the balancer has accepted. */
     interface AcceptedRequest {
-        /** Its client has left: it is sent nowhere any more, and what is under way of it is cancelled. */
+        /** Handles that the client has disconnected: no further attempt is sent, and the running one is cancelled. */
         void abandon();
     }
 
-    /** Takes a request; the caller is told its end once, unless it is abandoned. */
+    /** Accepts a request; the sink is notified of its end once, unless the request is abandoned. */
     AcceptedRequest accept(
             Request request,
-            int sidecars,
+            int sidecarCount,
             ForwardedRequest forwarded,
-            ResponseSink<PeerMessage.ForwardResponse> caller) {
-        retryBudget.requestReceived(sidecars);
+            ResponseSink<PeerMessage.ForwardResponse> responseSink) {
+        retryBudget.requestReceived(sidecarCount);
         AttemptTransport transport = new AttemptTransport(forwarded);
-        Engine.Held<PeerMessage.ForwardResponse> held = engine.take(request, transport, caller);
+        Engine.Held<PeerMessage.ForwardResponse> engineRequest = engine.take(request, transport, responseSink);
         return () -> {
-            held.abandon();
+            engineRequest.abandon();
             transport.cancel();
         };
     }
@@ -174,10 +177,10 @@
     private final class AttemptTransport implements Transport<PeerMessage.ForwardResponse> {
         private final ForwardedRequest forwarded;
         private final EndpointAttempts attempts;
-        /** The attempt that is out, of which there is one at most; and who hears of its end. */
+        /** The running attempt, of which there is at most one; its listener follows. */
         private RequestForwarder.Sent outstanding;
 
-        private Outcomes<PeerMessage.ForwardResponse> outcomes;
+        private Outcomes<PeerMessage.ForwardResponse> outcomeListener;
 
         private AttemptTransport(ForwardedRequest forwarded) {
             this.forwarded = forwarded;
@@ -186,24 +189,24 @@
 
         @Override
         public Sending send(
-                String endpoint, int attempt, double within, Outcomes<PeerMessage.ForwardResponse> listener) {
-            String node = nodes.get(endpoint);
+                String endpoint, int attempt, double withinMs, Outcomes<PeerMessage.ForwardResponse> listener) {
+            String node = nodesByEndpoint.get(endpoint);
             if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && retryBudget.trySpend())) {
                 listener.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
             attempts.sent();
-            outcomes = listener;
-            RequestForwarder.Sent sent = forwarder.send(
+            outcomeListener = listener;
+            RequestForwarder.Sent sentRequest = forwarder.send(
                     node,
                     forwarded.request(endpoint),
                     forwarded.isIdempotent(),
                     () -> attempts.mayBeSent() && retryBudget.canSpend(),
                     message -> received(message, listener));
-            outstanding = sent;
+            outstanding = sentRequest;
             return () -> {
                 outstanding = null;
-                boolean written = sent.giveUp();
+                boolean written = sentRequest.giveUp();
                 if (!written) {
                     attempts.neverWritten();
                 }
@@ -215,36 +218,36 @@
             if (outstanding != null) {
                 outstanding.cancel();
                 outstanding = null;
-                outcomes.ended(Contract.Outcome.CANCELLED, null, null);
+                outcomeListener.ended(Contract.Outcome.CANCELLED, null, null);
             }
         }
 
         private void received(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> listener) {
             outstanding = null;
             Contract.Report report = null;
-            if (message instanceof PeerMessage.ForwardResponse d) {
-                forwarded.answered(d);
-                report = report(d.util(), d.perSecond());
-            } else if (message instanceof PeerMessage.ForwardFailure r) {
-                attempts.returned(r.why());
-                report = report(r.util(), r.perSecond());
+            if (message instanceof PeerMessage.ForwardResponse response) {
+                forwarded.responseReceived(response);
+                report = report(response.util(), response.perSecond());
+            } else if (message instanceof PeerMessage.ForwardFailure failure) {
+                attempts.returned(failure.why());
+                report = report(failure.util(), failure.perSecond());
             }
             listener.ended(
                     RequestForwarder.outcome(message),
-                    message instanceof PeerMessage.ForwardResponse d ? d : null,
+                    message instanceof PeerMessage.ForwardResponse response ? response : null,
                     report);
         }
 
-        private Contract.Report report(double util, double perSecond) {
-            // Where one zone comes first, sizes are by zone and not by what endpoints can do.
-            return perSecond > 0 && near == null
-                    ? new Contract.Report(Double.NaN, Double.NaN, util, Double.NaN, perSecond, 0)
+        private Contract.Report report(double utilization, double perSecond) {
+            // With a preferred zone, sizes express the zone and not the capacity of the endpoints.
+            return perSecond > 0 && preferredZone == null
+                    ? new Contract.Report(Double.NaN, Double.NaN, utilization, Double.NaN, perSecond, 0)
                     : null;
         }
 
         @Override
         public boolean connected(String endpoint) {
-            String node = nodes.get(endpoint);
+            String node = nodesByEndpoint.get(endpoint);
             return node == null || forwarder.isConnected(node);
         }
     }
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancers.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancers.java
@@ -16,17 +16,17 @@
 import whinlead.mesh.settings.NodeSettings;
 
 /**
- * The balancers of all services that requests were sent to, made as they are first asked for; bounded. Requests with
- * large bodies have a balancer of their own, which looks in this zone first, for they are most of the bytes between
- * zones. On the loop's thread.
+ * The balancers of all services that requests were sent to, created on first use; their number is limited. Requests
+ * with large bodies have separate balancers that prefer this zone, because they make up most of the traffic between
+ * zones. Runs on the loop's thread.
  */
 final class ServiceBalancers implements EgressListener.Balancers {
-    /** Services that balancers are kept for. */
+    /** Maximum number of services with a balancer. */
     static final int MAX_SERVICES = 256;
-    /** Owners of keys that balancers are kept for. */
+    /** Maximum number of key owners with a balancer. */
     private static final int MAX_OWNERS = 1024;
 
-    /** A service and the node beside an endpoint of it that owns keys. */
+    /** A service and the node beside one of its endpoints that owns keys. */
     private record Owner(String service, String node) {}
 
     private final Timers periodTimers;
@@ -35,18 +35,18 @@
     private final EndpointRegistry registry;
     private final RequestForwarder forwarder;
     private final Map<String, ServiceBalancer> balancers = new HashMap<>();
-    /** Of services that are divided by key, one for each owner: a key's requests have no other endpoint. */
+    /** The balancers of sharded services, one for each owner: requests with its keys have no other endpoint. */
     private final Map<Owner, ServiceBalancer> ownerBalancers = new LinkedHashMap<>();
 
     private final KeyRoutes keyRoutes = new KeyRoutes();
     private final Map<String, ServiceBalancer> largeBodyBalancers = new HashMap<>();
-    /** By service: both of its balancers share one. */
+    /** Retry budgets by service; both of its balancers share one. */
     private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
 
     /**
-     * No balancers yet.
+     * Creates the map without any balancer.
      *
-     * @param periodTimers those on which all balancers' periods begin together
+     * @param periodTimers timers that align the periods of all balancers
      */
     ServiceBalancers(
             Timers periodTimers,
@@ -64,51 +64,51 @@
     /**
      * The balancer of a service.
      *
-     * @param large whether it is for requests with large bodies
+     * @param largeBodies whether it is for requests with large bodies
      */
     @Override
-    public ServiceBalancer of(String service, boolean large) {
-        Map<String, ServiceBalancer> kind = large ? largeBodyBalancers : balancers;
-        ServiceBalancer known = kind.get(service);
-        if (known != null) {
-            return known;
+    public ServiceBalancer forService(String service, boolean largeBodies) {
+        Map<String, ServiceBalancer> balancersOfKind = largeBodies ? largeBodyBalancers : balancers;
+        ServiceBalancer existing = balancersOfKind.get(service);
+        if (existing != null) {
+            return existing;
         }
-        if (kind.size() >= MAX_SERVICES) {
-            throw new IllegalStateException("over " + MAX_SERVICES + " services");
+        if (balancersOfKind.size() >= MAX_SERVICES) {
+            throw new IllegalStateException("balancers exist for " + MAX_SERVICES + " services, the maximum");
         }
-        ServiceBalancer made = new ServiceBalancer(
+        ServiceBalancer created = new ServiceBalancer(
                 periodTimers,
                 classes,
                 settings,
                 registry.presentCount(),
                 new SecureRandom().nextLong(),
                 forwarder,
-                large ? settings.self().zone() : null,
+                largeBodies ? settings.self().zone() : null,
                 retryBudget(service));
-        kind.put(service, made);
-        made.update(registry.endpoints(service));
-        return made;
+        balancersOfKind.put(service, created);
+        created.update(registry.endpoints(service));
+        return created;
     }
 
-    /** The balancer of the owner of a key; null if none is known. */
+    /** The balancer of the owner of a key; null if no owner is known. */
     @Override
-    public ServiceBalancer ofKey(String service, int key) {
+    public ServiceBalancer forKey(String service, int key) {
         String node = keyRoutes.owner(service, key);
-        return node == null ? null : ofOwner(new Owner(service, node));
+        return node == null ? null : ownerBalancer(new Owner(service, node));
     }
 
-    private ServiceBalancer ofOwner(Owner owner) {
-        ServiceBalancer known = ownerBalancers.get(owner);
-        if (known != null) {
-            return known;
+    private ServiceBalancer ownerBalancer(Owner owner) {
+        ServiceBalancer existing = ownerBalancers.get(owner);
+        if (existing != null) {
+            return existing;
         }
         if (ownerBalancers.size() >= MAX_OWNERS) {
-            retainOwners();
+            removeFormerOwners();
         }
         if (ownerBalancers.size() >= MAX_OWNERS) {
             return null;
         }
-        ServiceBalancer made = new ServiceBalancer(
+        ServiceBalancer created = new ServiceBalancer(
                 periodTimers,
                 classes,
                 settings,
@@ -117,28 +117,28 @@
                 forwarder,
                 null,
                 retryBudget(owner.service));
-        ownerBalancers.put(owner, made);
-        made.updateOwner(ownerRecord(owner));
-        return made;
+        ownerBalancers.put(owner, created);
+        created.updateOwner(ownerRecord(owner));
+        return created;
     }
 
-    private void retainOwners() {
+    private void removeFormerOwners() {
         ownerBalancers.keySet().removeIf(each -> !keyRoutes.owners(each.service).contains(each.node));
     }
 
     private EndpointRecord ownerRecord(Owner owner) {
         EndpointRecord record = registry.find(owner.node);
-        boolean there = record != null
+        boolean present = record != null
                 && record.target().equals(owner.service)
                 && record.phase() != EndpointRecord.Phase.GONE
                 && !record.endpoint().isEmpty();
-        return there ? record : null;
+        return present ? record : null;
     }
 
-    /** Routes by key have come. */
+    /** Stores the owners of keys. */
     void routesReceived(String service, List<KeyRoute> routes) {
         if (keyRoutes.merge(service, routes) && ownerBalancers.size() > MAX_OWNERS / 2) {
-            retainOwners();
+            removeFormerOwners();
         }
     }
 
@@ -147,17 +147,17 @@
         return retryBudgets.computeIfAbsent(service, name -> new RetryBudget(bounds.retryRatio(), bounds.retrySlack()));
     }
 
-    /** The services that have a balancer, for usual and for large bodies. */
-    List<Set<String>> services() {
+    /** The services that have a balancer, for normal and for large bodies. */
+    List<Set<String>> servicesByBalancerKind() {
         return List.of(balancers.keySet(), largeBodyBalancers.keySet());
     }
 
-    /** Gives the balancers of these services their endpoints anew. */
+    /** Sets the current endpoints of the balancers of these services. */
     void refresh(Set<String> services) {
         for (String service : services) {
             List<EndpointRecord> endpoints = registry.endpoints(service);
             Stream.of(balancers, largeBodyBalancers)
-                    .map(kind -> kind.get(service))
+                    .map(balancersOfKind -> balancersOfKind.get(service))
                     .filter(Objects::nonNull)
                     .forEach(balancer -> balancer.update(endpoints));
         }
--- a/src/main/java/whinlead/mesh/sidecar/Shutdown.java
+++ b/src/main/java/whinlead/mesh/sidecar/Shutdown.java
@@ -5,81 +5,85 @@
 import whinlead.engine.Timers;
 
 /**
- * What a sidecar does between SIGTERM and its end. It serves on while its clients are led elsewhere; then it ends
- * connections after their answers; from half of the grace on it begins nothing more; and shortly before the kill it
- * answers what is still under way. It ends as soon as nothing is. On the thread of its timers.
+ * The steps of a sidecar between SIGTERM and its end. It continues to serve while its clients are directed elsewhere;
+ * then it closes connections after their responses; from half of the grace period on it rejects new requests; and
+ * shortly before the kill it answers all pending requests. It ends as soon as nothing is pending. Runs on the thread of
+ * its timers.
  */
 final class Shutdown {
-    /** Clients need so long at most to be led elsewhere: two questions for readiness and a little. */
-    private static final double KEEP_S = 2.6;
-    /** The part of the grace after which requests may be cut off where an endpoint is still at work. */
-    private static final double REFUSE_PART = 0.5;
-    /** How long before the kill what is under way is answered. */
-    private static final double ANSWER_S = 0.8;
-    /** How long these answers may take to go out. */
+    /** How long clients take at most to be directed elsewhere: two readiness probes and a margin. */
+    private static final double REDIRECT_S = 2.6;
+    /**
+     * Fraction of the grace period after which new requests are rejected, since they could be cut off at an endpoint
+     * that is still busy.
+     */
+    private static final double REJECT_FRACTION = 0.5;
+    /** How long before the kill pending requests are answered. */
+    private static final double ANSWER_BEFORE_KILL_S = 0.8;
+    /** How long these responses may take to be written. */
     private static final double FLUSH_S = 0.2;
 
-    private static final double LOOK_MS = 100;
-    private static final double MS = 1000;
+    private static final double POLL_MS = 100;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final Timers timers;
     private final double graceS;
     private final EgressListener egress;
-    private final IntSupplier atEndpoint;
+    private final IntSupplier endpointRequests;
     private final CountDownLatch ended = new CountDownLatch(1);
 
     /**
-     * The end of a sidecar that has not begun to leave.
+     * Creates the shutdown of a sidecar, which is not started yet.
      *
-     * @param graceS from SIGTERM to the kill, in seconds
-     * @param atEndpoint how many requests the endpoint beside it works on
+     * @param graceS time from SIGTERM to the kill, in seconds
+     * @param endpointRequests how many requests the endpoint beside the sidecar is running
      */
-    Shutdown(Timers timers, double graceS, EgressListener egress, IntSupplier atEndpoint) {
+    Shutdown(Timers timers, double graceS, EgressListener egress, IntSupplier endpointRequests) {
         this.timers = timers;
         this.graceS = graceS;
         this.egress = egress;
-        this.atEndpoint = atEndpoint;
+        this.endpointRequests = endpointRequests;
     }
 
-    /** Begins; the sidecar has said that it leaves. */
+    /** Starts the shutdown, after the sidecar has published that it is leaving. */
     void begin() {
-        double refuseS = graceS * REFUSE_PART;
-        double keepS = Math.min(KEEP_S, refuseS);
-        double answerS = graceS - ANSWER_S;
-        after(keepS, () -> {
-            egress.leave();
-            timers.after(LOOK_MS, this::look);
+        double rejectS = graceS * REJECT_FRACTION;
+        double redirectS = Math.min(REDIRECT_S, rejectS);
+        double answerS = graceS - ANSWER_BEFORE_KILL_S;
+        schedule(redirectS, () -> {
+            egress.closeConnections();
+            timers.after(POLL_MS, this::finishIfIdle);
         });
-        after(refuseS, egress::refuse);
-        after(answerS, egress::answerAll);
-        after(answerS + FLUSH_S, this::finish);
+        schedule(rejectS, egress::rejectRequests);
+        schedule(answerS, egress::answerPending);
+        schedule(answerS + FLUSH_S, this::finish);
     }
 
-    private void after(double seconds, Runnable task) {
-        timers.after(seconds * MS, task);
+    private void schedule(double seconds, Runnable task) {
+        timers.after(seconds * MILLIS_PER_SECOND, task);
     }
 
-    private void look() {
-        if (egress.underWay() == 0 && atEndpoint.getAsInt() == 0 && egress.connections() == 0) {
+    private void finishIfIdle() {
+        if (egress.pendingCount() == 0 && endpointRequests.getAsInt() == 0 && egress.connections() == 0) {
             finish();
         } else {
-            timers.after(LOOK_MS, this::look);
+            timers.after(POLL_MS, this::finishIfIdle);
         }
     }
 
-    // The process takes a moment to end, in which nothing may be begun.
+    // The process takes a moment to end, and must not start any request in that time.
     private void finish() {
-        egress.refuse();
+        egress.rejectRequests();
         ended.countDown();
     }
 
-    /** Whether it may end. For any thread. */
+    /** Whether the process may end. Thread-safe. */
     boolean hasEnded() {
         return ended.getCount() == 0;
     }
 
     /**
-     * Waits until it may end. On any thread but that of its timers.
+     * Waits until the process may end. Must not be called on the thread of its timers.
      *
      * @throws InterruptedException if interrupted
      */
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -34,53 +34,53 @@
 import whinlead.mesh.wire.TimerGrid;
 
 /**
- * The sidecar of one auxiliary machine: assembles its parts and carries events between them. It takes the requests that
- * begin there ({@link EgressListener}), has the decision module of each service choose an endpoint
- * ({@link ServiceBalancers}), forwards each to the sidecar beside it ({@link RequestForwarder}), and hands those that
- * are for its own endpoint in ({@link EndpointDelivery}). All state is the loop's.
+ * The sidecar of one auxiliary machine: creates its components and passes events between them. It accepts the requests
+ * of this machine ({@link EgressListener}), lets the decision module of each service choose an endpoint
+ * ({@link ServiceBalancers}), forwards each request to the sidecar beside that endpoint ({@link RequestForwarder}), and
+ * delivers those for its own endpoint ({@link EndpointDelivery}). All state belongs to the loop.
  */
 public final class Sidecar {
     private static final long TICK_MS = 100;
-    /** How long the end waits for the loop to give up what is held, in milliseconds. */
+    /** How long the shutdown waits for the loop to release the leases, in milliseconds. */
     private static final long RELEASE_MS = 100;
-    /** Connections of peers that wait to be accepted. */
+    /** Maximum number of peer connections waiting to be accepted. */
     private static final int BACKLOG = 512;
 
-    /** Of the time that an endpoint drains for, the part in which an owner of keys still gets their requests. */
-    private static final double OWNER_DRAIN_PART = 0.7;
+    /** Fraction of an endpoint's drain time in which an owner of keys still gets their requests. */
+    private static final double OWNER_DRAIN_FRACTION = 0.7;
 
-    private static final double NANOS_IN_MILLI = 1e6;
-    private static final double MILLIS_IN_SECOND = 1000;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final NodeSettings settings;
     private final EventLoop loop;
     private final ObjectMapper mapper;
     private final Timers timers;
     private final String node;
-    private final PeerMessage.Hello greeting;
+    private final PeerMessage.Hello hello;
     private final EndpointGate gate;
     private final EndpointConnections endpointConnections;
     private final KeyClient keys;
     private final EndpointDelivery delivery;
     private final EndpointRegistry registry = new EndpointRegistry();
-    private final OutdatedLists outdatedLists;
+    private final EndpointListRefresher listRefresher;
     private final RequestForwarder forwarder;
     private final ServiceBalancers balancers;
     private final QuotaClient quota;
     private final ControlClient controlClient;
-    private final RecordPublisher publisher;
+    private final RecordPublisher recordPublisher;
     private final EgressListener egress;
     private boolean ready;
 
-    /** A sidecar that has not begun. */
+    /** Creates a sidecar that is not started yet. */
     public Sidecar(NodeSettings settings, EventLoop loop, ObjectMapper mapper) {
         this(settings, loop, mapper, UnaryOperator.identity());
     }
 
     /**
-     * A sidecar that has not begun.
+     * Creates a sidecar that is not started yet.
      *
-     * @param dialAddresses gives the address to dial for that of a control node or another sidecar
+     * @param dialAddresses maps the address of a control node or another sidecar to the address to dial
      */
     public Sidecar(
             NodeSettings settings,
@@ -92,61 +92,74 @@
         this.mapper = mapper;
         this.timers = new LoopTimers(loop, new Clock());
         this.node = NodeSettings.require(settings.network().bind().ingress(), "Network.Bind.Ingress");
-        this.greeting = new PeerMessage.Hello(node, false);
-        this.gate = new EndpointGate(settings.substrate().heartbeatS() * MILLIS_IN_SECOND);
+        this.hello = new PeerMessage.Hello(node, false);
+        this.gate = new EndpointGate(settings.substrate().heartbeatS() * MILLIS_PER_SECOND);
         this.endpointConnections = new EndpointConnections(
                 loop, EndpointList.address(NodeSettings.require(settings.self().appAddr(), "Self.AppAddr")));
         this.keys = keys();
-        double lastCallsMs = settings.clauses().bounds().drainS() * MILLIS_IN_SECOND * OWNER_DRAIN_PART;
-        this.delivery = new EndpointDelivery(loop, timers, node, gate, endpointConnections, keys, lastCallsMs);
+        double ownerDrainMs = settings.clauses().bounds().drainS() * MILLIS_PER_SECOND * OWNER_DRAIN_FRACTION;
+        this.delivery = new EndpointDelivery(loop, timers, node, gate, endpointConnections, keys, ownerDrainMs);
         this.forwarder = new RequestForwarder(
                 loop,
                 node,
                 delivery,
-                greeting,
+                hello,
                 address -> dialAddresses.apply(EndpointList.address(address)),
-                this::reachChanged);
-        this.outdatedLists = new OutdatedLists(loop, registry, this::refresh);
+                this::reachabilityChanged);
+        this.listRefresher = new EndpointListRefresher(loop, registry, this::refresh);
         RequestClasses classes = new RequestClasses();
-        this.balancers = new ServiceBalancers(periodTimers(), classes, settings, registry, forwarder);
+        this.balancers = new ServiceBalancers(createPeriodTimers(), classes, settings, registry, forwarder);
         this.quota = quota();
         this.controlClient =
-                new ControlClient(loop, settings, greeting, dialAddresses, quota, keys, new ControlListener());
-        this.publisher = new RecordPublisher(
+                new ControlClient(loop, settings, hello, dialAddresses, quota, keys, new ControlListener());
+        this.recordPublisher = new RecordPublisher(
                 timers,
                 node,
                 settings.self().zone(),
                 gate,
-                this::service,
+                this::endpointService,
                 registry,
-                outdatedLists,
+                listRefresher,
                 record -> controlClient.publish(List.of(record)));
         this.egress = new EgressListener(
-                loop, timers, controlClient::routing, balancers, this::service, registry::presentCount, quota, classes);
+                loop,
+                timers,
+                controlClient::routing,
+                balancers,
+                this::endpointService,
+                registry::presentCount,
+                quota,
+                classes);
     }
 
-    // The balancers' periods begin together, so that the process wakes once for all of them.
-    private Timers periodTimers() {
-        double period = RequestClasses.period();
-        return new AlignedTimers(timers, period, timers.now() + untilNext((long) period) / NANOS_IN_MILLI);
+    // The periods of all balancers are aligned, so that the process wakes up once for all of them.
+    private Timers createPeriodTimers() {
+        double periodMs = RequestClasses.periodMs();
+        return new AlignedTimers(timers, periodMs, timers.now() + nanosUntilNext((long) periodMs) / NANOS_PER_MILLI);
     }
 
     private KeyClient keys() {
         EndpointGrants grants = new EndpointGrants(
                 loop, timers, EndpointList.address(settings.self().appAddr()));
         Double holdCapS = settings.clauses().bounds().holdCapS();
-        double maxHoldMs = holdCapS == null ? KeyTerms.HOLD_MS : holdCapS * MILLIS_IN_SECOND;
+        double maxHoldMs = holdCapS == null ? KeyTerms.HOLD_MS : holdCapS * MILLIS_PER_SECOND;
         return new KeyClient(
-                timers, gate, grants, this::isDivided, this::isLeaving, maxHoldMs, new SecureRandom().nextLong() >>> 1);
+                timers,
+                gate,
+                grants,
+                this::isSharded,
+                this::isDraining,
+                maxHoldMs,
+                new SecureRandom().nextLong() >>> 1);
     }
 
-    private boolean isDivided(String target) {
-        RoutingTable inForce = controlClient.routing();
-        return inForce != null && inForce.isDivided(target);
+    private boolean isSharded(String target) {
+        RoutingTable currentRouting = controlClient.routing();
+        return currentRouting != null && currentRouting.isDivided(target);
     }
 
-    private boolean isLeaving() {
-        return publisher.isLeaving();
+    private boolean isDraining() {
+        return recordPublisher.isDraining();
     }
 
     private QuotaClient quota() {
@@ -156,7 +169,7 @@
     }
 
     /**
-     * Listens, and asks the control nodes.
+     * Starts listening and connects to the control nodes.
      *
      * @throws InterruptedException if interrupted
      */
@@ -169,68 +182,68 @@
                 .childHandler(PeerConnection.handlers(new PeerMessageHandler()))
                 .bind(EndpointList.address(node))
                 .sync();
-        new RpcServer(loop, mapper, this::run)
+        new RpcServer(loop, mapper, this::handleCall)
                 .listen(EndpointList.address(NodeSettings.require(bind.control(), "Network.Bind.Control")))
                 .sync();
-        new Readiness(loop, () -> ready && !publisher.isLeaving())
+        new ReadinessServer(loop, () -> ready && !recordPublisher.isDraining())
                 .listen(EndpointList.address(NodeSettings.require(bind.readiness(), "Network.Bind.Readiness")))
                 .sync();
         egress.listen(EndpointList.address(NodeSettings.require(bind.egress(), "Network.Bind.Egress")))
                 .sync();
         Event.STARTED.log("sidecar " + node + " of " + settings.self().node());
         loop.execute(() -> {
-            publisher.changed();
+            recordPublisher.publishChange();
             controlClient.start();
             loop.scheduleAtFixedRate(
-                    this::tick, untilNext(TICK_MS), TimeUnit.MILLISECONDS.toNanos(TICK_MS), TimeUnit.NANOSECONDS);
+                    this::tick, nanosUntilNext(TICK_MS), TimeUnit.MILLISECONDS.toNanos(TICK_MS), TimeUnit.NANOSECONDS);
         });
     }
 
-    // Nanoseconds, on the grid of all of this process's timers.
-    private static long untilNext(long periodMs) {
+    // Nanoseconds until the next tick, aligned with all timers of this process.
+    private static long nanosUntilNext(long periodMs) {
         return TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(periodMs));
     }
 
-    /** Other machines may be asked first from now on. */
+    /** Adds control nodes to connect to. */
     public void seeds(List<String> seeds) {
-        controlClient.seeds(seeds);
+        controlClient.addSeeds(seeds);
     }
 
-    /** Leaves: runs while the process ends on SIGTERM, on a thread of its own. */
+    /** Shuts the sidecar down; called on a separate thread while the process ends on SIGTERM. */
     public void leave() {
         Shutdown shutdown = new Shutdown(timers, settings.clauses().bounds().graceS(), egress, gate::inFlight);
         loop.execute(() -> {
-            Event.LEAVING.log(egress.underWay() + " requests under way");
-            publisher.leave();
+            Event.LEAVING.log(egress.pendingCount() + " requests pending");
+            recordPublisher.startDraining();
             shutdown.begin();
         });
         try {
             shutdown.await();
-            loop.submit(() -> quota.hold(false)).await(RELEASE_MS);
+            loop.submit(() -> quota.setLeasesEnabled(false)).await(RELEASE_MS);
             Event.ENDED.log(node);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private String service() {
+    private String endpointService() {
         return gate.target().isEmpty() && settings.self().target() != null
                 ? settings.self().target()
                 : gate.target();
     }
 
-    // Which services the node served is not looked up: reach changes seldom.
-    private void reachChanged() {
-        balancers.services().forEach(outdatedLists::add);
+    // The services of the node are not looked up, because reachability changes rarely.
+    private void reachabilityChanged() {
+        balancers.servicesByBalancerKind().forEach(listRefresher::markOutdated);
     }
 
     private void refresh(Set<String> services) {
-        forwarder.retain(registry);
+        forwarder.closeRemovedRoutes(registry);
         balancers.refresh(services);
     }
 
     private void tick() {
-        delivery.running();
+        delivery.recordRunning();
         if (gate.tick(timers.now())) {
             Event.ENDPOINT.log(gate.endpoint() + " is silent");
             endpointChanged();
@@ -238,30 +251,31 @@
         endpointConnections.tick();
         egress.tick();
         controlClient.tick();
-        publisher.repeatIfDue();
+        recordPublisher.republishIfDue();
         quota.tick();
         keys.tick();
     }
 
-    // Connections to the endpoint that was there before are of no use any more.
+    // Connections to the previous endpoint are of no use any more.
     private void endpointChanged() {
         endpointConnections.clear();
-        publisher.changed();
+        recordPublisher.publishChange();
     }
 
-    private void run(RpcCall call, Consumer<RpcResponse> respond) {
+    private void handleCall(RpcCall call, Consumer<RpcResponse> responseListener) {
         if (call instanceof RpcCall.Heartbeat heartbeat) {
-            respond.accept(heartbeat(heartbeat));
+            responseListener.accept(heartbeat(heartbeat));
         } else if (call instanceof RpcCall.Depart depart) {
             if (gate.departed(depart.endpoint())) {
                 Event.ENDPOINT.log(depart.endpoint() + " has left");
-                quota.hold(false);
+                quota.setLeasesEnabled(false);
                 endpointChanged();
                 keys.tick();
             }
-            respond.accept(RpcResponse.done());
+            responseListener.accept(RpcResponse.done());
         } else {
-            respond.accept(RpcResponse.error(HttpResponseStatus.NOT_FOUND, "operators call the control nodes"));
+            responseListener.accept(
+                    RpcResponse.error(HttpResponseStatus.NOT_FOUND, "operators call the control nodes"));
         }
     }
 
@@ -269,12 +283,12 @@
         if (heartbeat.status() == null || heartbeat.status().target() == null) {
             return RpcResponse.error(HttpResponseStatus.BAD_REQUEST, "Target is missing");
         }
-        String before = gate.endpoint();
-        quota.hold(!publisher.isLeaving());
+        String previousEndpoint = gate.endpoint();
+        quota.setLeasesEnabled(!recordPublisher.isDraining());
         if (gate.heartbeat(timers.now(), heartbeat.endpoint(), heartbeat.status())) {
             Event.ENDPOINT.log(heartbeat.endpoint() + " of " + gate.target() + " " + gate.state());
-            if (heartbeat.endpoint().equals(before)) {
-                publisher.changed();
+            if (heartbeat.endpoint().equals(previousEndpoint)) {
+                recordPublisher.publishChange();
             } else {
                 endpointChanged();
             }
@@ -283,20 +297,20 @@
         return RpcResponse.done();
     }
 
-    /** Where it takes requests for its endpoint. */
-    public InetSocketAddress ingress() {
+    /** The address on which the sidecar accepts requests for its endpoint. */
+    public InetSocketAddress ingressAddress() {
         return EndpointList.address(node);
     }
 
-    /** Hears of the control nodes. */
+    /** Receives events from the control nodes. */
     private final class ControlListener implements ControlClient.Listener {
         @Override
         public void recordsReceived(List<EndpointRecord> records) {
             for (EndpointRecord each : records) {
                 if (each.node().equals(node)) {
-                    publisher.heard(each);
+                    recordPublisher.supersede(each);
                 } else {
-                    outdatedLists.merge(each);
+                    listRefresher.merge(each);
                 }
             }
         }
@@ -326,14 +340,14 @@
                 ready = true;
                 Event.READY.log(node);
             }
-            // Ahead of the first request: a new module and its endpoints take a moment.
+            // Before the first request: creating a module and its endpoint list takes a moment.
             routing.config().services().keySet().stream()
                     .limit(ServiceBalancers.MAX_SERVICES)
-                    .forEach(service -> balancers.of(service, false));
+                    .forEach(service -> balancers.forService(service, false));
         }
     }
 
-    /** Takes what other sidecars send on connections of theirs. */
+    /** Handles messages from other sidecars, on connections that they opened. */
     private final class PeerMessageHandler implements PeerConnection.MessageHandler {
         @Override
         public void connected(PeerConnection connection) {}
@@ -344,20 +358,20 @@
         @Override
         public void message(PeerConnection connection, PeerMessage message) {
             if (message instanceof PeerMessage.Ping ping) {
-                delivery.running();
+                delivery.recordRunning();
                 connection.transit().waited(timers.now(), ping.sentAt());
                 connection.send(new PeerMessage.Pong(ping.number(), node, -1));
             } else if (message instanceof PeerMessage.ForwardRequest request) {
-                delivery.forwarded(connection, request);
+                delivery.deliverForwarded(connection, request);
             } else if (message instanceof PeerMessage.Cancel cancel) {
                 delivery.cancel(connection, cancel);
             } else if (message instanceof PeerMessage.FindControlNodes) {
-                connection.send(new PeerMessage.ControlNodes(controlClient.addresses()));
-            } else if (message instanceof PeerMessage.Hello hello) {
-                connection.peer(hello.id());
-                // A program without versions would not know what a greeting on a connection of its own means.
+                connection.send(new PeerMessage.ControlNodes(controlClient.controlNodeAddresses()));
+            } else if (message instanceof PeerMessage.Hello peerHello) {
+                connection.peer(peerHello.id());
+                // A peer without protocol versions would not expect a Hello on a connection that it opened.
                 if (connection.version() > ProtocolVersion.UNVERSIONED) {
-                    connection.send(greeting);
+                    connection.send(hello);
                 }
             }
         }
--- a/src/main/java/whinlead/mesh/sidecar/StartupConfig.java
+++ b/src/main/java/whinlead/mesh/sidecar/StartupConfig.java
@@ -3,40 +3,41 @@
 import whinlead.mesh.consensus.Decision;
 
 /**
- * What a sidecar that has no configuration yet begins with. A control node that is cut off may know an old one only, so
- * what a control node in contact with a majority says is taken at once, and anything else only after a while in which
- * none such answered: better served by the newest in reach than not at all. Pure; one thread; times in milliseconds.
+ * Chooses the first configuration of a sidecar. An isolated control node may know only an old one. So the configuration
+ * from a control node in contact with a majority is adopted at once, and any other only after a time in which no such
+ * node has answered: the newest reachable configuration is better than none. Pure; used by one thread; times in
+ * milliseconds.
  */
 final class StartupConfig {
-    /** How long a control node in contact with a majority is waited for, from the first answer of any. */
-    static final double WAIT = 2000;
+    /** How long a control node in contact with a majority is awaited, from the first answer of any control node on. */
+    static final double CONFIRMATION_WAIT_MS = 2000;
 
     private Decision candidate;
-    private double since = Double.NaN;
+    private double firstOfferMs = Double.NaN;
 
     /**
-     * A control node said what it knows.
+     * Handles a configuration from a control node.
      *
-     * @param confirmed whether it is in contact with a majority
-     * @return what to begin with, or null where to wait
+     * @param confirmed whether the control node is in contact with a majority
+     * @return the configuration to adopt, or null to keep waiting
      */
-    Decision offered(double now, Decision decision, boolean confirmed) {
-        if (Double.isNaN(since)) {
-            since = now;
+    Decision offer(double nowMs, Decision decision, boolean confirmed) {
+        if (Double.isNaN(firstOfferMs)) {
+            firstOfferMs = nowMs;
         }
         if (candidate == null || decision.slot() > candidate.slot()) {
             candidate = decision;
         }
-        return confirmed ? candidate : waited(now);
+        return confirmed ? candidate : candidateAfterWait(nowMs);
     }
 
-    /** What to begin with for want of anything better, or null where to wait on. */
-    Decision waited(double now) {
-        return now - since > WAIT ? candidate : null;
+    /** The configuration to adopt if no better one is known after the wait, or null to keep waiting. */
+    Decision candidateAfterWait(double nowMs) {
+        return nowMs - firstOfferMs > CONFIRMATION_WAIT_MS ? candidate : null;
     }
 
-    /** Whether something is known that nobody has confirmed. */
-    boolean unconfirmed() {
+    /** Whether a configuration was offered that is not adopted yet. */
+    boolean hasCandidate() {
         return candidate != null;
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
+++ b/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
@@ -6,151 +6,151 @@
 
 /**
  * Runs a balancer's periods without a timer while its service is idle. A balancer asks to be woken once a period, with
- * or without requests. Here it is woken at those times only while attempts are out or a request came in the period
- * before. The periods of an idle service are run later, in one go and each at the time that it was asked for, before
- * the next event; so the balancer takes the same steps as if it had been woken on time each period. An idle balancer is
- * woken once in {@link #SLEEP_MS} for the periods that are due, so that a first request after a long pause finds few of
- * them. Sleeping balancers of one process wake together.
+ * or without requests. Here it is woken at those times only while attempts are in flight or a request arrived in the
+ * period before. The periods of an idle service are run later, all at once and each with the time that it was requested
+ * for, before the next event; so the balancer takes the same steps as if it had been woken on time each period. An idle
+ * balancer is woken once in {@link #SLEEP_MS} to run the periods that are due, so that the first request after a long
+ * pause finds few of them. Sleeping balancers of one process wake up together.
  *
- * <p>Pure but for what it is given; one thread; times in milliseconds on the clock of its events.
+ * <p>Pure except for its collaborators; used by one thread; times in milliseconds on the clock of its events.
  */
 public final class TicklessModule implements Contract.Events {
-    /** How long an idle balancer sleeps at most. */
+    /** Maximum time that an idle balancer sleeps. */
     static final double SLEEP_MS = 2000;
-    /** A shorter sleep would not be told apart from a period. */
+    /** Minimum time that it sleeps; a shorter sleep could not be told from a period. */
     private static final double MIN_SLEEP_MS = SLEEP_MS / 2;
-    /** By how much a timer may seem early, for clocks round. */
+    /** How early a timer may seem because clock readings are rounded. */
     private static final double ROUNDING_MS = 0.01;
 
-    private final Contract.Actions timers;
+    private final Contract.Actions actions;
     private final Contract.Events balancer;
-    /** When the balancer asked to be woken next. */
-    private double periodAt = Double.POSITIVE_INFINITY;
-    /** When it is woken from its sleep at the latest; infinite while no such timer is set. */
-    private double sleepEndsAt = Double.POSITIVE_INFINITY;
-    /** Whether a timer is set for {@link #periodAt}. */
+    /** The time for which the balancer asked to be woken next. */
+    private double nextPeriodMs = Double.POSITIVE_INFINITY;
+    /** The time at which its sleep ends at the latest; infinite while no timer is set for that. */
+    private double sleepEndMs = Double.POSITIVE_INFINITY;
+    /** Whether a timer is set for {@link #nextPeriodMs}. */
     private boolean awake;
 
-    private boolean requested;
-    private int attemptsOut;
+    private boolean requestReceived;
+    private int attemptsInFlight;
 
     /**
-     * A balancer that is not started yet.
+     * Creates a module whose balancer is not started yet.
      *
-     * @param actions carries out what the balancer decides, and wakes this
-     * @param balancer makes the balancer, given what carries its decisions out
+     * @param actions carries out what the balancer decides, and wakes this module
+     * @param balancer creates the balancer with the given actions
      */
     public TicklessModule(Contract.Actions actions, Function<Contract.Actions, Contract.Events> balancer) {
-        this.timers = actions;
+        this.actions = actions;
         this.balancer = balancer.apply(new WatchedActions(actions));
     }
 
     @Override
-    public void start(double now) {
-        balancer.start(now);
-        sleep(now);
+    public void start(double nowMs) {
+        balancer.start(nowMs);
+        sleep(nowMs);
     }
 
     @Override
-    public void servers(double now, Contract.ListKind kind, List<Contract.Server> entries) {
-        catchUp(now);
-        balancer.servers(now, kind, entries);
+    public void servers(double nowMs, Contract.ListKind kind, List<Contract.Server> entries) {
+        runDuePeriods(nowMs);
+        balancer.servers(nowMs, kind, entries);
     }
 
     @Override
-    public void request(double now, Contract.Request request) {
-        catchUp(now);
-        requested = true;
+    public void request(double nowMs, Contract.Request request) {
+        runDuePeriods(nowMs);
+        requestReceived = true;
         stayAwake();
-        balancer.request(now, request);
+        balancer.request(nowMs, request);
     }
 
     @Override
     public void outcome(
-            double now,
+            double nowMs,
             Contract.Request request,
             int attempt,
             Contract.Outcome outcome,
-            double took,
+            double tookMs,
             boolean finished,
             Contract.Report report) {
-        catchUp(now);
-        attemptsOut--;
-        balancer.outcome(now, request, attempt, outcome, took, finished, report);
+        runDuePeriods(nowMs);
+        attemptsInFlight--;
+        balancer.outcome(nowMs, request, attempt, outcome, tookMs, finished, report);
     }
 
     @Override
-    public void streaming(double now, Contract.Request request, int attempt) {
-        catchUp(now);
-        balancer.streaming(now, request, attempt);
+    public void streaming(double nowMs, Contract.Request request, int attempt) {
+        runDuePeriods(nowMs);
+        balancer.streaming(nowMs, request, attempt);
     }
 
     @Override
-    public void abandoned(double now, Contract.Request request) {
-        catchUp(now);
-        balancer.abandoned(now, request);
+    public void abandoned(double nowMs, Contract.Request request) {
+        runDuePeriods(nowMs);
+        balancer.abandoned(nowMs, request);
     }
 
     @Override
-    public void probed(double now, String server, Contract.Outcome outcome, double took, Contract.Report report) {
-        catchUp(now);
-        balancer.probed(now, server, outcome, took, report);
+    public void probed(double nowMs, String server, Contract.Outcome outcome, double tookMs, Contract.Report report) {
+        runDuePeriods(nowMs);
+        balancer.probed(nowMs, server, outcome, tookMs, report);
     }
 
     @Override
-    public void message(double now, int from, byte[] text) {
-        catchUp(now);
-        balancer.message(now, from, text);
+    public void message(double nowMs, int from, byte[] text) {
+        runDuePeriods(nowMs);
+        balancer.message(nowMs, from, text);
     }
 
     @Override
-    public void wake(double now) {
-        if (now >= sleepEndsAt - ROUNDING_MS) {
-            sleepEndsAt = Double.POSITIVE_INFINITY;
-            catchUp(now);
+    public void wake(double nowMs) {
+        if (nowMs >= sleepEndMs - ROUNDING_MS) {
+            sleepEndMs = Double.POSITIVE_INFINITY;
+            runDuePeriods(nowMs);
         } else if (awake) {
-            runAwake(now);
+            runAwake(nowMs);
         }
         if (!awake) {
-            sleep(now);
+            sleep(nowMs);
         }
     }
 
-    // At the true time, not the planned one: the balancer sheds load by how late its periods are.
-    private void runAwake(double now) {
+    // With the actual time, not the planned one: the balancer sheds load by how late its periods are.
+    private void runAwake(double nowMs) {
         awake = false;
-        boolean busy = requested || attemptsOut > 0;
-        requested = false;
-        balancer.wake(now);
+        boolean busy = requestReceived || attemptsInFlight > 0;
+        requestReceived = false;
+        balancer.wake(nowMs);
         if (busy) {
             stayAwake();
         }
     }
 
-    private void catchUp(double now) {
-        while (!awake && periodAt <= now) {
-            double at = periodAt;
-            periodAt = Double.POSITIVE_INFINITY;
-            balancer.wake(at);
+    private void runDuePeriods(double nowMs) {
+        while (!awake && nextPeriodMs <= nowMs) {
+            double periodMs = nextPeriodMs;
+            nextPeriodMs = Double.POSITIVE_INFINITY;
+            balancer.wake(periodMs);
         }
     }
 
     private void stayAwake() {
-        if (!awake && periodAt < Double.POSITIVE_INFINITY) {
+        if (!awake && nextPeriodMs < Double.POSITIVE_INFINITY) {
             awake = true;
-            timers.wake(periodAt);
+            actions.wake(nextPeriodMs);
         }
     }
 
-    // At a multiple of the sleep, which is the same moment for all balancers of this process.
-    private void sleep(double now) {
-        if (sleepEndsAt == Double.POSITIVE_INFINITY) {
-            sleepEndsAt = Math.ceil((now + MIN_SLEEP_MS) / SLEEP_MS) * SLEEP_MS;
-            timers.wake(sleepEndsAt);
+    // At a multiple of the sleep time, which is the same for all balancers of this process.
+    private void sleep(double nowMs) {
+        if (sleepEndMs == Double.POSITIVE_INFINITY) {
+            sleepEndMs = Math.ceil((nowMs + MIN_SLEEP_MS) / SLEEP_MS) * SLEEP_MS;
+            actions.wake(sleepEndMs);
         }
     }
 
-    /** Hears when the balancer sends and when it asks to be woken; passes on all else. */
+    /** Records when the balancer sends and when it asks to be woken; passes everything else on. */
     private final class WatchedActions implements Contract.Actions {
         private final Contract.Actions actions;
 
@@ -159,9 +159,9 @@
         }
 
         @Override
-        public void send(Contract.Request request, String server, double within) {
-            attemptsOut++;
-            actions.send(request, server, within);
+        public void send(Contract.Request request, String server, double withinMs) {
+            attemptsInFlight++;
+            actions.send(request, server, withinMs);
         }
 
         @Override
@@ -175,8 +175,8 @@
         }
 
         @Override
-        public void refuse(Contract.Request request, double retryAfter) {
-            actions.refuse(request, retryAfter);
+        public void refuse(Contract.Request request, double retryAfterMs) {
+            actions.refuse(request, retryAfterMs);
         }
 
         @Override
@@ -200,8 +200,8 @@
         }
 
         @Override
-        public void wake(double at) {
-            periodAt = at;
+        public void wake(double wakeAtMs) {
+            nextPeriodMs = wakeAtMs;
         }
 
         @Override
--- a/src/test/java/whinlead/mesh/sidecar/AlignedTimersTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/AlignedTimersTest.java
@@ -10,16 +10,16 @@
 import org.testng.annotations.Test;
 import whinlead.engine.Timers;
 
-/** How often a sidecar wakes for its services' modules. */
+/** How often a sidecar wakes up for the modules of its services. */
 public class AlignedTimersTest {
-    private static final double PERIOD = 40;
+    private static final double PERIOD_MS = 40;
 
-    /** A driven clock with its due tasks. */
-    private static final class Driven implements Timers {
-        private record Due(double at, Runnable task) {}
+    /** Timers on a clock that the test advances. */
+    private static final class ManualTimers implements Timers {
+        private record ScheduledTask(double dueMs, Runnable task) {}
 
-        private final List<Due> due = new ArrayList<>();
-        private final TreeSet<Double> wakes = new TreeSet<>();
+        private final List<ScheduledTask> tasks = new ArrayList<>();
+        private final TreeSet<Double> wakeTimesMs = new TreeSet<>();
         private double now = 1_000_003.7;
 
         @Override
@@ -28,80 +28,81 @@
         }
 
         @Override
-        public Timer after(double millis, Runnable task) {
-            Due d = new Due(now + Math.max(0, millis), task);
-            due.add(d);
-            return () -> due.remove(d);
+        public Timer after(double delayMs, Runnable task) {
+            ScheduledTask scheduled = new ScheduledTask(now + Math.max(0, delayMs), task);
+            tasks.add(scheduled);
+            return () -> tasks.remove(scheduled);
         }
 
-        private void until(double end) {
+        private void runTo(double endMs) {
             while (true) {
-                Due next = due.stream()
-                        .min((a, b) -> Double.compare(a.at(), b.at()))
+                ScheduledTask nextTask = tasks.stream()
+                        .min((a, b) -> Double.compare(a.dueMs(), b.dueMs()))
                         .orElse(null);
-                if (next == null || next.at() > end) {
-                    now = end;
+                if (nextTask == null || nextTask.dueMs() > endMs) {
+                    now = endMs;
                     return;
                 }
-                due.remove(next);
-                now = next.at();
-                // Within a tenth of a millisecond it is one wake-up.
-                wakes.add(Math.rint(now * 10) / 10);
-                next.task().run();
+                tasks.remove(nextTask);
+                now = nextTask.dueMs();
+                // Tasks within a tenth of a millisecond count as one wake-up.
+                wakeTimesMs.add(Math.rint(now * 10) / 10);
+                nextTask.task().run();
             }
         }
     }
 
-    private static void module(Timers timers, Random random, List<Double> spans) {
-        double began = timers.now();
-        timers.after(PERIOD * (0.9 + 0.2 * random.nextDouble()), () -> {
-            spans.add(timers.now() - began);
-            module(timers, random, spans);
+    private static void startModule(Timers timers, Random random, List<Double> periodsMs) {
+        double startMs = timers.now();
+        timers.after(PERIOD_MS * (0.9 + 0.2 * random.nextDouble()), () -> {
+            periodsMs.add(timers.now() - startMs);
+            startModule(timers, random, periodsMs);
         });
     }
 
     @Test
-    public void theModulesOfAllServicesWakeTheSidecarTogether() {
-        Driven driven = new Driven();
-        Timers beat = new AlignedTimers(driven, PERIOD);
-        List<Double> spans = new ArrayList<>();
-        double begin = driven.now();
+    public void modulesOfAllServicesWakeTogether() {
+        ManualTimers manualTimers = new ManualTimers();
+        Timers alignedTimers = new AlignedTimers(manualTimers, PERIOD_MS);
+        List<Double> periodsMs = new ArrayList<>();
+        double startMs = manualTimers.now();
         for (int i = 0; i < 4; i++) {
-            module(beat, new Random(i), spans);
+            startModule(alignedTimers, new Random(i), periodsMs);
         }
-        driven.until(begin + 100 * PERIOD);
-        assertTrue(driven.wakes.size() <= 101, driven.wakes.size() + " wake-ups for 100 periods");
-        assertTrue(spans.size() >= 4 * 98, spans.size() + " periods of four modules");
-        // But for the first, which finds the beat, each is a period.
-        spans.subList(4, spans.size()).forEach(s -> assertEquals(s, PERIOD, 0.001));
+        manualTimers.runTo(startMs + 100 * PERIOD_MS);
+        assertTrue(
+                manualTimers.wakeTimesMs.size() <= 101, manualTimers.wakeTimesMs.size() + " wake-ups for 100 periods");
+        assertTrue(periodsMs.size() >= 4 * 98, periodsMs.size() + " periods of four modules");
+        // Each lasts one period, except the first, which ends on the next tick.
+        periodsMs.subList(4, periodsMs.size()).forEach(s -> assertEquals(s, PERIOD_MS, 0.001));
     }
 
     @Test
-    public void theMomentsAreThoseOfTheGivenPhase() {
-        Driven driven = new Driven();
-        double moment = driven.now() + 13.2;
-        Timers beat = new AlignedTimers(driven, PERIOD, moment);
-        List<Double> ends = new ArrayList<>();
-        beat.after(PERIOD, () -> ends.add(driven.now()));
-        driven.until(moment + 10 * PERIOD);
-        assertEquals(ends.size(), 1);
-        assertEquals(Math.IEEEremainder(ends.get(0) - moment, PERIOD), 0, 0.001);
+    public void ticksFollowTheGivenPhase() {
+        ManualTimers manualTimers = new ManualTimers();
+        double tickMs = manualTimers.now() + 13.2;
+        Timers alignedTimers = new AlignedTimers(manualTimers, PERIOD_MS, tickMs);
+        List<Double> firedMs = new ArrayList<>();
+        alignedTimers.after(PERIOD_MS, () -> firedMs.add(manualTimers.now()));
+        manualTimers.runTo(tickMs + 10 * PERIOD_MS);
+        assertEquals(firedMs.size(), 1);
+        assertEquals(Math.IEEEremainder(firedMs.get(0) - tickMs, PERIOD_MS), 0, 0.001);
     }
 
     @Test
-    public void otherSpansEndWhenTheyWereTo() {
-        Driven driven = new Driven();
-        Timers beat = new AlignedTimers(driven, PERIOD);
-        List<Double> ends = new ArrayList<>();
-        double begin = driven.now();
-        for (double span : new double[] {0, 7, 30, 50, 1234.5}) {
-            beat.after(span, () -> ends.add(driven.now() - begin));
+    public void otherDelaysAreNotAligned() {
+        ManualTimers manualTimers = new ManualTimers();
+        Timers alignedTimers = new AlignedTimers(manualTimers, PERIOD_MS);
+        List<Double> firedMs = new ArrayList<>();
+        double startMs = manualTimers.now();
+        for (double delayMs : new double[] {0, 7, 30, 50, 1234.5}) {
+            alignedTimers.after(delayMs, () -> firedMs.add(manualTimers.now() - startMs));
         }
-        beat.after(60, () -> ends.add(-1.0)).cancel();
-        driven.until(begin + 2000);
-        assertEquals(ends.size(), 5);
+        alignedTimers.after(60, () -> firedMs.add(-1.0)).cancel();
+        manualTimers.runTo(startMs + 2000);
+        assertEquals(firedMs.size(), 5);
         for (int i = 0; i < 5; i++) {
-            assertEquals(ends.get(i), new double[] {0, 7, 30, 50, 1234.5}[i], 0.001);
+            assertEquals(firedMs.get(i), new double[] {0, 7, 30, 50, 1234.5}[i], 0.001);
         }
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
@@ -20,19 +20,19 @@
 import whinlead.mesh.config.MeshConfig;
 import whinlead.plan.Calendar;
 
-/** One client's connection, byte by byte: which requests are taken, and whose answer goes out when. */
+/** One client's connection, byte by byte: which requests are handled, and when their responses are sent. */
 public class ClientConnectionTest {
-    private static final int UNDER_WAY = 16;
+    private static final int MAX_PENDING = 16;
     private static final String HOST = "Host: h\r\n";
-    private static final double MAX_MS = 2000;
+    private static final double TIMEOUT_MS = 2000;
     private static final double IDLE_MS = 15_000;
 
-    private final class Taking implements ClientConnection.RequestHandler {
+    private final class RecordingHandler implements ClientConnection.RequestHandler {
         @Override
-        public void handle(HttpRequest head, byte[] body, ClientConnection.PendingResponse turn) {
-            taken.add(head.uri());
-            turns.add(turn);
-            turn.onGone(() -> gone++);
+        public void handle(HttpRequest head, byte[] body, ClientConnection.PendingResponse response) {
+            handledUris.add(head.uri());
+            responses.add(response);
+            response.onClientDisconnect(() -> disconnectedRequests++);
         }
 
         @Override
@@ -42,26 +42,26 @@
 
         @Override
         public boolean tryReserve(int bytes) {
-            if (held + bytes > holdMost) {
+            if (reservedBytes + bytes > maxReservedBytes) {
                 return false;
             }
-            held += bytes;
+            reservedBytes += bytes;
             return true;
         }
 
         @Override
         public void release(int bytes) {
-            held -= bytes;
+            reservedBytes -= bytes;
         }
 
         @Override
-        public boolean leaving() {
-            return leaving;
+        public boolean shuttingDown() {
+            return shuttingDown;
         }
 
         @Override
         public double timeoutMs(HttpRequest head) {
-            return MAX_MS;
+            return TIMEOUT_MS;
         }
 
         @Override
@@ -71,34 +71,34 @@
     }
 
     private Calendar calendar;
-    private ClientConnection window;
-    private List<String> taken;
-    private List<ClientConnection.PendingResponse> turns;
+    private ClientConnection connection;
+    private List<String> handledUris;
+    private List<ClientConnection.PendingResponse> responses;
     private EmbeddedChannel channel;
-    private int held;
-    private int holdMost;
-    private int gone;
-    private boolean leaving;
+    private int reservedBytes;
+    private int maxReservedBytes;
+    private int disconnectedRequests;
+    private boolean shuttingDown;
 
     @BeforeMethod
     public void connect() {
         calendar = new Calendar();
-        taken = new ArrayList<>();
-        turns = new ArrayList<>();
-        held = 0;
-        holdMost = 1000;
-        gone = 0;
-        leaving = false;
+        handledUris = new ArrayList<>();
+        responses = new ArrayList<>();
+        reservedBytes = 0;
+        maxReservedBytes = 1000;
+        disconnectedRequests = 0;
+        shuttingDown = false;
         channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
-                window = new ClientConnection(new Taking());
-                window.on(ch);
+                connection = new ClientConnection(new RecordingHandler());
+                connection.addTo(ch);
             }
         });
     }
 
-    private void say(String text) {
+    private void receive(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
@@ -106,158 +106,158 @@
         return "GET " + path + " HTTP/1.1\r\n" + HOST + "\r\n";
     }
 
-    private static String post(String path, String more, int length, String body) {
-        return "POST " + path + " HTTP/1.1\r\n" + HOST + more + "Content-Length: " + length + "\r\n\r\n" + body;
+    private static String post(String path, String headers, int length, String body) {
+        return "POST " + path + " HTTP/1.1\r\n" + HOST + headers + "Content-Length: " + length + "\r\n\r\n" + body;
     }
 
-    private void answer(int turn, String body) {
-        turns.get(turn).send(HttpResponseStatus.OK, List.of(), body.getBytes(StandardCharsets.US_ASCII));
+    private void respond(int responseIndex, String body) {
+        responses.get(responseIndex).send(HttpResponseStatus.OK, List.of(), body.getBytes(StandardCharsets.US_ASCII));
         channel.runPendingTasks();
     }
 
-    private String heard() {
-        StringBuilder all = new StringBuilder();
-        for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-            all.append(b.toString(StandardCharsets.ISO_8859_1));
-            b.release();
+    private String sentText() {
+        StringBuilder text = new StringBuilder();
+        for (ByteBuf buffer = channel.readOutbound(); buffer != null; buffer = channel.readOutbound()) {
+            text.append(buffer.toString(StandardCharsets.ISO_8859_1));
+            buffer.release();
         }
-        return all.toString();
+        return text.toString();
     }
 
     @Test
-    public void answersGoOutInTheOrderOfTheRequests() {
-        say(get("/a") + get("/b") + get("/c"));
-        answer(2, "of c");
-        answer(1, "of b");
-        assertEquals(heard(), "");
-        answer(0, "of a");
-        answer(0, "again");
-        assertTrue(heard().matches("(?s).*\r\n\r\nof aHTTP/1.1 200.*\r\n\r\nof bHTTP/1.1 200.*\r\n\r\nof c"));
+    public void responsesAreSentInTheOrderOfTheRequests() {
+        receive(get("/a") + get("/b") + get("/c"));
+        respond(2, "of c");
+        respond(1, "of b");
+        assertEquals(sentText(), "");
+        respond(0, "of a");
+        respond(0, "again");
+        assertTrue(sentText().matches("(?s).*\r\n\r\nof aHTTP/1.1 200.*\r\n\r\nof bHTTP/1.1 200.*\r\n\r\nof c"));
     }
 
     @Test
-    public void noMoreAreUnderWayThanTheBound() {
-        say(get("/a").repeat(UNDER_WAY * 3));
-        assertEquals(taken.size(), UNDER_WAY);
-        for (int i = 0; i < UNDER_WAY * 3; i++) {
-            answer(i, "");
+    public void pendingRequestsAreLimited() {
+        receive(get("/a").repeat(MAX_PENDING * 3));
+        assertEquals(handledUris.size(), MAX_PENDING);
+        for (int i = 0; i < MAX_PENDING * 3; i++) {
+            respond(i, "");
         }
-        assertEquals(taken.size(), UNDER_WAY * 3);
-        assertEquals(heard().split("HTTP/1.1 200", -1).length - 1, UNDER_WAY * 3);
+        assertEquals(handledUris.size(), MAX_PENDING * 3);
+        assertEquals(sentText().split("HTTP/1.1 200", -1).length - 1, MAX_PENDING * 3);
     }
 
     @Test
-    public void aGoAheadWaitsForTheAnswersBefore() {
-        say(get("/a") + post("/b", "Expect: 100-continue\r\n", 2, ""));
-        assertEquals(heard(), "");
-        answer(0, "of a");
-        assertTrue(heard().matches("(?s)HTTP/1.1 200.*of aHTTP/1.1 100 .*"));
-        say("xx" + "HEAD /c HTTP/1.1\r\n" + HOST + "\r\n");
-        answer(1, "of b");
-        answer(2, "");
-        String heard = heard();
-        assertTrue(heard.contains("of bHTTP/1.1 200"), heard);
+    public void continueIsSentAfterEarlierResponses() {
+        receive(get("/a") + post("/b", "Expect: 100-continue\r\n", 2, ""));
+        assertEquals(sentText(), "");
+        respond(0, "of a");
+        assertTrue(sentText().matches("(?s)HTTP/1.1 200.*of aHTTP/1.1 100 .*"));
+        receive("xx" + "HEAD /c HTTP/1.1\r\n" + HOST + "\r\n");
+        respond(1, "of b");
+        respond(2, "");
+        String sent = sentText();
+        assertTrue(sent.contains("of bHTTP/1.1 200"), sent);
     }
 
     @Test
-    public void whatIsRefusedMidwayIsNotTakenNorWhatComesBehindIt() {
-        say(get("/a") + post("/b", "", 20, "x".repeat(10)));
-        assertEquals(held, 10);
-        holdMost = 5;
-        say("x".repeat(10) + get("/c"));
-        assertEquals(heard(), "");
-        answer(0, "of a");
-        assertTrue(heard().matches("(?s)HTTP/1.1 200.*of aHTTP/1.1 503.*onnection: close.*"));
-        assertEquals(taken, List.of("/a"));
-        assertEquals(held, 0);
+    public void requestRejectedInItsBodyIsNotHandledNorAnyAfterIt() {
+        receive(get("/a") + post("/b", "", 20, "x".repeat(10)));
+        assertEquals(reservedBytes, 10);
+        maxReservedBytes = 5;
+        receive("x".repeat(10) + get("/c"));
+        assertEquals(sentText(), "");
+        respond(0, "of a");
+        assertTrue(sentText().matches("(?s)HTTP/1.1 200.*of aHTTP/1.1 503.*onnection: close.*"));
+        assertEquals(handledUris, List.of("/a"));
+        assertEquals(reservedBytes, 0);
         assertFalse(channel.isActive());
     }
 
     @Test
-    public void aConnectionIsUsableUntilItsIdleTimeIsOver() {
+    public void connectionIsClosedAfterItsIdleTime() {
         for (int i = 0; i < 3; i++) {
-            say(get("/a"));
-            answer(i, "");
+            receive(get("/a"));
+            respond(i, "");
             calendar.runTo(calendar.now() + IDLE_MS * 4 / 5);
-            window.tick();
+            connection.tick();
             assertTrue(channel.isActive());
         }
         calendar.runTo(calendar.now() + IDLE_MS / 5 + 1);
-        window.tick();
+        connection.tick();
         assertFalse(channel.isActive());
     }
 
     @Test
-    public void aBodyThatDribblesIsRefusedOnceItsTimeIsUp() {
-        say(post("/a", "", 50, ""));
-        for (int ms = 100; ms < MAX_MS; ms += 100) {
+    public void slowBodyIsRejectedAtItsTimeout() {
+        receive(post("/a", "", 50, ""));
+        for (int ms = 100; ms < TIMEOUT_MS; ms += 100) {
             calendar.runTo(ms);
-            say("x");
+            receive("x");
         }
-        assertEquals(heard(), "");
-        calendar.runTo(MAX_MS);
-        assertTrue(heard().matches("(?s)HTTP/1.1 408.*onnection: close.*"));
-        assertEquals(taken, List.of());
-        assertEquals(held, 0);
+        assertEquals(sentText(), "");
+        calendar.runTo(TIMEOUT_MS);
+        assertTrue(sentText().matches("(?s)HTTP/1.1 408.*onnection: close.*"));
+        assertEquals(handledUris, List.of());
+        assertEquals(reservedBytes, 0);
         assertFalse(channel.isActive());
     }
 
     @Test
-    public void theTimeThatABodyTookCountsAndTheNextHasItsOwn() {
-        say(post("/a", "", 2, "x"));
-        calendar.runTo(MAX_MS - 500);
-        say("x" + post("/b", "", 2, ""));
-        assertEquals(turns.get(0).readingMs(), MAX_MS - 500);
-        calendar.runTo(2 * MAX_MS - 501);
-        say("xx");
-        assertEquals(turns.get(1).readingMs(), MAX_MS - 1);
-        calendar.runTo(4 * MAX_MS);
+    public void readDurationIsCountedForEachRequest() {
+        receive(post("/a", "", 2, "x"));
+        calendar.runTo(TIMEOUT_MS - 500);
+        receive("x" + post("/b", "", 2, ""));
+        assertEquals(responses.get(0).readDurationMs(), TIMEOUT_MS - 500);
+        calendar.runTo(2 * TIMEOUT_MS - 501);
+        receive("xx");
+        assertEquals(responses.get(1).readDurationMs(), TIMEOUT_MS - 1);
+        calendar.runTo(4 * TIMEOUT_MS);
         assertTrue(channel.isActive());
     }
 
     @Test
-    public void whatCannotBeReadMidwayIsNotTaken() {
-        say("POST /a HTTP/1.1\r\n" + HOST + "Transfer-Encoding: chunked\r\n\r\n2\r\nxx\r\nzz\r\n" + get("/b"));
-        assertTrue(heard().startsWith("HTTP/1.1 400"));
-        assertEquals(taken, List.of());
-        assertEquals(held, 0);
+    public void requestWithInvalidChunkIsNotHandled() {
+        receive("POST /a HTTP/1.1\r\n" + HOST + "Transfer-Encoding: chunked\r\n\r\n2\r\nxx\r\nzz\r\n" + get("/b"));
+        assertTrue(sentText().startsWith("HTTP/1.1 400"));
+        assertEquals(handledUris, List.of());
+        assertEquals(reservedBytes, 0);
         assertFalse(channel.isActive());
     }
 
     @Test
-    public void whatComesBehindTheLastIsNotTaken() {
-        say(get("/a") + "GET /b HTTP/1.1\r\nConnection: close\r\n" + HOST + "\r\n" + get("/c"));
-        say(get("/d"));
-        answer(1, "of b");
+    public void requestsAfterConnectionCloseAreNotHandled() {
+        receive(get("/a") + "GET /b HTTP/1.1\r\nConnection: close\r\n" + HOST + "\r\n" + get("/c"));
+        receive(get("/d"));
+        respond(1, "of b");
         assertTrue(channel.isActive());
-        answer(0, "of a");
-        assertEquals(taken, List.of("/a", "/b"));
-        assertTrue(heard().matches("(?s).*of aHTTP/1.1 200.*onnection: close.*of b"));
+        respond(0, "of a");
+        assertEquals(handledUris, List.of("/a", "/b"));
+        assertTrue(sentText().matches("(?s).*of aHTTP/1.1 200.*onnection: close.*of b"));
         assertFalse(channel.isActive());
     }
 
     @Test
-    public void whereItLeavesNothingThatWasTakenIsBehindTheEnd() {
-        say(get("/a") + get("/b"));
-        leaving = true;
-        answer(0, "of a");
-        assertFalse(heard().contains("close"), "one that was taken comes behind it");
-        answer(1, "of b");
-        assertTrue(heard().matches("(?s).*onnection: close.*of b"));
+    public void shutdownClosesAfterTheLastPendingResponse() {
+        receive(get("/a") + get("/b"));
+        shuttingDown = true;
+        respond(0, "of a");
+        assertFalse(sentText().contains("close"), "a handled request is still pending");
+        respond(1, "of b");
+        assertTrue(sentText().matches("(?s).*onnection: close.*of b"));
         assertFalse(channel.isActive());
     }
 
     @Test
-    public void aClientThatGoesTakesWhatIsHeldForItAlong() {
-        say(post("/a", "", 10, "x".repeat(10)) + post("/b", "", 10, "x".repeat(10)) + post("/c", "", 9, "x"));
-        assertEquals(held, 21);
-        answer(1, "of b");
+    public void disconnectReleasesReservedBytes() {
+        receive(post("/a", "", 10, "x".repeat(10)) + post("/b", "", 10, "x".repeat(10)) + post("/c", "", 9, "x"));
+        assertEquals(reservedBytes, 21);
+        respond(1, "of b");
         channel.close();
-        assertEquals(gone, 1);
-        assertEquals(held, 0);
-        answer(0, "of a");
-        assertEquals(held, 0);
-        assertEquals(heard(), "");
+        assertEquals(disconnectedRequests, 1);
+        assertEquals(reservedBytes, 0);
+        respond(0, "of a");
+        assertEquals(reservedBytes, 0);
+        assertEquals(sentText(), "");
         channel.checkException();
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -27,20 +27,21 @@
 import whinlead.plan.Calendar;
 
 /**
- * Requests from a client's connection through the real egress, engine, module and forwarder, by a driven clock: to how
- * many endpoints they are sent, with what time, when they are answered, and what a client that leaves leaves behind.
+ * Requests from a client's connection through the real egress listener, engine, module and forwarder, on simulated
+ * time: to how many endpoints they are sent, with which remaining time, when they are answered, and what happens when
+ * the client disconnects.
  */
 public class EgressListenerTest {
-    private static final int NODES = 5;
+    private static final int NODE_COUNT = 5;
     private static final double DEADLINE_MS = 2000;
     private static final double SECOND_MS = 1000;
     private static final double CONNECT_MS = 2;
-    private static final String END = "\r\n\r\n";
+    private static final String END_OF_HEADERS = "\r\n\r\n";
 
-    /** What was written to another sidecar, and when. */
-    private record Written(Path path, double at, PeerMessage.ForwardRequest forwardRequest) {}
+    /** A request that was written to another sidecar, and when. */
+    private record Written(Path path, double atMs, PeerMessage.ForwardRequest request) {}
 
-    /** A path to another sidecar that connects after a time and reacts to requests as the test says. */
+    /** A path to another sidecar that connects after a delay and reacts to requests as the test defines. */
     private final class Path extends ScriptedPath {
 
         private Path(PeerPath.Listener listener) {
@@ -50,7 +51,7 @@
         @Override
         public void dial() {
             super.dial();
-            calendar.after(connectMs, () -> to(ReconnectingConnection.State.UP));
+            calendar.after(connectMs, () -> changeState(ReconnectingConnection.State.UP));
         }
 
         @Override
@@ -72,7 +73,7 @@
     private List<Written> written;
     private List<PeerMessage.Cancel> cancels;
     private EmbeddedChannel channel;
-    private StringBuilder heard;
+    private StringBuilder sentText;
 
     @BeforeMethod
     public void start() {
@@ -81,19 +82,19 @@
         reaction = (path, forwardRequest) -> {};
         written = new ArrayList<>();
         cancels = new ArrayList<>();
-        heard = new StringBuilder();
+        sentText = new StringBuilder();
         RequestClasses classes = new RequestClasses();
         RequestForwarder forwarder = new RequestForwarder(
                 calendar,
                 task -> calendar.after(0, task),
                 "here",
                 (forwardRequest, done) -> {},
-                (node, ear) -> new Path(ear),
+                (node, pathListener) -> new Path(pathListener),
                 () -> {});
         ServiceBalancer balancer = new ServiceBalancer(
-                calendar, classes, settings(), NODES, 1, forwarder, null, new RetryBudget(10, 1000));
+                calendar, classes, settings(), NODE_COUNT, 1, forwarder, null, new RetryBudget(10, 1000));
         List<EndpointRecord> records = new ArrayList<>();
-        for (int i = 0; i < NODES; i++) {
+        for (int i = 0; i < NODE_COUNT; i++) {
             records.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 4, 0));
         }
         balancer.update(records);
@@ -115,13 +116,13 @@
                 () -> routing,
                 (target, large) -> balancer,
                 () -> "own",
-                () -> NODES,
-                new QuotaClient(calendar, new TenantQuota(new QuotaRules(5, 0.1, 20), 1), () -> NODES),
+                () -> NODE_COUNT,
+                new QuotaClient(calendar, new TenantQuota(new QuotaRules(5, 0.1, 20), 1), () -> NODE_COUNT),
                 classes);
         channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
-                new ClientConnection(egress).on(ch);
+                new ClientConnection(egress).addTo(ch);
             }
         });
     }
@@ -138,43 +139,44 @@
                 new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, 6, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
     }
 
-    private void say(String text) {
+    private void receive(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    private static String request(String path, String more) {
-        return "POST " + path + "x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\n" + more;
+    private static String request(String path, String headers) {
+        return "POST " + path + "x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\n" + headers;
     }
 
-    private static String whole(String path, String more) {
-        return request(path, more) + "Content-Length: 0" + END;
+    private static String requestWithoutBody(String path, String headers) {
+        return request(path, headers) + "Content-Length: 0" + END_OF_HEADERS;
     }
 
-    private void runTo(double at) {
-        while (calendar.now() < at) {
-            calendar.runTo(Math.min(at, calendar.now() + 1));
-            hear();
+    private void runTo(double endMs) {
+        while (calendar.now() < endMs) {
+            calendar.runTo(Math.min(endMs, calendar.now() + 1));
+            collectOutput();
         }
     }
 
-    private void hear() {
-        for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-            heard.append(b.toString(StandardCharsets.ISO_8859_1));
-            b.release();
+    private void collectOutput() {
+        for (ByteBuf buffer = channel.readOutbound(); buffer != null; buffer = channel.readOutbound()) {
+            sentText.append(buffer.toString(StandardCharsets.ISO_8859_1));
+            buffer.release();
         }
     }
 
-    /** The time of the answer; fails if there is none until then. */
-    private double answered(double until) {
-        while (heard.isEmpty() && calendar.now() < until) {
+    /** The time of the response; fails if there is none by {@code endMs}. */
+    private double awaitAnswer(double endMs) {
+        while (sentText.isEmpty() && calendar.now() < endMs) {
             runTo(calendar.now() + 1);
         }
-        assertTrue(!heard.isEmpty(), "nothing heard until " + until);
+        assertTrue(!sentText.isEmpty(), "no response until " + endMs);
         return calendar.now();
     }
 
-    private void resetsAfter(double millis) {
-        reaction = (path, forwardRequest) -> calendar.after(millis, () -> path.to(ReconnectingConnection.State.DOWN));
+    private void resetAfter(double delayMs) {
+        reaction = (path, forwardRequest) ->
+                calendar.after(delayMs, () -> path.changeState(ReconnectingConnection.State.DOWN));
     }
 
     @DataProvider
@@ -187,62 +189,65 @@
     }
 
     @Test(dataProvider = "losses")
-    public void aRequestIsSentToNoMoreEndpointsThanItsRouteAllows(ReconnectingConnection.State to, double after) {
+    public void requestIsSentToAtMostItsRoutesTries(ReconnectingConnection.State nextState, double delayMs) {
         List<String> paths = List.of("/once/", "/twice/", "/thrice/");
         for (int tries = 1; tries <= paths.size(); tries++) {
             start();
-            reaction = (path, forwardRequest) -> calendar.after(after, () -> path.to(to));
-            say(whole(paths.get(tries - 1), ""));
-            answered(DEADLINE_MS);
+            reaction = (path, forwardRequest) -> calendar.after(delayMs, () -> path.changeState(nextState));
+            receive(requestWithoutBody(paths.get(tries - 1), ""));
+            awaitAnswer(DEADLINE_MS);
             runTo(2 * DEADLINE_MS);
             assertEquals(written.size(), tries);
             assertEquals(written.stream().map(Written::path).distinct().count(), tries);
-            // Silence ends nothing that may be asked of nobody else; its endpoint has until the deadline.
+            // Silence does not end a request that may go to no other endpoint; its endpoint has until the deadline.
             assertTrue(
-                    heard.toString()
-                            .startsWith(to == ReconnectingConnection.State.SUSPECT ? "HTTP/1.1 504" : "HTTP/1.1 502"),
-                    heard.toString());
+                    sentText.toString()
+                            .startsWith(
+                                    nextState == ReconnectingConnection.State.SUSPECT
+                                            ? "HTTP/1.1 504"
+                                            : "HTTP/1.1 502"),
+                    sentText.toString());
         }
     }
 
     @Test
-    public void anAnswerAfterASilenceIsTakenWhereNobodyElseMayBeAsked() {
+    public void answerAfterSilenceIsAcceptedWhenNoOtherEndpointIsAllowed() {
         reaction = (path, forwardRequest) -> {
-            calendar.after(300, () -> path.to(ReconnectingConnection.State.SUSPECT));
-            calendar.after(900, () -> path.to(ReconnectingConnection.State.UP));
+            calendar.after(300, () -> path.changeState(ReconnectingConnection.State.SUSPECT));
+            calendar.after(900, () -> path.changeState(ReconnectingConnection.State.UP));
             calendar.after(
                     1800,
                     () -> path.listener.message(new PeerMessage.ForwardResponse(
                             forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         };
-        say(whole("/once/", ""));
-        assertEquals(Math.floor(answered(DEADLINE_MS) / 100), 18.0);
-        assertTrue(heard.toString().startsWith("HTTP/1.1 200"), heard.toString());
+        receive(requestWithoutBody("/once/", ""));
+        assertEquals(Math.floor(awaitAnswer(DEADLINE_MS) / 100), 18.0);
+        assertTrue(sentText.toString().startsWith("HTTP/1.1 200"), sentText.toString());
         assertEquals(written.size(), 1);
     }
 
     @Test
-    public void whatWasTurnedAwayBesideAnEndpointDoesNotCountAsSentToIt() {
+    public void rejectionBySidecarDoesNotCountAsATry() {
         reaction = (path, forwardRequest) -> calendar.after(1, () -> {
             if (written.size() == 1) {
                 path.listener.message(
                         new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.FULL, 0, 0));
             } else {
-                path.to(ReconnectingConnection.State.DOWN);
+                path.changeState(ReconnectingConnection.State.DOWN);
             }
         });
-        say(whole("/twice/", ""));
+        receive(requestWithoutBody("/twice/", ""));
         runTo(DEADLINE_MS);
         assertEquals(written.size(), 3);
     }
 
     @Test
-    public void whatMayNotBeRepeatedIsNotSentAgainAfterAReset() {
-        resetsAfter(5);
-        say(whole("/sign/", ""));
+    public void nonIdempotentRequestIsNotRetriedAfterAReset() {
+        resetAfter(5);
+        receive(requestWithoutBody("/sign/", ""));
         runTo(2 * DEADLINE_MS);
         assertEquals(written.size(), 1);
-        assertTrue(heard.toString().startsWith("HTTP/1.1 502"), heard.toString());
+        assertTrue(sentText.toString().startsWith("HTTP/1.1 502"), sentText.toString());
     }
 
     @DataProvider
@@ -253,85 +258,86 @@
     }
 
     @Test(dataProvider = "deadlines")
-    public void eachAttemptHasNoMoreTimeThanIsLeft(String header, double time) {
-        resetsAfter(400);
-        say(whole("/thrice/", header));
+    public void attemptsGetTheRemainingTime(String header, double timeMs) {
+        resetAfter(400);
+        receive(requestWithoutBody("/thrice/", header));
         runTo(DEADLINE_MS);
         assertEquals(written.size(), 3);
-        for (Written w : written) {
-            assertTrue(w.forwardRequest.leftMs() <= time - w.at, w.forwardRequest.leftMs() + " ms at " + w.at);
-            assertTrue(w.forwardRequest.leftMs() > time - w.at - 50, w.forwardRequest.leftMs() + " ms at " + w.at);
+        for (Written write : written) {
+            assertTrue(write.request.leftMs() <= timeMs - write.atMs, write.request.leftMs() + " ms at " + write.atMs);
+            assertTrue(
+                    write.request.leftMs() > timeMs - write.atMs - 50, write.request.leftMs() + " ms at " + write.atMs);
         }
     }
 
     @Test(dataProvider = "deadlines")
-    public void aRequestThatNobodyAnswersHasItsFinalAnswerInTimeAndNoSooner(String header, double time) {
+    public void unansweredRequestGets504JustBeforeItsDeadline(String header, double timeMs) {
         for (String path : List.of("/once/", "/thrice/", "/sign/")) {
             start();
-            say(whole(path, header));
-            double at = answered(time);
-            assertTrue(at > time - 50, "already at " + at);
-            assertTrue(heard.toString().startsWith("HTTP/1.1 504"), heard.toString());
+            receive(requestWithoutBody(path, header));
+            double answeredMs = awaitAnswer(timeMs);
+            assertTrue(answeredMs > timeMs - 50, "answered too early, at " + answeredMs);
+            assertTrue(sentText.toString().startsWith("HTTP/1.1 504"), sentText.toString());
         }
     }
 
     @Test(dataProvider = "deadlines")
-    public void aRequestThatNeverGetsAConnectionHasItsFinalAnswerInTime(String header, double time) {
+    public void requestWithoutConnectionGets503BeforeItsDeadline(String header, double timeMs) {
         for (String path : List.of("/once/", "/sign/")) {
             start();
             connectMs = 10 * DEADLINE_MS;
-            say(whole(path, header));
-            answered(time);
-            assertTrue(heard.toString().startsWith("HTTP/1.1 503"), heard.toString());
+            receive(requestWithoutBody(path, header));
+            awaitAnswer(timeMs);
+            assertTrue(sentText.toString().startsWith("HTTP/1.1 503"), sentText.toString());
             runTo(11 * DEADLINE_MS);
-            assertEquals(written, List.of(), "it was said that it never runs");
+            assertEquals(written, List.of(), "it was answered as not run");
         }
     }
 
     @Test(dataProvider = "deadlines")
-    public void theTimeThatABodyTakesToArriveCounts(String header, double time) {
-        say(request("/sign/", header) + "Content-Length: 2" + END + "x");
+    public void timeToReadTheBodyCountsAgainstTheDeadline(String header, double timeMs) {
+        receive(request("/sign/", header) + "Content-Length: 2" + END_OF_HEADERS + "x");
         runTo(SECOND_MS);
-        say("x");
-        answered(time);
-        assertTrue(written.get(0).forwardRequest.leftMs() <= time - SECOND_MS, written.toString());
-        assertTrue(heard.toString().startsWith("HTTP/1.1 504"), heard.toString());
+        receive("x");
+        awaitAnswer(timeMs);
+        assertTrue(written.get(0).request.leftMs() <= timeMs - SECOND_MS, written.toString());
+        assertTrue(sentText.toString().startsWith("HTTP/1.1 504"), sentText.toString());
     }
 
     @Test(dataProvider = "deadlines")
-    public void aBodyThatNeverEndsIsRefusedInTime(String header, double time) {
-        say(request("/sign/", header) + "Content-Length: 2" + END);
-        assertTrue(answered(time) > time - 50);
-        assertTrue(heard.toString().startsWith("HTTP/1.1 408"), heard.toString());
+    public void unfinishedBodyGets408BeforeTheDeadline(String header, double timeMs) {
+        receive(request("/sign/", header) + "Content-Length: 2" + END_OF_HEADERS);
+        assertTrue(awaitAnswer(timeMs) > timeMs - 50);
+        assertTrue(sentText.toString().startsWith("HTTP/1.1 408"), sentText.toString());
         assertEquals(written, List.of());
     }
 
     @Test
-    public void whereNoConfigurationIsKnownClientsAreToldToComeBack() {
+    public void missingConfigurationGets503WithRetryAfter() {
         routing = null;
-        say(whole("/sign/", ""));
-        answered(1);
-        String answer = heard.toString();
+        receive(requestWithoutBody("/sign/", ""));
+        awaitAnswer(1);
+        String answer = sentText.toString();
         assertTrue(answer.matches("(?s)HTTP/1.1 503.*Retry-After: 0\\.\\d+\r\n.*"), answer);
     }
 
     @Test
-    public void whatWasGivenNoTimeByItsBodyIsNotSent() {
-        say(request("/sign/", "Deadline-Ms: 500\r\n") + "Content-Length: 2" + END + "x");
+    public void requestWhoseBodyUsedItsTimeIsNotSent() {
+        receive(request("/sign/", "Deadline-Ms: 500\r\n") + "Content-Length: 2" + END_OF_HEADERS + "x");
         calendar.runTo(499.5);
-        say("x");
-        answered(500);
-        assertTrue(heard.toString().startsWith("HTTP/1.1 503"), heard.toString());
+        receive("x");
+        awaitAnswer(500);
+        assertTrue(sentText.toString().startsWith("HTTP/1.1 503"), sentText.toString());
         runTo(DEADLINE_MS);
         assertEquals(written, List.of());
     }
 
     @Test
-    public void nothingIsWrittenForAClientThatHasLeft() {
+    public void nothingIsWrittenAfterTheClientDisconnects() {
         for (String path : List.of("/thrice/", "/sign/")) {
             start();
             connectMs = 300;
-            say(whole(path, ""));
+            receive(requestWithoutBody(path, ""));
             runTo(100);
             channel.close();
             runTo(2 * DEADLINE_MS);
@@ -340,9 +346,9 @@
     }
 
     @Test
-    public void nothingIsSentAgainForAClientThatHasLeft() {
-        resetsAfter(300);
-        say(whole("/thrice/", ""));
+    public void nothingIsRetriedAfterTheClientDisconnects() {
+        resetAfter(300);
+        receive(requestWithoutBody("/thrice/", ""));
         runTo(100);
         channel.close();
         runTo(2 * DEADLINE_MS);
@@ -350,29 +356,28 @@
     }
 
     @Test
-    public void whatRunsForAClientThatHasLeftIsCancelledAtOnceWhereItMayBeRepeated() {
+    public void disconnectCancelsTheRunningAttempt() {
         for (String path : List.of("/thrice/", "/sign/")) {
             start();
-            say(whole(path, ""));
+            receive(requestWithoutBody(path, ""));
             runTo(100);
             assertEquals(cancels, List.of());
             channel.close();
             assertEquals(
-                    cancels,
-                    List.of(new PeerMessage.Cancel(written.get(0).forwardRequest.stream(), !path.equals("/sign/"))));
+                    cancels, List.of(new PeerMessage.Cancel(written.get(0).request.stream(), !path.equals("/sign/"))));
             runTo(2 * DEADLINE_MS);
             assertEquals(cancels.size(), 1);
         }
     }
 
     @Test
-    public void nothingIsCancelledOnceItIsAnswered() {
+    public void answeredRequestIsNotCancelled() {
         reaction = (path, forwardRequest) -> calendar.after(
                 5,
                 () -> path.listener.message(new PeerMessage.ForwardResponse(
                         forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
-        say(whole("/thrice/", ""));
-        answered(100);
+        receive(requestWithoutBody("/thrice/", ""));
+        awaitAnswer(100);
         channel.close();
         runTo(2 * DEADLINE_MS);
         assertEquals(cancels, List.of());
--- a/src/test/java/whinlead/mesh/sidecar/EndpointSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsSocketTest.java
@@ -24,25 +24,28 @@
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.testbed.mesh.Talk;
 
-/** The way to the endpoint over sockets: ends and resets as told by the system, bodies beyond its buffers. */
-public class EndpointSocketTest {
+/**
+ * Connections to the endpoint over sockets: closes and resets as the operating system reports them, and bodies larger
+ * than its buffers.
+ */
+public class EndpointConnectionsSocketTest {
     private static final int WAIT_MS = 10_000;
-    private static final int LONG_BODY = 12 << 20;
+    private static final int LONG_BODY_BYTES = 12 << 20;
 
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
     private EventLoopGroup loops;
     private EventLoop loop;
     private ServerSocket server;
-    private EndpointConnections line;
+    private EndpointConnections endpointConnections;
 
     @BeforeMethod
     public void start() throws IOException {
-        told.clear();
+        results.clear();
         loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = loops.next();
         server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         server.setSoTimeout(WAIT_MS);
-        line = new EndpointConnections(loop, server.getLocalSocketAddress());
+        endpointConnections = new EndpointConnections(loop, server.getLocalSocketAddress());
     }
 
     @AfterMethod(alwaysRun = true)
@@ -51,20 +54,20 @@
         server.close();
     }
 
-    private void ask(String id, byte[] body) {
+    private void send(String attemptId, byte[] body) {
         PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(
-                1, "POST", "/" + id, List.of("Attempt-Id", id), body, WAIT_MS, "svc", "i-1", 0);
-        loop.execute(() -> line.send(
+                1, "POST", "/" + attemptId, List.of("Attempt-Id", attemptId), body, WAIT_MS, "svc", "i-1", 0);
+        loop.execute(() -> endpointConnections.send(
                 request,
                 "i-1",
-                message -> told.add(id + " "
-                        + (message instanceof PeerMessage.ForwardResponse d
-                                ? d.status() + " " + d.body().length
+                message -> results.add(attemptId + " "
+                        + (message instanceof PeerMessage.ForwardResponse response
+                                ? response.status() + " " + response.body().length
                                 : ((PeerMessage.ForwardFailure) message).why()))));
     }
 
-    private String told() throws InterruptedException {
-        return told.poll(WAIT_MS, TimeUnit.MILLISECONDS);
+    private String nextResult() throws InterruptedException {
+        return results.poll(WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
     private Socket accept() throws IOException {
@@ -73,61 +76,61 @@
         return socket;
     }
 
-    private static void say(Socket socket, String text) throws IOException {
+    private static void write(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream input) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            head.append((char) in.read());
+            head.append((char) input.read());
         }
         return head.toString();
     }
 
     @Test
-    public void anAnswerWithoutLengthEndsWithItsConnectionButNotWithAReset() throws Exception {
+    public void responseWithoutLengthIsCompleteAtCloseButNotAfterAReset() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n\r\nwhole";
-        ask("closed", new byte[0]);
+        send("closed", new byte[0]);
         try (Socket socket = accept()) {
-            head(socket.getInputStream());
-            say(socket, answer.formatted("closed"));
+            readHead(socket.getInputStream());
+            write(socket, answer.formatted("closed"));
         }
-        assertEquals(told(), "closed 200 5");
-        ask("reset", new byte[0]);
+        assertEquals(nextResult(), "closed 200 5");
+        send("reset", new byte[0]);
         Socket socket = accept();
-        head(socket.getInputStream());
-        say(socket, answer.formatted("reset"));
+        readHead(socket.getInputStream());
+        write(socket, answer.formatted("reset"));
         new Talk(socket).reset();
-        assertEquals(told(), "reset BROKEN");
+        assertEquals(nextResult(), "reset BROKEN");
     }
 
     @Test
-    public void theRestOfALongBodyIsDueBeforeAnythingElse() throws Exception {
-        byte[] body = new byte[LONG_BODY];
+    public void connectionIsReusedOnlyAfterItsLongBodyIsWritten() throws Exception {
+        byte[] body = new byte[LONG_BODY_BYTES];
         new Random(1).nextBytes(body);
-        ask("long", body);
+        send("long", body);
         Socket first = accept();
-        head(first.getInputStream());
-        say(first, "HTTP/1.1 413 Large\r\nAttempt-Id: long\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(told(), "long 413 0");
-        // While the rest is not out, what comes next goes by another connection.
-        ask("next", new byte[0]);
+        readHead(first.getInputStream());
+        write(first, "HTTP/1.1 413 Large\r\nAttempt-Id: long\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(nextResult(), "long 413 0");
+        // Until the rest is written, the next request uses another connection.
+        send("next", new byte[0]);
         Socket second = accept();
-        assertTrue(head(second.getInputStream()).startsWith("POST /next "));
-        say(
+        assertTrue(readHead(second.getInputStream()).startsWith("POST /next "));
+        write(
                 second,
                 "HTTP/1.1 200 OK\r\nAttempt-Id: next\r\nServer-Seal: s\r\nConnection: close\r\n"
                         + "Content-Length: 0\r\n\r\n");
-        assertEquals(told(), "next 200 0");
-        assertEquals(first.getInputStream().readNBytes(LONG_BODY), body);
+        assertEquals(nextResult(), "next 200 0");
+        assertEquals(first.getInputStream().readNBytes(LONG_BODY_BYTES), body);
         second.close();
-        // Once it is, the connection serves again.
+        // Once it is written, the connection is reused.
         loop.submit(() -> {}).get(WAIT_MS, TimeUnit.MILLISECONDS);
-        ask("last", new byte[0]);
-        assertTrue(head(first.getInputStream()).startsWith("POST /last "));
-        say(first, "HTTP/1.1 200 OK\r\nAttempt-Id: last\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(told(), "last 200 0");
+        send("last", new byte[0]);
+        assertTrue(readHead(first.getInputStream()).startsWith("POST /last "));
+        write(first, "HTTP/1.1 200 OK\r\nAttempt-Id: last\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(nextResult(), "last 200 0");
         first.close();
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -22,201 +22,202 @@
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.plan.Calendar;
 
-/** The way to the endpoint, byte by byte: whose answer it is, how often it was asked, what is said of it. */
+/** Connections to the endpoint, byte by byte: the result of each request, and which request a response belongs to. */
 public class EndpointConnectionsTest {
-    private static final int LEFT_MS = 1000;
+    private static final int TIMEOUT_MS = 1000;
 
     private Calendar calendar;
     private List<EmbeddedChannel> connections;
-    private List<ChannelPromise> dials;
-    private boolean dialsAnswered;
-    private EndpointConnections line;
-    private List<String> told;
+    private List<ChannelPromise> connectPromises;
+    private boolean connectsAtOnce;
+    private EndpointConnections endpointConnections;
+    private List<String> results;
 
     @BeforeMethod
     public void start() {
         calendar = new Calendar();
         connections = new ArrayList<>();
-        dials = new ArrayList<>();
-        dialsAnswered = true;
-        told = new ArrayList<>();
-        line = new EndpointConnections(calendar, this::connect);
+        connectPromises = new ArrayList<>();
+        connectsAtOnce = true;
+        results = new ArrayList<>();
+        endpointConnections = new EndpointConnections(calendar, this::connect);
     }
 
     private ChannelPromise connect(ChannelHandler handlers) {
         EmbeddedChannel channel = new EmbeddedChannel(handlers);
         connections.add(channel);
-        ChannelPromise dial = channel.newPromise();
-        dials.add(dial);
-        if (dialsAnswered) {
-            dial.setSuccess();
+        ChannelPromise promise = channel.newPromise();
+        connectPromises.add(promise);
+        if (connectsAtOnce) {
+            promise.setSuccess();
         }
-        return dial;
+        return promise;
     }
 
-    private EndpointConnections.Sent ask(String id) {
-        return ask(id, "POST");
+    private EndpointConnections.Sent send(String id) {
+        return send(id, "POST");
     }
 
-    private EndpointConnections.Sent ask(String id, String method) {
+    private EndpointConnections.Sent send(String id, String method) {
         PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(
-                1, method, "/x", List.of("Host", "h", "Attempt-Id", id), new byte[0], LEFT_MS, "svc", "i-1", 0);
-        return line.send(
+                1, method, "/x", List.of("Host", "h", "Attempt-Id", id), new byte[0], TIMEOUT_MS, "svc", "i-1", 0);
+        return endpointConnections.send(
                 request,
                 "i-1",
-                message -> told.add(id + " "
-                        + (message instanceof PeerMessage.ForwardResponse d
-                                ? d.status() + " " + new String(d.body(), StandardCharsets.US_ASCII)
+                message -> results.add(id + " "
+                        + (message instanceof PeerMessage.ForwardResponse response
+                                ? response.status() + " " + new String(response.body(), StandardCharsets.US_ASCII)
                                 : ((PeerMessage.ForwardFailure) message).why())));
     }
 
-    private void say(int connection, String text) {
+    private void receive(int connection, String text) {
         connections.get(connection).writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    private String heard(int connection) {
-        StringBuilder all = new StringBuilder();
+    private String sentText(int connection) {
+        StringBuilder text = new StringBuilder();
         EmbeddedChannel channel = connections.get(connection);
-        for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-            all.append(b.toString(StandardCharsets.ISO_8859_1));
-            b.release();
+        for (ByteBuf buffer = channel.readOutbound(); buffer != null; buffer = channel.readOutbound()) {
+            text.append(buffer.toString(StandardCharsets.ISO_8859_1));
+            buffer.release();
         }
-        return all.toString();
+        return text.toString();
     }
 
-    private int asked() {
-        int n = 0;
+    private int sentRequestCount() {
+        int count = 0;
         for (int i = 0; i < connections.size(); i++) {
-            n += heard(i).split("Attempt-Id", -1).length - 1;
+            count += sentText(i).split("Attempt-Id", -1).length - 1;
         }
-        return n;
+        return count;
     }
 
-    private static String answer(String status, String id, String body, String more) {
-        return "HTTP/1.1 " + status + "\r\n" + (id.isEmpty() ? "" : "Attempt-Id: " + id + "\r\n") + more
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+    private static String response(String status, String attemptId, String body, String headers) {
+        return "HTTP/1.1 " + status + "\r\n" + (attemptId.isEmpty() ? "" : "Attempt-Id: " + attemptId + "\r\n")
+                + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String served(String id) {
-        return answer("200 OK", id, "of " + id, "Server-Seal: s\r\n");
+    private static String successResponse(String attemptId) {
+        return response("200 OK", attemptId, "of " + attemptId, "Server-Seal: s\r\n");
     }
 
-    private static String turnedAway(String id) {
-        return answer("503 Full", id, "", "Not-Executed: 1\r\n");
+    private static String notExecutedResponse(String attemptId) {
+        return response("503 Full", attemptId, "", "Not-Executed: 1\r\n");
     }
 
     @Test
-    public void aLateAnswerIsNotTakenForTheNextRequests() {
-        ask("a");
-        say(0, served("a"));
-        String surplus = served("a");
+    public void lateResponseIsNotTakenForTheNextRequest() {
+        send("a");
+        receive(0, successResponse("a"));
+        String surplus = successResponse("a");
         for (int cut = 0; cut <= surplus.length(); cut += 7) {
-            told.clear();
-            String id = "b" + cut;
-            say(0, surplus.substring(0, cut));
-            ask(id);
-            say(0, surplus.substring(cut));
-            assertEquals(told, List.of());
-            say(0, served(id));
-            assertEquals(told, List.of(id + " 200 of " + id), "surplus cut at " + cut);
+            results.clear();
+            String attemptId = "b" + cut;
+            receive(0, surplus.substring(0, cut));
+            send(attemptId);
+            receive(0, surplus.substring(cut));
+            assertEquals(results, List.of());
+            receive(0, successResponse(attemptId));
+            assertEquals(results, List.of(attemptId + " 200 of " + attemptId), "surplus cut at " + cut);
         }
         assertEquals(connections.size(), 1);
     }
 
     @Test
-    public void surplusInTheSameBreathIsNobodys() {
-        ask("a");
-        say(0, served("a") + served("a") + served("z"));
-        ask("b");
-        say(0, turnedAway("a") + served("b") + turnedAway("b"));
-        assertEquals(told, List.of("a 200 of a", "b 200 of b"));
-        assertEquals(asked(), 2);
+    public void surplusResponsesInOneReadAreIgnored() {
+        send("a");
+        receive(0, successResponse("a") + successResponse("a") + successResponse("z"));
+        send("b");
+        receive(0, notExecutedResponse("a") + successResponse("b") + notExecutedResponse("b"));
+        assertEquals(results, List.of("a 200 of a", "b 200 of b"));
+        assertEquals(sentRequestCount(), 2);
     }
 
     @Test
-    public void anIdThatIsAskedAgainGoesOverAnotherConnection() {
-        ask("a");
-        say(0, turnedAway("a"));
-        ask("a");
-        // The endpoint is at work on the second; what it says once more of the first is not about that.
-        say(0, turnedAway("a"));
-        assertEquals(told, List.of("a TURNED_AWAY"));
+    public void repeatedAttemptIdUsesAnotherConnection() {
+        send("a");
+        receive(0, notExecutedResponse("a"));
+        send("a");
+        // The endpoint is working on the second request; another response to the first does not belong to it.
+        receive(0, notExecutedResponse("a"));
+        assertEquals(results, List.of("a TURNED_AWAY"));
         assertEquals(connections.size(), 2);
-        say(1, served("a"));
-        assertEquals(told, List.of("a TURNED_AWAY", "a 200 of a"));
-        ask("b");
-        ask("c");
-        assertEquals(connections.size(), 2, "both are used again for others");
+        receive(1, successResponse("a"));
+        assertEquals(results, List.of("a TURNED_AWAY", "a 200 of a"));
+        send("b");
+        send("c");
+        assertEquals(connections.size(), 2, "both connections are reused for other ids");
     }
 
     @Test
-    public void whatIsNoRequestIsToldAndNotWritten() {
-        ask("a");
-        say(0, served("a"));
-        told.clear();
-        line.send(
+    public void invalidRequestFailsWithoutBeingWritten() {
+        send("a");
+        receive(0, successResponse("a"));
+        results.clear();
+        endpointConnections.send(
                 new PeerMessage.ForwardRequest(
-                        2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], LEFT_MS, "svc", "i-1", 0),
+                        2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], TIMEOUT_MS, "svc", "i-1", 0),
                 "i-1",
-                message -> told.add("b " + ((PeerMessage.ForwardFailure) message).why()));
-        assertEquals(told, List.of("b UNREACHED"));
-        ask("c");
-        say(1, served("c"));
-        assertEquals(told, List.of("b UNREACHED", "c 200 of c"), "the others go on");
+                message -> results.add("b " + ((PeerMessage.ForwardFailure) message).why()));
+        assertEquals(results, List.of("b UNREACHED"));
+        send("c");
+        receive(1, successResponse("c"));
+        assertEquals(results, List.of("b UNREACHED", "c 200 of c"), "other requests are not affected");
     }
 
     @Test
-    public void anAnswerWithoutAnIdIsNotTakenForOnes() {
-        ask("a");
-        say(0, answer("200 OK", "", "whose", "Server-Seal: s\r\n"));
-        assertEquals(told, List.of());
-        say(0, served("a"));
-        assertEquals(told, List.of("a 200 of a"));
-        say(0, answer("200 OK", "", "whose", "Server-Seal: s\r\n"));
-        assertFalse(connections.get(0).isActive(), "unasked and unnamed: the connection is not used again");
+    public void responseWithoutAttemptIdIsIgnored() {
+        send("a");
+        receive(0, response("200 OK", "", "whose", "Server-Seal: s\r\n"));
+        assertEquals(results, List.of());
+        receive(0, successResponse("a"));
+        assertEquals(results, List.of("a 200 of a"));
+        receive(0, response("200 OK", "", "whose", "Server-Seal: s\r\n"));
+        assertFalse(connections.get(0).isActive(), "unrequested and without an id: the connection is not reused");
     }
 
     @Test
-    public void aResetAfterTheRequestWasWrittenMayHaveRun() {
-        ask("a");
-        say(0, served("a"));
-        ask("b");
+    public void closeAfterTheRequestWasWrittenIsReportedAsBroken() {
+        send("a");
+        receive(0, successResponse("a"));
+        send("b");
         connections.get(0).close();
-        assertEquals(told, List.of("a 200 of a", "b BROKEN"));
-        assertEquals(asked(), 2, "and is not asked again");
+        assertEquals(results, List.of("a 200 of a", "b BROKEN"));
+        assertEquals(sentRequestCount(), 2, "it is not sent again");
         assertEquals(connections.size(), 1);
     }
 
     @DataProvider
-    public Object[][] endings() {
-        String cut = served("a");
+    public Object[][] responses() {
+        String valid = successResponse("a");
         return new Object[][] {
-            {"200 without a seal", answer("200 OK", "a", "x", ""), "a BROKEN"},
-            {"200 encoded", answer("200 OK", "a", "x", "Server-Seal: s\r\nContent-Encoding: gzip\r\n"), "a BROKEN"},
-            {"503 without a word on it", answer("503 Full", "a", "", ""), "a BROKEN"},
-            {"429 without a word on it", answer("429 Many", "a", "", ""), "a BROKEN"},
-            {"408 without a word on it", answer("408 Late", "a", "", ""), "a BROKEN"},
-            {"503 that says so", turnedAway("a"), "a TURNED_AWAY"},
-            {"421", answer("421 Misdirected", "a", "", ""), "a TURNED_AWAY"},
-            {"500", answer("500 Error", "a", "no", ""), "a 500 no"},
-            {"504", answer("504 Late", "a", "no", ""), "a 504 no"},
+            {"200 without a seal", response("200 OK", "a", "x", ""), "a BROKEN"},
+            {"200 encoded", response("200 OK", "a", "x", "Server-Seal: s\r\nContent-Encoding: gzip\r\n"), "a BROKEN"},
+            {"503 without Not-Executed", response("503 Full", "a", "", ""), "a BROKEN"},
+            {"429 without Not-Executed", response("429 Many", "a", "", ""), "a BROKEN"},
+            {"408 without Not-Executed", response("408 Late", "a", "", ""), "a BROKEN"},
+            {"503 with Not-Executed", notExecutedResponse("a"), "a TURNED_AWAY"},
+            {"421", response("421 Misdirected", "a", "", ""), "a TURNED_AWAY"},
+            {"500", response("500 Error", "a", "no", ""), "a 500 no"},
+            {"504", response("504 Late", "a", "no", ""), "a 504 no"},
             {
-                "interim ones first",
-                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nAttempt-Id: a\r\n\r\n" + cut,
+                "informational responses first",
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nAttempt-Id: a\r\n\r\n" + valid,
                 "a 200 of a"
             },
-            {"no HTTP", "ice cream\r\n\r\n", "a BROKEN"},
-            {"no HTTP before it", "ice\r\n" + cut, "a BROKEN"},
+            {"not HTTP", "ice cream\r\n\r\n", "a BROKEN"},
+            {"not HTTP before the response", "ice\r\n" + valid, "a BROKEN"},
             {
-                "another coding",
+                "another transfer coding",
                 "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\n"
                         + "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nof\r\n0\r\n\r\n",
                 "a BROKEN"
             },
-            {"two framings", cut.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), "a BROKEN"},
-            {"two lengths", cut.replace("Content-Length", "Content-Length: 1\r\nContent-Length"), "a BROKEN"},
+            {"two framings", valid.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), "a BROKEN"
+            },
+            {"two lengths", valid.replace("Content-Length", "Content-Length: 1\r\nContent-Length"), "a BROKEN"},
             {
-                "a spoilt chunk",
+                "an invalid chunk",
                 "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\n"
                         + "Transfer-Encoding: chunked\r\n\r\n2\r\nof\r\nzz\r\n",
                 "a BROKEN"
@@ -224,173 +225,173 @@
         };
     }
 
-    @Test(dataProvider = "endings")
-    public void whatIsSaidOfAnAnswer(String name, String bytes, String wanted) {
-        ask("a");
-        say(0, bytes);
-        assertEquals(told, List.of(wanted), name);
+    @Test(dataProvider = "responses")
+    public void responseIsReportedOnce(String name, String bytes, String expected) {
+        send("a");
+        receive(0, bytes);
+        assertEquals(results, List.of(expected), name);
         connections.get(0).close();
-        calendar.runTo(calendar.now() + 2 * LEFT_MS);
-        assertEquals(told, List.of(wanted), name + ", said once");
+        calendar.runTo(calendar.now() + 2 * TIMEOUT_MS);
+        assertEquals(results, List.of(expected), name + ", reported once");
         connections.get(0).checkException();
-        assertEquals(asked(), 1);
+        assertEquals(sentRequestCount(), 1);
     }
 
     @Test
-    public void anAnswerThatIsCutOffMayHaveRun() {
-        String whole = served("a");
-        for (int cut = 0; cut < whole.length(); cut++) {
+    public void truncatedResponseIsReportedAsBroken() {
+        String complete = successResponse("a");
+        for (int cut = 0; cut < complete.length(); cut++) {
             start();
-            ask("a");
-            say(0, whole.substring(0, cut));
+            send("a");
+            receive(0, complete.substring(0, cut));
             connections.get(0).close();
-            assertEquals(told, List.of("a BROKEN"), "cut at " + cut);
+            assertEquals(results, List.of("a BROKEN"), "cut at " + cut);
         }
     }
 
     @Test
-    public void anAnswerWithoutLengthIsWholeAtTheEndOfItsConnectionAndNotAfterAReset() {
+    public void responseWithoutLengthIsCompleteAtCloseButNotAfterAReset() {
         String head = "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\n\r\n";
         for (boolean reset : new boolean[] {false, true}) {
             start();
-            ask("a");
-            say(0, head + "of");
-            say(0, " a");
-            assertEquals(told, List.of(), "its end is not known yet");
+            send("a");
+            receive(0, head + "of");
+            receive(0, " a");
+            assertEquals(results, List.of(), "its end is not known before the close");
             if (reset) {
                 connections.get(0).pipeline().fireExceptionCaught(new IOException("Connection reset"));
             }
             connections.get(0).close();
-            assertEquals(told, List.of(reset ? "a BROKEN" : "a 200 of a"));
+            assertEquals(results, List.of(reset ? "a BROKEN" : "a 200 of a"));
         }
     }
 
     @Test
-    public void anAnswerWithoutLengthThatIsNotItsOwnIsNobodys() {
-        ask("a");
-        say(0, "HTTP/1.1 200 OK\r\nAttempt-Id: z\r\nServer-Seal: s\r\n\r\nof z");
+    public void responseWithoutLengthOfAnotherAttemptIsIgnored() {
+        send("a");
+        receive(0, "HTTP/1.1 200 OK\r\nAttempt-Id: z\r\nServer-Seal: s\r\n\r\nof z");
         connections.get(0).close();
-        assertEquals(told, List.of("a BROKEN"));
+        assertEquals(results, List.of("a BROKEN"));
     }
 
     @Test
-    public void aConnectionCannotTakeAwayTheProofOfAnAnswer() {
+    public void connectionHeaderCannotRemoveSealAndAttemptId() {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.add("Connection", "close, Server-Seal, Attempt-Id, X-Hop")
                 .add("Server-Seal", "s")
                 .add("Attempt-Id", "a")
                 .add("X-Hop", "1");
-        assertEquals(ForwardedHeaders.onward(headers, false), List.of("Server-Seal", "s", "Attempt-Id", "a"));
+        assertEquals(ForwardedHeaders.copyForwardable(headers, false), List.of("Server-Seal", "s", "Attempt-Id", "a"));
     }
 
     @Test
-    public void oneThatIsSilentMayHaveRunAndItsLateAnswerIsNobodys() {
-        ask("a");
-        say(0, served("a").substring(0, 20));
-        calendar.runTo(LEFT_MS);
-        assertEquals(told, List.of());
-        calendar.runTo(LEFT_MS + 100);
-        assertEquals(told, List.of("a LATE"));
+    public void timedOutRequestIsReportedAsLateAndItsResponseIgnored() {
+        send("a");
+        receive(0, successResponse("a").substring(0, 20));
+        calendar.runTo(TIMEOUT_MS);
+        assertEquals(results, List.of());
+        calendar.runTo(TIMEOUT_MS + 100);
+        assertEquals(results, List.of("a LATE"));
         assertFalse(connections.get(0).isActive());
-        ask("b");
+        send("b");
         assertEquals(connections.size(), 2);
-        say(1, served("b"));
-        assertEquals(told, List.of("a LATE", "b 200 of b"));
+        receive(1, successResponse("b"));
+        assertEquals(results, List.of("a LATE", "b 200 of b"));
     }
 
     @Test
-    public void whereNoneConnectsItNeverRan() {
-        dialsAnswered = false;
-        ask("a");
-        dials.get(0).setFailure(new ConnectException("refused"));
-        assertEquals(told, List.of("a UNREACHED"));
-        assertEquals(asked(), 0);
+    public void failedConnectIsReportedAsUnreached() {
+        connectsAtOnce = false;
+        send("a");
+        connectPromises.get(0).setFailure(new ConnectException("refused"));
+        assertEquals(results, List.of("a UNREACHED"));
+        assertEquals(sentRequestCount(), 0);
     }
 
     @Test
-    public void timeRunsWhileItConnects() {
-        dialsAnswered = false;
-        ask("a");
-        ask("b");
+    public void connectTimeCountsAgainstTheDeadline() {
+        connectsAtOnce = false;
+        send("a");
+        send("b");
         calendar.runTo(400);
-        dials.get(0).setSuccess();
-        String heard = heard(0);
-        assertTrue(heard.contains("Deadline-Ms: 585"), heard);
-        calendar.runTo(LEFT_MS);
-        dials.get(1).setSuccess();
-        assertEquals(told, List.of("b UNREACHED"), "its time is up: it is never sent");
-        assertEquals(heard(1), "");
-        ask("c");
-        assertEquals(connections.size(), 2, "the connection serves another");
-        calendar.runTo(LEFT_MS + 20);
-        assertEquals(told, List.of("b UNREACHED", "a LATE"));
+        connectPromises.get(0).setSuccess();
+        String sent = sentText(0);
+        assertTrue(sent.contains("Deadline-Ms: 585"), sent);
+        calendar.runTo(TIMEOUT_MS);
+        connectPromises.get(1).setSuccess();
+        assertEquals(results, List.of("b UNREACHED"), "its deadline has passed, so it is not sent");
+        assertEquals(sentText(1), "");
+        send("c");
+        assertEquals(connections.size(), 2, "the connection is reused");
+        calendar.runTo(TIMEOUT_MS + 20);
+        assertEquals(results, List.of("b UNREACHED", "a LATE"));
     }
 
     @Test
-    public void aCancelledRequestThatRunsIsEndedByAClose() {
-        EndpointConnections.Sent a = ask("a");
-        a.cancel(true);
+    public void cancelWhileRunningClosesTheConnection() {
+        EndpointConnections.Sent sentRequest = send("a");
+        sentRequest.cancel(true);
         assertFalse(connections.get(0).isActive());
-        assertEquals(told, List.of("a BROKEN"));
-        a.cancel(true);
-        assertEquals(told, List.of("a BROKEN"));
+        assertEquals(results, List.of("a BROKEN"));
+        sentRequest.cancel(true);
+        assertEquals(results, List.of("a BROKEN"));
     }
 
     @Test
-    public void aCancelledRequestThatMayNotBeBrokenOffRunsToItsEnd() {
-        EndpointConnections.Sent a = ask("a");
-        a.cancel(false);
-        say(0, served("a"));
-        assertEquals(told, List.of("a 200 of a"));
+    public void cancelWithoutWhileRunningLetsTheRequestFinish() {
+        EndpointConnections.Sent sentRequest = send("a");
+        sentRequest.cancel(false);
+        receive(0, successResponse("a"));
+        assertEquals(results, List.of("a 200 of a"));
     }
 
     @Test
-    public void aRequestThatIsCancelledWhileItConnectsIsNeverWritten() {
+    public void requestCancelledWhileConnectingIsNotWritten() {
         for (boolean whileRunning : new boolean[] {true, false}) {
             start();
-            dialsAnswered = false;
-            EndpointConnections.Sent a = ask("a");
-            a.cancel(whileRunning);
-            dials.get(0).setSuccess();
-            assertEquals(told, List.of("a UNREACHED"));
-            assertEquals(heard(0), "");
-            ask("b");
-            say(0, served("b"));
-            assertEquals(told, List.of("a UNREACHED", "b 200 of b"), "the connection serves another");
+            connectsAtOnce = false;
+            EndpointConnections.Sent sentRequest = send("a");
+            sentRequest.cancel(whileRunning);
+            connectPromises.get(0).setSuccess();
+            assertEquals(results, List.of("a UNREACHED"));
+            assertEquals(sentText(0), "");
+            send("b");
+            receive(0, successResponse("b"));
+            assertEquals(results, List.of("a UNREACHED", "b 200 of b"), "the connection is reused");
         }
     }
 
     @Test
-    public void aCancellationThatComesAfterTheAnswerLeavesTheNextAlone() {
-        EndpointConnections.Sent a = ask("a");
-        say(0, served("a"));
-        a.cancel(true);
-        ask("b");
-        a.cancel(true);
-        say(0, served("b"));
-        assertEquals(told, List.of("a 200 of a", "b 200 of b"));
+    public void cancelAfterTheResponseDoesNotAffectTheNextRequest() {
+        EndpointConnections.Sent sentRequest = send("a");
+        receive(0, successResponse("a"));
+        sentRequest.cancel(true);
+        send("b");
+        sentRequest.cancel(true);
+        receive(0, successResponse("b"));
+        assertEquals(results, List.of("a 200 of a", "b 200 of b"));
     }
 
     @Test
-    public void whatFollowsATunnelIsNobodys() {
-        ask("a", "CONNECT");
-        say(0, served("a"));
-        ask("b");
-        assertEquals(connections.size(), told.isEmpty() ? 1 : 2);
-        say(connections.size() - 1, served("b"));
-        assertTrue(told.contains("b 200 of b"), told.toString());
+    public void connectionIsNotReusedAfterConnect() {
+        send("a", "CONNECT");
+        receive(0, successResponse("a"));
+        send("b");
+        assertEquals(connections.size(), results.isEmpty() ? 1 : 2);
+        receive(connections.size() - 1, successResponse("b"));
+        assertTrue(results.contains("b 200 of b"), results.toString());
     }
 
     @Test
-    public void oneWithoutABodyDoesNotPutTheNextOutOfStep() {
-        ask("a", "HEAD");
-        say(0, served("z"));
-        say(0, "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 4\r\n\r\n");
-        calendar.runTo(LEFT_MS + 100);
-        assertEquals(told.size(), 1);
-        assertTrue(told.get(0).startsWith("a "), told.toString());
-        ask("b");
-        say(connections.size() - 1, served("b"));
-        assertEquals(told.get(1), "b 200 of b");
+    public void responseToHeadDoesNotShiftTheNextResponse() {
+        send("a", "HEAD");
+        receive(0, successResponse("z"));
+        receive(0, "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 4\r\n\r\n");
+        calendar.runTo(TIMEOUT_MS + 100);
+        assertEquals(results.size(), 1);
+        assertTrue(results.get(0).startsWith("a "), results.toString());
+        send("b");
+        receive(connections.size() - 1, successResponse("b"));
+        assertEquals(results.get(1), "b 200 of b");
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
@@ -8,61 +8,63 @@
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.TransitClock;
 
-/** What is left of a forwarded request's time, also where the process that gets it stood still. */
+/** The remaining time of a forwarded request, also if the receiving process was paused. */
 public class ForwardedTimeTest {
-    private static final int LEFT_MS = 1000;
-    private static final double FROZEN_MS = 3000;
+    private static final int TIMEOUT_MS = 1000;
+    private static final double PAUSE_MS = 3000;
 
-    private ForwardedTime time;
+    private ForwardedTime forwardedTime;
 
     @BeforeMethod
     public void start() {
-        time = new ForwardedTime();
-        time.running(0);
+        forwardedTime = new ForwardedTime();
+        forwardedTime.running(0);
     }
 
-    private static PeerMessage.ForwardRequest written(double at) {
+    private static PeerMessage.ForwardRequest requestWrittenAt(double atMs) {
         return new PeerMessage.ForwardRequest(
-                1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0, (long) (at * 1000));
+                1, "POST", "/x", List.of(), new byte[0], TIMEOUT_MS, "svc", "i-1", 0, (long) (atMs * 1000));
     }
 
     @Test
-    public void whatWaitedIsTakenOff() {
-        TransitClock known = new TransitClock();
-        assertEquals(time.left(100, known, written(100)), LEFT_MS);
-        assertEquals(time.left(400, known, written(200)), LEFT_MS - 200);
+    public void transitTimeIsSubtracted() {
+        TransitClock transit = new TransitClock();
+        assertEquals(forwardedTime.left(100, transit, requestWrittenAt(100)), TIMEOUT_MS);
+        assertEquals(forwardedTime.left(400, transit, requestWrittenAt(200)), TIMEOUT_MS - 200);
     }
 
     @Test
-    public void afterAStandstillNothingIsBegunWhoseTimeWentByInIt() {
-        TransitClock known = new TransitClock();
-        time.left(100, known, written(100));
-        double thawed = 100 + FROZEN_MS;
-        assertEquals(time.left(thawed, known, written(200)), 0);
-        assertEquals(time.left(thawed, known, written(thawed - 300)), LEFT_MS - 300);
+    public void requestThatExpiredDuringAPauseIsNotStarted() {
+        TransitClock transit = new TransitClock();
+        forwardedTime.left(100, transit, requestWrittenAt(100));
+        double resumedMs = 100 + PAUSE_MS;
+        assertEquals(forwardedTime.left(resumedMs, transit, requestWrittenAt(200)), 0);
+        assertEquals(forwardedTime.left(resumedMs, transit, requestWrittenAt(resumedMs - 300)), TIMEOUT_MS - 300);
     }
 
     @Test
-    public void theBacklogOfAConnectionMadeInAStandstillIsNotBegun() {
-        TransitClock unknown = new TransitClock();
-        double thawed = FROZEN_MS;
-        assertEquals(time.left(thawed, unknown, written(500)), 0);
-        assertEquals(time.left(thawed + 1, unknown, written(600)), 0);
-        time.running(thawed + ForwardedTime.BACKLOG_MS);
-        double later = thawed + ForwardedTime.BACKLOG_MS + 1;
-        assertEquals(time.left(later, unknown, written(later)), LEFT_MS);
+    public void backlogOfAConnectionMadeDuringAPauseIsNotStarted() {
+        TransitClock transit = new TransitClock();
+        double resumedMs = PAUSE_MS;
+        assertEquals(forwardedTime.left(resumedMs, transit, requestWrittenAt(500)), 0);
+        assertEquals(forwardedTime.left(resumedMs + 1, transit, requestWrittenAt(600)), 0);
+        forwardedTime.running(resumedMs + ForwardedTime.BACKLOG_WINDOW_MS);
+        double laterMs = resumedMs + ForwardedTime.BACKLOG_WINDOW_MS + 1;
+        assertEquals(forwardedTime.left(laterMs, transit, requestWrittenAt(laterMs)), TIMEOUT_MS);
     }
 
     @Test
-    public void aConnectionMadeWhileItRunsIsTakenAtItsWord() {
-        time.running(ForwardedTime.STANDSTILL_MS);
-        assertEquals(time.left(ForwardedTime.STANDSTILL_MS + 100, new TransitClock(), written(10)), LEFT_MS);
+    public void firstRequestOfAConnectionMadeWhileRunningKeepsItsTime() {
+        forwardedTime.running(ForwardedTime.PAUSE_THRESHOLD_MS);
+        assertEquals(
+                forwardedTime.left(ForwardedTime.PAUSE_THRESHOLD_MS + 100, new TransitClock(), requestWrittenAt(10)),
+                TIMEOUT_MS);
     }
 
     @Test
-    public void aPeerThatStampsNothingIsTakenAtItsWord() {
+    public void unstampedRequestKeepsItsTime() {
         PeerMessage.ForwardRequest unstamped =
-                new PeerMessage.ForwardRequest(1, "POST", "/x", List.of(), new byte[0], LEFT_MS, "svc", "i-1", 0);
-        assertEquals(time.left(FROZEN_MS, new TransitClock(), unstamped), LEFT_MS);
+                new PeerMessage.ForwardRequest(1, "POST", "/x", List.of(), new byte[0], TIMEOUT_MS, "svc", "i-1", 0);
+        assertEquals(forwardedTime.left(PAUSE_MS, new TransitClock(), unstamped), TIMEOUT_MS);
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/KindsOfRequestsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestFairnessTest.java
@@ -26,32 +26,32 @@
 import whinlead.plan.Calendar;
 
 /**
- * No kind of request fares worse than another for where it comes from: routes that were added later, and calls of
- * endpoints, which carry no key. Requests go through the real client side, by a driven clock.
+ * All kinds of requests are served alike, also those of routes that were added later and calls of endpoints, which
+ * carry no API key. Requests pass through the real client side on simulated time.
  */
-public class KindsOfRequestsTest {
-    private static final int ADDED = 350;
+public class RequestFairnessTest {
+    private static final int ADDED_ROUTES = 350;
     private static final int CALLS = 200;
-    private static final double WITHIN_MS = 2000;
-    private static final String KEY = "Api-Key: key-1\r\n";
+    private static final double ANSWER_WITHIN_MS = 2000;
+    private static final String API_KEY_HEADER = "Api-Key: key-1\r\n";
 
-    /** A way to another sidecar whose endpoint answers at once. */
-    private final class Answering extends ScriptedPath {
+    /** A path to another sidecar whose endpoint responds at once. */
+    private final class AnsweringPath extends ScriptedPath {
 
-        private Answering(PeerPath.Listener listener) {
+        private AnsweringPath(PeerPath.Listener listener) {
             super(listener);
         }
 
         @Override
         public void dial() {
             super.dial();
-            calendar.after(1, () -> to(ReconnectingConnection.State.UP));
+            calendar.after(1, () -> changeState(ReconnectingConnection.State.UP));
         }
 
         @Override
         public boolean send(PeerMessage message) {
             PeerMessage.ForwardRequest forwardRequest = (PeerMessage.ForwardRequest) message;
-            sent.add(forwardRequest);
+            sentRequests.add(forwardRequest);
             calendar.after(
                     1,
                     () -> listener.message(new PeerMessage.ForwardResponse(
@@ -61,7 +61,7 @@
     }
 
     private Calendar calendar;
-    private List<PeerMessage.ForwardRequest> sent;
+    private List<PeerMessage.ForwardRequest> sentRequests;
     private Map<String, MeshConfig.Route> routes;
     private double ratePerS;
     private RoutingTable routing;
@@ -70,13 +70,13 @@
     @BeforeMethod
     public void start() {
         calendar = new Calendar();
-        sent = new ArrayList<>();
+        sentRequests = new ArrayList<>();
         RequestForwarder forwarder = new RequestForwarder(
                 calendar,
                 task -> calendar.after(0, task),
                 "here",
                 (forwardRequest, done) -> {},
-                (node, ear) -> new Answering(ear),
+                (node, pathListener) -> new AnsweringPath(pathListener),
                 () -> {});
         NodeSettings nodeSettings = new NodeSettings(
                 new NodeSettings.Self("here", "127.0.0.1", "z", false, null, null, null, null),
@@ -87,7 +87,7 @@
         ratePerS = 0;
         routes.put("first", route("/first/", 1, false));
         routes.put("call", route("/call/", 0, true));
-        inForce(1);
+        applyConfig(1);
         sidecar = new ClientSide(calendar, nodeSettings, forwarder, () -> routing, 1);
         List<EndpointRecord> records = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -100,7 +100,7 @@
         return new MeshConfig.Route("h", prefix, MeshConfig.IDEMPOTENT, 2.0, 0.5, rank, null, "svc", 2, open);
     }
 
-    private void inForce(long slot) {
+    private void applyConfig(long slot) {
         routing = new RoutingTable(
                 slot,
                 new MeshConfig(
@@ -120,9 +120,9 @@
         });
         String request = "GET " + path + "x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\n" + headers + "\r\n";
         client.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.ISO_8859_1));
-        double until = calendar.now() + WITHIN_MS;
+        double endMs = calendar.now() + ANSWER_WITHIN_MS;
         ByteBuf answer = client.readOutbound();
-        while (answer == null && calendar.now() < until) {
+        while (answer == null && calendar.now() < endMs) {
             calendar.runTo(calendar.now() + 1);
             answer = client.readOutbound();
         }
@@ -134,43 +134,48 @@
     }
 
     @Test
-    public void routesThatWereAddedLaterAreServedLikeTheFirst() {
-        assertEquals(status("/first/", KEY), 200);
-        for (int i = 0; i < ADDED; i++) {
+    public void routesAddedLaterAreServedLikeTheFirst() {
+        assertEquals(status("/first/", API_KEY_HEADER), 200);
+        for (int i = 0; i < ADDED_ROUTES; i++) {
             routes.put("added-" + i, route("/added/" + i + "/", 1, true));
         }
-        inForce(2);
+        applyConfig(2);
         int served = 0;
-        for (int i = 0; i < ADDED; i++) {
+        for (int i = 0; i < ADDED_ROUTES; i++) {
             served += status("/added/" + i + "/", "") == 200 ? 1 : 0;
         }
-        assertEquals(served, ADDED, "served as the first one");
-        assertEquals(status("/first/", KEY), 200);
-        // The module tells requests apart by class alone, and these are of one class.
+        assertEquals(served, ADDED_ROUTES, "added routes that were served");
+        assertEquals(status("/first/", API_KEY_HEADER), 200);
+        // The module distinguishes requests by class only, and these are of one class.
         assertEquals(
-                sent.stream().map(PeerMessage.ForwardRequest::rank).distinct().count(), 1);
+                sentRequests.stream()
+                        .map(PeerMessage.ForwardRequest::rank)
+                        .distinct()
+                        .count(),
+                1);
     }
 
     @Test
-    public void callsOfEndpointsCarryNoKeyAndAreHeldUpByNoTenantsLimit() {
+    public void callsWithoutApiKeyAreNotLimitedByTenantQuota() {
         ratePerS = 5;
-        inForce(2);
+        applyConfig(2);
         int limited = 0;
         for (int i = 0; i < CALLS; i++) {
-            limited += status("/first/", KEY) == 429 ? 1 : 0;
+            limited += status("/first/", API_KEY_HEADER) == 429 ? 1 : 0;
             assertEquals(status("/call/", ""), 200, "call " + i);
         }
-        assertTrue(limited > 0, "the tenant is over its limit meanwhile");
-        long calls = sent.stream().filter(p -> p.uri().startsWith("/call/")).count();
+        assertTrue(limited > 0, "the tenant exceeds its quota in this time");
+        long calls =
+                sentRequests.stream().filter(p -> p.uri().startsWith("/call/")).count();
         assertEquals(calls, CALLS);
-        sent.stream().filter(p -> p.uri().startsWith("/call/")).forEach(p -> {
+        sentRequests.stream().filter(p -> p.uri().startsWith("/call/")).forEach(p -> {
             assertEquals(p.rank(), 0, "a call has its route's rank");
-            assertTrue(!p.headers().contains(ForwardedHeaders.TENANT), "and no tenant");
+            assertTrue(!p.headers().contains(ForwardedHeaders.TENANT), "a call has no tenant");
         });
     }
 
     @Test
-    public void nobodyTakesThePlacesOfTheHighestRankAtAnEndpoint() {
+    public void lowerRanksDoNotTakeThePlacesOfTheHighestRank() {
         EndpointGate gate = new EndpointGate(1500);
         gate.heartbeat(0, "i-1", new RpcCall.EndpointStatus("svc", "z", 4, "serving", 0, 1));
         for (int ms = 0; ms < 3000; ms += 50) {
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
@@ -25,11 +25,11 @@
 import whinlead.mesh.wire.PeerMessage;
 import whinlead.mesh.wire.PeerMessageCodec;
 
-/** Requests over real connections to a peer that plays the far sidecar. */
+/** Requests over real connections to a simulated remote sidecar. */
 public class RequestForwarderSocketTest {
     private static final int WAIT_MS = 10_000;
 
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
     private EventLoopGroup loops;
     private EventLoop loop;
     private ServerSocket server;
@@ -37,7 +37,7 @@
 
     @BeforeMethod
     public void start() throws IOException {
-        told.clear();
+        results.clear();
         loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = loops.next();
         server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
@@ -61,7 +61,7 @@
         server.close();
     }
 
-    /** One connection at the peer. */
+    /** One connection, on the side of the remote sidecar. */
     private static final class Peer implements AutoCloseable {
         private final Socket socket;
 
@@ -71,27 +71,27 @@
         }
 
         private PeerMessage.ForwardRequest request() throws IOException {
-            DataInputStream in = new DataInputStream(socket.getInputStream());
+            DataInputStream input = new DataInputStream(socket.getInputStream());
             while (true) {
-                PeerMessage message = PeerMessageCodec.read(in.readNBytes(in.readInt()));
+                PeerMessage message = PeerMessageCodec.read(input.readNBytes(input.readInt()));
                 if (message instanceof PeerMessage.ForwardRequest request) {
                     return request;
                 } else if (message instanceof PeerMessage.Ping ping) {
-                    say(new PeerMessage.Pong(ping.number(), "far", -1));
+                    send(new PeerMessage.Pong(ping.number(), "far", -1));
                 }
             }
         }
 
-        private void say(PeerMessage message) throws IOException {
-            byte[] written = PeerMessageCodec.write(message);
-            DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            out.writeInt(written.length);
-            out.write(written);
-            out.flush();
+        private void send(PeerMessage message) throws IOException {
+            byte[] encoded = PeerMessageCodec.write(message);
+            DataOutputStream output = new DataOutputStream(socket.getOutputStream());
+            output.writeInt(encoded.length);
+            output.write(encoded);
+            output.flush();
         }
 
         private void answer(long stream, int status) throws IOException {
-            say(new PeerMessage.ForwardResponse(stream, status, List.of(), new byte[0], 0, 0));
+            send(new PeerMessage.ForwardResponse(stream, status, List.of(), new byte[0], 0, 0));
         }
 
         @Override
@@ -100,52 +100,52 @@
         }
     }
 
-    private void send(String id) {
-        RequestForwarder from = round;
-        loop.execute(() -> from.send(
+    private void send(String attemptId) {
+        RequestForwarder currentForwarder = round;
+        loop.execute(() -> currentForwarder.send(
                 "there",
                 new PeerMessage.ForwardRequest(
-                        0, "POST", "/x", List.of("Attempt-Id", id), new byte[0], WAIT_MS, "svc", "i-1", 0),
+                        0, "POST", "/x", List.of("Attempt-Id", attemptId), new byte[0], WAIT_MS, "svc", "i-1", 0),
                 false,
-                message -> told.add(id + " " + what(message))));
+                message -> results.add(attemptId + " " + describe(message))));
     }
 
-    private static String what(PeerMessage message) {
-        return message instanceof PeerMessage.ForwardResponse d
-                ? Integer.toString(d.status())
+    private static String describe(PeerMessage message) {
+        return message instanceof PeerMessage.ForwardResponse response
+                ? Integer.toString(response.status())
                 : ((PeerMessage.ForwardFailure) message).why().toString();
     }
 
-    private String next() throws InterruptedException {
-        String what = told.poll(WAIT_MS, TimeUnit.MILLISECONDS);
-        assertNotNull(what, "told in time");
-        return what;
+    private String nextResult() throws InterruptedException {
+        String result = results.poll(WAIT_MS, TimeUnit.MILLISECONDS);
+        assertNotNull(result, "result reported in time");
+        return result;
     }
 
     @Test
-    public void whatWasOutOnALostConnectionIsNotSentAgainAndItsAnswerIsNobodys() throws Exception {
+    public void requestOnALostConnectionIsNotResentAndItsLateAnswerIsIgnored() throws Exception {
         send("a");
         long lost;
         try (Peer first = new Peer(server)) {
             lost = first.request().stream();
         }
-        assertEquals(next(), "a BROKEN");
+        assertEquals(nextResult(), "a BROKEN");
         send("b");
         try (Peer second = new Peer(server)) {
             PeerMessage.ForwardRequest b = second.request();
-            assertEquals(b.headers().get(1), "b", "nothing of the lost connection comes before it");
+            assertEquals(b.headers().get(1), "b", "nothing from the lost connection precedes it");
             second.answer(lost, 201);
             second.answer(b.stream(), 200);
             second.answer(b.stream(), 202);
-            assertEquals(next(), "b 200");
+            assertEquals(nextResult(), "b 200");
             send("c");
             second.answer(second.request().stream(), 203);
-            assertEquals(next(), "c 203");
+            assertEquals(nextResult(), "c 203");
         }
     }
 
     @Test
-    public void livesThatGiveTheSameNumbersGetTheirOwnAnswers() throws Exception {
+    public void forwardersWithEqualStreamNumbersGetTheirOwnAnswers() throws Exception {
         send("a");
         try (Peer former = new Peer(server)) {
             PeerMessage.ForwardRequest a = former.request();
@@ -155,30 +155,33 @@
                 PeerMessage.ForwardRequest b = latter.request();
                 assertEquals(b.stream(), a.stream());
                 former.answer(a.stream(), 201);
-                assertEquals(next(), "a 201");
+                assertEquals(nextResult(), "a 201");
                 latter.answer(b.stream(), 202);
-                assertEquals(next(), "b 202");
+                assertEquals(nextResult(), "b 202");
             }
         }
     }
 
     @Test
-    public void aStampedPingComesAheadOfTheFirstRequestAndByItsClock() throws Exception {
+    public void stampedPingPrecedesTheFirstRequestAndUsesTheSameClock() throws Exception {
         send("a");
         try (Peer peer = new Peer(server)) {
-            DataInputStream in = new DataInputStream(peer.socket.getInputStream());
-            assertEquals(PeerMessageCodec.read(in.readNBytes(in.readInt())), new PeerMessage.Hello("here", false));
-            PeerMessage.Ping ping = (PeerMessage.Ping) PeerMessageCodec.read(in.readNBytes(in.readInt()));
+            DataInputStream input = new DataInputStream(peer.socket.getInputStream());
+            assertEquals(
+                    PeerMessageCodec.read(input.readNBytes(input.readInt())), new PeerMessage.Hello("here", false));
+            PeerMessage.Ping ping = (PeerMessage.Ping) PeerMessageCodec.read(input.readNBytes(input.readInt()));
             PeerMessage.ForwardRequest a =
-                    (PeerMessage.ForwardRequest) PeerMessageCodec.read(in.readNBytes(in.readInt()));
+                    (PeerMessage.ForwardRequest) PeerMessageCodec.read(input.readNBytes(input.readInt()));
             assertNotEquals(ping.sentAt(), PeerMessage.UNSTAMPED);
-            long apart = a.sentAt() - ping.sentAt();
-            assertTrue(apart >= 0 && apart < WAIT_MS * 1000L, "by one clock: " + apart);
+            long differenceMicros = a.sentAt() - ping.sentAt();
+            assertTrue(
+                    differenceMicros >= 0 && differenceMicros < WAIT_MS * 1000L,
+                    "both stamped by the same clock: " + differenceMicros);
         }
     }
 
     @Test
-    public void answersInAnyOrderFindTheirCallers() throws Exception {
+    public void answersOutOfOrderReachTheirRequests() throws Exception {
         send("a");
         send("b");
         try (Peer peer = new Peer(server)) {
@@ -186,8 +189,8 @@
             PeerMessage.ForwardRequest b = peer.request();
             peer.answer(b.stream(), 202);
             peer.answer(a.stream(), 201);
-            assertEquals(next(), "b 202");
-            assertEquals(next(), "a 201");
+            assertEquals(nextResult(), "b 202");
+            assertEquals(nextResult(), "a 201");
         }
     }
 }
