--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -261,8 +261,8 @@
     /** Closes the paths to nodes that have gone. */
     void closeRemovedRoutes(EndpointRegistry registry) {
         for (String node : List.copyOf(routesByNode.keySet())) {
-            EndpointRecord record = registry.find(node);
-            if ((record == null || record.phase() == EndpointRecord.Phase.GONE)
+            EndpointRecord endpointRecord = registry.find(node);
+            if ((endpointRecord == null || endpointRecord.phase() == EndpointRecord.Phase.GONE)
                     && routesByNode.get(node).pending.isEmpty()) {
                 routesByNode.remove(node).path.close();
             }
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -99,7 +99,7 @@
      */
     void updateOwner(EndpointRecord owner) {
         boolean reachable = owner != null && forwarder.isReachable(owner.node());
-        // Updates are frequent, and few owners change in each.
+        // Only a few of many owners change at a time; unchanged ones are skipped.
         if (listSequence == 0 || reachable != ownerReachable || !Objects.equals(owner, lastOwner)) {
             lastOwner = owner;
             ownerReachable = reachable;
@@ -116,19 +116,21 @@
         nodesByEndpoint.clear();
         List<EndpointList.Entry> entries = new ArrayList<>();
         Map<String, Double> listedStartTimesMs = new HashMap<>();
-        for (EndpointRecord record : records) {
-            boolean available = (ownsKeys || record.acceptsRequests()) && forwarder.isReachable(record.node());
+        for (EndpointRecord endpointRecord : records) {
+            boolean available =
+                    (ownsKeys || endpointRecord.acceptsRequests()) && forwarder.isReachable(endpointRecord.node());
             double nowMs = timers.now();
             double startMs = startTimesMs.getOrDefault(
-                    record.endpoint(), record.warmMs() > 0 ? nowMs - (COLD_MS - record.warmMs()) : 0);
-            listedStartTimesMs.put(record.endpoint(), startMs);
-            nodesByEndpoint.put(record.endpoint(), record.node());
+                    endpointRecord.endpoint(),
+                    endpointRecord.warmMs() > 0 ? nowMs - (COLD_MS - endpointRecord.warmMs()) : 0);
+            listedStartTimesMs.put(endpointRecord.endpoint(), startMs);
+            nodesByEndpoint.put(endpointRecord.endpoint(), endpointRecord.node());
             entries.add(new EndpointList.Entry(
                     new Contract.Server(
-                            record.endpoint(),
+                            endpointRecord.endpoint(),
                             available ? Contract.Standing.UP : Contract.Standing.DRAINING,
-                            preferredZone == null || preferredZone.equals(record.zone()) ? 1 : OTHER_ZONE_SIZE,
-                            record.zone(),
+                            preferredZone == null || preferredZone.equals(endpointRecord.zone()) ? 1 : OTHER_ZONE_SIZE,
+                            endpointRecord.zone(),
                             -1,
                             startMs),
                     null));
