--- a/src/main/java/whinlead/mesh/quota/DemandTotals.java
+++ b/src/main/java/whinlead/mesh/quota/DemandTotals.java
@@ -10,78 +10,84 @@
 import java.util.Set;
 
 /**
- * For sidecars of the version before leases: what they are asked for, as a control node adds it up from what each said
- * last. Kept as it changes: with many sidecars, adding it up anew for each that asks would be most of a control node's
- * work. Pure; one thread; times in milliseconds.
+ * Total demand by tenant over all sidecars, from the last report of each, for sidecars of the protocol version before
+ * leases. The totals are updated incrementally: with many sidecars, adding up all reports for each request would be
+ * most of a control node's work. Pure; one thread; times in milliseconds.
  */
 public final class DemandTotals {
-    /** What a sidecar said counts for so long. */
-    private static final double STANDS = 3000;
-    /** Sidecars and, of each, tenants that are kept at most. */
-    private static final int MAX_NODES = 4096;
+    /** Age in milliseconds up to which a sidecar's report counts. */
+    private static final double REPORT_VALIDITY_MS = 3000;
+    /** Limits on the sidecars that are stored, and on the tenants of each. */
+    private static final int MAX_SIDECARS = 4096;
 
     private static final int MAX_TENANTS = 1024;
-    /** Up to so many tenants, all are told: one that is asked for elsewhere must not be taken for idle. */
-    private static final int MAX_ALL = 256;
+    /**
+     * Up to this many tenants, a sidecar is sent the totals of all of them: a tenant with demand at other sidecars only
+     * must not be taken for idle.
+     */
+    private static final int MAX_ALL_TENANTS = 256;
 
-    private record Said(double at, List<TenantDemand> uses) {}
+    private record Report(double receivedAtMs, List<TenantDemand> demands) {}
 
     private static final class Total {
         private double perSecond;
-        private int tellers;
+        private int reporters;
     }
 
-    private final Map<String, Said> said = new LinkedHashMap<>();
+    private final Map<String, Report> reports = new LinkedHashMap<>();
     private final Map<String, Total> totals = new HashMap<>();
 
-    /** A sidecar says what it is asked for, in place of what it said before. */
-    public void report(double now, String node, List<TenantDemand> uses) {
-        for (Iterator<Said> i = said.values().iterator(); i.hasNext(); ) {
-            Said s = i.next();
-            if (now - s.at() > STANDS) {
-                i.remove();
-                count(s, -1);
+    /** Replaces a sidecar's report with a new one. */
+    public void report(double nowMs, String sidecar, List<TenantDemand> demands) {
+        for (Iterator<Report> iterator = reports.values().iterator(); iterator.hasNext(); ) {
+            Report report = iterator.next();
+            if (nowMs - report.receivedAtMs() > REPORT_VALIDITY_MS) {
+                iterator.remove();
+                addToTotals(report, -1);
             }
         }
-        if (said.size() < MAX_NODES || said.containsKey(node)) {
-            Said s = new Said(now, List.copyOf(uses.subList(0, Math.min(uses.size(), MAX_TENANTS))));
-            Said before = said.put(node, s);
-            if (before != null) {
-                count(before, -1);
+        if (reports.size() < MAX_SIDECARS || reports.containsKey(sidecar)) {
+            Report report = new Report(nowMs, List.copyOf(demands.subList(0, Math.min(demands.size(), MAX_TENANTS))));
+            Report previous = reports.put(sidecar, report);
+            if (previous != null) {
+                addToTotals(previous, -1);
             }
-            count(s, 1);
+            addToTotals(report, 1);
         }
     }
 
-    // A total goes with its last teller, so that what rounding leaves does not pile up.
-    private void count(Said s, int sign) {
-        for (TenantDemand u : s.uses()) {
-            Total t = totals.computeIfAbsent(u.tenant(), name -> new Total());
-            t.perSecond += sign * u.perSecond();
-            t.tellers += sign;
-            if (t.tellers == 0) {
-                totals.remove(u.tenant());
+    // Removes a total with its last report, so that rounding errors don't accumulate.
+    private void addToTotals(Report report, int sign) {
+        for (TenantDemand demand : report.demands()) {
+            Total total = totals.computeIfAbsent(demand.tenant(), name -> new Total());
+            total.perSecond += sign * demand.perSecond();
+            total.reporters += sign;
+            if (total.reporters == 0) {
+                totals.remove(demand.tenant());
             }
         }
     }
 
-    /** How many sidecars have said something lately. */
+    /** Number of sidecars with a recent report. */
     public int reportingNodes() {
-        return said.size();
+        return reports.size();
     }
 
-    /** The totals of all tenants; where these are many, of those that this sidecar named. */
-    public List<TenantDemand> totalsFor(String node) {
-        Said own = said.get(node);
-        if (own == null) {
+    /**
+     * The totals of all tenants; with more than {@link #MAX_ALL_TENANTS} tenants, only of those that this sidecar has
+     * reported.
+     */
+    public List<TenantDemand> totalsFor(String sidecar) {
+        Report ownReport = reports.get(sidecar);
+        if (ownReport == null) {
             return List.of();
         }
-        Set<String> named = new HashSet<>();
-        own.uses().forEach(u -> named.add(u.tenant()));
+        Set<String> ownTenants = new HashSet<>();
+        ownReport.demands().forEach(demand -> ownTenants.add(demand.tenant()));
         List<TenantDemand> list = new ArrayList<>();
-        totals.forEach((tenant, t) -> {
-            if (totals.size() <= MAX_ALL || named.contains(tenant)) {
-                list.add(new TenantDemand(tenant, Math.max(0, t.perSecond)));
+        totals.forEach((tenant, total) -> {
+            if (totals.size() <= MAX_ALL_TENANTS || ownTenants.contains(tenant)) {
+                list.add(new TenantDemand(tenant, Math.max(0, total.perSecond)));
             }
         });
         return list;
--- a/src/main/java/whinlead/mesh/quota/GrantAuthority.java
+++ b/src/main/java/whinlead/mesh/quota/GrantAuthority.java
@@ -4,64 +4,66 @@
 import java.util.Deque;
 
 /**
- * Which part of all limits one control node may grant: an equal one for each voter. The voters change by decisions that
- * not all learn of at once, so the parts must add up to no more than 1 also while some still go by an earlier decision:
+ * The fraction of all tenants' limits that one control node may grant: an equal part for each voter. Not all control
+ * nodes learn of a change of voters at the same time, so the fractions must add up to no more than 1 also while some
+ * nodes still act on an earlier decision:
  *
  * <ul>
  *   <li>A control node grants only while a quorum confirms that there is no newer decision. One that has lost its vote
  *       without knowing grants nothing after {@link LeaseTerms#CONFIRMED_MS}, and all of its leases have ended by
  *       {@link LeaseTerms#SETTLED_MS}.
- *   <li>One that gets a vote grants nothing until then.
- *   <li>The largest number of voters of that time is the one that counts.
+ *   <li>A control node that becomes a voter grants nothing until {@link LeaseTerms#SETTLED_MS} has passed.
+ *   <li>The fraction is based on the largest number of voters within that time.
  * </ul>
  *
  * <p>Pure; one thread; times in milliseconds.
  */
 public final class GrantAuthority {
     /**
-     * By how many there may have been more voters lately, as far as a process can tell that starts, or that has missed
-     * decisions: a replacement adds one before it removes another.
+     * How many more voters there may have been recently than a process knows of that starts or has missed decisions: a
+     * replacement adds one voter before it removes another.
      */
-    private static final int MISSED_VOTERS = 1;
+    private static final int MAX_MISSED_VOTERS = 1;
 
-    private record Earlier(double until, int voters) {}
+    private record EarlierVoters(double untilMs, int voters) {}
 
-    private final Deque<Earlier> earlier = new ArrayDeque<>();
+    private final Deque<EarlierVoters> earlierVoters = new ArrayDeque<>();
     private long slot = -1;
     private int voters;
     private boolean isVoter;
-    private double grantsFrom = Double.POSITIVE_INFINITY;
+    private double grantsFromMs = Double.POSITIVE_INFINITY;
 
     /**
-     * A process starts.
+     * Creates the state of a process that starts.
      *
      * @param slot of the decision on its disk, or -1
-     * @param voters of that decision
+     * @param voters number of voters in that decision
      * @param isVoter whether this control node is one of them
-     * @param founds whether this is the first start of the whole mesh, before anything was granted
+     * @param isFirstStart whether this is the first start of the whole mesh, before anything was granted
      */
-    public GrantAuthority(double now, long slot, int voters, boolean isVoter, boolean founds) {
+    public GrantAuthority(double nowMs, long slot, int voters, boolean isVoter, boolean isFirstStart) {
         this.slot = slot;
         this.voters = voters;
         this.isVoter = isVoter;
         if (isVoter) {
-            grantsFrom = now;
+            grantsFromMs = nowMs;
         }
-        if (!founds) {
-            earlier.add(new Earlier(now + LeaseTerms.SETTLED_MS, voters + MISSED_VOTERS));
+        if (!isFirstStart) {
+            earlierVoters.add(new EarlierVoters(nowMs + LeaseTerms.SETTLED_MS, voters + MAX_MISSED_VOTERS));
         }
     }
 
-    /** A newer decision is known. */
-    public void decided(double now, long newSlot, int newVoters, boolean newIsVoter) {
-        // Between two decisions that are known it may have lost its vote and got it back.
-        boolean gap = newSlot > slot + 1;
-        if (newIsVoter && (!isVoter || gap)) {
-            grantsFrom = now + LeaseTerms.SETTLED_MS;
+    /** Records a newer decision. */
+    public void decided(double nowMs, long newSlot, int newVoters, boolean newIsVoter) {
+        // This node may have lost and regained its vote in decisions that it has not seen.
+        boolean mayHaveMissedDecisions = newSlot > slot + 1;
+        if (newIsVoter && (!isVoter || mayHaveMissedDecisions)) {
+            grantsFromMs = nowMs + LeaseTerms.SETTLED_MS;
         }
-        if (newVoters != voters || gap) {
-            earlier.removeIf(each -> each.until() <= now);
-            earlier.add(new Earlier(now + LeaseTerms.SETTLED_MS, voters + (gap ? MISSED_VOTERS : 0)));
+        if (newVoters != voters || mayHaveMissedDecisions) {
+            earlierVoters.removeIf(each -> each.untilMs() <= nowMs);
+            earlierVoters.add(new EarlierVoters(
+                    nowMs + LeaseTerms.SETTLED_MS, voters + (mayHaveMissedDecisions ? MAX_MISSED_VOTERS : 0)));
         }
         slot = newSlot;
         voters = newVoters;
@@ -69,20 +71,20 @@
     }
 
     /**
-     * The part that may be granted now.
+     * The fraction of all limits that may be granted now.
      *
      * @param confirmed whether a quorum has confirmed within {@link LeaseTerms#CONFIRMED_MS} that no newer decision is
      *     known
      */
-    public double capacity(double now, boolean confirmed) {
-        if (!isVoter || !confirmed || now < grantsFrom) {
+    public double capacity(double nowMs, boolean confirmed) {
+        if (!isVoter || !confirmed || nowMs < grantsFromMs) {
             return 0;
         }
-        int most = earlier.stream()
-                .filter(each -> each.until() > now)
-                .mapToInt(Earlier::voters)
+        int maxEarlierVoters = earlierVoters.stream()
+                .filter(each -> each.untilMs() > nowMs)
+                .mapToInt(EarlierVoters::voters)
                 .max()
                 .orElse(0);
-        return 1.0 / Math.max(1, Math.max(most, voters));
+        return 1.0 / Math.max(1, Math.max(maxEarlierVoters, voters));
     }
 }
--- a/src/main/java/whinlead/mesh/quota/LeaseGrant.java
+++ b/src/main/java/whinlead/mesh/quota/LeaseGrant.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * The lease that a control node gives a sidecar, whole: what it does not name is no longer held. It is valid for
- * {@link LeaseTerms#LEASE_MS} from when the report that it answers was sent.
+ * The complete lease that a control node gives a sidecar: shares that it does not list are no longer leased. It is
+ * valid for {@link LeaseTerms#LEASE_MS} from when the report that it answers was sent.
  *
- * @param grantorLife tells this control node's process from an earlier one
+ * @param grantorLife identifies this run of the control node's process
  * @param number counts the grants of this process
  * @param reportNumber of the report that it answers
- * @param shares by tenant
+ * @param shares one entry for each tenant
  */
 public record LeaseGrant(long grantorLife, long number, long reportNumber, List<QuotaShare> shares) {
     /** Copies the list. */
--- a/src/main/java/whinlead/mesh/quota/LeaseReport.java
+++ b/src/main/java/whinlead/mesh/quota/LeaseReport.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * A sidecar asks a control node for a lease, or to renew the one that it has.
+ * A sidecar's request to a control node for a lease, or for the renewal of the one that it has.
  *
- * @param sidecarLife tells this process from an earlier one at the same address
- * @param number counts the reports of one life
- * @param grantorLife the life of the control node that gave what is held; 0 if nothing is
- * @param grantNumber the newest grant of that life that is in force
- * @param needs by tenant
- * @param leaving whether it gives up what it holds, for its process or its machine is about to go
+ * @param sidecarLife identifies this run of the sidecar's process, among those at the same address
+ * @param number counts the reports of this run
+ * @param grantorLife the run of the control node that granted the shares in force; 0 if there are none
+ * @param grantNumber the newest grant of that run that is in force
+ * @param needs one entry for each tenant
+ * @param leaving whether the sidecar gives up its leases because its process or machine is about to stop
  */
 public record LeaseReport(
         long sidecarLife, long number, long grantorLife, long grantNumber, List<QuotaNeed> needs, boolean leaving) {
-    /** One of a process that goes on. */
+    /** Creates a report of a sidecar that is not leaving. */
     public LeaseReport(long sidecarLife, long number, long grantorLife, long grantNumber, List<QuotaNeed> needs) {
         this(sidecarLife, number, grantorLife, grantNumber, needs, false);
     }
--- a/src/main/java/whinlead/mesh/quota/LeaseSchedule.java
+++ b/src/main/java/whinlead/mesh/quota/LeaseSchedule.java
@@ -1,32 +1,36 @@
 package whinlead.mesh.quota;
 
 /**
- * When a sidecar reports to one control node: so often that a lease is renewed several times before it ends, at once on
- * a new connection and when demand has changed, and seldom while there is nothing to tell. Pure; times in milliseconds.
+ * Schedules a sidecar's reports to one control node: often enough that a lease is renewed several times before it ends,
+ * at once on a new connection and when demand has changed, and rarely while there is nothing to report. Pure; times in
+ * milliseconds.
  */
 public final class LeaseSchedule {
-    /** Between two reports while there is demand. */
-    public static final double RENEW_MS = 1000;
-    /** Between two reports with news of demand. */
-    static final double NEWS_MS = 200;
-    /** Between two reports without demand, which tell a control node that starts that nothing is held here. */
-    static final double IDLE_MS = 2500;
+    /** Interval between two reports while there is demand. */
+    public static final double RENEWAL_INTERVAL_MS = 1000;
+    /** Minimum interval between two reports when demand has changed. */
+    static final double CHANGE_INTERVAL_MS = 200;
+    /**
+     * Interval between two reports without demand. They tell a control node that has just started that this sidecar has
+     * no leases.
+     */
+    static final double IDLE_INTERVAL_MS = 2500;
 
-    private double sentAt = Double.NEGATIVE_INFINITY;
+    private double sentAtMs = Double.NEGATIVE_INFINITY;
 
-    /** A new connection. */
+    /** Handles a new connection: a report is due at once. */
     public void connected() {
-        sentAt = Double.NEGATIVE_INFINITY;
+        sentAtMs = Double.NEGATIVE_INFINITY;
     }
 
     /** Whether a report is due. */
-    public boolean isDue(double now, boolean hasNeeds, boolean hasNews) {
-        double waited = now - sentAt;
-        return waited >= (hasNews ? NEWS_MS : hasNeeds ? RENEW_MS : IDLE_MS);
+    public boolean isDue(double nowMs, boolean hasNeeds, boolean hasDemandChanged) {
+        double elapsedMs = nowMs - sentAtMs;
+        return elapsedMs >= (hasDemandChanged ? CHANGE_INTERVAL_MS : hasNeeds ? RENEWAL_INTERVAL_MS : IDLE_INTERVAL_MS);
     }
 
-    /** A report was sent. */
-    public void sent(double now) {
-        sentAt = now;
+    /** Records that a report was sent. */
+    public void sent(double nowMs) {
+        sentAtMs = nowMs;
     }
 }
--- a/src/main/java/whinlead/mesh/quota/LeaseTerms.java
+++ b/src/main/java/whinlead/mesh/quota/LeaseTerms.java
@@ -1,21 +1,21 @@
 package whinlead.mesh.quota;
 
-/** How long leases last, in milliseconds. */
+/** Durations of quota leases, in milliseconds. */
 public final class LeaseTerms {
     /**
-     * A lease is valid for so long, by the sidecar's steady clock, from when the sidecar sent the report that it
-     * answers. Longer, and a share that went with a machine is missed for longer; shorter, and a sidecar that is cut
-     * off refuses sooner.
+     * Validity of a lease, by the sidecar's steady clock, from when the sidecar sent the report that the lease answers.
+     * If it is longer, a share that was lost with a machine is unavailable for longer; if it is shorter, a sidecar that
+     * is cut off refuses requests sooner.
      */
     public static final double LEASE_MS = 6000;
     /**
-     * A control node counts a lease for so long, by its own steady clock, from when it sent the grant, which is after
-     * the report was sent. The two clocks may differ by a hundredth.
+     * How long a control node counts a lease, by its own steady clock, from when it sent the grant, which is after the
+     * report was sent. The two clocks may differ in rate by 1%.
      */
     public static final double COUNTED_MS = LEASE_MS * 1.01;
-    /** A control node grants only if a quorum has answered a question that left within this. */
+    /** A control node grants only if a quorum has answered a query that was sent within this time. */
     public static final double CONFIRMED_MS = 1000;
-    /** After this, what a control node has granted that no longer votes is surely over. */
+    /** After this time all leases of a control node that has lost its vote have certainly ended. */
     public static final double SETTLED_MS = COUNTED_MS + CONFIRMED_MS + 200;
 
     private LeaseTerms() {}
--- a/src/main/java/whinlead/mesh/quota/Lessee.java
+++ b/src/main/java/whinlead/mesh/quota/Lessee.java
@@ -6,24 +6,28 @@
 import java.util.Map;
 
 /**
- * One sidecar at a control node: what it may hold by grants, and its demand. Which of several grants on their way is in
- * force there is not known, so of each tenant the largest share counts until the sidecar names a later grant. Pure.
+ * A control node's record of one sidecar: the shares that it may have by grants, and its demand. The control node does
+ * not know which of several recent grants is in force at the sidecar, so for each tenant the largest share counts until
+ * the sidecar names a later grant. Pure.
  */
 final class Lessee {
-    /** Grants that are told apart; a sidecar that takes in none of so many gets no further one. */
+    /**
+     * Maximum number of grants that may be in force; a sidecar that has accepted none of this many gets no further
+     * grant.
+     */
     private static final int MAX_OPEN_GRANTS = 16;
 
     private record Grant(long number, Map<String, Double> shares) {}
 
     private final long sidecarLife;
-    private final Deque<Grant> open = new ArrayDeque<>();
+    private final Deque<Grant> openGrants = new ArrayDeque<>();
     private final Map<String, Double> committed = new HashMap<>();
     private final Map<String, Double> demandPerS = new HashMap<>();
-    private double reportedAt = Double.NEGATIVE_INFINITY;
+    private double reportedAtMs = Double.NEGATIVE_INFINITY;
     private long reportNumber = -1;
-    private double countedUntil = Double.NEGATIVE_INFINITY;
+    private double countedUntilMs = Double.NEGATIVE_INFINITY;
 
-    /** One that holds nothing. */
+    /** Creates a record of a sidecar without leases. */
     Lessee(long sidecarLife) {
         this.sidecarLife = sidecarLife;
     }
@@ -32,57 +36,61 @@
         return sidecarLife;
     }
 
-    /** Takes in a report; false if a later one came before. */
-    boolean take(double now, LeaseReport report, long grantorLife, double claimsUntil) {
+    /** Applies a report; returns false if a later one has been received before. */
+    boolean applyReport(double nowMs, LeaseReport report, long grantorLife, double earlierGrantsUntilMs) {
         if (report.number() <= reportNumber) {
             return false;
         }
         reportNumber = report.number();
-        reportedAt = now;
+        reportedAtMs = nowMs;
         if (report.grantorLife() == grantorLife) {
-            open.removeIf(grant -> grant.number() < report.grantNumber());
+            openGrants.removeIf(grant -> grant.number() < report.grantNumber());
         } else {
-            claim(report, claimsUntil);
+            addEarlierShares(report, earlierGrantsUntilMs);
         }
-        commit();
+        updateCommitted();
         demandPerS.clear();
         report.needs().forEach(need -> demandPerS.put(need.tenant(), need.demandPerS()));
         return true;
     }
 
-    // It holds what an earlier process of this control node granted, and none of this one's grants yet.
-    private void claim(LeaseReport report, double claimsUntil) {
-        Map<String, Double> held = new HashMap<>();
-        report.needs().forEach(need -> held.put(need.tenant(), need.heldShare()));
-        open.removeIf(grant -> grant.number() == 0);
-        open.addFirst(new Grant(0, held));
-        if (!held.isEmpty()) {
-            countedUntil = Math.max(countedUntil, claimsUntil);
+    // The sidecar has shares that an earlier process of this control node granted, and none of this process's grants
+    // yet.
+    private void addEarlierShares(LeaseReport report, double earlierGrantsUntilMs) {
+        Map<String, Double> heldShares = new HashMap<>();
+        report.needs().forEach(need -> heldShares.put(need.tenant(), need.heldShare()));
+        openGrants.removeIf(grant -> grant.number() == 0);
+        openGrants.addFirst(new Grant(0, heldShares));
+        if (!heldShares.isEmpty()) {
+            countedUntilMs = Math.max(countedUntilMs, earlierGrantsUntilMs);
         }
     }
 
-    boolean mayBeGranted() {
-        return open.size() < MAX_OPEN_GRANTS;
+    boolean hasRoomForGrant() {
+        return openGrants.size() < MAX_OPEN_GRANTS;
     }
 
-    /** Whether the newest grant is surely in force there: tokens that went along with it are not on their way. */
-    boolean hasTakenAll() {
-        return open.size() <= 1;
+    /**
+     * Whether the newest grant is certainly in force at the sidecar, so that no tokens that were granted are still in
+     * transit.
+     */
+    boolean isNewestGrantInForce() {
+        return openGrants.size() <= 1;
     }
 
-    /** Notes a grant that is sent now, under a number above those of all grants before. */
-    void grant(long number, Map<String, Double> shares, double until) {
-        open.addLast(new Grant(number, shares));
-        countedUntil = until;
-        commit();
+    /** Records a grant that is sent now; its number is higher than those of all grants before. */
+    void addGrant(long number, Map<String, Double> shares, double untilMs) {
+        openGrants.addLast(new Grant(number, shares));
+        countedUntilMs = untilMs;
+        updateCommitted();
     }
 
-    /** Whether what it held has ended, and it has said nothing since. */
-    boolean isOver(double now) {
-        return countedUntil <= now && reportedAt + LeaseTerms.COUNTED_MS <= now;
+    /** Whether its leases have ended and it has not reported since. */
+    boolean hasEnded(double nowMs) {
+        return countedUntilMs <= nowMs && reportedAtMs + LeaseTerms.COUNTED_MS <= nowMs;
     }
 
-    /** What it may hold by grants, of each tenant. */
+    /** The largest share that the sidecar may have of each tenant. */
     Map<String, Double> committed() {
         return committed;
     }
@@ -95,9 +103,9 @@
         return demandPerS;
     }
 
-    private void commit() {
+    private void updateCommitted() {
         committed.clear();
-        for (Grant grant : open) {
+        for (Grant grant : openGrants) {
             grant.shares().forEach((tenant, share) -> {
                 if (share > 0) {
                     committed.merge(tenant, share, Math::max);
--- a/src/main/java/whinlead/mesh/quota/QuotaDecision.java
+++ b/src/main/java/whinlead/mesh/quota/QuotaDecision.java
@@ -1,21 +1,21 @@
 package whinlead.mesh.quota;
 
-/** What becomes of a request of a tenant's. */
+/** The result of a quota check of one request. */
 public sealed interface QuotaDecision {
-    /** It may go on. */
+    /** The request may proceed. */
     record Admitted() implements QuotaDecision {}
 
     /**
-     * The tenant is over its limit, or no part of it is left here.
+     * The tenant is over its limit, or this sidecar has no share of the limit.
      *
-     * @param retryAfterMs when another request may pass, in milliseconds
+     * @param retryAfterMs when another request may be admitted, in milliseconds
      */
     record Refused(double retryAfterMs) implements QuotaDecision {}
 
     /**
-     * No token is left here; a control node may have one.
+     * This sidecar has no token left; a control node may have one.
      *
-     * @param allowance the tenant's
+     * @param allowance of the tenant
      */
     record NeedsToken(String tenant, QuotaAllowance allowance) implements QuotaDecision {}
 }
--- a/src/main/java/whinlead/mesh/quota/QuotaGrantor.java
+++ b/src/main/java/whinlead/mesh/quota/QuotaGrantor.java
@@ -11,41 +11,45 @@
 /**
  * One control node's part of all tenants' limits, which it leases to sidecars by their demand.
  *
- * <p>Invariant, of each tenant: what is leased and may still be in force, and what is kept to be given out by single
- * tokens, add up to no more than this control node's capacity. The capacities of all control nodes add up to no more
- * than 1 ({@link GrantAuthority}). A process that starts knows nothing of the leases that the one before it gave: until
- * all sidecars that had one have told what they hold, or all those leases have ended, nothing grows.
+ * <p>Invariant, for each tenant: the shares of all leases that may still be in force, plus the share of the pool from
+ * which single tokens are given out, add up to no more than this control node's capacity. The capacities of all control
+ * nodes add up to no more than 1 ({@link GrantAuthority}). A process that starts does not know the leases that the
+ * process before it granted: until all sidecars that had one have reported their shares, or all those leases have
+ * ended, no share grows.
  *
  * <p>Pure; one thread; times in milliseconds.
  */
 public final class QuotaGrantor {
-    /** Sidecars, and tenants, that are kept at most. */
+    /** Limits on the sidecars and tenants that are stored. */
     private static final int MAX_LESSEES = 4096;
 
     private static final int MAX_TENANTS = 4096;
-    /** Of a tenant that is within its limit, the part that is leased; the rest goes out by single tokens. */
-    private static final double LEASED_PART = 0.75;
-    /** The same of a tenant that asks for so much of its limit, or more. */
-    private static final double LEASED_PART_BUSY = 0.95;
+    /** The fraction that is leased of a tenant that is within its limit; the rest is given out as single tokens. */
+    private static final double LEASED_FRACTION = 0.75;
+    /** The leased fraction of a tenant whose demand is above {@link #BUSY_FRACTION} of its limit. */
+    private static final double LEASED_FRACTION_BUSY = 0.95;
 
-    private static final double BUSY_PART = 0.9;
-    /** A lease with room for fewer tokens is of no use. */
+    private static final double BUSY_FRACTION = 0.9;
+    /** A lease with a smaller bucket depth is of no use. */
     private static final double MIN_LEASED_DEPTH = 2;
-    /** So many times its demand is the most that a sidecar is leased: who reports first must not take all. */
+    /**
+     * A sidecar is leased at most this many times its demand, so that the first one to report does not get the whole
+     * limit.
+     */
     private static final double MAX_HEADROOM = 2;
     /** With less demand than this, in requests a second, single tokens serve a sidecar better than a lease. */
     private static final double MIN_LEASED_DEMAND_PER_S = 0.7;
-    /** Room for tokens that each control node keeps of a tenant that is within its limit. */
+    /** Bucket depth that each control node reserves for its pool, of a tenant that is within its limit. */
     private static final double MIN_POOL_DEPTH = 2;
-    /** A share is left as it is while the one that demand asks for differs by less. */
-    private static final double TOLERANCE = 0.2;
-    /** What an answer without a token tells to wait while this control node may give none. */
+    /** A share stays unchanged while the wanted share differs from it by less than this fraction. */
+    private static final double SHARE_TOLERANCE = 0.2;
+    /** The wait in a response without a token, while this control node may not give out any. */
     private static final double NO_CAPACITY_WAIT_MS = 50;
 
-    /** How often it is looked for leases that have ended. */
-    private static final double SWEEP_MS = 100;
+    /** Interval between two searches for ended leases. */
+    private static final double SWEEP_INTERVAL_MS = 100;
 
-    /** One tenant over all sidecars. */
+    /** One tenant, over all sidecars. */
     private static final class Tenant {
         private final TokenBucket pool;
         private double committed;
@@ -59,175 +63,179 @@
     }
 
     private final long life;
-    private final double startedAt;
+    private final double startedAtMs;
     private final boolean hasReserve;
     private final Map<String, Lessee> lessees = new LinkedHashMap<>();
     private final Map<String, Tenant> tenants = new HashMap<>();
-    /** Sidecars that may hold leases of an earlier process, and have not reported to this one. */
-    private final Set<String> unheard;
+    /** Sidecars that may have leases of an earlier process and have not yet reported to this one. */
+    private final Set<String> unreportedLessees;
 
-    private long grants;
+    private long grantCount;
     private double capacity;
-    /** What may be leased anew or given out by tokens: nothing, while leases are in force that are not known. */
+    /**
+     * The fraction that may be newly leased or given out as tokens: 0 while there may be leases that are not known
+     * here.
+     */
     private double poolCapacity;
-    /** Since when the pool's capacity has not been 0. */
-    private double poolSince;
+    /** When the pool's capacity last stopped being 0. */
+    private double poolSinceMs;
 
-    private double sweptAt = Double.NEGATIVE_INFINITY;
+    private double sweptAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A control node's part that is not leased yet.
+     * Creates a grantor without leases.
      *
-     * @param life tells this process from an earlier one
-     * @param earlierLessees sidecars that an earlier process may have given leases
-     * @param hasReserve whether no earlier process can have given tokens of the reserve within the last window
+     * @param life identifies this run of the process
+     * @param earlierLessees sidecars to which an earlier process may have granted leases
+     * @param hasReserve whether no earlier process can have given out tokens of the reserve within the last window
      */
-    public QuotaGrantor(double now, long life, Set<String> earlierLessees, boolean hasReserve) {
+    public QuotaGrantor(double nowMs, long life, Set<String> earlierLessees, boolean hasReserve) {
         this.life = life;
-        this.startedAt = now;
-        this.unheard = new HashSet<>(earlierLessees);
+        this.startedAtMs = nowMs;
+        this.unreportedLessees = new HashSet<>(earlierLessees);
         this.hasReserve = hasReserve;
-        this.poolSince = now;
+        this.poolSinceMs = nowMs;
     }
 
     /**
-     * A sidecar reports its demand and what it holds.
+     * Handles a sidecar's report of its demand and shares.
      *
-     * @param recorded whether it is on disk that this sidecar may hold a lease
+     * @param recorded whether it is recorded on disk that this sidecar may have a lease
      * @return the lease, or null if none is granted
      */
-    public LeaseGrant report(double now, String sidecar, LeaseReport report, boolean recorded) {
-        advance(now, capacity);
+    public LeaseGrant report(double nowMs, String sidecar, LeaseReport report, boolean recorded) {
+        advance(nowMs, capacity);
         if (report.leaving()) {
-            remove(now, sidecar);
+            remove(nowMs, sidecar);
             return null;
         }
-        Lessee lessee = lessee(now, sidecar, report.sidecarLife());
+        Lessee lessee = lessee(nowMs, sidecar, report.sidecarLife());
         if (lessee == null) {
             return null;
         }
-        count(now, lessee, -1);
-        boolean taken = lessee.take(now, report, life, startedAt + LeaseTerms.COUNTED_MS);
-        report.needs().forEach(need -> tenant(now, need.tenant(), need.allowance()));
-        count(now, lessee, 1);
-        if (taken) {
-            takeBack(now, report);
+        addToTotals(nowMs, lessee, -1);
+        boolean accepted = lessee.applyReport(nowMs, report, life, startedAtMs + LeaseTerms.COUNTED_MS);
+        report.needs().forEach(need -> tenant(nowMs, need.tenant(), need.allowance()));
+        addToTotals(nowMs, lessee, 1);
+        if (accepted) {
+            addReturnedTokens(nowMs, report);
         }
-        if (unheard.remove(sidecar)) {
-            advance(now, capacity);
+        if (unreportedLessees.remove(sidecar)) {
+            advance(nowMs, capacity);
         }
-        if (!taken || !recorded || capacity <= 0 || !lessee.mayBeGranted()) {
+        if (!accepted || !recorded || capacity <= 0 || !lessee.hasRoomForGrant()) {
             return null;
         }
         Map<String, Double> shares = shares(lessee);
-        List<QuotaShare> told = told(now, lessee, shares);
-        count(now, lessee, -1);
-        // One count for all sidecars: one that is forgotten and comes back must not take an old number for a new
-        // grant's.
-        grants++;
-        lessee.grant(grants, shares, now + LeaseTerms.COUNTED_MS);
-        count(now, lessee, 1);
-        return new LeaseGrant(life, grants, report.number(), told);
+        List<QuotaShare> grantedShares = withTokens(nowMs, lessee, shares);
+        addToTotals(nowMs, lessee, -1);
+        // Grants of all sidecars share one counter: a sidecar that was removed and comes back must not take an old
+        // grant for a new one with the same number.
+        grantCount++;
+        lessee.addGrant(grantCount, shares, nowMs + LeaseTerms.COUNTED_MS);
+        addToTotals(nowMs, lessee, 1);
+        return new LeaseGrant(life, grantCount, report.number(), grantedShares);
     }
 
-    /** A sidecar asks for one token out of what is not leased. */
-    public TokenResponse take(double now, TokenRequest request) {
-        advance(now, capacity);
-        Tenant tenant = tenant(now, request.tenant(), request.allowance());
-        if (tenant != null && takeOfReserve(tenant)) {
+    /** Handles a sidecar's request for one token of the part that is not leased. */
+    public TokenResponse take(double nowMs, TokenRequest request) {
+        advance(nowMs, capacity);
+        Tenant tenant = tenant(nowMs, request.tenant(), request.allowance());
+        if (tenant != null && takeFromReserve(tenant)) {
             return new TokenResponse(request.number(), true, 0);
         }
         if (tenant == null || tenant.pool.share() <= 0) {
             return new TokenResponse(request.number(), false, NO_CAPACITY_WAIT_MS);
         }
-        boolean granted = tenant.pool.tryTake(now);
-        double waitMs = granted ? 0 : Math.min(NO_CAPACITY_WAIT_MS, tenant.pool.untilNextMs(now));
+        boolean granted = tenant.pool.tryTake(nowMs);
+        double waitMs = granted ? 0 : Math.min(NO_CAPACITY_WAIT_MS, tenant.pool.msUntilNextToken(nowMs));
         return new TokenResponse(request.number(), granted, waitMs);
     }
 
-    // While it is not known what is leased: once in this process's time, and once a window in all of them.
-    private boolean takeOfReserve(Tenant tenant) {
+    // The reserve is used only while the leases in force are not known: its size at most once in the life of this
+    // process, and once in a window over all processes of this control node.
+    private boolean takeFromReserve(Tenant tenant) {
         double reserve = tenant.pool.allowance().reserve() * capacity;
-        if (unheard.isEmpty() || !hasReserve || tenant.reserveUsed + 1 > reserve) {
+        if (unreportedLessees.isEmpty() || !hasReserve || tenant.reserveUsed + 1 > reserve) {
             return false;
         }
         tenant.reserveUsed++;
         return true;
     }
 
-    /** The sidecars that may hold leases now. */
+    /** The sidecars that may have leases now. */
     public Set<String> lessees() {
-        Set<String> all = new HashSet<>(unheard);
+        Set<String> all = new HashSet<>(unreportedLessees);
         all.addAll(lessees.keySet());
         return all;
     }
 
-    /** Whether nothing may grow, for leases of an earlier process may be in force that are not known here. */
+    /** Whether no share may grow because leases of an earlier process may be in force that are not known here. */
     public boolean isRecovering() {
-        return !unheard.isEmpty();
+        return !unreportedLessees.isEmpty();
     }
 
     /**
-     * Time passes. To be called often, and at once when the capacity changes.
+     * Advances the time. To be called often, and at once when the capacity changes.
      *
-     * @param newCapacity the part of all limits that this control node may grant from now on; 0 for none
+     * @param newCapacity the fraction of all limits that this control node may grant from now on; 0 for none
      */
-    public void advance(double now, double newCapacity) {
-        if (now >= startedAt + LeaseTerms.COUNTED_MS) {
-            unheard.clear();
+    public void advance(double nowMs, double newCapacity) {
+        if (nowMs >= startedAtMs + LeaseTerms.COUNTED_MS) {
+            unreportedLessees.clear();
         }
-        if (now >= sweptAt + SWEEP_MS) {
-            sweptAt = now;
-            removeEnded(now);
+        if (nowMs >= sweptAtMs + SWEEP_INTERVAL_MS) {
+            sweptAtMs = nowMs;
+            removeEnded(nowMs);
         }
-        double newPoolCapacity = unheard.isEmpty() ? newCapacity : 0;
+        double newPoolCapacity = unreportedLessees.isEmpty() ? newCapacity : 0;
         if (poolCapacity <= 0) {
-            poolSince = now;
+            poolSinceMs = nowMs;
         }
         capacity = newCapacity;
         if (poolCapacity != newPoolCapacity) {
             poolCapacity = newPoolCapacity;
-            tenants.values().forEach(tenant -> updatePool(now, tenant));
+            tenants.values().forEach(tenant -> updatePool(nowMs, tenant));
         }
     }
 
-    private void removeEnded(double now) {
-        List<Lessee> ended =
-                lessees.values().stream().filter(lessee -> lessee.isOver(now)).toList();
-        ended.forEach(lessee -> count(now, lessee, -1));
+    private void removeEnded(double nowMs) {
+        List<Lessee> ended = lessees.values().stream()
+                .filter(lessee -> lessee.hasEnded(nowMs))
+                .toList();
+        ended.forEach(lessee -> addToTotals(nowMs, lessee, -1));
         lessees.values().removeAll(ended);
     }
 
-    private void remove(double now, String sidecar) {
-        Lessee left = lessees.remove(sidecar);
-        if (left != null) {
-            count(now, left, -1);
+    private void remove(double nowMs, String sidecar) {
+        Lessee removed = lessees.remove(sidecar);
+        if (removed != null) {
+            addToTotals(nowMs, removed, -1);
         }
-        if (unheard.remove(sidecar)) {
-            advance(now, capacity);
+        if (unreportedLessees.remove(sidecar)) {
+            advance(nowMs, capacity);
         }
     }
 
-    // Null where there is no room. A process that starts at a sidecar's address holds nothing, and the one before it
-    // has
-    // ended: with it, what that one held.
-    private Lessee lessee(double now, String sidecar, long sidecarLife) {
+    // Returns null if there is no room. A new process at a known sidecar's address has no leases; the process before
+    // it has ended, and its leases with it.
+    private Lessee lessee(double nowMs, String sidecar, long sidecarLife) {
         Lessee known = lessees.get(sidecar);
         if (known != null && known.sidecarLife() == sidecarLife) {
             return known;
         }
         if (known != null) {
-            count(now, known, -1);
+            addToTotals(nowMs, known, -1);
         } else if (lessees.size() >= MAX_LESSEES) {
             return null;
         }
-        Lessee fresh = new Lessee(sidecarLife);
-        lessees.put(sidecar, fresh);
-        return fresh;
+        Lessee created = new Lessee(sidecarLife);
+        lessees.put(sidecar, created);
+        return created;
     }
 
-    // Null where there is no room.
-    private Tenant tenant(double now, String name, QuotaAllowance allowance) {
+    // Returns null if there is no room.
+    private Tenant tenant(double nowMs, String name, QuotaAllowance allowance) {
         Tenant tenant = tenants.get(name);
         if (tenant == null) {
             if (tenants.size() >= MAX_TENANTS) {
@@ -236,91 +244,91 @@
             if (tenants.size() >= MAX_TENANTS) {
                 return null;
             }
-            tenant = new Tenant(new TokenBucket(poolSince, allowance, poolCapacity));
+            tenant = new Tenant(new TokenBucket(poolSinceMs, allowance, poolCapacity));
             tenants.put(name, tenant);
         } else if (!tenant.pool.allowance().equals(allowance)) {
-            tenant.pool.change(now, allowance, tenant.pool.share());
+            tenant.pool.update(nowMs, allowance, tenant.pool.share());
         }
         return tenant;
     }
 
-    // Adds what a sidecar may hold, and its demand, to the sums, or takes it out of them.
-    private void count(double now, Lessee lessee, int sign) {
-        lessee.demandPerS().forEach((name, perS) -> {
+    // Adds the shares that a sidecar may have and its demand to the totals (sign 1), or subtracts them (sign -1).
+    private void addToTotals(double nowMs, Lessee lessee, int sign) {
+        lessee.demandPerS().forEach((name, demandPerS) -> {
             Tenant tenant = tenants.get(name);
             if (tenant != null) {
-                tenant.demandPerS = Math.max(0, tenant.demandPerS + sign * perS);
+                tenant.demandPerS = Math.max(0, tenant.demandPerS + sign * demandPerS);
             }
         });
         lessee.committed().forEach((name, share) -> {
             Tenant tenant = tenants.get(name);
             if (tenant != null) {
                 tenant.committed = Math.max(0, tenant.committed + sign * share);
-                updatePool(now, tenant);
+                updatePool(nowMs, tenant);
             }
         });
     }
 
-    // The share that they went with is back by this report, so that there is room for them.
-    private void takeBack(double now, LeaseReport report) {
+    // The share that these tokens belonged to is returned by the same report, so there is room for them.
+    private void addReturnedTokens(double nowMs, LeaseReport report) {
         for (QuotaNeed need : report.needs()) {
             Tenant tenant = tenants.get(need.tenant());
             if (tenant != null && need.returnedTokens() > 0) {
-                tenant.pool.add(now, need.returnedTokens());
+                tenant.pool.add(nowMs, need.returnedTokens());
             }
         }
     }
 
-    private void updatePool(double now, Tenant tenant) {
-        tenant.pool.change(now, tenant.pool.allowance(), Math.max(0, poolCapacity - tenant.committed));
+    private void updatePool(double nowMs, Tenant tenant) {
+        tenant.pool.update(nowMs, tenant.pool.allowance(), Math.max(0, poolCapacity - tenant.committed));
     }
 
     private Map<String, Double> shares(Lessee lessee) {
         Map<String, Double> shares = new HashMap<>();
-        lessee.demandPerS().forEach((name, perS) -> {
+        lessee.demandPerS().forEach((name, demandPerS) -> {
             Tenant tenant = tenants.get(name);
             if (tenant != null) {
-                shares.put(name, share(tenant, lessee.committed(name), perS));
+                shares.put(name, share(tenant, lessee.committed(name), demandPerS));
             }
         });
         return shares;
     }
 
-    // By demand, but no more than is free. Where the capacity has shrunk, what is held shrinks with it.
-    private double share(Tenant tenant, double held, double perS) {
-        double wanted = wantedShare(tenant, perS);
-        double free = Math.max(0, capacity - (tenant.committed - held));
-        double kept = held * Math.min(1, capacity / Math.max(capacity, tenant.committed));
-        double most = unheard.isEmpty() ? Math.max(free, kept) : kept;
-        boolean near = Math.abs(wanted - held) <= held * TOLERANCE;
-        return Math.min(near ? held : wanted, most);
+    // By demand, but no more than is free. Where the capacity has shrunk, existing shares shrink in proportion.
+    private double share(Tenant tenant, double heldShare, double demandPerS) {
+        double wantedShare = wantedShare(tenant, demandPerS);
+        double freeShare = Math.max(0, capacity - (tenant.committed - heldShare));
+        double retainedShare = heldShare * Math.min(1, capacity / Math.max(capacity, tenant.committed));
+        double maxShare = unreportedLessees.isEmpty() ? Math.max(freeShare, retainedShare) : retainedShare;
+        boolean isWithinTolerance = Math.abs(wantedShare - heldShare) <= heldShare * SHARE_TOLERANCE;
+        return Math.min(isWithinTolerance ? heldShare : wantedShare, maxShare);
     }
 
-    private double wantedShare(Tenant tenant, double perS) {
-        if (perS < MIN_LEASED_DEMAND_PER_S || tenant.demandPerS <= 0) {
+    private double wantedShare(Tenant tenant, double demandPerS) {
+        if (demandPerS < MIN_LEASED_DEMAND_PER_S || tenant.demandPerS <= 0) {
             return 0;
         }
         QuotaAllowance allowance = tenant.pool.allowance();
-        // What is kept has room for some tokens, or none could be given out.
-        double mostPart = 1 - MIN_POOL_DEPTH / (allowance.depth() * capacity);
-        boolean busy = tenant.demandPerS > BUSY_PART * allowance.ratePerS();
-        double leasedPart = busy ? LEASED_PART_BUSY : Math.min(mostPart, LEASED_PART);
-        double byDemand = leasedPart * Math.min(1, perS / tenant.demandPerS);
-        double part = Math.min(byDemand, MAX_HEADROOM * perS / allowance.ratePerS());
-        return part * allowance.depth() < MIN_LEASED_DEPTH ? 0 : part * capacity;
+        // The pool needs room for some tokens, or none could be given out.
+        double maxLeasedFraction = 1 - MIN_POOL_DEPTH / (allowance.depth() * capacity);
+        boolean busy = tenant.demandPerS > BUSY_FRACTION * allowance.ratePerS();
+        double leasedFraction = busy ? LEASED_FRACTION_BUSY : Math.min(maxLeasedFraction, LEASED_FRACTION);
+        double fractionByDemand = leasedFraction * Math.min(1, demandPerS / tenant.demandPerS);
+        double fraction = Math.min(fractionByDemand, MAX_HEADROOM * demandPerS / allowance.ratePerS());
+        return fraction * allowance.depth() < MIN_LEASED_DEPTH ? 0 : fraction * capacity;
     }
 
-    // The tokens of what is leased anew go along, but only one such grant is on its way at a time: so the tokens that a
-    // sidecar has and those on their way to it never exceed the depth of its share.
-    private List<QuotaShare> told(double now, Lessee lessee, Map<String, Double> shares) {
-        boolean withTokens = lessee.hasTakenAll() && unheard.isEmpty();
-        List<QuotaShare> told = new ArrayList<>();
+    // Shares that grow bring the pool's tokens along, but only one grant with tokens is in transit at a time: the
+    // tokens that a sidecar has plus those in transit to it never exceed the depth of its share.
+    private List<QuotaShare> withTokens(double nowMs, Lessee lessee, Map<String, Double> shares) {
+        boolean mayTransferTokens = lessee.isNewestGrantInForce() && unreportedLessees.isEmpty();
+        List<QuotaShare> grantedShares = new ArrayList<>();
         shares.forEach((name, share) -> {
             Tenant tenant = tenants.get(name);
-            double grown = share - lessee.committed(name);
-            double tokens = withTokens && grown > 0 ? tenant.pool.split(now, grown) : 0;
-            told.add(new QuotaShare(name, share, tokens, tenant.demandPerS));
+            double addedShare = share - lessee.committed(name);
+            double tokens = mayTransferTokens && addedShare > 0 ? tenant.pool.split(nowMs, addedShare) : 0;
+            grantedShares.add(new QuotaShare(name, share, tokens, tenant.demandPerS));
         });
-        return told;
+        return grantedShares;
     }
 }
--- a/src/main/java/whinlead/mesh/quota/QuotaLease.java
+++ b/src/main/java/whinlead/mesh/quota/QuotaLease.java
@@ -6,22 +6,22 @@
 import java.util.Set;
 
 /**
- * What a sidecar holds by leases from one control node. A grant counts from when the report that it answers was sent,
+ * The lease that a sidecar has from one control node. A grant is valid from when the report that it answers was sent,
  * so it ends here no later than at the control node. Pure; times in milliseconds.
  */
 final class QuotaLease {
-    /** Reports whose answers are still waited for; of older ones an answer is passed over. */
+    /** Reports whose answers are accepted; answers to older ones are ignored. */
     private static final int MAX_OPEN_REPORTS = 16;
 
-    private final Map<Long, Double> reportSentAt = new LinkedHashMap<>();
+    private final Map<Long, Double> reportSentAtMs = new LinkedHashMap<>();
     private final Map<String, QuotaShare> shares = new HashMap<>();
-    /** Tokens that went with shares that the control node has taken back, until it is told. */
+    /** Tokens that belonged to shares that the control node has revoked, until the next report returns them. */
     private final Map<String, Double> returnedTokens = new HashMap<>();
 
     private long grantorLife;
     private long grantNumber;
-    private long answeredReport;
-    private double validUntil = Double.NEGATIVE_INFINITY;
+    private long answeredReportNumber;
+    private double validUntilMs = Double.NEGATIVE_INFINITY;
 
     long grantorLife() {
         return grantorLife;
@@ -31,8 +31,8 @@
         return grantNumber;
     }
 
-    double validUntil() {
-        return validUntil;
+    double validUntilMs() {
+        return validUntilMs;
     }
 
     Set<String> tenants() {
@@ -44,35 +44,37 @@
         return shares.get(tenant);
     }
 
-    void reportSent(double now, long number) {
-        reportSentAt.put(number, now);
-        if (reportSentAt.size() > MAX_OPEN_REPORTS) {
-            reportSentAt.remove(reportSentAt.keySet().iterator().next());
+    void recordReportSent(double nowMs, long number) {
+        reportSentAtMs.put(number, nowMs);
+        if (reportSentAtMs.size() > MAX_OPEN_REPORTS) {
+            reportSentAtMs.remove(reportSentAtMs.keySet().iterator().next());
         }
     }
 
-    /** A new connection: answers to what was sent on the one before don't come any more, and would count no more. */
-    void reconnected() {
-        reportSentAt.clear();
+    /**
+     * Handles a new connection: answers to reports of the previous connection no longer arrive and are not accepted.
+     */
+    void dropOpenReports() {
+        reportSentAtMs.clear();
     }
 
-    /** Whether this grant is newer than what is held, and answers a report of this connection. */
+    /** Whether this grant is newer than the lease and answers a report of this connection. */
     boolean accepts(LeaseGrant grant) {
-        return grant.reportNumber() > answeredReport && reportSentAt.containsKey(grant.reportNumber());
+        return grant.reportNumber() > answeredReportNumber && reportSentAtMs.containsKey(grant.reportNumber());
     }
 
-    /** Takes the grant's shares in place of those that are held. */
+    /** Replaces the shares by those of the grant. */
     void replace(LeaseGrant grant) {
-        validUntil = reportSentAt.get(grant.reportNumber()) + LeaseTerms.LEASE_MS;
-        reportSentAt.keySet().removeIf(number -> number <= grant.reportNumber());
-        answeredReport = grant.reportNumber();
+        validUntilMs = reportSentAtMs.get(grant.reportNumber()) + LeaseTerms.LEASE_MS;
+        reportSentAtMs.keySet().removeIf(number -> number <= grant.reportNumber());
+        answeredReportNumber = grant.reportNumber();
         grantorLife = grant.grantorLife();
         grantNumber = grant.number();
         shares.clear();
         grant.shares().forEach(share -> shares.put(share.tenant(), share));
     }
 
-    void returnTokens(String tenant, double tokens) {
+    void addReturnedTokens(String tenant, double tokens) {
         if (tokens > 0) {
             returnedTokens.merge(tenant, tokens, Double::sum);
         }
@@ -82,17 +84,17 @@
         return returnedTokens.getOrDefault(tenant, 0.0);
     }
 
-    /** They are told now. */
-    void tokensReturned() {
+    /** Records that the returned tokens are in the report that is sent now. */
+    void clearReturnedTokens() {
         returnedTokens.clear();
     }
 
-    /** Gives up the shares of all other tenants. */
-    void retain(Set<String> tenants) {
+    /** Gives up the shares of all tenants but these. */
+    void retainTenants(Set<String> tenants) {
         shares.keySet().retainAll(tenants);
     }
 
-    /** Its time is over. */
+    /** Ends the lease. */
     void expire() {
         shares.clear();
     }
--- a/src/main/java/whinlead/mesh/quota/QuotaNeed.java
+++ b/src/main/java/whinlead/mesh/quota/QuotaNeed.java
@@ -1,12 +1,12 @@
 package whinlead.mesh.quota;
 
 /**
- * What a sidecar tells a control node of one tenant.
+ * A sidecar's report to a control node about one tenant.
  *
- * @param demandPerS requests a second that it is asked for, those turned away included
- * @param allowance of the tenant, by the configuration that is in force there
- * @param returnedTokens tokens that went with a share that this control node has taken back, once
- * @param heldShare the share that it holds by a lease from this control node; 0 if none
+ * @param demandPerS requests a second that arrive, including refused ones
+ * @param allowance of the tenant, by the configuration in force at the sidecar
+ * @param returnedTokens tokens that belonged to a share that this control node has revoked; each is returned once
+ * @param heldShare the share that the sidecar leases from this control node; 0 if none
  */
 public record QuotaNeed(
         String tenant, double demandPerS, QuotaAllowance allowance, double returnedTokens, double heldShare) {}
--- a/src/main/java/whinlead/mesh/quota/TenantDemand.java
+++ b/src/main/java/whinlead/mesh/quota/TenantDemand.java
@@ -1,8 +1,8 @@
 package whinlead.mesh.quota;
 
 /**
- * What one sidecar, or all of them, are asked for in a tenant's name.
+ * A tenant's demand at one sidecar or at all of them.
  *
- * @param perSecond requests a second, those turned away included
+ * @param perSecond requests a second, including refused ones
  */
 public record TenantDemand(String tenant, double perSecond) {}
--- a/src/main/java/whinlead/mesh/quota/TenantQuota.java
+++ b/src/main/java/whinlead/mesh/quota/TenantQuota.java
@@ -11,50 +11,54 @@
 import java.util.Set;
 
 /**
- * One sidecar's part of each tenant's limit: a token bucket by the shares that control nodes have leased to it. Where a
- * bucket has no token, a control node may give one out of what it has not leased. Without leases nothing passes, for
- * others may have the whole limit by then.
+ * One sidecar's part of each tenant's limit: a token bucket sized by the shares that control nodes have leased to it.
+ * If the bucket is empty, a control node may give a token of the part that it has not leased. Without leases the bucket
+ * admits nothing, because other sidecars may by then have the whole limit.
  *
- * <p>Leases as in Google's Doorman: capacity leased to clients for a time, counted where it is granted. Pure; one
- * thread; times in milliseconds.
+ * <p>The leases follow Google's Doorman: capacity is leased to clients for a limited time and counted where it is
+ * granted. Pure; one thread; times in milliseconds.
  */
 public final class TenantQuota {
-    /** Tenants that are counted at most; beyond, the longest unused goes. */
+    /** Limit on the tenants that are stored; the least recently used one is removed beyond it. */
     private static final int MAX_TENANTS = 4096;
-    /** Control nodes whose leases are kept at most. */
+    /** Limit on the control nodes whose leases are stored. */
     private static final int MAX_CONTROL_NODES = 32;
-    /** Less demand than this is not worth a lease, in requests a second. */
+    /** Demand below this, in requests a second, is not reported. */
     private static final double MIN_DEMAND_PER_S = 0.02;
-    /** Demand that differs by this factor, and by so many requests a second, from what was told is told at once. */
-    private static final double NEWS_FACTOR = 1.5;
+    /**
+     * Demand is reported at once if it differs from the last report by this factor and by more than
+     * {@link #CHANGE_PER_S} requests a second.
+     */
+    private static final double CHANGE_FACTOR = 1.5;
 
-    private static final double NEWS_PER_S = 2;
-    /** A tenant is over its limit for sure if it asks for so many times as much. */
-    private static final double OVER_LIMIT = 1.2;
+    private static final double CHANGE_PER_S = 2;
+    /** A tenant is certainly over its limit if its demand is this many times the limit. */
+    private static final double OVER_LIMIT_FACTOR = 1.2;
     /**
-     * After a control node had no token, none is asked for a token of this tenant for so long; doubles up to a most.
+     * After control nodes had no token for a tenant, they are not asked again for this time; it doubles with each
+     * failure, up to {@link #MAX_PAUSE_MS}.
      */
     private static final double MIN_PAUSE_MS = 20;
 
     private static final double MAX_PAUSE_MS = 200;
-    /** What refused requests are told to wait where nothing tells when a token comes. */
+    /** Wait that refused requests are told if it is not known when a token will be available. */
     private static final double DEFAULT_RETRY_MS = 500;
 
     /** One tenant at this sidecar. */
     private static final class Tenant {
         private final TokenBucket bucket;
         private final DemandAverage demand;
-        private double toldPerS;
+        private double reportedPerS;
         private double pauseMs = MIN_PAUSE_MS;
-        private double pausedUntil = Double.NEGATIVE_INFINITY;
+        private double pausedUntilMs = Double.NEGATIVE_INFINITY;
 
-        private Tenant(double now, QuotaAllowance allowance, double share) {
-            this.bucket = new TokenBucket(now, allowance, share);
-            this.demand = new DemandAverage(now);
+        private Tenant(double nowMs, QuotaAllowance allowance, double share) {
+            this.bucket = new TokenBucket(nowMs, allowance, share);
+            this.demand = new DemandAverage(nowMs);
         }
     }
 
-    /** A bounded table. */
+    /** A bounded table of tenants in order of use. */
     private static final class Tenants extends LinkedHashMap<String, Tenant> {
         private static final long serialVersionUID = 1L;
 
@@ -72,13 +76,13 @@
     private final long life;
     private final Tenants tenants = new Tenants();
     private final Map<String, QuotaLease> leases = new LinkedHashMap<>();
-    private long reports;
+    private long reportCount;
     private double evenShare;
 
     /**
-     * A sidecar's part, without leases.
+     * Creates a quota without leases.
      *
-     * @param life tells this process from an earlier one at the same address
+     * @param life identifies this run of the sidecar's process, among those at the same address
      */
     public TenantQuota(QuotaRules rules, long life) {
         this.rules = rules;
@@ -86,58 +90,59 @@
     }
 
     /**
-     * Gives up all leases, and returns the report that tells so. What is on its way for earlier reports counts no more.
+     * Gives up all leases and returns the report that says so. Answers to earlier reports that are still in transit are
+     * ignored.
      */
-    public LeaseReport release(double now) {
-        expireLeases(now);
+    public LeaseReport release(double nowMs) {
+        expireLeases(nowMs);
         leases.values().forEach(QuotaLease::expire);
-        leases.values().forEach(QuotaLease::reconnected);
-        updateShares(now, Set.copyOf(tenants.keySet()));
-        return new LeaseReport(life, ++reports, 0, 0, List.of(), true);
+        leases.values().forEach(QuotaLease::dropOpenReports);
+        updateShares(nowMs, Set.copyOf(tenants.keySet()));
+        return new LeaseReport(life, ++reportCount, 0, 0, List.of(), true);
     }
 
-    /** Decides on one request of a tenant with this limit; a limit of 0 is none. */
-    public QuotaDecision acquire(double now, String name, double limitPerS, double burst) {
+    /** Decides on one request of a tenant with this limit; a limit of 0 means that there is none. */
+    public QuotaDecision acquire(double nowMs, String name, double limitPerS, double burst) {
         if (limitPerS <= 0) {
             return new QuotaDecision.Admitted();
         }
-        expireLeases(now);
+        expireLeases(nowMs);
         QuotaAllowance allowance = rules.allowance(limitPerS, burst);
-        Tenant tenant = tenant(now, name, allowance);
-        tenant.demand.countRequest(now);
-        if (tenant.bucket.tryTake(now)) {
+        Tenant tenant = tenant(nowMs, name, allowance);
+        tenant.demand.countRequest(nowMs);
+        if (tenant.bucket.tryTake(nowMs)) {
             return new QuotaDecision.Admitted();
         }
-        if (now < tenant.pausedUntil || isOverLimit(name, limitPerS) && tenant.bucket.share() > 0) {
-            return new QuotaDecision.Refused(retryAfterMs(now, tenant));
+        if (nowMs < tenant.pausedUntilMs || isOverLimit(name, limitPerS) && tenant.bucket.share() > 0) {
+            return new QuotaDecision.Refused(retryAfterMs(nowMs, tenant));
         }
         return new QuotaDecision.NeedsToken(name, allowance);
     }
 
-    private Tenant tenant(double now, String name, QuotaAllowance allowance) {
+    private Tenant tenant(double nowMs, String name, QuotaAllowance allowance) {
         Tenant tenant = tenants.get(name);
         if (tenant == null) {
-            tenant = new Tenant(now, allowance, share(name));
+            tenant = new Tenant(nowMs, allowance, share(name));
             tenants.put(name, tenant);
         } else if (!tenant.bucket.allowance().equals(allowance)) {
-            tenant.bucket.change(now, allowance, tenant.bucket.share());
+            tenant.bucket.update(nowMs, allowance, tenant.bucket.share());
         }
         return tenant;
     }
 
-    // Then nearly all of the limit is leased, and asking for more would be in vain.
+    // If so, nearly all of the limit is leased, and asking for more would be in vain.
     private boolean isOverLimit(String name, double limitPerS) {
         return leases.values().stream()
                 .map(lease -> lease.share(name))
-                .anyMatch(share -> share != null && share.demandPerS() >= limitPerS * OVER_LIMIT);
+                .anyMatch(share -> share != null && share.demandPerS() >= limitPerS * OVER_LIMIT_FACTOR);
     }
 
-    private double retryAfterMs(double now, Tenant tenant) {
-        double nextMs = Math.max(tenant.bucket.untilNextMs(now), tenant.pausedUntil - now);
+    private double retryAfterMs(double nowMs, Tenant tenant) {
+        double nextMs = Math.max(tenant.bucket.msUntilNextToken(nowMs), tenant.pausedUntilMs - nowMs);
         return Double.isFinite(nextMs) ? Math.min(nextMs, rules.windowS() * 1000) : DEFAULT_RETRY_MS;
     }
 
-    /** A control node gave a token to a request of this tenant. */
+    /** Records that a control node gave a token to a request of this tenant. */
     public void tokenGranted(String name) {
         Tenant tenant = tenants.get(name);
         if (tenant != null) {
@@ -145,94 +150,92 @@
         }
     }
 
-    /** A control node gave a token that no request needs: it is told so with the next report, and may give it again. */
+    /** Records a token that no request needs any more: the next report returns it to the control node that gave it. */
     public void tokenUnused(String controlNode, String name) {
         QuotaLease lease = leases.get(controlNode);
         if (lease != null && tenants.containsKey(name)) {
-            lease.returnTokens(name, 1);
+            lease.addReturnedTokens(name, 1);
         }
     }
 
     /**
-     * No control node had a token, or none answered.
+     * Records that no control node had a token, or that none answered.
      *
-     * @param waitMs when one may have one
-     * @return what the request is told to wait, in milliseconds
+     * @param waitMs when a control node may have one
+     * @return the wait that the request is told, in milliseconds
      */
-    public double tokenDenied(double now, String name, double waitMs) {
+    public double tokenDenied(double nowMs, String name, double waitMs) {
         Tenant tenant = tenants.get(name);
         if (tenant == null) {
             return DEFAULT_RETRY_MS;
         }
         double pauseMs = Math.min(MAX_PAUSE_MS, Math.max(waitMs, tenant.pauseMs));
         tenant.pauseMs = Math.min(MAX_PAUSE_MS, tenant.pauseMs * 2);
-        tenant.pausedUntil = Math.max(tenant.pausedUntil, now + pauseMs);
-        return retryAfterMs(now, tenant);
+        tenant.pausedUntilMs = Math.max(tenant.pausedUntilMs, nowMs + pauseMs);
+        return retryAfterMs(nowMs, tenant);
     }
 
-    /** Whether demand has changed so much since it was last told that a report is due at once. */
-    public boolean hasNews(double now) {
+    /** Whether demand has changed so much since the last report that a report is due at once. */
+    public boolean hasNews(double nowMs) {
         for (Tenant tenant : tenants.values()) {
-            double perS = tenant.demand.perSecond(now);
-            double more = Math.max(perS, tenant.toldPerS);
-            double less = Math.min(perS, tenant.toldPerS);
-            if (more > less * NEWS_FACTOR && more > less + NEWS_PER_S) {
+            double demandPerS = tenant.demand.perSecond(nowMs);
+            double higherPerS = Math.max(demandPerS, tenant.reportedPerS);
+            double lowerPerS = Math.min(demandPerS, tenant.reportedPerS);
+            if (higherPerS > lowerPerS * CHANGE_FACTOR && higherPerS > lowerPerS + CHANGE_PER_S) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether a report to this control node would say anything. */
-    public boolean hasNeeds(double now, String controlNode) {
-        return !needs(now, leases.get(controlNode)).isEmpty();
+    /** Whether a report to this control node would contain any needs. */
+    public boolean hasNeeds(double nowMs, String controlNode) {
+        return !needs(nowMs, leases.get(controlNode)).isEmpty();
     }
 
-    /** A new connection to a control node: answers to earlier reports don't come any more. */
+    /** Handles a new connection to a control node: answers to earlier reports no longer arrive. */
     public void connected(String controlNode) {
         QuotaLease lease = leases.get(controlNode);
         if (lease != null) {
-            lease.reconnected();
+            lease.dropOpenReports();
         }
     }
 
-    /**
-     * What a control node is told now, as one report that is sent at once; null where there is no room for its leases.
-     */
-    public LeaseReport report(double now, String controlNode) {
-        expireLeases(now);
+    /** Creates a report for a control node, which must be sent at once; null if there is no room for its leases. */
+    public LeaseReport report(double nowMs, String controlNode) {
+        expireLeases(nowMs);
         if (!leases.containsKey(controlNode) && leases.size() >= MAX_CONTROL_NODES) {
-            leases.values().removeIf(lease -> lease.validUntil() <= now);
+            leases.values().removeIf(lease -> lease.validUntilMs() <= nowMs);
             if (leases.size() >= MAX_CONTROL_NODES) {
                 return null;
             }
         }
         QuotaLease lease = leases.computeIfAbsent(controlNode, name -> new QuotaLease());
-        lease.retain(tenants.keySet());
-        List<QuotaNeed> needs = needs(now, lease);
-        lease.tokensReturned();
-        needs.forEach(need -> tenants.get(need.tenant()).toldPerS = need.demandPerS());
-        lease.reportSent(now, ++reports);
-        return new LeaseReport(life, reports, lease.grantorLife(), lease.grantNumber(), needs);
+        lease.retainTenants(tenants.keySet());
+        List<QuotaNeed> needs = needs(nowMs, lease);
+        lease.clearReturnedTokens();
+        needs.forEach(need -> tenants.get(need.tenant()).reportedPerS = need.demandPerS());
+        lease.recordReportSent(nowMs, ++reportCount);
+        return new LeaseReport(life, reportCount, lease.grantorLife(), lease.grantNumber(), needs);
     }
 
-    private List<QuotaNeed> needs(double now, QuotaLease lease) {
+    private List<QuotaNeed> needs(double nowMs, QuotaLease lease) {
         List<QuotaNeed> needs = new ArrayList<>();
         tenants.forEach((name, tenant) -> {
-            QuotaShare held = lease == null ? null : lease.share(name);
-            double heldShare = held == null ? 0 : held.share();
-            double returned = lease == null ? 0 : lease.returnedTokens(name);
-            double perS = tenant.demand.perSecond(now);
-            if (perS > MIN_DEMAND_PER_S || heldShare > 0 || returned > 0) {
-                needs.add(new QuotaNeed(name, perS, tenant.bucket.allowance(), returned, heldShare));
+            QuotaShare leasedShare = lease == null ? null : lease.share(name);
+            double heldShare = leasedShare == null ? 0 : leasedShare.share();
+            double returnedTokens = lease == null ? 0 : lease.returnedTokens(name);
+            double demandPerS = tenant.demand.perSecond(nowMs);
+            if (demandPerS > MIN_DEMAND_PER_S || heldShare > 0 || returnedTokens > 0) {
+                needs.add(new QuotaNeed(name, demandPerS, tenant.bucket.allowance(), returnedTokens, heldShare));
             }
         });
         return needs;
     }
 
-    /** A control node grants a lease. */
-    public void granted(double now, String controlNode, LeaseGrant grant) {
-        expireLeases(now);
+    /** Applies a lease that a control node has granted. */
+    public void granted(double nowMs, String controlNode, LeaseGrant grant) {
+        expireLeases(nowMs);
         QuotaLease lease = leases.get(controlNode);
         if (lease == null || !lease.accepts(grant)) {
             return;
@@ -240,49 +243,50 @@
         Set<String> affected = new LinkedHashSet<>(lease.tenants());
         lease.replace(grant);
         affected.addAll(lease.tenants());
-        if (lease.validUntil() <= now) {
+        if (lease.validUntilMs() <= nowMs) {
             lease.expire();
         }
-        updateShares(now, affected).forEach(lease::returnTokens);
+        updateShares(nowMs, affected).forEach(lease::addReturnedTokens);
         grant.shares().forEach(share -> {
             Tenant tenant = tenants.get(share.tenant());
             if (tenant != null) {
-                tenant.bucket.add(now, share.tokens());
+                tenant.bucket.add(nowMs, share.tokens());
             }
         });
     }
 
     /**
-     * Instead of leases, this share of every limit holds: for a mesh whose control nodes are of an earlier version and
-     * grant none. 0 ends it.
+     * Sets a share of every limit that is used without a lease, for a mesh whose control nodes are of an earlier
+     * version and grant none. 0 ends this.
      */
-    public void useEvenShare(double now, double share) {
+    public void useEvenShare(double nowMs, double share) {
         if (share != evenShare) {
             evenShare = share;
-            updateShares(now, Set.copyOf(tenants.keySet()));
+            updateShares(nowMs, Set.copyOf(tenants.keySet()));
         }
     }
 
-    // In the order of their ends: until then a bucket has filled by the shares of that time.
-    private void expireLeases(double now) {
+    // In the order of their ends, because each bucket fills by the shares that were in force at the time.
+    private void expireLeases(double nowMs) {
         List<QuotaLease> ended = leases.values().stream()
-                .filter(lease -> lease.validUntil() <= now && !lease.tenants().isEmpty())
-                .sorted(Comparator.comparingDouble(QuotaLease::validUntil))
+                .filter(lease ->
+                        lease.validUntilMs() <= nowMs && !lease.tenants().isEmpty())
+                .sorted(Comparator.comparingDouble(QuotaLease::validUntilMs))
                 .toList();
         for (QuotaLease lease : ended) {
             Set<String> affected = Set.copyOf(lease.tenants());
             lease.expire();
-            updateShares(lease.validUntil(), affected);
+            updateShares(lease.validUntilMs(), affected);
         }
     }
 
-    // Returns the tokens that there is no room for any more, by tenant.
-    private Map<String, Double> updateShares(double now, Set<String> names) {
+    // Returns the tokens by tenant that there is no more room for.
+    private Map<String, Double> updateShares(double nowMs, Set<String> names) {
         Map<String, Double> excess = new HashMap<>();
         for (String name : names) {
             Tenant tenant = tenants.get(name);
             if (tenant != null) {
-                excess.put(name, tenant.bucket.change(now, tenant.bucket.allowance(), share(name)));
+                excess.put(name, tenant.bucket.update(nowMs, tenant.bucket.allowance(), share(name)));
             }
         }
         return excess;
@@ -297,10 +301,10 @@
         return leased + evenShare;
     }
 
-    /** For events: what is in force here for this tenant. */
-    public String describe(double now, String name) {
-        expireLeases(now);
-        long granting = leases.values().stream()
+    /** Describes the leases of this tenant for log events. */
+    public String describe(double nowMs, String name) {
+        expireLeases(nowMs);
+        long leaseCount = leases.values().stream()
                 .filter(lease -> lease.share(name) != null)
                 .count();
         double demandPerS = leases.values().stream()
@@ -310,10 +314,10 @@
                 .orElse(0);
         return String.format(
                 Locale.ROOT,
-                "%s share %.4f by %d leases, demand in all %.1f/s",
+                "%s share %.4f by %d leases, total demand %.1f/s",
                 name,
                 share(name),
-                granting,
+                leaseCount,
                 demandPerS);
     }
 }
--- a/src/main/java/whinlead/mesh/quota/TokenRequest.java
+++ b/src/main/java/whinlead/mesh/quota/TokenRequest.java
@@ -1,9 +1,9 @@
 package whinlead.mesh.quota;
 
 /**
- * A sidecar asks a control node for one token, out of what that has not leased.
+ * A sidecar's request to a control node for one token of the part that the control node has not leased.
  *
- * @param number names the request among those of one connection
- * @param allowance of the tenant, by the configuration that is in force at the sidecar
+ * @param number identifies the request on its connection
+ * @param allowance of the tenant, by the configuration in force at the sidecar
  */
 public record TokenRequest(long number, String tenant, QuotaAllowance allowance) {}
--- a/src/main/java/whinlead/mesh/quota/TokenResponse.java
+++ b/src/main/java/whinlead/mesh/quota/TokenResponse.java
@@ -1,10 +1,10 @@
 package whinlead.mesh.quota;
 
 /**
- * The answer to a {@link TokenRequest}.
+ * The response to a {@link TokenRequest}.
  *
- * @param number the request's
+ * @param number of the request
  * @param granted whether one request may pass
- * @param waitMs if not, in how many milliseconds there may be a token
+ * @param waitMs if not granted, the milliseconds after which there may be a token
  */
 public record TokenResponse(long number, boolean granted, double waitMs) {}
--- a/src/main/java/whinlead/mesh/quota/TokenSearch.java
+++ b/src/main/java/whinlead/mesh/quota/TokenSearch.java
@@ -5,73 +5,73 @@
 import java.util.List;
 
 /**
- * One request's search for a token: control nodes are asked in turn, the next one as soon as one has none, or is silent
- * for too long. It ends once, with the first token, or when all have refused or its time is up; a token that comes
- * after that goes back to the control node that gave it. Pure.
+ * One request's search for a token: control nodes are asked in turn, the next one when one has no token or does not
+ * answer in time. The search ends once: with the first token, when all have refused, when its time is up, or when it is
+ * cancelled. A token that arrives later is returned to the control node that gave it. Pure.
  */
 public final class TokenSearch {
-    /** The longest search, in milliseconds; two round trips between distant zones. */
+    /** The longest search, in milliseconds: two round trips between distant zones. */
     public static final double MAX_MS = 200;
-    /** Of a request's aim, how much its search may take. */
+    /** The fraction of a request's latency target that its search may take. */
     public static final double AIM_PART = 0.25;
-    /** Of a search's time, after how much without an answer the next control node is asked as well. */
+    /** The fraction of a search's time without an answer after which the next control node is also asked. */
     public static final double HEDGE_PART = 0.65;
     /**
-     * Where all control nodes together have room for fewer tokens than so many each, one is often empty while others
-     * are not, and an answer and a second question take too long: two are asked at once.
+     * If the allowance has a smaller depth than this for each control node, one node is often empty while others are
+     * not, and asking them one after another takes too long: two are asked at the same time.
      */
-    private static final double SHALLOW_DEPTH = 4;
+    private static final double SHALLOW_DEPTH_PER_NODE = 4;
 
-    private static final int ASKED_AT_ONCE_IF_SHALLOW = 2;
+    private static final int SHALLOW_PARALLELISM = 2;
 
-    /** Does what the search asks for. */
+    /** Carries out the search's actions. */
     public interface Actions {
         /** Asks this control node for a token. */
         void ask(String controlNode);
 
-        /** The request may go on. */
+        /** The request may proceed. */
         void granted();
 
-        /** This control node gave a token that is not needed any more. */
+        /** This control node gave a token that is no longer needed. */
         void surplus(String controlNode);
 
-        /** There is no token; one may come in so many milliseconds, 0 if nobody told. */
+        /** There is no token; one may be available in this many milliseconds, 0 if not known. */
         void denied(double waitMs);
 
-        /** Nobody waits for the outcome any more. */
+        /** The search was cancelled before it had a result. */
         void cancelled();
     }
 
-    private final Deque<String> remaining;
+    private final Deque<String> remainingNodes;
     private final Actions actions;
-    private final int askedAtOnce;
-    private int awaited;
+    private final int parallelism;
+    private int pendingAnswers;
     private double waitMs = Double.POSITIVE_INFINITY;
     private boolean isOver;
 
     /**
-     * A search that has not begun.
+     * Creates a search, which {@link #begin} starts.
      *
      * @param controlNodes to ask, in this order
-     * @param allowance what may be spent of the tenant's limit in all
+     * @param allowance of the tenant over the whole mesh
      */
     public TokenSearch(List<String> controlNodes, QuotaAllowance allowance, Actions actions) {
-        this.remaining = new ArrayDeque<>(controlNodes);
+        this.remainingNodes = new ArrayDeque<>(controlNodes);
         this.actions = actions;
-        boolean shallow = allowance.depth() < SHALLOW_DEPTH * controlNodes.size();
-        this.askedAtOnce = shallow ? ASKED_AT_ONCE_IF_SHALLOW : 1;
+        boolean isShallow = allowance.depth() < SHALLOW_DEPTH_PER_NODE * controlNodes.size();
+        this.parallelism = isShallow ? SHALLOW_PARALLELISM : 1;
     }
 
-    /** Begins. */
+    /** Starts the search. */
     public void begin() {
-        for (int i = 0; i < askedAtOnce && !isOver; i++) {
-            askNext();
+        for (int i = 0; i < parallelism && !isOver; i++) {
+            askNextNode();
         }
     }
 
-    /** A control node that was asked answers. */
-    public void answered(String controlNode, boolean granted, double itsWaitMs) {
-        awaited--;
+    /** Handles a control node's answer. */
+    public void answered(String controlNode, boolean granted, double nodeWaitMs) {
+        pendingAnswers--;
         if (isOver) {
             if (granted) {
                 actions.surplus(controlNode);
@@ -83,18 +83,18 @@
             actions.granted();
             return;
         }
-        waitMs = Math.min(waitMs, itsWaitMs);
-        askNext();
+        waitMs = Math.min(waitMs, nodeWaitMs);
+        askNextNode();
     }
 
-    /** Those that were asked are silent: the next one is asked as well. */
+    /** Asks the next control node as well, because those asked so far have not answered. */
     public void hedge() {
-        if (!isOver && !remaining.isEmpty()) {
-            askNext();
+        if (!isOver && !remainingNodes.isEmpty()) {
+            askNextNode();
         }
     }
 
-    /** Its request is not wanted any more. */
+    /** Ends the search because the request was cancelled. */
     public void cancel() {
         if (!isOver) {
             isOver = true;
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Its time is up. */
+    /** Ends the search without a token, because its time is up or all control nodes have refused. */
     public void end() {
         if (!isOver) {
             isOver = true;
@@ -110,11 +110,11 @@
         }
     }
 
-    private void askNext() {
-        if (!remaining.isEmpty()) {
-            awaited++;
-            actions.ask(remaining.poll());
-        } else if (awaited <= 0) {
+    private void askNextNode() {
+        if (!remainingNodes.isEmpty()) {
+            pendingAnswers++;
+            actions.ask(remainingNodes.poll());
+        } else if (pendingAnswers <= 0) {
             end();
         }
     }
--- a/src/main/java/whinlead/mesh/quota/package-info.java
+++ b/src/main/java/whinlead/mesh/quota/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Limits of tenants over all sidecars: each sidecar reports its demand, control nodes add it up, and each sidecar takes
- * its share of the limit.
+ * Enforcement of tenants' limits over all sidecars: sidecars report their demand, and control nodes lease them shares
+ * of each limit and give out single tokens.
  *
- * <p>Begin with {@link whinlead.mesh.quota.TenantQuota}, a sidecar's share; {@link whinlead.mesh.quota.DemandTotals} is
- * the sum at a control node. Pure but for draws from a seed; one thread; times in milliseconds.
+ * <p>Start with {@link whinlead.mesh.quota.TenantQuota}, a sidecar's part, and
+ * {@link whinlead.mesh.quota.QuotaGrantor}, a control node's. {@link whinlead.mesh.quota.DemandTotals} serves sidecars
+ * of the protocol version before leases. Pure; one thread; times in milliseconds.
  */
 package whinlead.mesh.quota;
--- a/src/test/java/whinlead/mesh/quota/GrantAuthorityTest.java
+++ b/src/test/java/whinlead/mesh/quota/GrantAuthorityTest.java
@@ -8,44 +8,46 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** The parts of the limits that control nodes may grant, while voters come and go. */
+/** The fractions of the limits that control nodes may grant while voters change. */
 public class GrantAuthorityTest {
-    private static final int ALL = 7;
+    private static final int NODE_COUNT = 7;
     private static final int STEPS = 4000;
     private static final double STEP_MS = 20;
 
     @Test
-    public void theFoundersGrantAtOnceAndAnEqualPartEach() {
+    public void foundersGrantEqualPartsWithoutWaiting() {
         GrantAuthority founder = new GrantAuthority(0, 0, 3, true, true);
         assertEquals(founder.capacity(0, true), 1.0 / 3);
         assertEquals(founder.capacity(0, false), 0.0);
     }
 
     @Test
-    public void oneThatGetsAVoteWaitsUntilWhatWasGrantedBeforeHasEnded() {
-        GrantAuthority joins = new GrantAuthority(0, 4, 3, false, false);
-        joins.decided(1000, 5, 4, true);
-        assertEquals(joins.capacity(1000 + LeaseTerms.SETTLED_MS - 1, true), 0.0);
-        assertEquals(joins.capacity(1000 + LeaseTerms.SETTLED_MS, true), 1.0 / 4);
+    public void newVoterGrantsNothingUntilEarlierLeasesHaveEnded() {
+        GrantAuthority joiningNode = new GrantAuthority(0, 4, 3, false, false);
+        joiningNode.decided(1000, 5, 4, true);
+        assertEquals(joiningNode.capacity(1000 + LeaseTerms.SETTLED_MS - 1, true), 0.0);
+        assertEquals(joiningNode.capacity(1000 + LeaseTerms.SETTLED_MS, true), 1.0 / 4);
     }
 
     @Test
-    public void oneThatMayHaveMissedItsRemovalWaitsAsWell() {
-        GrantAuthority behind = new GrantAuthority(0, 0, 3, true, true);
-        behind.decided(20_000, 5, 3, true);
-        assertEquals(behind.capacity(20_001, true), 0.0);
-        assertEquals(behind.capacity(20_000 + LeaseTerms.SETTLED_MS, true), 1.0 / 3);
+    public void voterThatMayHaveMissedItsRemovalGrantsNothingUntilEarlierLeasesHaveEnded() {
+        GrantAuthority laggingNode = new GrantAuthority(0, 0, 3, true, true);
+        laggingNode.decided(20_000, 5, 3, true);
+        assertEquals(laggingNode.capacity(20_001, true), 0.0);
+        assertEquals(laggingNode.capacity(20_000 + LeaseTerms.SETTLED_MS, true), 1.0 / 3);
     }
 
     @Test
-    public void withFewerVotersTheOldPartHoldsUntilOthersGrantsHaveEnded() {
-        GrantAuthority stays = new GrantAuthority(0, 0, 4, true, true);
-        stays.decided(10_000, 1, 3, true);
-        assertEquals(stays.capacity(10_001, true), 1.0 / 4);
-        assertEquals(stays.capacity(10_000 + LeaseTerms.SETTLED_MS, true), 1.0 / 3);
+    public void withFewerVotersCapacityGrowsOnlyAfterEarlierLeasesHaveEnded() {
+        GrantAuthority remainingNode = new GrantAuthority(0, 0, 4, true, true);
+        remainingNode.decided(10_000, 1, 3, true);
+        assertEquals(remainingNode.capacity(10_001, true), 1.0 / 4);
+        assertEquals(remainingNode.capacity(10_000 + LeaseTerms.SETTLED_MS, true), 1.0 / 3);
     }
 
-    /** One control node, and the leases that it has given: what they add up to is {@code part} until then. */
+    /**
+     * One control node and the leases that it has granted, each as its end in milliseconds and the fraction granted.
+     */
     private static final class Node {
         private final GrantAuthority authority;
         private final List<double[]> leases = new ArrayList<>();
@@ -57,60 +59,62 @@
             this.authority = new GrantAuthority(0, 0, 3, isVoter, true);
         }
 
-        private double leased(double now) {
-            leases.removeIf(lease -> lease[0] <= now);
+        private double leased(double nowMs) {
+            leases.removeIf(lease -> lease[0] <= nowMs);
             return leases.stream().mapToDouble(lease -> lease[1]).max().orElse(0);
         }
     }
 
     /**
-     * Voters come and go by decisions that some nodes learn of late; who has not is confirmed by no quorum for long.
+     * Voters change by decisions that some nodes learn of late; a node that has not learned of a decision is confirmed
+     * by a quorum only for a short time.
      */
     @Test
-    public void whatAllHaveGrantedNeverAddsUpToMoreThanTheLimit() {
+    public void grantsOfAllNodesNeverExceedTheLimit() {
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
             List<Node> nodes = new ArrayList<>();
-            for (int i = 0; i < ALL; i++) {
+            for (int i = 0; i < NODE_COUNT; i++) {
                 nodes.add(new Node(i < 3));
             }
             boolean[] votes = {true, true, true, false, false, false, false};
             long slot = 0;
-            double decidedAt = 0;
+            double decidedAtMs = 0;
             for (int step = 0; step < STEPS; step++) {
-                double now = step * STEP_MS;
+                double nowMs = step * STEP_MS;
                 if (random.nextInt(200) == 0) {
-                    int changed = random.nextInt(ALL);
-                    votes[changed] = !votes[changed];
-                    if (count(votes) >= 3 && count(votes) <= 5) {
+                    int changedNode = random.nextInt(NODE_COUNT);
+                    votes[changedNode] = !votes[changedNode];
+                    if (countTrue(votes) >= 3 && countTrue(votes) <= 5) {
                         slot++;
-                        decidedAt = now;
+                        decidedAtMs = nowMs;
                     } else {
-                        votes[changed] = !votes[changed];
+                        votes[changedNode] = !votes[changedNode];
                     }
                 }
                 double sum = 0;
-                for (int i = 0; i < ALL; i++) {
+                for (int i = 0; i < NODE_COUNT; i++) {
                     Node node = nodes.get(i);
-                    // For a while after a decision, what a quorum answered may still confirm the one before.
-                    boolean lately = node.knownSlot == slot - 1 && now - decidedAt < LeaseTerms.CONFIRMED_MS;
-                    boolean confirmed = node.knownSlot == slot || lately;
+                    // For a while after a decision, answers from the quorum may still confirm the previous one.
+                    boolean isPreviousStillConfirmed =
+                            node.knownSlot == slot - 1 && nowMs - decidedAtMs < LeaseTerms.CONFIRMED_MS;
+                    boolean confirmed = node.knownSlot == slot || isPreviousStillConfirmed;
                     if (node.knownSlot < slot && random.nextInt(40) == 0) {
-                        node.authority.decided(now, slot, count(votes), votes[i]);
+                        node.authority.decided(nowMs, slot, countTrue(votes), votes[i]);
                         node.knownSlot = slot;
                     }
-                    double part = node.authority.capacity(now, confirmed);
-                    if (part > 0) {
-                        node.leases.add(new double[] {now + LeaseTerms.COUNTED_MS, part});
+                    double grantedFraction = node.authority.capacity(nowMs, confirmed);
+                    if (grantedFraction > 0) {
+                        node.leases.add(new double[] {nowMs + LeaseTerms.COUNTED_MS, grantedFraction});
                     }
-                    sum += node.leased(now);
+                    sum += node.leased(nowMs);
                 }
                 assertTrue(sum <= 1 + 1e-9, sum + " of the limit, seed " + seed + ", step " + step);
             }
         }
     }
 
-    private static int count(boolean[] votes) {
+    private static int countTrue(boolean[] votes) {
         int count = 0;
         for (boolean vote : votes) {
             count += vote ? 1 : 0;
--- a/src/test/java/whinlead/mesh/quota/LeaseScheduleTest.java
+++ b/src/test/java/whinlead/mesh/quota/LeaseScheduleTest.java
@@ -5,21 +5,23 @@
 
 import org.testng.annotations.Test;
 
-/** When a sidecar reports: often enough for its lease, and seldom while it has nothing to tell. */
+/** Times of a sidecar's reports: often enough to renew its lease, and rarely while there is nothing to report. */
 public class LeaseScheduleTest {
     private static final int TICK_MS = 100;
-    private static final int LENGTH_MS = 60_000;
+    private static final int DURATION_MS = 60_000;
 
-    // Reports in a minute of ticks; fails if two lie so far apart that a lease could end after one of them is lost.
-    private static int reports(boolean hasNeeds, boolean hasNews) {
+    // Number of reports in a minute of ticks; fails if two are so far apart that a lease could end after one report is
+    // lost.
+    private static int countReports(boolean hasNeeds, boolean hasDemandChanged) {
         LeaseSchedule schedule = new LeaseSchedule();
         int count = 0;
-        double last = 0;
-        for (int ms = 0; ms < LENGTH_MS; ms += TICK_MS) {
-            if (schedule.isDue(ms, hasNeeds, hasNews)) {
-                assertTrue(2 * (ms - last) < LeaseTerms.LEASE_MS, "none for " + (ms - last) + " ms");
+        double lastReportMs = 0;
+        for (int ms = 0; ms < DURATION_MS; ms += TICK_MS) {
+            if (schedule.isDue(ms, hasNeeds, hasDemandChanged)) {
+                assertTrue(
+                        2 * (ms - lastReportMs) < LeaseTerms.LEASE_MS, "no report for " + (ms - lastReportMs) + " ms");
                 schedule.sent(ms);
-                last = ms;
+                lastReportMs = ms;
                 count++;
             }
         }
@@ -27,17 +29,17 @@
     }
 
     @Test
-    public void withDemandALeaseIsRenewedSeveralTimesBeforeItEnds() {
-        assertEquals(reports(true, false), LENGTH_MS / 1000);
+    public void leaseWithDemandIsRenewedSeveralTimesBeforeItEnds() {
+        assertEquals(countReports(true, false), DURATION_MS / 1000);
     }
 
     @Test
-    public void anIdleSidecarReportsSeldom() {
-        assertEquals(reports(false, false), LENGTH_MS / 2500);
+    public void idleSidecarReportsRarely() {
+        assertEquals(countReports(false, false), DURATION_MS / 2500);
     }
 
     @Test
-    public void newsOfDemandIsToldAtOnceButNotAtEachTick() {
+    public void changedDemandIsReportedEarlyButNotAtEachTick() {
         LeaseSchedule schedule = new LeaseSchedule();
         schedule.sent(0);
         assertTrue(!schedule.isDue(100, true, true));
@@ -46,7 +48,7 @@
     }
 
     @Test
-    public void aNewConnectionIsToldAtOnce() {
+    public void newConnectionIsReportedToImmediately() {
         LeaseSchedule schedule = new LeaseSchedule();
         assertTrue(schedule.isDue(0, false, false), "the first report");
         schedule.sent(0);
--- a/src/test/java/whinlead/mesh/quota/QuotaLeaseTest.java
+++ b/src/test/java/whinlead/mesh/quota/QuotaLeaseTest.java
@@ -27,32 +27,32 @@
         grantor.advance(0, 1);
     }
 
-    private boolean passes(double now) {
-        return quota.acquire(now, TENANT, LIMIT, LIMIT) instanceof QuotaDecision.Admitted;
+    private boolean isAdmitted(double nowMs) {
+        return quota.acquire(nowMs, TENANT, LIMIT, LIMIT) instanceof QuotaDecision.Admitted;
     }
 
-    private LeaseGrant renew(double now) {
-        LeaseReport report = quota.report(now, CONTROL_NODE);
-        LeaseGrant grant = grantor.report(now, SIDECAR, report, true);
+    private LeaseGrant renew(double nowMs) {
+        LeaseReport report = quota.report(nowMs, CONTROL_NODE);
+        LeaseGrant grant = grantor.report(nowMs, SIDECAR, report, true);
         if (grant != null) {
-            quota.granted(now, CONTROL_NODE, grant);
+            quota.granted(nowMs, CONTROL_NODE, grant);
         }
         return grant;
     }
 
-    // Demand for two seconds, and a lease for it.
-    private void lease() {
+    // Creates demand for two seconds and gets a lease for it.
+    private void obtainLease() {
         for (int ms = 0; ms < 2000; ms += 10) {
-            passes(ms);
+            isAdmitted(ms);
         }
         assertTrue(renew(2000).shares().get(0).share() > 0);
     }
 
     @Test
-    public void aLeaseThatIsNotRenewedEndsBeforeTheControlNodeCountsItNoLonger() {
-        lease();
-        assertTrue(passes(2000 + LeaseTerms.LEASE_MS - 1), "as long as it is valid");
-        assertFalse(passes(2000 + LeaseTerms.LEASE_MS), "and no longer");
+    public void unrenewedLeaseEndsAtTheSidecarBeforeTheControlNodeDropsIt() {
+        obtainLease();
+        assertTrue(isAdmitted(2000 + LeaseTerms.LEASE_MS - 1), "the lease is still valid");
+        assertFalse(isAdmitted(2000 + LeaseTerms.LEASE_MS), "the lease has ended");
         assertTrue(LeaseTerms.COUNTED_MS > LeaseTerms.LEASE_MS);
         assertEquals(grantor.lessees(), Set.of(SIDECAR));
         grantor.advance(2000 + LeaseTerms.COUNTED_MS + 200, 1);
@@ -60,38 +60,38 @@
     }
 
     @Test
-    public void aGrantCountsFromWhenItsReportWasSent() {
+    public void grantIsValidFromWhenItsReportWasSent() {
         for (int ms = 0; ms < 2000; ms += 10) {
-            passes(ms);
+            isAdmitted(ms);
         }
         LeaseReport report = quota.report(2000, CONTROL_NODE);
         LeaseGrant grant = grantor.report(2500, SIDECAR, report, true);
         quota.granted(3000, CONTROL_NODE, grant);
-        assertTrue(passes(3500));
-        assertFalse(passes(2000 + LeaseTerms.LEASE_MS));
+        assertTrue(isAdmitted(3500));
+        assertFalse(isAdmitted(2000 + LeaseTerms.LEASE_MS));
     }
 
     @Test
-    public void anAnswerToAReportOfAnEarlierConnectionIsPassedOver() {
+    public void answerToAReportOfAnEarlierConnectionIsIgnored() {
         for (int ms = 0; ms < 2000; ms += 10) {
-            passes(ms);
+            isAdmitted(ms);
         }
         LeaseReport report = quota.report(2000, CONTROL_NODE);
         LeaseGrant grant = grantor.report(2000, SIDECAR, report, true);
         quota.connected(CONTROL_NODE);
         quota.granted(2100, CONTROL_NODE, grant);
-        assertFalse(passes(2200));
+        assertFalse(isAdmitted(2200));
     }
 
     @Test
-    public void aSidecarThatIsNotOnDiskIsLeasedNothing() {
-        passes(0);
+    public void sidecarNotRecordedOnDiskIsGrantedNothing() {
+        isAdmitted(0);
         assertEquals(grantor.report(10, SIDECAR, quota.report(10, CONTROL_NODE), false), null);
     }
 
     @Test
-    public void withoutCapacityNothingIsLeasedOrGivenOut() {
-        lease();
+    public void withoutCapacityNoLeaseOrTokenIsGranted() {
+        obtainLease();
         grantor.advance(2100, 0);
         assertEquals(renew(2200), null);
         TokenRequest request = new TokenRequest(1, TENANT, RULES.allowance(LIMIT, LIMIT));
@@ -99,18 +99,18 @@
     }
 
     @Test
-    public void aProcessThatStartsLeasesNothingAnewUntilItsLesseesAreHeard() {
-        lease();
-        double held = grantor.report(2100, SIDECAR, quota.report(2100, CONTROL_NODE), true)
+    public void restartedGrantorGrantsNothingNewUntilItsLesseesHaveReported() {
+        obtainLease();
+        double heldShare = grantor.report(2100, SIDECAR, quota.report(2100, CONTROL_NODE), true)
                 .shares()
                 .get(0)
                 .share();
         grantor = new QuotaGrantor(3000, 8, Set.of(SIDECAR, "another"), false);
         grantor.advance(3000, 1);
         TokenRequest request = new TokenRequest(1, TENANT, RULES.allowance(LIMIT, LIMIT));
-        assertFalse(grantor.take(3100, request).granted(), "another may hold what this would give out");
+        assertFalse(grantor.take(3100, request).granted(), "another sidecar may have a lease of this token");
         LeaseGrant grant = renew(3200);
-        assertTrue(grant.shares().get(0).share() <= held + 1e-9, "no more than it held");
+        assertTrue(grant.shares().get(0).share() <= heldShare + 1e-9, "its share must not grow");
         assertTrue(grantor.isRecovering());
         grantor.report(3300, "another", new LeaseReport(5, 1, 0, 0, List.of()), true);
         assertFalse(grantor.isRecovering());
@@ -118,7 +118,7 @@
     }
 
     @Test
-    public void meanwhileItGivesOutItsPartOfTheReserveAndNoMore() {
+    public void recoveringGrantorGivesOutNoMoreThanItsPartOfTheReserve() {
         QuotaAllowance allowance = RULES.allowance(LIMIT, LIMIT);
         grantor = new QuotaGrantor(3000, 8, Set.of("another"), true);
         grantor.advance(3000, 0.5);
@@ -133,52 +133,54 @@
     }
 
     @Test
-    public void aSecondProcessAtASidecarsAddressHoldsNothingOfTheFirst() {
-        lease();
+    public void newProcessAtASidecarsAddressHasNoLeasesOfThePreviousOne() {
+        obtainLease();
         TenantQuota second = new TenantQuota(RULES, 2);
         assertFalse(second.acquire(2100, TENANT, LIMIT, LIMIT) instanceof QuotaDecision.Admitted);
         LeaseGrant grant = grantor.report(2200, SIDECAR, second.report(2200, CONTROL_NODE), true);
         assertEquals(grant.reportNumber(), 1);
-        // All of the limit but what it is leased itself can be given out again.
+        // All of the limit but its own lease can be given out again.
         TokenRequest request = new TokenRequest(1, TENANT, RULES.allowance(LIMIT, LIMIT));
         int given = 0;
         while (grantor.take(12_000, request).granted()) {
             given++;
         }
-        assertTrue(given > LIMIT, "only " + given);
+        assertTrue(given > LIMIT, "only " + given + " tokens given out");
     }
 
     @Test
-    public void aSidecarThatLeavesHoldsNothingAnyMore() {
-        lease();
+    public void leavingSidecarHasNoLeases() {
+        obtainLease();
         grantor.report(2500, SIDECAR, quota.release(2500), true);
         assertEquals(grantor.lessees(), Set.of());
-        assertFalse(passes(2600));
+        assertFalse(isAdmitted(2600));
     }
 
-    /** A sidecar that gave its lease up and comes back names a grant of before, until the new one has reached it. */
+    /** A sidecar that gave up its lease and comes back reports an earlier grant until the new one has arrived. */
     @Test
-    public void aGrantOnItsWayCountsAlsoForOneThatNamesAnOlderGrant() {
-        lease();
+    public void grantInTransitCountsForASidecarThatReportsAnOlderGrant() {
+        obtainLease();
         renew(2100);
         renew(2200);
         grantor.report(2300, SIDECAR, quota.release(2300), true);
-        LeaseGrant onItsWay = grantor.report(2400, SIDECAR, quota.report(2400, CONTROL_NODE), true);
-        double share = onItsWay.shares().get(0).share();
+        LeaseGrant inTransit = grantor.report(2400, SIDECAR, quota.report(2400, CONTROL_NODE), true);
+        double share = inTransit.shares().get(0).share();
         assertTrue(share > 0);
-        // By then it may have been taken off the disk, so that it is granted nothing more.
+        // The sidecar's entry may have been removed from the disk, so that it is granted nothing more.
         grantor.report(2500, SIDECAR, quota.report(2500, CONTROL_NODE), false);
-        quota.granted(2600, CONTROL_NODE, onItsWay);
+        quota.granted(2600, CONTROL_NODE, inTransit);
         QuotaNeed need = new QuotaNeed(TENANT, 10_000, RULES.allowance(LIMIT, LIMIT), 0, 0);
-        LeaseGrant others = grantor.report(2700, "other", new LeaseReport(9, 1, 0, 0, List.of(need)), true);
-        assertTrue(others.shares().get(0).share() + share <= 1 + 1e-9, "both hold " + others + " and " + share);
+        LeaseGrant otherGrant = grantor.report(2700, "other", new LeaseReport(9, 1, 0, 0, List.of(need)), true);
+        assertTrue(
+                otherGrant.shares().get(0).share() + share <= 1 + 1e-9,
+                "shares of " + otherGrant + " and " + share + " exceed the limit");
     }
 
     @Test
-    public void aReportThatComesLateChangesNothing() {
-        lease();
-        LeaseReport late = quota.report(2100, CONTROL_NODE);
+    public void outdatedReportIsIgnored() {
+        obtainLease();
+        LeaseReport outdated = quota.report(2100, CONTROL_NODE);
         assertTrue(renew(2200) != null);
-        assertEquals(grantor.report(2300, SIDECAR, late, true), null);
+        assertEquals(grantor.report(2300, SIDECAR, outdated, true), null);
     }
 }
--- a/src/test/java/whinlead/mesh/quota/QuotaMesh.java
+++ b/src/test/java/whinlead/mesh/quota/QuotaMesh.java
@@ -12,49 +12,49 @@
 import java.util.TreeMap;
 
 /**
- * Plays a {@link QuotaScenario} with the quota's own classes under a driven clock: sidecars and control nodes whose
- * messages take their time, are cut off, held up or lost, and restart.
+ * Simulates a {@link QuotaScenario} with the classes of the quota package and a simulated clock: messages between
+ * sidecars and control nodes are delayed, blocked or lost, and processes restart.
  */
 final class QuotaMesh {
     private static final String TENANT = "tenant";
     private static final int TICK_MS = 100;
-    /** A cut that lasts longer ends the connection, and what was on its way is lost. */
-    private static final int CONNECTION_LOST_MS = 3000;
-    /** As long as a mark of the reserve stays on a control node's disk. */
+    /** A network cut that lasts longer ends the connection, and messages in transit are lost. */
+    private static final int CONNECTION_TIMEOUT_MS = 3000;
+    /** How long a control node's disk records that the reserve is in use. */
     private static final int RESERVE_WINDOW_MS = (int) LeaseTerms.COUNTED_MS + 6000;
 
     /**
-     * What came of it, by the millisecond in which requests were sent or admitted.
+     * The result, by the millisecond in which requests were sent or admitted.
      *
-     * @param owed requests that one bucket for the whole mesh would have had room for
-     * @param refused of these, how many were refused
-     * @param admitted requests that passed
+     * @param admissible requests that one token bucket for the whole mesh would have admitted
+     * @param refused how many of these were refused
+     * @param admitted all requests that were admitted
      */
-    record Outcome(int[] owed, int[] refused, int[] admitted) {
+    record Outcome(int[] admissible, int[] refused, int[] admitted) {
         static int sum(int[] counts, int fromMs, int toMs) {
             return Arrays.stream(counts, fromMs, Math.min(toMs, counts.length)).sum();
         }
 
-        /** The most that were admitted in any window. */
-        int mostInWindow() {
+        /** The largest number of requests admitted in any window. */
+        int maxInWindow() {
             int windowMs = (int) (QuotaScenario.WINDOW_S * 1000);
             int inWindow = 0;
-            int most = 0;
+            int max = 0;
             for (int ms = 0; ms < admitted.length; ms++) {
                 inWindow += admitted[ms] - (ms >= windowMs ? admitted[ms - windowMs] : 0);
-                most = Math.max(most, inWindow);
+                max = Math.max(max, inWindow);
             }
-            return most;
+            return max;
         }
     }
 
-    /** A fault that is put into the mesh, to see that it is found. */
+    /** A fault that is injected to verify that the check detects it. */
     enum Fault {
         NONE,
-        /** Control nodes forget at a restart who may hold leases. */
+        /** Control nodes lose at a restart the record of the sidecars that may have leases. */
         FORGET_LESSEES,
-        /** A control node with a new disk grants at once. */
-        GRANT_AT_ONCE
+        /** A control node with a new disk grants without waiting. */
+        GRANT_WITHOUT_WAITING
     }
 
     /** A sidecar's process. */
@@ -81,18 +81,21 @@
     private final TreeMap<Integer, List<Runnable>> messages = new TreeMap<>();
     private final Sidecar[] sidecars;
     private final ControlNode[] controlNodes;
-    /** By control node: sidecars that may hold leases, as its disk has it. */
-    private final List<Set<String>> disks = new ArrayList<>();
-    /** By sidecar and control node: counts connections, and when the last message of one arrives. */
-    private final int[][] connections;
+    /** By control node: the sidecars that may have leases, as recorded on its disk. */
+    private final List<Set<String>> recordedLessees = new ArrayList<>();
+    /**
+     * By sidecar and control node: the number of the current connection, and the arrival time of its last message in
+     * each direction.
+     */
+    private final int[][] connectionNumbers;
 
     private final int[][] lastArrivalMs;
-    /** By control node: until when its disk tells that the reserve is in use. */
+    /** By control node: until when its disk records that the reserve is in use. */
     private final int[] reserveUntilMs;
 
     private final Outcome outcome;
-    private int lives;
-    private double wholeBucket;
+    private int lastLife;
+    private double referenceTokens;
 
     private QuotaMesh(QuotaScenario scenario, Fault fault) {
         this.scenario = scenario;
@@ -101,33 +104,33 @@
         this.sidecars = new Sidecar[scenario.sidecars()];
         this.controlNodes = new ControlNode[scenario.controlNodes()];
         this.reserveUntilMs = new int[scenario.controlNodes()];
-        this.connections = new int[sidecars.length][controlNodes.length];
+        this.connectionNumbers = new int[sidecars.length][controlNodes.length];
         this.lastArrivalMs = new int[sidecars.length][2 * controlNodes.length];
-        this.outcome =
-                new Outcome(new int[scenario.lengthMs()], new int[scenario.lengthMs()], new int[scenario.lengthMs()]);
-        this.wholeBucket = scenario.burst();
+        this.outcome = new Outcome(
+                new int[scenario.durationMs()], new int[scenario.durationMs()], new int[scenario.durationMs()]);
+        this.referenceTokens = scenario.burst();
         for (int i = 0; i < sidecars.length; i++) {
             startSidecar(i);
         }
         for (int c = 0; c < controlNodes.length; c++) {
-            disks.add(new HashSet<>());
-            controlNodes[c] = new ControlNode(new QuotaGrantor(0, ++lives, Set.of(), false), 0);
+            recordedLessees.add(new HashSet<>());
+            controlNodes[c] = new ControlNode(new QuotaGrantor(0, ++lastLife, Set.of(), false), 0);
         }
     }
 
-    static Outcome play(QuotaScenario scenario) {
-        return play(scenario, Fault.NONE);
+    static Outcome simulate(QuotaScenario scenario) {
+        return simulate(scenario, Fault.NONE);
     }
 
-    static Outcome play(QuotaScenario scenario, Fault fault) {
-        return new QuotaMesh(scenario, fault).play();
+    static Outcome simulate(QuotaScenario scenario, Fault fault) {
+        return new QuotaMesh(scenario, fault).simulate();
     }
 
-    private Outcome play() {
-        for (int ms = 0; ms < scenario.lengthMs(); ms++) {
-            restart(ms);
+    private Outcome simulate() {
+        for (int ms = 0; ms < scenario.durationMs(); ms++) {
+            applyRestarts(ms);
             deliver(ms);
-            wholeBucket = Math.min(Math.max(1, scenario.burst()), wholeBucket + scenario.limitPerS() / 1000);
+            referenceTokens = Math.min(Math.max(1, scenario.burst()), referenceTokens + scenario.limitPerS() / 1000);
             for (int i = 0; i < sidecars.length; i++) {
                 if (sidecars[i] != null) {
                     runSidecar(i, ms);
@@ -137,56 +140,56 @@
         return outcome;
     }
 
-    private void runSidecar(int i, int ms) {
-        if ((ms + 37 * i) % TICK_MS == 0) {
-            reportWhereDue(i, ms);
+    private void runSidecar(int sidecarIndex, int ms) {
+        if ((ms + 37 * sidecarIndex) % TICK_MS == 0) {
+            sendDueReports(sidecarIndex, ms);
         }
-        double expected = scenario.demandPerS(ms) * scenario.weights()[i] / 1000;
+        double expected = scenario.demandPerS(ms) * scenario.weights()[sidecarIndex] / 1000;
         for (double chance = expected; chance > 0; chance--) {
             if (random.nextDouble() < chance) {
-                request(i, ms);
+                request(sidecarIndex, ms);
             }
         }
     }
 
-    private void request(int i, int ms) {
-        boolean owed = wholeBucket >= 1;
-        wholeBucket -= owed ? 1 : 0;
-        outcome.owed()[ms] += owed ? 1 : 0;
-        TenantQuota quota = sidecars[i].quota;
+    private void request(int sidecarIndex, int ms) {
+        boolean isAdmissible = referenceTokens >= 1;
+        referenceTokens -= isAdmissible ? 1 : 0;
+        outcome.admissible()[ms] += isAdmissible ? 1 : 0;
+        TenantQuota quota = sidecars[sidecarIndex].quota;
         QuotaDecision decision = quota.acquire(ms, TENANT, scenario.limitPerS(), scenario.burst());
         if (decision instanceof QuotaDecision.NeedsToken need) {
-            new Search(i, sidecars[i], need, ms, owed).begin();
+            new Search(sidecarIndex, sidecars[sidecarIndex], need, ms, isAdmissible).begin();
         } else if (decision instanceof QuotaDecision.Refused refused) {
-            refused(owed, ms, refused.retryAfterMs());
+            recordRefusal(isAdmissible, ms, refused.retryAfterMs());
         } else {
             outcome.admitted()[ms]++;
         }
     }
 
-    private void refused(boolean owed, int sentMs, double retryAfterMs) {
+    private void recordRefusal(boolean isAdmissible, int sentMs, double retryAfterMs) {
         assertTrue(
                 retryAfterMs >= 0 && retryAfterMs <= QuotaScenario.WINDOW_S * 1000,
-                "told to come back in " + retryAfterMs + " ms");
-        outcome.refused()[sentMs] += owed ? 1 : 0;
+                "retry-after is " + retryAfterMs + " ms");
+        outcome.refused()[sentMs] += isAdmissible ? 1 : 0;
     }
 
-    /** A request that asks control nodes for a token. */
+    /** A request's search for a token. */
     private final class Search implements TokenSearch.Actions {
         private final int index;
         private final Sidecar sidecar;
         private final QuotaDecision.NeedsToken need;
         private final int sentMs;
-        private final boolean owed;
+        private final boolean isAdmissible;
         private final TokenSearch search;
         private int nowMs;
 
-        private Search(int index, Sidecar sidecar, QuotaDecision.NeedsToken need, int sentMs, boolean owed) {
+        private Search(int index, Sidecar sidecar, QuotaDecision.NeedsToken need, int sentMs, boolean isAdmissible) {
             this.index = index;
             this.sidecar = sidecar;
             this.need = need;
             this.sentMs = sentMs;
-            this.owed = owed;
+            this.isAdmissible = isAdmissible;
             List<String> order = new ArrayList<>();
             for (int c = 0; c < controlNodes.length; c++) {
                 order.add(Integer.toString((c + sentMs) % controlNodes.length));
@@ -195,18 +198,18 @@
         }
 
         private void begin() {
-            after((int) (TokenSearch.MAX_MS * TokenSearch.HEDGE_PART), search::hedge);
-            after((int) TokenSearch.MAX_MS, search::end);
+            runAfter((int) (TokenSearch.MAX_MS * TokenSearch.HEDGE_PART), search::hedge);
+            runAfter((int) TokenSearch.MAX_MS, search::end);
             nowMs = sentMs;
             search.begin();
         }
 
-        private void after(int waitMs, Runnable step) {
-            post(sentMs + waitMs, () -> at(sentMs + waitMs, step));
+        private void runAfter(int waitMs, Runnable step) {
+            post(sentMs + waitMs, () -> runIfAlive(sentMs + waitMs, step));
         }
 
-        // A process that has ended waits for nothing.
-        private void at(int ms, Runnable step) {
+        // Steps of a process that has ended are dropped.
+        private void runIfAlive(int ms, Runnable step) {
             nowMs = ms;
             if (sidecars[index] == sidecar) {
                 step.run();
@@ -215,24 +218,24 @@
 
         @Override
         public void ask(String controlNode) {
-            int c = Integer.parseInt(controlNode);
-            send(index, c, nowMs, true, arrivedMs -> {
-                TokenResponse response =
-                        controlNode(c, arrivedMs).take(arrivedMs, new TokenRequest(1, TENANT, need.allowance()));
+            int nodeIndex = Integer.parseInt(controlNode);
+            send(index, nodeIndex, nowMs, true, arrivedMs -> {
+                TokenResponse response = advanceControlNode(nodeIndex, arrivedMs)
+                        .take(arrivedMs, new TokenRequest(1, TENANT, need.allowance()));
                 send(
                         index,
-                        c,
+                        nodeIndex,
                         arrivedMs,
                         false,
-                        backMs ->
-                                at(backMs, () -> search.answered(controlNode, response.granted(), response.waitMs())));
+                        answeredMs -> runIfAlive(
+                                answeredMs, () -> search.answered(controlNode, response.granted(), response.waitMs())));
             });
         }
 
         @Override
         public void granted() {
             sidecar.quota.tokenGranted(TENANT);
-            if (nowMs < scenario.lengthMs()) {
+            if (nowMs < scenario.durationMs()) {
                 outcome.admitted()[nowMs]++;
             }
         }
@@ -244,93 +247,97 @@
 
         @Override
         public void denied(double waitMs) {
-            refused(owed, sentMs, sidecar.quota.tokenDenied(nowMs, TENANT, waitMs));
+            recordRefusal(isAdmissible, sentMs, sidecar.quota.tokenDenied(nowMs, TENANT, waitMs));
         }
 
         @Override
         public void cancelled() {
-            throw new AssertionError("nobody cancels it");
+            throw new AssertionError("no search is cancelled in this simulation");
         }
     }
 
-    private void reportWhereDue(int i, int ms) {
-        Sidecar sidecar = sidecars[i];
-        double now = ms;
-        boolean hasNews = sidecar.quota.hasNews(now);
+    private void sendDueReports(int sidecarIndex, int ms) {
+        Sidecar sidecar = sidecars[sidecarIndex];
+        double nowMs = ms;
+        boolean hasDemandChanged = sidecar.quota.hasNews(nowMs);
         for (int c = 0; c < controlNodes.length; c++) {
-            boolean hasNeeds = sidecar.quota.hasNeeds(now, "control-" + c);
-            if (sidecar.schedules[c].isDue(now, hasNeeds, hasNews)) {
-                sidecar.schedules[c].sent(now);
-                report(i, c, ms);
+            boolean hasNeeds = sidecar.quota.hasNeeds(nowMs, "control-" + c);
+            if (sidecar.schedules[c].isDue(nowMs, hasNeeds, hasDemandChanged)) {
+                sidecar.schedules[c].sent(nowMs);
+                sendReport(sidecarIndex, c, ms);
             }
         }
     }
 
-    private void report(int i, int c, int ms) {
-        Sidecar sender = sidecars[i];
-        LeaseReport report = sender.quota.report(ms, "control-" + c);
-        send(i, c, ms, true, arrivedMs -> {
-            String name = "sidecar-" + i;
-            boolean recorded = disks.get(c).contains(name);
-            LeaseGrant grant = controlNode(c, arrivedMs).report(arrivedMs, name, report, recorded);
-            // On disk a while later; until then it is told nothing.
-            post(arrivedMs + 5, () -> disks.get(c).add(name));
+    private void sendReport(int sidecarIndex, int nodeIndex, int ms) {
+        Sidecar sender = sidecars[sidecarIndex];
+        LeaseReport report = sender.quota.report(ms, "control-" + nodeIndex);
+        send(sidecarIndex, nodeIndex, ms, true, arrivedMs -> {
+            String name = "sidecar-" + sidecarIndex;
+            boolean recorded = recordedLessees.get(nodeIndex).contains(name);
+            LeaseGrant grant = advanceControlNode(nodeIndex, arrivedMs).report(arrivedMs, name, report, recorded);
+            // The sidecar is recorded on disk a little later; until then it is granted nothing.
+            post(arrivedMs + 5, () -> recordedLessees.get(nodeIndex).add(name));
             if (grant != null) {
-                send(i, c, arrivedMs, false, backMs -> {
-                    if (sidecars[i] == sender) {
-                        sender.quota.granted(backMs, "control-" + c, grant);
+                send(sidecarIndex, nodeIndex, arrivedMs, false, answeredMs -> {
+                    if (sidecars[sidecarIndex] == sender) {
+                        sender.quota.granted(answeredMs, "control-" + nodeIndex, grant);
                     }
                 });
             }
         });
     }
 
-    private QuotaGrantor controlNode(int c, int ms) {
-        ControlNode node = controlNodes[c];
+    private QuotaGrantor advanceControlNode(int nodeIndex, int ms) {
+        ControlNode node = controlNodes[nodeIndex];
         node.grantor().advance(ms, ms >= node.grantsFromMs() ? 1.0 / controlNodes.length : 0);
         return node.grantor();
     }
 
     private interface Arrival {
-        void at(int ms);
+        void onArrival(int ms);
     }
 
-    // In order, on a connection that a long cut or a restart ends; what a short cut holds up comes when that is over.
-    private void send(int i, int c, int ms, boolean toControlNode, Arrival arrival) {
+    // Messages arrive in order, on a connection that a long cut or a restart ends; messages blocked by a short cut
+    // arrive when it is over.
+    private void send(int sidecarIndex, int nodeIndex, int ms, boolean toControlNode, Arrival arrival) {
         if (random.nextDouble() < scenario.lossShare()) {
             return;
         }
-        int connection = connections[i][c];
-        int direction = 2 * c + (toControlNode ? 0 : 1);
+        int connection = connectionNumbers[sidecarIndex][nodeIndex];
+        int direction = 2 * nodeIndex + (toControlNode ? 0 : 1);
         int arriveMs = Math.max(
-                lastArrivalMs[i][direction],
+                lastArrivalMs[sidecarIndex][direction],
                 ms + scenario.minDelayMs() + random.nextInt(scenario.maxDelayMs() - scenario.minDelayMs() + 1));
-        int heldFrom = arriveMs;
-        while (!scenario.reaches(i, c, arriveMs)) {
+        int blockedFromMs = arriveMs;
+        while (!scenario.isReachable(sidecarIndex, nodeIndex, arriveMs)) {
             arriveMs++;
         }
-        boolean broken = arriveMs - heldFrom > CONNECTION_LOST_MS;
-        lastArrivalMs[i][direction] = arriveMs;
-        int finalMs = arriveMs;
-        post(finalMs, () -> {
-            if (!broken && connections[i][c] == connection && sidecars[i] != null && controlNodes[c] != null) {
-                arrival.at(finalMs);
-            } else if (broken && connections[i][c] == connection) {
-                reconnect(i, c);
+        boolean isConnectionLost = arriveMs - blockedFromMs > CONNECTION_TIMEOUT_MS;
+        lastArrivalMs[sidecarIndex][direction] = arriveMs;
+        int arrivalMs = arriveMs;
+        post(arrivalMs, () -> {
+            if (!isConnectionLost
+                    && connectionNumbers[sidecarIndex][nodeIndex] == connection
+                    && sidecars[sidecarIndex] != null
+                    && controlNodes[nodeIndex] != null) {
+                arrival.onArrival(arrivalMs);
+            } else if (isConnectionLost && connectionNumbers[sidecarIndex][nodeIndex] == connection) {
+                reconnect(sidecarIndex, nodeIndex);
             }
         });
     }
 
-    private void reconnect(int i, int c) {
-        connections[i][c]++;
-        if (sidecars[i] != null) {
-            sidecars[i].quota.connected("control-" + c);
-            sidecars[i].schedules[c].connected();
+    private void reconnect(int sidecarIndex, int nodeIndex) {
+        connectionNumbers[sidecarIndex][nodeIndex]++;
+        if (sidecars[sidecarIndex] != null) {
+            sidecars[sidecarIndex].quota.connected("control-" + nodeIndex);
+            sidecars[sidecarIndex].schedules[nodeIndex].connected();
         }
     }
 
     private void post(int atMs, Runnable message) {
-        messages.computeIfAbsent(atMs, at -> new ArrayList<>()).add(message);
+        messages.computeIfAbsent(atMs, time -> new ArrayList<>()).add(message);
     }
 
     private void deliver(int ms) {
@@ -340,7 +347,7 @@
         }
     }
 
-    private void restart(int ms) {
+    private void applyRestarts(int ms) {
         for (QuotaScenario.Restart restart : scenario.restarts()) {
             if (ms == restart.fromMs()) {
                 stop(restart);
@@ -371,19 +378,19 @@
             return;
         }
         if (!restart.keepsDisk()) {
-            disks.set(index, new HashSet<>());
+            recordedLessees.set(index, new HashSet<>());
         }
-        Set<String> earlier = fault == Fault.FORGET_LESSEES ? Set.of() : Set.copyOf(disks.get(index));
-        int waitMs = restart.keepsDisk() || fault == Fault.GRANT_AT_ONCE ? 0 : (int) LeaseTerms.SETTLED_MS;
+        Set<String> earlier = fault == Fault.FORGET_LESSEES ? Set.of() : Set.copyOf(recordedLessees.get(index));
+        int waitMs = restart.keepsDisk() || fault == Fault.GRANT_WITHOUT_WAITING ? 0 : (int) LeaseTerms.SETTLED_MS;
         boolean hasReserve = !earlier.isEmpty() && ms >= reserveUntilMs[index];
         if (hasReserve) {
             reserveUntilMs[index] = ms + RESERVE_WINDOW_MS;
         }
-        QuotaGrantor grantor = new QuotaGrantor(ms, ++lives, earlier, hasReserve);
+        QuotaGrantor grantor = new QuotaGrantor(ms, ++lastLife, earlier, hasReserve);
         controlNodes[index] = new ControlNode(grantor, ms + waitMs);
     }
 
-    private void startSidecar(int i) {
-        sidecars[i] = new Sidecar(new TenantQuota(rules, ++lives), scenario.controlNodes());
+    private void startSidecar(int index) {
+        sidecars[index] = new Sidecar(new TenantQuota(rules, ++lastLife), scenario.controlNodes());
     }
 }
--- a/src/test/java/whinlead/mesh/quota/QuotaRuleTest.java
+++ b/src/test/java/whinlead/mesh/quota/QuotaRuleTest.java
@@ -7,50 +7,51 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The users' rule QUOTA over whole days: no tenant gets more than its limit allows, whatever happens to the mesh. */
+/** The rule QUOTA over whole scenarios: no tenant gets more than its limit allows, whatever faults occur. */
 public class QuotaRuleTest {
     private static final int INCIDENT_SEEDS = 20;
-    private static final int DRAWN_DAYS = 200;
-    private static final int FAULT_DAYS = 20;
+    private static final int RANDOM_SEEDS = 200;
+    private static final int FAULT_SEEDS = 20;
 
     @Test
-    public void onTheDayOfIncidentInc1TheTenantGetsNoMoreThanItsLimit() {
+    public void incidentInc1StaysWithinTheLimit() {
         for (long seed = 0; seed < INCIDENT_SEEDS; seed++) {
-            check(QuotaScenario.ofIncident(seed, true, true));
+            assertWithinLimit(QuotaScenario.incidentInc1(seed, true, true));
         }
     }
 
     @Test
-    public void onAnyDayTheTenantGetsNoMoreThanItsLimit() {
-        for (long seed = 0; seed < DRAWN_DAYS; seed++) {
-            check(QuotaScenario.draw(seed));
+    public void randomScenariosStayWithinTheLimit() {
+        for (long seed = 0; seed < RANDOM_SEEDS; seed++) {
+            assertWithinLimit(QuotaScenario.random(seed));
         }
     }
 
-    /** The check is checked: what leases rest on, taken away, is found within a few days. */
+    /** Verifies the check itself: with a safeguard of the leases removed, it must fail within a few scenarios. */
     @Test(dataProvider = "faults")
-    public void aFaultInTheLeasesIsFound(QuotaMesh.Fault fault) {
-        for (long seed = 0; seed < FAULT_DAYS; seed++) {
+    public void injectedFaultIsDetected(QuotaMesh.Fault fault) {
+        for (long seed = 0; seed < FAULT_SEEDS; seed++) {
             boolean keepsDisk = fault == QuotaMesh.Fault.FORGET_LESSEES;
-            QuotaScenario scenario = QuotaScenario.drawRestartBehindACut(seed, keepsDisk);
-            check(scenario);
-            if (QuotaMesh.play(scenario, fault).mostInWindow() > scenario.allowed()) {
+            QuotaScenario scenario = QuotaScenario.randomRestartDuringCut(seed, keepsDisk);
+            assertWithinLimit(scenario);
+            if (QuotaMesh.simulate(scenario, fault).maxInWindow() > scenario.maxPerWindow()) {
                 return;
             }
         }
-        fail(fault + " was not found on " + FAULT_DAYS + " days");
+        fail(fault + " was not detected in " + FAULT_SEEDS + " scenarios");
     }
 
-    /** All faults but none. */
+    /** All faults except {@code NONE}. */
     @DataProvider
     public Object[] faults() {
         return EnumSet.complementOf(EnumSet.of(QuotaMesh.Fault.NONE)).toArray();
     }
 
-    private static void check(QuotaScenario scenario) {
-        QuotaMesh.Outcome outcome = QuotaMesh.play(scenario);
+    private static void assertWithinLimit(QuotaScenario scenario) {
+        QuotaMesh.Outcome outcome = QuotaMesh.simulate(scenario);
         assertTrue(
-                outcome.mostInWindow() <= scenario.allowed(),
-                outcome.mostInWindow() + " in a window, allowed " + scenario.allowed() + ", seed " + scenario.seed());
+                outcome.maxInWindow() <= scenario.maxPerWindow(),
+                outcome.maxInWindow() + " in a window, allowed " + scenario.maxPerWindow() + ", seed "
+                        + scenario.seed());
     }
 }
--- a/src/test/java/whinlead/mesh/quota/QuotaScenario.java
+++ b/src/test/java/whinlead/mesh/quota/QuotaScenario.java
@@ -5,18 +5,18 @@
 import java.util.Random;
 
 /**
- * What happens to one tenant and to the processes that hold its limit, in milliseconds from the start. Drawn from a
- * seed, or written out.
+ * The demand of one tenant and the faults of the processes that enforce its limit, in milliseconds from the start.
+ * Drawn from a seed or fixed.
  *
  * @param limitPerS the tenant's limit
- * @param usualPerS what it asks for in calm times
- * @param surges when it asks for more
- * @param weights the part of its requests that begins at each sidecar; they add up to 1
- * @param cuts when sidecars and control nodes can't reach each other
+ * @param usualPerS its demand outside of surges
+ * @param surges times of higher or lower demand
+ * @param weights the fraction of its requests that starts at each sidecar; they add up to 1
+ * @param cuts times at which sidecars and control nodes can't reach each other
  * @param restarts of processes
- * @param minDelayMs the shortest way of a message
- * @param maxDelayMs the longest way of a message
- * @param lossShare of messages, how many a broken connection loses
+ * @param minDelayMs the shortest delay of a message
+ * @param maxDelayMs the longest delay of a message
+ * @param lossShare fraction of messages that are lost
  */
 record QuotaScenario(
         long seed,
@@ -32,14 +32,14 @@
         int minDelayMs,
         int maxDelayMs,
         double lossShare,
-        int lengthMs) {
+        int durationMs) {
     static final double WINDOW_S = 5;
     static final double EXCESS = 0.1;
     static final double SLACK = 20;
-    /** A tenant's limit is this many times what it usually asks for. */
-    static final double LIMIT_OF_USUAL = 1.6;
+    /** A tenant's limit as a multiple of its usual demand. */
+    static final double LIMIT_TO_USUAL_RATIO = 1.6;
 
-    /** For a time, the tenant asks for so many times its usual. */
+    /** For a time, the tenant's demand is its usual one times this factor. */
     record Surge(int fromMs, int toMs, double factor) {}
 
     /** For a time, this sidecar can't reach this control node; -1 stands for all of them. */
@@ -52,15 +52,15 @@
         }
     }
 
-    /** A process is down for a time and starts anew, with its disk or without. */
+    /** A process is down for a time and starts again, with or without its disk. */
     record Restart(boolean isControlNode, int index, int fromMs, int toMs, boolean keepsDisk) {}
 
-    /** The most requests that the users' rule allows in any window. */
-    double allowed() {
+    /** The most requests that the rule QUOTA allows in any window. */
+    double maxPerWindow() {
         return (limitPerS * WINDOW_S + burst) * (1 + EXCESS) + SLACK;
     }
 
-    boolean reaches(int sidecar, int controlNode, int ms) {
+    boolean isReachable(int sidecar, int controlNode, int ms) {
         return cuts.stream().noneMatch(cut -> cut.separates(sidecar, controlNode, ms));
     }
 
@@ -74,8 +74,8 @@
         return usualPerS * factor;
     }
 
-    /** The day of incident inc1: three of nine sidecars are cut off, then the tenant asks for 7.5 times its usual. */
-    static QuotaScenario ofIncident(long seed, boolean cut, boolean surge) {
+    /** Incident inc1: three of nine sidecars are cut off, then the tenant's demand rises to 7.5 times its usual one. */
+    static QuotaScenario incidentInc1(long seed, boolean cut, boolean surge) {
         List<Cut> cuts = new ArrayList<>();
         for (int sidecar : cut ? new int[] {1, 6, 8} : new int[0]) {
             cuts.add(new Cut(sidecar, -1, 11_200, 16_700));
@@ -88,7 +88,7 @@
                 3,
                 35,
                 35,
-                35 / LIMIT_OF_USUAL,
+                35 / LIMIT_TO_USUAL_RATIO,
                 surge ? List.of(new Surge(13_000, 19_500, 7.5)) : List.of(),
                 weights,
                 cuts,
@@ -99,12 +99,12 @@
                 26_000);
     }
 
-    /** Any day: sizes, demand, cuts, restarts and delays are drawn. */
-    static QuotaScenario draw(long seed) {
+    /** A random scenario: sizes, demand, cuts, restarts and delays are drawn. */
+    static QuotaScenario random(long seed) {
         Random random = new Random(seed);
         int sidecars = 2 + random.nextInt(random.nextInt(4) == 0 ? 70 : 14);
         int controlNodes = random.nextBoolean() ? 3 : 5;
-        // On some days the tenant always asks for more than it may: then every token counts.
+        // In some scenarios the demand is always above the limit, so that every token counts.
         boolean saturated = random.nextInt(3) == 0;
         double[] limits = {1, 3, 8, 20, 35, 90, 130, 300};
         double limitPerS = limits[random.nextInt(limits.length)];
@@ -123,7 +123,7 @@
                 controlNodes,
                 limitPerS,
                 random.nextInt(4) == 0 ? 0 : limitPerS,
-                limitPerS / LIMIT_OF_USUAL * (saturated ? 6 : 0.2 + random.nextDouble() * 1.5),
+                limitPerS / LIMIT_TO_USUAL_RATIO * (saturated ? 6 : 0.2 + random.nextDouble() * 1.5),
                 surges,
                 weights(random, sidecars),
                 cuts(random, sidecars, controlNodes, lengthMs),
@@ -135,10 +135,10 @@
     }
 
     /**
-     * A tenant that always asks for more than it may, some sidecars cut off, and all control nodes started anew
-     * meanwhile: those cut off hold leases that no control node's process remembers.
+     * A tenant whose demand is always above its limit, some sidecars cut off, and all control nodes restarted during
+     * the cut: the sidecars cut off have leases that no control node's process knows.
      */
-    static QuotaScenario drawRestartBehindACut(long seed, boolean keepsDisk) {
+    static QuotaScenario randomRestartDuringCut(long seed, boolean keepsDisk) {
         Random random = new Random(seed);
         int sidecars = 6 + random.nextInt(8);
         int cutFromMs = 8000 + random.nextInt(1000);
@@ -187,9 +187,9 @@
         for (int i = random.nextInt(5); i > 0; i--) {
             int fromMs = random.nextInt(lengthMs);
             int toMs = fromMs + random.nextInt(12_000);
-            boolean whole = random.nextBoolean();
-            int controlNode = whole ? -1 : random.nextInt(controlNodes);
-            // A part of the sidecars at once.
+            boolean cutsAllNodes = random.nextBoolean();
+            int controlNode = cutsAllNodes ? -1 : random.nextInt(controlNodes);
+            // A random subset of the sidecars is cut off at the same time.
             double share = random.nextDouble();
             for (int sidecar = 0; sidecar < sidecars; sidecar++) {
                 if (random.nextDouble() < share) {
@@ -205,14 +205,14 @@
         for (int i = random.nextInt(5); i > 0; i--) {
             int fromMs = random.nextInt(lengthMs);
             int toMs = fromMs + 200 + random.nextInt(4000);
-            boolean all = random.nextInt(4) == 0;
-            boolean controlNode = random.nextBoolean();
+            boolean restartsAll = random.nextInt(4) == 0;
+            boolean isControlNode = random.nextBoolean();
             boolean keepsDisk = random.nextInt(3) != 0;
-            int count = controlNode ? controlNodes : sidecars;
-            int only = random.nextInt(count);
+            int count = isControlNode ? controlNodes : sidecars;
+            int singleIndex = random.nextInt(count);
             for (int index = 0; index < count; index++) {
-                if (all || index == only) {
-                    restarts.add(new Restart(controlNode, index, fromMs, toMs, keepsDisk));
+                if (restartsAll || index == singleIndex) {
+                    restarts.add(new Restart(isControlNode, index, fromMs, toMs, keepsDisk));
                 }
             }
         }
--- a/src/test/java/whinlead/mesh/quota/TenantQuotaTest.java
+++ b/src/test/java/whinlead/mesh/quota/TenantQuotaTest.java
@@ -11,141 +11,161 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What tenants get where there are many sidecars and few requests of each tenant at one of them. */
+/** Admitted requests of tenants with many sidecars and few requests at each of them. */
 public class TenantQuotaTest {
-    private static final int NODES = 63;
-    /** Of its limit, what a tenant usually asks for; and how many times as much when it is hot. */
-    private static final double USUAL = 1 / 1.6;
+    private static final int SIDECARS = 63;
+    /** A tenant's usual demand as a fraction of its limit, and the factor by which a hot tenant's demand rises. */
+    private static final double USUAL_FRACTION = 1 / 1.6;
 
-    private static final double HOT = 9.6;
-    /** One client asks for so many a second. */
-    private static final double CLIENT = 1.4;
+    private static final double HOT_FACTOR = 9.6;
+    /** Requests a second of one client. */
+    private static final double CLIENT_PER_S = 1.4;
 
-    private static final int BEGINS = 15_000;
-    private static final int HOT_AT = 27_000;
-    private static final int COOL_AT = 33_500;
-    private static final int END = 39_000;
-    private static final int STEADY_FROM = 12_000;
-    private static final int STEADY_END = 17_000;
+    private static final int DEMAND_FROM_MS = 15_000;
+    private static final int HOT_FROM_MS = 27_000;
+    private static final int HOT_TO_MS = 33_500;
+    private static final int DURATION_MS = 39_000;
+    private static final int STEADY_FROM_MS = 12_000;
+    private static final int STEADY_TO_MS = 17_000;
     private static final int CONTROL_NODES = 5;
-    /** Of a message on its way. */
+    /** Delay of a message in one direction. */
     private static final int MAX_DELAY_MS = 79;
 
     private static final int MIN_DELAY_MS = 20;
 
     @Test
-    public void ofATenantWithinItsLimitFewAreRefusedAndNoneGetsMoreThanTheRulesGive() {
+    public void fewRequestsWithinTheLimitAreRefusedAndNoTenantExceedsTheRules() {
         for (double limit : new double[] {3, 8, 20, 100, 300}) {
-            for (boolean spread : new boolean[] {false, true}) {
-                int asked = 0;
+            for (boolean isSpread : new boolean[] {false, true}) {
+                int admissible = 0;
                 int refused = 0;
                 for (int seed = 0; seed < 4; seed++) {
-                    QuotaScenario day = day(limit, spread, seed);
-                    QuotaMesh.Outcome outcome = QuotaMesh.play(day);
-                    asked += QuotaMesh.Outcome.sum(outcome.owed(), 0, HOT_AT);
-                    refused += QuotaMesh.Outcome.sum(outcome.refused(), 0, HOT_AT);
-                    double worstOfBound = outcome.mostInWindow() / day.allowed();
-                    assertTrue(worstOfBound <= 1, worstOfBound + " of the bound, limit " + limit);
+                    QuotaScenario scenario = hotTenantScenario(limit, isSpread, seed);
+                    QuotaMesh.Outcome outcome = QuotaMesh.simulate(scenario);
+                    admissible += QuotaMesh.Outcome.sum(outcome.admissible(), 0, HOT_FROM_MS);
+                    refused += QuotaMesh.Outcome.sum(outcome.refused(), 0, HOT_FROM_MS);
+                    double partOfBound = outcome.maxInWindow() / scenario.maxPerWindow();
+                    assertTrue(partOfBound <= 1, partOfBound + " of the bound, limit " + limit);
                 }
                 assertTrue(
-                        refused <= asked * 0.06 + 1,
-                        refused + " of " + asked + " refused, limit " + limit
-                                + (spread ? ", at all sidecars alike" : ", of few clients"));
+                        refused <= admissible * 0.06 + 1,
+                        refused + " of " + admissible + " refused, limit " + limit
+                                + (isSpread ? ", spread over all sidecars" : ", from few clients"));
             }
         }
     }
 
-    // Twelve usual seconds, then a hot tenant; each message takes its time to the control node and back.
-    private static QuotaScenario day(double limit, boolean spread, int seed) {
+    // Twelve seconds of usual demand, then a hot tenant; each message is delayed on the way to the control node and
+    // back.
+    private static QuotaScenario hotTenantScenario(double limit, boolean isSpread, int seed) {
         Random random = new Random(seed);
-        double usual = limit * USUAL;
-        double[] split = new double[NODES];
-        int clients = spread ? NODES : (int) Math.max(1, Math.round(usual / CLIENT));
+        double usualPerS = limit * USUAL_FRACTION;
+        double[] weights = new double[SIDECARS];
+        int clients = isSpread ? SIDECARS : (int) Math.max(1, Math.round(usualPerS / CLIENT_PER_S));
         for (int i = 0; i < clients; i++) {
-            split[spread ? i : random.nextInt(NODES)] += 1.0 / clients;
+            weights[isSpread ? i : random.nextInt(SIDECARS)] += 1.0 / clients;
         }
         return new QuotaScenario(
                 seed,
-                NODES,
+                SIDECARS,
                 CONTROL_NODES,
                 limit,
                 limit,
-                usual,
-                List.of(new QuotaScenario.Surge(0, BEGINS, 0), new QuotaScenario.Surge(HOT_AT, COOL_AT, HOT)),
-                split,
+                usualPerS,
+                List.of(
+                        new QuotaScenario.Surge(0, DEMAND_FROM_MS, 0),
+                        new QuotaScenario.Surge(HOT_FROM_MS, HOT_TO_MS, HOT_FACTOR)),
+                weights,
                 List.of(),
                 List.of(),
                 MIN_DELAY_MS,
                 MAX_DELAY_MS,
                 0,
-                END);
+                DURATION_MS);
     }
 
     @Test
-    public void partsOfALimitAddUpToItWhereverTheRequestsAre() {
+    public void admittedRequestsAddUpToTheLimitForAnyDistribution() {
         double limit = 60;
         int sidecars = 10;
-        for (double[] split : List.of(even(sidecars), all(sidecars), rest(sidecars))) {
-            for (double times : new double[] {0.5, 0.95, 8}) {
-                QuotaScenario day = steady(limit, split, limit * times, 1000 + (int) (times * 10));
-                int got = QuotaMesh.Outcome.sum(QuotaMesh.play(day).admitted(), STEADY_FROM, STEADY_END);
-                double asked = limit * times * QuotaScenario.WINDOW_S;
-                assertTrue(got <= day.allowed(), got + " of at most " + day.allowed());
-                // No part of the limit goes begging while requests for it are refused.
-                assertTrue(got >= Math.min(asked, limit * QuotaScenario.WINDOW_S) * 0.9, got + " of " + asked);
+        for (double[] weights : List.of(evenWeights(sidecars), allAtFirst(sidecars), nearlyNoneAtFirst(sidecars))) {
+            for (double demandFactor : new double[] {0.5, 0.95, 8}) {
+                QuotaScenario scenario =
+                        steadyScenario(limit, weights, limit * demandFactor, 1000 + (int) (demandFactor * 10));
+                int admitted =
+                        QuotaMesh.Outcome.sum(QuotaMesh.simulate(scenario).admitted(), STEADY_FROM_MS, STEADY_TO_MS);
+                double demandInWindow = limit * demandFactor * QuotaScenario.WINDOW_S;
+                assertTrue(admitted <= scenario.maxPerWindow(), admitted + " of at most " + scenario.maxPerWindow());
+                // No part of the limit may stay unused while requests for it are refused.
+                assertTrue(
+                        admitted >= Math.min(demandInWindow, limit * QuotaScenario.WINDOW_S) * 0.9,
+                        admitted + " of " + demandInWindow);
             }
         }
     }
 
-    private static double[] even(int n) {
-        double[] d = new double[n];
-        Arrays.fill(d, 1.0 / n);
-        return d;
+    private static double[] evenWeights(int sidecars) {
+        double[] weights = new double[sidecars];
+        Arrays.fill(weights, 1.0 / sidecars);
+        return weights;
     }
 
-    private static double[] all(int n) {
-        double[] d = new double[n];
-        d[0] = 1;
-        return d;
+    private static double[] allAtFirst(int sidecars) {
+        double[] weights = new double[sidecars];
+        weights[0] = 1;
+        return weights;
     }
 
-    private static double[] rest(int n) {
-        double[] d = new double[n];
-        Arrays.fill(d, 0.99 / (n - 1));
-        d[0] = 0.01;
-        return d;
+    private static double[] nearlyNoneAtFirst(int sidecars) {
+        double[] weights = new double[sidecars];
+        Arrays.fill(weights, 0.99 / (sidecars - 1));
+        weights[0] = 0.01;
+        return weights;
     }
 
-    // Some seconds of the same, and a window more.
-    private static QuotaScenario steady(double limit, double[] split, double perS, int seed) {
+    // Constant demand for some seconds and one window more.
+    private static QuotaScenario steadyScenario(double limit, double[] weights, double perS, int seed) {
         return new QuotaScenario(
-                seed, split.length, 3, limit, limit, perS, List.of(), split, List.of(), List.of(), 1, 3, 0, STEADY_END);
+                seed,
+                weights.length,
+                3,
+                limit,
+                limit,
+                perS,
+                List.of(),
+                weights,
+                List.of(),
+                List.of(),
+                1,
+                3,
+                0,
+                STEADY_TO_MS);
     }
 
     @Test
-    public void aSumIsOfWhatEachSaidLastAndNamesWhatOthersAreAskedFor() {
-        DemandTotals sum = new DemandTotals();
+    public void demandTotalsAddUpTheLastReportOfEachSidecar() {
+        DemandTotals totals = new DemandTotals();
         Random random = new Random(9);
-        Map<String, Map<String, Double>> last = new HashMap<>();
+        Map<String, Map<String, Double>> lastReports = new HashMap<>();
         for (int i = 0; i < 2000; i++) {
             String node = "n" + random.nextInt(9);
-            Map<String, Double> said = new HashMap<>();
-            for (int k = random.nextInt(4); k > 0; k--) {
-                said.put("t" + random.nextInt(6), random.nextDouble() * 100);
+            Map<String, Double> report = new HashMap<>();
+            for (int remaining = random.nextInt(4); remaining > 0; remaining--) {
+                report.put("t" + random.nextInt(6), random.nextDouble() * 100);
             }
-            last.put(node, said);
-            List<TenantDemand> uses = new ArrayList<>();
-            said.forEach((tenant, perS) -> uses.add(new TenantDemand(tenant, perS)));
-            sum.report(i, node, uses);
-            Map<String, Double> want = new HashMap<>();
-            last.values().forEach(m -> m.forEach((t, perS) -> want.merge(t, perS, Double::sum)));
-            Map<String, Double> have = new HashMap<>();
-            sum.totalsFor(node).forEach(u -> have.put(u.tenant(), u.perSecond()));
-            assertEquals(have.keySet(), want.keySet());
-            want.forEach((t, perS) -> assertEquals(have.get(t), perS, 1e-6));
+            lastReports.put(node, report);
+            List<TenantDemand> demands = new ArrayList<>();
+            report.forEach((tenant, perS) -> demands.add(new TenantDemand(tenant, perS)));
+            totals.report(i, node, demands);
+            Map<String, Double> expected = new HashMap<>();
+            lastReports.values().forEach(m -> m.forEach((t, perS) -> expected.merge(t, perS, Double::sum)));
+            Map<String, Double> actual = new HashMap<>();
+            totals.totalsFor(node).forEach(u -> actual.put(u.tenant(), u.perSecond()));
+            assertEquals(actual.keySet(), expected.keySet());
+            expected.forEach((t, perS) -> assertEquals(actual.get(t), perS, 1e-6));
         }
-        sum.report(9000, "n0", List.of());
-        assertEquals(sum.reportingNodes(), 1);
-        assertTrue(sum.totalsFor("n0").isEmpty(), "what was said long ago counts no more");
+        totals.report(9000, "n0", List.of());
+        assertEquals(totals.reportingNodes(), 1);
+        assertTrue(totals.totalsFor("n0").isEmpty(), "outdated reports still count");
     }
 }
--- a/src/test/java/whinlead/mesh/quota/TokenSearchTest.java
+++ b/src/test/java/whinlead/mesh/quota/TokenSearchTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void oneAfterTheOtherIsAskedWhereEachHasRoomForTokens() {
+    public void nodesWithDeepBucketsAreAskedOneAfterAnother() {
         TokenSearch search = begin(DEEP);
         search.answered("a", false, 30);
         search.answered("b", true, 0);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void twoAreAskedAtOnceWhereOneIsOftenEmptyAndTheTokenTooManyGoesBack() {
+    public void twoNodesWithShallowBucketsAreAskedAtOnceAndTheSurplusTokenIsReturned() {
         TokenSearch search = begin(SHALLOW);
         search.answered("b", true, 0);
         search.answered("a", true, 0);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    public void aTokenThatComesAfterTheTimeIsUpGoesBack() {
+    public void tokenThatArrivesAfterTheTimeLimitIsReturned() {
         TokenSearch search = begin(DEEP);
         search.hedge();
         search.end();
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void itEndsWithTheShortestWaitOnceAllHaveRefused() {
+    public void searchEndsWithTheShortestWaitOnceAllNodesHaveRefused() {
         TokenSearch search = begin(DEEP);
         search.answered("a", false, 40);
         search.answered("b", false, 20);
