--- a/src/main/java/whinlead/mesh/keys/FenceCounter.java
+++ b/src/main/java/whinlead/mesh/keys/FenceCounter.java
@@ -1,29 +1,29 @@
 package whinlead.mesh.keys;
 
-/** Gives fences: each is higher than all before it in this term, and those of all earlier terms. One thread. */
+/** Generates fences: each is higher than all before it in this term and than those of all earlier terms. One thread. */
 public final class FenceCounter {
-    /** Fences that one term has room for; a whole number up to 2^53 must hold epoch and count. */
-    private static final int FENCES_A_TERM = 1 << 20;
+    /** Fences per term. Epoch and counter together must fit into an integer up to 2^53. */
+    private static final int FENCES_PER_TERM = 1 << 20;
 
     private final long epoch;
-    private int given;
+    private int issued;
 
-    /** The fences of a term. */
+    /** Creates the counter of a term. */
     public FenceCounter(long epoch) {
         this.epoch = epoch;
     }
 
-    /** The next one. */
+    /** The next fence. */
     public long next() {
-        if (isSpent()) {
-            throw new IllegalStateException("no fence is left in epoch " + epoch);
+        if (isExhausted()) {
+            throw new IllegalStateException("no fence left in epoch " + epoch);
         }
-        return epoch * FENCES_A_TERM + given++;
+        return epoch * FENCES_PER_TERM + issued++;
     }
 
-    /** Whether none is left in this term. */
-    public boolean isSpent() {
-        return given >= FENCES_A_TERM;
+    /** Whether no fence is left in this term. */
+    public boolean isExhausted() {
+        return issued >= FENCES_PER_TERM;
     }
 
     /** The term's epoch. */
--- a/src/main/java/whinlead/mesh/keys/GrantCall.java
+++ b/src/main/java/whinlead/mesh/keys/GrantCall.java
@@ -1,9 +1,9 @@
 package whinlead.mesh.keys;
 
 /**
- * The endpoint is to be granted these keys now, or to have them for longer.
+ * A call that grants the endpoint these keys, or extends its grant.
  *
- * @param holdMs for how long, by the endpoint's clock, from when it arrives
- * @param handoff of the endpoint before; empty where there is none
+ * @param holdMs duration of the grant by the endpoint's clock, from when the call arrives
+ * @param handoff of the previous endpoint; empty if there is none
  */
 public record GrantCall(KeyRange range, long fence, double holdMs, String handoff) {}
--- a/src/main/java/whinlead/mesh/keys/KeyBalancer.java
+++ b/src/main/java/whinlead/mesh/keys/KeyBalancer.java
@@ -7,75 +7,86 @@
 import java.util.Map;
 
 /**
- * Which keys go to which node: by capacity at first, then by load. Keys move for a reason only, as each move costs: a
- * node that leaves is emptied, one that comes gets a part, and one that is far busier than the others gives some away,
- * those first that have most load by key. Pure; one thread.
+ * Assigns keys to nodes: by capacity at first, then by load. Keys move only for a reason, because each move has a cost:
+ * a leaving node gives up all its keys, a joining one gets some, and a node with far more load than the others gives
+ * some away, those with the most load per key first. Pure; one thread.
  */
 final class KeyBalancer {
-    /** A busy node gives keys away if it is also so many times as busy as the mean. */
-    private static final double BUSIER = 1.35;
-    /** Down to so many times the mean; and who takes them is not brought over that. */
-    private static final double LEVEL = 1.1;
-    /** A node that comes gets its first keys after so long, so that those that come together share. */
-    private static final double JOIN_MS = 600;
-    /** A node from which keys have gone is left alone for so long, until its figures show it. */
-    private static final double REST_MS = 1200;
-    /** Nodes that give keys away for their load at the same time, as a part of all. */
-    private static final double DONORS_PART = 0.15;
-    /** Parts with less than this of their owner's load by key stay: many keys would move for little. */
-    private static final double USUAL_DENSITY = 0.9;
-    /** Free keys without known load are cut into so many parts at most. */
+    /** A busy node gives keys away if its utilization is also at least this many times the mean. */
+    private static final double MIN_DONOR_RATIO = 1.35;
+    /**
+     * A node gives keys away until its utilization is this many times the mean; the receiving node is not brought above
+     * that.
+     */
+    private static final double TARGET_RATIO = 1.1;
+    /** Delay before a joining node gets its first keys, so that nodes that join together get equal parts. */
+    private static final double JOIN_DELAY_MS = 600;
+    /**
+     * After keys were moved from a node, no more are moved from it for this time, until its reports show the effect.
+     */
+    private static final double COOLDOWN_MS = 1200;
+    /** The fraction of all nodes that give keys away for their load at the same time. */
+    private static final double MAX_DONORS_FRACTION = 0.15;
+    /**
+     * Parts whose load per key is below this fraction of their owner's mean are not moved: many keys would move for
+     * little load.
+     */
+    private static final double MIN_DENSITY_RATIO = 0.9;
+    /** Free keys without known load are split into at most this many parts. */
     private static final int MAX_PARTS = 4;
 
-    /** The first time: each node gets keys by its capacity. */
-    Map<KeyRange, String> shareOut(Map<String, KeyNode> nodes) {
-        double total = nodes.values().stream().mapToInt(KeyNode::capacity).sum();
-        Map<KeyRange, String> parts = new LinkedHashMap<>();
-        double sum = 0;
-        int from = 0;
+    /** The initial assignment: each node gets keys in proportion to its capacity. */
+    Map<KeyRange, String> assignInitially(Map<String, KeyNode> nodes) {
+        double totalCapacity =
+                nodes.values().stream().mapToInt(KeyNode::capacity).sum();
+        Map<KeyRange, String> assignment = new LinkedHashMap<>();
+        double assignedCapacity = 0;
+        int firstKey = 0;
         for (Map.Entry<String, KeyNode> each : nodes.entrySet()) {
-            sum += each.getValue().capacity();
-            int to = (int) Math.round(sum / total * (KeyRange.MAX_KEY + 1)) - 1;
-            if (to >= from) {
-                parts.put(new KeyRange(from, to), each.getKey());
-                from = to + 1;
+            assignedCapacity += each.getValue().capacity();
+            int lastKey = (int) Math.round(assignedCapacity / totalCapacity * (KeyRange.MAX_KEY + 1)) - 1;
+            if (lastKey >= firstKey) {
+                assignment.put(new KeyRange(firstKey, lastKey), each.getKey());
+                firstKey = lastKey + 1;
             }
         }
-        return parts;
+        return assignment;
     }
 
-    /** Who gets these free keys: the least busy, in parts where they are many. */
-    Map<KeyRange, String> place(
-            double now,
+    /** Assigns these free keys to the least busy nodes, in parts if there are many. */
+    Map<KeyRange, String> assignFree(
+            double nowMs,
             KeyRange range,
             Map<String, List<KeyRange>> owned,
             Map<String, KeyNode> nodes,
             Map<String, KeyNode> candidates) {
-        int usual = (KeyRange.MAX_KEY + 1) / candidates.size();
-        int parts = Math.max(1, Math.min(MAX_PARTS, (int) Math.ceil(2.0 * range.size() / usual)));
-        Map<KeyRange, String> placed = new LinkedHashMap<>();
-        int from = range.from();
+        int keysPerNode = (KeyRange.MAX_KEY + 1) / candidates.size();
+        int parts = Math.max(1, Math.min(MAX_PARTS, (int) Math.ceil(2.0 * range.size() / keysPerNode)));
+        Map<KeyRange, String> assignment = new LinkedHashMap<>();
+        int firstKey = range.from();
         for (int i = 1; i <= parts; i++) {
-            int to = range.from() + (int) ((long) range.size() * i / parts) - 1;
-            KeyRange part = new KeyRange(from, to);
-            from = to + 1;
-            String least = leastBusy(now, candidates, owned);
-            placed.put(part, least);
-            // As if it had the mean load by key.
-            double mean = totalPlaces(now, nodes) / (KeyRange.MAX_KEY + 1);
-            candidates.get(least).moved(now, Math.max(mean, 1e-6) * part.size());
+            int lastKey = range.from() + (int) ((long) range.size() * i / parts) - 1;
+            KeyRange part = new KeyRange(firstKey, lastKey);
+            firstKey = lastKey + 1;
+            String leastBusyNode = leastBusy(nowMs, candidates, owned);
+            assignment.put(part, leastBusyNode);
+            // Assumes the mean load per key.
+            double meanPlacesPerKey = totalPlaces(nowMs, nodes) / (KeyRange.MAX_KEY + 1);
+            candidates.get(leastBusyNode).recordMove(nowMs, Math.max(meanPlacesPerKey, 1e-6) * part.size());
         }
-        return placed;
+        return assignment;
     }
 
-    private static double totalPlaces(double now, Map<String, KeyNode> nodes) {
-        return nodes.values().stream().mapToDouble(node -> node.busyPlaces(now)).sum();
+    private static double totalPlaces(double nowMs, Map<String, KeyNode> nodes) {
+        return nodes.values().stream()
+                .mapToDouble(node -> node.busyPlaces(nowMs))
+                .sum();
     }
 
-    private static String leastBusy(double now, Map<String, KeyNode> candidates, Map<String, List<KeyRange>> owned) {
+    private static String leastBusy(double nowMs, Map<String, KeyNode> candidates, Map<String, List<KeyRange>> owned) {
         return candidates.entrySet().stream()
                 .min(Comparator.comparingDouble((Map.Entry<String, KeyNode> each) ->
-                                each.getValue().utilization(now))
+                                each.getValue().utilization(nowMs))
                         .thenComparingInt(each -> keyCount(owned.get(each.getKey()))))
                 .map(Map.Entry::getKey)
                 .orElseThrow();
@@ -88,29 +99,29 @@
     /**
      * The moves that are due.
      *
-     * @param owned by node, what it owns and is not giving away already
+     * @param owned by node, the keys that it owns and is not giving up already
      * @param candidates nodes that may get keys
      */
-    List<KeyMove> moves(
-            double now,
+    List<KeyMove> planMoves(
+            double nowMs,
             Map<String, List<KeyRange>> owned,
             Map<String, KeyNode> nodes,
             Map<String, KeyNode> candidates) {
         List<KeyMove> moves = new ArrayList<>();
         owned.forEach((name, ranges) -> {
             KeyNode node = nodes.get(name);
-            if (node != null && node.leaving()) {
-                empty(now, name, node, ranges, owned, nodes, candidates, moves);
+            if (node != null && node.isLeaving()) {
+                planDrain(nowMs, name, node, ranges, owned, nodes, candidates, moves);
             }
         });
-        join(now, owned, candidates, moves);
-        relieve(now, owned, candidates, moves);
+        planJoins(nowMs, owned, candidates, moves);
+        relieve(nowMs, owned, candidates, moves);
         return moves;
     }
 
-    // All that a leaving node owns goes to the least busy, in the parts in which its load is known.
-    private static void empty(
-            double now,
+    // All keys of a leaving node go to the least busy nodes, in the parts for which its load is known.
+    private static void planDrain(
+            double nowMs,
             String name,
             KeyNode node,
             List<KeyRange> ranges,
@@ -122,105 +133,109 @@
             return;
         }
         for (KeyRange range : ranges) {
-            int before = moves.size();
+            int movesBefore = moves.size();
             for (KeyLoad load : node.loads()) {
                 if (range.from() <= load.range().from() && load.range().to() <= range.to()) {
-                    give(now, load.range(), node.places(load), name, node, candidates, owned, moves);
+                    addMove(nowMs, load.range(), node.places(load), name, node, candidates, owned, moves);
                 }
             }
-            if (moves.size() == before) {
-                double mean = totalPlaces(now, nodes) / (KeyRange.MAX_KEY + 1) * range.size();
-                give(now, range, mean, name, node, candidates, owned, moves);
+            if (moves.size() == movesBefore) {
+                double expectedPlaces = totalPlaces(nowMs, nodes) / (KeyRange.MAX_KEY + 1) * range.size();
+                addMove(nowMs, range, expectedPlaces, name, node, candidates, owned, moves);
             }
         }
     }
 
-    private static void give(
-            double now,
+    private static void addMove(
+            double nowMs,
             KeyRange range,
             double places,
-            String from,
-            KeyNode giver,
+            String donorName,
+            KeyNode donor,
             Map<String, KeyNode> candidates,
             Map<String, List<KeyRange>> owned,
             List<KeyMove> moves) {
-        String to = leastBusy(now, candidates, owned);
-        moves.add(new KeyMove(range, from, to));
-        giver.moved(now, -places);
-        candidates.get(to).moved(now, Math.max(places, 1e-6));
+        String recipientName = leastBusy(nowMs, candidates, owned);
+        moves.add(new KeyMove(range, donorName, recipientName));
+        donor.recordMove(nowMs, -places);
+        candidates.get(recipientName).recordMove(nowMs, Math.max(places, 1e-6));
     }
 
-    // A node without keys gets some of the busiest one's: half of its load, or of its keys where none has any.
-    private static void join(
-            double now, Map<String, List<KeyRange>> owned, Map<String, KeyNode> candidates, List<KeyMove> moves) {
+    // A node without keys gets some of the busiest node's: so many that their loads become equal in proportion to
+    // capacity, or half of its widest range if no load is known.
+    private static void planJoins(
+            double nowMs, Map<String, List<KeyRange>> owned, Map<String, KeyNode> candidates, List<KeyMove> moves) {
         candidates.forEach((name, node) -> {
-            boolean empty = keyCount(owned.get(name)) == 0 && now - node.movedAt() > 2 * REST_MS;
-            if (!empty || now - node.knownSince() < JOIN_MS) {
+            boolean isEmpty = keyCount(owned.get(name)) == 0 && nowMs - node.lastMoveMs() > 2 * COOLDOWN_MS;
+            if (!isEmpty || nowMs - node.knownSinceMs() < JOIN_DELAY_MS) {
                 return;
             }
-            String busiest = busiest(now, owned, candidates);
-            if (busiest == null) {
+            String donorName = busiest(nowMs, owned, candidates);
+            if (donorName == null) {
                 return;
             }
-            KeyNode giver = candidates.get(busiest);
-            double wanted = giver.busyPlaces(now) * node.capacity() / (node.capacity() + giver.capacity());
-            if (giveLoad(now, busiest, giver, name, node, wanted, owned.get(busiest), moves) == 0) {
-                KeyRange widest = owned.get(busiest).stream()
+            KeyNode donor = candidates.get(donorName);
+            double wantedPlaces = donor.busyPlaces(nowMs) * node.capacity() / (node.capacity() + donor.capacity());
+            if (moveLoad(nowMs, donorName, donor, name, node, wantedPlaces, owned.get(donorName), moves) == 0) {
+                KeyRange widestRange = owned.get(donorName).stream()
                         .max(Comparator.comparingInt(KeyRange::size))
                         .orElseThrow();
-                if (widest.size() > 1) {
-                    KeyRange half = new KeyRange(widest.from() + (widest.size() + 1) / 2, widest.to());
-                    moves.add(new KeyMove(half, busiest, name));
-                    giver.moved(now, 0);
-                    node.moved(now, 1e-6);
+                if (widestRange.size() > 1) {
+                    KeyRange upperHalf =
+                            new KeyRange(widestRange.from() + (widestRange.size() + 1) / 2, widestRange.to());
+                    moves.add(new KeyMove(upperHalf, donorName, name));
+                    donor.recordMove(nowMs, 0);
+                    node.recordMove(nowMs, 1e-6);
                 }
             }
         });
     }
 
-    private static String busiest(double now, Map<String, List<KeyRange>> owned, Map<String, KeyNode> candidates) {
+    private static String busiest(double nowMs, Map<String, List<KeyRange>> owned, Map<String, KeyNode> candidates) {
         return candidates.entrySet().stream()
                 .filter(each -> keyCount(owned.get(each.getKey())) > 1
-                        && now - each.getValue().movedAt() > REST_MS)
+                        && nowMs - each.getValue().lastMoveMs() > COOLDOWN_MS)
                 .max(Comparator.comparingDouble((Map.Entry<String, KeyNode> each) ->
-                                each.getValue().utilization(now))
+                                each.getValue().utilization(nowMs))
                         .thenComparingInt(each -> keyCount(owned.get(each.getKey()))))
                 .map(Map.Entry::getKey)
                 .orElse(null);
     }
 
     private static void relieve(
-            double now, Map<String, List<KeyRange>> owned, Map<String, KeyNode> candidates, List<KeyMove> moves) {
-        int most = (int) Math.max(1, candidates.size() * DONORS_PART);
+            double nowMs, Map<String, List<KeyRange>> owned, Map<String, KeyNode> candidates, List<KeyMove> moves) {
+        int maxDonors = (int) Math.max(1, candidates.size() * MAX_DONORS_FRACTION);
         double capacity =
                 candidates.values().stream().mapToInt(KeyNode::capacity).sum();
-        double mean = totalPlaces(now, candidates) / Math.max(1, capacity);
-        for (int i = 0; i < most; i++) {
-            String name = candidates.size() < 2 ? null : busiest(now, owned, candidates);
-            KeyNode giver = name == null ? null : candidates.get(name);
-            if (giver == null || !giver.isBusy(now) || giver.utilization(now) < BUSIER * mean) {
+        double meanUtilization = totalPlaces(nowMs, candidates) / Math.max(1, capacity);
+        for (int i = 0; i < maxDonors; i++) {
+            String donorName = candidates.size() < 2 ? null : busiest(nowMs, owned, candidates);
+            KeyNode donor = donorName == null ? null : candidates.get(donorName);
+            if (donor == null || !donor.isBusy(nowMs) || donor.utilization(nowMs) < MIN_DONOR_RATIO * meanUtilization) {
                 return;
             }
-            relieve(now, name, giver, mean, owned, candidates, moves);
+            relieve(nowMs, donorName, donor, meanUtilization, owned, candidates, moves);
         }
     }
 
     private static void relieve(
-            double now,
-            String name,
-            KeyNode giver,
-            double mean,
+            double nowMs,
+            String donorName,
+            KeyNode donor,
+            double meanUtilization,
             Map<String, List<KeyRange>> owned,
             Map<String, KeyNode> candidates,
             List<KeyMove> moves) {
-        // Even where nothing can be moved, it is looked at again only after a while.
-        giver.moved(now, 0);
-        while (giver.utilization(now) > LEVEL * mean) {
-            String to = leastBusy(now, without(candidates, name), owned);
-            KeyNode taker = candidates.get(to);
-            double room = LEVEL * mean * taker.capacity() - taker.busyPlaces(now);
-            double wanted = Math.min(room, giver.busyPlaces(now) - LEVEL * mean * giver.capacity());
-            if (giveLoad(now, name, giver, to, taker, wanted, owned.get(name), moves) == 0) {
+        // Recorded even if nothing can be moved, so that the node is considered again only after the cooldown.
+        donor.recordMove(nowMs, 0);
+        while (donor.utilization(nowMs) > TARGET_RATIO * meanUtilization) {
+            String recipientName = leastBusy(nowMs, without(candidates, donorName), owned);
+            KeyNode recipient = candidates.get(recipientName);
+            double roomPlaces = TARGET_RATIO * meanUtilization * recipient.capacity() - recipient.busyPlaces(nowMs);
+            double wantedPlaces =
+                    Math.min(roomPlaces, donor.busyPlaces(nowMs) - TARGET_RATIO * meanUtilization * donor.capacity());
+            if (moveLoad(nowMs, donorName, donor, recipientName, recipient, wantedPlaces, owned.get(donorName), moves)
+                    == 0) {
                 return;
             }
         }
@@ -232,44 +247,45 @@
         return others;
     }
 
-    // Gives parts with no more load than that, those first that have most of it by key. Returns what they have.
-    private static double giveLoad(
-            double now,
-            String from,
-            KeyNode giver,
-            String to,
-            KeyNode taker,
-            double wanted,
-            List<KeyRange> ranges,
+    // Moves parts with at most the wanted load in total, those with the most load per key first. Returns the load
+    // moved.
+    private static double moveLoad(
+            double nowMs,
+            String donorName,
+            KeyNode donor,
+            String recipientName,
+            KeyNode recipient,
+            double wantedPlaces,
+            List<KeyRange> donorRanges,
             List<KeyMove> moves) {
-        List<KeyLoad> parts = new ArrayList<>(giver.loads());
-        parts.removeIf(part -> isMoving(part, moves) || ranges.stream().noneMatch(range -> holds(range, part)));
-        double usual = density(parts) * USUAL_DENSITY;
-        parts.removeIf(part -> density(List.of(part)) < usual);
+        List<KeyLoad> parts = new ArrayList<>(donor.loads());
+        parts.removeIf(part -> isMoving(part, moves) || donorRanges.stream().noneMatch(range -> contains(range, part)));
+        double minDensity = density(parts) * MIN_DENSITY_RATIO;
+        parts.removeIf(part -> density(List.of(part)) < minDensity);
         parts.sort(Comparator.comparingDouble(part -> -density(List.of(part))));
-        double given = 0;
+        double movedPlaces = 0;
         for (KeyLoad part : parts) {
-            double places = giver.places(part);
-            if (places > 0 && given + places <= wanted) {
-                given += places;
-                moves.add(new KeyMove(part.range(), from, to));
+            double places = donor.places(part);
+            if (places > 0 && movedPlaces + places <= wantedPlaces) {
+                movedPlaces += places;
+                moves.add(new KeyMove(part.range(), donorName, recipientName));
             }
         }
-        if (given > 0) {
-            giver.moved(now, -given);
-            taker.moved(now, given);
+        if (movedPlaces > 0) {
+            donor.recordMove(nowMs, -movedPlaces);
+            recipient.recordMove(nowMs, movedPlaces);
         }
-        return given;
+        return movedPlaces;
     }
 
-    // Requests a second by key.
+    // Requests a second per key.
     private static double density(List<KeyLoad> parts) {
         double perSecond = parts.stream().mapToDouble(KeyLoad::perSecond).sum();
         long keys = parts.stream().mapToLong(part -> part.range().size()).sum();
         return perSecond / Math.max(1, keys);
     }
 
-    private static boolean holds(KeyRange range, KeyLoad part) {
+    private static boolean contains(KeyRange range, KeyLoad part) {
         return range.from() <= part.range().from() && part.range().to() <= range.to();
     }
 
--- a/src/main/java/whinlead/mesh/keys/KeyGrantor.java
+++ b/src/main/java/whinlead/mesh/keys/KeyGrantor.java
@@ -12,82 +12,85 @@
  * Leases the keys of one service to the sidecars beside its endpoints, in one term of one control node.
  *
  * <p>Invariant: no key is leased to two nodes at the same time. A key that was leased is leased to another node only
- * once the first has said that it holds it no more, or its lease has ended by this process's clock, which counts it
- * from when it was sent. Of leases that earlier terms gave, only the nodes know: for as long as one may last, a term
- * leases nothing but what a node says that it holds.
+ * after the first has reported that it has released the key, or after its lease has ended by this process's clock,
+ * which counts the lease from when it was sent. Leases that earlier terms granted are known only to the nodes: for as
+ * long as one may last, a term leases only keys that a node reports as its own.
  *
- * <p>Pure; one thread; times in milliseconds. Whoever asks must have read the clock just before, and must hold the duty
- * by the same reading.
+ * <p>Pure; one thread; times in milliseconds. Callers must have read the clock just before each call, and must hold the
+ * duty at that reading.
  */
 public final class KeyGrantor {
-    /** Nodes that are kept at most. */
+    /** Limit on the nodes that are stored. */
     private static final int MAX_NODES = 4096;
-    /** Ranges that are kept at most; beyond, what is free stays free. */
+    /** Limit on the ranges that are stored; beyond it, free keys stay free. */
     private static final int MAX_RANGES = 8192;
-    /** A node that has said nothing for so long gets no further keys. */
-    private static final double SILENT_MS = 2500;
-    /** The first keys are shared out once no new endpoint has come for so long, or after a most. */
-    private static final double SETTLE_MS = 900;
+    /** A node that has not reported for this long gets no further keys. */
+    private static final double MAX_SILENCE_MS = 2500;
+    /**
+     * The initial assignment is made once no new endpoint has reported for this long, or after
+     * {@link #MAX_SETTLE_DELAY_MS}.
+     */
+    private static final double SETTLE_DELAY_MS = 900;
 
-    private static final double MAX_SETTLE_MS = 4000;
+    private static final double MAX_SETTLE_DELAY_MS = 4000;
 
-    /** Whose a range of keys is. Immutable. */
-    private record Owned(
-            String node, long fence, String handoff, double countedUntil, boolean confirmed, String nextNode) {
-        private Owned counted(double until) {
-            return new Owned(node, fence, handoff, Math.max(countedUntil, until), confirmed, nextNode);
+    /** The owner of a range of keys. Immutable. */
+    private record Ownership(
+            String node, long fence, String handoff, double countedUntilMs, boolean confirmed, String nextNode) {
+        private Ownership countedAtLeastUntil(double untilMs) {
+            return new Ownership(node, fence, handoff, Math.max(countedUntilMs, untilMs), confirmed, nextNode);
         }
 
-        private Owned confirm() {
-            return confirmed ? this : new Owned(node, fence, "", countedUntil, true, nextNode);
+        private Ownership withConfirmation() {
+            return confirmed ? this : new Ownership(node, fence, "", countedUntilMs, true, nextNode);
         }
 
-        private Owned recalledFor(String next) {
-            return new Owned(node, fence, handoff, countedUntil, confirmed, next);
+        private Ownership recalledFor(String newNextNode) {
+            return new Ownership(node, fence, handoff, countedUntilMs, confirmed, newNextNode);
         }
 
-        private boolean recalled() {
+        private boolean isRecalled() {
             return nextNode != null;
         }
     }
 
-    /** Free keys that were given up. */
-    private record Freed(String handoff, String nextNode) {}
+    /** Free keys that were released or whose lease has ended. */
+    private record FreeKeys(String handoff, String nextNode) {}
 
     private final long epoch;
     private final FenceCounter fences;
-    private final double startedAt;
-    private final double recoveredAt;
-    private final KeyMap<Owned> owned = new KeyMap<>();
-    private final KeyMap<Freed> freed = new KeyMap<>();
+    private final double startedAtMs;
+    private final double recoveredAtMs;
+    private final KeyMap<Ownership> ownerships = new KeyMap<>();
+    private final KeyMap<FreeKeys> freeKeys = new KeyMap<>();
     private final Map<String, KeyNode> nodes = new LinkedHashMap<>();
     /** Nodes that are to be sent a lease now, besides those that report. */
-    private final Set<String> dirty = new LinkedHashSet<>();
+    private final Set<String> nodesToNotify = new LinkedHashSet<>();
 
     private final List<KeyRoute> newRoutes = new ArrayList<>();
     private final KeyBalancer balancer = new KeyBalancer();
-    private double joinedAt;
-    private boolean shared;
-    private long leases;
+    private double lastJoinMs;
+    private boolean hasAssignedKeys;
+    private long leaseCount;
 
     /**
-     * A term that begins.
+     * Creates the grantor of a new term.
      *
      * @param epoch of the term
-     * @param fences gives fences, each higher than all before it and those of earlier terms
+     * @param fences generates fences, each higher than all before it and those of earlier terms
      * @param firstTerm whether nothing was ever leased before
      */
-    public KeyGrantor(double now, long epoch, FenceCounter fences, boolean firstTerm) {
+    public KeyGrantor(double nowMs, long epoch, FenceCounter fences, boolean firstTerm) {
         this.epoch = epoch;
         this.fences = fences;
-        this.startedAt = now;
-        this.recoveredAt = firstTerm ? now : now + KeyTerms.COUNTED_MS;
-        this.joinedAt = now;
+        this.startedAtMs = nowMs;
+        this.recoveredAtMs = firstTerm ? nowMs : nowMs + KeyTerms.COUNTED_MS;
+        this.lastJoinMs = nowMs;
     }
 
-    /** A sidecar reports; false if the report is older than one before, or there is no room. */
-    public boolean report(double now, String name, KeyReport report) {
-        advance(now);
+    /** Handles a sidecar's report; returns false if the report is older than an earlier one, or if there is no room. */
+    public boolean report(double nowMs, String name, KeyReport report) {
+        advance(nowMs);
         KeyNode node = nodes.get(name);
         if (node == null && nodes.size() >= MAX_NODES) {
             return false;
@@ -95,95 +98,96 @@
         if (node != null && node.isOutdated(report)) {
             return false;
         }
-        // Another process or endpoint of a node frees nothing: the process before may have granted keys to this
+        // A new process or endpoint of a node does not free keys: the previous process may have granted keys to this
         // endpoint.
         if (node == null || !node.endpoint().equals(report.endpoint())) {
-            joinedAt = now;
+            lastJoinMs = nowMs;
         }
         if (node == null) {
-            node = new KeyNode(now);
+            node = new KeyNode(nowMs);
             nodes.put(name, node);
         }
-        node.report(now, report);
-        report.released().forEach(each -> free(name, each.range(), each.fence(), each.handoff()));
-        report.held().forEach(each -> hold(now, name, each));
+        node.update(nowMs, report);
+        report.released().forEach(each -> releaseKeys(name, each.range(), each.fence(), each.handoff()));
+        report.held().forEach(each -> recordHeldKeys(nowMs, name, each));
         return true;
     }
 
-    private void hold(double now, String name, HeldKeys held) {
-        if (now < recoveredAt) {
-            for (KeyRange gap : owned.gaps(held.range())) {
-                owned.put(gap, new Owned(name, held.fence(), "", now + KeyTerms.COUNTED_MS, false, null));
-                freed.remove(gap);
-                shared = true;
+    private void recordHeldKeys(double nowMs, String name, HeldKeys held) {
+        if (nowMs < recoveredAtMs) {
+            for (KeyRange unownedRange : ownerships.gaps(held.range())) {
+                ownerships.put(
+                        unownedRange, new Ownership(name, held.fence(), "", nowMs + KeyTerms.COUNTED_MS, false, null));
+                freeKeys.remove(unownedRange);
+                hasAssignedKeys = true;
             }
         }
         if (held.serving()) {
-            confirm(name, held);
+            confirmOwnership(name, held);
         }
     }
 
-    private void confirm(String name, HeldKeys held) {
-        for (KeyMap.Entry<Owned> each : owned.overlapping(held.range())) {
-            Owned value = each.value();
+    private void confirmOwnership(String name, HeldKeys held) {
+        for (KeyMap.Entry<Ownership> each : ownerships.overlapping(held.range())) {
+            Ownership value = each.value();
             if (value.node().equals(name) && value.fence() == held.fence() && !value.confirmed()) {
-                owned.put(each.range(), value.confirm());
+                ownerships.put(each.range(), value.withConfirmation());
                 newRoutes.add(new KeyRoute(each.range(), value.fence(), name));
             }
         }
     }
 
-    private void free(String name, KeyRange range, long fence, String handoff) {
-        for (KeyMap.Entry<Owned> each : owned.overlapping(range)) {
-            Owned value = each.value();
+    private void releaseKeys(String name, KeyRange range, long fence, String handoff) {
+        for (KeyMap.Entry<Ownership> each : ownerships.overlapping(range)) {
+            Ownership value = each.value();
             if (value.node().equals(name) && value.fence() <= fence) {
-                owned.remove(each.range());
-                freed.put(each.range(), new Freed(handoff, value.nextNode()));
+                ownerships.remove(each.range());
+                freeKeys.put(each.range(), new FreeKeys(handoff, value.nextNode()));
             }
         }
     }
 
-    /** Time passes: leases that have surely ended are over. */
-    public void advance(double now) {
-        for (KeyMap.Entry<Owned> each : owned.entries()) {
-            if (each.value().countedUntil() <= now) {
-                owned.remove(each.range());
-                freed.put(each.range(), new Freed("", each.value().nextNode()));
+    /** Advances the time: removes leases that have certainly ended. */
+    public void advance(double nowMs) {
+        for (KeyMap.Entry<Ownership> each : ownerships.entries()) {
+            if (each.value().countedUntilMs() <= nowMs) {
+                ownerships.remove(each.range());
+                freeKeys.put(each.range(), new FreeKeys("", each.value().nextNode()));
             }
         }
-        nodes.values().removeIf(node -> now - node.reportedAt() > KeyTerms.COUNTED_MS);
+        nodes.values().removeIf(node -> nowMs - node.reportedAtMs() > KeyTerms.COUNTED_MS);
     }
 
-    /** Plans who gets which keys; to be called a few times a second while the duty is held. */
-    public void plan(double now) {
-        advance(now);
-        if (now < recoveredAt) {
+    /** Plans which node gets which keys; to be called a few times a second while this node holds the duty. */
+    public void plan(double nowMs) {
+        advance(nowMs);
+        if (nowMs < recoveredAtMs) {
             return;
         }
-        Map<String, KeyNode> candidates = candidates(now);
-        if (candidates.isEmpty() || !shared && !hasSettled(now)) {
+        Map<String, KeyNode> candidates = candidates(nowMs);
+        if (candidates.isEmpty() || !hasAssignedKeys && !hasSettled(nowMs)) {
             return;
         }
-        if (!shared) {
-            shared = true;
-            balancer.shareOut(candidates).forEach((range, name) -> assign(now, range, name, ""));
+        if (!hasAssignedKeys) {
+            hasAssignedKeys = true;
+            balancer.assignInitially(candidates).forEach((range, name) -> assign(nowMs, range, name, ""));
             return;
         }
-        shareOutFree(now, candidates);
-        if (owned.size() < MAX_RANGES) {
-            balancer.moves(now, ownedRanges(), nodes, candidates).forEach(this::recall);
+        assignFreeKeys(nowMs, candidates);
+        if (ownerships.size() < MAX_RANGES) {
+            balancer.planMoves(nowMs, ownedRanges(), nodes, candidates).forEach(this::recall);
         }
     }
 
-    private boolean hasSettled(double now) {
-        return now - joinedAt >= SETTLE_MS || now - startedAt >= MAX_SETTLE_MS;
+    private boolean hasSettled(double nowMs) {
+        return nowMs - lastJoinMs >= SETTLE_DELAY_MS || nowMs - startedAtMs >= MAX_SETTLE_DELAY_MS;
     }
 
-    // Those that may get keys.
-    private Map<String, KeyNode> candidates(double now) {
+    // Nodes that may get keys.
+    private Map<String, KeyNode> candidates(double nowMs) {
         Map<String, KeyNode> candidates = new LinkedHashMap<>();
         nodes.forEach((name, node) -> {
-            if (!node.leaving() && now - node.reportedAt() < SILENT_MS) {
+            if (!node.isLeaving() && nowMs - node.reportedAtMs() < MAX_SILENCE_MS) {
                 candidates.put(name, node);
             }
         });
@@ -192,8 +196,8 @@
 
     private Map<String, List<KeyRange>> ownedRanges() {
         Map<String, List<KeyRange>> ranges = new HashMap<>();
-        for (KeyMap.Entry<Owned> each : owned.entries()) {
-            if (!each.value().recalled()) {
+        for (KeyMap.Entry<Ownership> each : ownerships.entries()) {
+            if (!each.value().isRecalled()) {
                 ranges.computeIfAbsent(each.value().node(), name -> new ArrayList<>())
                         .add(each.range());
             }
@@ -201,95 +205,96 @@
         return ranges;
     }
 
-    private void shareOutFree(double now, Map<String, KeyNode> candidates) {
-        for (KeyRange gap : owned.gaps(KeyRange.ALL)) {
-            List<KeyMap.Entry<Freed>> known = freed.overlapping(gap);
-            for (KeyMap.Entry<Freed> each : known) {
-                String next = each.value().nextNode();
-                if (candidates.containsKey(next)) {
-                    assign(now, each.range(), next, each.value().handoff());
+    private void assignFreeKeys(double nowMs, Map<String, KeyNode> candidates) {
+        for (KeyRange gap : ownerships.gaps(KeyRange.ALL)) {
+            List<KeyMap.Entry<FreeKeys>> releasedRanges = freeKeys.overlapping(gap);
+            for (KeyMap.Entry<FreeKeys> each : releasedRanges) {
+                String nextNode = each.value().nextNode();
+                if (candidates.containsKey(nextNode)) {
+                    assign(nowMs, each.range(), nextNode, each.value().handoff());
                 } else {
-                    assignAnew(now, each.range(), candidates, each.value().handoff());
+                    assignByLoad(nowMs, each.range(), candidates, each.value().handoff());
                 }
             }
-            for (KeyRange never : freed.gaps(gap)) {
-                if (owned.gaps(never).contains(never)) {
-                    assignAnew(now, never, candidates, "");
+            for (KeyRange unassignedRange : freeKeys.gaps(gap)) {
+                if (ownerships.gaps(unassignedRange).contains(unassignedRange)) {
+                    assignByLoad(nowMs, unassignedRange, candidates, "");
                 }
             }
         }
     }
 
-    private void assignAnew(double now, KeyRange range, Map<String, KeyNode> candidates, String handoff) {
-        balancer.place(now, range, ownedRanges(), nodes, candidates)
-                .forEach((part, name) -> assign(now, part, name, handoff));
+    private void assignByLoad(double nowMs, KeyRange range, Map<String, KeyNode> candidates, String handoff) {
+        balancer.assignFree(nowMs, range, ownedRanges(), nodes, candidates)
+                .forEach((part, name) -> assign(nowMs, part, name, handoff));
     }
 
-    private void assign(double now, KeyRange range, String name, String handoff) {
-        owned.put(range, new Owned(name, fences.next(), handoff, now + KeyTerms.COUNTED_MS, false, null));
-        freed.remove(range);
-        dirty.add(name);
+    private void assign(double nowMs, KeyRange range, String name, String handoff) {
+        ownerships.put(range, new Ownership(name, fences.next(), handoff, nowMs + KeyTerms.COUNTED_MS, false, null));
+        freeKeys.remove(range);
+        nodesToNotify.add(name);
     }
 
     private void recall(KeyMove move) {
-        for (KeyMap.Entry<Owned> each : owned.overlapping(move.range())) {
-            if (each.value().node().equals(move.from()) && !each.value().recalled()) {
-                owned.put(each.range(), each.value().recalledFor(move.to()));
+        for (KeyMap.Entry<Ownership> each : ownerships.overlapping(move.range())) {
+            if (each.value().node().equals(move.fromNode()) && !each.value().isRecalled()) {
+                ownerships.put(each.range(), each.value().recalledFor(move.toNode()));
             }
         }
-        dirty.add(move.from());
+        nodesToNotify.add(move.fromNode());
     }
 
-    /** Nodes that are to be sent a lease now; each is told once. */
+    /** Returns the nodes that are to be sent a lease now, each once. */
     public List<String> takeDirty() {
-        List<String> names = List.copyOf(dirty);
-        dirty.clear();
+        List<String> names = List.copyOf(nodesToNotify);
+        nodesToNotify.clear();
         return names;
     }
 
-    /** What a node is leased, as an answer to its last report; null where it has sent none. */
-    public KeyLease lease(double now, String name) {
-        advance(now);
+    /** The lease of a node as an answer to its last report; null if it has not reported. */
+    public KeyLease lease(double nowMs, String name) {
+        advance(nowMs);
         KeyNode node = nodes.get(name);
         if (node == null) {
             return null;
         }
-        List<LeasedKeys> leased = new ArrayList<>();
-        List<LeasedKeys> recalled = new ArrayList<>();
-        for (KeyMap.Entry<Owned> each : owned.entries()) {
-            Owned value = each.value();
+        List<LeasedKeys> leasedKeys = new ArrayList<>();
+        List<LeasedKeys> recalledKeys = new ArrayList<>();
+        for (KeyMap.Entry<Ownership> each : ownerships.entries()) {
+            Ownership value = each.value();
             if (value.node().equals(name)) {
                 LeasedKeys keys = new LeasedKeys(each.range(), value.fence(), value.handoff());
-                if (value.recalled()) {
-                    recalled.add(keys);
+                if (value.isRecalled()) {
+                    recalledKeys.add(keys);
                 } else {
-                    leased.add(keys);
-                    owned.put(each.range(), value.counted(now + KeyTerms.COUNTED_MS));
+                    leasedKeys.add(keys);
+                    ownerships.put(each.range(), value.countedAtLeastUntil(nowMs + KeyTerms.COUNTED_MS));
                 }
             }
         }
-        return new KeyLease(epoch, ++leases, node.sidecarLife(), node.reportNumber(), leased, recalled);
+        return new KeyLease(epoch, ++leaseCount, node.sidecarLife(), node.reportNumber(), leasedKeys, recalledKeys);
     }
 
-    /** Routes to owners that have taken their keys since the last call. */
+    /** Routes to owners whose endpoints have accepted their keys since the last call. */
     public List<KeyRoute> takeNewRoutes() {
         List<KeyRoute> routes = List.copyOf(newRoutes);
         newRoutes.clear();
         return routes;
     }
 
-    /** Routes to all owners that have taken their keys. */
+    /** Routes to all owners whose endpoints have accepted their keys. */
     public List<KeyRoute> routes() {
-        return owned.entries().stream()
+        return ownerships.entries().stream()
                 .filter(each -> each.value().confirmed())
                 .map(each -> new KeyRoute(
                         each.range(), each.value().fence(), each.value().node()))
                 .toList();
     }
 
-    /** For events: how many ranges, nodes and free keys there are. */
+    /** Describes the numbers of ranges, nodes and free keys for log events. */
     public String describe() {
-        int free = owned.gaps(KeyRange.ALL).stream().mapToInt(KeyRange::size).sum();
-        return owned.size() + " ranges at " + nodes.size() + " nodes, " + free + " keys free";
+        int free =
+                ownerships.gaps(KeyRange.ALL).stream().mapToInt(KeyRange::size).sum();
+        return ownerships.size() + " ranges at " + nodes.size() + " nodes, " + free + " keys free";
     }
 }
--- a/src/main/java/whinlead/mesh/keys/KeyHolder.java
+++ b/src/main/java/whinlead/mesh/keys/KeyHolder.java
@@ -6,340 +6,386 @@
 import java.util.Map;
 
 /**
- * The keys that one sidecar holds by leases, and what it has granted of them to the endpoint beside it.
+ * The keys that are leased to one sidecar, and its grants of them to the endpoint beside it.
  *
  * <p>Invariants:
  *
  * <ul>
  *   <li>The endpoint is granted keys for no longer than the lease lasts, by the slowest clock that it may have.
- *   <li>Keys that were given up under a fence, or whose lease has ended, are never held again under that fence or a
- *       lower one: a lease that was on its way meanwhile counts no more.
+ *   <li>Keys that were released under a fence, or whose lease has ended, are never held again under that fence or a
+ *       lower one: a lease that was in transit at the time has no effect.
  * </ul>
  *
- * <p>Pure; one thread; times in milliseconds. Whoever asks must have read the clock just before.
+ * <p>Pure; one thread; times in milliseconds. Callers must have read the clock just before each call.
  */
 public final class KeyHolder {
-    /** The endpoint is granted more time once it has less left than this part of the most. */
-    private static final double RENEW_PART = 0.66;
-    /** A grant for less is of no use. */
+    /** The endpoint's grant is extended once less than this fraction of the maximum duration is left. */
+    private static final double RENEWAL_FRACTION = 0.66;
+    /** A shorter grant is of no use. */
     private static final double MIN_HOLD_MS = 500;
-    /** After a call that came to nothing, the next one. */
-    private static final double RETRY_MS = 200;
-    /** Reports whose answers count; of older ones an answer is passed over. */
+    /** Delay before a failed call is repeated. */
+    private static final double RETRY_DELAY_MS = 200;
+    /** Reports whose answers are accepted; answers to older ones are ignored. */
     private static final int MAX_OPEN_REPORTS = 16;
-    /** Requests are let in until so long before the endpoint's hold ends: what runs past it is lost. */
-    private static final double LAST_REQUESTS_MS = 250;
-    /** Ranges that are held at most; more is no lease of ours. */
-    private static final int MAX_HELD = 4096;
-    /** Ranges given up that are told again until a report of them is answered. */
-    private static final int MAX_UNTOLD = 4096;
-
-    /** Keys of one lease. Immutable; times by the steady clock of this process. */
-    private record Hold(
+    /** Requests are admitted until this long before the endpoint's grant ends: one that runs past the end is lost. */
+    private static final double REQUEST_CUTOFF_MS = 250;
+    /** Limit on the ranges that are stored; a valid lease does not have more. */
+    private static final int MAX_RANGES = 4096;
+    /** Limit on the released ranges that are reported until a report of them is answered. */
+    private static final int MAX_UNREPORTED_RELEASES = 4096;
+
+    /** State of a range of keys of one lease. Immutable; times by the steady clock of this process. */
+    private record LeaseState(
             long fence,
             String handoff,
-            double leasedUntil,
-            double servedUntil,
-            double mayHoldUntil,
-            double calledAt,
-            boolean calling,
-            boolean recalled,
-            boolean releasing) {
-        private Hold extended(double until) {
-            return new Hold(fence, handoff, until, servedUntil, mayHoldUntil, calledAt, calling, recalled, releasing);
+            double leasedUntilMs,
+            double servedUntilMs,
+            double mayHoldUntilMs,
+            double calledAtMs,
+            boolean isCalling,
+            boolean isRecalled,
+            boolean isReleasing) {
+        private LeaseState withLeaseUntil(double untilMs) {
+            return new LeaseState(
+                    fence,
+                    handoff,
+                    untilMs,
+                    servedUntilMs,
+                    mayHoldUntilMs,
+                    calledAtMs,
+                    isCalling,
+                    isRecalled,
+                    isReleasing);
         }
 
-        private Hold called(double now) {
-            return new Hold(fence, handoff, leasedUntil, servedUntil, mayHoldUntil, now, true, recalled, releasing);
+        private LeaseState withGrantCalled(double nowMs) {
+            return new LeaseState(
+                    fence, handoff, leasedUntilMs, servedUntilMs, mayHoldUntilMs, nowMs, true, isRecalled, isReleasing);
         }
 
-        private Hold written(double until) {
-            double latest = Math.max(mayHoldUntil, until);
-            return new Hold(fence, handoff, leasedUntil, servedUntil, latest, calledAt, calling, recalled, releasing);
+        private LeaseState withGrantWritten(double untilMs) {
+            double latestEndMs = Math.max(mayHoldUntilMs, untilMs);
+            return new LeaseState(
+                    fence,
+                    handoff,
+                    leasedUntilMs,
+                    servedUntilMs,
+                    latestEndMs,
+                    calledAtMs,
+                    isCalling,
+                    isRecalled,
+                    isReleasing);
         }
 
-        private Hold unanswered() {
-            return new Hold(
-                    fence, handoff, leasedUntil, servedUntil, mayHoldUntil, calledAt, false, recalled, releasing);
+        private LeaseState withoutCall() {
+            return new LeaseState(
+                    fence,
+                    handoff,
+                    leasedUntilMs,
+                    servedUntilMs,
+                    mayHoldUntilMs,
+                    calledAtMs,
+                    false,
+                    isRecalled,
+                    isReleasing);
         }
 
-        private Hold taken(double until) {
-            return new Hold(fence, "", leasedUntil, until, mayHoldUntil, calledAt, false, recalled, releasing);
+        private LeaseState withGrantAccepted(double untilMs) {
+            return new LeaseState(
+                    fence, "", leasedUntilMs, untilMs, mayHoldUntilMs, calledAtMs, false, isRecalled, isReleasing);
         }
 
-        private Hold recall() {
-            return new Hold(fence, handoff, leasedUntil, servedUntil, mayHoldUntil, calledAt, calling, true, releasing);
+        private LeaseState withRecall() {
+            return new LeaseState(
+                    fence,
+                    handoff,
+                    leasedUntilMs,
+                    servedUntilMs,
+                    mayHoldUntilMs,
+                    calledAtMs,
+                    isCalling,
+                    true,
+                    isReleasing);
         }
 
-        private Hold release(boolean underWay, double now) {
-            return new Hold(fence, handoff, leasedUntil, servedUntil, mayHoldUntil, now, calling, true, underWay);
+        private LeaseState withRelease(boolean isUnderWay, double nowMs) {
+            return new LeaseState(
+                    fence, handoff, leasedUntilMs, servedUntilMs, mayHoldUntilMs, nowMs, isCalling, true, isUnderWay);
         }
 
-        // The endpoint may have had it, and has it no more by any clock.
-        private boolean isOverAtEndpoint(double now) {
-            return !calling && mayHoldUntil > 0 && now > mayHoldUntil && now > servedUntil;
+        // Whether the endpoint may have had the grant and no longer has it, by any clock.
+        private boolean hasEndedAtEndpoint(double nowMs) {
+            return !isCalling && mayHoldUntilMs > 0 && nowMs > mayHoldUntilMs && nowMs > servedUntilMs;
         }
 
         private boolean isUnknownToEndpoint() {
-            return !calling && servedUntil == 0 && calledAt == Double.NEGATIVE_INFINITY;
+            return !isCalling && servedUntilMs == 0 && calledAtMs == Double.NEGATIVE_INFINITY;
         }
 
-        private Hold ungranted() {
-            return new Hold(fence, "", leasedUntil, 0, 0, Double.NEGATIVE_INFINITY, false, recalled, false);
+        private LeaseState withoutGrant() {
+            return new LeaseState(fence, "", leasedUntilMs, 0, 0, Double.NEGATIVE_INFINITY, false, isRecalled, false);
         }
     }
 
-    private record Untold(ReleasedKeys keys, long firstReport) {}
+    private record UnreportedRelease(ReleasedKeys keys, long firstReportNumber) {}
 
     private final double maxHoldMs;
-    private final KeyMap<Hold> holds = new KeyMap<>();
-    /** The highest fence under which keys were given up. */
-    private final KeyMap<Long> spent = new KeyMap<>();
+    private final KeyMap<LeaseState> leaseStates = new KeyMap<>();
+    /** The highest fence under which keys were released. */
+    private final KeyMap<Long> releasedFences = new KeyMap<>();
 
-    private final Map<Long, Double> reportSentAt = new LinkedHashMap<>();
-    private final List<Untold> untold = new ArrayList<>();
-    private long reports;
+    private final Map<Long, Double> reportSentAtMs = new LinkedHashMap<>();
+    private final List<UnreportedRelease> unreportedReleases = new ArrayList<>();
+    private long reportCount;
     private long epoch;
     private long leaseNumber;
-    private boolean news;
+    private boolean hasUnreportedChange;
 
     /**
-     * Nothing is held yet.
+     * Creates a holder without keys.
      *
-     * @param maxHoldMs endpoints may be granted keys for so long at a time, at most
+     * @param maxHoldMs maximum duration of a grant to the endpoint
      */
     public KeyHolder(double maxHoldMs) {
         this.maxHoldMs = Math.min(maxHoldMs, KeyTerms.HOLD_MS);
     }
 
-    /** A report is sent now; its number. */
-    public long reportSent(double now) {
-        reportSentAt.put(++reports, now);
-        if (reportSentAt.size() > MAX_OPEN_REPORTS) {
-            reportSentAt.remove(reportSentAt.keySet().iterator().next());
+    /** Records that a report is sent now, and returns its number. */
+    public long reportSent(double nowMs) {
+        reportSentAtMs.put(++reportCount, nowMs);
+        if (reportSentAtMs.size() > MAX_OPEN_REPORTS) {
+            reportSentAtMs.remove(reportSentAtMs.keySet().iterator().next());
         }
-        news = false;
-        return reports;
+        hasUnreportedChange = false;
+        return reportCount;
     }
 
-    /** Whether something has changed that the control node should hear at once. */
+    /** Whether there is a change that is to be reported to the control node at once. */
     public boolean hasNews() {
-        return news;
+        return hasUnreportedChange;
     }
 
-    /** What is held. */
-    public List<HeldKeys> held(double now) {
-        advance(now);
-        return holds.entries().stream()
-                .map(each -> new HeldKeys(each.range(), each.value().fence(), serves(now, each.value())))
+    /** The keys that are held. */
+    public List<HeldKeys> held(double nowMs) {
+        advance(nowMs);
+        return leaseStates.entries().stream()
+                .map(each -> new HeldKeys(each.range(), each.value().fence(), serves(nowMs, each.value())))
                 .toList();
     }
 
-    /** What was given up and is not known to have been heard of; to be told with the next report. */
+    /** Released keys that the control node has not yet confirmed; they are part of the next report. */
     public List<ReleasedKeys> released() {
-        return untold.stream().map(Untold::keys).toList();
+        return unreportedReleases.stream().map(UnreportedRelease::keys).toList();
     }
 
-    /** A control node leases keys. */
-    public void leased(double now, KeyLease lease) {
-        advance(now);
-        boolean older = lease.epoch() < epoch || lease.epoch() == epoch && lease.number() <= leaseNumber;
-        Double sentAt = reportSentAt.get(lease.reportNumber());
-        if (older || sentAt == null) {
+    /** Applies a lease from a control node. */
+    public void leased(double nowMs, KeyLease lease) {
+        advance(nowMs);
+        boolean isOutdated = lease.epoch() < epoch || lease.epoch() == epoch && lease.number() <= leaseNumber;
+        Double sentAtMs = reportSentAtMs.get(lease.reportNumber());
+        if (isOutdated || sentAtMs == null) {
             return;
         }
         epoch = lease.epoch();
         leaseNumber = lease.number();
-        reportSentAt.keySet().removeIf(number -> number < lease.reportNumber());
-        untold.removeIf(each -> each.firstReport() <= lease.reportNumber());
-        double until = sentAt + KeyTerms.LEASE_MS;
-        if (until > now) {
-            lease.leased().forEach(each -> lease(now, each, until));
+        reportSentAtMs.keySet().removeIf(number -> number < lease.reportNumber());
+        unreportedReleases.removeIf(each -> each.firstReportNumber() <= lease.reportNumber());
+        double untilMs = sentAtMs + KeyTerms.LEASE_MS;
+        if (untilMs > nowMs) {
+            lease.leased().forEach(each -> updateLeasedKeys(nowMs, each, untilMs));
         }
         lease.recalled()
-                .forEach(each -> holds.update(
-                        each.range(), hold -> hold.fence() <= each.fence() && !hold.recalled() ? hold.recall() : hold));
+                .forEach(each -> leaseStates.update(
+                        each.range(),
+                        state -> state.fence() <= each.fence() && !state.isRecalled() ? state.withRecall() : state));
     }
 
-    private void lease(double now, LeasedKeys keys, double until) {
-        for (KeyRange range : unspent(keys)) {
-            for (KeyMap.Entry<Hold> each : holds.overlapping(range)) {
-                Hold hold = each.value();
-                if (hold.fence() == keys.fence()) {
-                    holds.put(each.range(), hold.extended(Math.max(until, hold.leasedUntil())));
-                } else if (hold.fence() < keys.fence()) {
-                    holds.put(each.range(), fresh(keys, until));
-                    news = true;
+    private void updateLeasedKeys(double nowMs, LeasedKeys keys, double untilMs) {
+        for (KeyRange range : rangesNotReleased(keys)) {
+            for (KeyMap.Entry<LeaseState> each : leaseStates.overlapping(range)) {
+                LeaseState state = each.value();
+                if (state.fence() == keys.fence()) {
+                    leaseStates.put(each.range(), state.withLeaseUntil(Math.max(untilMs, state.leasedUntilMs())));
+                } else if (state.fence() < keys.fence()) {
+                    leaseStates.put(each.range(), newLeaseState(keys, untilMs));
+                    hasUnreportedChange = true;
                 }
             }
-            for (KeyRange gap : holds.gaps(range)) {
-                if (holds.size() < MAX_HELD) {
-                    holds.put(gap, fresh(keys, until));
+            for (KeyRange gap : leaseStates.gaps(range)) {
+                if (leaseStates.size() < MAX_RANGES) {
+                    leaseStates.put(gap, newLeaseState(keys, untilMs));
                 }
             }
         }
     }
 
-    private static Hold fresh(LeasedKeys keys, double until) {
-        return new Hold(keys.fence(), keys.handoff(), until, 0, 0, Double.NEGATIVE_INFINITY, false, false, false);
+    private static LeaseState newLeaseState(LeasedKeys keys, double untilMs) {
+        return new LeaseState(
+                keys.fence(), keys.handoff(), untilMs, 0, 0, Double.NEGATIVE_INFINITY, false, false, false);
     }
 
-    // The keys that were never given up under this fence or a higher one.
-    private List<KeyRange> unspent(LeasedKeys keys) {
-        List<KeyRange> ranges = new ArrayList<>(spent.gaps(keys.range()));
-        spent.overlapping(keys.range()).stream()
+    // The keys that were never released under this fence or a higher one.
+    private List<KeyRange> rangesNotReleased(LeasedKeys keys) {
+        List<KeyRange> ranges = new ArrayList<>(releasedFences.gaps(keys.range()));
+        releasedFences.overlapping(keys.range()).stream()
                 .filter(each -> each.value() < keys.fence())
                 .forEach(each -> ranges.add(each.range()));
         return ranges;
     }
 
-    /** Time passes: what has ended is given up. */
-    public void advance(double now) {
-        for (KeyMap.Entry<Hold> each : holds.entries()) {
-            if (each.value().leasedUntil() <= now || each.value().isOverAtEndpoint(now)) {
-                giveUp(each.range(), each.value().fence(), "");
+    /** Advances the time: releases keys whose lease or grant has ended. */
+    public void advance(double nowMs) {
+        for (KeyMap.Entry<LeaseState> each : leaseStates.entries()) {
+            if (each.value().leasedUntilMs() <= nowMs || each.value().hasEndedAtEndpoint(nowMs)) {
+                releaseKeys(each.range(), each.value().fence(), "");
             }
         }
     }
 
-    private void giveUp(KeyRange range, long fence, String handoff) {
-        holds.update(range, hold -> hold.fence() <= fence ? null : hold);
-        for (KeyRange gap : spent.gaps(range)) {
-            spent.put(gap, fence);
+    private void releaseKeys(KeyRange range, long fence, String handoff) {
+        leaseStates.update(range, state -> state.fence() <= fence ? null : state);
+        for (KeyRange gap : releasedFences.gaps(range)) {
+            releasedFences.put(gap, fence);
         }
-        spent.update(range, known -> Math.max(known, fence));
-        if (untold.size() < MAX_UNTOLD) {
-            untold.add(new Untold(new ReleasedKeys(range, fence, handoff), reports + 1));
+        releasedFences.update(range, knownFence -> Math.max(knownFence, fence));
+        if (unreportedReleases.size() < MAX_UNREPORTED_RELEASES) {
+            unreportedReleases.add(new UnreportedRelease(new ReleasedKeys(range, fence, handoff), reportCount + 1));
         }
-        news = true;
+        hasUnreportedChange = true;
     }
 
-    /** Grants that the endpoint is to be told now; each is answered by {@link #granted}. */
-    public List<GrantCall> grantsDue(double now) {
-        advance(now);
+    /**
+     * Grants that are to be sent to the endpoint now. The caller must check the duration of each at the time of writing
+     * and report its result.
+     */
+    public List<GrantCall> grantsDue(double nowMs) {
+        advance(nowMs);
         List<GrantCall> due = new ArrayList<>();
-        for (KeyMap.Entry<Hold> each : holds.entries()) {
-            Hold hold = each.value();
-            double holdMs = holdMs(now, hold);
-            boolean longer = holdMs > hold.servedUntil() - now + MIN_HOLD_MS;
-            double leftMs = hold.servedUntil() - now;
-            boolean wanted = !hold.calling() && !hold.recalled() && leftMs < maxHoldMs * RENEW_PART;
-            if (wanted && longer && holdMs >= MIN_HOLD_MS && now - hold.calledAt() >= RETRY_MS) {
-                holds.put(each.range(), hold.called(now));
-                due.add(new GrantCall(each.range(), hold.fence(), holdMs, hold.handoff()));
+        for (KeyMap.Entry<LeaseState> each : leaseStates.entries()) {
+            LeaseState state = each.value();
+            double holdMs = holdMs(nowMs, state);
+            boolean isLonger = holdMs > state.servedUntilMs() - nowMs + MIN_HOLD_MS;
+            double leftMs = state.servedUntilMs() - nowMs;
+            boolean isWanted = !state.isCalling() && !state.isRecalled() && leftMs < maxHoldMs * RENEWAL_FRACTION;
+            if (isWanted && isLonger && holdMs >= MIN_HOLD_MS && nowMs - state.calledAtMs() >= RETRY_DELAY_MS) {
+                leaseStates.put(each.range(), state.withGrantCalled(nowMs));
+                due.add(new GrantCall(each.range(), state.fence(), holdMs, state.handoff()));
             }
         }
         return due;
     }
 
-    /** For how long the endpoint may be granted keys now, so that it holds them no longer than they are leased. */
-    private double holdMs(double now, Hold hold) {
-        double leftMs = hold.leasedUntil() - now - KeyTerms.GRANT_MARGIN_MS;
-        return Math.min(maxHoldMs, leftMs / KeyTerms.ENDPOINT_CLOCK);
+    /** The duration for which the endpoint may be granted keys now, so that its grant ends before the lease does. */
+    private double holdMs(double nowMs, LeaseState state) {
+        double leftMs = state.leasedUntilMs() - nowMs - KeyTerms.GRANT_MARGIN_MS;
+        return Math.min(maxHoldMs, leftMs / KeyTerms.ENDPOINT_CLOCK_FACTOR);
     }
 
     /**
-     * The time that a grant may still last as it is written: less than it was due for, if that has taken a while; 0 if
-     * it must not be written any more.
+     * The duration of a grant at the time of writing: shorter than when it became due if that was a while ago; 0 if it
+     * must no longer be written.
      */
-    public double holdMs(double now, GrantCall call) {
-        advance(now);
-        double least = call.holdMs();
-        int covered = 0;
-        for (KeyMap.Entry<Hold> each : holds.overlapping(call.range())) {
-            if (each.value().fence() == call.fence() && !each.value().recalled()) {
-                least = Math.min(least, holdMs(now, each.value()));
-                covered += each.range().size();
+    public double holdMs(double nowMs, GrantCall call) {
+        advance(nowMs);
+        double minHoldMs = call.holdMs();
+        int coveredKeys = 0;
+        for (KeyMap.Entry<LeaseState> each : leaseStates.overlapping(call.range())) {
+            if (each.value().fence() == call.fence() && !each.value().isRecalled()) {
+                minHoldMs = Math.min(minHoldMs, holdMs(nowMs, each.value()));
+                coveredKeys += each.range().size();
             }
         }
-        if (covered < call.range().size() || least < MIN_HOLD_MS) {
+        if (coveredKeys < call.range().size() || minHoldMs < MIN_HOLD_MS) {
             return 0;
         }
-        double latestEnd = now + least * KeyTerms.ENDPOINT_CLOCK + KeyTerms.GRANT_MARGIN_MS;
-        holds.update(call.range(), hold -> hold.written(latestEnd));
-        return least;
+        double latestEndMs = nowMs + minHoldMs * KeyTerms.ENDPOINT_CLOCK_FACTOR + KeyTerms.GRANT_MARGIN_MS;
+        leaseStates.update(call.range(), state -> state.withGrantWritten(latestEndMs));
+        return minHoldMs;
     }
 
     /**
-     * A grant has been answered.
+     * Records that the endpoint has accepted a grant.
      *
-     * @param writtenAt when it was written
-     * @param holdMs for how long
+     * @param writtenAtMs when it was written
+     * @param holdMs its duration
      */
-    public void granted(double writtenAt, double holdMs, GrantCall call) {
-        holds.update(call.range(), hold -> {
-            if (hold.fence() != call.fence()) {
-                return hold;
+    public void granted(double writtenAtMs, double holdMs, GrantCall call) {
+        leaseStates.update(call.range(), state -> {
+            if (state.fence() != call.fence()) {
+                return state;
             }
-            news |= hold.servedUntil() == 0;
-            return hold.taken(Math.max(hold.servedUntil(), writtenAt + holdMs));
+            hasUnreportedChange |= state.servedUntilMs() == 0;
+            return state.withGrantAccepted(Math.max(state.servedUntilMs(), writtenAtMs + holdMs));
         });
     }
 
-    /** A grant came to nothing that is known; it is called again. */
+    /** Records that a grant's result is unknown; the call is repeated. */
     public void notGranted(GrantCall call) {
-        holds.update(call.range(), hold -> hold.fence() == call.fence() ? hold.unanswered() : hold);
+        leaseStates.update(call.range(), state -> state.fence() == call.fence() ? state.withoutCall() : state);
     }
 
-    /** The endpoint has seen a higher fence on these keys: this one is not used again. */
+    /** Records that the endpoint has seen a higher fence on these keys: this fence is not used again. */
     public void refused(GrantCall call) {
-        for (KeyMap.Entry<Hold> each : holds.overlapping(call.range())) {
+        for (KeyMap.Entry<LeaseState> each : leaseStates.overlapping(call.range())) {
             if (each.value().fence() == call.fence()) {
-                giveUp(each.range(), call.fence(), "");
+                releaseKeys(each.range(), call.fence(), "");
             }
         }
     }
 
-    /** Releases that the endpoint is to be told now; each is answered by {@link #released}. */
-    public List<ReleaseCall> releasesDue(double now) {
+    /** Releases that are to be sent to the endpoint now. The caller must report the result of each. */
+    public List<ReleaseCall> releasesDue(double nowMs) {
         List<ReleaseCall> due = new ArrayList<>();
-        for (KeyMap.Entry<Hold> each : holds.entries()) {
-            Hold hold = each.value();
-            if (hold.recalled() && hold.isUnknownToEndpoint()) {
-                giveUp(each.range(), hold.fence(), hold.handoff());
-            } else if (hold.recalled() && !hold.releasing() && !hold.calling()) {
-                // Not while a grant is on its way, which would come after it.
-                holds.put(each.range(), hold.release(true, now));
-                due.add(new ReleaseCall(each.range(), hold.fence()));
+        for (KeyMap.Entry<LeaseState> each : leaseStates.entries()) {
+            LeaseState state = each.value();
+            if (state.isRecalled() && state.isUnknownToEndpoint()) {
+                releaseKeys(each.range(), state.fence(), state.handoff());
+            } else if (state.isRecalled() && !state.isReleasing() && !state.isCalling()) {
+                // Not while a grant is in transit, which could arrive after the release.
+                leaseStates.put(each.range(), state.withRelease(true, nowMs));
+                due.add(new ReleaseCall(each.range(), state.fence()));
             }
         }
         return due;
     }
 
-    /** The endpoint runs nothing of these keys any more. */
+    /** Records that the endpoint no longer runs requests for these keys. */
     public void released(ReleaseCall call, String handoff) {
-        for (KeyMap.Entry<Hold> each : holds.overlapping(call.range())) {
+        for (KeyMap.Entry<LeaseState> each : leaseStates.overlapping(call.range())) {
             if (each.value().fence() == call.fence()) {
-                giveUp(each.range(), call.fence(), handoff);
+                releaseKeys(each.range(), call.fence(), handoff);
             }
         }
     }
 
-    /** A release came to nothing that is known; it is called again. */
-    public void notReleased(double now, ReleaseCall call) {
-        holds.update(
+    /** Records that a release's result is unknown; the call is repeated. */
+    public void notReleased(double nowMs, ReleaseCall call) {
+        leaseStates.update(
                 call.range(),
-                hold -> hold.fence() == call.fence() && hold.releasing() ? hold.release(false, now) : hold);
+                state ->
+                        state.fence() == call.fence() && state.isReleasing() ? state.withRelease(false, nowMs) : state);
     }
 
-    /** Another endpoint is there: the one before has ended, and this one was granted nothing. */
+    /** Handles a replaced endpoint: the previous one has ended, and the new one has no grants. */
     public void endpointReplaced() {
-        holds.update(KeyRange.ALL, Hold::ungranted);
-        news = true;
+        leaseStates.update(KeyRange.ALL, LeaseState::withoutGrant);
+        hasUnreportedChange = true;
     }
 
-    /** Whether a request of this key may go to the endpoint now. */
-    public boolean serves(double now, int key) {
-        Hold hold = holds.get(key);
-        return hold != null && serves(now, hold);
+    /** Whether a request for this key may be sent to the endpoint now. */
+    public boolean serves(double nowMs, int key) {
+        LeaseState state = leaseStates.get(key);
+        return state != null && serves(nowMs, state);
     }
 
-    private static boolean serves(double now, Hold hold) {
-        return !hold.recalled() && now < hold.servedUntil() - LAST_REQUESTS_MS && now < hold.leasedUntil();
+    private static boolean serves(double nowMs, LeaseState state) {
+        return !state.isRecalled()
+                && nowMs < state.servedUntilMs() - REQUEST_CUTOFF_MS
+                && nowMs < state.leasedUntilMs();
     }
 
-    /** Whether anything is held. */
+    /** Whether no keys are held. */
     public boolean isEmpty() {
-        return holds.isEmpty();
+        return leaseStates.isEmpty();
     }
 }
--- a/src/main/java/whinlead/mesh/keys/KeyLoad.java
+++ b/src/main/java/whinlead/mesh/keys/KeyLoad.java
@@ -1,4 +1,4 @@
 package whinlead.mesh.keys;
 
-/** How many requests a second come for keys of a range. */
+/** The load of a range of keys in requests a second. */
 public record KeyLoad(KeyRange range, double perSecond) {}
--- a/src/main/java/whinlead/mesh/keys/KeyLoadMeter.java
+++ b/src/main/java/whinlead/mesh/keys/KeyLoadMeter.java
@@ -4,102 +4,102 @@
 import java.util.List;
 
 /**
- * How many requests come for which keys at one endpoint, with older requests counting less. Pure; one thread; times in
- * milliseconds.
+ * Measures the load of each key at one endpoint as an exponentially decaying count of requests. Pure; one thread; times
+ * in milliseconds.
  */
 public final class KeyLoadMeter {
-    /** After so long a request counts a third. */
+    /** Decay time: after it a request counts 1/e, about a third. */
     private static final double DECAY_MS = 2500;
-    /** Counts are scaled once their unit has grown so much. */
-    private static final double MAX_UNIT = 1e6;
-    /** Less than this, in requests a second, is no load worth telling. */
+    /** Counts are rescaled once the weight of a new request exceeds this. */
+    private static final double MAX_WEIGHT = 1e6;
+    /** A total load below this, in requests a second, is not reported. */
     private static final double MIN_PER_S = 0.2;
 
-    private static final double MILLIS_IN_SECOND = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final float[] counts = new float[KeyRange.MAX_KEY + 1];
-    private double unitAt;
-    private double startedAt;
+    private double weightBaseMs;
+    private double startedAtMs;
 
-    /** Nothing has come. */
-    public KeyLoadMeter(double now) {
-        this.unitAt = now;
-        this.startedAt = now;
+    /** Creates a meter without requests. */
+    public KeyLoadMeter(double nowMs) {
+        this.weightBaseMs = nowMs;
+        this.startedAtMs = nowMs;
     }
 
-    /** A request of this key came. */
-    public void count(double now, int key) {
-        counts[key] += (float) unit(now);
+    /** Counts a request for this key. */
+    public void count(double nowMs, int key) {
+        counts[key] += (float) requestWeight(nowMs);
     }
 
-    // What a request of now weighs: it grows, in place of all others shrinking.
-    private double unit(double now) {
-        double unit = Math.exp((now - unitAt) / DECAY_MS);
-        if (unit > MAX_UNIT) {
+    // The weight of a request that arrives now. It grows with time, which replaces shrinking all earlier counts.
+    private double requestWeight(double nowMs) {
+        double weight = Math.exp((nowMs - weightBaseMs) / DECAY_MS);
+        if (weight > MAX_WEIGHT) {
             for (int key = 0; key < counts.length; key++) {
-                counts[key] = (float) (counts[key] / unit);
+                counts[key] = (float) (counts[key] / weight);
             }
-            unitAt = now;
+            weightBaseMs = nowMs;
             return 1;
         }
-        return unit;
+        return weight;
     }
 
-    /** These keys are not held any more. */
+    /** Resets the counts of keys that are no longer held. */
     public void forget(KeyRange range) {
         for (int key = range.from(); key <= range.to(); key++) {
             counts[key] = 0;
         }
     }
 
-    /** Requests a second of these keys. */
-    public double perSecond(double now, KeyRange range) {
+    /** Load of these keys in requests a second. */
+    public double perSecond(double nowMs, KeyRange range) {
         double sum = 0;
         for (int key = range.from(); key <= range.to(); key++) {
             sum += counts[key];
         }
-        return perSecond(now, sum);
+        return perSecond(nowMs, sum);
     }
 
-    private double perSecond(double now, double sum) {
-        double counted = DECAY_MS * -Math.expm1(-Math.max(1, now - startedAt) / DECAY_MS);
-        return sum / unit(now) / counted * MILLIS_IN_SECOND;
+    private double perSecond(double nowMs, double sum) {
+        double effectiveMs = DECAY_MS * -Math.expm1(-Math.max(1, nowMs - startedAtMs) / DECAY_MS);
+        return sum / requestWeight(nowMs) / effectiveMs * MILLIS_PER_SECOND;
     }
 
     /**
-     * The load of these ranges, cut into parts with about the same load each; a key with much load is a part of its
-     * own.
+     * The load of these ranges, split into parts with about the same load each; a key with a high load becomes a part
+     * of its own.
      *
-     * @param parts about so many in all
+     * @param parts approximate number of parts
      */
-    public List<KeyLoad> loads(double now, List<KeyRange> ranges, int parts) {
+    public List<KeyLoad> loads(double nowMs, List<KeyRange> ranges, int parts) {
         double total = 0;
         for (KeyRange range : ranges) {
-            total += perSecond(now, range);
+            total += perSecond(nowMs, range);
         }
         List<KeyLoad> loads = new ArrayList<>();
         if (total < MIN_PER_S) {
             return loads;
         }
-        double part = total / parts;
+        double perPart = total / parts;
         for (KeyRange range : ranges) {
-            cut(now, range, part, loads);
+            split(nowMs, range, perPart, loads);
         }
         return loads;
     }
 
-    private void cut(double now, KeyRange range, double part, List<KeyLoad> loads) {
-        int from = range.from();
+    private void split(double nowMs, KeyRange range, double perPart, List<KeyLoad> loads) {
+        int firstKey = range.from();
         double sum = 0;
         for (int key = range.from(); key <= range.to(); key++) {
-            double load = counts[key] > 0 ? perSecond(now, counts[key]) : 0;
-            if (sum > 0 && load > 0 && sum + load > part) {
-                loads.add(new KeyLoad(new KeyRange(from, key - 1), sum));
-                from = key;
+            double load = counts[key] > 0 ? perSecond(nowMs, counts[key]) : 0;
+            if (sum > 0 && load > 0 && sum + load > perPart) {
+                loads.add(new KeyLoad(new KeyRange(firstKey, key - 1), sum));
+                firstKey = key;
                 sum = 0;
             }
             sum += load;
         }
-        loads.add(new KeyLoad(new KeyRange(from, range.to()), sum));
+        loads.add(new KeyLoad(new KeyRange(firstKey, range.to()), sum));
     }
 }
--- a/src/main/java/whinlead/mesh/keys/KeyMove.java
+++ b/src/main/java/whinlead/mesh/keys/KeyMove.java
@@ -1,4 +1,4 @@
 package whinlead.mesh.keys;
 
-/** Keys that are to go from one node to another. */
-public record KeyMove(KeyRange range, String from, String to) {}
+/** A planned move of keys from one node to another. */
+public record KeyMove(KeyRange range, String fromNode, String toNode) {}
--- a/src/main/java/whinlead/mesh/keys/KeyNode.java
+++ b/src/main/java/whinlead/mesh/keys/KeyNode.java
@@ -4,108 +4,112 @@
 import java.util.List;
 
 /**
- * A sidecar and the endpoint beside it, as the control node that grants keys knows them by their last report. What was
- * moved lately is not in the report's figures yet, and is reckoned with besides. One thread; times in milliseconds.
+ * A sidecar and the endpoint beside it, as last reported to the control node that grants keys. Load that was moved
+ * recently is not yet part of the reports and is added as an adjustment. One thread; times in milliseconds.
  */
 final class KeyNode {
-    /** For so long what was moved is reckoned with besides the reports. */
-    private static final double ADJUSTED_MS = 2000;
-    /** From this utilization on it is busy. */
-    private static final double BUSY = 0.6;
-    /** By how much a report may be late. */
+    /** How long moved load is added to the reported load. */
+    private static final double ADJUSTMENT_MS = 2000;
+    /** Utilization from which a node counts as busy. */
+    private static final double BUSY_UTILIZATION = 0.6;
+    /** Tolerance for late reports. */
     private static final double REPORT_SLACK_MS = 100;
 
-    private record Adjustment(double until, double places) {}
+    private record Adjustment(double untilMs, double places) {}
 
-    private final double knownSince;
+    private final double knownSinceMs;
     private final List<Adjustment> adjustments = new ArrayList<>();
-    private KeyReport report;
-    private double reportedAt;
-    private double movedAt = Double.NEGATIVE_INFINITY;
-    private double busySince = Double.NaN;
+    private KeyReport lastReport;
+    private double reportedAtMs;
+    private double lastMoveMs = Double.NEGATIVE_INFINITY;
+    private double busySinceMs = Double.NaN;
 
-    KeyNode(double now) {
-        this.knownSince = now;
+    KeyNode(double nowMs) {
+        this.knownSinceMs = nowMs;
     }
 
     boolean isOutdated(KeyReport newer) {
-        return report != null && newer.sidecarLife() == report.sidecarLife() && newer.number() <= report.number();
-    }
-
-    void report(double now, KeyReport newer) {
-        report = newer;
-        reportedAt = now;
-        if (newer.busyPlaces() < BUSY * capacity()) {
-            busySince = Double.NaN;
-        } else if (Double.isNaN(busySince)) {
-            busySince = now;
+        return lastReport != null
+                && newer.sidecarLife() == lastReport.sidecarLife()
+                && newer.number() <= lastReport.number();
+    }
+
+    void update(double nowMs, KeyReport newer) {
+        lastReport = newer;
+        reportedAtMs = nowMs;
+        if (newer.busyPlaces() < BUSY_UTILIZATION * capacity()) {
+            busySinceMs = Double.NaN;
+        } else if (Double.isNaN(busySinceMs)) {
+            busySinceMs = nowMs;
         }
     }
 
-    /** Whether it has been busy for so long that all others have reported since. */
-    boolean isBusy(double now) {
-        return now - busySince >= KeyTerms.REPORT_MS + REPORT_SLACK_MS;
+    /** Whether it has been busy for long enough that all other nodes have reported since. */
+    boolean isBusy(double nowMs) {
+        return nowMs - busySinceMs >= KeyTerms.REPORT_MS + REPORT_SLACK_MS;
     }
 
     long sidecarLife() {
-        return report.sidecarLife();
+        return lastReport.sidecarLife();
     }
 
     long reportNumber() {
-        return report.number();
+        return lastReport.number();
     }
 
     String endpoint() {
-        return report.endpoint();
+        return lastReport.endpoint();
     }
 
-    boolean leaving() {
-        return report.leaving();
+    boolean isLeaving() {
+        return lastReport.leaving();
     }
 
     int capacity() {
-        return Math.max(1, report.capacity());
+        return Math.max(1, lastReport.capacity());
     }
 
-    double reportedAt() {
-        return reportedAt;
+    double reportedAtMs() {
+        return reportedAtMs;
     }
 
-    double knownSince() {
-        return knownSince;
+    double knownSinceMs() {
+        return knownSinceMs;
     }
 
-    /** When keys were moved to or from it last. */
-    double movedAt() {
-        return movedAt;
+    /** When keys were last moved to or from this node. */
+    double lastMoveMs() {
+        return lastMoveMs;
     }
 
-    /** Its load as last reported, with what was moved since. */
-    double busyPlaces(double now) {
-        adjustments.removeIf(each -> each.until() <= now);
-        double moved = adjustments.stream().mapToDouble(Adjustment::places).sum();
-        return Math.max(0, report.busyPlaces() + moved);
+    /** Its load as last reported, plus the load that was moved since. */
+    double busyPlaces(double nowMs) {
+        adjustments.removeIf(each -> each.untilMs() <= nowMs);
+        double movedPlaces =
+                adjustments.stream().mapToDouble(Adjustment::places).sum();
+        return Math.max(0, lastReport.busyPlaces() + movedPlaces);
     }
 
-    /** The part of its capacity that is taken. */
-    double utilization(double now) {
-        return busyPlaces(now) / capacity();
+    /** The fraction of its capacity that is in use. */
+    double utilization(double nowMs) {
+        return busyPlaces(nowMs) / capacity();
     }
 
-    /** Keys with so much load come, or go if that is less than 0. */
-    void moved(double now, double places) {
-        movedAt = now;
-        adjustments.add(new Adjustment(now + ADJUSTED_MS, places));
+    /** Records that keys with this load are moved to this node, or away from it if the load is negative. */
+    void recordMove(double nowMs, double places) {
+        lastMoveMs = nowMs;
+        adjustments.add(new Adjustment(nowMs + ADJUSTMENT_MS, places));
     }
 
     /** The load of its keys, in parts, as last reported. */
     List<KeyLoad> loads() {
-        return report.loads();
+        return lastReport.loads();
     }
 
-    /** Of its busy places, how many requests of this load take. */
+    /** How many of its busy places the requests of this load take. */
     double places(KeyLoad load) {
-        double total = report.loads().stream().mapToDouble(KeyLoad::perSecond).sum();
-        return total <= 0 ? 0 : report.busyPlaces() * load.perSecond() / total;
+        double total =
+                lastReport.loads().stream().mapToDouble(KeyLoad::perSecond).sum();
+        return total <= 0 ? 0 : lastReport.busyPlaces() * load.perSecond() / total;
     }
 }
--- a/src/main/java/whinlead/mesh/keys/KeyReport.java
+++ b/src/main/java/whinlead/mesh/keys/KeyReport.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * What the sidecar beside an endpoint of a divided service tells the control node that grants keys.
+ * The report of a sidecar beside an endpoint of a sharded service to the control node that grants keys.
  *
- * @param sidecarLife tells this process from an earlier one at the same address
- * @param number counts the reports of one life
- * @param service the endpoint's
- * @param endpoint its id
- * @param capacity requests that it works on at a time
- * @param leaving whether it, or this process, is about to go, so that its keys are to be moved
- * @param busyPlaces places of its capacity that requests take, or would take if none were refused; over the capacity
- *     where requests wait
- * @param held all that is held
- * @param released since the last report that was answered
- * @param loads of the keys that are held, where requests come
+ * @param sidecarLife identifies this run of the sidecar's process, among those at the same address
+ * @param number counts the reports of this run
+ * @param service of the endpoint
+ * @param endpoint id of the endpoint
+ * @param capacity number of requests that the endpoint runs concurrently
+ * @param leaving whether the endpoint or this process is about to stop, so that its keys are to be moved
+ * @param busyPlaces places of the capacity that requests take, or would take if none were refused; above the capacity
+ *     while requests wait
+ * @param held all keys that are held
+ * @param released keys that were released since the last report that was answered
+ * @param loads of the held keys that get requests
  */
 public record KeyReport(
         long sidecarLife,
--- a/src/main/java/whinlead/mesh/keys/KeyRoute.java
+++ b/src/main/java/whinlead/mesh/keys/KeyRoute.java
@@ -1,8 +1,8 @@
 package whinlead.mesh.keys;
 
 /**
- * Where requests of these keys go. Of two, the one with the higher fence holds, so whoever merges them in whatever
- * order ends with the same.
+ * The route of requests for these keys. Of two routes of a key the one with the higher fence applies, so merging in any
+ * order gives the same result.
  *
  * @param node of the sidecar beside the owner
  */
--- a/src/main/java/whinlead/mesh/keys/KeyRoutes.java
+++ b/src/main/java/whinlead/mesh/keys/KeyRoutes.java
@@ -7,39 +7,42 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The owners of keys as one sidecar knows them, by service. Mergeable state; bounded. Pure; one thread. */
+/**
+ * The owners of keys that one sidecar knows, by service. The state can be merged in any order and is bounded. Pure; one
+ * thread.
+ */
 public final class KeyRoutes {
-    /** Services that are kept at most, and ranges of one. */
+    /** Limits on the services that are stored, and on the ranges of each. */
     private static final int MAX_SERVICES = 64;
 
     private static final int MAX_RANGES = 16_384;
 
     private final Map<String, KeyMap<KeyRoute>> services = new HashMap<>();
 
-    /** Takes routes in; true if any was news. */
+    /** Merges routes; returns true if any of them was new. */
     public boolean merge(String service, List<KeyRoute> routes) {
         if (!services.containsKey(service) && services.size() >= MAX_SERVICES) {
             return false;
         }
         KeyMap<KeyRoute> known = services.computeIfAbsent(service, name -> new KeyMap<>());
-        boolean news = false;
+        boolean changed = false;
         for (KeyRoute route : routes) {
             if (known.size() < MAX_RANGES) {
-                news |= merge(known, route);
+                changed |= merge(known, route);
             }
         }
-        return news;
+        return changed;
     }
 
     private static boolean merge(KeyMap<KeyRoute> known, KeyRoute route) {
-        List<KeyRange> newer = new ArrayList<>(known.gaps(route.range()));
+        List<KeyRange> newerRanges = new ArrayList<>(known.gaps(route.range()));
         for (KeyMap.Entry<KeyRoute> each : known.overlapping(route.range())) {
             if (each.value().fence() < route.fence()) {
-                newer.add(each.range());
+                newerRanges.add(each.range());
             }
         }
-        newer.forEach(range -> known.put(range, route));
-        return !newer.isEmpty();
+        newerRanges.forEach(range -> known.put(range, route));
+        return !newerRanges.isEmpty();
     }
 
     /** The node beside the owner of this key; null if none is known. */
@@ -59,7 +62,7 @@
         return nodes;
     }
 
-    /** All services that routes are known of. */
+    /** All services with known routes. */
     public Set<String> services() {
         return services.keySet();
     }
--- a/src/main/java/whinlead/mesh/keys/LeasedKeys.java
+++ b/src/main/java/whinlead/mesh/keys/LeasedKeys.java
@@ -3,7 +3,7 @@
 /**
  * Keys that are leased to a sidecar.
  *
- * @param fence rises with each owner of a key
- * @param handoff what the endpoint before gave for this one; empty where there is nothing
+ * @param fence increases with each owner of a key
+ * @param handoff data that the previous endpoint left for this one; empty if there is none
  */
 public record LeasedKeys(KeyRange range, long fence, String handoff) {}
--- a/src/main/java/whinlead/mesh/keys/ReleaseCall.java
+++ b/src/main/java/whinlead/mesh/keys/ReleaseCall.java
@@ -1,4 +1,4 @@
 package whinlead.mesh.keys;
 
-/** The endpoint is to run nothing of these keys any more. */
+/** A call that tells the endpoint to stop running requests for these keys. */
 public record ReleaseCall(KeyRange range, long fence) {}
--- a/src/main/java/whinlead/mesh/keys/ReleasedKeys.java
+++ b/src/main/java/whinlead/mesh/keys/ReleasedKeys.java
@@ -1,8 +1,8 @@
 package whinlead.mesh.keys;
 
 /**
- * Keys that a sidecar holds no more under this fence, and never will again.
+ * Keys that a sidecar no longer holds under this fence and never will again.
  *
- * @param handoff what the endpoint gave for the next one; empty where it gave nothing
+ * @param handoff data that the endpoint left for the next one; empty if there is none
  */
 public record ReleasedKeys(KeyRange range, long fence, String handoff) {}
--- a/src/main/java/whinlead/mesh/keys/package-info.java
+++ b/src/main/java/whinlead/mesh/keys/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Which endpoint runs the requests of which keys, for services that are divided by key: ranges of keys are leased to
- * the sidecars beside the endpoints, which grant them on.
+ * Assignment of keys to endpoints, for services that are sharded by key: ranges of keys are leased to the sidecars
+ * beside the endpoints, and the sidecars grant them to the endpoints.
  *
- * <p>Begin with {@link whinlead.mesh.keys.KeyGrantor}, which leases, and {@link whinlead.mesh.keys.KeyHolder}, which
- * holds. Pure; one thread; uses {@code java.util} only.
+ * <p>Start with {@link whinlead.mesh.keys.KeyGrantor}, which leases keys, and {@link whinlead.mesh.keys.KeyHolder},
+ * which holds the leases at a sidecar. Pure; one thread; uses {@code java.util} only.
  */
 package whinlead.mesh.keys;
--- a/src/main/java/whinlead/mesh/quota/package-info.java
+++ b/src/main/java/whinlead/mesh/quota/package-info.java
@@ -4,6 +4,6 @@
  *
  * <p>Start with {@link whinlead.mesh.quota.TenantQuota}, a sidecar's part, and
  * {@link whinlead.mesh.quota.QuotaGrantor}, a control node's. {@link whinlead.mesh.quota.DemandTotals} serves sidecars
- * of the protocol version before leases. Pure; one thread; times in milliseconds.
+ * of the protocol version before leases. Pure except for values drawn from a seed; one thread; times in milliseconds.
  */
 package whinlead.mesh.quota;
--- a/src/test/java/whinlead/mesh/keys/KeyMapTest.java
+++ b/src/test/java/whinlead/mesh/keys/KeyMapTest.java
@@ -7,30 +7,30 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Ranges of keys with values, against an array of them. */
+/** Compares the map with an array of values, and merges routes in different orders. */
 public class KeyMapTest {
     private static final int KEYS = 64;
 
     @Test
-    public void itSaysWhatAnArrayWouldSay() {
+    public void mapBehavesLikeAnArray() {
         Random random = new Random(3);
         KeyMap<Integer> map = new KeyMap<>();
         Integer[] array = new Integer[KEYS];
         for (int i = 0; i < 5000; i++) {
-            int from = random.nextInt(KEYS);
-            KeyRange range = new KeyRange(from, from + random.nextInt(KEYS - from));
+            int first = random.nextInt(KEYS);
+            KeyRange range = new KeyRange(first, first + random.nextInt(KEYS - first));
             int value = random.nextInt(5);
-            int what = random.nextInt(3);
-            if (what == 0) {
+            int operation = random.nextInt(3);
+            if (operation == 0) {
                 map.put(range, value);
-            } else if (what == 1) {
+            } else if (operation == 1) {
                 map.remove(range);
             } else {
                 map.update(range, each -> each == value ? null : each + 1);
             }
             for (int key = range.from(); key <= range.to(); key++) {
-                boolean gone = what == 1 || what == 2 && (array[key] == null || array[key] == value);
-                array[key] = gone ? null : what == 0 ? value : Integer.valueOf(array[key] + 1);
+                boolean isRemoved = operation == 1 || operation == 2 && (array[key] == null || array[key] == value);
+                array[key] = isRemoved ? null : operation == 0 ? value : Integer.valueOf(array[key] + 1);
             }
             assertSame(map, array, range);
         }
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void aRouteWithAHigherFenceHoldsInWhateverOrderTheyCome() {
+    public void routeWithTheHigherFenceAppliesInAnyOrderOfMerging() {
         List<KeyRoute> routes = List.of(
                 new KeyRoute(new KeyRange(0, 100), 1, "a"),
                 new KeyRoute(new KeyRange(50, 200), 3, "b"),
