--- a/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
+++ b/src/main/java/whinlead/mesh/wire/AcceptorRecord.java
@@ -9,57 +9,58 @@
 import whinlead.mesh.consensus.Decision;
 
 /**
- * What an acceptor keeps on disk, as MessagePack. It ends with its format; fields of later formats follow. A program
- * that does not know them passes over them, unless the record says that it needs a later one. For any thread.
+ * The state that an acceptor stores on disk, as MessagePack. The record ends with its format number; fields of later
+ * formats follow. A program that does not know these fields ignores them, unless the record says that its reader must
+ * know a later format. For any thread.
  */
 public final class AcceptorRecord {
-    /** The format of records that don't name theirs. */
-    private static final int UNNAMED_FORMAT = 1;
+    /** The format of records without a format number. */
+    private static final int UNNUMBERED_FORMAT = 1;
 
     private static final int FORMAT = 2;
-    /** The oldest format whose programs may pass over what this one has added. */
-    private static final int READABLE_FROM = UNNAMED_FORMAT;
+    /** The oldest format whose programs may ignore the fields added in this format. */
+    private static final int READABLE_FROM = UNNUMBERED_FORMAT;
 
     private AcceptorRecord() {}
 
-    /** Writes a record. */
-    public static byte[] write(Acceptor.State memory) {
-        try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-            if (memory.decided() == null) {
-                p.packNil();
+    /** Encodes a record. */
+    public static byte[] write(Acceptor.State state) {
+        try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+            if (state.decided() == null) {
+                packer.packNil();
             } else {
-                ConsensusMessageCodec.decision(p, memory.decided());
+                ConsensusMessageCodec.decision(packer, state.decided());
             }
-            ConsensusMessageCodec.ballot(p, memory.promised());
-            ConsensusMessageCodec.vote(p, memory.vote());
-            p.packInt(FORMAT).packInt(READABLE_FROM);
-            return p.toByteArray();
+            ConsensusMessageCodec.ballot(packer, state.promised());
+            ConsensusMessageCodec.vote(packer, state.vote());
+            packer.packInt(FORMAT).packInt(READABLE_FROM);
+            return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory failed", e);
         }
     }
 
     /**
-     * Reads a record.
+     * Decodes a record.
      *
-     * @throws LaterFormatException if it needs a later program
-     * @throws IOException if these bytes are none
+     * @throws LaterFormatException if it requires a later program
+     * @throws IOException if these bytes are not a record
      */
     public static Acceptor.State read(byte[] bytes) throws IOException {
-        try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
-            Decision decided = u.tryUnpackNil() ? null : ConsensusMessageCodec.decision(u);
-            Ballot promised = ConsensusMessageCodec.ballot(u);
-            Acceptor.State memory = new Acceptor.State(decided, promised, ConsensusMessageCodec.vote(u));
-            checkFormat(u);
-            return memory;
+        try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
+            Decision decided = unpacker.tryUnpackNil() ? null : ConsensusMessageCodec.decision(unpacker);
+            Ballot promised = ConsensusMessageCodec.ballot(unpacker);
+            Acceptor.State state = new Acceptor.State(decided, promised, ConsensusMessageCodec.vote(unpacker));
+            checkFormat(unpacker);
+            return state;
         } catch (RuntimeException e) {
-            throw new IOException("not an acceptor's record", e);
+            throw new IOException("malformed acceptor record", e);
         }
     }
 
-    private static void checkFormat(MessageUnpacker u) throws IOException {
-        int format = u.hasNext() ? u.unpackInt() : UNNAMED_FORMAT;
-        int readableFrom = u.hasNext() ? u.unpackInt() : UNNAMED_FORMAT;
+    private static void checkFormat(MessageUnpacker unpacker) throws IOException {
+        int format = unpacker.hasNext() ? unpacker.unpackInt() : UNNUMBERED_FORMAT;
+        int readableFrom = unpacker.hasNext() ? unpacker.unpackInt() : UNNUMBERED_FORMAT;
         if (readableFrom > FORMAT) {
             throw new LaterFormatException(format, readableFrom, FORMAT);
         }
--- a/src/main/java/whinlead/mesh/wire/ConsensusMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/ConsensusMessageCodec.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.wire;
 
 import static whinlead.mesh.wire.FieldCodec.bytes;
-import static whinlead.mesh.wire.FieldCodec.size;
+import static whinlead.mesh.wire.FieldCodec.checkedSize;
 import static whinlead.mesh.wire.FieldCodec.strings;
 
 import java.io.IOException;
@@ -15,11 +15,11 @@
 import whinlead.mesh.consensus.Message;
 
 /**
- * The consensus' messages, and the values in them, as MessagePack: a tag, then the fields in their order. They grow as
- * {@link PeerMessageCodec} says. For any thread.
+ * MessagePack encoding of consensus messages and the values in them: a tag, then the fields in order. They may be
+ * extended by the rules of {@link PeerMessageCodec}. For any thread.
  */
 final class ConsensusMessageCodec {
-    /** The kinds of messages, by the tag that stands first in the bytes of each. */
+    /** The kinds of messages, each with the tag that is the first byte of its encoding. */
     private enum Kind {
         PREPARE(1),
         PROMISE(2),
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Names a kind of message that this version does not know. */
+    /** A message of a kind that this version does not know. */
     static final class UnknownKindException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -56,147 +56,155 @@
                 return kind;
             }
         }
-        throw new UnknownKindException("ballot message " + tag);
-    }
-
-    /** Writes a message. */
-    static void write(MessageBufferPacker p, Message message) throws IOException {
-        if (message instanceof Message.Prepare s) {
-            p.packByte(Kind.PREPARE.tag).packLong(s.slot());
-            ballot(p, s.ballot());
-        } else if (message instanceof Message.Promise s) {
-            p.packByte(Kind.PROMISE.tag).packLong(s.slot());
-            ballot(p, s.ballot());
-            vote(p, s.vote());
-        } else if (message instanceof Message.Accept s) {
-            p.packByte(Kind.ACCEPT.tag);
-            ballot(p, s.ballot());
-            decision(p, s.value());
-        } else if (message instanceof Message.Accepted s) {
-            p.packByte(Kind.ACCEPTED.tag).packLong(s.slot());
-            ballot(p, s.ballot());
-        } else if (message instanceof Message.Nack s) {
-            p.packByte(Kind.NACK.tag).packLong(s.slot());
-            ballot(p, s.ballot());
-            ballot(p, s.promised());
-        } else if (message instanceof Message.Lagging s) {
-            p.packByte(Kind.LAGGING.tag).packLong(s.slot()).packLong(s.have());
-        } else if (message instanceof Message.Decided s) {
-            p.packByte(Kind.DECIDED.tag);
-            decision(p, s.decision());
-        } else if (message instanceof Message.Query s) {
-            p.packByte(Kind.QUERY.tag).packLong(s.nonce()).packLong(s.slot());
-            suspects(p, s.suspects());
-        } else if (message instanceof Message.State s) {
-            p.packByte(Kind.STATE.tag).packLong(s.nonce()).packLong(s.slot()).packBoolean(s.voted());
-            opinions(p, s.opinions());
-        } else if (message instanceof Message.Join s) {
-            p.packByte(Kind.JOIN.tag).packLong(s.slot());
+        throw new UnknownKindException("consensus message " + tag);
+    }
+
+    /** Encodes a message. */
+    static void write(MessageBufferPacker packer, Message consensusMessage) throws IOException {
+        if (consensusMessage instanceof Message.Prepare message) {
+            packer.packByte(Kind.PREPARE.tag).packLong(message.slot());
+            ballot(packer, message.ballot());
+        } else if (consensusMessage instanceof Message.Promise message) {
+            packer.packByte(Kind.PROMISE.tag).packLong(message.slot());
+            ballot(packer, message.ballot());
+            vote(packer, message.vote());
+        } else if (consensusMessage instanceof Message.Accept message) {
+            packer.packByte(Kind.ACCEPT.tag);
+            ballot(packer, message.ballot());
+            decision(packer, message.value());
+        } else if (consensusMessage instanceof Message.Accepted message) {
+            packer.packByte(Kind.ACCEPTED.tag).packLong(message.slot());
+            ballot(packer, message.ballot());
+        } else if (consensusMessage instanceof Message.Nack message) {
+            packer.packByte(Kind.NACK.tag).packLong(message.slot());
+            ballot(packer, message.ballot());
+            ballot(packer, message.promised());
+        } else if (consensusMessage instanceof Message.Lagging message) {
+            packer.packByte(Kind.LAGGING.tag).packLong(message.slot()).packLong(message.have());
+        } else if (consensusMessage instanceof Message.Decided message) {
+            packer.packByte(Kind.DECIDED.tag);
+            decision(packer, message.decision());
+        } else if (consensusMessage instanceof Message.Query message) {
+            packer.packByte(Kind.QUERY.tag).packLong(message.nonce()).packLong(message.slot());
+            suspects(packer, message.suspects());
+        } else if (consensusMessage instanceof Message.State message) {
+            packer.packByte(Kind.STATE.tag)
+                    .packLong(message.nonce())
+                    .packLong(message.slot())
+                    .packBoolean(message.voted());
+            opinions(packer, message.opinions());
+        } else if (consensusMessage instanceof Message.Join message) {
+            packer.packByte(Kind.JOIN.tag).packLong(message.slot());
         }
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
      * @throws UnknownKindException if this version does not know its kind
      */
-    static Message read(MessageUnpacker u) throws IOException {
-        byte tag = u.unpackByte();
+    static Message read(MessageUnpacker unpacker) throws IOException {
+        byte tag = unpacker.unpackByte();
         return switch (kind(tag)) {
-            case PREPARE -> new Message.Prepare(u.unpackLong(), ballot(u));
-            case PROMISE -> new Message.Promise(u.unpackLong(), ballot(u), vote(u));
-            case ACCEPT -> new Message.Accept(ballot(u), decision(u));
-            case ACCEPTED -> new Message.Accepted(u.unpackLong(), ballot(u));
-            case NACK -> new Message.Nack(u.unpackLong(), ballot(u), ballot(u));
-            case LAGGING -> new Message.Lagging(u.unpackLong(), u.unpackLong());
-            case DECIDED -> new Message.Decided(decision(u));
-            case QUERY -> new Message.Query(u.unpackLong(), u.unpackLong(), suspects(u));
-            case STATE -> new Message.State(u.unpackLong(), u.unpackLong(), u.unpackBoolean(), opinions(u));
-            case JOIN -> new Message.Join(u.unpackLong());
+            case PREPARE -> new Message.Prepare(unpacker.unpackLong(), ballot(unpacker));
+            case PROMISE -> new Message.Promise(unpacker.unpackLong(), ballot(unpacker), vote(unpacker));
+            case ACCEPT -> new Message.Accept(ballot(unpacker), decision(unpacker));
+            case ACCEPTED -> new Message.Accepted(unpacker.unpackLong(), ballot(unpacker));
+            case NACK -> new Message.Nack(unpacker.unpackLong(), ballot(unpacker), ballot(unpacker));
+            case LAGGING -> new Message.Lagging(unpacker.unpackLong(), unpacker.unpackLong());
+            case DECIDED -> new Message.Decided(decision(unpacker));
+            case QUERY -> new Message.Query(unpacker.unpackLong(), unpacker.unpackLong(), suspects(unpacker));
+            case STATE ->
+                new Message.State(
+                        unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackBoolean(), opinions(unpacker));
+            case JOIN -> new Message.Join(unpacker.unpackLong());
         };
     }
 
-    // Suspects and opinions follow the older fields and are left out where there are none: a program from
-    // before them reads the fields that it knows and passes over the rest.
-    private static void suspects(MessageBufferPacker p, List<String> suspects) throws IOException {
+    // Suspects and opinions follow the older fields and are omitted if there are none: a program of an earlier version
+    // reads the fields that it knows and ignores the rest.
+    private static void suspects(MessageBufferPacker packer, List<String> suspects) throws IOException {
         if (!suspects.isEmpty()) {
-            strings(p, suspects);
+            strings(packer, suspects);
         }
     }
 
-    private static List<String> suspects(MessageUnpacker u) throws IOException {
-        return u.hasNext() ? strings(u) : List.of();
+    private static List<String> suspects(MessageUnpacker unpacker) throws IOException {
+        return unpacker.hasNext() ? strings(unpacker) : List.of();
     }
 
-    private static void opinions(MessageBufferPacker p, List<Message.Opinion> opinions) throws IOException {
+    private static void opinions(MessageBufferPacker packer, List<Message.Opinion> opinions) throws IOException {
         if (!opinions.isEmpty()) {
-            p.packInt(opinions.size());
+            packer.packInt(opinions.size());
             for (Message.Opinion opinion : opinions) {
-                p.packString(opinion.voter()).packInt(opinion.reachability().ordinal());
+                packer.packString(opinion.voter())
+                        .packInt(opinion.reachability().ordinal());
             }
         }
     }
 
-    private static List<Message.Opinion> opinions(MessageUnpacker u) throws IOException {
-        int n = u.hasNext() ? size(u.unpackInt()) : 0;
+    private static List<Message.Opinion> opinions(MessageUnpacker unpacker) throws IOException {
+        int size = unpacker.hasNext() ? checkedSize(unpacker.unpackInt()) : 0;
         List<Message.Opinion> opinions = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            opinions.add(new Message.Opinion(u.unpackString(), reachability(u.unpackInt())));
+        for (int i = 0; i < size; i++) {
+            opinions.add(new Message.Opinion(unpacker.unpackString(), reachability(unpacker.unpackInt())));
         }
         return opinions;
     }
 
-    // A word that only a newer program knows says nothing here.
+    // A value that only a newer program knows is read as unsure.
     private static Message.Reachability reachability(int number) {
         Message.Reachability[] known = Message.Reachability.values();
         return number >= 0 && number < known.length ? known[number] : Message.Reachability.UNSURE;
     }
 
-    static void ballot(MessageBufferPacker p, Ballot b) throws IOException {
-        p.packLong(b.round()).packString(b.by());
+    static void ballot(MessageBufferPacker packer, Ballot ballot) throws IOException {
+        packer.packLong(ballot.round()).packString(ballot.by());
     }
 
-    static Ballot ballot(MessageUnpacker u) throws IOException {
-        return new Ballot(u.unpackLong(), u.unpackString());
+    static Ballot ballot(MessageUnpacker unpacker) throws IOException {
+        return new Ballot(unpacker.unpackLong(), unpacker.unpackString());
     }
 
-    static void vote(MessageBufferPacker p, Message.Vote vote) throws IOException {
+    static void vote(MessageBufferPacker packer, Message.Vote vote) throws IOException {
         if (vote == null) {
-            p.packNil();
+            packer.packNil();
         } else {
-            ballot(p, vote.ballot());
-            decision(p, vote.value());
+            ballot(packer, vote.ballot());
+            decision(packer, vote.value());
         }
     }
 
-    static Message.Vote vote(MessageUnpacker u) throws IOException {
-        return u.getNextFormat() == MessageFormat.NIL ? nil(u) : new Message.Vote(ballot(u), decision(u));
+    static Message.Vote vote(MessageUnpacker unpacker) throws IOException {
+        return unpacker.getNextFormat() == MessageFormat.NIL
+                ? nil(unpacker)
+                : new Message.Vote(ballot(unpacker), decision(unpacker));
     }
 
-    private static Message.Vote nil(MessageUnpacker u) throws IOException {
-        u.unpackNil();
+    private static Message.Vote nil(MessageUnpacker unpacker) throws IOException {
+        unpacker.unpackNil();
         return null;
     }
 
-    static void decision(MessageBufferPacker p, Decision d) throws IOException {
-        p.packLong(d.slot()).packLong(d.version());
-        bytes(p, d.body());
-        p.packInt(d.taken().size());
-        for (Decision.Taken t : d.taken()) {
-            p.packLong(t.version()).packString(t.digest());
+    static void decision(MessageBufferPacker packer, Decision decision) throws IOException {
+        packer.packLong(decision.slot()).packLong(decision.version());
+        bytes(packer, decision.body());
+        packer.packInt(decision.taken().size());
+        for (Decision.Taken taken : decision.taken()) {
+            packer.packLong(taken.version()).packString(taken.digest());
         }
-        strings(p, d.voters());
+        strings(packer, decision.voters());
     }
 
-    static Decision decision(MessageUnpacker u) throws IOException {
-        long slot = u.unpackLong();
-        long version = u.unpackLong();
-        byte[] body = bytes(u);
-        int n = size(u.unpackInt());
+    static Decision decision(MessageUnpacker unpacker) throws IOException {
+        long slot = unpacker.unpackLong();
+        long version = unpacker.unpackLong();
+        byte[] body = bytes(unpacker);
+        int size = checkedSize(unpacker.unpackInt());
         List<Decision.Taken> taken = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            taken.add(new Decision.Taken(u.unpackLong(), u.unpackString()));
+        for (int i = 0; i < size; i++) {
+            taken.add(new Decision.Taken(unpacker.unpackLong(), unpacker.unpackString()));
         }
-        return new Decision(slot, version, body, taken, strings(u));
+        return new Decision(slot, version, body, taken, strings(unpacker));
     }
 }
--- a/src/main/java/whinlead/mesh/wire/FieldCodec.java
+++ b/src/main/java/whinlead/mesh/wire/FieldCodec.java
@@ -9,84 +9,90 @@
 import whinlead.mesh.quota.TenantDemand;
 import whinlead.mesh.registry.EndpointRecord;
 
-/** How the values are written and read that messages of several kinds hold. For any thread. */
+/** MessagePack encoding of values that messages of several kinds contain. For any thread. */
 final class FieldCodec {
-    /** Lists longer than this are no message of ours. */
-    private static final int MAX_LIST = 1 << 16;
+    /** Longer lists are rejected: no valid message contains one. */
+    private static final int MAX_LIST_SIZE = 1 << 16;
 
     private static final EndpointRecord.Phase[] PHASES = EndpointRecord.Phase.values();
 
     private FieldCodec() {}
 
-    static void uses(MessageBufferPacker p, List<TenantDemand> uses) throws IOException {
-        p.packInt(uses.size());
-        for (TenantDemand u : uses) {
-            p.packString(u.tenant()).packFloat((float) u.perSecond());
+    static void demands(MessageBufferPacker packer, List<TenantDemand> demands) throws IOException {
+        packer.packInt(demands.size());
+        for (TenantDemand demand : demands) {
+            packer.packString(demand.tenant()).packFloat((float) demand.perSecond());
         }
     }
 
-    static List<TenantDemand> uses(MessageUnpacker u) throws IOException {
-        int n = size(u.unpackInt());
-        List<TenantDemand> uses = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            uses.add(new TenantDemand(u.unpackString(), u.unpackFloat()));
+    static List<TenantDemand> demands(MessageUnpacker unpacker) throws IOException {
+        int size = checkedSize(unpacker.unpackInt());
+        List<TenantDemand> demands = new ArrayList<>();
+        for (int i = 0; i < size; i++) {
+            demands.add(new TenantDemand(unpacker.unpackString(), unpacker.unpackFloat()));
         }
-        return uses;
+        return demands;
     }
 
-    static void record(MessageBufferPacker p, EndpointRecord x) throws IOException {
-        p.packString(x.node()).packLong(x.life()).packLong(x.seq()).packString(x.zone());
-        p.packString(x.endpoint()).packString(x.target()).packInt(x.phase().ordinal());
-        p.packInt(x.capacity()).packInt(x.warmMs());
+    static void record(MessageBufferPacker packer, EndpointRecord endpointRecord) throws IOException {
+        packer.packString(endpointRecord.node())
+                .packLong(endpointRecord.life())
+                .packLong(endpointRecord.seq())
+                .packString(endpointRecord.zone());
+        packer.packString(endpointRecord.endpoint())
+                .packString(endpointRecord.target())
+                .packInt(endpointRecord.phase().ordinal());
+        packer.packInt(endpointRecord.capacity()).packInt(endpointRecord.warmMs());
     }
 
-    // One in a phase that this version does not know is passed over: what was known of its node stands.
-    static Optional<EndpointRecord> record(MessageUnpacker u) throws IOException {
-        String node = u.unpackString();
-        long life = u.unpackLong();
-        long seq = u.unpackLong();
-        String zone = u.unpackString();
-        String endpoint = u.unpackString();
-        String target = u.unpackString();
-        int phase = u.unpackInt();
-        int capacity = u.unpackInt();
-        int warmMs = u.unpackInt();
+    // A record in a phase that this version does not know is ignored, so the previous record of its node stays in
+    // force.
+    static Optional<EndpointRecord> record(MessageUnpacker unpacker) throws IOException {
+        String node = unpacker.unpackString();
+        long life = unpacker.unpackLong();
+        long seq = unpacker.unpackLong();
+        String zone = unpacker.unpackString();
+        String endpoint = unpacker.unpackString();
+        String target = unpacker.unpackString();
+        int phase = unpacker.unpackInt();
+        int capacity = unpacker.unpackInt();
+        int warmMs = unpacker.unpackInt();
         if (phase < 0 || phase >= PHASES.length) {
-            VersionEvents.PROCESS.passedOver("an endpoint record in phase " + phase);
+            VersionEvents.PROCESS.logIgnored("endpoint record in unknown phase " + phase);
             return Optional.empty();
         }
         return Optional.of(
                 new EndpointRecord(node, life, seq, zone, endpoint, target, PHASES[phase], capacity, warmMs));
     }
 
-    static void strings(MessageBufferPacker p, List<String> list) throws IOException {
-        p.packInt(list.size());
-        for (String s : list) {
-            p.packString(s);
+    static void strings(MessageBufferPacker packer, List<String> list) throws IOException {
+        packer.packInt(list.size());
+        for (String string : list) {
+            packer.packString(string);
         }
     }
 
-    static List<String> strings(MessageUnpacker u) throws IOException {
-        int n = size(u.unpackInt());
+    static List<String> strings(MessageUnpacker unpacker) throws IOException {
+        int size = checkedSize(unpacker.unpackInt());
         List<String> list = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            list.add(u.unpackString());
+        for (int i = 0; i < size; i++) {
+            list.add(unpacker.unpackString());
         }
         return list;
     }
 
-    static void bytes(MessageBufferPacker p, byte[] b) throws IOException {
-        p.packBinaryHeader(b.length).writePayload(b);
+    static void bytes(MessageBufferPacker packer, byte[] bytes) throws IOException {
+        packer.packBinaryHeader(bytes.length).writePayload(bytes);
     }
 
-    static byte[] bytes(MessageUnpacker u) throws IOException {
-        return u.readPayload(u.unpackBinaryHeader());
+    static byte[] bytes(MessageUnpacker unpacker) throws IOException {
+        return unpacker.readPayload(unpacker.unpackBinaryHeader());
     }
 
-    static int size(int n) throws IOException {
-        if (n < 0 || n > MAX_LIST) {
-            throw new IOException("a list of " + n);
+    static int checkedSize(int size) throws IOException {
+        if (size < 0 || size > MAX_LIST_SIZE) {
+            throw new IOException("invalid list size " + size);
         }
-        return n;
+        return size;
     }
 }
--- a/src/main/java/whinlead/mesh/wire/KeyMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/KeyMessageCodec.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.wire;
 
-import static whinlead.mesh.wire.FieldCodec.size;
+import static whinlead.mesh.wire.FieldCodec.checkedSize;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
 import whinlead.mesh.keys.LeasedKeys;
 import whinlead.mesh.keys.ReleasedKeys;
 
-/** How the messages about keys, and about the duty of granting them, are written and read. For any thread. */
+/** MessagePack encoding of messages about keys and about the duty of granting them. For any thread. */
 final class KeyMessageCodec {
     private KeyMessageCodec() {}
 
@@ -31,150 +31,157 @@
                 || message instanceof PeerMessage.KeyRoutesUpdate;
     }
 
-    static void write(MessageBufferPacker p, PeerMessage message) throws IOException {
-        if (message instanceof PeerMessage.DutyQuestion m) {
-            p.packByte(PeerMessageKind.DUTY_REQUEST.tag());
-            p.packLong(m.request().number()).packLong(m.request().epoch());
-        } else if (message instanceof PeerMessage.DutyAnswer m) {
-            p.packByte(PeerMessageKind.DUTY_VOTE.tag());
-            p.packLong(m.vote().number()).packBoolean(m.vote().granted());
-            p.packLong(m.vote().epoch()).packBoolean(m.vote().first());
-        } else if (message instanceof PeerMessage.KeyGrantorChanged m) {
-            p.packByte(PeerMessageKind.KEY_GRANTOR_CHANGED.tag()).packLong(m.epoch());
-        } else if (message instanceof PeerMessage.KeyLeaseReport m) {
-            p.packByte(PeerMessageKind.KEY_REPORT.tag());
-            report(p, m.report());
-        } else if (message instanceof PeerMessage.KeyLeaseGrant m) {
-            p.packByte(PeerMessageKind.KEY_LEASE.tag());
-            lease(p, m.lease());
-        } else if (message instanceof PeerMessage.KeyRoutesUpdate m) {
-            p.packByte(PeerMessageKind.KEY_ROUTES.tag());
-            routes(p, m);
+    static void write(MessageBufferPacker packer, PeerMessage peerMessage) throws IOException {
+        if (peerMessage instanceof PeerMessage.DutyQuestion message) {
+            packer.packByte(PeerMessageKind.DUTY_REQUEST.tag());
+            packer.packLong(message.request().number())
+                    .packLong(message.request().epoch());
+        } else if (peerMessage instanceof PeerMessage.DutyAnswer message) {
+            packer.packByte(PeerMessageKind.DUTY_VOTE.tag());
+            packer.packLong(message.vote().number()).packBoolean(message.vote().granted());
+            packer.packLong(message.vote().epoch()).packBoolean(message.vote().first());
+        } else if (peerMessage instanceof PeerMessage.KeyGrantorChanged message) {
+            packer.packByte(PeerMessageKind.KEY_GRANTOR_CHANGED.tag()).packLong(message.epoch());
+        } else if (peerMessage instanceof PeerMessage.KeyLeaseReport message) {
+            packer.packByte(PeerMessageKind.KEY_REPORT.tag());
+            report(packer, message.report());
+        } else if (peerMessage instanceof PeerMessage.KeyLeaseGrant message) {
+            packer.packByte(PeerMessageKind.KEY_LEASE.tag());
+            lease(packer, message.lease());
+        } else if (peerMessage instanceof PeerMessage.KeyRoutesUpdate message) {
+            packer.packByte(PeerMessageKind.KEY_ROUTES.tag());
+            routes(packer, message);
         }
     }
 
-    static PeerMessage read(PeerMessageKind kind, MessageUnpacker u) throws IOException {
+    static PeerMessage read(PeerMessageKind kind, MessageUnpacker unpacker) throws IOException {
         return switch (kind) {
-            case DUTY_REQUEST -> new PeerMessage.DutyQuestion(new DutyRequest(u.unpackLong(), epoch(u)));
+            case DUTY_REQUEST -> new PeerMessage.DutyQuestion(new DutyRequest(unpacker.unpackLong(), epoch(unpacker)));
             case DUTY_VOTE ->
-                new PeerMessage.DutyAnswer(
-                        new DutyVote(u.unpackLong(), u.unpackBoolean(), epoch(u), u.unpackBoolean()));
-            case KEY_GRANTOR_CHANGED -> new PeerMessage.KeyGrantorChanged(epoch(u));
-            case KEY_REPORT -> new PeerMessage.KeyLeaseReport(report(u));
-            case KEY_LEASE -> new PeerMessage.KeyLeaseGrant(lease(u));
-            case KEY_ROUTES -> routes(u);
-            default -> throw new IOException(kind + " is not about keys");
+                new PeerMessage.DutyAnswer(new DutyVote(
+                        unpacker.unpackLong(), unpacker.unpackBoolean(), epoch(unpacker), unpacker.unpackBoolean()));
+            case KEY_GRANTOR_CHANGED -> new PeerMessage.KeyGrantorChanged(epoch(unpacker));
+            case KEY_REPORT -> new PeerMessage.KeyLeaseReport(report(unpacker));
+            case KEY_LEASE -> new PeerMessage.KeyLeaseGrant(lease(unpacker));
+            case KEY_ROUTES -> routes(unpacker);
+            default -> throw new IOException(kind + " is not a message about keys");
         };
     }
 
-    private static long epoch(MessageUnpacker u) throws IOException {
-        long epoch = u.unpackLong();
+    private static long epoch(MessageUnpacker unpacker) throws IOException {
+        long epoch = unpacker.unpackLong();
         if (epoch < 0) {
-            throw new IOException("an epoch of " + epoch);
+            throw new IOException("invalid epoch " + epoch);
         }
         return epoch;
     }
 
-    private static void report(MessageBufferPacker p, KeyReport report) throws IOException {
-        p.packLong(report.sidecarLife()).packLong(report.number());
-        p.packString(report.service()).packString(report.endpoint());
-        p.packInt(report.capacity()).packBoolean(report.leaving()).packFloat((float) report.busyPlaces());
-        p.packInt(report.held().size());
+    private static void report(MessageBufferPacker packer, KeyReport report) throws IOException {
+        packer.packLong(report.sidecarLife()).packLong(report.number());
+        packer.packString(report.service()).packString(report.endpoint());
+        packer.packInt(report.capacity()).packBoolean(report.leaving()).packFloat((float) report.busyPlaces());
+        packer.packInt(report.held().size());
         for (HeldKeys keys : report.held()) {
-            range(p, keys.range());
-            p.packLong(keys.fence()).packBoolean(keys.serving());
+            range(packer, keys.range());
+            packer.packLong(keys.fence()).packBoolean(keys.serving());
         }
-        p.packInt(report.released().size());
+        packer.packInt(report.released().size());
         for (ReleasedKeys keys : report.released()) {
-            range(p, keys.range());
-            p.packLong(keys.fence()).packString(keys.handoff());
+            range(packer, keys.range());
+            packer.packLong(keys.fence()).packString(keys.handoff());
         }
-        p.packInt(report.loads().size());
+        packer.packInt(report.loads().size());
         for (KeyLoad load : report.loads()) {
-            range(p, load.range());
-            p.packFloat((float) load.perSecond());
+            range(packer, load.range());
+            packer.packFloat((float) load.perSecond());
         }
     }
 
-    private static KeyReport report(MessageUnpacker u) throws IOException {
-        long sidecarLife = u.unpackLong();
-        long number = u.unpackLong();
-        String service = u.unpackString();
-        String endpoint = u.unpackString();
-        int capacity = u.unpackInt();
-        boolean leaving = u.unpackBoolean();
-        double busyPlaces = number(u.unpackFloat());
+    private static KeyReport report(MessageUnpacker unpacker) throws IOException {
+        long sidecarLife = unpacker.unpackLong();
+        long number = unpacker.unpackLong();
+        String service = unpacker.unpackString();
+        String endpoint = unpacker.unpackString();
+        int capacity = unpacker.unpackInt();
+        boolean leaving = unpacker.unpackBoolean();
+        double busyPlaces = checkedLoad(unpacker.unpackFloat());
         List<HeldKeys> held = new ArrayList<>();
-        for (int n = size(u.unpackInt()); n > 0; n--) {
-            held.add(new HeldKeys(range(u), u.unpackLong(), u.unpackBoolean()));
+        for (int remaining = checkedSize(unpacker.unpackInt()); remaining > 0; remaining--) {
+            held.add(new HeldKeys(range(unpacker), unpacker.unpackLong(), unpacker.unpackBoolean()));
         }
         List<ReleasedKeys> released = new ArrayList<>();
-        for (int n = size(u.unpackInt()); n > 0; n--) {
-            released.add(new ReleasedKeys(range(u), u.unpackLong(), u.unpackString()));
+        for (int remaining = checkedSize(unpacker.unpackInt()); remaining > 0; remaining--) {
+            released.add(new ReleasedKeys(range(unpacker), unpacker.unpackLong(), unpacker.unpackString()));
         }
         List<KeyLoad> loads = new ArrayList<>();
-        for (int n = size(u.unpackInt()); n > 0; n--) {
-            loads.add(new KeyLoad(range(u), number(u.unpackFloat())));
+        for (int remaining = checkedSize(unpacker.unpackInt()); remaining > 0; remaining--) {
+            loads.add(new KeyLoad(range(unpacker), checkedLoad(unpacker.unpackFloat())));
         }
         return new KeyReport(
                 sidecarLife, number, service, endpoint, capacity, leaving, busyPlaces, held, released, loads);
     }
 
-    private static void lease(MessageBufferPacker p, KeyLease lease) throws IOException {
-        p.packLong(lease.epoch()).packLong(lease.number());
-        p.packLong(lease.sidecarLife()).packLong(lease.reportNumber());
-        leased(p, lease.leased());
-        leased(p, lease.recalled());
+    private static void lease(MessageBufferPacker packer, KeyLease lease) throws IOException {
+        packer.packLong(lease.epoch()).packLong(lease.number());
+        packer.packLong(lease.sidecarLife()).packLong(lease.reportNumber());
+        leased(packer, lease.leased());
+        leased(packer, lease.recalled());
     }
 
-    private static KeyLease lease(MessageUnpacker u) throws IOException {
-        return new KeyLease(epoch(u), u.unpackLong(), u.unpackLong(), u.unpackLong(), leased(u), leased(u));
+    private static KeyLease lease(MessageUnpacker unpacker) throws IOException {
+        return new KeyLease(
+                epoch(unpacker),
+                unpacker.unpackLong(),
+                unpacker.unpackLong(),
+                unpacker.unpackLong(),
+                leased(unpacker),
+                leased(unpacker));
     }
 
-    private static void leased(MessageBufferPacker p, List<LeasedKeys> list) throws IOException {
-        p.packInt(list.size());
+    private static void leased(MessageBufferPacker packer, List<LeasedKeys> list) throws IOException {
+        packer.packInt(list.size());
         for (LeasedKeys keys : list) {
-            range(p, keys.range());
-            p.packLong(keys.fence()).packString(keys.handoff());
+            range(packer, keys.range());
+            packer.packLong(keys.fence()).packString(keys.handoff());
         }
     }
 
-    private static List<LeasedKeys> leased(MessageUnpacker u) throws IOException {
+    private static List<LeasedKeys> leased(MessageUnpacker unpacker) throws IOException {
         List<LeasedKeys> list = new ArrayList<>();
-        for (int n = size(u.unpackInt()); n > 0; n--) {
-            list.add(new LeasedKeys(range(u), u.unpackLong(), u.unpackString()));
+        for (int remaining = checkedSize(unpacker.unpackInt()); remaining > 0; remaining--) {
+            list.add(new LeasedKeys(range(unpacker), unpacker.unpackLong(), unpacker.unpackString()));
         }
         return list;
     }
 
-    private static void routes(MessageBufferPacker p, PeerMessage.KeyRoutesUpdate update) throws IOException {
-        p.packString(update.service()).packInt(update.routes().size());
+    private static void routes(MessageBufferPacker packer, PeerMessage.KeyRoutesUpdate update) throws IOException {
+        packer.packString(update.service()).packInt(update.routes().size());
         for (KeyRoute route : update.routes()) {
-            range(p, route.range());
-            p.packLong(route.fence()).packString(route.node());
+            range(packer, route.range());
+            packer.packLong(route.fence()).packString(route.node());
         }
     }
 
-    private static PeerMessage routes(MessageUnpacker u) throws IOException {
-        String service = u.unpackString();
+    private static PeerMessage routes(MessageUnpacker unpacker) throws IOException {
+        String service = unpacker.unpackString();
         List<KeyRoute> routes = new ArrayList<>();
-        for (int n = size(u.unpackInt()); n > 0; n--) {
-            routes.add(new KeyRoute(range(u), u.unpackLong(), u.unpackString()));
+        for (int remaining = checkedSize(unpacker.unpackInt()); remaining > 0; remaining--) {
+            routes.add(new KeyRoute(range(unpacker), unpacker.unpackLong(), unpacker.unpackString()));
         }
         return new PeerMessage.KeyRoutesUpdate(service, routes);
     }
 
-    private static void range(MessageBufferPacker p, KeyRange range) throws IOException {
-        p.packInt(range.from()).packInt(range.to());
+    private static void range(MessageBufferPacker packer, KeyRange range) throws IOException {
+        packer.packInt(range.from()).packInt(range.to());
     }
 
-    private static KeyRange range(MessageUnpacker u) throws IOException {
-        return new KeyRange(u.unpackInt(), u.unpackInt());
+    private static KeyRange range(MessageUnpacker unpacker) throws IOException {
+        return new KeyRange(unpacker.unpackInt(), unpacker.unpackInt());
     }
 
-    private static double number(double value) throws IOException {
+    private static double checkedLoad(double value) throws IOException {
         if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-            throw new IOException("a load of " + value);
+            throw new IOException("invalid load " + value);
         }
         return value;
     }
--- a/src/main/java/whinlead/mesh/wire/LaterFormatException.java
+++ b/src/main/java/whinlead/mesh/wire/LaterFormatException.java
@@ -2,17 +2,22 @@
 
 import java.io.IOException;
 
-/** A record that a later program wrote and that this one must not read: what it does not know matters. */
+/**
+ * A record of a later program that this one must not read, because it contains required fields that this program does
+ * not know.
+ */
 public final class LaterFormatException extends IOException {
     private static final long serialVersionUID = 1L;
 
     /**
-     * What the record says, and what this program knows.
+     * Creates an exception with the record's formats and this program's.
      *
-     * @param readableFrom the oldest format whose readers may read it
+     * @param format of the record
+     * @param readableFrom the oldest format whose programs may read it
+     * @param knownFormat the latest format that this program knows
      */
-    LaterFormatException(int format, int readableFrom, int ours) {
+    LaterFormatException(int format, int readableFrom, int knownFormat) {
         super("an acceptor's record of format " + format + " needs a program that knows format " + readableFrom
-                + ", this one knows " + ours);
+                + ", this one knows " + knownFormat);
     }
 }
--- a/src/main/java/whinlead/mesh/wire/MalformedMessageException.java
+++ b/src/main/java/whinlead/mesh/wire/MalformedMessageException.java
@@ -2,14 +2,14 @@
 
 import java.io.IOException;
 
-/** Bytes that are no message of the kind that they name. */
+/** Bytes that are not a valid message of the kind that they name. */
 public final class MalformedMessageException extends IOException {
     private static final long serialVersionUID = 1L;
 
     private final PeerMessageKind kind;
 
     /**
-     * What is wrong with it.
+     * Creates an exception with its cause.
      *
      * @param kind the kind that the bytes name, or null if they name none
      */
@@ -18,8 +18,8 @@
         this.kind = kind;
     }
 
-    /** Whether what was lost with it is sent again anyway, so that the connection may go on. */
-    public boolean repairedByRepetition() {
-        return kind != null && kind.repeated();
+    /** Whether the sender repeats such messages anyway, so that the connection may stay open. */
+    public boolean isRepeatedBySender() {
+        return kind != null && kind.isRepeated();
     }
 }
--- a/src/main/java/whinlead/mesh/wire/PeerConnection.java
+++ b/src/main/java/whinlead/mesh/wire/PeerConnection.java
@@ -11,40 +11,41 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 
 /**
- * One TCP connection between two processes of the system, on its loop's thread. Every message goes behind its length. A
- * message of a later version's kind is passed over. A malformed one is refused by name; it ends the connection if
- * nobody would say it again, for the new connection says all anew. One that is too long ends it.
+ * One TCP connection between two processes of the system, used on its event loop's thread. Each message follows its
+ * length. A message of a later version's kind is ignored. A malformed message is rejected with its kind; it ends the
+ * connection if its sender would not repeat it, because a new connection transfers the whole state again. A message
+ * that is too long ends the connection.
  */
 public final class PeerConnection implements MessageSender {
-    /** The longest message: a request's body at most, and what goes around it. */
+    /** The longest message: the largest body of a request and the fields around it. */
     public static final int MAX_MESSAGE_BYTES = 24 << 20;
 
     private static final int LENGTH_BYTES = 4;
 
-    /** Hears what comes. */
+    /** Receives the events of a connection. */
     public interface MessageHandler {
-        /** The link is up. */
-        void connected(PeerConnection link);
+        /** The connection was established. */
+        void connected(PeerConnection connection);
 
-        /** A message came. */
-        void message(PeerConnection link, PeerMessage message);
+        /** A message was received. */
+        void message(PeerConnection connection, PeerMessage message);
 
-        /** The link is down; told once if it was up. */
-        void disconnected(PeerConnection link);
+        /** The connection was closed; called once if it was established. */
+        void disconnected(PeerConnection connection);
     }
 
     private final Channel channel;
     private final TransitClock transit = new TransitClock();
     private String peer;
-    /** What both sides speak; the least until the other side has said more. */
+    /** The version that both sides use; the lowest one until the other side's greeting has arrived. */
     private int version = ProtocolVersion.UNVERSIONED;
 
     private PeerConnection(Channel channel) {
         this.channel = channel;
     }
 
-    /** Puts the link's handlers on new connections. */
-    public static ChannelInitializer<Channel> handlers(MessageHandler ear) {
+    /** Returns an initializer that installs the message handlers on new connections. */
+    public static ChannelInitializer<Channel> handlers(MessageHandler handler) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel ch) {
@@ -52,88 +53,88 @@
                 ch.pipeline()
                         .addLast(
                                 new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
-                                new Reader(ear));
+                                new Reader(handler));
             }
         };
     }
 
-    /** Sends a message; it is lost if the link goes down, or the other side does not know its kind yet. */
+    /** Sends a message; it is lost if the connection breaks or the other side's version does not know its kind. */
     @Override
     public void send(PeerMessage message) {
-        if (PeerMessageCodec.since(message) <= version) {
+        if (PeerMessageCodec.minVersion(message) <= version) {
             send(PeerMessageCodec.write(message));
         }
     }
 
     @Override
-    public void send(byte[] written) {
-        ByteBuf length = Unpooled.buffer(LENGTH_BYTES).writeInt(written.length);
-        channel.writeAndFlush(Unpooled.wrappedBuffer(length, Unpooled.wrappedBuffer(written)), channel.voidPromise());
+    public void send(byte[] encoded) {
+        ByteBuf length = Unpooled.buffer(LENGTH_BYTES).writeInt(encoded.length);
+        channel.writeAndFlush(Unpooled.wrappedBuffer(length, Unpooled.wrappedBuffer(encoded)), channel.voidPromise());
     }
 
-    /** Whether more can be sent without piling up. */
+    /** Whether more can be sent without growing the send buffer beyond its limit. */
     public boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** How long what comes by it waited on the way. */
+    /** Measures how long received messages waited on their way. */
     public TransitClock transit() {
         return transit;
     }
 
-    /** Who the other side said that it is; null before that. */
+    /** The name that the other side's greeting gave; null before that. */
     @Override
     public String peer() {
         return peer;
     }
 
-    /** Notes who it is. */
-    public void peer(String id) {
-        peer = id;
+    /** Sets the other side's name. */
+    public void peer(String newPeer) {
+        peer = newPeer;
     }
 
-    /** The protocol version that both sides speak; the least one until the other side has greeted. */
+    /** The protocol version that both sides use; the lowest one until the other side's greeting has arrived. */
     @Override
     public int version() {
         return version;
     }
 
-    /** Takes in the other side's versions; false, and the link is ended, if none is shared. */
-    private boolean agree(PeerMessage.Hello hello) {
-        boolean shared = ProtocolVersion.OURS.sharesOneWith(hello.versions());
+    /** Applies the other side's versions; returns false and closes the connection if none is shared. */
+    private boolean negotiateVersion(PeerMessage.Hello hello) {
+        boolean shared = ProtocolVersion.SUPPORTED.overlaps(hello.versions());
         if (shared) {
-            version = ProtocolVersion.OURS.agreedWith(hello.versions());
+            version = ProtocolVersion.SUPPORTED.negotiate(hello.versions());
         } else {
-            VersionEvents.PROCESS.refused(
+            VersionEvents.PROCESS.logRejected(
                     hello.id(),
-                    "speaks protocol versions " + hello.versions() + ", this program " + ProtocolVersion.OURS);
+                    "speaks protocol versions " + hello.versions() + ", this program " + ProtocolVersion.SUPPORTED);
             close();
         }
         return shared;
     }
 
-    /** Ends it. */
+    /** Closes the connection. */
     public void close() {
         channel.close();
     }
 
-    /** Whether it is up. */
+    /** Whether the connection is open. */
     public boolean isOpen() {
         return channel.isActive();
     }
 
     private static final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
-        private final MessageHandler ear;
-        private PeerConnection link;
+        private final MessageHandler handler;
+        private PeerConnection connection;
 
-        private Reader(MessageHandler ear) {
-            this.ear = ear;
+        private Reader(MessageHandler handler) {
+            this.handler = handler;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            link = new PeerConnection(ctx.channel());
-            ear.connected(link);
+            connection = new PeerConnection(ctx.channel());
+            handler.connected(connection);
         }
 
         @Override
@@ -141,8 +142,8 @@
             try {
                 read(PeerMessageCodec.read(ByteBufUtil.getBytes(frame)));
             } catch (MalformedMessageException e) {
-                VersionEvents.PROCESS.refused(link.peer, e.getMessage());
-                if (!e.repairedByRepetition()) {
+                VersionEvents.PROCESS.logRejected(connection.peer, e.getMessage());
+                if (!e.isRepeatedBySender()) {
                     ctx.close();
                 }
             }
@@ -150,18 +151,18 @@
 
         private void read(PeerMessage message) {
             if (message instanceof PeerMessage.Unknown unknown) {
-                VersionEvents.PROCESS.passedOver(unknown.kind());
-            } else if (!(message instanceof PeerMessage.Hello hello) || link.agree(hello)) {
-                ear.message(link, message);
+                VersionEvents.PROCESS.logIgnored(unknown.kind());
+            } else if (!(message instanceof PeerMessage.Hello hello) || connection.negotiateVersion(hello)) {
+                handler.message(connection, message);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ear.disconnected(link);
+            handler.disconnected(connection);
         }
 
-        // A message that is too long, and connections that break, end alike: by a close.
+        // Messages that are too long and broken connections are handled alike: by closing.
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
--- a/src/main/java/whinlead/mesh/wire/PeerMessage.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessage.java
@@ -15,80 +15,83 @@
 import whinlead.mesh.quota.TokenResponse;
 import whinlead.mesh.registry.EndpointRecord;
 
-/** What the system's own processes say to each other. */
+/** Messages between the processes of the system. */
 public sealed interface PeerMessage {
-    /** In place of a time of sending: the sender tells none. */
+    /** Value of a sending time that the sender did not give. */
     long UNSTAMPED = Long.MIN_VALUE;
 
     /**
-     * The first on every link: who it is, and whether a control node. Whoever is greeted by one that names its versions
-     * greets back.
+     * The first message on every connection: the sender's name and whether it is a control node. A greeting that
+     * contains versions is answered by a greeting.
      */
     record Hello(String id, boolean controlNode, ProtocolVersion versions) implements PeerMessage {
-        /** This program's greeting. */
+        /** Creates a greeting with this program's versions. */
         public Hello(String id, boolean controlNode) {
-            this(id, controlNode, ProtocolVersion.OURS);
+            this(id, controlNode, ProtocolVersion.SUPPORTED);
         }
     }
 
-    /** A message of a later version, of which only the name of its kind is known. It is never written. */
+    /** A message of a later version of which only the kind is known. It is never sent. */
     record Unknown(String kind) implements PeerMessage {}
 
-    /** Endpoint records, one's own or passed on. */
+    /** Endpoint records, of the sender or forwarded by it. */
     record EndpointUpdate(List<EndpointRecord> records) implements PeerMessage {}
 
-    /** A sidecar has this slot's configuration and wants to be told of a newer one. */
+    /** A sidecar has the configuration of this slot and asks to be notified of newer ones. */
     record Subscribe(long slot) implements PeerMessage {}
 
-    /** A control node has this one. */
+    /** A control node has the configuration of this slot. */
     record ConfigAvailable(long slot) implements PeerMessage {}
 
-    /** Asks for the newest. */
+    /** Requests the newest configuration. */
     record FetchConfig() implements PeerMessage {}
 
-    /** The newest known there, whole; {@code confirmed} tells that its control node reaches a quorum. */
+    /**
+     * The complete newest configuration that the sender knows; {@code confirmed} tells that its control node reaches a
+     * quorum.
+     */
     record ConfigUpdate(Decision decision, boolean confirmed) implements PeerMessage {}
 
     /**
-     * Asks for a sign of life.
+     * Asks the other side to show that it is alive.
      *
-     * @param sentAt when it was written, by the sender's steady clock in microseconds, or {@link #UNSTAMPED}
+     * @param sentAt sending time by the sender's steady clock in microseconds, or {@link #UNSTAMPED}
      */
     record Ping(long number, long sentAt) implements PeerMessage {
-        /** One without a time of sending. */
+        /** Creates a message without a sending time. */
         public Ping(long number) {
             this(number, UNSTAMPED);
         }
     }
 
     /**
-     * The sign.
+     * The answer to a {@link Ping}.
      *
-     * @param number the question's
-     * @param id who answers
+     * @param number of the ping
+     * @param id of the process that answers
      * @param slot the newest decision that it has on disk, or -1
      */
     record Pong(long number, String id, long slot) implements PeerMessage {}
 
-    /** A sidecar that reaches no control node asks another sidecar which ones there are. */
+    /** A sidecar that reaches no control node asks another sidecar for the addresses of control nodes. */
     record FindControlNodes() implements PeerMessage {}
 
-    /** The addresses of control nodes that are known here. */
+    /** The addresses of the control nodes that the sender knows. */
     record ControlNodes(List<String> addresses) implements PeerMessage {}
 
-    /** About a ballot. */
+    /** A message of the consensus protocol. */
     record Consensus(Message message) implements PeerMessage {}
 
-    /** A sidecar asks for a lease of tenants' limits, or to renew it. */
+    /** A sidecar asks for a lease of tenants' limits, or for its renewal. */
     record QuotaLeaseReport(LeaseReport report) implements PeerMessage {}
 
-    /** A control node leases parts of tenants' limits. */
+    /** A control node leases parts of tenants' limits to a sidecar. */
     record QuotaLeaseGrant(LeaseGrant grant) implements PeerMessage {}
 
-    /** A sidecar asks for one token of a tenant's. */
+    /** A sidecar asks for one token of a tenant's limit. */
     record QuotaTokenRequest(TokenRequest request) implements PeerMessage {}
 
-    /** The answer. */
+    /** The answer to a {@link QuotaTokenRequest}. */
     record QuotaTokenResponse(TokenResponse response) implements PeerMessage {}
 
     /** A control node asks a voter for its vote for a duty. */
@@ -97,16 +100,16 @@
     /** The voter's answer. */
     record DutyAnswer(DutyVote vote) implements PeerMessage {}
 
-    /** A control node grants keys from now on: sidecars with keys report to it. */
+    /** A control node announces that it grants keys from now on: sidecars of sharded services report to it. */
     record KeyGrantorChanged(long epoch) implements PeerMessage {}
 
-    /** A sidecar tells the control node that grants keys what it holds and needs. */
+    /** A sidecar reports the keys that it holds and needs to the control node that grants keys. */
     record KeyLeaseReport(KeyReport report) implements PeerMessage {}
 
-    /** A control node leases keys. */
+    /** A control node leases keys to a sidecar. */
     record KeyLeaseGrant(KeyLease lease) implements PeerMessage {}
 
-    /** Where requests of a service go, by key. */
+    /** Routes of a service's requests, by key. */
     record KeyRoutesUpdate(String service, List<KeyRoute> routes) implements PeerMessage {
         /** Copies the list. */
         public KeyRoutesUpdate {
@@ -114,20 +117,20 @@
         }
     }
 
-    /** A sidecar of an earlier version tells what it is asked for, and may ask for the sums. */
+    /** A sidecar of an earlier version reports its demand and may ask for the totals. */
     record DemandReport(List<TenantDemand> uses, boolean wanted) implements PeerMessage {}
 
-    /** The sums over so many sidecars of the tenants that the one who asked has named. */
-    record DemandSums(int nodes, List<TenantDemand> totals) implements PeerMessage {}
+    /** The total demand over this many sidecars, of the tenants that the receiver has reported. */
+    record DemandSums(int sidecars, List<TenantDemand> totals) implements PeerMessage {}
 
     /**
-     * A request on its way to an endpoint.
+     * A request that is forwarded to an endpoint.
      *
-     * @param stream names it on this link
+     * @param stream identifies the request on this connection
      * @param headers names and values in turn
-     * @param leftMs how long an answer is of use, in milliseconds
+     * @param leftMs time in milliseconds within which an answer is of use
      * @param rank 0 is the highest
-     * @param sentAt when it was written, by the sender's steady clock in microseconds, or {@link #UNSTAMPED}
+     * @param sentAt sending time by the sender's steady clock in microseconds, or {@link #UNSTAMPED}
      */
     record ForwardRequest(
             long stream,
@@ -141,7 +144,7 @@
             int rank,
             long sentAt)
             implements PeerMessage {
-        /** One without a time of sending. */
+        /** Creates a message without a sending time. */
         public ForwardRequest(
                 long stream,
                 String method,
@@ -155,46 +158,47 @@
             this(stream, method, uri, headers, body, leftMs, target, endpoint, rank, UNSTAMPED);
         }
 
-        /** The same request with another time left. */
-        public ForwardRequest withLeft(int otherLeftMs) {
-            return new ForwardRequest(stream, method, uri, headers, body, otherLeftMs, target, endpoint, rank, sentAt);
+        /** Copies this request with another remaining time. */
+        public ForwardRequest withLeft(int newRemainingMs) {
+            return new ForwardRequest(
+                    stream, method, uri, headers, body, newRemainingMs, target, endpoint, rank, sentAt);
         }
     }
 
     /**
-     * The client of a request that was sent on this link has left: if it is not yet at the endpoint, it never goes
-     * there.
+     * The client of a request that was sent on this connection has left: if the request has not yet been sent to the
+     * endpoint, it must not be.
      *
-     * @param stream the request's
-     * @param whileRunning whether it is also to be ended where the endpoint is at work on it
+     * @param stream of the request
+     * @param whileRunning whether the request is also to be ended if the endpoint is already running it
      */
     record Cancel(long stream, boolean whileRunning) implements PeerMessage {}
 
-    /** The endpoint's answer, whole, and how busy it is. */
+    /** The endpoint's complete response and its load. */
     record ForwardResponse(long stream, int status, List<String> headers, byte[] body, double util, double perSecond)
             implements PeerMessage {}
 
-    /** No answer, and how busy the endpoint is. */
+    /** A request without a response, and the endpoint's load. */
     record ForwardFailure(long stream, FailureReason why, double util, double perSecond) implements PeerMessage {}
 
-    /** Why there is no answer. */
+    /** Why there is no response. */
     enum FailureReason {
-        /** It has not run: the sidecar beside the endpoint saw that it is full. */
+        /** Not executed: the sidecar beside the endpoint found it at capacity. */
         FULL(true),
-        /** It has not run: it arrived, and the endpoint said so. */
+        /** Not executed: the endpoint received and refused it. */
         TURNED_AWAY(true),
-        /** It has not run: the endpoint is not there, is leaving, or is another. */
+        /** Not executed: the endpoint is not there, is leaving or has been replaced. */
         MOVED(true),
-        /** It has not run: the endpoint could not be connected to. */
+        /** Not executed: no connection to the endpoint could be established. */
         UNREACHED(true),
-        /** It may have run: the connection broke or the answer was spoilt. */
+        /** Possibly executed: the connection broke or the response was malformed. */
         BROKEN(false),
-        /** It may have run: the time was up. */
+        /** Possibly executed: the time limit was reached. */
         LATE(false),
-        /** It has not run: the endpoint does not own its key, as the sidecar beside it knows. */
+        /** Not executed: the endpoint does not own the request's key, as the sidecar beside it knows. */
         NOT_OWNER(true);
 
-        /** Whether it is certain that it has not run and will not. */
+        /** Whether the request certainly has not been executed and never will be. */
         public final boolean neverRan;
 
         FailureReason(boolean neverRan) {
--- a/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
@@ -1,10 +1,10 @@
 package whinlead.mesh.wire;
 
 import static whinlead.mesh.wire.FieldCodec.bytes;
+import static whinlead.mesh.wire.FieldCodec.checkedSize;
+import static whinlead.mesh.wire.FieldCodec.demands;
 import static whinlead.mesh.wire.FieldCodec.record;
-import static whinlead.mesh.wire.FieldCodec.size;
 import static whinlead.mesh.wire.FieldCodec.strings;
-import static whinlead.mesh.wire.FieldCodec.uses;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,212 +15,213 @@
 import whinlead.mesh.registry.EndpointRecord;
 
 /**
- * PeerMessageCodec as MessagePack: a tag, then the fields in their order. For any thread.
+ * MessagePack encoding of {@link PeerMessage}: a tag, then the fields in order. For any thread.
  *
- * <p>Versions: a message grows by fields at its end only, each with a default that stands where an older program has
- * not sent it; an older reader passes over what it does not know. A field may be left out only while it is the last
- * one. What stands inside a list or another value can't grow: new fields of an endpoint record go into a list of their
- * own at the message's end. A new kind is sent only where {@link #since} allows it.
+ * <p>Compatibility: a message may be extended only by fields at its end, each with a default that is used if an older
+ * program has not sent it; an older reader ignores fields that it does not know. A field may be omitted only while it
+ * is the last one. Values inside a list or another value can't be extended: new fields of an endpoint record go into a
+ * separate list at the end of the message. A message of a new kind is sent only to readers of a version that knows it.
  */
 public final class PeerMessageCodec {
     private static final PeerMessage.FailureReason[] REASONS = PeerMessage.FailureReason.values();
 
     private PeerMessageCodec() {}
 
-    /** Writes a message. */
-    public static byte[] write(PeerMessage peerMessage) {
-        try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-            if (peerMessage instanceof PeerMessage.ForwardRequest l) {
-                p.packByte(PeerMessageKind.FORWARD_REQUEST.tag())
-                        .packLong(l.stream())
-                        .packString(l.method())
-                        .packString(l.uri());
-                strings(p, l.headers());
-                bytes(p, l.body());
-                p.packInt(l.leftMs())
-                        .packString(l.target())
-                        .packString(l.endpoint())
-                        .packInt(l.rank());
-                stamp(p, l.sentAt());
-            } else if (peerMessage instanceof PeerMessage.ForwardResponse l) {
-                p.packByte(PeerMessageKind.FORWARD_RESPONSE.tag())
-                        .packLong(l.stream())
-                        .packInt(l.status());
-                strings(p, l.headers());
-                bytes(p, l.body());
-                p.packDouble(l.util()).packDouble(l.perSecond());
-            } else if (peerMessage instanceof PeerMessage.ForwardFailure l) {
-                p.packByte(PeerMessageKind.FORWARD_FAILURE.tag())
-                        .packLong(l.stream())
-                        .packInt(l.why().ordinal());
-                p.packDouble(l.util()).packDouble(l.perSecond());
-            } else if (KeyMessageCodec.isAboutKeys(peerMessage)) {
-                KeyMessageCodec.write(p, peerMessage);
+    /** Encodes a message. */
+    public static byte[] write(PeerMessage message) {
+        try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+            if (message instanceof PeerMessage.ForwardRequest msg) {
+                packer.packByte(PeerMessageKind.FORWARD_REQUEST.tag())
+                        .packLong(msg.stream())
+                        .packString(msg.method())
+                        .packString(msg.uri());
+                strings(packer, msg.headers());
+                bytes(packer, msg.body());
+                packer.packInt(msg.leftMs())
+                        .packString(msg.target())
+                        .packString(msg.endpoint())
+                        .packInt(msg.rank());
+                sendingTime(packer, msg.sentAt());
+            } else if (message instanceof PeerMessage.ForwardResponse msg) {
+                packer.packByte(PeerMessageKind.FORWARD_RESPONSE.tag())
+                        .packLong(msg.stream())
+                        .packInt(msg.status());
+                strings(packer, msg.headers());
+                bytes(packer, msg.body());
+                packer.packDouble(msg.util()).packDouble(msg.perSecond());
+            } else if (message instanceof PeerMessage.ForwardFailure msg) {
+                packer.packByte(PeerMessageKind.FORWARD_FAILURE.tag())
+                        .packLong(msg.stream())
+                        .packInt(msg.why().ordinal());
+                packer.packDouble(msg.util()).packDouble(msg.perSecond());
+            } else if (KeyMessageCodec.isAboutKeys(message)) {
+                KeyMessageCodec.write(packer, message);
             } else {
-                writeControl(p, peerMessage);
+                writeControl(packer, message);
             }
-            return p.toByteArray();
+            return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory failed", e);
         }
     }
 
-    // What processes say to each other besides requests.
-    private static void writeControl(MessageBufferPacker p, PeerMessage peerMessage) throws IOException {
-        if (QuotaMessageCodec.isQuota(peerMessage)) {
-            QuotaMessageCodec.write(p, peerMessage);
-        } else if (peerMessage instanceof PeerMessage.Hello l) {
-            p.packByte(PeerMessageKind.HELLO.tag()).packString(l.id()).packBoolean(l.controlNode());
-            p.packInt(l.versions().newest()).packInt(l.versions().oldest());
-        } else if (peerMessage instanceof PeerMessage.EndpointUpdate l) {
-            p.packByte(PeerMessageKind.ENDPOINT_UPDATE.tag())
-                    .packInt(l.records().size());
-            for (EndpointRecord x : l.records()) {
-                record(p, x);
+    // Encodes messages other than forwarded requests and their results.
+    private static void writeControl(MessageBufferPacker packer, PeerMessage message) throws IOException {
+        if (QuotaMessageCodec.isAboutQuota(message)) {
+            QuotaMessageCodec.write(packer, message);
+        } else if (message instanceof PeerMessage.Hello msg) {
+            packer.packByte(PeerMessageKind.HELLO.tag()).packString(msg.id()).packBoolean(msg.controlNode());
+            packer.packInt(msg.versions().newest()).packInt(msg.versions().oldest());
+        } else if (message instanceof PeerMessage.EndpointUpdate msg) {
+            packer.packByte(PeerMessageKind.ENDPOINT_UPDATE.tag())
+                    .packInt(msg.records().size());
+            for (EndpointRecord endpointRecord : msg.records()) {
+                record(packer, endpointRecord);
             }
-        } else if (peerMessage instanceof PeerMessage.Subscribe l) {
-            p.packByte(PeerMessageKind.SUBSCRIBE.tag()).packLong(l.slot());
-        } else if (peerMessage instanceof PeerMessage.ConfigAvailable l) {
-            p.packByte(PeerMessageKind.CONFIG_AVAILABLE.tag()).packLong(l.slot());
-        } else if (peerMessage instanceof PeerMessage.FetchConfig) {
-            p.packByte(PeerMessageKind.FETCH_CONFIG.tag());
-        } else if (peerMessage instanceof PeerMessage.ConfigUpdate l) {
-            p.packByte(PeerMessageKind.CONFIG_UPDATE.tag());
-            ConsensusMessageCodec.decision(p, l.decision());
-            p.packBoolean(l.confirmed());
-        } else if (peerMessage instanceof PeerMessage.Ping l) {
-            p.packByte(PeerMessageKind.PING.tag()).packLong(l.number());
-            stamp(p, l.sentAt());
-        } else if (peerMessage instanceof PeerMessage.Pong l) {
-            p.packByte(PeerMessageKind.PONG.tag())
-                    .packLong(l.number())
-                    .packString(l.id())
-                    .packLong(l.slot());
-        } else if (peerMessage instanceof PeerMessage.Consensus l) {
-            p.packByte(PeerMessageKind.CONSENSUS.tag());
-            ConsensusMessageCodec.write(p, l.message());
-        } else if (peerMessage instanceof PeerMessage.DemandReport l) {
-            p.packByte(PeerMessageKind.DEMAND_REPORT.tag());
-            uses(p, l.uses());
-            p.packBoolean(l.wanted());
-        } else if (peerMessage instanceof PeerMessage.DemandSums l) {
-            p.packByte(PeerMessageKind.DEMAND_SUMS.tag()).packInt(l.nodes());
-            uses(p, l.totals());
-        } else if (peerMessage instanceof PeerMessage.FindControlNodes) {
-            p.packByte(PeerMessageKind.FIND_CONTROL_NODES.tag());
-        } else if (peerMessage instanceof PeerMessage.ControlNodes l) {
-            p.packByte(PeerMessageKind.CONTROL_NODES.tag());
-            strings(p, l.addresses());
-        } else if (peerMessage instanceof PeerMessage.Cancel l) {
-            p.packByte(PeerMessageKind.CANCEL.tag()).packLong(l.stream()).packBoolean(l.whileRunning());
+        } else if (message instanceof PeerMessage.Subscribe msg) {
+            packer.packByte(PeerMessageKind.SUBSCRIBE.tag()).packLong(msg.slot());
+        } else if (message instanceof PeerMessage.ConfigAvailable msg) {
+            packer.packByte(PeerMessageKind.CONFIG_AVAILABLE.tag()).packLong(msg.slot());
+        } else if (message instanceof PeerMessage.FetchConfig) {
+            packer.packByte(PeerMessageKind.FETCH_CONFIG.tag());
+        } else if (message instanceof PeerMessage.ConfigUpdate msg) {
+            packer.packByte(PeerMessageKind.CONFIG_UPDATE.tag());
+            ConsensusMessageCodec.decision(packer, msg.decision());
+            packer.packBoolean(msg.confirmed());
+        } else if (message instanceof PeerMessage.Ping msg) {
+            packer.packByte(PeerMessageKind.PING.tag()).packLong(msg.number());
+            sendingTime(packer, msg.sentAt());
+        } else if (message instanceof PeerMessage.Pong msg) {
+            packer.packByte(PeerMessageKind.PONG.tag())
+                    .packLong(msg.number())
+                    .packString(msg.id())
+                    .packLong(msg.slot());
+        } else if (message instanceof PeerMessage.Consensus msg) {
+            packer.packByte(PeerMessageKind.CONSENSUS.tag());
+            ConsensusMessageCodec.write(packer, msg.message());
+        } else if (message instanceof PeerMessage.DemandReport msg) {
+            packer.packByte(PeerMessageKind.DEMAND_REPORT.tag());
+            demands(packer, msg.uses());
+            packer.packBoolean(msg.wanted());
+        } else if (message instanceof PeerMessage.DemandSums msg) {
+            packer.packByte(PeerMessageKind.DEMAND_SUMS.tag()).packInt(msg.sidecars());
+            demands(packer, msg.totals());
+        } else if (message instanceof PeerMessage.FindControlNodes) {
+            packer.packByte(PeerMessageKind.FIND_CONTROL_NODES.tag());
+        } else if (message instanceof PeerMessage.ControlNodes msg) {
+            packer.packByte(PeerMessageKind.CONTROL_NODES.tag());
+            strings(packer, msg.addresses());
+        } else if (message instanceof PeerMessage.Cancel msg) {
+            packer.packByte(PeerMessageKind.CANCEL.tag()).packLong(msg.stream()).packBoolean(msg.whileRunning());
         }
     }
 
-    // A last field that older versions neither write nor read.
-    private static void stamp(MessageBufferPacker p, long sentAt) throws IOException {
-        if (sentAt != PeerMessage.UNSTAMPED) {
-            p.packLong(sentAt);
+    // The last field of a message, which older versions neither write nor read.
+    private static void sendingTime(MessageBufferPacker packer, long sentAtMicros) throws IOException {
+        if (sentAtMicros != PeerMessage.UNSTAMPED) {
+            packer.packLong(sentAtMicros);
         }
     }
 
-    private static long stamp(MessageUnpacker u) throws IOException {
-        return u.hasNext() ? u.unpackLong() : PeerMessage.UNSTAMPED;
+    private static long sendingTime(MessageUnpacker in) throws IOException {
+        return in.hasNext() ? in.unpackLong() : PeerMessage.UNSTAMPED;
     }
 
     /** The first protocol version whose readers know this message's kind. */
-    static int since(PeerMessage peerMessage) {
-        if (QuotaMessageCodec.isQuota(peerMessage)) {
+    static int minVersion(PeerMessage message) {
+        if (QuotaMessageCodec.isAboutQuota(message)) {
             return ProtocolVersion.LEASES;
         }
-        if (KeyMessageCodec.isAboutKeys(peerMessage)) {
+        if (KeyMessageCodec.isAboutKeys(message)) {
             return ProtocolVersion.KEYS;
         }
-        return peerMessage instanceof PeerMessage.Cancel ? ProtocolVersion.TOLERANT : ProtocolVersion.UNVERSIONED;
+        return message instanceof PeerMessage.Cancel ? ProtocolVersion.TOLERANT : ProtocolVersion.UNVERSIONED;
     }
 
     /**
-     * Reads a message. One of a kind that this version does not know is {@link PeerMessage.Unknown}; fields that it
-     * does not know are passed over.
+     * Decodes a message. A message of a kind that this version does not know becomes {@link PeerMessage.Unknown};
+     * fields that it does not know are ignored.
      *
-     * @throws MalformedMessageException if these bytes are none
+     * @throws MalformedMessageException if the bytes are not a valid message
      */
     public static PeerMessage read(byte[] bytes) throws MalformedMessageException {
         PeerMessageKind kind = null;
-        try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
-            byte tag = u.unpackByte();
-            kind = PeerMessageKind.of(tag);
+        try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
+            byte tag = in.unpackByte();
+            kind = PeerMessageKind.forTag(tag);
             if (kind == null) {
                 return new PeerMessage.Unknown("message " + tag);
             }
-            PeerMessage peerMessage = read(kind, u);
-            if (u.hasNext()) {
-                VersionEvents.PROCESS.passedOver("a field of " + kind);
+            PeerMessage message = read(kind, in);
+            if (in.hasNext()) {
+                VersionEvents.PROCESS.logIgnored("unknown field of " + kind);
             }
-            return peerMessage;
+            return message;
         } catch (ConsensusMessageCodec.UnknownKindException e) {
             return new PeerMessage.Unknown(e.getMessage());
         } catch (IOException | RuntimeException e) {
-            // The library's own errors, and numbers that name nothing.
+            // Errors of the library, and numbers without a meaning.
             throw new MalformedMessageException(kind, e);
         }
     }
 
-    private static PeerMessage read(PeerMessageKind kind, MessageUnpacker u) throws IOException {
+    private static PeerMessage read(PeerMessageKind kind, MessageUnpacker in) throws IOException {
         return switch (kind) {
-            case HELLO -> new PeerMessage.Hello(u.unpackString(), u.unpackBoolean(), versions(u));
+            case HELLO -> new PeerMessage.Hello(in.unpackString(), in.unpackBoolean(), versions(in));
             case ENDPOINT_UPDATE -> {
-                int n = size(u.unpackInt());
-                List<EndpointRecord> list = new ArrayList<>();
-                for (int i = 0; i < n; i++) {
-                    record(u).ifPresent(list::add);
+                int size = checkedSize(in.unpackInt());
+                List<EndpointRecord> records = new ArrayList<>();
+                for (int i = 0; i < size; i++) {
+                    record(in).ifPresent(records::add);
                 }
-                yield new PeerMessage.EndpointUpdate(list);
+                yield new PeerMessage.EndpointUpdate(records);
             }
-            case SUBSCRIBE -> new PeerMessage.Subscribe(u.unpackLong());
-            case CONFIG_AVAILABLE -> new PeerMessage.ConfigAvailable(u.unpackLong());
+            case SUBSCRIBE -> new PeerMessage.Subscribe(in.unpackLong());
+            case CONFIG_AVAILABLE -> new PeerMessage.ConfigAvailable(in.unpackLong());
             case FETCH_CONFIG -> new PeerMessage.FetchConfig();
-            case CONFIG_UPDATE -> new PeerMessage.ConfigUpdate(ConsensusMessageCodec.decision(u), u.unpackBoolean());
-            case PING -> new PeerMessage.Ping(u.unpackLong(), stamp(u));
-            case PONG -> new PeerMessage.Pong(u.unpackLong(), u.unpackString(), u.unpackLong());
-            case CONSENSUS -> new PeerMessage.Consensus(ConsensusMessageCodec.read(u));
+            case CONFIG_UPDATE -> new PeerMessage.ConfigUpdate(ConsensusMessageCodec.decision(in), in.unpackBoolean());
+            case PING -> new PeerMessage.Ping(in.unpackLong(), sendingTime(in));
+            case PONG -> new PeerMessage.Pong(in.unpackLong(), in.unpackString(), in.unpackLong());
+            case CONSENSUS -> new PeerMessage.Consensus(ConsensusMessageCodec.read(in));
             case FORWARD_REQUEST ->
                 new PeerMessage.ForwardRequest(
-                        u.unpackLong(),
-                        u.unpackString(),
-                        u.unpackString(),
-                        strings(u),
-                        bytes(u),
-                        u.unpackInt(),
-                        u.unpackString(),
-                        u.unpackString(),
-                        u.unpackInt(),
-                        stamp(u));
+                        in.unpackLong(),
+                        in.unpackString(),
+                        in.unpackString(),
+                        strings(in),
+                        bytes(in),
+                        in.unpackInt(),
+                        in.unpackString(),
+                        in.unpackString(),
+                        in.unpackInt(),
+                        sendingTime(in));
             case FORWARD_RESPONSE ->
                 new PeerMessage.ForwardResponse(
-                        u.unpackLong(), u.unpackInt(), strings(u), bytes(u), u.unpackDouble(), u.unpackDouble());
+                        in.unpackLong(), in.unpackInt(), strings(in), bytes(in), in.unpackDouble(), in.unpackDouble());
             case FORWARD_FAILURE ->
-                new PeerMessage.ForwardFailure(u.unpackLong(), why(u.unpackInt()), u.unpackDouble(), u.unpackDouble());
-            case DEMAND_REPORT -> new PeerMessage.DemandReport(uses(u), u.unpackBoolean());
-            case DEMAND_SUMS -> new PeerMessage.DemandSums(u.unpackInt(), uses(u));
+                new PeerMessage.ForwardFailure(
+                        in.unpackLong(), failureReason(in.unpackInt()), in.unpackDouble(), in.unpackDouble());
+            case DEMAND_REPORT -> new PeerMessage.DemandReport(demands(in), in.unpackBoolean());
+            case DEMAND_SUMS -> new PeerMessage.DemandSums(in.unpackInt(), demands(in));
             case FIND_CONTROL_NODES -> new PeerMessage.FindControlNodes();
-            case CONTROL_NODES -> new PeerMessage.ControlNodes(strings(u));
-            case CANCEL -> new PeerMessage.Cancel(u.unpackLong(), u.unpackBoolean());
+            case CONTROL_NODES -> new PeerMessage.ControlNodes(strings(in));
+            case CANCEL -> new PeerMessage.Cancel(in.unpackLong(), in.unpackBoolean());
             case QUOTA_LEASE_REPORT, QUOTA_LEASE_GRANT, QUOTA_TOKEN_REQUEST, QUOTA_TOKEN_RESPONSE ->
-                QuotaMessageCodec.read(kind, u);
+                QuotaMessageCodec.read(kind, in);
             case DUTY_REQUEST, DUTY_VOTE, KEY_GRANTOR_CHANGED, KEY_REPORT, KEY_LEASE, KEY_ROUTES ->
-                KeyMessageCodec.read(kind, u);
+                KeyMessageCodec.read(kind, in);
         };
     }
 
-    // A greeting of a program without versions ends before them.
-    private static ProtocolVersion versions(MessageUnpacker u) throws IOException {
-        return u.hasNext() ? new ProtocolVersion(u.unpackInt(), u.unpackInt()) : ProtocolVersion.NONE_NAMED;
+    // The greeting of a program without versions ends before them.
+    private static ProtocolVersion versions(MessageUnpacker in) throws IOException {
+        return in.hasNext() ? new ProtocolVersion(in.unpackInt(), in.unpackInt()) : ProtocolVersion.UNNAMED;
     }
 
-    // A reason that this version does not know promises nothing: the request may have run.
-    private static PeerMessage.FailureReason why(int number) {
+    // A reason that this version does not know guarantees nothing: the request may have been executed.
+    private static PeerMessage.FailureReason failureReason(int number) {
         if (number < 0 || number >= REASONS.length) {
-            VersionEvents.PROCESS.passedOver("reason " + number + " of FORWARD_FAILURE");
+            VersionEvents.PROCESS.logIgnored("unknown reason " + number + " of FORWARD_FAILURE");
             return PeerMessage.FailureReason.BROKEN;
         }
         return REASONS[number];
--- a/src/main/java/whinlead/mesh/wire/PeerMessageKind.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessageKind.java
@@ -1,26 +1,26 @@
 package whinlead.mesh.wire;
 
-/** The kinds of messages, by the tag that stands first in the bytes of each. */
+/** The kinds of messages, each with the tag that is the first byte of its encoding. */
 public enum PeerMessageKind {
-    /** The first on every connection: who speaks, and which versions. */
+    /** The first message on every connection: the sender's name and versions. */
     HELLO(1, false),
-    /** Endpoint records, one's own or passed on. */
+    /** Endpoint records, of the sender or forwarded by it. */
     ENDPOINT_UPDATE(2, false),
-    /** A sidecar asks to be told of newer configurations. */
+    /** A sidecar asks to be notified of newer configurations. */
     SUBSCRIBE(3, false),
     /** A newer configuration can be fetched. */
     CONFIG_AVAILABLE(4, false),
-    /** Asks for the newest configuration. */
+    /** Requests the newest configuration. */
     FETCH_CONFIG(5, false),
     /** The newest configuration. */
     CONFIG_UPDATE(6, false),
-    /** Asks for a sign of life. */
+    /** Asks the other side to show that it is alive. */
     PING(7, true),
-    /** The sign of life. */
+    /** The answer to a ping. */
     PONG(8, true),
-    /** A message of the consensus. */
+    /** A message of the consensus protocol. */
     CONSENSUS(9, true),
-    /** A request on its way to an endpoint. */
+    /** A request that is forwarded to an endpoint. */
     FORWARD_REQUEST(10, false),
     /** The endpoint's response. */
     FORWARD_RESPONSE(11, false),
@@ -30,48 +30,48 @@
     DEMAND_REPORT(13, true),
     /** The demand of tenants over all sidecars. */
     DEMAND_SUMS(14, true),
-    /** Asks which control nodes there are. */
+    /** Asks for the addresses of control nodes. */
     FIND_CONTROL_NODES(15, true),
-    /** The control nodes that are known. */
+    /** The addresses of the control nodes that the sender knows. */
     CONTROL_NODES(16, true),
-    /** A request's client has left. */
+    /** The client of a request has left. */
     CANCEL(17, false),
     /** A sidecar asks for a lease of tenants' limits. */
     QUOTA_LEASE_REPORT(18, true),
-    /** The lease. */
+    /** A lease of tenants' limits. */
     QUOTA_LEASE_GRANT(19, true),
-    /** A sidecar asks for one token of a tenant's. */
+    /** A sidecar asks for one token of a tenant's limit. */
     QUOTA_TOKEN_REQUEST(20, true),
-    /** Whether it gets one. */
+    /** Whether a token is granted. */
     QUOTA_TOKEN_RESPONSE(21, true),
-    /** Asks for a vote for a duty. */
+    /** Asks a voter for its vote for a duty. */
     DUTY_REQUEST(22, true),
-    /** The vote, or that there is none. */
+    /** The vote, or its refusal. */
     DUTY_VOTE(23, true),
-    /** A control node grants keys from now on. */
+    /** A control node announces that it grants keys from now on. */
     KEY_GRANTOR_CHANGED(24, true),
-    /** What a sidecar holds of its service's keys. */
+    /** A sidecar's report of the keys that it holds. */
     KEY_REPORT(25, true),
     /** A lease of keys. */
     KEY_LEASE(26, true),
-    /** Where requests go by key. */
+    /** Routes of requests by key. */
     KEY_ROUTES(27, true);
 
     private final byte tag;
-    private final boolean repeated;
+    private final boolean isRepeated;
 
     PeerMessageKind(int tag, boolean repeated) {
         this.tag = (byte) tag;
-        this.repeated = repeated;
+        this.isRepeated = repeated;
     }
 
-    /** What stands first in the bytes of each message of this kind. */
+    /** The first byte of each message of this kind. */
     byte tag() {
         return tag;
     }
 
-    /** The kind with this tag, or null if this version knows none. */
-    static PeerMessageKind of(int tag) {
+    /** The kind with this tag, or null if this version does not know it. */
+    static PeerMessageKind forTag(int tag) {
         for (PeerMessageKind kind : values()) {
             if (kind.tag == tag) {
                 return kind;
@@ -80,8 +80,8 @@
         return null;
     }
 
-    /** Whether its sender says it again, so that a lost one does no harm. */
-    boolean repeated() {
-        return repeated;
+    /** Whether senders repeat such messages, so that losing one does no harm. */
+    boolean isRepeated() {
+        return isRepeated;
     }
 }
--- a/src/main/java/whinlead/mesh/wire/QuotaMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/QuotaMessageCodec.java
@@ -1,6 +1,6 @@
 package whinlead.mesh.wire;
 
-import static whinlead.mesh.wire.FieldCodec.size;
+import static whinlead.mesh.wire.FieldCodec.checkedSize;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,115 +15,122 @@
 import whinlead.mesh.quota.TokenRequest;
 import whinlead.mesh.quota.TokenResponse;
 
-/** How the messages about tenants' limits are written and read. For any thread. */
+/** MessagePack encoding of messages about tenants' limits. For any thread. */
 final class QuotaMessageCodec {
     private QuotaMessageCodec() {}
 
-    static boolean isQuota(PeerMessage message) {
+    static boolean isAboutQuota(PeerMessage message) {
         return message instanceof PeerMessage.QuotaLeaseReport
                 || message instanceof PeerMessage.QuotaLeaseGrant
                 || message instanceof PeerMessage.QuotaTokenRequest
                 || message instanceof PeerMessage.QuotaTokenResponse;
     }
 
-    static void write(MessageBufferPacker p, PeerMessage message) throws IOException {
-        if (message instanceof PeerMessage.QuotaLeaseReport l) {
-            p.packByte(PeerMessageKind.QUOTA_LEASE_REPORT.tag());
-            report(p, l.report());
-        } else if (message instanceof PeerMessage.QuotaLeaseGrant l) {
-            p.packByte(PeerMessageKind.QUOTA_LEASE_GRANT.tag());
-            grant(p, l.grant());
-        } else if (message instanceof PeerMessage.QuotaTokenRequest l) {
-            p.packByte(PeerMessageKind.QUOTA_TOKEN_REQUEST.tag())
-                    .packLong(l.request().number())
-                    .packString(l.request().tenant());
-            allowance(p, l.request().allowance());
-        } else if (message instanceof PeerMessage.QuotaTokenResponse l) {
-            p.packByte(PeerMessageKind.QUOTA_TOKEN_RESPONSE.tag())
-                    .packLong(l.response().number())
-                    .packBoolean(l.response().granted())
-                    .packFloat((float) l.response().waitMs());
+    static void write(MessageBufferPacker packer, PeerMessage peerMessage) throws IOException {
+        if (peerMessage instanceof PeerMessage.QuotaLeaseReport message) {
+            packer.packByte(PeerMessageKind.QUOTA_LEASE_REPORT.tag());
+            report(packer, message.report());
+        } else if (peerMessage instanceof PeerMessage.QuotaLeaseGrant message) {
+            packer.packByte(PeerMessageKind.QUOTA_LEASE_GRANT.tag());
+            grant(packer, message.grant());
+        } else if (peerMessage instanceof PeerMessage.QuotaTokenRequest message) {
+            packer.packByte(PeerMessageKind.QUOTA_TOKEN_REQUEST.tag())
+                    .packLong(message.request().number())
+                    .packString(message.request().tenant());
+            allowance(packer, message.request().allowance());
+        } else if (peerMessage instanceof PeerMessage.QuotaTokenResponse message) {
+            packer.packByte(PeerMessageKind.QUOTA_TOKEN_RESPONSE.tag())
+                    .packLong(message.response().number())
+                    .packBoolean(message.response().granted())
+                    .packFloat((float) message.response().waitMs());
         }
     }
 
-    static PeerMessage read(PeerMessageKind kind, MessageUnpacker u) throws IOException {
+    static PeerMessage read(PeerMessageKind kind, MessageUnpacker unpacker) throws IOException {
         return switch (kind) {
-            case QUOTA_LEASE_REPORT -> new PeerMessage.QuotaLeaseReport(report(u));
-            case QUOTA_LEASE_GRANT -> new PeerMessage.QuotaLeaseGrant(grant(u));
+            case QUOTA_LEASE_REPORT -> new PeerMessage.QuotaLeaseReport(report(unpacker));
+            case QUOTA_LEASE_GRANT -> new PeerMessage.QuotaLeaseGrant(grant(unpacker));
             case QUOTA_TOKEN_REQUEST ->
-                new PeerMessage.QuotaTokenRequest(new TokenRequest(u.unpackLong(), u.unpackString(), allowance(u)));
+                new PeerMessage.QuotaTokenRequest(
+                        new TokenRequest(unpacker.unpackLong(), unpacker.unpackString(), allowance(unpacker)));
             case QUOTA_TOKEN_RESPONSE ->
-                new PeerMessage.QuotaTokenResponse(
-                        new TokenResponse(u.unpackLong(), u.unpackBoolean(), number(u.unpackFloat())));
-            default -> throw new IOException(kind + " is not about limits");
+                new PeerMessage.QuotaTokenResponse(new TokenResponse(
+                        unpacker.unpackLong(), unpacker.unpackBoolean(), checkedNumber(unpacker.unpackFloat())));
+            default -> throw new IOException(kind + " is not a message about tenants' limits");
         };
     }
 
-    private static void report(MessageBufferPacker p, LeaseReport report) throws IOException {
-        p.packLong(report.sidecarLife()).packLong(report.number());
-        p.packLong(report.grantorLife()).packLong(report.grantNumber());
-        p.packInt(report.needs().size());
+    private static void report(MessageBufferPacker packer, LeaseReport report) throws IOException {
+        packer.packLong(report.sidecarLife()).packLong(report.number());
+        packer.packLong(report.grantorLife()).packLong(report.grantNumber());
+        packer.packInt(report.needs().size());
         for (QuotaNeed need : report.needs()) {
-            p.packString(need.tenant()).packFloat((float) need.demandPerS());
-            allowance(p, need.allowance());
-            p.packFloat((float) need.returnedTokens()).packDouble(need.heldShare());
+            packer.packString(need.tenant()).packFloat((float) need.demandPerS());
+            allowance(packer, need.allowance());
+            packer.packFloat((float) need.returnedTokens()).packDouble(need.heldShare());
         }
-        p.packBoolean(report.leaving());
+        packer.packBoolean(report.leaving());
     }
 
-    private static LeaseReport report(MessageUnpacker u) throws IOException {
-        long sidecarLife = u.unpackLong();
-        long number = u.unpackLong();
-        long grantorLife = u.unpackLong();
-        long grantNumber = u.unpackLong();
-        int n = size(u.unpackInt());
+    private static LeaseReport report(MessageUnpacker unpacker) throws IOException {
+        long sidecarLife = unpacker.unpackLong();
+        long number = unpacker.unpackLong();
+        long grantorLife = unpacker.unpackLong();
+        long grantNumber = unpacker.unpackLong();
+        int size = checkedSize(unpacker.unpackInt());
         List<QuotaNeed> needs = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < size; i++) {
             needs.add(new QuotaNeed(
-                    u.unpackString(),
-                    number(u.unpackFloat()),
-                    allowance(u),
-                    number(u.unpackFloat()),
-                    number(u.unpackDouble())));
+                    unpacker.unpackString(),
+                    checkedNumber(unpacker.unpackFloat()),
+                    allowance(unpacker),
+                    checkedNumber(unpacker.unpackFloat()),
+                    checkedNumber(unpacker.unpackDouble())));
         }
-        return new LeaseReport(sidecarLife, number, grantorLife, grantNumber, needs, u.unpackBoolean());
+        return new LeaseReport(sidecarLife, number, grantorLife, grantNumber, needs, unpacker.unpackBoolean());
     }
 
-    private static void grant(MessageBufferPacker p, LeaseGrant grant) throws IOException {
-        p.packLong(grant.grantorLife()).packLong(grant.number()).packLong(grant.reportNumber());
-        p.packInt(grant.shares().size());
+    private static void grant(MessageBufferPacker packer, LeaseGrant grant) throws IOException {
+        packer.packLong(grant.grantorLife()).packLong(grant.number()).packLong(grant.reportNumber());
+        packer.packInt(grant.shares().size());
         for (QuotaShare share : grant.shares()) {
-            p.packString(share.tenant()).packDouble(share.share());
-            p.packFloat((float) share.tokens()).packFloat((float) share.demandPerS());
+            packer.packString(share.tenant()).packDouble(share.share());
+            packer.packFloat((float) share.tokens()).packFloat((float) share.demandPerS());
         }
     }
 
-    private static LeaseGrant grant(MessageUnpacker u) throws IOException {
-        long grantorLife = u.unpackLong();
-        long number = u.unpackLong();
-        long reportNumber = u.unpackLong();
-        int n = size(u.unpackInt());
+    private static LeaseGrant grant(MessageUnpacker unpacker) throws IOException {
+        long grantorLife = unpacker.unpackLong();
+        long number = unpacker.unpackLong();
+        long reportNumber = unpacker.unpackLong();
+        int size = checkedSize(unpacker.unpackInt());
         List<QuotaShare> shares = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < size; i++) {
             shares.add(new QuotaShare(
-                    u.unpackString(), number(u.unpackDouble()), number(u.unpackFloat()), number(u.unpackFloat())));
+                    unpacker.unpackString(),
+                    checkedNumber(unpacker.unpackDouble()),
+                    checkedNumber(unpacker.unpackFloat()),
+                    checkedNumber(unpacker.unpackFloat())));
         }
         return new LeaseGrant(grantorLife, number, reportNumber, shares);
     }
 
-    private static void allowance(MessageBufferPacker p, QuotaAllowance allowance) throws IOException {
-        p.packFloat((float) allowance.ratePerS())
+    private static void allowance(MessageBufferPacker packer, QuotaAllowance allowance) throws IOException {
+        packer.packFloat((float) allowance.ratePerS())
                 .packFloat((float) allowance.depth())
                 .packFloat((float) allowance.reserve());
     }
 
-    private static QuotaAllowance allowance(MessageUnpacker u) throws IOException {
-        return new QuotaAllowance(number(u.unpackFloat()), number(u.unpackFloat()), number(u.unpackFloat()));
+    private static QuotaAllowance allowance(MessageUnpacker unpacker) throws IOException {
+        return new QuotaAllowance(
+                checkedNumber(unpacker.unpackFloat()),
+                checkedNumber(unpacker.unpackFloat()),
+                checkedNumber(unpacker.unpackFloat()));
     }
 
-    private static double number(double value) throws IOException {
+    private static double checkedNumber(double value) throws IOException {
         if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-            throw new IOException("a share, a rate or a time of " + value);
+            throw new IOException("invalid share, rate or time " + value);
         }
         return value;
     }
--- a/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
+++ b/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
@@ -10,66 +10,66 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection that is kept: dialled again when it is down, and watched by pings, for a machine without power and one
- * behind a cut say nothing. On its loop's thread.
+ * A connection that is re-established when it breaks and monitored by pings, because a machine without power or behind
+ * a network cut sends nothing. Used on its event loop's thread.
  */
 public final class ReconnectingConnection {
-    /** Where it stands. */
+    /** State of the connection. */
     public enum State {
         /** Not connected. */
         DOWN,
         /** Being connected. */
         DIALLING,
-        /** Connected, and heard of lately. */
+        /** Connected, and messages arrive. */
         UP,
-        /** Connected, and silent for long. */
+        /** Connected, but nothing has arrived for a while. */
         SUSPECT,
-        /** Given up for good. */
+        /** Closed permanently. */
         CLOSED
     }
 
     /**
-     * How long to wait, in milliseconds.
+     * Time limits in milliseconds.
      *
-     * @param ping between two pings
-     * @param suspect silence before it is suspected
-     * @param dead silence before it is closed
-     * @param redial between two dials, at least; twice at most
+     * @param pingMs interval between two pings
+     * @param suspectMs silence after which the connection is suspected
+     * @param deadMs silence after which it is closed
+     * @param redialMs minimum delay before it is connected again; the maximum is twice as long
      */
-    public record Timeouts(long ping, long suspect, long dead, long redial) {}
+    public record Timeouts(long pingMs, long suspectMs, long deadMs, long redialMs) {}
 
-    /** Hears of it. */
+    /** Receives the events of the connection. */
     public interface Listener {
-        /** It stands differently. */
-        void changed(ReconnectingConnection connection, State before);
+        /** The state has changed. */
+        void changed(ReconnectingConnection connection, State previous);
 
-        /** A message came. */
+        /** A message was received. */
         void message(ReconnectingConnection connection, PeerMessage message);
 
-        /** A ping that left at this time, by the loop's steady clock in milliseconds, was answered. */
-        default void pongReceived(double sentAt, PeerMessage.Pong pong) {}
+        /** A ping was answered that was sent at this time, by the loop's steady clock in milliseconds. */
+        default void pongReceived(double sentAtMs, PeerMessage.Pong pong) {}
 
-        /** Whether a sign of life is asked for whatever else comes: only its answer tells of contact. */
+        /** Whether pings are sent even while other messages arrive, because only their answers prove contact. */
         default boolean alwaysPings() {
             return false;
         }
 
-        /** What is put on a ping as its time of sending, in microseconds of a steady clock. */
+        /** The sending time of a ping, in microseconds of a steady clock. */
         default long stamp() {
             return PeerMessage.UNSTAMPED;
         }
 
-        /** Whether something is waited for; if not, a sign of life is asked for less often. */
+        /** Whether answers are pending; if not, pings are sent less often. */
         default boolean hasPendingRequests() {
             return true;
         }
     }
 
     private static final int CONNECT_TIMEOUT_MS = 800;
-    private static final double NANOS_IN_MILLI = 1e6;
-    /** So many times as long between pings where nothing is waited for. */
+    private static final double NANOS_PER_MILLI = 1e6;
+    /** Factor on the interval between pings while nothing is pending. */
     private static final int IDLE_PING_FACTOR = 6;
-    /** Pings whose answers are still told apart. */
+    /** Number of latest pings whose answers are recognized. */
     private static final int MAX_OUTSTANDING_PINGS = 16;
 
     private final EventLoop loop;
@@ -80,14 +80,14 @@
     private State state = State.DOWN;
     private PeerConnection connection;
     private Future<?> timer;
-    private long heardAt;
-    /** When the last pings left, by their number. */
-    private final double[] sentAt = new double[MAX_OUTSTANDING_PINGS];
+    private long lastReceivedNanos;
+    /** Sending times of the latest pings in milliseconds, by their number. */
+    private final double[] pingSentAtMs = new double[MAX_OUTSTANDING_PINGS];
 
-    private long pings;
-    private boolean pinged;
+    private long pingCount;
+    private boolean isPingPending;
 
-    /** A connection that is not yet dialled. */
+    /** Creates a connection in state {@link State#DOWN}. */
     public ReconnectingConnection(
             EventLoop loop, SocketAddress address, PeerMessage hello, Timeouts timeouts, Listener listener) {
         this.loop = loop;
@@ -97,142 +97,144 @@
         this.listener = listener;
     }
 
-    /** Begins to keep it. */
+    /** Connects, unless the connection is in a state other than {@link State#DOWN}. */
     public void dial() {
         if (state != State.DOWN) {
             return;
         }
-        to(State.DIALLING);
+        changeState(State.DIALLING);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(PeerConnection.handlers(new Handler()))
                 .connect(address)
-                .addListener(f -> {
-                    if (!f.isSuccess()) {
-                        lost();
+                .addListener(future -> {
+                    if (!future.isSuccess()) {
+                        handleDisconnect();
                     }
                 });
     }
 
-    /** Where it stands. */
+    /** The state of the connection. */
     public State state() {
         return state;
     }
 
-    /** Whether a message may be sent with hope of an answer. */
+    /** Whether the connection is {@link State#UP}, so that an answer can be expected. */
     public boolean isUp() {
         return state == State.UP;
     }
 
-    /** The protocol version that both sides speak; the least one until the other side has greeted. */
+    /** The protocol version that both sides use; the lowest one until the other side's greeting has arrived. */
     public int version() {
         return connection == null ? ProtocolVersion.UNVERSIONED : connection.version();
     }
 
-    /** Sends a message; false if the connection is down. */
+    /** Sends a message; returns false if the connection is not open. */
     public boolean send(PeerMessage message) {
-        boolean can = connection != null && connection.isOpen();
-        if (can) {
+        boolean isOpen = connection != null && connection.isOpen();
+        if (isOpen) {
             connection.send(message);
         }
-        return can;
+        return isOpen;
     }
 
-    /** Ends it for good. */
+    /** Closes the connection permanently. */
     public void close() {
-        to(State.CLOSED);
-        cancel();
+        changeState(State.CLOSED);
+        cancelTimer();
         if (connection != null) {
             connection.close();
         }
     }
 
-    private void cancel() {
+    private void cancelTimer() {
         if (timer != null) {
             timer.cancel(false);
             timer = null;
         }
     }
 
-    private void to(State next) {
-        if (state == next || state == State.CLOSED) {
+    private void changeState(State newState) {
+        if (state == newState || state == State.CLOSED) {
             return;
         }
-        State before = state;
-        state = next;
-        listener.changed(this, before);
+        State previous = state;
+        state = newState;
+        listener.changed(this, previous);
     }
 
-    private void lost() {
+    private void handleDisconnect() {
         connection = null;
-        cancel();
-        to(State.DOWN);
+        cancelTimer();
+        changeState(State.DOWN);
         if (state == State.DOWN) {
-            long wait = timeouts.redial() + ThreadLocalRandom.current().nextLong(timeouts.redial());
-            loop.schedule(this::dial, wait, TimeUnit.MILLISECONDS);
+            long delayMs = timeouts.redialMs() + ThreadLocalRandom.current().nextLong(timeouts.redialMs());
+            loop.schedule(this::dial, delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
     private void checkLiveness() {
-        double silent = (System.nanoTime() - heardAt) / NANOS_IN_MILLI;
-        if (silent > timeouts.dead()) {
+        double silenceMs = (System.nanoTime() - lastReceivedNanos) / NANOS_PER_MILLI;
+        if (silenceMs > timeouts.deadMs()) {
             connection.close();
             return;
         }
-        if (silent > timeouts.suspect() && pinged) {
-            to(State.SUSPECT);
+        if (silenceMs > timeouts.suspectMs() && isPingPending) {
+            changeState(State.SUSPECT);
         }
-        // Whatever comes is a sign of life.
-        boolean quiet = silent
-                >= (listener.hasPendingRequests() || pinged ? timeouts.ping() / 2 : timeouts.ping() * IDLE_PING_FACTOR);
-        if (quiet || listener.alwaysPings()) {
+        // Any received message shows that the other side is alive.
+        boolean isQuiet = silenceMs
+                >= (listener.hasPendingRequests() || isPingPending
+                        ? timeouts.pingMs() / 2
+                        : timeouts.pingMs() * IDLE_PING_FACTOR);
+        if (isQuiet || listener.alwaysPings()) {
             ping();
         }
         timer = loop.schedule(
                 this::checkLiveness,
-                TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(timeouts.ping())),
+                TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(timeouts.pingMs())),
                 TimeUnit.NANOSECONDS);
     }
 
     private void ping() {
-        pinged = true;
-        sentAt[(int) (++pings % MAX_OUTSTANDING_PINGS)] = System.nanoTime() / NANOS_IN_MILLI;
-        connection.send(new PeerMessage.Ping(pings, listener.stamp()));
+        isPingPending = true;
+        pingSentAtMs[(int) (++pingCount % MAX_OUTSTANDING_PINGS)] = System.nanoTime() / NANOS_PER_MILLI;
+        connection.send(new PeerMessage.Ping(pingCount, listener.stamp()));
     }
 
     private final class Handler implements PeerConnection.MessageHandler {
         @Override
-        public void connected(PeerConnection up) {
+        public void connected(PeerConnection newConnection) {
             if (state == State.CLOSED) {
-                up.close();
+                newConnection.close();
                 return;
             }
-            connection = up;
-            heardAt = System.nanoTime();
-            pinged = false;
-            up.send(hello);
+            connection = newConnection;
+            lastReceivedNanos = System.nanoTime();
+            isPingPending = false;
+            newConnection.send(hello);
             if (listener.stamp() != PeerMessage.UNSTAMPED) {
-                // Ahead of all else: what comes later is compared with how long this was on its way.
+                // Sent before all other messages: the transit times of later messages are compared with this one's.
                 ping();
             }
-            to(State.UP);
+            changeState(State.UP);
             checkLiveness();
         }
 
         @Override
-        public void message(PeerConnection from, PeerMessage message) {
-            heardAt = System.nanoTime();
-            pinged = false;
+        public void message(PeerConnection source, PeerMessage message) {
+            lastReceivedNanos = System.nanoTime();
+            isPingPending = false;
             if (message instanceof PeerMessage.Pong pong
-                    && pong.number() <= pings
-                    && pong.number() > pings - MAX_OUTSTANDING_PINGS
+                    && pong.number() <= pingCount
+                    && pong.number() > pingCount - MAX_OUTSTANDING_PINGS
                     && pong.number() > 0) {
-                listener.pongReceived(sentAt[(int) (pong.number() % MAX_OUTSTANDING_PINGS)], pong);
+                listener.pongReceived(pingSentAtMs[(int) (pong.number() % MAX_OUTSTANDING_PINGS)], pong);
             }
             if (state == State.SUSPECT) {
-                to(State.UP);
+                changeState(State.UP);
             }
             if (!(message instanceof PeerMessage.Hello)) {
                 listener.message(ReconnectingConnection.this, message);
@@ -240,9 +242,9 @@
         }
 
         @Override
-        public void disconnected(PeerConnection down) {
-            if (connection == down) {
-                lost();
+        public void disconnected(PeerConnection closedConnection) {
+            if (connection == closedConnection) {
+                handleDisconnect();
             }
         }
     }
--- a/src/main/java/whinlead/mesh/wire/TimerGrid.java
+++ b/src/main/java/whinlead/mesh/wire/TimerGrid.java
@@ -4,19 +4,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The moments at which this process's periodic timers fire: timers of one period fire together, and so do those of a
- * multiple of it, for each wake-up costs. The moments of other processes are others, or all their pings would come at
- * once. For any thread; by {@link System#nanoTime}.
+ * Aligns the periodic timers of this process: timers of the same period fire together, and so do timers of a multiple
+ * of it, because each wake-up has a cost. Each process has a random offset, so that the pings of different processes
+ * are not sent at the same time. For any thread; based on {@link System#nanoTime}.
  */
 public final class TimerGrid {
-    /** Longer than any period. */
-    private static final long PHASE = ThreadLocalRandom.current().nextLong(TimeUnit.MINUTES.toNanos(20));
+    /** Random offset of this process; drawn from a range longer than any period. */
+    private static final long OFFSET_NANOS = ThreadLocalRandom.current().nextLong(TimeUnit.MINUTES.toNanos(20));
 
     private TimerGrid() {}
 
-    /** Nanoseconds until a timer of this period fires next: half a period to one and a half. */
+    /** Nanoseconds until a timer of this period fires next: between half a period and one and a half. */
     public static long untilNext(long nowNanos, long periodNanos) {
-        long left = periodNanos - Math.floorMod(nowNanos + PHASE, periodNanos);
-        return left < periodNanos / 2 ? left + periodNanos : left;
+        long remainingNanos = periodNanos - Math.floorMod(nowNanos + OFFSET_NANOS, periodNanos);
+        return remainingNanos < periodNanos / 2 ? remainingNanos + periodNanos : remainingNanos;
     }
 }
--- a/src/main/java/whinlead/mesh/wire/TransitClock.java
+++ b/src/main/java/whinlead/mesh/wire/TransitClock.java
@@ -1,74 +1,75 @@
 package whinlead.mesh.wire;
 
 /**
- * Tells how long the messages of one connection waited on their way: in the sender's buffers, in the network or in the
- * receiver's socket. Each message carries a stamp of its sender's steady clock. The difference between the receiver's
- * steady clock and a stamp is a constant (the distance between the two clocks) plus the time on the way; the least
- * difference that was seen is taken for a message that did not wait, and what exceeds it for waiting. No clocks are
- * synchronised, and steps of the time of day don't matter.
+ * Measures how long the messages of one connection waited on their way: in the sender's buffers, in the network or in
+ * the receiver's socket. Each message contains a time stamp of its sender's steady clock. The difference between the
+ * receiver's steady clock and a stamp is a constant (the offset of the two clocks) plus the transit time; the smallest
+ * difference seen is attributed to a message that did not wait, and any excess over it to waiting. Clocks need no
+ * synchronization, and steps of the time of day have no effect.
  *
- * <p>The least difference is that of the last {@link #WINDOW_MS} to twice as much, so that clocks may drift, or stand
- * still with a machine that is suspended. The window counts only time in which messages arrived: a silence of any
- * length leaves the least difference known. The result errs on one side only, towards too short a wait: by the least
- * time on the way, and for the first message of a connection by all that it waited.
+ * <p>The smallest difference is that of the last {@link #WINDOW_MS} to twice that time, so that clocks may drift, or
+ * stop while a machine is suspended. The window counts only time in which messages arrive: after a silence of any
+ * length the smallest difference is still known. The result is never too long. It is too short by the smallest transit
+ * time, and for the first message of a connection by all of its waiting time.
  *
- * <p>One per connection, so that no process's restart matters. Pure; one thread; times in milliseconds.
+ * <p>One per connection, so that a restart of a process has no effect. Pure; one thread; times in milliseconds.
  */
 public final class TransitClock {
-    /** How long a least difference is remembered, at least. */
+    /** How long a smallest difference is used, at least. */
     static final double WINDOW_MS = 10_000;
-    /** What a silence adds to the window's age, at most; connections at rest are pinged more often. */
+    /** The most that a silence adds to the window's age; idle connections are pinged more often than this. */
     static final double MAX_SILENCE_MS = 2000;
 
-    private static final double MICROS = 1000;
+    private static final double MICROS_PER_MILLI = 1000;
 
-    private double least = Double.POSITIVE_INFINITY;
-    private double leastBefore = Double.POSITIVE_INFINITY;
-    private double age;
+    private double minDifferenceMs = Double.POSITIVE_INFINITY;
+    private double previousMinDifferenceMs = Double.POSITIVE_INFINITY;
+    private double windowAgeMs;
     private double firstArrivalAt = Double.NaN;
-    private double arrivedAt = Double.NaN;
+    private double lastArrivalMs = Double.NaN;
 
     /**
-     * A message arrives: how long it waited, at least.
+     * Handles the arrival of a message, and returns how long it waited, at least.
      *
-     * @param now by the receiver's steady clock
-     * @param sentAt the message's stamp in microseconds; one without a stamp is not known to have waited
+     * @param nowMs by the receiver's steady clock
+     * @param sentAtMicros the message's stamp in microseconds; for a message without a stamp the result is 0
      */
-    public double waited(double now, long sentAt) {
-        if (sentAt == PeerMessage.UNSTAMPED) {
+    public double waited(double nowMs, long sentAtMicros) {
+        if (sentAtMicros == PeerMessage.UNSTAMPED) {
             return 0;
         }
-        turnWindow(now);
-        double difference = now - sentAt / MICROS;
-        least = Math.min(least, difference);
-        return difference - Math.min(least, leastBefore);
+        advanceWindow(nowMs);
+        double differenceMs = nowMs - sentAtMicros / MICROS_PER_MILLI;
+        minDifferenceMs = Math.min(minDifferenceMs, differenceMs);
+        return differenceMs - Math.min(minDifferenceMs, previousMinDifferenceMs);
     }
 
     /**
-     * A request arrives: what is left of its time, in whole milliseconds, rounded down; 0 if none is.
+     * Handles the arrival of a request, and returns its remaining time in whole milliseconds, rounded down; 0 if there
+     * is none.
      *
-     * @param leftMs what was left when it was written
+     * @param sentRemainingMs remaining time when the request was sent
      */
-    public int left(double now, long sentAt, int leftMs) {
-        return (int) Math.max(0, Math.floor(leftMs - waited(now, sentAt)));
+    public int left(double nowMs, long sentAtMicros, int sentRemainingMs) {
+        return (int) Math.max(0, Math.floor(sentRemainingMs - waited(nowMs, sentAtMicros)));
     }
 
-    /** When the first message with a stamp arrived, by the receiver's clock; NaN while none has. */
+    /** When the first message with a stamp arrived, by the receiver's clock; NaN before that. */
     public double firstArrivalAt() {
         return firstArrivalAt;
     }
 
-    private void turnWindow(double now) {
-        if (Double.isNaN(arrivedAt)) {
-            firstArrivalAt = now;
+    private void advanceWindow(double nowMs) {
+        if (Double.isNaN(lastArrivalMs)) {
+            firstArrivalAt = nowMs;
         } else {
-            age += Math.min(now - arrivedAt, MAX_SILENCE_MS);
+            windowAgeMs += Math.min(nowMs - lastArrivalMs, MAX_SILENCE_MS);
         }
-        arrivedAt = now;
-        if (age >= WINDOW_MS) {
-            leastBefore = least;
-            least = Double.POSITIVE_INFINITY;
-            age = 0;
+        lastArrivalMs = nowMs;
+        if (windowAgeMs >= WINDOW_MS) {
+            previousMinDifferenceMs = minDifferenceMs;
+            minDifferenceMs = Double.POSITIVE_INFINITY;
+            windowAgeMs = 0;
         }
     }
 }
--- a/src/main/java/whinlead/mesh/wire/VersionEvents.java
+++ b/src/main/java/whinlead/mesh/wire/VersionEvents.java
@@ -5,33 +5,33 @@
 import whinlead.mesh.log.Event;
 
 /**
- * Logs what a peer of another version says and this one can't read. Each thing is logged once in the life of the
- * process, and no more than a bounded number of things. For any thread.
+ * Logs data from peers of other versions that this program can't read. Each detail is logged once in the life of the
+ * process, up to a limited number of details. For any thread.
  */
 final class VersionEvents {
     /** The events of this process. */
     static final VersionEvents PROCESS = new VersionEvents();
-    /** Things that are logged; what comes after them is passed over in silence. */
+    /** Limit on the details that are logged; later ones are dropped. */
     static final int MAX_LOGGED = 64;
 
     private final Set<String> logged = ConcurrentHashMap.newKeySet();
 
-    /** A kind, field or value of a later version was passed over. */
-    void passedOver(String what) {
-        once(Event.PASSED_OVER, what);
+    /** Logs that a kind, field or value of a later version was ignored. */
+    void logIgnored(String detail) {
+        logOnce(Event.PASSED_OVER, detail);
     }
 
-    /** A message or a greeting was refused. */
-    void refused(String peer, String why) {
-        once(Event.PEER_REFUSED, (peer == null ? "a peer not yet named" : peer) + ": " + why);
+    /** Logs that a message or a greeting was rejected. */
+    void logRejected(String peer, String reason) {
+        logOnce(Event.PEER_REFUSED, (peer == null ? "unidentified peer" : peer) + ": " + reason);
     }
 
-    /** How many things were logged. */
+    /** Number of details that were logged. */
     int logged() {
         return logged.size();
     }
 
-    private void once(Event event, String detail) {
+    private void logOnce(Event event, String detail) {
         if (logged.size() < MAX_LOGGED && logged.add(event + detail)) {
             event.log(detail);
         }
--- a/src/test/java/whinlead/mesh/quota/TokenSearchTest.java
+++ b/src/test/java/whinlead/mesh/quota/TokenSearchTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Whom a search for a token asks, and what becomes of tokens that come too late. */
+/** The order in which a search asks control nodes, and the return of tokens that arrive too late. */
 public class TokenSearchTest {
     private static final List<String> CONTROL_NODES = List.of("a", "b", "c");
     private static final QuotaAllowance DEEP = new QuotaAllowance(100, 100, 0);
     private static final QuotaAllowance SHALLOW = new QuotaAllowance(4, 10, 0);
 
-    /** Notes what a search asks for. */
+    /** Records the actions of a search. */
     private static final class Recorder implements TokenSearch.Actions {
         private final List<String> events = new ArrayList<>();
 
--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -35,27 +35,30 @@
 import whinlead.mesh.consensus.Message;
 import whinlead.mesh.registry.EndpointRecord;
 
-/** PeerMessageCodec of the protocol before versions, and of a later one, beside this program's; both ways. */
+/**
+ * Messages between this program and programs of an earlier version without version numbers or of a later one, in both
+ * directions.
+ */
 public class OtherVersionTest {
     private static final int WAIT_MS = 10_000;
     private static final byte HELLO = 1;
-    private static final byte POST = 2;
+    private static final byte ENDPOINT_UPDATE = 2;
     private static final byte PING = 7;
-    private static final byte PAPER = 9;
-    private static final byte REQUEST = 10;
-    private static final byte RETURNED = 12;
+    private static final byte CONSENSUS = 9;
+    private static final byte FORWARD_REQUEST = 10;
+    private static final byte FORWARD_FAILURE = 12;
     private static final byte QUERY = 8;
     private static final byte LATER_KIND = 99;
 
     private EventLoopGroup loops;
     private Channel server;
 
-    /** Writes the fields of a message, as a program of another version does. */
-    private interface FieldCodec {
+    /** Encodes the fields of a message as a program of another version does. */
+    private interface FieldWriter {
         void write(MessageBufferPacker packer) throws IOException;
     }
 
-    private static byte[] bytes(byte tag, FieldCodec fields) throws IOException {
+    private static byte[] encode(byte tag, FieldWriter fields) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packByte(tag);
             fields.write(packer);
@@ -64,62 +67,62 @@
     }
 
     private static byte[] hello(int newest, int oldest) throws IOException {
-        return bytes(
+        return encode(
                 HELLO, p -> p.packString("n").packBoolean(false).packInt(newest).packInt(oldest));
     }
 
     private static byte[] unversionedHello() throws IOException {
-        return bytes(HELLO, p -> p.packString("n").packBoolean(false));
+        return encode(HELLO, p -> p.packString("n").packBoolean(false));
     }
 
-    private static void record(MessageBufferPacker p, String node, int phase) throws IOException {
-        p.packString(node)
+    private static void writeRecord(MessageBufferPacker packer, String node, int phase) throws IOException {
+        packer.packString(node)
                 .packLong(1)
                 .packLong(2)
                 .packString("z")
                 .packString("i")
                 .packString("s");
-        p.packInt(phase).packInt(6).packInt(5);
+        packer.packInt(phase).packInt(6).packInt(5);
     }
 
     @Test
-    public void aGreetingWithoutVersionsIsReadAndOursIsReadByItsSender() throws IOException {
+    public void greetingsAreReadableBetweenVersionedAndUnversionedPrograms() throws IOException {
         assertEquals(
-                PeerMessageCodec.read(unversionedHello()),
-                new PeerMessage.Hello("n", false, ProtocolVersion.NONE_NAMED));
-        // The reader of the program before versions: it takes these fields and looks no further.
-        try (MessageUnpacker u =
+                PeerMessageCodec.read(unversionedHello()), new PeerMessage.Hello("n", false, ProtocolVersion.UNNAMED));
+        // A program of the version before version numbers reads these fields only.
+        try (MessageUnpacker unpacker =
                 MessagePack.newDefaultUnpacker(PeerMessageCodec.write(new PeerMessage.Hello("n", true)))) {
-            assertEquals(u.unpackByte(), HELLO);
-            assertEquals(u.unpackString(), "n");
-            assertTrue(u.unpackBoolean());
+            assertEquals(unpacker.unpackByte(), HELLO);
+            assertEquals(unpacker.unpackString(), "n");
+            assertTrue(unpacker.unpackBoolean());
         }
     }
 
     @Test
-    public void theLowerOfBothNewestVersionsIsSpoken() {
+    public void lowerOfBothNewestVersionsIsNegotiated() {
         ProtocolVersion later = new ProtocolVersion(9, 2);
-        assertEquals(ProtocolVersion.OURS.agreedWith(later), ProtocolVersion.OURS.newest());
-        assertEquals(later.agreedWith(ProtocolVersion.OURS), ProtocolVersion.OURS.newest());
-        assertEquals(ProtocolVersion.OURS.agreedWith(ProtocolVersion.NONE_NAMED), ProtocolVersion.UNVERSIONED);
-        assertFalse(later.sharesOneWith(ProtocolVersion.NONE_NAMED));
-        assertFalse(ProtocolVersion.NONE_NAMED.sharesOneWith(later));
+        assertEquals(ProtocolVersion.SUPPORTED.negotiate(later), ProtocolVersion.SUPPORTED.newest());
+        assertEquals(later.negotiate(ProtocolVersion.SUPPORTED), ProtocolVersion.SUPPORTED.newest());
+        assertEquals(ProtocolVersion.SUPPORTED.negotiate(ProtocolVersion.UNNAMED), ProtocolVersion.UNVERSIONED);
+        assertFalse(later.overlaps(ProtocolVersion.UNNAMED));
+        assertFalse(ProtocolVersion.UNNAMED.overlaps(later));
         assertThrows(IllegalArgumentException.class, () -> new ProtocolVersion(1, 2));
     }
 
     @Test
-    public void kindsOfALaterVersionAreNamedAndNoError() throws IOException {
+    public void kindsOfALaterVersionAreReadAsUnknown() throws IOException {
         assertEquals(
-                PeerMessageCodec.read(bytes(LATER_KIND, p -> p.packString("x"))),
+                PeerMessageCodec.read(encode(LATER_KIND, p -> p.packString("x"))),
                 new PeerMessage.Unknown("message 99"));
         assertEquals(
-                PeerMessageCodec.read(bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1))),
-                new PeerMessage.Unknown("ballot message 99"));
+                PeerMessageCodec.read(
+                        encode(CONSENSUS, p -> p.packByte(LATER_KIND).packLong(1))),
+                new PeerMessage.Unknown("consensus message 99"));
     }
 
     @Test
-    public void fieldsOfALaterVersionArePassedOver() throws IOException {
-        // Each with all the fields that this version knows; what follows them is unknown.
+    public void fieldsOfALaterVersionAreIgnored() throws IOException {
+        // Each message has all fields that this version knows; the field after them is unknown.
         for (PeerMessage message : List.of(
                 new PeerMessage.Hello("n", true),
                 new PeerMessage.Subscribe(3),
@@ -129,21 +132,22 @@
                 new PeerMessage.Cancel(6, true),
                 new PeerMessage.Consensus(new Message.Query(1, 2, List.of("n"))),
                 new PeerMessage.ForwardFailure(7, PeerMessage.FailureReason.LATE, 0.5, 2))) {
-            assertEquals(PeerMessageCodec.read(followedBy(PeerMessageCodec.write(message), "later")), message);
+            assertEquals(PeerMessageCodec.read(withExtraField(PeerMessageCodec.write(message), "later")), message);
         }
     }
 
     @Test
-    public void fieldsThatAFormerVersionDoesNotSendHaveTheirDefaults() throws IOException {
+    public void fieldsMissingInAnEarlierVersionHaveDefaults() throws IOException {
         assertEquals(
-                PeerMessageCodec.read(bytes(PING, p -> p.packLong(4))), new PeerMessage.Ping(4, PeerMessage.UNSTAMPED));
+                PeerMessageCodec.read(encode(PING, p -> p.packLong(4))),
+                new PeerMessage.Ping(4, PeerMessage.UNSTAMPED));
         assertEquals(
                 PeerMessageCodec.read(
-                        bytes(PAPER, p -> p.packByte(QUERY).packLong(1).packLong(2))),
+                        encode(CONSENSUS, p -> p.packByte(QUERY).packLong(1).packLong(2))),
                 new PeerMessage.Consensus(new Message.Query(1, 2, List.of())));
     }
 
-    private static byte[] followedBy(byte[] message, String field) throws IOException {
+    private static byte[] withExtraField(byte[] message, String field) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.writePayload(message);
             packer.packString(field);
@@ -152,48 +156,48 @@
     }
 
     @Test
-    public void valuesOfALaterVersionHaveStatedDefaults() throws IOException {
-        byte[] post = bytes(POST, p -> {
+    public void unknownValuesOfALaterVersionHaveDefaults() throws IOException {
+        byte[] endpointUpdate = encode(ENDPOINT_UPDATE, p -> {
             p.packInt(2);
-            record(p, "a", 7);
-            record(p, "b", EndpointRecord.Phase.DRAINING.ordinal());
+            writeRecord(p, "a", 7);
+            writeRecord(p, "b", EndpointRecord.Phase.DRAINING.ordinal());
         });
         assertEquals(
-                PeerMessageCodec.read(post),
+                PeerMessageCodec.read(endpointUpdate),
                 new PeerMessage.EndpointUpdate(
                         List.of(new EndpointRecord("b", 1, 2, "z", "i", "s", EndpointRecord.Phase.DRAINING, 6, 5))),
-                "a's is passed over");
-        byte[] returned =
-                bytes(RETURNED, p -> p.packLong(3).packInt(77).packDouble(0).packDouble(0));
-        PeerMessage.ForwardFailure read = (PeerMessage.ForwardFailure) PeerMessageCodec.read(returned);
-        assertFalse(read.why().neverRan, "a reason that is not known promises nothing");
+                "the record of node a is ignored");
+        byte[] forwardFailure = encode(
+                FORWARD_FAILURE, p -> p.packLong(3).packInt(77).packDouble(0).packDouble(0));
+        PeerMessage.ForwardFailure read = (PeerMessage.ForwardFailure) PeerMessageCodec.read(forwardFailure);
+        assertFalse(read.why().neverRan, "a request may have run if the reason is unknown");
     }
 
     @Test
-    public void whatIsMalformedIsRefusedByTheNameOfItsKind() throws IOException {
-        byte[] request = bytes(REQUEST, p -> p.packString("no number"));
+    public void malformedMessageIsRejectedWithItsKind() throws IOException {
+        byte[] request = encode(FORWARD_REQUEST, p -> p.packString("no number"));
         MalformedMessageException refused =
                 expectThrows(MalformedMessageException.class, () -> PeerMessageCodec.read(request));
         assertTrue(refused.getMessage().contains("FORWARD_REQUEST"), refused.getMessage());
         assertThrows(MalformedMessageException.class, () -> PeerMessageCodec.read(hello(1, 2)));
     }
 
-    // What the program before formats writes, as it stands in its file.
-    private static byte[] memory(int... formats) throws IOException {
-        try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-            p.packLong(7).packLong(12).packBinaryHeader(2).writePayload(new byte[] {1, 2});
-            p.packInt(1).packLong(12).packString("digest").packInt(1).packString("10.0.0.1#0");
-            p.packLong(3).packString("10.0.0.1#0").packNil();
+    // The record on disk as written by a program of the version before format numbers.
+    private static byte[] acceptorRecord(int... formats) throws IOException {
+        try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+            packer.packLong(7).packLong(12).packBinaryHeader(2).writePayload(new byte[] {1, 2});
+            packer.packInt(1).packLong(12).packString("digest").packInt(1).packString("10.0.0.1#0");
+            packer.packLong(3).packString("10.0.0.1#0").packNil();
             for (int format : formats) {
-                p.packInt(format);
+                packer.packInt(format);
             }
-            return p.toByteArray();
+            return packer.toByteArray();
         }
     }
 
     @Test
-    public void memoriesOfOtherFormatsAreReadUnlessTheyForbidIt() throws IOException {
-        Acceptor.State read = AcceptorRecord.read(memory());
+    public void acceptorRecordsOfOtherFormatsAreReadUnlessTheyRequireALaterOne() throws IOException {
+        Acceptor.State read = AcceptorRecord.read(acceptorRecord());
         assertEquals(
                 read,
                 new Acceptor.State(
@@ -205,32 +209,35 @@
                                 List.of("10.0.0.1#0")),
                         new Ballot(3, "10.0.0.1#0"),
                         null));
-        byte[] ours = AcceptorRecord.write(read);
-        byte[] before = memory();
-        assertEquals(Arrays.copyOf(ours, before.length), before, "ours begins as theirs, who read no further");
-        assertEquals(AcceptorRecord.read(memory(9, 1, 4, 5)), read);
+        byte[] currentFormat = AcceptorRecord.write(read);
+        byte[] unnumberedFormat = acceptorRecord();
+        assertEquals(
+                Arrays.copyOf(currentFormat, unnumberedFormat.length),
+                unnumberedFormat,
+                "the new format starts with the fields of the old one");
+        assertEquals(AcceptorRecord.read(acceptorRecord(9, 1, 4, 5)), read);
         LaterFormatException refused =
-                expectThrows(LaterFormatException.class, () -> AcceptorRecord.read(memory(9, 8)));
+                expectThrows(LaterFormatException.class, () -> AcceptorRecord.read(acceptorRecord(9, 8)));
         assertTrue(
                 refused.getMessage().contains("of format 9 needs a program that knows format 8"), refused.getMessage());
     }
 
-    /** Answers to greetings and pings, as control nodes and sidecars do. */
+    /** Answers greetings and pings as control nodes and sidecars do. */
     private static final class Responder implements PeerConnection.MessageHandler {
         @Override
-        public void connected(PeerConnection link) {}
+        public void connected(PeerConnection connection) {}
 
         @Override
-        public void message(PeerConnection link, PeerMessage message) {
+        public void message(PeerConnection connection, PeerMessage message) {
             if (message instanceof PeerMessage.Hello hello) {
-                link.peer(hello.id());
+                connection.peer(hello.id());
             } else if (message instanceof PeerMessage.Ping ping) {
-                link.send(new PeerMessage.Pong(ping.number(), "version " + link.version(), -1));
+                connection.send(new PeerMessage.Pong(ping.number(), "version " + connection.version(), -1));
             }
         }
 
         @Override
-        public void disconnected(PeerConnection link) {}
+        public void disconnected(PeerConnection connection) {}
     }
 
     @BeforeClass
@@ -250,67 +257,68 @@
         loops.shutdownGracefully(0, WAIT_MS, TimeUnit.MILLISECONDS).sync();
     }
 
-    /** A peer of another version: it says these messages, then asks for a sign of life. */
-    private PeerMessage answerAfter(byte[]... messages) throws IOException {
+    /** Acts as a peer of another version that sends these messages and then a ping; returns the answer. */
+    private PeerMessage pongAfter(byte[]... messages) throws IOException {
         InetSocketAddress address = (InetSocketAddress) server.localAddress();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(WAIT_MS);
-            DataOutputStream out = new DataOutputStream(socket.getOutputStream());
+            DataOutputStream output = new DataOutputStream(socket.getOutputStream());
             for (byte[] message : messages) {
-                say(out, message);
+                send(output, message);
             }
-            say(out, PeerMessageCodec.write(new PeerMessage.Ping(4)));
-            DataInputStream in = new DataInputStream(socket.getInputStream());
-            return PeerMessageCodec.read(in.readNBytes(in.readInt()));
+            send(output, PeerMessageCodec.write(new PeerMessage.Ping(4)));
+            DataInputStream input = new DataInputStream(socket.getInputStream());
+            return PeerMessageCodec.read(input.readNBytes(input.readInt()));
         }
     }
 
-    // The ping behind these may be unread when the other side closes: then the end is a reset. Silence until
-    // the wait is over is neither.
-    private void assertEnds(byte[]... messages) {
-        IOException end = expectThrows(IOException.class, () -> answerAfter(messages));
-        assertTrue(end instanceof EOFException || end instanceof SocketException, end.toString());
+    // The ping after these messages may be unread when the other side closes the connection; then the read ends with a
+    // reset. A time-out is neither an end of stream nor a reset and fails the test.
+    private void assertConnectionEnds(byte[]... messages) {
+        IOException exception = expectThrows(IOException.class, () -> pongAfter(messages));
+        assertTrue(exception instanceof EOFException || exception instanceof SocketException, exception.toString());
     }
 
-    private static void say(DataOutputStream out, byte[] message) throws IOException {
-        out.writeInt(message.length);
-        out.write(message);
-        out.flush();
+    private static void send(DataOutputStream output, byte[] message) throws IOException {
+        output.writeInt(message.length);
+        output.write(message);
+        output.flush();
     }
 
     @Test
-    public void connectionsOutlastWhatIsNotKnown() throws IOException {
-        byte[] laterKind = bytes(LATER_KIND, p -> p.packString("x"));
-        byte[] laterPaper = bytes(PAPER, p -> p.packByte(LATER_KIND).packLong(1));
-        byte[] malformedPing = bytes(PING, p -> p.packString("no number"));
+    public void connectionsSurviveUnknownAndRepeatedMalformedMessages() throws IOException {
+        byte[] laterKind = encode(LATER_KIND, p -> p.packString("x"));
+        byte[] laterConsensusKind =
+                encode(CONSENSUS, p -> p.packByte(LATER_KIND).packLong(1));
+        byte[] malformedPing = encode(PING, p -> p.packString("no number"));
         assertEquals(
-                answerAfter(unversionedHello(), laterKind, laterPaper, malformedPing),
+                pongAfter(unversionedHello(), laterKind, laterConsensusKind, malformedPing),
                 new PeerMessage.Pong(4, "version 1", -1));
         assertEquals(
-                answerAfter(hello(9, 1), laterKind),
-                new PeerMessage.Pong(4, "version " + ProtocolVersion.OURS.newest(), -1));
+                pongAfter(hello(9, 1), laterKind),
+                new PeerMessage.Pong(4, "version " + ProtocolVersion.SUPPORTED.newest(), -1));
     }
 
     @Test
-    public void whatNobodyWouldRepeatEndsTheConnectionIfMalformed() throws IOException {
-        byte[] request = bytes(REQUEST, p -> p.packString("no number"));
-        assertEnds(unversionedHello(), request);
+    public void malformedMessageThatIsNotRepeatedEndsTheConnection() throws IOException {
+        byte[] request = encode(FORWARD_REQUEST, p -> p.packString("no number"));
+        assertConnectionEnds(unversionedHello(), request);
     }
 
     @Test
-    public void aPeerWithWhichNoVersionIsSharedIsRefused() throws IOException {
-        int later = ProtocolVersion.OURS.newest() + 1;
-        assertEnds(hello(later, later));
+    public void peerWithoutACommonVersionIsRejected() throws IOException {
+        int later = ProtocolVersion.SUPPORTED.newest() + 1;
+        assertConnectionEnds(hello(later, later));
     }
 
     @Test
-    public void whatIsPassedOverIsLoggedABoundedNumberOfTimes() {
+    public void ignoredDetailsAreLoggedOnceUpToALimit() {
         VersionEvents events = new VersionEvents();
-        events.passedOver("the same thing");
-        events.passedOver("the same thing");
+        events.logIgnored("the same thing");
+        events.logIgnored("the same thing");
         assertEquals(events.logged(), 1);
         for (int i = 0; i < 2 * VersionEvents.MAX_LOGGED; i++) {
-            events.passedOver("thing " + i);
+            events.logIgnored("thing " + i);
         }
         assertEquals(events.logged(), VersionEvents.MAX_LOGGED);
     }
--- a/src/test/java/whinlead/mesh/wire/TimerGridTest.java
+++ b/src/test/java/whinlead/mesh/wire/TimerGridTest.java
@@ -7,37 +7,40 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** When connections look at their links, and a process's other periodic timers fire. */
+/** Firing times of the periodic timers of a process. */
 public class TimerGridTest {
-    private static final long MILLI = 1_000_000;
-    private static final long EVERY = 300 * MILLI;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long PERIOD_NANOS = 300 * NANOS_PER_MILLI;
 
-    // Where timers that begin at many moments have come to after some periods, within the shorter period.
-    private static Set<Long> moments(long every, long within) {
-        Set<Long> moments = new HashSet<>();
-        for (long begin = 10_000 * MILLI; begin < 10_000 * MILLI + every; begin += 7 * MILLI + 11) {
-            long at = begin;
+    // The times, modulo the shorter period, at which timers fire that were started at different times.
+    private static Set<Long> firingTimes(long periodNanos, long moduloNanos) {
+        Set<Long> firingTimes = new HashSet<>();
+        for (long startNanos = 10_000 * NANOS_PER_MILLI;
+                startNanos < 10_000 * NANOS_PER_MILLI + periodNanos;
+                startNanos += 7 * NANOS_PER_MILLI + 11) {
+            long nowNanos = startNanos;
             for (int fired = 0; fired < 4; fired++) {
-                long wait = TimerGrid.untilNext(at, every);
-                assertTrue(wait >= every / 2 && wait <= every * 3 / 2, wait + " ns");
-                at += wait;
+                long waitNanos = TimerGrid.untilNext(nowNanos, periodNanos);
+                assertTrue(waitNanos >= periodNanos / 2 && waitNanos <= periodNanos * 3 / 2, waitNanos + " ns");
+                nowNanos += waitNanos;
             }
-            moments.add(Math.floorMod(at, within));
+            firingTimes.add(Math.floorMod(nowNanos, moduloNanos));
         }
-        return moments;
+        return firingTimes;
     }
 
     @Test
-    public void allConnectionsOfAProcessLookAtTheSameMoments() {
-        assertEquals(moments(EVERY, EVERY).size(), 1);
+    public void timersOfTheSamePeriodFireTogether() {
+        assertEquals(firingTimes(PERIOD_NANOS, PERIOD_NANOS).size(), 1);
     }
 
     @Test
-    public void timersOfAMultipleOfAPeriodFireWithThoseOfThePeriod() {
-        Set<Long> short1 = moments(25 * MILLI, 25 * MILLI);
-        assertEquals(short1.size(), 1);
-        for (long period : new long[] {100, 250, 300}) {
-            assertEquals(moments(period * MILLI, 25 * MILLI), short1, period + " ms");
+    public void timersOfAMultipleOfAPeriodFireTogetherWithThatPeriod() {
+        Set<Long> shortPeriodTimes = firingTimes(25 * NANOS_PER_MILLI, 25 * NANOS_PER_MILLI);
+        assertEquals(shortPeriodTimes.size(), 1);
+        for (long periodMs : new long[] {100, 250, 300}) {
+            assertEquals(
+                    firingTimes(periodMs * NANOS_PER_MILLI, 25 * NANOS_PER_MILLI), shortPeriodTimes, periodMs + " ms");
         }
     }
 }
--- a/src/test/java/whinlead/mesh/wire/TransitClockTest.java
+++ b/src/test/java/whinlead/mesh/wire/TransitClockTest.java
@@ -4,73 +4,76 @@
 
 import org.testng.annotations.Test;
 
-/** How long messages waited between clocks that show different times. */
+/** Waiting times of messages between processes whose clocks differ. */
 public class TransitClockTest {
-    private static final double EXACT = 1e-6;
-    /** What the receiver's clock shows beyond the sender's. */
-    private static final double APART = -7_000_000;
+    private static final double TOLERANCE_MS = 1e-6;
+    /** Offset of the receiver's clock from the sender's. */
+    private static final double CLOCK_OFFSET_MS = -7_000_000;
 
-    private static final double WAY = 3;
+    private static final double TRANSIT_MS = 3;
 
-    // The receiver's clock shows this when a message arrives that left so long ago.
-    private static double arrives(TransitClock at, double leftAt, double waits) {
-        return at.waited(leftAt + APART + WAY + waits, Math.round(leftAt * 1000));
+    // Reports the arrival of a message that was sent at this time of the sender's clock and waited this long.
+    private static double waitedMs(TransitClock clock, double sentAtMs, double waitMs) {
+        return clock.waited(sentAtMs + CLOCK_OFFSET_MS + TRANSIT_MS + waitMs, Math.round(sentAtMs * 1000));
     }
 
     @Test
-    public void whatExceedsTheLeastDifferenceIsWaiting() {
-        TransitClock c = new TransitClock();
-        assertEquals(arrives(c, 0, 5), 0, EXACT, "the first has nothing to be compared with");
-        assertEquals(arrives(c, 10, 0), 0, EXACT);
-        assertEquals(arrives(c, 20, 40), 40, EXACT);
-        assertEquals(arrives(c, 30, 1), 1, EXACT);
+    public void excessOverTheSmallestDifferenceIsWaitingTime() {
+        TransitClock clock = new TransitClock();
+        assertEquals(waitedMs(clock, 0, 5), 0, TOLERANCE_MS, "the first message has no reference");
+        assertEquals(waitedMs(clock, 10, 0), 0, TOLERANCE_MS);
+        assertEquals(waitedMs(clock, 20, 40), 40, TOLERANCE_MS);
+        assertEquals(waitedMs(clock, 30, 1), 1, TOLERANCE_MS);
     }
 
     @Test
-    public void aSilenceOfAnyLengthLeavesTheLeastDifferenceKnown() {
-        TransitClock c = new TransitClock();
-        arrives(c, 0, 0);
-        assertEquals(arrives(c, 100, 60_000), 60_000, EXACT, "held back for a minute");
-        assertEquals(arrives(c, 350, 59_750), 59_750, EXACT);
-        assertEquals(arrives(c, 60_200, 0), 0, EXACT);
+    public void smallestDifferenceIsKnownAfterSilenceOfAnyLength() {
+        TransitClock clock = new TransitClock();
+        waitedMs(clock, 0, 0);
+        assertEquals(waitedMs(clock, 100, 60_000), 60_000, TOLERANCE_MS, "waited for a minute");
+        assertEquals(waitedMs(clock, 350, 59_750), 59_750, TOLERANCE_MS);
+        assertEquals(waitedMs(clock, 60_200, 0), 0, TOLERANCE_MS);
     }
 
     @Test
-    public void aClockThatStoodStillIsWaitingNoLongerThanTwoWindows() {
-        TransitClock c = new TransitClock();
-        arrives(c, 0, 0);
-        double step = 5000;
-        double at = 0;
-        while (arrives(c, at, step) > 1) {
-            at += 250;
+    public void stoppedClockCountsAsWaitingForAtMostTwoWindows() {
+        TransitClock clock = new TransitClock();
+        waitedMs(clock, 0, 0);
+        double clockStepMs = 5000;
+        double sentAtMs = 0;
+        while (waitedMs(clock, sentAtMs, clockStepMs) > 1) {
+            sentAtMs += 250;
         }
-        assertEquals(at <= 2 * TransitClock.WINDOW_MS + 500, true, "after " + at);
+        assertEquals(
+                sentAtMs <= 2 * TransitClock.WINDOW_MS + 500,
+                true,
+                "the step still counts as waiting after " + sentAtMs + " ms");
     }
 
     @Test
-    public void clocksThatDriftAreNoWaiting() {
-        TransitClock c = new TransitClock();
+    public void clockDriftCountsAsLittleWaiting() {
+        TransitClock clock = new TransitClock();
         double drift = 0.0002;
-        for (double at = 0; at < 3_600_000; at += 1500) {
-            double waited = arrives(c, at, at * drift);
-            assertEquals(waited < 2 * TransitClock.WINDOW_MS * drift + 1, true, waited + " at " + at);
+        for (double sentAtMs = 0; sentAtMs < 3_600_000; sentAtMs += 1500) {
+            double waitedMs = waitedMs(clock, sentAtMs, sentAtMs * drift);
+            assertEquals(waitedMs < 2 * TransitClock.WINDOW_MS * drift + 1, true, waitedMs + " at " + sentAtMs);
         }
     }
 
     @Test
-    public void withoutAStampNothingIsKnown() {
-        TransitClock c = new TransitClock();
-        arrives(c, 0, 0);
-        assertEquals(c.waited(1e9, PeerMessage.UNSTAMPED), 0, EXACT);
-        assertEquals(c.left(1e9, PeerMessage.UNSTAMPED, 40), 40);
+    public void messageWithoutAStampHasNoWaitingTime() {
+        TransitClock clock = new TransitClock();
+        waitedMs(clock, 0, 0);
+        assertEquals(clock.waited(1e9, PeerMessage.UNSTAMPED), 0, TOLERANCE_MS);
+        assertEquals(clock.left(1e9, PeerMessage.UNSTAMPED, 40), 40);
     }
 
     @Test
-    public void whatIsLeftIsRoundedDownAndNeverNegative() {
+    public void remainingTimeIsRoundedDownAndNeverNegative() {
         TransitClock clock = new TransitClock();
-        arrives(clock, 0, 0);
-        assertEquals(clock.left(100 + APART + WAY + 39.5, 100_000, 40), 0);
-        assertEquals(clock.left(100 + APART + WAY + 38.5, 100_000, 40), 1);
-        assertEquals(clock.left(100 + APART + WAY + 900, 100_000, 40), 0);
+        waitedMs(clock, 0, 0);
+        assertEquals(clock.left(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 39.5, 100_000, 40), 0);
+        assertEquals(clock.left(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 38.5, 100_000, 40), 1);
+        assertEquals(clock.left(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 900, 100_000, 40), 0);
     }
 }
