--- a/src/main/java/whinlead/mesh/rpc/RpcCall.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcCall.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** A call of an endpoint or an operator, decoded; whoever runs it answers it. */
+/** A decoded call of an endpoint or an operator. Whoever runs it sends the response. */
 public sealed interface RpcCall {
     /** An endpoint sends a heartbeat. */
     record Heartbeat(String endpoint, EndpointStatus status) implements RpcCall {}
 
-    /** What a heartbeat says. */
+    /** The content of a heartbeat. */
     record EndpointStatus(
             @JsonProperty("Target") String target,
             @JsonProperty("Zone") String zone,
@@ -19,9 +19,9 @@
     /** An endpoint leaves. */
     record Depart(String endpoint) implements RpcCall {}
 
-    /** An operator sends a configuration; {@code builtOn} is the version that it builds on. */
+    /** An operator replaces the configuration; {@code builtOn} is the version that the new one is based on. */
     record Replace(long builtOn, byte[] body) implements RpcCall {}
 
-    /** Someone reads the configuration. */
+    /** An operator or an endpoint reads the configuration. */
     record Read() implements RpcCall {}
 }
--- a/src/main/java/whinlead/mesh/rpc/RpcConnection.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcConnection.java
@@ -23,56 +23,56 @@
 import java.util.function.Consumer;
 
 /**
- * One caller's connection: reads whole calls and writes their answers in the order of the calls, whatever order they
- * come in (HTTP/1.1 pipelining). Reading stops while {@link #MAX_PENDING} calls, or bodies of {@link #MAX_BODY_BYTES}
- * bytes, wait for their answers; it needs a flow control handler in front for that. On the loop's thread; answers may
- * come from any.
+ * One caller's connection: reads complete calls and writes their responses in the order of the calls, in whatever order
+ * the responses arrive (HTTP/1.1 pipelining). Reading stops while {@link #MAX_PENDING} calls, or bodies of
+ * {@link #MAX_BODY_BYTES} bytes in total, wait for their responses; this requires a flow control handler in front. Used
+ * on the event loop's thread; responses may arrive on any thread.
  */
 final class RpcConnection extends ChannelInboundHandlerAdapter {
-    /** Calls of one connection that are under way at a time. */
+    /** Limit on the pending calls of one connection. */
     static final int MAX_PENDING = 16;
-    /** The largest body that is read, in bytes. */
+    /** Maximum size of a body in bytes. */
     static final int MAX_BODY_BYTES = 8 << 20;
 
-    /** Runs whole calls. */
-    interface Calls {
-        /** Runs one; it may be answered at once or later, on any thread. */
-        void run(HttpRequest head, byte[] body, Consumer<RpcResponse> answer);
+    /** Runs complete calls. */
+    interface CallRunner {
+        /** Runs a call; the response may be given at once or later, on any thread. */
+        void run(HttpRequest head, byte[] body, Consumer<RpcResponse> respond);
     }
 
-    /** One call's place in the order of answers. */
+    /** One call's place in the order of responses. */
     private final class PendingResponse implements Consumer<RpcResponse> {
-        private final boolean keep;
-        private final int bytes;
-        private RpcResponse answer;
+        private final boolean keepAlive;
+        private final int bodyBytes;
+        private RpcResponse response;
 
-        private PendingResponse(boolean keep, int bytes) {
-            this.keep = keep;
-            this.bytes = bytes;
+        private PendingResponse(boolean keepAlive, int bodyBytes) {
+            this.keepAlive = keepAlive;
+            this.bodyBytes = bodyBytes;
         }
 
         @Override
-        public void accept(RpcResponse a) {
+        public void accept(RpcResponse newResponse) {
             if (channel.eventLoop().inEventLoop()) {
-                answered(this, a);
+                complete(this, newResponse);
             } else {
-                channel.eventLoop().execute(() -> answered(this, a));
+                channel.eventLoop().execute(() -> complete(this, newResponse));
             }
         }
     }
 
-    private final Calls calls;
+    private final CallRunner callRunner;
     private final ArrayDeque<PendingResponse> pending = new ArrayDeque<>();
     private Channel channel;
     private HttpRequest head;
     private ByteBuf body;
-    private boolean tooLarge;
-    private boolean awaitsContinue;
-    private int bytesUnderWay;
-    private boolean ending;
+    private boolean isTooLarge;
+    private boolean expectsContinue;
+    private int pendingBytes;
+    private boolean isEnding;
 
-    RpcConnection(Calls calls) {
-        this.calls = calls;
+    RpcConnection(CallRunner callRunner) {
+        this.callRunner = callRunner;
     }
 
     @Override
@@ -83,126 +83,128 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (ending) {
+            if (isEnding) {
                 return;
             }
-            if (message instanceof HttpObject o && o.decoderResult().isFailure()) {
+            if (message instanceof HttpObject object && object.decoderResult().isFailure()) {
                 refuse(HttpResponseStatus.BAD_REQUEST, "the call can't be read");
                 return;
             }
-            if (message instanceof HttpRequest r) {
-                begin(r);
+            if (message instanceof HttpRequest request) {
+                startCall(request);
             }
-            if (message instanceof HttpContent c && head != null && !ending) {
-                more(c);
+            if (message instanceof HttpContent content && head != null && !isEnding) {
+                addContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void begin(HttpRequest r) {
-        head = r;
+    private void startCall(HttpRequest request) {
+        head = request;
         body = Unpooled.buffer(0);
-        tooLarge = HttpUtil.getContentLength(r, 0L) > MAX_BODY_BYTES;
-        awaitsContinue = HttpUtil.is100ContinueExpected(r);
-        if (tooLarge && awaitsContinue) {
+        isTooLarge = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
+        expectsContinue = HttpUtil.is100ContinueExpected(request);
+        if (isTooLarge && expectsContinue) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
             return;
         }
         sendContinueIfDue();
     }
 
-    // The go-ahead is a message of its own and would be taken for a part of an earlier call's answer.
+    // The interim response 100 (Continue) is a separate message and would be taken for a part of an earlier call's
+    // response.
     private void sendContinueIfDue() {
-        if (head != null && awaitsContinue && pending.isEmpty()) {
-            awaitsContinue = false;
+        if (head != null && expectsContinue && pending.isEmpty()) {
+            expectsContinue = false;
             channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
     }
 
-    private void more(HttpContent c) {
-        tooLarge |= body.readableBytes() + (long) c.content().readableBytes() > MAX_BODY_BYTES;
-        if (!tooLarge) {
-            body.writeBytes(c.content());
+    private void addContent(HttpContent content) {
+        isTooLarge |= body.readableBytes() + (long) content.content().readableBytes() > MAX_BODY_BYTES;
+        if (!isTooLarge) {
+            body.writeBytes(content.content());
         }
-        if (c instanceof LastHttpContent) {
-            HttpRequest whole = head;
-            byte[] bytes = ByteBufUtil.getBytes(body);
+        if (content instanceof LastHttpContent) {
+            HttpRequest completeHead = head;
+            byte[] bodyBytes = ByteBufUtil.getBytes(body);
             head = null;
             body = null;
-            PendingResponse response = begun(new PendingResponse(HttpUtil.isKeepAlive(whole), bytes.length));
-            if (tooLarge) {
-                response.accept(
+            PendingResponse pendingResponse =
+                    enqueue(new PendingResponse(HttpUtil.isKeepAlive(completeHead), bodyBytes.length));
+            if (isTooLarge) {
+                pendingResponse.accept(
                         RpcResponse.error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large"));
             } else {
-                calls.run(whole, bytes, response);
+                callRunner.run(completeHead, bodyBytes, pendingResponse);
             }
         }
     }
 
-    private PendingResponse begun(PendingResponse response) {
-        pending.add(response);
-        bytesUnderWay += response.bytes;
-        ending |= !response.keep;
+    private PendingResponse enqueue(PendingResponse pendingResponse) {
+        pending.add(pendingResponse);
+        pendingBytes += pendingResponse.bodyBytes;
+        isEnding |= !pendingResponse.keepAlive;
         updateAutoRead();
-        return response;
+        return pendingResponse;
     }
 
-    // An answer to what can't be taken, in its response, and the end of the connection.
-    private void refuse(HttpResponseStatus status, String why) {
+    // Sends an error in the order of the responses and then closes the connection.
+    private void refuse(HttpResponseStatus status, String message) {
         head = null;
         body = null;
-        begun(new PendingResponse(false, 0)).accept(RpcResponse.error(status, why));
+        enqueue(new PendingResponse(false, 0)).accept(RpcResponse.error(status, message));
     }
 
-    private void answered(PendingResponse response, RpcResponse a) {
-        if (response.answer != null || !channel.isActive()) {
+    private void complete(PendingResponse pendingResponse, RpcResponse response) {
+        if (pendingResponse.response != null || !channel.isActive()) {
             return;
         }
-        response.answer = a;
-        boolean wrote = false;
-        while (!pending.isEmpty() && pending.peek().answer != null) {
+        pendingResponse.response = response;
+        boolean hasWritten = false;
+        while (!pending.isEmpty() && pending.peek().response != null) {
             PendingResponse next = pending.poll();
-            bytesUnderWay -= next.bytes;
+            pendingBytes -= next.bodyBytes;
             write(next);
-            wrote = true;
+            hasWritten = true;
         }
-        if (wrote) {
+        if (hasWritten) {
             channel.flush();
             sendContinueIfDue();
             updateAutoRead();
         }
     }
 
-    private void write(PendingResponse response) {
-        byte[] content = response.answer.body();
+    private void write(PendingResponse pendingResponse) {
+        byte[] content = pendingResponse.response.body();
         DefaultFullHttpResponse message = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(response.answer.status()),
+                HttpResponseStatus.valueOf(pendingResponse.response.status()),
                 Unpooled.wrappedBuffer(content));
         message.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, content.length);
-        if (!response.keep) {
+        if (!pendingResponse.keepAlive) {
             message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        ChannelFuture sent = channel.write(message);
-        if (!response.keep) {
-            sent.addListener(ChannelFutureListener.CLOSE);
+        ChannelFuture writeFuture = channel.write(message);
+        if (!pendingResponse.keepAlive) {
+            writeFuture.addListener(ChannelFutureListener.CLOSE);
         }
     }
 
     private void updateAutoRead() {
-        boolean want = pending.size() < MAX_PENDING && bytesUnderWay < MAX_BODY_BYTES;
-        if (want != channel.config().isAutoRead()) {
-            channel.config().setAutoRead(want);
+        boolean mayRead = pending.size() < MAX_PENDING && pendingBytes < MAX_BODY_BYTES;
+        if (mayRead != channel.config().isAutoRead()) {
+            channel.config().setAutoRead(mayRead);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        // Who called is gone: what is still answered has nowhere to go.
+        // The caller is gone: the remaining responses are dropped.
         pending.clear();
     }
 
--- a/src/main/java/whinlead/mesh/rpc/RpcResponse.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcResponse.java
@@ -3,22 +3,22 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 
-/** The answer to an order: a status and a body of JSON. */
+/** The response to a call: a status and a JSON body. */
 public record RpcResponse(int status, byte[] body) {
-    private static final byte[] NOTHING = "{}".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] EMPTY_OBJECT = "{}".getBytes(StandardCharsets.US_ASCII);
 
-    /** The call was carried out. */
+    /** Creates the response to a successful call without a result. */
     public static RpcResponse done() {
-        return new RpcResponse(HttpResponseStatus.OK.code(), NOTHING);
+        return new RpcResponse(HttpResponseStatus.OK.code(), EMPTY_OBJECT);
     }
 
     /**
-     * The call was not carried out.
+     * Creates the response to a call that was not carried out.
      *
-     * @param why one line for whoever called
+     * @param message one line for the caller
      */
-    public static RpcResponse error(HttpResponseStatus status, String why) {
-        String text = why.replaceAll("[\\p{Cntrl}\"\\\\]", "'");
+    public static RpcResponse error(HttpResponseStatus status, String message) {
+        String text = message.replaceAll("[\\p{Cntrl}\"\\\\]", "'");
         return new RpcResponse(status.code(), ("{\"error\":\"" + text + "\"}").getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/whinlead/mesh/rpc/RpcServer.java
+++ b/src/main/java/whinlead/mesh/rpc/RpcServer.java
@@ -21,16 +21,17 @@
 import java.util.function.Consumer;
 
 /**
- * Takes the calls of endpoints and operators: decodes each into an {@link RpcCall}, which is run elsewhere, and sends
- * the {@link RpcResponse}, from whichever thread it comes, in the order of the calls of each connection. One loop.
+ * Accepts calls of endpoints and operators: decodes each into an {@link RpcCall}, which is run elsewhere, and sends the
+ * {@link RpcResponse}, which may come from any thread, in the order of the calls of each connection. Uses one event
+ * loop.
  */
 public final class RpcServer {
     private static final String PATH = "/whinlead/rpc";
-    private static final int HEXADECIMAL = 16;
+    private static final int HEXADECIMAL_RADIX = 16;
 
-    /** Carries out calls. */
+    /** Runs calls. */
     public interface CallHandler {
-        /** Carries one out and answers it once, from any thread. */
+        /** Runs a call and responds to it once, from any thread. */
         void run(RpcCall call, Consumer<RpcResponse> respond);
     }
 
@@ -38,14 +39,14 @@
     private final CallHandler callHandler;
     private final ObjectMapper mapper;
 
-    /** A server whose calls this handler carries out; it is called on the loop. */
+    /** Creates a server whose calls are run by this handler, which is called on the event loop. */
     public RpcServer(EventLoop loop, ObjectMapper mapper, CallHandler callHandler) {
         this.loop = loop;
         this.mapper = mapper.copy().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
         this.callHandler = callHandler;
     }
 
-    /** Begins to listen; the future fails if the address is taken. */
+    /** Starts to listen; the future fails if the address is in use. */
     public ChannelFuture listen(SocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
@@ -54,7 +55,7 @@
                 .bind(address);
     }
 
-    /** Sets up the handlers of each new connection. */
+    /** Returns an initializer that installs the handlers of each new connection. */
     public ChannelInitializer<Channel> handlers() {
         return new ChannelInitializer<>() {
             @Override
@@ -83,28 +84,28 @@
         if (!PATH.equals(query.path()) || !HttpMethod.POST.equals(request.method())) {
             throw new InvalidCallException(HttpResponseStatus.NOT_FOUND, "nothing is at " + query.path());
         }
-        String call = first(query, "call");
+        String call = firstParameter(query, "call");
         return switch (call) {
             case "members.heartbeat" ->
-                new RpcCall.Heartbeat(id(query), mapper.readValue(body, RpcCall.EndpointStatus.class));
-            case "members.depart" -> new RpcCall.Depart(id(query));
+                new RpcCall.Heartbeat(endpointId(query), mapper.readValue(body, RpcCall.EndpointStatus.class));
+            case "members.depart" -> new RpcCall.Depart(endpointId(query));
             case "config.replace" -> new RpcCall.Replace(version(request), body);
             case "config.read" -> new RpcCall.Read();
             default -> throw new InvalidCallException(HttpResponseStatus.NOT_FOUND, "call names nothing: " + call);
         };
     }
 
-    private static String first(QueryStringDecoder query, String name) {
+    private static String firstParameter(QueryStringDecoder query, String name) {
         List<String> values = query.parameters().getOrDefault(name, List.of());
         return values.isEmpty() ? "" : values.get(0);
     }
 
-    private static String id(QueryStringDecoder query) throws InvalidCallException {
-        String id = first(query, "of");
-        if (id.isEmpty()) {
+    private static String endpointId(QueryStringDecoder query) throws InvalidCallException {
+        String endpointId = firstParameter(query, "of");
+        if (endpointId.isEmpty()) {
             throw new InvalidCallException(HttpResponseStatus.BAD_REQUEST, "of is missing");
         }
-        return id;
+        return endpointId;
     }
 
     private static long version(HttpRequest request) throws InvalidCallException {
@@ -113,13 +114,13 @@
                 .replace("\"", "")
                 .trim();
         try {
-            return Long.parseLong(text, HEXADECIMAL);
+            return Long.parseLong(text, HEXADECIMAL_RADIX);
         } catch (NumberFormatException e) {
             throw new InvalidCallException(HttpResponseStatus.BAD_REQUEST, "If-Match is no version: " + text);
         }
     }
 
-    /** A request that is no call; the message is one line for whoever sent it. */
+    /** A request that is not a valid call; the message is one line for the sender. */
     private static final class InvalidCallException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
