--- a/src/test/java/whinlead/mesh/quota/TokenSearchTest.java
+++ b/src/test/java/whinlead/mesh/quota/TokenSearchTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Whom a search for a token asks, and what becomes of tokens that come too late. */
+/** The order in which a search asks control nodes, and the return of tokens that arrive too late. */
 public class TokenSearchTest {
     private static final List<String> CONTROL_NODES = List.of("a", "b", "c");
     private static final QuotaAllowance DEEP = new QuotaAllowance(100, 100, 0);
     private static final QuotaAllowance SHALLOW = new QuotaAllowance(4, 10, 0);
 
-    /** Notes what a search asks for. */
+    /** Records the actions of a search. */
     private static final class Recorder implements TokenSearch.Actions {
         private final List<String> events = new ArrayList<>();
 
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void oneAfterTheOtherIsAskedWhereEachHasRoomForTokens() {
+    public void nodesWithDeepBucketsAreAskedOneAfterAnother() {
         TokenSearch search = begin(DEEP);
         search.answered("a", false, 30);
         search.answered("b", true, 0);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void twoAreAskedAtOnceWhereOneIsOftenEmptyAndTheTokenTooManyGoesBack() {
+    public void twoNodesWithShallowBucketsAreAskedAtOnceAndTheSurplusTokenIsReturned() {
         TokenSearch search = begin(SHALLOW);
         search.answered("b", true, 0);
         search.answered("a", true, 0);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    public void aTokenThatComesAfterTheTimeIsUpGoesBack() {
+    public void tokenThatArrivesAfterTheTimeLimitIsReturned() {
         TokenSearch search = begin(DEEP);
         search.hedge();
         search.end();
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void itEndsWithTheShortestWaitOnceAllHaveRefused() {
+    public void searchEndsWithTheShortestWaitOnceAllNodesHaveRefused() {
         TokenSearch search = begin(DEEP);
         search.answered("a", false, 40);
         search.answered("b", false, 20);
