--- a/src/main/java/whinlead/replication/Command.java
+++ b/src/main/java/whinlead/replication/Command.java
@@ -3,50 +3,53 @@
 import java.util.List;
 
 /**
- * What a member asks its group to agree on. All times are milliseconds; those called {@code until} are of the group's
- * own time ({@link ReplicatedState#time}), never of a wall clock. An attempt is known by the member that decided it, in
- * one life of its, and a number that this life uses once.
+ * A command that a member proposes to its group. All times are milliseconds. Points in time are of the group's own time
+ * ({@link ReplicatedState#timeMs}), never of a wall clock. An attempt is identified by its owner, one incarnation of
+ * the member that decided on it, and a number that the owner uses once.
  */
 public sealed interface Command {
-    /** The request that it is about; null if it is about none, or about all. */
+    /** The id of the request that the command concerns; null if it concerns none, or all. */
     default String id() {
         return null;
     }
 
-    /** How often a request may run. */
+    /** How often a request may be executed. */
     enum Guard {
-        /** Once: it is let out again only if no earlier attempt can have run. */
+        /** At most once: another attempt is granted only if no earlier one can have run. */
         UNSAFE,
-        /** Its endpoints know a repeated one for a while: the member that let it out first may again. */
+        /**
+         * Its endpoints recognize a repeated request for a while: the member that owns the first attempt may send it
+         * again.
+         */
         KEYED
     }
 
-    /** What a caller tells of an attempt to a member that does not hold it. */
-    enum How {
+    /** The outcome of an attempt, as a caller reports it to a member that does not handle the request. */
+    enum AttemptOutcome {
         NEVER_RAN,
         MAY_HAVE_RAN,
         SERVED
     }
 
-    /** How a request is over, for its client. */
+    /** How a request ended, from the client's point of view. */
     enum Ending {
         SERVED,
         REFUSED,
         FAILED
     }
 
-    /** An attempt of one life of a member. */
+    /** An attempt of one incarnation of a member. */
     record Attempt(String owner, long number) {}
 
     /**
-     * Lets an attempt go out, if no earlier one stands against it.
+     * Grants an attempt, if no earlier one prevents it.
      *
-     * @param id by which the request is known to all callers
-     * @param caller who holds it, for the bound on what one may hold
-     * @param neverRan this owner's earlier attempts at it that are known not to have run, by their numbers
-     * @param left until the request's time is up
-     * @param until when it is decided later, it must not go out any more
-     * @param anew the client says that it asks again after it was refused
+     * @param id of the request, the same for all callers
+     * @param caller that handles the request, for the limit per caller
+     * @param neverRan numbers of this owner's earlier attempts that are known not to have run
+     * @param remainingMs until the request's deadline
+     * @param validUntilMs if the group decides later than this, the attempt must not be sent
+     * @param retryAfterRefusal whether the client says that it retries after a refusal
      */
     record Allow(
             String id,
@@ -55,9 +58,9 @@
             Attempt attempt,
             List<Long> neverRan,
             String endpoint,
-            long left,
-            long until,
-            boolean anew)
+            long remainingMs,
+            long validUntilMs,
+            boolean retryAfterRefusal)
             implements Command {
         /** Keeps a copy. */
         public Allow {
@@ -66,22 +69,23 @@
     }
 
     /**
-     * Takes an attempt back that nobody was told of, whether it has been allowed or is on its way to be.
+     * Withdraws an attempt whose caller was not told of it, whether it has been granted or its {@link Allow} is still
+     * in transit.
      *
-     * @param left until the request's time is up
+     * @param remainingMs until the request's deadline
      */
-    record Withdraw(String id, Attempt attempt, long left) implements Command {}
+    record Withdraw(String id, Attempt attempt, long remainingMs) implements Command {}
 
     /**
-     * Tells what became of an attempt, where the member that holds the request can't be asked for what is next: it ends
-     * the request.
+     * Reports the outcome of an attempt when the member that handles the request can't be asked for the next step. This
+     * ends the request.
      *
-     * @param index as it was granted
+     * @param attemptIndex as in {@link Reply.Granted}
      */
-    record Report(String id, int index, How how) implements Command {}
+    record Report(String id, int attemptIndex, AttemptOutcome outcome) implements Command {}
 
     /**
-     * Ends a request, if it has not ended otherwise.
+     * Ends a request, if it has not ended yet.
      *
      * @param owner whose attempts {@code neverRan} numbers, as in {@link Allow}
      */
@@ -93,13 +97,13 @@
     }
 
     /**
-     * Refuses a request that this owner let no attempt of out, if nothing of it can have run. From then on none goes
-     * out until its time is up, unless its client asks anew.
+     * Refuses a request of which this owner has no granted attempt, if no attempt can have run. From then on no attempt
+     * is granted until the request's deadline, unless its client retries.
      *
      * @param owner whose attempts {@code neverRan} numbers, as in {@link Allow}
-     * @param left until the request's time is up
+     * @param remainingMs until the request's deadline
      */
-    record Refuse(String id, String caller, Guard guard, String owner, List<Long> neverRan, long left)
+    record Refuse(String id, String caller, Guard guard, String owner, List<Long> neverRan, long remainingMs)
             implements Command {
         /** Keeps a copy. */
         public Refuse {
@@ -108,12 +112,12 @@
     }
 
     /**
-     * An endpoint takes nothing new.
+     * An endpoint accepts no new requests.
      *
-     * @param lasts for how long that is known; lists tell it anew
+     * @param durationMs for which this is remembered; the endpoint lists repeat it
      */
-    record Drain(String endpoint, long lasts) implements Command {}
+    record Drain(String endpoint, long durationMs) implements Command {}
 
-    /** Nothing but that time has passed. */
+    /** Only advances the group's time. */
     record Tick() implements Command {}
 }
--- a/src/main/java/whinlead/replication/GroupClock.java
+++ b/src/main/java/whinlead/replication/GroupClock.java
@@ -1,32 +1,33 @@
 package whinlead.replication;
 
 /**
- * The group's time between its commands, as one member holds it: the last stamp, and what has passed by the member's
- * own monotonic clock since that came. A member that comes to lead stamps by it, so the group's time goes on where it
- * was; wall clocks, which may be apart by any amount, play no part.
+ * One member's estimate of the group's time between commands: the last committed timestamp plus the time that has
+ * passed on the member's own monotonic clock since it was received. A member that becomes leader takes its timestamps
+ * from this clock, so the group's time continues where it was. Wall clocks, which may differ by any amount, are not
+ * used.
  *
- * <p>Between any two stamps, whoever gave them, no more time passes than really did. That is why the last stamp counts
- * even where it is behind what this member thought: one that led for a while after it had been away counts from where
- * it was, and what it promised for a time must not be over sooner because another, who lost less, stamps after it. For
- * one thread.
+ * <p>Between any two timestamps, whichever leader gave them, no more group time passes than real time. For this the
+ * last timestamp is used even if it is behind this member's own estimate: a leader that was away for a while continues
+ * from the time at which it stopped, and a promise that it made for some duration must not expire sooner because
+ * another member, which was away for less, gives the next timestamp. Not thread-safe.
  */
 public final class GroupClock {
-    private long stamp;
-    private double at;
+    private long lastStampMs;
+    private double stampReceivedMs;
 
-    /** One that knows of no command yet; {@code now} in milliseconds by the monotonic clock. */
-    public GroupClock(double now) {
-        at = now;
+    /** A clock that has seen no command yet; {@code nowMs} by the monotonic clock. */
+    public GroupClock(double nowMs) {
+        stampReceivedMs = nowMs;
     }
 
-    /** A command with this stamp has come to be agreed on. */
-    public void agreed(long newStamp, double now) {
-        stamp = newStamp;
-        at = now;
+    /** Records the timestamp of a committed command. */
+    public void committed(long stampMs, double nowMs) {
+        lastStampMs = stampMs;
+        stampReceivedMs = nowMs;
     }
 
-    /** The group's time now, in whole milliseconds. */
-    public long time(double now) {
-        return stamp + (long) Math.max(0, now - at);
+    /** The group's current time, in whole milliseconds. */
+    public long time(double nowMs) {
+        return lastStampMs + (long) Math.max(0, nowMs - stampReceivedMs);
     }
 }
--- a/src/main/java/whinlead/replication/GroupRoute.java
+++ b/src/main/java/whinlead/replication/GroupRoute.java
@@ -6,123 +6,126 @@
 import java.util.function.Consumer;
 
 /**
- * A process's way to a group that it is no member of: which of its members is asked, and what the answers tell of the
- * group's time. It follows the member that leads, by the members' word, and turns to the next one where nothing comes
- * back. A question may be lost: whoever asks it asks again. No clock and no I/O: time comes with each call, and what is
- * to be sent goes out by {@link Post}. On the engine's thread.
+ * A process's route to a group that it is not a member of: chooses the member to query and learns the group's time from
+ * the replies. It follows the leader that the members report and switches to the next member if no reply arrives. A
+ * query may be lost; the caller repeats it. Uses no clock and no I/O: the time is passed with each call, and messages
+ * are sent through {@link Sender}. On the engine's thread.
  */
 public final class GroupRoute {
-    /** The way out. */
+    /** Sends queries to members. */
     @FunctionalInterface
-    public interface Post {
+    public interface Sender {
         /**
-         * Sends once, or loses it; never calls back before it returns.
+         * Sends once, without a guarantee of delivery; never calls back before it returns.
          *
-         * @param token names the question to its answer
-         * @param command null to ask for the group's time only
+         * @param token identifies the query in its reply
+         * @param command null to query the group's time only
          */
-        void send(String to, long token, Command command);
+        void send(String member, long token, Command command);
     }
 
-    /** Time is unknown until a first answer has told it. */
+    /** The group's time before the first reply. */
     public static final long UNKNOWN = -1;
-    /** A member that hears of a question has asked its leader and answered by then, on half a core too. */
-    private static final double PATIENCE_MS = 150;
-    /** Questions without an answer; the oldest are forgotten, for they have been asked again since. */
-    private static final int MAX_OPEN = 10_000;
+    /** Within this time a member forwards a query to its leader and replies, even on half a core. */
+    private static final double RESPONSE_TIMEOUT_MS = 150;
+    /** Limit of unanswered queries; the oldest are dropped, since their callers have repeated them. */
+    private static final int MAX_PENDING = 10_000;
 
-    private record Question(String to, Consumer<Reply> answer) {}
+    private record PendingQuery(String member, Consumer<Reply> listener) {}
 
     private final List<String> members;
-    private final Post post;
-    private final Map<Long, Question> open = new LinkedHashMap<>();
+    private final Sender sender;
+    private final Map<Long, PendingQuery> pending = new LinkedHashMap<>();
     private long lastToken;
-    private String to;
-    private int next;
-    /** Since when the one that is asked owes an answer; NaN while it owes none. */
-    private double owes = Double.NaN;
+    private String target;
+    private int targetIndex;
+    /** Time since which a reply of the current target is awaited; NaN while none is. */
+    private double waitingSinceMs = Double.NaN;
 
-    private GroupClock pace;
+    private GroupClock clock;
 
     /**
-     * A way that has not been taken yet.
+     * A route without pending queries.
      *
      * @param members in the order in which they are tried; at least one
-     * @param firstToken drawn: answers to a process of the same name before this one must fit nothing here
+     * @param firstToken drawn at random: replies to an earlier process of the same name must match no query of this one
      */
-    public GroupRoute(List<String> members, long firstToken, Post post) {
+    public GroupRoute(List<String> members, long firstToken, Sender sender) {
         this.members = List.copyOf(members);
-        this.post = post;
+        this.sender = sender;
         lastToken = firstToken;
-        to = this.members.get(0);
+        target = this.members.get(0);
     }
 
-    /** The group's time, never ahead of it, or {@link #UNKNOWN}; it is asked for then. */
-    public long time(double now) {
-        if (pace == null) {
-            ask(null, r -> {}, now);
+    /**
+     * The group's time, never ahead of the actual one; {@link #UNKNOWN} before the first reply, in which case a query
+     * for it is sent.
+     */
+    public long time(double nowMs) {
+        if (clock == null) {
+            query(null, r -> {}, nowMs);
             return UNKNOWN;
         }
-        return pace.time(now);
+        return clock.time(nowMs);
     }
 
-    /** Asks the group, once. The answer comes later, once or never. */
-    public void ask(Command command, Consumer<Reply> answer, double now) {
-        if (now - owes > PATIENCE_MS) {
-            turn();
+    /** Sends a query to the group once. The listener is called later, at most once. */
+    public void query(Command command, Consumer<Reply> listener, double nowMs) {
+        if (nowMs - waitingSinceMs > RESPONSE_TIMEOUT_MS) {
+            switchTarget();
         }
-        if (Double.isNaN(owes)) {
-            owes = now;
+        if (Double.isNaN(waitingSinceMs)) {
+            waitingSinceMs = nowMs;
         }
-        if (open.size() >= MAX_OPEN) {
-            open.remove(open.keySet().iterator().next());
+        if (pending.size() >= MAX_PENDING) {
+            pending.remove(pending.keySet().iterator().next());
         }
-        open.put(++lastToken, new Question(to, answer));
-        post.send(to, lastToken, command);
+        pending.put(++lastToken, new PendingQuery(target, listener));
+        sender.send(target, lastToken, command);
     }
 
-    private void turn() {
-        next = (next + 1) % members.size();
-        to = members.get(next);
-        owes = Double.NaN;
+    private void switchTarget() {
+        targetIndex = (targetIndex + 1) % members.size();
+        target = members.get(targetIndex);
+        waitingSinceMs = Double.NaN;
     }
 
     /**
-     * A member has answered.
+     * Handles a member's reply.
      *
-     * @param reply null if it was asked for the time only, or holds no seat
-     * @param time of the group as the member has it, or less than 0 if it holds no seat
-     * @param leader the member that leads, as far as it knows; empty if it knows of none
+     * @param reply null if only the time was queried, or if the member has no seat
+     * @param groupTimeMs as the member knows it; less than 0 if the member has no seat
+     * @param leader as far as the member knows; empty if it knows none
      */
-    public void answered(long token, Reply reply, long time, String leader, double now) {
-        Question question = open.remove(token);
-        if (question == null) {
+    public void receiveReply(long token, Reply reply, long groupTimeMs, String leader, double nowMs) {
+        PendingQuery query = pending.remove(token);
+        if (query == null) {
             return;
         }
-        if (time >= 0) {
-            if (pace == null) {
-                pace = new GroupClock(now);
+        if (groupTimeMs >= 0) {
+            if (clock == null) {
+                clock = new GroupClock(nowMs);
             }
-            // Answers come out of their order: the latest time is the nearest.
-            if (time > pace.time(now)) {
-                pace.agreed(time, now);
+            // Replies may arrive out of order: the latest time is the most accurate.
+            if (groupTimeMs > clock.time(nowMs)) {
+                clock.committed(groupTimeMs, nowMs);
             }
         }
-        if (question.to().equals(to)) {
-            owes = Double.NaN;
-            if (time < 0) {
-                turn();
+        if (query.member().equals(target)) {
+            waitingSinceMs = Double.NaN;
+            if (groupTimeMs < 0) {
+                switchTarget();
             } else if (!leader.isEmpty()) {
-                to = leader;
+                target = leader;
             }
         }
         if (reply != null) {
-            question.answer().accept(reply);
+            query.listener().accept(reply);
         }
     }
 
-    /** Who is asked next. */
+    /** The member that the next query goes to. */
     public String target() {
-        return to;
+        return target;
     }
 }
--- a/src/main/java/whinlead/replication/ReplicatedState.java
+++ b/src/main/java/whinlead/replication/ReplicatedState.java
@@ -9,48 +9,48 @@
 import java.util.PriorityQueue;
 
 /**
- * What every member of a group knows of the requests that must not run twice: which attempts were let out, which of
- * them can have run, and how each request ended. The replicated state machine: the same commands in the same order,
- * with the same stamps, give the same state everywhere. Free of I/O, clocks and threads.
+ * The replicated state machine of a group. It tracks the requests that must not run twice: which attempts were granted,
+ * which of them can have run, and how each request ended. The same commands in the same order with the same timestamps
+ * give the same state on every member. No I/O, no clock, no threads.
  *
- * <p>Time comes with each command, from the member that leads, and never goes back. It may pass more slowly than real
- * time does, and never faster: so nothing is forgotten too early. Whatever wants to be no later than some time (a key's
- * window, a drain's grace) is held by the member that decides, by its own clock.
+ * <p>Time is set by the leader's timestamp on each command and never goes back. It may pass more slowly than real time
+ * but never faster, so nothing is forgotten too early. Upper bounds on time (a key's window, a drain's grace period)
+ * are enforced by the deciding member with its own clock.
  *
- * <p>Bounded: what has no room is turned away, and nothing is forgotten before its time to make some.
+ * <p>Bounded: a request beyond the limits is rejected, and nothing is evicted early to make room.
  */
 public final class ReplicatedState {
     /**
-     * What it may hold.
+     * Limits of the state.
      *
      * @param requests open or remembered, at least 1
-     * @param perCaller open ones of one caller, at least 1
+     * @param perCaller open requests of one caller, at least 1
      * @param drains endpoints known to drain, at least 1
-     * @param remember milliseconds for which an end is known after it
+     * @param rememberMs how long the ending of a request is remembered
      */
-    public record Limits(int requests, int perCaller, int drains, long remember) {
+    public record Limits(int requests, int perCaller, int drains, long rememberMs) {
         /** Checks the ranges. */
         public Limits {
-            if (requests < 1 || perCaller < 1 || drains < 1 || remember < 0) {
+            if (requests < 1 || perCaller < 1 || drains < 1 || rememberMs < 0) {
                 throw new IllegalArgumentException("limits out of range");
             }
         }
     }
 
-    /** So many attempts at one request, those taken back included; beyond them it is turned away. */
+    /** Limit of attempts at one request, withdrawn ones included; more are rejected. */
     public static final int MAX_ATTEMPTS = 16;
     /**
-     * Of the requests that it holds, one in so many may be there because it was refused: an overload, which is when
-     * most are, must not fill it and so keep the rest from going out.
+     * At most one in this many of the requests may be refused ones: most refusals occur during an overload, which must
+     * not fill the state and so block the remaining requests.
      */
-    private static final int REFUSED_PART = 4;
+    private static final int REFUSED_SHARE_DIVISOR = 4;
 
     /**
-     * A request as snapshots carry it.
+     * A request as stored in snapshots.
      *
      * @param neverRan for each attempt, whether it is known not to have run
-     * @param ending null while it is open
-     * @param due while open, when its time is up; then when it is forgotten
+     * @param ending null while the request is open
+     * @param dueMs the deadline while the request is open; then the time when it is forgotten
      */
     public record Entry(
             String id,
@@ -59,7 +59,7 @@
             List<Command.Attempt> attempts,
             List<Boolean> neverRan,
             Command.Ending ending,
-            long due) {
+            long dueMs) {
         /** Keeps copies. */
         public Entry {
             attempts = List.copyOf(attempts);
@@ -68,54 +68,53 @@
     }
 
     /**
-     * All that it holds, in the order in which it came.
-     *
-     * @param commands so many have been taken in: two states of one group with the same number are the same
+     * The whole state, requests in order of arrival, with the number of commands applied: two states of one group with
+     * the same number are equal.
      */
     public record Snapshot(long commands, long time, List<Entry> entries, Map<String, Long> drains) {}
 
-    private record Due(long time, TrackedRequest request) {}
+    private record Deadline(long timeMs, TrackedRequest request) {}
 
     private final Limits limits;
     private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
     private final Map<String, Integer> openByCaller = new HashMap<>();
     private final Map<String, Long> drains = new LinkedHashMap<>();
-    // One whose time has been moved since is passed over.
-    private final PriorityQueue<Due> dues = new PriorityQueue<>(Comparator.comparingLong(Due::time));
-    private int refused;
-    private long commands;
-    private long time;
+    // Deadlines that were moved since are skipped.
+    private final PriorityQueue<Deadline> deadlines = new PriorityQueue<>(Comparator.comparingLong(Deadline::timeMs));
+    private int refusedCount;
+    private long commandCount;
+    private long timeMs;
 
-    /** An empty one, at time 0. */
+    /** An empty state, at time 0. */
     public ReplicatedState(Limits limits) {
         this.limits = limits;
     }
 
-    /** The group's time: of the last command, or of a later one whose stamp was higher. */
-    public long time() {
-        return time;
+    /** The group's time: the highest timestamp of all commands applied. */
+    public long timeMs() {
+        return timeMs;
     }
 
-    /** Requests open or remembered. */
+    /** Number of requests, open or remembered. */
     public int size() {
         return requests.size();
     }
 
-    /** When something falls due by itself; {@link Long#MAX_VALUE} if nothing does. */
-    public long next() {
-        tidy();
-        Due first = dues.peek();
-        return first == null ? Long.MAX_VALUE : first.time();
+    /** The time of the next expiry; {@link Long#MAX_VALUE} if there is none. */
+    public long nextDeadline() {
+        dropOutdatedDeadlines();
+        Deadline earliest = deadlines.peek();
+        return earliest == null ? Long.MAX_VALUE : earliest.timeMs();
     }
 
     /**
-     * Takes in the next command.
+     * Applies the next command.
      *
-     * @param stamp the time of the member that leads; one before the last counts as that
+     * @param stampMs the leader's timestamp; one before the current time counts as the current time
      */
-    public Reply apply(long stamp, Command command) {
-        commands++;
-        time = Math.max(time, stamp);
+    public Reply apply(long stampMs, Command command) {
+        commandCount++;
+        timeMs = Math.max(timeMs, stampMs);
         expire();
         if (command instanceof Command.Allow c) {
             return allow(c);
@@ -133,202 +132,212 @@
         return new Reply.Noted();
     }
 
-    /** What is known of a request; changes nothing. */
-    public Reply look(String id) {
-        TrackedRequest r = requests.get(id);
-        return r == null ? new Reply.Free() : state(r);
+    /** The current state of a request; changes nothing. */
+    public Reply lookUp(String id) {
+        TrackedRequest request = requests.get(id);
+        return request == null ? new Reply.Free() : currentReply(request);
     }
 
-    private Reply allow(Command.Allow c) {
-        TrackedRequest r = requests.get(c.id());
-        if (r != null && r.ending != null) {
-            if (!c.anew() || r.ending != Command.Ending.REFUSED || time > c.until()) {
-                return state(r);
+    private Reply allow(Command.Allow command) {
+        TrackedRequest request = requests.get(command.id());
+        if (request != null && request.ending != null) {
+            if (!command.retryAfterRefusal()
+                    || request.ending != Command.Ending.REFUSED
+                    || timeMs > command.validUntilMs()) {
+                return currentReply(request);
             }
-            reopen(r, c.left());
+            reopen(request, command.remainingMs());
         }
-        if (r != null) {
-            int at = r.attempts.indexOf(c.attempt());
-            if (at >= 0) {
-                // It came twice on its way; or it was taken back before it came.
-                return !r.known.get(at) ? new Reply.Granted(at) : r.neverRan() ? new Reply.Late() : state(r);
+        if (request != null) {
+            int index = request.attempts.indexOf(command.attempt());
+            if (index >= 0) {
+                // The command was duplicated in transit, or the attempt was withdrawn before it arrived.
+                return !request.attemptNeverRan.get(index)
+                        ? new Reply.Granted(index)
+                        : request.neverRan() ? new Reply.Late() : currentReply(request);
             }
-            r.neverRan(c.attempt().owner(), c.neverRan());
-            boolean mine = r.guard == Command.Guard.KEYED
-                    && r.attempts.stream()
-                            .allMatch(a -> a.owner().equals(c.attempt().owner()));
-            if (!r.neverRan() && !mine) {
-                return state(r);
+            request.neverRan(command.attempt().owner(), command.neverRan());
+            boolean ownedByRequester = request.guard == Command.Guard.KEYED
+                    && request.attempts.stream()
+                            .allMatch(a -> a.owner().equals(command.attempt().owner()));
+            if (!request.neverRan() && !ownedByRequester) {
+                return currentReply(request);
             }
         }
-        if (time > c.until()) {
+        if (timeMs > command.validUntilMs()) {
             return new Reply.Late();
         }
-        if (drains.containsKey(c.endpoint())) {
+        if (drains.containsKey(command.endpoint())) {
             return new Reply.Drains();
         }
-        if (r == null) {
-            if (!room(c.caller())) {
+        if (request == null) {
+            if (!hasCapacity(command.caller())) {
                 return new Reply.Full();
             }
-            r = open(c.id(), c.caller(), c.guard(), c.left());
-        } else if (r.attempts.size() >= MAX_ATTEMPTS) {
+            request = open(command.id(), command.caller(), command.guard(), command.remainingMs());
+        } else if (request.attempts.size() >= MAX_ATTEMPTS) {
             return new Reply.Full();
         }
-        return new Reply.Granted(r.add(c.attempt(), false));
+        return new Reply.Granted(request.add(command.attempt(), false));
     }
 
-    private boolean room(String caller) {
+    private boolean hasCapacity(String caller) {
         return requests.size() < limits.requests() && openByCaller.getOrDefault(caller, 0) < limits.perCaller();
     }
 
-    private TrackedRequest open(String id, String caller, Command.Guard guard, long left) {
-        TrackedRequest r = new TrackedRequest(id, caller, guard, time + left);
-        requests.put(id, r);
+    private TrackedRequest open(String id, String caller, Command.Guard guard, long remainingMs) {
+        TrackedRequest request = new TrackedRequest(id, caller, guard, timeMs + remainingMs);
+        requests.put(id, request);
         openByCaller.merge(caller, 1, Integer::sum);
-        dues.add(new Due(r.due, r));
-        return r;
+        deadlines.add(new Deadline(request.dueMs, request));
+        return request;
     }
 
-    private void withdraw(Command.Withdraw c) {
-        TrackedRequest r = requests.get(c.id());
-        if (r == null && requests.size() < limits.requests()) {
-            // It may still be on its way: it is to find that it was taken back.
-            r = open(c.id(), c.attempt().owner(), Command.Guard.UNSAFE, c.left());
+    private void withdraw(Command.Withdraw command) {
+        TrackedRequest request = requests.get(command.id());
+        if (request == null && requests.size() < limits.requests()) {
+            // The attempt's Allow may still be in transit: recorded, so that it is not granted when it arrives.
+            request = open(command.id(), command.attempt().owner(), Command.Guard.UNSAFE, command.remainingMs());
         }
-        if (r == null || r.ending != null) {
+        if (request == null || request.ending != null) {
             return;
         }
-        int at = r.attempts.indexOf(c.attempt());
-        if (at >= 0) {
-            r.known.set(at, true);
-        } else if (r.attempts.size() < MAX_ATTEMPTS) {
-            r.add(c.attempt(), true);
+        int index = request.attempts.indexOf(command.attempt());
+        if (index >= 0) {
+            request.attemptNeverRan.set(index, true);
+        } else if (request.attempts.size() < MAX_ATTEMPTS) {
+            request.add(command.attempt(), true);
         }
     }
 
-    private Reply refuse(Command.Refuse c) {
-        TrackedRequest r = requests.get(c.id());
-        if (r == null) {
-            if (refused >= Math.max(1, limits.requests() / REFUSED_PART) || !room(c.caller())) {
+    private Reply refuse(Command.Refuse command) {
+        TrackedRequest request = requests.get(command.id());
+        if (request == null) {
+            if (refusedCount >= Math.max(1, limits.requests() / REFUSED_SHARE_DIVISOR)
+                    || !hasCapacity(command.caller())) {
                 return new Reply.Full();
             }
-            r = open(c.id(), c.caller(), c.guard(), c.left());
+            request = open(command.id(), command.caller(), command.guard(), command.remainingMs());
         }
-        r.neverRan(c.owner(), c.neverRan());
-        if (r.ending == null && r.neverRan()) {
-            over(r, Command.Ending.REFUSED);
+        request.neverRan(command.owner(), command.neverRan());
+        if (request.ending == null && request.neverRan()) {
+            finish(request, Command.Ending.REFUSED);
         }
-        return state(r);
+        return currentReply(request);
     }
 
-    // Nothing of it ran, so it is as if it had never been asked about.
-    private void reopen(TrackedRequest r, long left) {
-        r.reopen(time + left);
-        refused--;
-        openByCaller.merge(r.caller, 1, Integer::sum);
-        dues.add(new Due(r.due, r));
+    // No attempt ran, so the request is treated as new.
+    private void reopen(TrackedRequest request, long remainingMs) {
+        request.reopen(timeMs + remainingMs);
+        refusedCount--;
+        openByCaller.merge(request.caller, 1, Integer::sum);
+        deadlines.add(new Deadline(request.dueMs, request));
     }
 
-    private Reply report(Command.Report c) {
-        TrackedRequest r = requests.get(c.id());
-        if (r == null) {
+    private Reply report(Command.Report command) {
+        TrackedRequest request = requests.get(command.id());
+        if (request == null) {
             return new Reply.Free();
         }
-        if (r.ending == null && c.index() >= 0 && c.index() < r.attempts.size()) {
-            if (c.how() == Command.How.NEVER_RAN) {
-                r.known.set(c.index(), true);
+        if (request.ending == null && command.attemptIndex() >= 0 && command.attemptIndex() < request.attempts.size()) {
+            if (command.outcome() == Command.AttemptOutcome.NEVER_RAN) {
+                request.attemptNeverRan.set(command.attemptIndex(), true);
             }
-            over(r, c.how() == Command.How.SERVED ? Command.Ending.SERVED : Command.Ending.REFUSED);
+            finish(
+                    request,
+                    command.outcome() == Command.AttemptOutcome.SERVED
+                            ? Command.Ending.SERVED
+                            : Command.Ending.REFUSED);
         }
-        return state(r);
+        return currentReply(request);
     }
 
-    private Reply end(Command.End c) {
-        TrackedRequest r = requests.get(c.id());
-        if (r == null) {
+    private Reply end(Command.End command) {
+        TrackedRequest request = requests.get(command.id());
+        if (request == null) {
             return new Reply.Free();
         }
-        if (r.ending == null) {
-            r.neverRan(c.owner(), c.neverRan());
-            over(r, c.ending());
+        if (request.ending == null) {
+            request.neverRan(command.owner(), command.neverRan());
+            finish(request, command.ending());
         }
-        return state(r);
+        return currentReply(request);
     }
 
-    private void drain(Command.Drain c) {
-        if (drains.containsKey(c.endpoint()) || drains.size() < limits.drains()) {
-            drains.merge(c.endpoint(), time + c.lasts(), Math::max);
+    private void drain(Command.Drain command) {
+        if (drains.containsKey(command.endpoint()) || drains.size() < limits.drains()) {
+            drains.merge(command.endpoint(), timeMs + command.durationMs(), Math::max);
         }
     }
 
-    private static Reply state(TrackedRequest r) {
-        if (r.ending != null) {
-            return new Reply.Over(r.ending);
+    private static Reply currentReply(TrackedRequest request) {
+        if (request.ending != null) {
+            return new Reply.Over(request.ending);
         }
-        return r.neverRan() ? new Reply.Free() : new Reply.Out();
+        return request.neverRan() ? new Reply.Free() : new Reply.Out();
     }
 
-    private void over(TrackedRequest r, Command.Ending ending) {
-        // A refusal says that trying again does no harm.
-        r.end(ending == Command.Ending.REFUSED && !r.neverRan() ? Command.Ending.FAILED : ending);
-        openByCaller.computeIfPresent(r.caller, (caller, n) -> n == 1 ? null : n - 1);
-        if (r.ending == Command.Ending.REFUSED) {
-            refused++;
+    private void finish(TrackedRequest request, Command.Ending ending) {
+        // REFUSED means that a retry does no harm, so it requires that no attempt can have run.
+        request.end(ending == Command.Ending.REFUSED && !request.neverRan() ? Command.Ending.FAILED : ending);
+        openByCaller.computeIfPresent(request.caller, (caller, count) -> count == 1 ? null : count - 1);
+        if (request.ending == Command.Ending.REFUSED) {
+            refusedCount++;
         } else {
-            r.due = time + limits.remember();
-            dues.add(new Due(r.due, r));
+            request.dueMs = timeMs + limits.rememberMs();
+            deadlines.add(new Deadline(request.dueMs, request));
         }
     }
 
-    private void tidy() {
-        while (!dues.isEmpty() && dues.peek().time() != dues.peek().request().due) {
-            dues.poll();
+    private void dropOutdatedDeadlines() {
+        while (!deadlines.isEmpty()
+                && deadlines.peek().timeMs() != deadlines.peek().request().dueMs) {
+            deadlines.poll();
         }
     }
 
-    // What is open when its time is up has failed, or was refused where nothing can have run.
+    // A request open at its deadline counts as failed, or as refused if no attempt can have run.
     private void expire() {
-        for (long due = next(); due <= time; due = next()) {
-            TrackedRequest r = dues.poll().request();
-            if (r.ending == null) {
-                over(r, Command.Ending.REFUSED);
+        for (long dueMs = nextDeadline(); dueMs <= timeMs; dueMs = nextDeadline()) {
+            TrackedRequest request = deadlines.poll().request();
+            if (request.ending == null) {
+                finish(request, Command.Ending.REFUSED);
             }
-            // What was refused is only known while its client may still send it.
-            if (r.due <= time) {
-                requests.remove(r.id, r);
-                refused -= r.ending == Command.Ending.REFUSED ? 1 : 0;
+            // A refusal is remembered only until the request's deadline.
+            if (request.dueMs <= timeMs) {
+                requests.remove(request.id, request);
+                refusedCount -= request.ending == Command.Ending.REFUSED ? 1 : 0;
             }
         }
-        drains.values().removeIf(until -> until <= time);
+        drains.values().removeIf(untilMs -> untilMs <= timeMs);
     }
 
-    /** All that it holds. */
+    /** The whole state. */
     public Snapshot snapshot() {
         List<Entry> entries = new ArrayList<>(requests.size());
-        requests.values().forEach(r -> entries.add(r.entry()));
-        return new Snapshot(commands, time, entries, new LinkedHashMap<>(drains));
+        requests.values().forEach(r -> entries.add(r.toEntry()));
+        return new Snapshot(commandCount, timeMs, entries, new LinkedHashMap<>(drains));
     }
 
-    /** Holds what a snapshot does from now on, and nothing else. */
+    /** Replaces the whole state by a snapshot. */
     public void restore(Snapshot snapshot) {
         requests.clear();
         openByCaller.clear();
         drains.clear();
-        dues.clear();
-        refused = 0;
-        commands = snapshot.commands();
-        time = snapshot.time();
+        deadlines.clear();
+        refusedCount = 0;
+        commandCount = snapshot.commands();
+        timeMs = snapshot.time();
         drains.putAll(snapshot.drains());
-        for (Entry e : snapshot.entries()) {
-            TrackedRequest r = new TrackedRequest(e);
-            requests.put(e.id(), r);
-            if (r.ending == null) {
-                openByCaller.merge(r.caller, 1, Integer::sum);
-            } else if (r.ending == Command.Ending.REFUSED) {
-                refused++;
+        for (Entry entry : snapshot.entries()) {
+            TrackedRequest request = new TrackedRequest(entry);
+            requests.put(entry.id(), request);
+            if (request.ending == null) {
+                openByCaller.merge(request.caller, 1, Integer::sum);
+            } else if (request.ending == Command.Ending.REFUSED) {
+                refusedCount++;
             }
-            dues.add(new Due(r.due, r));
+            deadlines.add(new Deadline(request.dueMs, request));
         }
     }
 }
--- a/src/main/java/whinlead/replication/ReplicationClient.java
+++ b/src/main/java/whinlead/replication/ReplicationClient.java
@@ -11,122 +11,127 @@
 import whinlead.engine.Timers;
 
 /**
- * One member's side of the promises: what it has asked its group, who waits for that, and until when. Commands and
- * replies may be lost, late, doubled or out of order: it asks again until it is answered, and takes back what it gave
- * up on, so that nothing stands against the client's next try. It has no clock and no I/O but the engine's timers and
- * {@link Group}. On the engine's thread.
+ * One member's client of its group: tracks the commands that it has submitted, who waits for each reply, and until
+ * when. Commands and replies may be lost, late, duplicated or out of order: it resubmits a command until a reply
+ * arrives, and withdraws attempts that it has given up, so that they don't block the client's retry. Its only clock and
+ * I/O are the engine's timers and {@link Group}. On the engine's thread.
  */
 public final class ReplicationClient implements Keeper {
-    /** The way to the group, or to that of several which keeps the request that a command is about. */
+    /** Access to the group, or to the one of several groups that is responsible for a command's request. */
     public interface Group {
-        /** Has a command agreed on; the answer comes once, later, or never. */
-        void submit(Command command, Consumer<Reply> answer);
+        /** Proposes a command; the listener is called later, at most once. */
+        void submit(Command command, Consumer<Reply> listener);
 
-        /** The time of the group that keeps this request, never ahead of it; less than 0 while it is not known. */
+        /**
+         * The time of the group that is responsible for this request, never ahead of the actual one; less than 0 while
+         * unknown.
+         */
         long time(String id);
     }
 
     /**
-     * How long it waits.
+     * Timeouts, in milliseconds.
      *
-     * @param again milliseconds after which it asks again; at least 1
-     * @param margin milliseconds that are kept of a request's time for the answer's way to the client
-     * @param refuse milliseconds in which a refusal is agreed on, or is none
-     * @param report milliseconds in which a report on another's request is answered
-     * @param retryAfter milliseconds that are told with what can't be promised: the time in which a group has another
-     *     leader
-     * @param drain milliseconds for which an endpoint is known to drain
+     * @param resubmitMs after which an unanswered command is submitted again; at least 1
+     * @param marginMs part of a request's time that is reserved for the response's way to the client
+     * @param refuseMs within which the group has to agree on a refusal
+     * @param reportMs within which a report on another member's request is answered
+     * @param retryAfterMs Retry-After value of refusals for lack of a grant: the time within which a group elects
+     *     another leader
+     * @param drainMs for which an endpoint is known to drain
      */
-    public record Waits(double again, double margin, double refuse, double report, double retryAfter, long drain) {
+    public record Waits(
+            double resubmitMs, double marginMs, double refuseMs, double reportMs, double retryAfterMs, long drainMs) {
         /** Checks the ranges. */
         public Waits {
-            if (!(again >= 1)
-                    || !(margin >= 0)
-                    || !(refuse >= 0)
-                    || !(report >= 0)
-                    || !(retryAfter >= 0)
-                    || drain < 0) {
-                throw new IllegalArgumentException("waits out of range");
+            if (!(resubmitMs >= 1)
+                    || !(marginMs >= 0)
+                    || !(refuseMs >= 0)
+                    || !(reportMs >= 0)
+                    || !(retryAfterMs >= 0)
+                    || drainMs < 0) {
+                throw new IllegalArgumentException("timeouts out of range");
             }
         }
     }
 
-    /** Hears of every end that is promised, for the tests that hold all members to theirs. */
+    /** Listens to every ending that is reported to a caller; tests check with it that no member contradicts another. */
     @FunctionalInterface
-    public interface Witness {
-        /** The member tells its caller that the request ended so, for good. */
-        void promised(String id, Command.Ending ending);
+    public interface EndingListener {
+        /** The member tells its caller that the request has ended in this way, which is final. */
+        void endingConfirmed(String id, Command.Ending ending);
     }
 
     private final String owner;
     private final Timers timers;
-    private final Waits waits;
+    private final Waits timeouts;
     private final Group group;
-    private final Witness witness;
+    private final EndingListener endingListener;
     private final Trace trace;
-    /** Drains on their way to the group: a list tells one again and again. */
-    private final Set<String> telling = new HashSet<>();
+    /** Endpoints whose drain is being submitted: endpoint lists repeat a drain many times. */
+    private final Set<String> drainsInProgress = new HashSet<>();
 
     private long lastNumber;
 
     /**
-     * A desk of one life of a member.
+     * A client for one process of a member.
      *
-     * @param owner the member and this process of it: one that is started again with what its disk holds is another
-     *     owner, for it numbers its attempts anew
+     * @param owner identifies the member and this process of it: a process that is restarted with its disk is another
+     *     owner, since it numbers its attempts from the start
      */
-    public ReplicationClient(String owner, Timers timers, Waits waits, Group group, Witness witness, Trace trace) {
+    public ReplicationClient(
+            String owner, Timers timers, Waits timeouts, Group group, EndingListener endingListener, Trace trace) {
         this.trace = trace;
         this.owner = owner;
         this.timers = timers;
-        this.waits = waits;
+        this.timeouts = timeouts;
         this.group = group;
-        this.witness = witness;
+        this.endingListener = endingListener;
     }
 
     @Override
-    public Kept open(String id, String caller, boolean keyed, boolean repeat, double endBy) {
-        return new Holding(id, caller, keyed ? Command.Guard.KEYED : Command.Guard.UNSAFE, repeat, endBy);
+    public Kept open(String id, String caller, boolean keyed, boolean repeat, double deadlineMs) {
+        return new ClientRequest(id, caller, keyed ? Command.Guard.KEYED : Command.Guard.UNSAFE, repeat, deadlineMs);
     }
 
     @Override
-    public void report(String id, int attempt, How how, Consumer<Directive> told) {
-        Command.How known =
-                switch (how) {
-                    case NEVER_RAN -> Command.How.NEVER_RAN;
-                    case MAY_HAVE_RAN -> Command.How.MAY_HAVE_RAN;
-                    case SERVED -> Command.How.SERVED;
+    public void report(String id, int attempt, How outcome, Consumer<Directive> listener) {
+        Command.AttemptOutcome reported =
+                switch (outcome) {
+                    case NEVER_RAN -> Command.AttemptOutcome.NEVER_RAN;
+                    case MAY_HAVE_RAN -> Command.AttemptOutcome.MAY_HAVE_RAN;
+                    case SERVED -> Command.AttemptOutcome.SERVED;
                 };
-        double until = timers.now() + waits.report();
-        new Question(
-                        new Command.Report(id, attempt, known),
-                        until,
-                        until,
-                        reply -> told.accept(ended(id, reply)),
-                        () -> told.accept(null))
-                .ask();
+        double untilMs = timers.now() + timeouts.reportMs();
+        new PendingCommand(
+                        new Command.Report(id, attempt, reported),
+                        untilMs,
+                        untilMs,
+                        reply -> listener.accept(outcome(id, reply)),
+                        () -> listener.accept(null))
+                .start();
     }
 
     @Override
     public void drains(String endpoint) {
-        if (telling.add(endpoint)) {
-            double until = timers.now() + waits.drain();
-            new Question(
-                            new Command.Drain(endpoint, waits.drain()),
-                            until,
-                            until,
-                            reply -> telling.remove(endpoint),
-                            () -> telling.remove(endpoint))
-                    .ask();
+        if (drainsInProgress.add(endpoint)) {
+            double untilMs = timers.now() + timeouts.drainMs();
+            new PendingCommand(
+                            new Command.Drain(endpoint, timeouts.drainMs()),
+                            untilMs,
+                            untilMs,
+                            reply -> drainsInProgress.remove(endpoint),
+                            () -> drainsInProgress.remove(endpoint))
+                    .start();
         }
     }
 
-    private Directive ended(String id, Reply reply) {
+    private Directive outcome(String id, Reply reply) {
         if (!(reply instanceof Reply.Over over)) {
             return null;
         }
         trace.step(id, Trace.Step.ENDED, over.ending().name());
-        witness.promised(id, over.ending());
+        endingListener.endingConfirmed(id, over.ending());
         return directive(over.ending());
     }
 
@@ -138,44 +143,53 @@
         };
     }
 
-    private static Command.Ending ending(Directive how) {
-        return how instanceof Directive.Served
+    private static Command.Ending ending(Directive directive) {
+        return directive instanceof Directive.Served
                 ? Command.Ending.SERVED
-                : how instanceof Directive.Refused ? Command.Ending.REFUSED : Command.Ending.FAILED;
+                : directive instanceof Directive.Refused ? Command.Ending.REFUSED : Command.Ending.FAILED;
     }
 
-    /** A command that is asked until it is answered or nobody wants to know any more. */
-    private final class Question {
-        /** Null while it can't be asked yet. */
+    /** A command that is resubmitted until a reply arrives or its time is over. */
+    private final class PendingCommand {
+        /** Supplies null while the command can't be submitted yet. */
         private final Supplier<Command> command;
 
-        private final double patience;
-        private final double until;
-        private Consumer<Reply> answered;
-        private Runnable givenUp;
-        private boolean over;
-        private Timers.Timer again = () -> {};
-        private Timers.Timer end;
-
-        /** It is asked until {@code until}; from {@code patience} on, nobody waits for the answer. */
-        private Question(Command command, double patience, double until, Consumer<Reply> answered, Runnable givenUp) {
-            this(() -> command, patience, until, answered, givenUp);
+        private final double deadlineMs;
+        private final double resubmitUntilMs;
+        private Consumer<Reply> replyListener;
+        private Runnable timeoutListener;
+        private boolean done;
+        private Timers.Timer resubmitTimer = () -> {};
+        private Timers.Timer deadlineTimer;
+
+        /** Resubmits until {@code resubmitUntilMs}; after {@code deadlineMs} nobody waits for the reply. */
+        private PendingCommand(
+                Command command,
+                double deadlineMs,
+                double resubmitUntilMs,
+                Consumer<Reply> replyListener,
+                Runnable timeoutListener) {
+            this(() -> command, deadlineMs, resubmitUntilMs, replyListener, timeoutListener);
         }
 
-        private Question(
-                Supplier<Command> command, double patience, double until, Consumer<Reply> answered, Runnable givenUp) {
+        private PendingCommand(
+                Supplier<Command> command,
+                double deadlineMs,
+                double resubmitUntilMs,
+                Consumer<Reply> replyListener,
+                Runnable timeoutListener) {
             this.command = command;
-            this.patience = patience;
-            this.until = until;
-            this.answered = answered;
-            this.givenUp = givenUp;
+            this.deadlineMs = deadlineMs;
+            this.resubmitUntilMs = resubmitUntilMs;
+            this.replyListener = replyListener;
+            this.timeoutListener = timeoutListener;
         }
 
-        private Question ask() {
-            end = timers.after(Math.max(0, patience - timers.now()), () -> {
-                answered = null;
-                if (!over) {
-                    givenUp.run();
+        private PendingCommand start() {
+            deadlineTimer = timers.after(Math.max(0, deadlineMs - timers.now()), () -> {
+                replyListener = null;
+                if (!done) {
+                    timeoutListener.run();
                 }
             });
             submit();
@@ -183,195 +197,203 @@
         }
 
         private void submit() {
-            // Past its time it is only asked no more: whoever waits is told by the other timer, which a
-            // process that stood still may come to later.
-            if (over || timers.now() > until) {
+            // Past its time the command is only no longer resubmitted: the deadline timer notifies the waiting
+            // caller, and may run later than this one after the process was suspended.
+            if (done || timers.now() > resubmitUntilMs) {
                 return;
             }
-            again = timers.after(waits.again(), this::submit);
-            Command asked = command.get();
-            if (asked != null) {
-                group.submit(asked, this::hear);
+            resubmitTimer = timers.after(timeouts.resubmitMs(), this::submit);
+            Command submitted = command.get();
+            if (submitted != null) {
+                group.submit(submitted, this::receiveReply);
             }
         }
 
-        private void hear(Reply reply) {
-            if (over) {
+        private void receiveReply(Reply reply) {
+            if (done) {
                 return;
             }
-            Consumer<Reply> listener = answered;
+            Consumer<Reply> listener = replyListener;
             stop();
             if (listener != null) {
                 listener.accept(reply);
             }
         }
 
-        /** It is asked no more, and nobody hears anything. */
+        /** Stops resubmitting; no listener is called any more. */
         private void stop() {
-            over = true;
-            answered = null;
-            again.cancel();
-            end.cancel();
+            done = true;
+            replyListener = null;
+            resubmitTimer.cancel();
+            deadlineTimer.cancel();
         }
     }
 
-    /** A request of this member's. */
-    private final class Holding implements Kept {
+    /** A request that this member handles. */
+    private final class ClientRequest implements Kept {
         private final String id;
         private final String caller;
         private final Command.Guard guard;
         private final boolean repeat;
-        private final double endBy;
+        private final double deadlineMs;
         private final List<Long> neverRan = new ArrayList<>(1);
-        /** The attempt that is asked about; null while none is. */
-        private Question asking;
+        /** The command that waits for the group's reply; null if none does. */
+        private PendingCommand pendingCommand;
 
-        private Command.Attempt attempt;
-        private boolean letOut;
+        private Command.Attempt lastAttempt;
+        private boolean granted;
 
-        private Holding(String id, String caller, Command.Guard guard, boolean repeat, double endBy) {
+        private ClientRequest(String id, String caller, Command.Guard guard, boolean repeat, double deadlineMs) {
             this.repeat = repeat;
             this.id = id;
             this.caller = caller;
             this.guard = guard;
-            this.endBy = endBy;
+            this.deadlineMs = deadlineMs;
         }
 
-        private long left() {
-            return (long) Math.max(0, Math.ceil(endBy - timers.now()));
+        private long remainingMs() {
+            return (long) Math.max(0, Math.ceil(deadlineMs - timers.now()));
         }
 
         @Override
-        public void allow(String endpoint, double valid, Consumer<Verdict> told) {
-            double now = timers.now();
-            double patience = Math.min(valid, endBy - waits.margin() - now);
-            Command.Attempt mine = new Command.Attempt(owner, ++lastNumber);
-            attempt = mine;
-            // The time is up by this member's clock, whatever the group's time says: it may have stood still.
-            double latest = now + patience;
+        public void allow(String endpoint, double validMs, Consumer<Verdict> listener) {
+            double nowMs = timers.now();
+            double waitMs = Math.min(validMs, deadlineMs - timeouts.marginMs() - nowMs);
+            Command.Attempt attempt = new Command.Attempt(owner, ++lastNumber);
+            lastAttempt = attempt;
+            // The validity ends by this member's own clock, whatever the group's time is: that may have stopped.
+            double latestMs = nowMs + waitMs;
             Supplier<Command> command = new Supplier<>() {
-                private Command made;
+                private Command created;
 
                 @Override
                 public Command get() {
-                    long time = made == null ? group.time(id) : 0;
-                    if (made == null && time >= 0) {
-                        long until = time + (long) Math.max(0, latest - timers.now());
-                        made = new Command.Allow(id, caller, guard, mine, neverRan, endpoint, left(), until, repeat);
+                    long groupTimeMs = created == null ? group.time(id) : 0;
+                    if (created == null && groupTimeMs >= 0) {
+                        long validUntilMs = groupTimeMs + (long) Math.max(0, latestMs - timers.now());
+                        created = new Command.Allow(
+                                id, caller, guard, attempt, neverRan, endpoint, remainingMs(), validUntilMs, repeat);
                     }
-                    return made;
+                    return created;
                 }
             };
             trace.step(id, Trace.Step.ASKED, endpoint);
-            asking = new Question(
+            pendingCommand = new PendingCommand(
                             command,
-                            latest,
-                            latest,
+                            latestMs,
+                            latestMs,
                             reply -> {
-                                asking = null;
-                                answered(reply, mine, latest, told);
+                                pendingCommand = null;
+                                receiveReply(reply, attempt, latestMs, listener);
                             },
                             () -> {
-                                asking = null;
+                                pendingCommand = null;
                                 trace.step(id, Trace.Step.GIVEN_UP, endpoint);
-                                takeBack(mine);
-                                told.accept(new Verdict.Unknown());
+                                withdraw(attempt);
+                                listener.accept(new Verdict.Unknown());
                             })
-                    .ask();
+                    .start();
         }
 
-        private void answered(Reply reply, Command.Attempt mine, double latest, Consumer<Verdict> told) {
-            if (reply instanceof Reply.Granted granted && timers.now() <= latest) {
-                letOut = true;
-                trace.step(id, Trace.Step.GRANTED, Integer.toString(granted.index()));
-                told.accept(new Verdict.Granted(granted.index()));
+        private void receiveReply(Reply reply, Command.Attempt attempt, double latestMs, Consumer<Verdict> listener) {
+            if (reply instanceof Reply.Granted grant && timers.now() <= latestMs) {
+                granted = true;
+                trace.step(id, Trace.Step.GRANTED, Integer.toString(grant.index()));
+                listener.accept(new Verdict.Granted(grant.index()));
                 return;
             }
             trace.step(id, Trace.Step.DENIED, reply.getClass().getSimpleName());
             if (reply instanceof Reply.Over) {
-                told.accept(new Verdict.Over(ended(id, reply)));
+                listener.accept(new Verdict.Over(outcome(id, reply)));
             } else if (reply instanceof Reply.Drains) {
-                told.accept(new Verdict.Draining());
+                listener.accept(new Verdict.Draining());
             } else if (reply instanceof Reply.Out) {
-                told.accept(new Verdict.Out());
+                listener.accept(new Verdict.Out());
             } else {
                 if (reply instanceof Reply.Granted) {
-                    // This process stood still: what was good to send then may not be now.
-                    takeBack(mine);
+                    // This process was suspended: the attempt was valid to send then but may not be now.
+                    withdraw(attempt);
                 }
-                neverRan.add(mine.number());
-                asking = never(new Directive.Refused(waits.retryAfter()), end -> {
-                    asking = null;
-                    told.accept(new Verdict.Over(end));
+                neverRan.add(attempt.number());
+                pendingCommand = refuse(new Directive.Refused(timeouts.retryAfterMs()), end -> {
+                    pendingCommand = null;
+                    listener.accept(new Verdict.Over(end));
                 });
             }
         }
 
-        // Nobody was told of it. The group is to know, or it would stand against the client's next try.
-        private void takeBack(Command.Attempt mine) {
+        // The caller was not told of the attempt. The group has to know, or the attempt would block the client's retry.
+        private void withdraw(Command.Attempt attempt) {
             trace.step(id, Trace.Step.TAKEN_BACK, "");
-            double until = Math.max(endBy, timers.now() + waits.report());
-            new Question(new Command.Withdraw(id, mine, left()), until, until, reply -> {}, () -> {}).ask();
+            double untilMs = Math.max(deadlineMs, timers.now() + timeouts.reportMs());
+            new PendingCommand(
+                            new Command.Withdraw(id, attempt, remainingMs()), untilMs, untilMs, reply -> {}, () -> {})
+                    .start();
         }
 
         @Override
         public void cancel() {
-            if (asking != null) {
-                asking.stop();
-                asking = null;
-                takeBack(attempt);
+            if (pendingCommand != null) {
+                pendingCommand.stop();
+                pendingCommand = null;
+                withdraw(lastAttempt);
             }
         }
 
         @Override
         public void neverRan() {
-            neverRan.add(attempt.number());
+            neverRan.add(lastAttempt.number());
         }
 
-        // A refusal says that nothing ran and, while the client may send it again, that nothing will.
-        private Question never(Directive how, Consumer<Directive> told) {
+        // A refusal states that no attempt has run and that none will run while the client may retry.
+        private PendingCommand refuse(Directive directive, Consumer<Directive> listener) {
             trace.step(id, Trace.Step.REFUSING, "");
-            double latest = Math.min(endBy - waits.margin(), timers.now() + waits.refuse());
-            Command.Refuse command = new Command.Refuse(id, caller, guard, owner, neverRan, left());
-            return new Question(
+            double latestMs = Math.min(deadlineMs - timeouts.marginMs(), timers.now() + timeouts.refuseMs());
+            Command.Refuse command = new Command.Refuse(id, caller, guard, owner, neverRan, remainingMs());
+            return new PendingCommand(
                             command,
-                            latest,
-                            latest,
+                            latestMs,
+                            latestMs,
                             reply -> {
-                                Directive agreed = ended(id, reply);
-                                told.accept(
+                                Directive agreed = outcome(id, reply);
+                                listener.accept(
                                         reply instanceof Reply.Out
                                                 ? new Directive.AlreadyOut()
-                                                : agreed == null || agreed instanceof Directive.Refused ? how : agreed);
+                                                : agreed == null || agreed instanceof Directive.Refused
+                                                        ? directive
+                                                        : agreed);
                             },
-                            () -> told.accept(new Directive.Failed()))
-                    .ask();
+                            () -> listener.accept(new Directive.Failed()))
+                    .start();
         }
 
         @Override
-        public void end(Directive how, Consumer<Directive> told) {
-            if (!letOut) {
-                if (how instanceof Directive.Refused) {
-                    never(how, told);
+        public void end(Directive directive, Consumer<Directive> listener) {
+            if (!granted) {
+                if (directive instanceof Directive.Refused) {
+                    refuse(directive, listener);
                 } else {
-                    told.accept(how);
+                    listener.accept(directive);
                 }
                 return;
             }
-            double patience = endBy - waits.margin();
-            double until = Math.max(endBy, timers.now() + waits.report());
-            trace.step(id, Trace.Step.ENDING, ending(how).name());
-            Command.End command = new Command.End(id, ending(how), owner, neverRan);
-            new Question(
+            double replyDeadlineMs = deadlineMs - timeouts.marginMs();
+            double untilMs = Math.max(deadlineMs, timers.now() + timeouts.reportMs());
+            trace.step(id, Trace.Step.ENDING, ending(directive).name());
+            Command.End command = new Command.End(id, ending(directive), owner, neverRan);
+            new PendingCommand(
                             command,
-                            patience,
-                            until,
+                            replyDeadlineMs,
+                            untilMs,
                             reply -> {
-                                Directive agreed = ended(id, reply);
-                                told.accept(agreed == null || agreed.getClass() == how.getClass() ? how : agreed);
+                                Directive agreed = outcome(id, reply);
+                                listener.accept(
+                                        agreed == null || agreed.getClass() == directive.getClass()
+                                                ? directive
+                                                : agreed);
                             },
-                            () -> told.accept(how))
-                    .ask();
+                            () -> listener.accept(directive))
+                    .start();
         }
     }
 }
--- a/src/main/java/whinlead/replication/Reply.java
+++ b/src/main/java/whinlead/replication/Reply.java
@@ -1,32 +1,32 @@
 package whinlead.replication;
 
-/** What a group has agreed on as the answer to a {@link Command}. */
+/** The group's reply to a {@link Command}. */
 public sealed interface Reply {
     /**
-     * The attempt may go out, once.
+     * The attempt may be sent, once.
      *
-     * @param index its place among the request's attempts, by which its caller reports of it
+     * @param index of the attempt among the request's attempts; the caller reports its outcome under this index
      */
     record Granted(int index) implements Reply {}
 
-    /** Another attempt is out and may have run, or this one was taken back. */
+    /** Another attempt was granted and may have run, or this one was withdrawn. */
     record Out() implements Reply {}
 
-    /** The request is over, in this way and no other. */
+    /** The request has ended in this way, which is final. */
     record Over(Command.Ending ending) implements Reply {}
 
-    /** It came too late, by the group's time. */
+    /** The command arrived too late by the group's time. */
     record Late() implements Reply {}
 
-    /** The group, or this caller, holds as many as it may. */
+    /** The group's or the caller's limit of requests is reached. */
     record Full() implements Reply {}
 
-    /** The endpoint takes nothing new. */
+    /** The endpoint is draining and accepts no new requests. */
     record Drains() implements Reply {}
 
-    /** Nothing stands against an attempt. */
+    /** Nothing prevents an attempt. */
     record Free() implements Reply {}
 
-    /** Done, or without effect. */
+    /** Acknowledged; the command may have had no effect. */
     record Noted() implements Reply {}
 }
--- a/src/main/java/whinlead/replication/Trace.java
+++ b/src/main/java/whinlead/replication/Trace.java
@@ -1,40 +1,40 @@
 package whinlead.replication;
 
 /**
- * Hears each step that this process takes with a request, so that one request can be followed over all processes that
- * had to do with it. On the engine's thread, which it must not hold up for long.
+ * Listens to each step that this process takes for a request, so that a request can be traced across all processes
+ * involved. On the engine's thread, which it must not block for long.
  */
 @FunctionalInterface
 public interface Trace {
-    /** What is done. */
+    /** The kinds of steps; the comment of each also says what its detail is. */
     enum Step {
-        /** The group is asked whether an attempt may go out; its endpoint. */
+        /** The group is asked to grant an attempt; detail: its endpoint. */
         ASKED,
-        /** It may; its number. */
+        /** The attempt was granted; detail: its index. */
         GRANTED,
-        /** The group has said otherwise; what it said. */
+        /** The attempt was not granted; detail: the group's reply. */
         DENIED,
-        /** Nobody has answered in time. */
+        /** No reply arrived in time; detail: the endpoint. */
         GIVEN_UP,
-        /** An attempt that nobody was told of is taken back. */
+        /** An attempt whose caller was not told of it is withdrawn. */
         TAKEN_BACK,
-        /** The group is told that nothing ran and nothing will. */
+        /** The group is asked to refuse the request. */
         REFUSING,
-        /** The group is told how it ended; how. */
+        /** The group is told how the request ended; detail: the ending. */
         ENDING,
-        /** It has ended so, for all; how. */
+        /** The group has confirmed the ending, which is final; detail: the ending. */
         ENDED,
-        /** A question is passed on to a member of the group that keeps the request; which one. */
+        /** A command is sent to a member of the group that is responsible for the request; detail: that member. */
         PASSED_ON,
-        /** One that another process passed on is asked of the group; who did. */
+        /** A command that another process sent here is submitted to the group; detail: that process. */
         PASSED_HERE
     }
 
     /**
-     * A step.
+     * Records a step.
      *
      * @param id of the request
-     * @param detail what the step says, or empty
+     * @param detail as the step defines it, or empty
      */
     void step(String id, Step step, String detail);
 }
--- a/src/main/java/whinlead/replication/TrackedRequest.java
+++ b/src/main/java/whinlead/replication/TrackedRequest.java
@@ -4,76 +4,76 @@
 import java.util.List;
 
 /**
- * One request as {@link ReplicatedState} keeps it: who asks, which attempts were let out, what is known of them, and
- * how it ended. For its state's thread.
+ * One request in a {@link ReplicatedState}: its caller, the attempts granted, whether each is known not to have run,
+ * and how the request ended. On its state's thread.
  */
 final class TrackedRequest {
     final String id;
     final String caller;
     final Command.Guard guard;
     List<Command.Attempt> attempts = new ArrayList<>(1);
-    List<Boolean> known = new ArrayList<>(1);
+    List<Boolean> attemptNeverRan = new ArrayList<>(1);
     Command.Ending ending;
-    /** As snapshots carry it, made once it has ended: most have, and a snapshot of them all is quick. */
-    ReplicatedState.Entry ended;
-    /** While open, when its time is up; then when it is forgotten. */
-    long due;
+    /** The snapshot entry, cached once the request has ended: most have, which keeps snapshots fast. */
+    ReplicatedState.Entry endedEntry;
+    /** The deadline while the request is open; then the time when it is forgotten. */
+    long dueMs;
 
-    TrackedRequest(String id, String caller, Command.Guard guard, long due) {
+    TrackedRequest(String id, String caller, Command.Guard guard, long dueMs) {
         this.id = id;
         this.caller = caller;
         this.guard = guard;
-        this.due = due;
+        this.dueMs = dueMs;
     }
 
-    TrackedRequest(ReplicatedState.Entry e) {
-        this(e.id(), e.caller(), e.guard(), e.due());
-        ending = e.ending();
-        ended = ending == null ? null : e;
-        attempts = ending == null ? new ArrayList<>(e.attempts()) : e.attempts();
-        known = ending == null ? new ArrayList<>(e.neverRan()) : e.neverRan();
+    TrackedRequest(ReplicatedState.Entry entry) {
+        this(entry.id(), entry.caller(), entry.guard(), entry.dueMs());
+        ending = entry.ending();
+        endedEntry = ending == null ? null : entry;
+        attempts = ending == null ? new ArrayList<>(entry.attempts()) : entry.attempts();
+        attemptNeverRan = ending == null ? new ArrayList<>(entry.neverRan()) : entry.neverRan();
     }
 
-    ReplicatedState.Entry entry() {
+    ReplicatedState.Entry toEntry() {
         if (ending == null) {
-            return new ReplicatedState.Entry(id, caller, guard, attempts, known, null, due);
+            return new ReplicatedState.Entry(id, caller, guard, attempts, attemptNeverRan, null, dueMs);
         }
-        if (ended == null) {
-            ended = new ReplicatedState.Entry(id, caller, guard, attempts, known, ending, due);
+        if (endedEntry == null) {
+            endedEntry = new ReplicatedState.Entry(id, caller, guard, attempts, attemptNeverRan, ending, dueMs);
         }
-        return ended;
+        return endedEntry;
     }
 
-    void end(Command.Ending how) {
-        ending = how;
+    void end(Command.Ending newEnding) {
+        ending = newEnding;
         attempts = List.copyOf(attempts);
-        known = List.copyOf(known);
+        attemptNeverRan = List.copyOf(attemptNeverRan);
     }
 
-    void reopen(long until) {
+    void reopen(long newDueMs) {
         ending = null;
-        ended = null;
+        endedEntry = null;
         attempts = new ArrayList<>(attempts);
-        known = new ArrayList<>(known);
-        due = until;
+        attemptNeverRan = new ArrayList<>(attemptNeverRan);
+        dueMs = newDueMs;
     }
 
     boolean neverRan() {
-        return !known.contains(false);
+        return !attemptNeverRan.contains(false);
     }
 
     int add(Command.Attempt attempt, boolean neverRan) {
         attempts.add(attempt);
-        known.add(neverRan);
+        attemptNeverRan.add(neverRan);
         return attempts.size() - 1;
     }
 
-    // Of one that has ended nothing more is to be known.
+    // Has no effect once the request has ended.
     void neverRan(String owner, List<Long> numbers) {
         for (int i = 0; ending == null && i < attempts.size(); i++) {
-            Command.Attempt a = attempts.get(i);
-            if (a.owner().equals(owner) && numbers.contains(a.number())) {
-                known.set(i, true);
+            Command.Attempt attempt = attempts.get(i);
+            if (attempt.owner().equals(owner) && numbers.contains(attempt.number())) {
+                attemptNeverRan.set(i, true);
             }
         }
     }
--- a/src/main/java/whinlead/replication/codec/Commands.java
+++ b/src/main/java/whinlead/replication/codec/Commands.java
@@ -8,158 +8,159 @@
 import whinlead.replication.wire.Wire;
 
 /**
- * Commands, replies and pieces of snapshots as protobuf messages and back ({@code copies.proto}). What can't be read is
- * an {@link IllegalArgumentException}.
+ * Encodes commands, replies and snapshot entries as protobuf messages ({@code copies.proto}) and decodes them. Decoding
+ * throws an {@link IllegalArgumentException} for invalid messages.
  */
 public final class Commands {
-    private static final Command.How[] HOWS = Command.How.values();
+    private static final Command.AttemptOutcome[] ATTEMPT_OUTCOMES = Command.AttemptOutcome.values();
     private static final Command.Ending[] ENDINGS = Command.Ending.values();
 
     private Commands() {}
 
-    static Wire.Batch of(Member.Batch batch) {
-        Wire.Batch.Builder b = Wire.Batch.newBuilder().setStamp(batch.stamp());
-        batch.commands().forEach(c -> b.addCommands(of(c)));
-        return b.build();
+    static Wire.Batch encode(Member.Batch batch) {
+        Wire.Batch.Builder builder = Wire.Batch.newBuilder().setStamp(batch.stampMs());
+        batch.commands().forEach(c -> builder.addCommands(encode(c)));
+        return builder.build();
     }
 
-    static Member.Batch batch(Wire.Batch b) {
+    static Member.Batch decodeBatch(Wire.Batch batch) {
         return new Member.Batch(
-                b.getStamp(),
-                b.getCommandsList().stream().map(Commands::command).toList());
+                batch.getStamp(),
+                batch.getCommandsList().stream().map(Commands::decodeCommand).toList());
     }
 
-    private static Wire.Attempt of(Command.Attempt a) {
+    private static Wire.Attempt encode(Command.Attempt attempt) {
         return Wire.Attempt.newBuilder()
-                .setOwner(a.owner())
-                .setNumber(a.number())
+                .setOwner(attempt.owner())
+                .setNumber(attempt.number())
                 .build();
     }
 
-    private static Command.Attempt attempt(Wire.Attempt a) {
-        return new Command.Attempt(a.getOwner(), a.getNumber());
+    private static Command.Attempt decodeAttempt(Wire.Attempt attempt) {
+        return new Command.Attempt(attempt.getOwner(), attempt.getNumber());
     }
 
-    private static Command.Guard guard(boolean keyed) {
+    private static Command.Guard decodeGuard(boolean keyed) {
         return keyed ? Command.Guard.KEYED : Command.Guard.UNSAFE;
     }
 
-    /** What is asked of a group. */
-    public static Wire.Command of(Command command) {
-        Wire.Command.Builder b = Wire.Command.newBuilder();
+    /** Encodes a command. */
+    public static Wire.Command encode(Command command) {
+        Wire.Command.Builder builder = Wire.Command.newBuilder();
         if (command instanceof Command.Allow c) {
-            b.setAllow(Wire.Allow.newBuilder()
+            builder.setAllow(Wire.Allow.newBuilder()
                     .setId(c.id())
                     .setCaller(c.caller())
                     .setKeyed(c.guard() == Command.Guard.KEYED)
-                    .setAttempt(of(c.attempt()))
+                    .setAttempt(encode(c.attempt()))
                     .addAllNeverRan(c.neverRan())
                     .setEndpoint(c.endpoint())
-                    .setLeft(c.left())
-                    .setUntil(c.until())
-                    .setAnew(c.anew()));
+                    .setLeft(c.remainingMs())
+                    .setUntil(c.validUntilMs())
+                    .setAnew(c.retryAfterRefusal()));
         } else if (command instanceof Command.Withdraw c) {
-            b.setWithdraw(Wire.Withdraw.newBuilder()
+            builder.setWithdraw(Wire.Withdraw.newBuilder()
                     .setId(c.id())
-                    .setAttempt(of(c.attempt()))
-                    .setLeft(c.left()));
+                    .setAttempt(encode(c.attempt()))
+                    .setLeft(c.remainingMs()));
         } else if (command instanceof Command.Report c) {
-            b.setReport(Wire.Report.newBuilder()
+            builder.setReport(Wire.Report.newBuilder()
                     .setId(c.id())
-                    .setIndex(c.index())
-                    .setHow(c.how().ordinal()));
+                    .setIndex(c.attemptIndex())
+                    .setHow(c.outcome().ordinal()));
         } else if (command instanceof Command.End c) {
-            b.setEnd(Wire.End.newBuilder()
+            builder.setEnd(Wire.End.newBuilder()
                     .setId(c.id())
                     .setEnding(c.ending().ordinal())
                     .setOwner(c.owner())
                     .addAllNeverRan(c.neverRan()));
         } else if (command instanceof Command.Refuse c) {
-            b.setRefuse(Wire.Refuse.newBuilder()
+            builder.setRefuse(Wire.Refuse.newBuilder()
                     .setId(c.id())
                     .setCaller(c.caller())
                     .setKeyed(c.guard() == Command.Guard.KEYED)
                     .setOwner(c.owner())
                     .addAllNeverRan(c.neverRan())
-                    .setLeft(c.left()));
+                    .setLeft(c.remainingMs()));
         } else if (command instanceof Command.Drain c) {
-            b.setDrain(Wire.Drain.newBuilder().setEndpoint(c.endpoint()).setLasts(c.lasts()));
+            builder.setDrain(Wire.Drain.newBuilder().setEndpoint(c.endpoint()).setLasts(c.durationMs()));
         } else {
-            b.setTick(Wire.Tick.getDefaultInstance());
+            builder.setTick(Wire.Tick.getDefaultInstance());
         }
-        return b.build();
+        return builder.build();
     }
 
-    /** The same back. */
-    public static Command command(Wire.Command c) {
-        return switch (c.getWhatCase()) {
+    /** Decodes a command. */
+    public static Command decodeCommand(Wire.Command command) {
+        return switch (command.getWhatCase()) {
             case ALLOW -> {
-                Wire.Allow a = c.getAllow();
+                Wire.Allow allow = command.getAllow();
                 yield new Command.Allow(
-                        a.getId(),
-                        a.getCaller(),
-                        guard(a.getKeyed()),
-                        attempt(a.getAttempt()),
-                        a.getNeverRanList(),
-                        a.getEndpoint(),
-                        a.getLeft(),
-                        a.getUntil(),
-                        a.getAnew());
+                        allow.getId(),
+                        allow.getCaller(),
+                        decodeGuard(allow.getKeyed()),
+                        decodeAttempt(allow.getAttempt()),
+                        allow.getNeverRanList(),
+                        allow.getEndpoint(),
+                        allow.getLeft(),
+                        allow.getUntil(),
+                        allow.getAnew());
             }
             case WITHDRAW ->
                 new Command.Withdraw(
-                        c.getWithdraw().getId(),
-                        attempt(c.getWithdraw().getAttempt()),
-                        c.getWithdraw().getLeft());
+                        command.getWithdraw().getId(),
+                        decodeAttempt(command.getWithdraw().getAttempt()),
+                        command.getWithdraw().getLeft());
             case REPORT ->
                 new Command.Report(
-                        c.getReport().getId(),
-                        c.getReport().getIndex(),
-                        HOWS[within(c.getReport().getHow(), HOWS.length)]);
+                        command.getReport().getId(),
+                        command.getReport().getIndex(),
+                        ATTEMPT_OUTCOMES[checkKind(command.getReport().getHow(), ATTEMPT_OUTCOMES.length)]);
             case END ->
                 new Command.End(
-                        c.getEnd().getId(),
-                        ending(c.getEnd().getEnding()),
-                        c.getEnd().getOwner(),
-                        c.getEnd().getNeverRanList());
+                        command.getEnd().getId(),
+                        decodeEnding(command.getEnd().getEnding()),
+                        command.getEnd().getOwner(),
+                        command.getEnd().getNeverRanList());
             case REFUSE ->
                 new Command.Refuse(
-                        c.getRefuse().getId(),
-                        c.getRefuse().getCaller(),
-                        guard(c.getRefuse().getKeyed()),
-                        c.getRefuse().getOwner(),
-                        c.getRefuse().getNeverRanList(),
-                        c.getRefuse().getLeft());
+                        command.getRefuse().getId(),
+                        command.getRefuse().getCaller(),
+                        decodeGuard(command.getRefuse().getKeyed()),
+                        command.getRefuse().getOwner(),
+                        command.getRefuse().getNeverRanList(),
+                        command.getRefuse().getLeft());
             case DRAIN ->
-                new Command.Drain(c.getDrain().getEndpoint(), c.getDrain().getLasts());
+                new Command.Drain(
+                        command.getDrain().getEndpoint(), command.getDrain().getLasts());
             case TICK -> new Command.Tick();
-            // One that this version does not know would make its book another than the rest's.
-            case WHAT_NOT_SET -> throw new IllegalArgumentException("a command of no known kind");
+            // Ignoring a command of a later version would make this member's state diverge.
+            case WHAT_NOT_SET -> throw new IllegalArgumentException("command of unknown kind");
         };
     }
 
-    private static int within(int number, int kinds) {
+    private static int checkKind(int number, int kinds) {
         if (number < 0 || number >= kinds) {
-            throw new IllegalArgumentException("a number of no known kind");
+            throw new IllegalArgumentException("enum number out of range");
         }
         return number;
     }
 
-    private static Command.Ending ending(int number) {
-        return ENDINGS[within(number, ENDINGS.length)];
+    private static Command.Ending decodeEnding(int number) {
+        return ENDINGS[checkKind(number, ENDINGS.length)];
     }
 
-    /** What a group says to it. */
-    public static Wire.Reply of(Reply reply) {
-        Wire.Reply.Builder b = Wire.Reply.newBuilder();
+    /** Encodes a reply. */
+    public static Wire.Reply encode(Reply reply) {
+        Wire.Reply.Builder builder = Wire.Reply.newBuilder();
         if (reply instanceof Reply.Granted r) {
-            return b.setKind(Wire.Reply.Kind.GRANTED).setNumber(r.index()).build();
+            return builder.setKind(Wire.Reply.Kind.GRANTED).setNumber(r.index()).build();
         } else if (reply instanceof Reply.Over r) {
-            return b.setKind(Wire.Reply.Kind.OVER)
+            return builder.setKind(Wire.Reply.Kind.OVER)
                     .setNumber(r.ending().ordinal())
                     .build();
         }
-        return b.setKind(
+        return builder.setKind(
                         reply instanceof Reply.Out
                                 ? Wire.Reply.Kind.OUT
                                 : reply instanceof Reply.Late
@@ -174,44 +175,44 @@
                 .build();
     }
 
-    /** The same back. */
-    public static Reply reply(Wire.Reply r) {
-        return switch (r.getKind()) {
-            case GRANTED -> new Reply.Granted(r.getNumber());
+    /** Decodes a reply. */
+    public static Reply decodeReply(Wire.Reply reply) {
+        return switch (reply.getKind()) {
+            case GRANTED -> new Reply.Granted(reply.getNumber());
             case OUT -> new Reply.Out();
-            case OVER -> new Reply.Over(ending(r.getNumber()));
+            case OVER -> new Reply.Over(decodeEnding(reply.getNumber()));
             case LATE -> new Reply.Late();
             case FULL -> new Reply.Full();
             case DRAINS -> new Reply.Drains();
             case FREE -> new Reply.Free();
             case NOTED -> new Reply.Noted();
-            case UNSPOKEN, UNRECOGNIZED -> throw new IllegalArgumentException("a reply of no known kind");
+            case UNSPOKEN, UNRECOGNIZED -> throw new IllegalArgumentException("reply of unknown kind");
         };
     }
 
-    static Wire.Request of(ReplicatedState.Entry e) {
-        Wire.Request.Builder b = Wire.Request.newBuilder()
-                .setId(e.id())
-                .setCaller(e.caller())
-                .setKeyed(e.guard() == Command.Guard.KEYED)
-                .addAllNeverRan(e.neverRan())
-                .setEnded(e.ending() == null ? 0 : e.ending().ordinal() + 1)
-                .setDue(e.due());
-        e.attempts().forEach(a -> b.addAttempts(of(a)));
-        return b.build();
+    static Wire.Request encode(ReplicatedState.Entry entry) {
+        Wire.Request.Builder builder = Wire.Request.newBuilder()
+                .setId(entry.id())
+                .setCaller(entry.caller())
+                .setKeyed(entry.guard() == Command.Guard.KEYED)
+                .addAllNeverRan(entry.neverRan())
+                .setEnded(entry.ending() == null ? 0 : entry.ending().ordinal() + 1)
+                .setDue(entry.dueMs());
+        entry.attempts().forEach(attempt -> builder.addAttempts(encode(attempt)));
+        return builder.build();
     }
 
-    static ReplicatedState.Entry entry(Wire.Request r) {
-        if (r.getAttemptsCount() != r.getNeverRanCount()) {
-            throw new IllegalArgumentException("attempts of which it isn't told whether they ran");
+    static ReplicatedState.Entry decodeEntry(Wire.Request request) {
+        if (request.getAttemptsCount() != request.getNeverRanCount()) {
+            throw new IllegalArgumentException("snapshot entry has different numbers of attempts and never-ran flags");
         }
         return new ReplicatedState.Entry(
-                r.getId(),
-                r.getCaller(),
-                guard(r.getKeyed()),
-                r.getAttemptsList().stream().map(Commands::attempt).toList(),
-                List.copyOf(r.getNeverRanList()),
-                r.getEnded() == 0 ? null : ending(r.getEnded() - 1),
-                r.getDue());
+                request.getId(),
+                request.getCaller(),
+                decodeGuard(request.getKeyed()),
+                request.getAttemptsList().stream().map(Commands::decodeAttempt).toList(),
+                List.copyOf(request.getNeverRanList()),
+                request.getEnded() == 0 ? null : decodeEnding(request.getEnded() - 1),
+                request.getDue());
     }
 }
--- a/src/main/java/whinlead/replication/codec/Messages.java
+++ b/src/main/java/whinlead/replication/codec/Messages.java
@@ -27,169 +27,171 @@
 import whinlead.replication.wire.Wire;
 
 /**
- * MicroRaft's messages, entries and chunks as protobuf messages and back ({@code copies.proto}). What can't be read is
- * an {@link IllegalArgumentException}.
+ * Encodes MicroRaft's messages, log entries and snapshot chunks as protobuf messages ({@code copies.proto}) and decodes
+ * them. Decoding throws an {@link IllegalArgumentException} for invalid messages.
  */
 public final class Messages {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
     private Messages() {}
 
-    /** A life of a member. */
-    public static Wire.Id of(RaftEndpoint who) {
-        MemberId id = (MemberId) who;
-        return Wire.Id.newBuilder().setName(id.name()).setLife(id.life()).build();
+    /** Encodes one incarnation of a member. */
+    public static Wire.Id encode(RaftEndpoint endpoint) {
+        MemberId id = (MemberId) endpoint;
+        return Wire.Id.newBuilder().setName(id.name()).setLife(id.incarnation()).build();
     }
 
-    /** The same back. */
+    /** Decodes one incarnation of a member. */
     public static MemberId id(Wire.Id id) {
         return new MemberId(id.getName(), id.getLife());
     }
 
-    /** Several. */
-    public static List<Wire.Id> all(Collection<? extends RaftEndpoint> ids) {
-        return ids.stream().map(Messages::of).toList();
+    /** Encodes several incarnations. */
+    public static List<Wire.Id> encodeAll(Collection<? extends RaftEndpoint> ids) {
+        return ids.stream().map(Messages::encode).toList();
     }
 
-    private static List<RaftEndpoint> endpoints(List<Wire.Id> ids) {
+    private static List<RaftEndpoint> decodeIds(List<Wire.Id> ids) {
         return ids.stream().<RaftEndpoint>map(Messages::id).toList();
     }
 
-    /** The members at a place in the log. */
-    public static Wire.Members of(RaftGroupMembersView view) {
+    /** Encodes the group's members at a log index. */
+    public static Wire.Members encode(RaftGroupMembersView view) {
         return Wire.Members.newBuilder()
                 .setIndex(view.getLogIndex())
-                .addAllMembers(all(view.getMembers()))
-                .addAllVoting(all(view.getVotingMembers()))
+                .addAllMembers(encodeAll(view.getMembers()))
+                .addAllVoting(encodeAll(view.getVotingMembers()))
                 .build();
     }
 
-    /** The same back. */
-    public static RaftGroupMembersView members(Wire.Members m) {
+    /** Decodes the group's members at a log index. */
+    public static RaftGroupMembersView decodeMembers(Wire.Members members) {
         return MODELS.createRaftGroupMembersViewBuilder()
-                .setLogIndex(m.getIndex())
-                .setMembers(endpoints(m.getMembersList()))
-                .setVotingMembers(endpoints(m.getVotingList()))
+                .setLogIndex(members.getIndex())
+                .setMembers(decodeIds(members.getMembersList()))
+                .setVotingMembers(decodeIds(members.getVotingList()))
                 .build();
     }
 
-    /** An entry of the log. */
-    public static Wire.Entry of(LogEntry entry) {
-        Wire.Entry.Builder b =
+    /** Encodes a log entry. */
+    public static Wire.Entry encode(LogEntry entry) {
+        Wire.Entry.Builder builder =
                 Wire.Entry.newBuilder().setIndex(entry.getIndex()).setTerm(entry.getTerm());
         if (entry.getOperation() instanceof Member.Batch batch) {
-            b.setBatch(Commands.of(batch));
+            builder.setBatch(Commands.encode(batch));
         } else if (entry.getOperation() instanceof UpdateRaftGroupMembersOp op) {
-            b.setChange(Wire.Change.newBuilder()
-                    .setWho(of(op.getEndpoint()))
+            builder.setChange(Wire.Change.newBuilder()
+                    .setWho(encode(op.getEndpoint()))
                     .setMode(op.getMode().name())
-                    .addAllMembers(all(op.getMembers()))
-                    .addAllVoting(all(op.getVotingMembers())));
+                    .addAllMembers(encodeAll(op.getMembers()))
+                    .addAllVoting(encodeAll(op.getVotingMembers())));
         } else {
-            throw new IllegalArgumentException("an entry of no known kind");
+            throw new IllegalArgumentException("log entry of unknown kind");
         }
-        return b.build();
+        return builder.build();
     }
 
-    /** The same back. */
-    public static LogEntry entry(Wire.Entry e) {
+    /** Decodes a log entry. */
+    public static LogEntry decodeEntry(Wire.Entry entry) {
         Object operation =
-                switch (e.getWhatCase()) {
-                    case BATCH -> Commands.batch(e.getBatch());
+                switch (entry.getWhatCase()) {
+                    case BATCH -> Commands.decodeBatch(entry.getBatch());
                     case CHANGE ->
                         MODELS.createUpdateRaftGroupMembersOpBuilder()
-                                .setEndpoint(id(e.getChange().getWho()))
+                                .setEndpoint(id(entry.getChange().getWho()))
                                 .setMode(MembershipChangeMode.valueOf(
-                                        e.getChange().getMode()))
-                                .setMembers(endpoints(e.getChange().getMembersList()))
-                                .setVotingMembers(endpoints(e.getChange().getVotingList()))
+                                        entry.getChange().getMode()))
+                                .setMembers(decodeIds(entry.getChange().getMembersList()))
+                                .setVotingMembers(decodeIds(entry.getChange().getVotingList()))
                                 .build();
-                    case WHAT_NOT_SET -> throw new IllegalArgumentException("an entry of no known kind");
+                    case WHAT_NOT_SET -> throw new IllegalArgumentException("log entry of unknown kind");
                 };
         return MODELS.createLogEntryBuilder()
-                .setIndex(e.getIndex())
-                .setTerm(e.getTerm())
+                .setIndex(entry.getIndex())
+                .setTerm(entry.getTerm())
                 .setOperation(operation)
                 .build();
     }
 
-    /** A piece of a snapshot. */
-    public static Wire.Chunk of(SnapshotChunk chunk) {
-        Member.Chunk piece = (Member.Chunk) chunk.getOperation();
-        Wire.Chunk.Builder b = Wire.Chunk.newBuilder()
+    /** Encodes a snapshot chunk. */
+    public static Wire.Chunk encode(SnapshotChunk chunk) {
+        Member.Chunk state = (Member.Chunk) chunk.getOperation();
+        Wire.Chunk.Builder builder = Wire.Chunk.newBuilder()
                 .setIndex(chunk.getIndex())
                 .setTerm(chunk.getTerm())
                 .setNumber(chunk.getSnapshotChunkIndex())
                 .setCount(chunk.getSnapshotChunkCount())
-                .setMembers(of(chunk.getGroupMembersView()))
-                .setCommands(piece.commands())
-                .setTime(piece.time())
-                .putAllDrains(piece.drains());
-        piece.entries().forEach(e -> b.addRequests(Commands.of(e)));
-        return b.build();
+                .setMembers(encode(chunk.getGroupMembersView()))
+                .setCommands(state.commandCount())
+                .setTime(state.time())
+                .putAllDrains(state.drains());
+        state.entries().forEach(e -> builder.addRequests(Commands.encode(e)));
+        return builder.build();
     }
 
-    /** The same back. */
-    public static SnapshotChunk chunk(Wire.Chunk c) {
+    /** Decodes a snapshot chunk. */
+    public static SnapshotChunk decodeChunk(Wire.Chunk chunk) {
         return MODELS.createSnapshotChunkBuilder()
-                .setIndex(c.getIndex())
-                .setTerm(c.getTerm())
-                .setSnapshotChunkIndex(c.getNumber())
-                .setSnapshotChunkCount(c.getCount())
-                .setGroupMembersView(members(c.getMembers()))
+                .setIndex(chunk.getIndex())
+                .setTerm(chunk.getTerm())
+                .setSnapshotChunkIndex(chunk.getNumber())
+                .setSnapshotChunkCount(chunk.getCount())
+                .setGroupMembersView(decodeMembers(chunk.getMembers()))
                 .setOperation(new Member.Chunk(
-                        c.getCommands(),
-                        c.getTime(),
-                        c.getDrainsMap(),
-                        c.getRequestsList().stream().map(Commands::entry).toList()))
+                        chunk.getCommands(),
+                        chunk.getTime(),
+                        chunk.getDrainsMap(),
+                        chunk.getRequestsList().stream()
+                                .map(Commands::decodeEntry)
+                                .toList()))
                 .build();
     }
 
-    /** What one member tells another. */
-    public static Wire.Message of(RaftMessage message) {
-        Wire.Message.Builder b = Wire.Message.newBuilder().setTerm(message.getTerm());
+    /** Encodes a Raft message. */
+    public static Wire.Message encode(RaftMessage message) {
+        Wire.Message.Builder builder = Wire.Message.newBuilder().setTerm(message.getTerm());
         if (message instanceof AppendEntriesRequest m) {
-            b.setKind(Wire.Message.Kind.APPEND)
+            builder.setKind(Wire.Message.Kind.APPEND)
                     .setLogTerm(m.getPreviousLogTerm())
                     .setLogIndex(m.getPreviousLogIndex())
                     .setCommitIndex(m.getCommitIndex())
                     .setQuery(m.getQuerySequenceNumber())
                     .setFlow(m.getFlowControlSequenceNumber());
-            m.getLogEntries().forEach(e -> b.addEntries(of(e)));
+            m.getLogEntries().forEach(e -> builder.addEntries(encode(e)));
         } else if (message instanceof AppendEntriesSuccessResponse m) {
-            b.setKind(Wire.Message.Kind.APPENDED)
+            builder.setKind(Wire.Message.Kind.APPENDED)
                     .setLogIndex(m.getLastLogIndex())
                     .setQuery(m.getQuerySequenceNumber())
                     .setFlow(m.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse m) {
-            b.setKind(Wire.Message.Kind.NOT_APPENDED)
+            builder.setKind(Wire.Message.Kind.NOT_APPENDED)
                     .setLogIndex(m.getExpectedNextIndex())
                     .setQuery(m.getQuerySequenceNumber())
                     .setFlow(m.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest || message instanceof InstallSnapshotResponse) {
-            writeSnapshot(b, message);
+            encodeSnapshot(builder, message);
         } else {
-            writeVote(b, message);
+            encodeVote(builder, message);
         }
-        return b.build();
+        return builder.build();
     }
 
-    private static void writeSnapshot(Wire.Message.Builder b, RaftMessage message) {
+    private static void encodeSnapshot(Wire.Message.Builder builder, RaftMessage message) {
         if (message instanceof InstallSnapshotRequest m) {
-            b.setKind(Wire.Message.Kind.INSTALL)
+            builder.setKind(Wire.Message.Kind.INSTALL)
                     .setYes(m.isSenderLeader())
                     .setLogTerm(m.getSnapshotTerm())
                     .setLogIndex(m.getSnapshotIndex())
                     .setChunks(m.getTotalSnapshotChunkCount())
                     .setQuery(m.getQuerySequenceNumber())
                     .setFlow(m.getFlowControlSequenceNumber())
-                    .addAllSnapshotted(all(m.getSnapshottedMembers()))
-                    .setMembers(of(m.getGroupMembersView()));
+                    .addAllSnapshotted(encodeAll(m.getSnapshottedMembers()))
+                    .setMembers(encode(m.getGroupMembersView()));
             if (m.getSnapshotChunk() != null) {
-                b.setChunk(of(m.getSnapshotChunk()));
+                builder.setChunk(encode(m.getSnapshotChunk()));
             }
         } else if (message instanceof InstallSnapshotResponse m) {
-            b.setKind(Wire.Message.Kind.INSTALLED)
+            builder.setKind(Wire.Message.Kind.INSTALLED)
                     .setLogIndex(m.getSnapshotIndex())
                     .setChunkIndex(m.getRequestedSnapshotChunkIndex())
                     .setQuery(m.getQuerySequenceNumber())
@@ -197,155 +199,159 @@
         }
     }
 
-    private static void writeVote(Wire.Message.Builder b, RaftMessage message) {
+    private static void encodeVote(Wire.Message.Builder builder, RaftMessage message) {
         if (message instanceof PreVoteRequest m) {
-            b.setKind(Wire.Message.Kind.PRE_VOTE).setLogTerm(m.getLastLogTerm()).setLogIndex(m.getLastLogIndex());
+            builder.setKind(Wire.Message.Kind.PRE_VOTE)
+                    .setLogTerm(m.getLastLogTerm())
+                    .setLogIndex(m.getLastLogIndex());
         } else if (message instanceof PreVoteResponse m) {
-            b.setKind(Wire.Message.Kind.PRE_VOTED).setYes(m.isGranted());
+            builder.setKind(Wire.Message.Kind.PRE_VOTED).setYes(m.isGranted());
         } else if (message instanceof VoteRequest m) {
-            b.setKind(Wire.Message.Kind.VOTE)
+            builder.setKind(Wire.Message.Kind.VOTE)
                     .setLogTerm(m.getLastLogTerm())
                     .setLogIndex(m.getLastLogIndex())
                     .setYes(m.isSticky());
         } else if (message instanceof VoteResponse m) {
-            b.setKind(Wire.Message.Kind.VOTED).setYes(m.isGranted());
+            builder.setKind(Wire.Message.Kind.VOTED).setYes(m.isGranted());
         } else if (message instanceof TriggerLeaderElectionRequest m) {
-            b.setKind(Wire.Message.Kind.TRIGGER).setLogTerm(m.getLastLogTerm()).setLogIndex(m.getLastLogIndex());
+            builder.setKind(Wire.Message.Kind.TRIGGER)
+                    .setLogTerm(m.getLastLogTerm())
+                    .setLogIndex(m.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException("a message of no known kind");
+            throw new IllegalArgumentException("Raft message of unknown kind");
         }
     }
 
-    /** The same back, as of this group and from this member. */
-    public static RaftMessage message(Wire.Message m, String group, RaftEndpoint from) {
-        return switch (m.getKind()) {
-            case APPEND -> appendRequest(m, group, from);
-            case APPENDED -> appendSuccess(m, group, from);
-            case NOT_APPENDED -> appendFailure(m, group, from);
-            case INSTALL -> snapshotRequest(m, group, from);
-            case INSTALLED -> snapshotResponse(m, group, from);
-            case PRE_VOTE -> preVoteRequest(m, group, from);
-            case PRE_VOTED -> preVoteResponse(m, group, from);
-            case VOTE -> voteRequest(m, group, from);
-            case VOTED -> voteResponse(m, group, from);
-            case TRIGGER -> leaderElectionRequest(m, group, from);
-            case UNKNOWN, UNRECOGNIZED -> throw new IllegalArgumentException("a message of no known kind");
+    /** Decodes a Raft message of this group from this sender. */
+    public static RaftMessage decode(Wire.Message message, String group, RaftEndpoint sender) {
+        return switch (message.getKind()) {
+            case APPEND -> decodeAppendRequest(message, group, sender);
+            case APPENDED -> decodeAppendSuccess(message, group, sender);
+            case NOT_APPENDED -> decodeAppendFailure(message, group, sender);
+            case INSTALL -> decodeSnapshotRequest(message, group, sender);
+            case INSTALLED -> decodeSnapshotResponse(message, group, sender);
+            case PRE_VOTE -> decodePreVoteRequest(message, group, sender);
+            case PRE_VOTED -> decodePreVoteResponse(message, group, sender);
+            case VOTE -> decodeVoteRequest(message, group, sender);
+            case VOTED -> decodeVoteResponse(message, group, sender);
+            case TRIGGER -> decodeLeaderElectionRequest(message, group, sender);
+            case UNKNOWN, UNRECOGNIZED -> throw new IllegalArgumentException("Raft message of unknown kind");
         };
     }
 
-    private static RaftMessage appendRequest(Wire.Message m, String group, RaftEndpoint from) {
-        List<LogEntry> entries = new ArrayList<>(m.getEntriesCount());
-        m.getEntriesList().forEach(e -> entries.add(entry(e)));
+    private static RaftMessage decodeAppendRequest(Wire.Message message, String group, RaftEndpoint sender) {
+        List<LogEntry> entries = new ArrayList<>(message.getEntriesCount());
+        message.getEntriesList().forEach(e -> entries.add(decodeEntry(e)));
         return MODELS.createAppendEntriesRequestBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setPreviousLogTerm(m.getLogTerm())
-                .setPreviousLogIndex(m.getLogIndex())
-                .setCommitIndex(m.getCommitIndex())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setPreviousLogTerm(message.getLogTerm())
+                .setPreviousLogIndex(message.getLogIndex())
+                .setCommitIndex(message.getCommitIndex())
                 .setLogEntries(entries)
-                .setQuerySequenceNumber(m.getQuery())
-                .setFlowControlSequenceNumber(m.getFlow())
+                .setQuerySequenceNumber(message.getQuery())
+                .setFlowControlSequenceNumber(message.getFlow())
                 .build();
     }
 
-    private static RaftMessage appendSuccess(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodeAppendSuccess(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createAppendEntriesSuccessResponseBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setLastLogIndex(m.getLogIndex())
-                .setQuerySequenceNumber(m.getQuery())
-                .setFlowControlSequenceNumber(m.getFlow())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setLastLogIndex(message.getLogIndex())
+                .setQuerySequenceNumber(message.getQuery())
+                .setFlowControlSequenceNumber(message.getFlow())
                 .build();
     }
 
-    private static RaftMessage appendFailure(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodeAppendFailure(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createAppendEntriesFailureResponseBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setExpectedNextIndex(m.getLogIndex())
-                .setQuerySequenceNumber(m.getQuery())
-                .setFlowControlSequenceNumber(m.getFlow())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setExpectedNextIndex(message.getLogIndex())
+                .setQuerySequenceNumber(message.getQuery())
+                .setFlowControlSequenceNumber(message.getFlow())
                 .build();
     }
 
-    private static RaftMessage snapshotRequest(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodeSnapshotRequest(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createInstallSnapshotRequestBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setSenderLeader(m.getYes())
-                .setSnapshotTerm(m.getLogTerm())
-                .setSnapshotIndex(m.getLogIndex())
-                .setTotalSnapshotChunkCount(m.getChunks())
-                .setSnapshotChunk(m.hasChunk() ? chunk(m.getChunk()) : null)
-                .setSnapshottedMembers(endpoints(m.getSnapshottedList()))
-                .setGroupMembersView(members(m.getMembers()))
-                .setQuerySequenceNumber(m.getQuery())
-                .setFlowControlSequenceNumber(m.getFlow())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setSenderLeader(message.getYes())
+                .setSnapshotTerm(message.getLogTerm())
+                .setSnapshotIndex(message.getLogIndex())
+                .setTotalSnapshotChunkCount(message.getChunks())
+                .setSnapshotChunk(message.hasChunk() ? decodeChunk(message.getChunk()) : null)
+                .setSnapshottedMembers(decodeIds(message.getSnapshottedList()))
+                .setGroupMembersView(decodeMembers(message.getMembers()))
+                .setQuerySequenceNumber(message.getQuery())
+                .setFlowControlSequenceNumber(message.getFlow())
                 .build();
     }
 
-    private static RaftMessage snapshotResponse(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodeSnapshotResponse(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createInstallSnapshotResponseBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setSnapshotIndex(m.getLogIndex())
-                .setRequestedSnapshotChunkIndex(m.getChunkIndex())
-                .setQuerySequenceNumber(m.getQuery())
-                .setFlowControlSequenceNumber(m.getFlow())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setSnapshotIndex(message.getLogIndex())
+                .setRequestedSnapshotChunkIndex(message.getChunkIndex())
+                .setQuerySequenceNumber(message.getQuery())
+                .setFlowControlSequenceNumber(message.getFlow())
                 .build();
     }
 
-    private static RaftMessage preVoteRequest(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodePreVoteRequest(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createPreVoteRequestBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setLastLogTerm(m.getLogTerm())
-                .setLastLogIndex(m.getLogIndex())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setLastLogTerm(message.getLogTerm())
+                .setLastLogIndex(message.getLogIndex())
                 .build();
     }
 
-    private static RaftMessage preVoteResponse(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodePreVoteResponse(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createPreVoteResponseBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setGranted(m.getYes())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setGranted(message.getYes())
                 .build();
     }
 
-    private static RaftMessage voteRequest(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodeVoteRequest(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createVoteRequestBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setLastLogTerm(m.getLogTerm())
-                .setLastLogIndex(m.getLogIndex())
-                .setSticky(m.getYes())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setLastLogTerm(message.getLogTerm())
+                .setLastLogIndex(message.getLogIndex())
+                .setSticky(message.getYes())
                 .build();
     }
 
-    private static RaftMessage voteResponse(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodeVoteResponse(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createVoteResponseBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setGranted(m.getYes())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setGranted(message.getYes())
                 .build();
     }
 
-    private static RaftMessage leaderElectionRequest(Wire.Message m, String group, RaftEndpoint from) {
+    private static RaftMessage decodeLeaderElectionRequest(Wire.Message message, String group, RaftEndpoint sender) {
         return MODELS.createTriggerLeaderElectionRequestBuilder()
                 .setGroupId(group)
-                .setSender(from)
-                .setTerm(m.getTerm())
-                .setLastLogTerm(m.getLogTerm())
-                .setLastLogIndex(m.getLogIndex())
+                .setSender(sender)
+                .setTerm(message.getTerm())
+                .setLastLogTerm(message.getLogTerm())
+                .setLastLogIndex(message.getLogIndex())
                 .build();
     }
 }
--- a/src/main/java/whinlead/replication/codec/package-info.java
+++ b/src/main/java/whinlead/replication/codec/package-info.java
@@ -1,2 +1,4 @@
-/** Commands, replies and MicroRaft's messages as protobuf and back ({@code copies.proto}). Any thread. */
+/**
+ * Encoding and decoding of commands, replies and MicroRaft's messages as protobuf ({@code copies.proto}). Thread-safe.
+ */
 package whinlead.replication.codec;
--- a/src/main/java/whinlead/replication/disk/DiskLog.java
+++ b/src/main/java/whinlead/replication/disk/DiskLog.java
@@ -31,21 +31,21 @@
 import whinlead.replication.wire.Wire;
 
 /**
- * A member's log on a disk that lasts: one file of records, each with a checksum, written anew once its beginning is
- * long out of date. A record that was being written when the process ended is cut off; one that is damaged with good
- * ones behind it means that what was promised is lost, and the file is refused. Files are the owner's only, and one
- * process has them at a time. What the disk does not take is told once, and the member is to step aside. On the
- * engine's thread, which waits for the disk: nothing is promised before it is written.
+ * A member's log in persistent storage: one file of records, each with a checksum, rewritten once most of it is
+ * obsolete. An incomplete last record, which was being written when the process ended, is truncated. A damaged record
+ * followed by intact ones means that committed data is lost, and the file is rejected. The files are accessible to
+ * their owner only and locked by one process at a time. The first write error is reported to a listener, and the member
+ * has to step aside. On the engine's thread, which waits for the disk: nothing is acknowledged before it is written.
  */
 public final class DiskLog implements MemberDisk, Closeable {
-    private static final int VERSION = 1;
-    /** A file is written anew when it is over this and four times as long as when that was last done. */
-    private static final long MIN_ANEW = 1 << 20;
+    private static final int FORMAT_VERSION = 1;
+    /** A file is rewritten when it is larger than this and than four times its size after the last rewrite. */
+    private static final long MIN_REWRITE_BYTES = 1 << 20;
 
-    private static final int GROWTH = 4;
+    private static final int REWRITE_GROWTH_FACTOR = 4;
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
-    private interface Step {
+    private interface DiskOperation {
         void run() throws IOException;
     }
 
@@ -53,12 +53,12 @@
     private final Wire.Record header;
     private final FileChannel lockFile;
     private final FileLock lock;
-    private Consumer<String> failed = why -> {};
+    private Consumer<String> failureListener = why -> {};
     private LogMirror found = new LogMirror();
     private FileChannel file;
     private RecordWriter writer;
-    private long sizeAnew;
-    private boolean faulty;
+    private long sizeAtRewrite;
+    private boolean hasFailed;
 
     private DiskLog(Path folder, Wire.Record header, FileChannel lockFile, FileLock lock) {
         this.folder = folder;
@@ -68,12 +68,14 @@
     }
 
     /**
-     * Opens the log of this member in this folder, or begins one.
+     * Opens the log of this member in this folder, or creates one.
      *
-     * @param note hears of a torn end that was cut
-     * @throws IOException with one line, if it can't be used: in use, damaged, another member's
+     * @param noteListener is told if an incomplete last record was truncated
+     * @throws IOException with a message of one line, if the log can't be used: it is in use, damaged, or another
+     *     member's
      */
-    public static DiskLog open(Path folder, String group, String name, Consumer<String> note) throws IOException {
+    public static DiskLog open(Path folder, String group, String name, Consumer<String> noteListener)
+            throws IOException {
         Files.createDirectories(folder);
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwx------"));
         FileChannel lockFile = create(folder.resolve("lock"), StandardOpenOption.WRITE);
@@ -81,7 +83,7 @@
         try {
             lock = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            // This very process has it.
+            // This process holds the lock already.
         }
         if (lock == null) {
             lockFile.close();
@@ -89,13 +91,13 @@
         }
         Wire.Record header = Wire.Record.newBuilder()
                 .setHeader(Wire.Header.newBuilder()
-                        .setVersion(VERSION)
+                        .setVersion(FORMAT_VERSION)
                         .setGroup(group)
                         .setName(name))
                 .build();
         DiskLog disk = new DiskLog(folder, header, lockFile, lock);
         try {
-            disk.read(note);
+            disk.read(noteListener);
         } catch (IOException e) {
             disk.close();
             throw e;
@@ -103,85 +105,86 @@
         return disk;
     }
 
-    private static FileChannel create(Path path, StandardOpenOption... how) throws IOException {
-        Set<StandardOpenOption> all = EnumSet.copyOf(List.of(how));
-        all.add(StandardOpenOption.CREATE);
+    private static FileChannel create(Path path, StandardOpenOption... options) throws IOException {
+        Set<StandardOpenOption> allOptions = EnumSet.copyOf(List.of(options));
+        allOptions.add(StandardOpenOption.CREATE);
         return FileChannel.open(
-                path, all, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
+                path, allOptions, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
     }
 
     private Path path() {
         return folder.resolve("log");
     }
 
-    private void read(Consumer<String> note) throws IOException {
+    private void read(Consumer<String> noteListener) throws IOException {
         file = create(path(), StandardOpenOption.READ, StandardOpenOption.WRITE);
         long size = file.size();
         if (size == 0) {
-            begin();
+            startFile();
             return;
         }
-        ByteBuffer all = file.map(FileChannel.MapMode.READ_ONLY, 0, size);
-        boolean any = false;
-        while (all.hasRemaining()) {
-            int at = all.position();
-            Wire.Record record = next(all);
+        ByteBuffer contents = file.map(FileChannel.MapMode.READ_ONLY, 0, size);
+        boolean headerRead = false;
+        while (contents.hasRemaining()) {
+            int offset = contents.position();
+            Wire.Record record = readRecord(contents);
             if (record == null) {
-                if (goodAfter(all, at + 1)) {
-                    throw new IOException(path() + " is damaged at byte " + at + " with good records behind it");
+                if (hasRecordAfter(contents, offset + 1)) {
+                    throw new IOException(path() + " is damaged at byte " + offset + ", with intact records after it");
                 }
-                note.accept("copies: " + path() + " ended in the midst of a record; " + (size - at) + " bytes cut off");
-                file.truncate(at);
+                noteListener.accept("copies: " + path() + " ends with an incomplete record; " + (size - offset)
+                        + " bytes truncated");
+                file.truncate(offset);
                 file.force(true);
-                size = at;
+                size = offset;
                 break;
             }
-            if (!any && !record.equals(header)) {
-                throw new IOException(path() + " is of another member, group or version");
+            if (!headerRead && !record.equals(header)) {
+                throw new IOException(path() + " belongs to another member, group or version");
             }
-            any = true;
+            headerRead = true;
             try {
-                take(record);
+                applyRecord(record);
             } catch (IllegalArgumentException e) {
-                throw new IOException(path() + " has a record that this version can't read, at byte " + at, e);
+                throw new IOException(path() + " has a record that this version can't read, at byte " + offset, e);
             }
         }
-        if (!any) {
-            begin();
+        if (!headerRead) {
+            startFile();
             return;
         }
         file.position(size);
         writer = new RecordWriter(file, size);
-        sizeAnew = size;
+        sizeAtRewrite = size;
     }
 
-    private void begin() throws IOException {
+    private void startFile() throws IOException {
         file.truncate(0);
         file.position(0);
         writer = new RecordWriter(file, 0);
         writer.write(header);
         writer.flush();
-        sizeAnew = writer.size();
+        sizeAtRewrite = writer.size();
         syncFolder();
     }
 
-    /** The record at the buffer's place, which moves behind it; null if there is no whole one. */
-    private static Wire.Record next(ByteBuffer all) {
-        if (all.remaining() < RecordWriter.FRAME) {
+    /** Reads the record at the buffer's position and moves the position past it; null if there is no valid record. */
+    private static Wire.Record readRecord(ByteBuffer contents) {
+        if (contents.remaining() < RecordWriter.PREFIX_BYTES) {
             return null;
         }
-        int length = all.getInt();
-        int sum = all.getInt();
-        if (length <= 0 || length > RecordWriter.MAX_RECORD || length > all.remaining()) {
+        int length = contents.getInt();
+        int checksum = contents.getInt();
+        if (length <= 0 || length > RecordWriter.MAX_RECORD_BYTES || length > contents.remaining()) {
             return null;
         }
-        ByteBuffer bytes = all.slice(all.position(), length);
-        CRC32C own = new CRC32C();
-        own.update(bytes.duplicate());
-        if ((int) own.getValue() != sum) {
+        ByteBuffer bytes = contents.slice(contents.position(), length);
+        CRC32C computed = new CRC32C();
+        computed.update(bytes.duplicate());
+        if ((int) computed.getValue() != checksum) {
             return null;
         }
-        all.position(all.position() + length);
+        contents.position(contents.position() + length);
         try {
             return Wire.Record.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
@@ -189,149 +192,152 @@
         }
     }
 
-    private static boolean goodAfter(ByteBuffer all, int from) {
-        for (int at = from; at < all.limit(); at++) {
-            all.position(at);
-            if (next(all) != null) {
+    private static boolean hasRecordAfter(ByteBuffer contents, int start) {
+        for (int offset = start; offset < contents.limit(); offset++) {
+            contents.position(offset);
+            if (readRecord(contents) != null) {
                 return true;
             }
         }
         return false;
     }
 
-    private void take(Wire.Record r) throws IOException {
-        switch (r.getWhatCase()) {
+    private void applyRecord(Wire.Record logRecord) throws IOException {
+        switch (logRecord.getWhatCase()) {
             case HEADER -> {}
             case SELF ->
                 found.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(Messages.id(r.getSelf()))
-                        .setVoting(r.getVoting())
+                        .setLocalEndpoint(Messages.id(logRecord.getSelf()))
+                        .setVoting(logRecord.getVoting())
                         .build());
-            case FIRST -> found.persistAndFlushInitialGroupMembers(Messages.members(r.getFirst()));
+            case FIRST -> found.persistAndFlushInitialGroupMembers(Messages.decodeMembers(logRecord.getFirst()));
             case TERM ->
                 found.persistAndFlushTerm(MODELS.createRaftTermPersistentStateBuilder()
-                        .setTerm(r.getTerm().getTerm())
+                        .setTerm(logRecord.getTerm().getTerm())
                         .setVotedFor(
-                                r.getTerm().hasVotedFor()
-                                        ? Messages.id(r.getTerm().getVotedFor())
+                                logRecord.getTerm().hasVotedFor()
+                                        ? Messages.id(logRecord.getTerm().getVotedFor())
                                         : (RaftEndpoint) null)
                         .build());
-            case ENTRY -> found.persistLogEntries(List.of(Messages.entry(r.getEntry())));
-            case CHUNK -> found.persistSnapshotChunk(Messages.chunk(r.getChunk()));
-            case CUT_FROM -> found.truncateLogEntriesFrom(r.getCutFrom());
-            case CUT_UNTIL -> found.truncateLogEntriesUntil(r.getCutUntil());
-            case CHUNKS_GONE -> found.deleteSnapshotChunks(r.getChunksGone(), 0);
-            default -> throw new IllegalArgumentException("a record of no known kind");
+            case ENTRY -> found.persistLogEntries(List.of(Messages.decodeEntry(logRecord.getEntry())));
+            case CHUNK -> found.persistSnapshotChunk(Messages.decodeChunk(logRecord.getChunk()));
+            case CUT_FROM -> found.truncateLogEntriesFrom(logRecord.getCutFrom());
+            case CUT_UNTIL -> found.truncateLogEntriesUntil(logRecord.getCutUntil());
+            case CHUNKS_GONE -> found.deleteSnapshotChunks(logRecord.getChunksGone(), 0);
+            default -> throw new IllegalArgumentException("record of unknown kind");
         }
     }
 
-    /** What it held when it was opened, or nothing; what is done to that is written here. */
+    /**
+     * The content that was read when the log was opened; later changes to it are written to this log. A second call
+     * gives an empty mirror.
+     */
     public LogMirror found() {
         LogMirror held = new LogMirror(found, this);
         found = new LogMirror();
         return held;
     }
 
-    /** Forgets all that it holds. */
+    /** Erases the log; returns an empty mirror whose changes are written to it. */
     public LogMirror wiped() {
         try {
-            begin();
+            startFile();
         } catch (IOException e) {
-            fail(e);
+            reportFailure(e);
         }
         return new LogMirror(new LogMirror(), this);
     }
 
-    /** Hears once why this disk takes nothing more. */
+    /** Sets the listener that is told the first write error. */
     public void onFailure(Consumer<String> listener) {
-        failed = listener;
+        failureListener = listener;
     }
 
-    private void fail(IOException e) {
-        if (!faulty) {
-            faulty = true;
-            failed.accept(String.valueOf(e.getMessage()));
+    private void reportFailure(IOException e) {
+        if (!hasFailed) {
+            hasFailed = true;
+            failureListener.accept(String.valueOf(e.getMessage()));
         }
     }
 
-    private void guarded(Step step) throws IOException {
-        if (faulty) {
-            throw new IOException("the disk has failed before");
+    private void runUnlessFailed(DiskOperation operation) throws IOException {
+        if (hasFailed) {
+            throw new IOException("an earlier write failed; the log accepts no more writes");
         }
         try {
-            step.run();
+            operation.run();
         } catch (IOException e) {
-            fail(e);
+            reportFailure(e);
             throw e;
         }
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        guarded(() -> writer.persistAndFlushLocalEndpoint(state));
+        runUnlessFailed(() -> writer.persistAndFlushLocalEndpoint(state));
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        guarded(() -> writer.persistAndFlushInitialGroupMembers(members));
+        runUnlessFailed(() -> writer.persistAndFlushInitialGroupMembers(members));
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        guarded(() -> writer.persistAndFlushTerm(state));
+        runUnlessFailed(() -> writer.persistAndFlushTerm(state));
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        guarded(() -> writer.persistLogEntries(entries));
+        runUnlessFailed(() -> writer.persistLogEntries(entries));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        guarded(() -> writer.persistSnapshotChunk(chunk));
+        runUnlessFailed(() -> writer.persistSnapshotChunk(chunk));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        guarded(() -> writer.truncateLogEntriesFrom(index));
+        runUnlessFailed(() -> writer.truncateLogEntriesFrom(index));
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        guarded(() -> writer.truncateLogEntriesUntil(index));
+        runUnlessFailed(() -> writer.truncateLogEntriesUntil(index));
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        guarded(() -> writer.deleteSnapshotChunks(index, count));
+        runUnlessFailed(() -> writer.deleteSnapshotChunks(index, count));
     }
 
     @Override
     public void flush() throws IOException {
-        guarded(() -> writer.flush());
+        runUnlessFailed(() -> writer.flush());
     }
 
     @Override
-    public void shortened(LogMirror held) throws IOException {
-        if (writer.size() > Math.max(MIN_ANEW, GROWTH * sizeAnew)) {
-            guarded(() -> writeAnew(held));
+    public void shortened(LogMirror mirror) throws IOException {
+        if (writer.size() > Math.max(MIN_REWRITE_BYTES, REWRITE_GROWTH_FACTOR * sizeAtRewrite)) {
+            runUnlessFailed(() -> rewrite(mirror));
         }
     }
 
-    // Whole and on the disk before it takes the old one's name.
-    private void writeAnew(LogMirror held) throws IOException {
-        Path next = folder.resolve("log.new");
-        FileChannel anew =
-                create(next, StandardOpenOption.READ, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
-        RecordWriter into = new RecordWriter(anew, 0);
-        into.write(header);
-        held.copyTo(into);
-        Files.move(next, path(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    // The new file is complete and flushed before it is renamed over the old one.
+    private void rewrite(LogMirror mirror) throws IOException {
+        Path newPath = folder.resolve("log.new");
+        FileChannel newFile = create(
+                newPath, StandardOpenOption.READ, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
+        RecordWriter newWriter = new RecordWriter(newFile, 0);
+        newWriter.write(header);
+        mirror.copyTo(newWriter);
+        Files.move(newPath, path(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         syncFolder();
         file.close();
-        file = anew;
-        writer = into;
-        sizeAnew = into.size();
+        file = newFile;
+        writer = newWriter;
+        sizeAtRewrite = newWriter.size();
     }
 
     private void syncFolder() throws IOException {
@@ -340,7 +346,7 @@
         }
     }
 
-    /** Ends what was written and lets another process have the files. */
+    /** Closes the files and releases the lock. */
     @Override
     public void close() throws IOException {
         lock.release();
--- a/src/main/java/whinlead/replication/disk/RecordWriter.java
+++ b/src/main/java/whinlead/replication/disk/RecordWriter.java
@@ -15,17 +15,17 @@
 import whinlead.replication.raft.MemberDisk;
 import whinlead.replication.wire.Wire;
 
-/** Writes records to the end of a file: a length, a checksum and a protobuf message each. */
+/** Appends records to a file: a length, a checksum and a protobuf message each. */
 final class RecordWriter implements MemberDisk {
-    /** Before each record: its length and its checksum. */
-    static final int FRAME = 2 * Integer.BYTES;
-    /** A longer record is none: a piece of a snapshot, the longest there is, has a thousand requests. */
-    static final int MAX_RECORD = 16 << 20;
+    /** Bytes before each record: its length and its checksum. */
+    static final int PREFIX_BYTES = 2 * Integer.BYTES;
+    /** A longer record is invalid: a snapshot chunk, the longest kind, has at most a thousand requests. */
+    static final int MAX_RECORD_BYTES = 16 << 20;
 
-    private static final int BUFFER = 64 << 10;
+    private static final int BUFFER_BYTES = 64 << 10;
 
     private final FileChannel file;
-    private ByteBuffer waiting = ByteBuffer.allocate(BUFFER);
+    private ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
     private long size;
 
     RecordWriter(FileChannel file, long size) {
@@ -33,79 +33,80 @@
         this.size = size;
     }
 
-    /** Bytes written, those that wait included. */
+    /** Bytes written, buffered ones included. */
     long size() {
         return size;
     }
 
     void write(Wire.Record record) throws IOException {
         byte[] bytes = record.toByteArray();
-        if (bytes.length > MAX_RECORD) {
-            throw new IOException("a record of " + bytes.length + " bytes");
+        if (bytes.length > MAX_RECORD_BYTES) {
+            throw new IOException("record too long: " + bytes.length + " bytes");
         }
-        CRC32C sum = new CRC32C();
-        sum.update(bytes);
-        if (waiting.remaining() < FRAME + bytes.length) {
-            drain();
-            if (waiting.capacity() < FRAME + bytes.length) {
-                waiting = ByteBuffer.allocate(FRAME + bytes.length);
+        CRC32C checksum = new CRC32C();
+        checksum.update(bytes);
+        if (buffer.remaining() < PREFIX_BYTES + bytes.length) {
+            writeBuffer();
+            if (buffer.capacity() < PREFIX_BYTES + bytes.length) {
+                buffer = ByteBuffer.allocate(PREFIX_BYTES + bytes.length);
             }
         }
-        waiting.putInt(bytes.length).putInt((int) sum.getValue()).put(bytes);
-        size += FRAME + bytes.length;
+        buffer.putInt(bytes.length).putInt((int) checksum.getValue()).put(bytes);
+        size += PREFIX_BYTES + bytes.length;
     }
 
-    private void drain() throws IOException {
-        waiting.flip();
-        while (waiting.hasRemaining()) {
-            file.write(waiting);
+    private void writeBuffer() throws IOException {
+        buffer.flip();
+        while (buffer.hasRemaining()) {
+            file.write(buffer);
         }
-        waiting = waiting.capacity() > BUFFER ? ByteBuffer.allocate(BUFFER) : waiting.clear();
+        buffer = buffer.capacity() > BUFFER_BYTES ? ByteBuffer.allocate(BUFFER_BYTES) : buffer.clear();
     }
 
-    private void writeThrough(Wire.Record record) throws IOException {
+    private void writeAndFlush(Wire.Record record) throws IOException {
         write(record);
         flush();
     }
 
     @Override
     public void flush() throws IOException {
-        drain();
+        writeBuffer();
         file.force(false);
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        writeThrough(Wire.Record.newBuilder()
-                .setSelf(Messages.of(state.getLocalEndpoint()))
+        writeAndFlush(Wire.Record.newBuilder()
+                .setSelf(Messages.encode(state.getLocalEndpoint()))
                 .setVoting(state.isVoting())
                 .build());
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        writeThrough(Wire.Record.newBuilder().setFirst(Messages.of(members)).build());
+        writeAndFlush(
+                Wire.Record.newBuilder().setFirst(Messages.encode(members)).build());
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
         Wire.Term.Builder term = Wire.Term.newBuilder().setTerm(state.getTerm());
         if (state.getVotedFor() != null) {
-            term.setVotedFor(Messages.of(state.getVotedFor()));
+            term.setVotedFor(Messages.encode(state.getVotedFor()));
         }
-        writeThrough(Wire.Record.newBuilder().setTerm(term).build());
+        writeAndFlush(Wire.Record.newBuilder().setTerm(term).build());
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        for (LogEntry e : entries) {
-            write(Wire.Record.newBuilder().setEntry(Messages.of(e)).build());
+        for (LogEntry entry : entries) {
+            write(Wire.Record.newBuilder().setEntry(Messages.encode(entry)).build());
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        write(Wire.Record.newBuilder().setChunk(Messages.of(chunk)).build());
+        write(Wire.Record.newBuilder().setChunk(Messages.encode(chunk)).build());
     }
 
     @Override
@@ -124,7 +125,7 @@
     }
 
     @Override
-    public void shortened(LogMirror held) {
-        // Whoever owns the file decides when it is written anew.
+    public void shortened(LogMirror mirror) {
+        // DiskLog, which owns the file, decides when to rewrite it.
     }
 }
--- a/src/main/java/whinlead/replication/disk/package-info.java
+++ b/src/main/java/whinlead/replication/disk/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A member's log in a file.
+ * Stores a member's log in a file.
  *
  * <p>Begin with {@link whinlead.replication.disk.DiskLog}. On the engine's thread, which waits for the disk: nothing is
- * promised before it is written.
+ * acknowledged before it is written.
  */
 package whinlead.replication.disk;
--- a/src/main/java/whinlead/replication/net/Frames.java
+++ b/src/main/java/whinlead/replication/net/Frames.java
@@ -12,77 +12,77 @@
 import whinlead.replication.wire.Wire;
 
 /**
- * What goes between members as frames of their gRPC service, and back ({@code copies.proto}). What can't be read is an
- * {@link IllegalArgumentException}.
+ * Encodes messages between members as frames of their gRPC service ({@code copies.proto}) and decodes them. Decoding
+ * throws an {@link IllegalArgumentException} for invalid frames.
  */
 public final class Frames {
     private Frames() {}
 
-    /** A message as a frame of this group. */
+    /** Encodes a message as a frame of this group. */
     public static Wire.Frame of(String group, GroupMessage groupMessage) {
-        Wire.Frame.Builder b = Wire.Frame.newBuilder()
+        Wire.Frame.Builder builder = Wire.Frame.newBuilder()
                 .setGroup(group)
-                .setSender(groupMessage.from())
-                .setSenderLife(groupMessage.fromLife())
-                .setReceiverLife(groupMessage.toLife())
-                .setSpeaks(groupMessage.speaks());
-        Envelope what = groupMessage.what();
-        if (what instanceof Envelope.Consensus e) {
-            b.setConsensus(Messages.of(e.message()));
-        } else if (what instanceof Envelope.Forward e) {
-            b.setForward(Wire.Forward.newBuilder().setToken(e.token()).setCommand(Commands.of(e.command())));
-        } else if (what instanceof Envelope.Answer e) {
-            b.setAnswer(Wire.Answer.newBuilder().setToken(e.token()).setReply(Commands.of(e.reply())));
-        } else if (what instanceof Envelope.Join e) {
-            b.setJoin(Wire.Join.newBuilder().setWho(Messages.of(e.who())));
-        } else if (what instanceof Envelope.Ask e) {
-            b.setAsk(Wire.Ask.newBuilder().setNonce(e.nonce()));
-        } else if (what instanceof Envelope.Standing e) {
-            b.setStanding(Wire.Standing.newBuilder()
-                    .setAsked(e.asked())
+                .setSender(groupMessage.sender())
+                .setSenderLife(groupMessage.senderIncarnation())
+                .setReceiverLife(groupMessage.receiverIncarnation())
+                .setSpeaks(groupMessage.protocolVersion());
+        Envelope envelope = groupMessage.envelope();
+        if (envelope instanceof Envelope.Consensus e) {
+            builder.setConsensus(Messages.encode(e.message()));
+        } else if (envelope instanceof Envelope.Forward e) {
+            builder.setForward(Wire.Forward.newBuilder().setToken(e.token()).setCommand(Commands.encode(e.command())));
+        } else if (envelope instanceof Envelope.ForwardReply e) {
+            builder.setAnswer(Wire.Answer.newBuilder().setToken(e.token()).setReply(Commands.encode(e.reply())));
+        } else if (envelope instanceof Envelope.Join e) {
+            builder.setJoin(Wire.Join.newBuilder().setWho(Messages.encode(e.newcomer())));
+        } else if (envelope instanceof Envelope.GroupQuery e) {
+            builder.setAsk(Wire.Ask.newBuilder().setNonce(e.nonce()));
+        } else if (envelope instanceof Envelope.GroupInfo e) {
+            builder.setStanding(Wire.Standing.newBuilder()
+                    .setAsked(e.queryNonce())
                     .setNonce(e.nonce())
-                    .addAllFirst(ids(e.first()))
-                    .addAllMembers(ids(e.members()))
-                    .setIndex(e.index()));
-        } else if (what instanceof Envelope.Founded e) {
-            b.setFounded(Wire.Founded.newBuilder().setNonce(e.nonce()).addAllFirst(ids(e.first())));
-        } else if (what instanceof Envelope.Pass e) {
+                    .addAllFirst(encodeIds(e.founders()))
+                    .addAllMembers(encodeIds(e.members()))
+                    .setIndex(e.membersIndex()));
+        } else if (envelope instanceof Envelope.Founded e) {
+            builder.setFounded(Wire.Founded.newBuilder().setNonce(e.nonce()).addAllFirst(encodeIds(e.founders())));
+        } else if (envelope instanceof Envelope.RoutedCommand e) {
             Wire.Pass.Builder pass = Wire.Pass.newBuilder().setToken(e.token());
-            b.setPass(e.command() == null ? pass : pass.setCommand(Commands.of(e.command())));
-        } else if (what instanceof Envelope.Passed e) {
+            builder.setPass(e.command() == null ? pass : pass.setCommand(Commands.encode(e.command())));
+        } else if (envelope instanceof Envelope.RoutedReply e) {
             Wire.Passed.Builder passed = Wire.Passed.newBuilder()
                     .setToken(e.token())
-                    .setTime(e.time())
+                    .setTime(e.groupTimeMs())
                     .setLeader(e.leader());
-            b.setPassed(e.reply() == null ? passed : passed.setReply(Commands.of(e.reply())));
-        } else if (what instanceof Envelope.Invite e) {
-            b.setInvite(Wire.Invite.newBuilder().addAllFirst(ids(e.first())));
+            builder.setPassed(e.reply() == null ? passed : passed.setReply(Commands.encode(e.reply())));
+        } else if (envelope instanceof Envelope.Invite e) {
+            builder.setInvite(Wire.Invite.newBuilder().addAllFirst(encodeIds(e.founders())));
         } else {
-            b.setTaken(Wire.Taken.getDefaultInstance());
+            builder.setTaken(Wire.Taken.getDefaultInstance());
         }
-        return b.build();
+        return builder.build();
     }
 
-    /** What a frame holds; null for a ping, and for what a later version has added. */
+    /** Decodes a frame; null for a ping, and for kinds that a later version has added. */
     public static GroupMessage message(Wire.Frame f) {
         MemberId from = new MemberId(f.getSender(), f.getSenderLife());
-        Envelope what =
+        Envelope envelope =
                 switch (f.getWhatCase()) {
-                    case CONSENSUS -> new Envelope.Consensus(Messages.message(f.getConsensus(), Member.GROUP, from));
+                    case CONSENSUS -> new Envelope.Consensus(Messages.decode(f.getConsensus(), Member.GROUP, from));
                     case FORWARD ->
                         new Envelope.Forward(
                                 f.getForward().getToken(),
-                                Commands.command(f.getForward().getCommand()));
+                                Commands.decodeCommand(f.getForward().getCommand()));
                     case ANSWER ->
-                        new Envelope.Answer(
+                        new Envelope.ForwardReply(
                                 f.getAnswer().getToken(),
-                                Commands.reply(f.getAnswer().getReply()));
+                                Commands.decodeReply(f.getAnswer().getReply()));
                     case JOIN ->
                         new Envelope.Join(
                                 f.getJoin().hasWho() ? Messages.id(f.getJoin().getWho()) : from);
-                    case ASK -> new Envelope.Ask(f.getAsk().getNonce());
+                    case ASK -> new Envelope.GroupQuery(f.getAsk().getNonce());
                     case STANDING ->
-                        new Envelope.Standing(
+                        new Envelope.GroupInfo(
                                 f.getStanding().getAsked(),
                                 f.getStanding().getNonce(),
                                 members(f.getStanding().getFirstList()),
@@ -92,31 +92,31 @@
                         new Envelope.Founded(
                                 f.getFounded().getNonce(),
                                 members(f.getFounded().getFirstList()));
-                    case TAKEN -> new Envelope.Taken();
+                    case TAKEN -> new Envelope.NameTaken();
                     case PASS ->
-                        new Envelope.Pass(
+                        new Envelope.RoutedCommand(
                                 f.getPass().getToken(),
                                 f.getPass().hasCommand()
-                                        ? Commands.command(f.getPass().getCommand())
+                                        ? Commands.decodeCommand(f.getPass().getCommand())
                                         : null);
                     case PASSED ->
-                        new Envelope.Passed(
+                        new Envelope.RoutedReply(
                                 f.getPassed().getToken(),
                                 f.getPassed().hasReply()
-                                        ? Commands.reply(f.getPassed().getReply())
+                                        ? Commands.decodeReply(f.getPassed().getReply())
                                         : null,
                                 f.getPassed().getTime(),
                                 f.getPassed().getLeader());
                     case INVITE -> new Envelope.Invite(members(f.getInvite().getFirstList()));
                     case PING, WHAT_NOT_SET -> null;
                 };
-        return what == null
+        return envelope == null
                 ? null
-                : new GroupMessage(f.getSender(), f.getSenderLife(), f.getReceiverLife(), f.getSpeaks(), what);
+                : new GroupMessage(f.getSender(), f.getSenderLife(), f.getReceiverLife(), f.getSpeaks(), envelope);
     }
 
-    private static List<Wire.Id> ids(Collection<MemberId> ids) {
-        return Messages.all(ids);
+    private static List<Wire.Id> encodeIds(Collection<MemberId> ids) {
+        return Messages.encodeAll(ids);
     }
 
     private static Set<MemberId> members(List<Wire.Id> ids) {
--- a/src/main/java/whinlead/replication/net/GroupLink.java
+++ b/src/main/java/whinlead/replication/net/GroupLink.java
@@ -30,50 +30,51 @@
 import whinlead.replication.wire.Wire;
 
 /**
- * The way between the processes of a site: gRPC, all of it on the engine's loop ({@code copies.proto}). One line to
- * each process that something is said to, whichever group it is about; those to processes of no common group are only
- * kept up while they are used. It carries and decides nothing. Whoever reaches its address is believed: it belongs on
- * loopback or a trusted network.
+ * The gRPC transport between the processes of a site ({@code copies.proto}), all of it on the engine's loop. It has one
+ * connection to each process that it sends to, shared by all groups; connections to processes without a common group
+ * are closed when idle. It only transports messages. Senders are not authenticated: the address has to be on loopback
+ * or a trusted network.
  */
 public final class GroupLink {
-    /** A full batch of entries, or a piece of a snapshot, is far smaller. */
-    private static final int MAX_MESSAGE = 8 << 20;
-    /** From each member one, and as many while they are opened again, and an operator's. */
-    private static final int CONNECTIONS_EACH = 3;
+    /** A full batch of entries and a snapshot chunk are far smaller. */
+    private static final int MAX_MESSAGE_BYTES = 8 << 20;
+    /** One connection, a second one while it is being reopened, and one of an operator. */
+    private static final int CONNECTIONS_PER_PEER = 3;
 
     private final EventLoop loop;
     private final Executor onLoop;
     private final Timers timers;
     private final String name;
-    private final Map<String, InetSocketAddress> processes;
-    private final Set<String> close;
+    private final Map<String, InetSocketAddress> addresses;
+    private final Set<String> groupPeers;
     private final Consumer<String> log;
-    private final Map<String, Line> lines = new HashMap<>();
-    // Held, for loggers are forgotten: of each connection that is cut gRPC would log a stack trace.
-    private final Logger transport = Logger.getLogger("io.grpc.netty");
+    private final Map<String, PeerConnection> connections = new HashMap<>();
+    // Strongly referenced, since loggers are garbage collected and lose their level. At the default level gRPC
+    // logs a stack trace for each broken connection.
+    private final Logger transportLogger = Logger.getLogger("io.grpc.netty");
     private GroupHost host;
-    private long unread;
-    private long said;
-    private long snapshots;
+    private long undecodableFrames;
+    private long sentBytes;
+    private long sentSnapshotBytes;
 
     /**
-     * A link that is yet to be opened.
+     * A link that is not open yet.
      *
-     * @param processes all addresses, this one's included
-     * @param close those of a common group, lines to which are always up
+     * @param addresses of all processes, this one included
+     * @param groupPeers processes of a common group, whose connections always stay open
      */
     public GroupLink(
             EventLoop loop,
             Timers timers,
             String name,
-            Map<String, InetSocketAddress> processes,
-            Set<String> close,
+            Map<String, InetSocketAddress> addresses,
+            Set<String> groupPeers,
             Consumer<String> log) {
         this.loop = loop;
         this.timers = timers;
         this.name = name;
-        this.processes = Map.copyOf(processes);
-        this.close = Set.copyOf(close);
+        this.addresses = Map.copyOf(addresses);
+        this.groupPeers = Set.copyOf(groupPeers);
         this.log = log;
         onLoop = task -> {
             if (loop.inEventLoop()) {
@@ -82,75 +83,77 @@
                 loop.execute(task);
             }
         };
-        transport.setLevel(Level.SEVERE);
+        transportLogger.setLevel(Level.SEVERE);
     }
 
     /**
-     * Listens at the member's own address. Not to be called on the loop.
+     * Listens on the member's own address. Must not be called on the loop.
      *
-     * @throws IOException if it can't
+     * @throws IOException if the address can't be bound
      */
     public void listen() throws IOException {
-        Server server = NettyServerBuilder.forAddress(processes.get(name))
+        Server server = NettyServerBuilder.forAddress(addresses.get(name))
                 .bossEventLoopGroup(loop)
                 .workerEventLoopGroup(loop)
-                .channelFactory(() ->
-                        new BoundedListener(CONNECTIONS_EACH * close.size() + processes.size() + CONNECTIONS_EACH))
+                .channelFactory(() -> new BoundedListener(
+                        CONNECTIONS_PER_PEER * groupPeers.size() + addresses.size() + CONNECTIONS_PER_PEER))
                 .executor(onLoop)
-                .maxInboundMessageSize(MAX_MESSAGE)
+                .maxInboundMessageSize(MAX_MESSAGE_BYTES)
                 .addService(new Service())
                 .build();
         server.start();
     }
 
-    /** Opens the lines to those of a common group; from now on this host hears what comes. On the loop. */
-    public void open(GroupHost own) {
-        host = own;
-        close.stream().filter(other -> !other.equals(name)).forEach(this::line);
+    /**
+     * Opens the connections to processes of a common group and delivers received messages to this host. On the loop.
+     */
+    public void open(GroupHost groupHost) {
+        host = groupHost;
+        groupPeers.stream().filter(other -> !other.equals(name)).forEach(this::connection);
     }
 
-    private Line line(String other) {
-        return lines.computeIfAbsent(
-                other,
-                to -> new Line(
-                        NettyChannelBuilder.forAddress(processes.get(to))
+    private PeerConnection connection(String peer) {
+        return connections.computeIfAbsent(
+                peer,
+                peerName -> new PeerConnection(
+                        NettyChannelBuilder.forAddress(addresses.get(peerName))
                                 .eventLoopGroup(loop)
                                 .channelType(NioSocketChannel.class)
                                 .usePlaintext()
                                 .executor(onLoop)
                                 .offloadExecutor(onLoop)
-                                .maxInboundMessageSize(MAX_MESSAGE)
+                                .maxInboundMessageSize(MAX_MESSAGE_BYTES)
                                 .build(),
                         timers,
-                        close.contains(to),
-                        () -> frame().setPing(1).build(),
-                        this::received,
-                        () -> host.down(to)));
+                        groupPeers.contains(peerName),
+                        () -> newFrame().setPing(1).build(),
+                        this::receive,
+                        () -> host.down(peerName)));
     }
 
-    private Wire.Frame.Builder frame() {
-        return Wire.Frame.newBuilder().setSender(name).setSpeaks(GroupMessage.SPEAKS);
+    private Wire.Frame.Builder newFrame() {
+        return Wire.Frame.newBuilder().setSender(name).setSpeaks(GroupMessage.PROTOCOL_VERSION);
     }
 
-    /** Sends to a process, or loses it. On the loop. */
-    public void send(String group, String to, GroupMessage message) {
-        if (!to.equals(name) && processes.containsKey(to)) {
-            line(to).send(counted(Frames.of(group, message)));
+    /** Sends to a process without a guarantee of delivery. On the loop. */
+    public void send(String group, String receiver, GroupMessage message) {
+        if (!receiver.equals(name) && addresses.containsKey(receiver)) {
+            connection(receiver).send(countSent(Frames.of(group, message)));
         }
     }
 
-    private Wire.Frame counted(Wire.Frame frame) {
+    private Wire.Frame countSent(Wire.Frame frame) {
         int bytes = frame.getSerializedSize();
-        said += bytes;
-        snapshots += frame.hasConsensus() && frame.getConsensus().hasChunk() ? bytes : 0;
+        sentBytes += bytes;
+        sentSnapshotBytes += frame.hasConsensus() && frame.getConsensus().hasChunk() ? bytes : 0;
         return frame;
     }
 
-    private void received(Wire.Frame frame) {
-        received(frame, message -> send(frame.getGroup(), frame.getSender(), message));
+    private void receive(Wire.Frame frame) {
+        receive(frame, message -> send(frame.getGroup(), frame.getSender(), message));
     }
 
-    private void received(Wire.Frame frame, Consumer<GroupMessage> back) {
+    private void receive(Wire.Frame frame, Consumer<GroupMessage> replySender) {
         if (host == null) {
             return;
         }
@@ -158,82 +161,82 @@
         try {
             message = Frames.message(frame);
         } catch (IllegalArgumentException e) {
-            // The 1st, 2nd, 4th, 8th and so on: a peer must not fill the log.
-            if ((++unread & unread - 1) == 0) {
-                log.accept("copies: not understood, from " + frame.getSender() + ": " + e.getMessage());
+            // Logs the 1st, 2nd, 4th, 8th and so on, so that a peer can't fill the log.
+            if ((++undecodableFrames & undecodableFrames - 1) == 0) {
+                log.accept("copies: cannot decode a frame from " + frame.getSender() + ": " + e.getMessage());
             }
             return;
         }
         if (message != null) {
-            host.received(frame.getGroup(), message, back);
+            host.received(frame.getGroup(), message, replySender);
         }
     }
 
     private final class Service extends CopiesGrpc.CopiesImplBase {
         @Override
-        public StreamObserver<Wire.Frame> talk(StreamObserver<Wire.Frame> back) {
-            ServerCallStreamObserver<Wire.Frame> out = (ServerCallStreamObserver<Wire.Frame>) back;
-            // Without one, what is said to a process that is gone throws.
-            out.setOnCancelHandler(() -> {});
+        public StreamObserver<Wire.Frame> talk(StreamObserver<Wire.Frame> responseObserver) {
+            ServerCallStreamObserver<Wire.Frame> responses = (ServerCallStreamObserver<Wire.Frame>) responseObserver;
+            // Without a cancel handler, onNext throws after the peer has gone.
+            responses.setOnCancelHandler(() -> {});
             return new StreamObserver<>() {
                 @Override
                 public void onNext(Wire.Frame frame) {
-                    // One that does not read loses what it is told; and an answer to a ping is owed once
-                    // only.
-                    if (frame.getWhatCase() == Wire.Frame.WhatCase.PING && out.isReady()) {
-                        out.onNext(frame().setPing(frame.getPing()).build());
+                    // Frames to a peer that does not read are dropped; a ping is answered at most
+                    // once.
+                    if (frame.getWhatCase() == Wire.Frame.WhatCase.PING && responses.isReady()) {
+                        responses.onNext(newFrame().setPing(frame.getPing()).build());
                     }
-                    received(frame, message -> {
-                        if (out.isReady() && !out.isCancelled()) {
-                            out.onNext(counted(Frames.of(frame.getGroup(), message)));
+                    receive(frame, message -> {
+                        if (responses.isReady() && !responses.isCancelled()) {
+                            responses.onNext(countSent(Frames.of(frame.getGroup(), message)));
                         }
                     });
                 }
 
                 @Override
                 public void onError(Throwable fault) {
-                    // The other side opens another.
+                    // The peer opens another stream.
                 }
 
                 @Override
                 public void onCompleted() {
-                    out.onCompleted();
+                    responses.onCompleted();
                 }
             };
         }
 
         @Override
-        public void replace(Wire.ReplaceRequest request, StreamObserver<Wire.ReplaceReply> answer) {
+        public void replace(Wire.ReplaceRequest request, StreamObserver<Wire.ReplaceReply> responseObserver) {
             Seat seat = host == null ? null : host.seat(request.getSeatIn());
-            answer.onNext(Wire.ReplaceReply.newBuilder()
+            responseObserver.onNext(Wire.ReplaceReply.newBuilder()
                     .setRefused(seat == null ? "it has no seat there" : seat.replace(request.getName()))
                     .build());
-            answer.onCompleted();
+            responseObserver.onCompleted();
         }
 
         @Override
-        public void status(Wire.StatusRequest request, StreamObserver<Wire.StatusReply> answer) {
-            Wire.StatusReply.Builder b =
-                    Wire.StatusReply.newBuilder().setSaidBytes(said).setSnapshotBytes(snapshots);
+        public void status(Wire.StatusRequest request, StreamObserver<Wire.StatusReply> responseObserver) {
+            Wire.StatusReply.Builder builder =
+                    Wire.StatusReply.newBuilder().setSaidBytes(sentBytes).setSnapshotBytes(sentSnapshotBytes);
             SortedSet<String> seats = host == null ? new TreeSet<>() : new TreeSet<>(host.groups());
-            b.addAllSeats(seats);
+            builder.addAllSeats(seats);
             String group = !request.getSeatIn().isEmpty() || seats.isEmpty() ? request.getSeatIn() : seats.first();
             Seat seat = host == null ? null : host.seat(group);
-            b.setGroup(group);
+            builder.setGroup(group);
             if (seat != null && seat.status().id() != null) {
-                SeatStatus now = seat.status();
-                b.setId(Messages.of(now.id()))
-                        .setLeads(now.leads())
-                        .setVotes(now.votes())
-                        .addAllMembers(Messages.all(now.members()))
-                        .setRequests(now.requests())
-                        .setTimeMs(now.time());
+                SeatStatus status = seat.status();
+                builder.setId(Messages.encode(status.id()))
+                        .setLeads(status.leads())
+                        .setVotes(status.votes())
+                        .addAllMembers(Messages.encodeAll(status.members()))
+                        .setRequests(status.requests())
+                        .setTimeMs(status.groupTimeMs());
                 if (!request.getRequest().isEmpty()) {
-                    b.setKnown(Commands.of(seat.member().book().look(request.getRequest())));
+                    builder.setKnown(Commands.encode(seat.member().book().lookUp(request.getRequest())));
                 }
             }
-            answer.onNext(b.build());
-            answer.onCompleted();
+            responseObserver.onNext(builder.build());
+            responseObserver.onCompleted();
         }
     }
 }
--- a/src/main/java/whinlead/replication/net/package-info.java
+++ b/src/main/java/whinlead/replication/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * gRPC between the members of replication groups.
+ * The gRPC transport between the members of replication groups.
  *
  * <p>Begin with {@link whinlead.replication.net.GroupLink}. On the engine's loop.
  */
--- a/src/main/java/whinlead/replication/raft/CommandBatcher.java
+++ b/src/main/java/whinlead/replication/raft/CommandBatcher.java
@@ -9,24 +9,24 @@
 import whinlead.replication.Reply;
 
 /**
- * Has all commands of one turn agreed on together: a round trip costs the same for one as for a hundred. Where this
- * node leads; on the engine's thread.
+ * Replicates all commands of one turn of the engine's loop as one batch, since a round trip costs the same for one
+ * command as for a hundred. Used while this node leads; on the engine's thread.
  */
 final class CommandBatcher {
     private final ConsensusNode node;
     private final Timers timers;
-    private final GroupClock pace;
+    private final GroupClock clock;
     private final List<Command> commands = new ArrayList<>();
     private final List<Consumer<Reply>> listeners = new ArrayList<>();
 
-    /** One without commands. */
-    CommandBatcher(ConsensusNode node, Timers timers, GroupClock pace) {
+    /** A batcher without commands. */
+    CommandBatcher(ConsensusNode node, Timers timers, GroupClock clock) {
         this.node = node;
         this.timers = timers;
-        this.pace = pace;
+        this.clock = clock;
     }
 
-    /** Has a command agreed on at the end of this turn; the reply comes once, later, or never. */
+    /** Proposes a command at the end of this turn; the listener is called later, at most once. */
     void propose(Command command, Consumer<Reply> listener) {
         if (commands.isEmpty()) {
             timers.after(0, this::flush);
@@ -36,14 +36,14 @@
     }
 
     private void flush() {
-        Member.Batch batch = new Member.Batch(pace.time(timers.now()), commands);
-        List<Consumer<Reply>> waiting = List.copyOf(listeners);
+        Member.Batch batch = new Member.Batch(clock.time(timers.now()), commands);
+        List<Consumer<Reply>> batchListeners = List.copyOf(listeners);
         commands.clear();
         listeners.clear();
-        // Where it is not agreed on, or nobody knows, whoever asked asks again.
+        // If the batch is not committed, or that is unknown, the callers resubmit their commands.
         node.<List<Reply>>replicate(batch, replies -> {
-            for (int i = 0; i < waiting.size(); i++) {
-                waiting.get(i).accept(replies.get(i));
+            for (int i = 0; i < batchListeners.size(); i++) {
+                batchListeners.get(i).accept(replies.get(i));
             }
         });
     }
--- a/src/main/java/whinlead/replication/raft/ConsensusNode.java
+++ b/src/main/java/whinlead/replication/raft/ConsensusNode.java
@@ -20,10 +20,7 @@
 import java.util.function.Consumer;
 import whinlead.engine.Timers;
 
-/**
- * The node of the consensus library that one member runs, which can be started again from its log. On the engine's
- * thread.
- */
+/** Wraps the MicroRaft node of one member, which can be restarted from its log. On the engine's thread. */
 final class ConsensusNode {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
@@ -38,14 +35,14 @@
     private NodeExecutor executor;
 
     /**
-     * A node that is yet to start, with what its log holds.
+     * A node that is not started yet, with the state of its log.
      *
-     * @param first the group's first members, where the log holds nothing
-     * @param random for the times of elections
+     * @param founders the group's founding members, used if the log is empty
+     * @param random for election timeouts
      */
     ConsensusNode(
             MemberId id,
-            Set<MemberId> first,
+            Set<MemberId> founders,
             Timers timers,
             RaftConfig config,
             LogMirror log,
@@ -64,7 +61,7 @@
                 ? builder().setRestoredState(restored).build()
                 : builder()
                         .setLocalEndpoint(id)
-                        .setInitialGroupMembers(List.copyOf(first))
+                        .setInitialGroupMembers(List.copyOf(founders))
                         .build();
     }
 
@@ -81,36 +78,36 @@
                 .setStore(log);
     }
 
-    /** Takes part from now on. */
+    /** Starts the node. */
     void start() {
         node.start();
     }
 
-    /** Does nothing any more. */
+    /** Stops the node; tasks that are due later do not run. */
     void stop() {
         executor.stop();
     }
 
-    /** Begins again from its log, as a process does that is started again with its disk. */
+    /** Restarts from the log, as a process that is restarted with its disk does. */
     void restart() {
-        // What the node before still had to do would go to the log behind this one's back, votes too.
+        // Pending tasks of the previous node, such as votes, would write to the log unknown to the new node.
         executor.stop();
         stateMachine.reset();
         node = builder().setRestoredState(log.restored()).build();
         node.start();
     }
 
-    /** Whether it has found that it is no member any more. */
+    /** Whether the node has learned that it is no longer a member. */
     boolean terminated() {
         return node.getStatus() == RaftNodeStatus.TERMINATED;
     }
 
-    /** The member that leads, as far as this one knows; null if it knows of none. */
+    /** The leader as far as this node knows; null if it knows none. */
     MemberId leader() {
         return (MemberId) node.getTerm().getLeaderEndpoint();
     }
 
-    /** Whether it believes that it leads. */
+    /** Whether this node believes that it leads. */
     boolean leads() {
         return id.equals(leader());
     }
@@ -119,22 +116,22 @@
         return node.getTerm().getTerm();
     }
 
-    /** Whether it is a voter, as far as it knows. */
+    /** Whether this node is a voter, as far as it knows. */
     boolean votes() {
         return committedMembers().getVotingMembers().contains(id);
     }
 
-    /** The members as agreed, learners included. */
+    /** The committed members, learners included. */
     Set<MemberId> members() {
         return ids(committedMembers().getMembers());
     }
 
-    /** The members that vote, as agreed. */
+    /** The committed voting members. */
     Set<MemberId> voters() {
         return ids(committedMembers().getVotingMembers());
     }
 
-    /** The index of the change that made the members what they are. */
+    /** The log index of the last committed membership change. */
     long membersIndex() {
         return committedMembers().getLogIndex();
     }
@@ -149,12 +146,12 @@
         return ids;
     }
 
-    /** Takes in a message of another node. */
+    /** Handles a message of another node. */
     void handle(RaftMessage message) {
         node.handle(message);
     }
 
-    /** Reports its state, later or never. */
+    /** Passes the node's state to the listener later, at most once. */
     void report(Consumer<RaftNodeReport> listener) {
         node.getReport().whenComplete((report, error) -> {
             if (error == null) {
@@ -163,7 +160,7 @@
         });
     }
 
-    /** Has a batch agreed on; {@code listener} hears the result, later or never. */
+    /** Replicates a batch; the listener gets the result later, at most once. */
     <T> void replicate(Member.Batch batch, Consumer<T> listener) {
         node.<T>replicate(batch).whenComplete((agreed, error) -> {
             if (error == null) {
@@ -173,16 +170,16 @@
     }
 
     /**
-     * Has a change of the members agreed on.
+     * Proposes a membership change.
      *
-     * @param afterIndex of the last change that this one knows
-     * @param listener runs once the change was agreed on or failed, later or never
+     * @param afterIndex log index of the last change that this node knows
+     * @param listener runs later, at most once, after the change was committed or has failed
      */
-    void changeMembership(MemberId who, MembershipChangeMode mode, long afterIndex, Runnable listener) {
-        node.changeMembership(who, mode, afterIndex).whenComplete((agreed, error) -> listener.run());
+    void changeMembership(MemberId member, MembershipChangeMode mode, long afterIndex, Runnable listener) {
+        node.changeMembership(member, mode, afterIndex).whenComplete((agreed, error) -> listener.run());
     }
 
-    /** Asks for votes now, as if the leader had handed over to this one. */
+    /** Starts an election now, as if the leader had transferred leadership to this node. */
     void requestElection(MemberId leader, RaftNodeReport report) {
         node.handle(MODELS.createTriggerLeaderElectionRequestBuilder()
                 .setGroupId(Member.GROUP)
@@ -193,7 +190,7 @@
                 .build());
     }
 
-    /** Learns of a later term, by a request for its vote which it has to refuse. */
+    /** Makes the node adopt a later term, by a vote request that it has to reject. */
     void learnTerm(RaftEndpoint sender, int term) {
         node.handle(MODELS.createVoteRequestBuilder()
                 .setGroupId(Member.GROUP)
--- a/src/main/java/whinlead/replication/raft/Envelope.java
+++ b/src/main/java/whinlead/replication/raft/Envelope.java
@@ -5,73 +5,76 @@
 import whinlead.replication.Command;
 import whinlead.replication.Reply;
 
-/** What goes from one member of a group to another; each may be lost, late, doubled or out of order. */
+/** A message from one process to another about a group; each may be lost, late, duplicated or out of order. */
 public sealed interface Envelope {
-    /** A message of the consensus. */
+    /** A message of the consensus library. */
     record Consensus(RaftMessage message) implements Envelope {}
 
-    /** A command for the one that leads. {@code token} names the question to its asker. */
+    /** A command that a member forwards to the leader. {@code token} identifies it in the reply. */
     record Forward(long token, Command command) implements Envelope {}
 
-    /** The answer to a forwarded one. */
-    record Answer(long token, Reply reply) implements Envelope {}
+    /** The reply to a forwarded command. */
+    record ForwardReply(long token, Reply reply) implements Envelope {}
 
-    /** A new life asks to be let into the group in the place of its earlier ones. */
-    record Join(MemberId who) implements Envelope {}
+    /** A new incarnation asks to be admitted to the group in place of its earlier ones. */
+    record Join(MemberId newcomer) implements Envelope {}
 
-    /** A process that has no life yet asks what another knows of the group; {@code nonce} is the process's. */
-    record Ask(long nonce) implements Envelope {}
+    /**
+     * A process asks another what that one knows of the group; {@code nonce} identifies the asking process, or is the
+     * token of a {@link LivenessChallenges liveness challenge}.
+     */
+    record GroupQuery(long nonce) implements Envelope {}
 
     /**
-     * The answer to that.
+     * The reply to a query about the group.
      *
-     * @param asked the nonce of the process that asked
-     * @param nonce the answerer's own, 0 once it has a life
-     * @param first the members with which the group was founded; empty while the answerer knows none
-     * @param members those that it knows now
-     * @param index of the change that made these the members, which counts up
+     * @param queryNonce the nonce of the query
+     * @param nonce the replying process's own
+     * @param founders the founding members of the group; empty while the replying process knows none
+     * @param members the members that the replying process knows
+     * @param membersIndex log index of the change to these members, which only increases
      */
-    record Standing(long asked, long nonce, Set<MemberId> first, Set<MemberId> members, long index)
+    record GroupInfo(long queryNonce, long nonce, Set<MemberId> founders, Set<MemberId> members, long membersIndex)
             implements Envelope {
         /** Keeps copies. */
-        public Standing {
-            first = MemberId.sorted(first);
+        public GroupInfo {
+            founders = MemberId.sorted(founders);
             members = MemberId.sorted(members);
         }
     }
 
-    /** The process with this nonce has founded the group with these. */
-    record Founded(long nonce, Set<MemberId> first) implements Envelope {
+    /** The process with this nonce has founded the group with these members. */
+    record Founded(long nonce, Set<MemberId> founders) implements Envelope {
         /** Keeps a copy. */
         public Founded {
-            first = MemberId.sorted(first);
+            founders = MemberId.sorted(founders);
         }
     }
 
-    /** Another process lives under the receiver's name. */
-    record Taken() implements Envelope {}
+    /** Another process is running under the receiver's name. */
+    record NameTaken() implements Envelope {}
 
     /**
-     * A question to the group from a process that is no member of it. {@code token} names it to its asker.
+     * A command from a process that is not a member of the group. {@code token} identifies it in the reply.
      *
-     * @param command null to ask for the group's time only
+     * @param command null to query the group's time only
      */
-    record Pass(long token, Command command) implements Envelope {}
+    record RoutedCommand(long token, Command command) implements Envelope {}
 
     /**
-     * The answer to that, of a member or of one that is none any more.
+     * The reply to a command from outside the group.
      *
-     * @param reply null if there was no command, or the answerer holds no seat
-     * @param time of the group; less than 0 if the answerer holds no seat
-     * @param leader as far as the answerer knows; empty if it knows of none
+     * @param reply null if there was no command, or if the replying process has no seat
+     * @param groupTimeMs less than 0 if the replying process has no seat
+     * @param leader as far as the replying process knows; empty if it knows none
      */
-    record Passed(long token, Reply reply, long time, String leader) implements Envelope {}
+    record RoutedReply(long token, Reply reply, long groupTimeMs, String leader) implements Envelope {}
 
-    /** A process is asked to take a seat in the group, which these founded. */
-    record Invite(Set<MemberId> first) implements Envelope {
+    /** A process is invited to take a seat in the group that these members founded. */
+    record Invite(Set<MemberId> founders) implements Envelope {
         /** Keeps a copy. */
         public Invite {
-            first = MemberId.sorted(first);
+            founders = MemberId.sorted(founders);
         }
     }
 }
--- a/src/main/java/whinlead/replication/raft/ForwardedCommands.java
+++ b/src/main/java/whinlead/replication/raft/ForwardedCommands.java
@@ -5,25 +5,24 @@
 import java.util.function.Consumer;
 import whinlead.replication.Reply;
 
-/** Commands that this member has forwarded to the leader, with who waits for each reply. */
+/** Commands that this member has forwarded to the leader, with the listener for each reply. */
 final class ForwardedCommands {
-    /** More than these are asked again later. */
+    /** Limit of pending commands; the oldest are dropped, and their callers resubmit them. */
     private static final int MAX_PENDING = 10_000;
 
     private final Map<Long, Consumer<Reply>> pending = new LinkedHashMap<>();
     private long lastToken;
 
     /**
-     * None yet.
+     * Without pending commands.
      *
-     * @param seed drawn at random: replies to an earlier process of this member, which come late, must fit none of this
-     *     one's commands
+     * @param seed drawn at random: late replies to an earlier process of this member must match no command of this one
      */
     ForwardedCommands(long seed) {
         lastToken = seed;
     }
 
-    /** Notes who waits for a reply; gives the token by which that will come. */
+    /** Registers a listener; returns the token that identifies its reply. */
     long add(Consumer<Reply> listener) {
         if (pending.size() >= MAX_PENDING) {
             pending.remove(pending.keySet().iterator().next());
@@ -32,8 +31,8 @@
         return lastToken;
     }
 
-    /** A reply has come; it is ignored if nobody waits for it. */
-    void replied(long token, Reply reply) {
+    /** Handles a reply; it is ignored if no listener waits for it. */
+    void receiveReply(long token, Reply reply) {
         Consumer<Reply> listener = pending.remove(token);
         if (listener != null) {
             listener.accept(reply);
--- a/src/main/java/whinlead/replication/raft/GroupFormation.java
+++ b/src/main/java/whinlead/replication/raft/GroupFormation.java
@@ -10,114 +10,118 @@
 import java.util.stream.Stream;
 
 /**
- * What a process knows on the way to a life in its group: the number that it drew, what others have answered, and which
- * process under the first name it promised to follow. It decides by that:
+ * The state of a process that has no incarnation in its group yet: its random nonce, the replies of other processes,
+ * and the coordinator process that it promised to follow. The coordinator is the process with the first of all
+ * founders' names. The rules are:
  *
  * <ul>
- *   <li>Somebody knows a group: it joins that as a new life, and never as one that may have voted.
- *   <li>Nobody does, <em>all</em> have answered, and its name is the first of all: it founds the group with the
- *       processes that answered, each known by a number it drew when it started.
- *   <li>Another founds: it takes part only in what the process it last answered has founded. So of two processes that
- *       came after each other under the first name, only one can found a group of all.
+ *   <li>If another process knows a group, this one joins it as a new incarnation, and never as one that may have voted.
+ *   <li>If none does, <em>all</em> have replied, and this process is the coordinator, it founds the group with the
+ *       processes that replied, each identified by its nonce.
+ *   <li>If the coordinator founds the group, this process takes part only if it is the coordinator process that this
+ *       one last replied to. So of two successive coordinator processes, only one can found a group of all.
  * </ul>
  *
- * No I/O and no clock.
+ * <p>No I/O and no clock.
  */
 final class GroupFormation {
-    private static final long NOBODY = 0;
+    private static final long NO_PROCESS = 0;
 
     private final SeatSetup setup;
     private final Random random;
-    private final Map<String, Envelope.Standing> answers = new TreeMap<>();
+    private final Map<String, Envelope.GroupInfo> replies = new TreeMap<>();
     private long nonce;
-    /** The process under the first name that this one last told to have no life. */
-    private long promised = NOBODY;
+    /** The nonce of the coordinator process that this one last replied to while it had no incarnation. */
+    private long promisedNonce = NO_PROCESS;
 
-    /** One that has heard nothing yet. */
+    /** Starts without replies. */
     GroupFormation(SeatSetup setup, Random random) {
         this.setup = setup;
         this.random = random;
         this.nonce = IncarnationNumbers.draw(random);
     }
 
-    /** Begins anew, as another process would. */
+    /** Resets everything, as a new process would start. */
     void reset() {
-        promised = NOBODY;
-        answers.clear();
+        promisedNonce = NO_PROCESS;
+        replies.clear();
         nonce = IncarnationNumbers.draw(random);
     }
 
-    /** What this process drew. */
+    /** This process's random nonce. */
     long nonce() {
         return nonce;
     }
 
-    /** The life that it has if it is one of the group's first members. */
-    MemberId firstLife() {
+    /** The incarnation of this process if it is one of the group's founding members. */
+    MemberId firstIncarnation() {
         return new MemberId(setup.name(), IncarnationNumbers.first(nonce));
     }
 
-    /** The life that it has if it joins a group of which it is told this. */
-    MemberId nextLife(Envelope.Standing standing) {
-        long count = Stream.concat(lives(standing.first(), setup.name()), lives(standing.members(), setup.name()))
-                .mapToLong(life -> IncarnationNumbers.count(life.life()))
+    /** The incarnation of this process if it joins the group that this reply describes. */
+    MemberId nextIncarnation(Envelope.GroupInfo info) {
+        long count = Stream.concat(
+                        incarnationsOf(info.founders(), setup.name()), incarnationsOf(info.members(), setup.name()))
+                .mapToLong(incarnation -> IncarnationNumbers.count(incarnation.incarnation()))
                 .max()
                 .orElse(0);
-        return new MemberId(setup.name(), IncarnationNumbers.of(count + 1, nonce));
+        return new MemberId(setup.name(), IncarnationNumbers.number(count + 1, nonce));
     }
 
-    private static Stream<MemberId> lives(Collection<MemberId> all, String name) {
-        return all.stream().filter(life -> life.name().equals(name));
+    private static Stream<MemberId> incarnationsOf(Collection<MemberId> members, String name) {
+        return members.stream().filter(incarnation -> incarnation.name().equals(name));
     }
 
-    /** Another process has answered what it knows. */
-    void answered(String name, Envelope.Standing standing) {
-        answers.put(name, standing);
+    /** Records the reply of another process. */
+    void receiveInfo(String name, Envelope.GroupInfo info) {
+        replies.put(name, info);
     }
 
-    /** Forgets what others have answered. */
-    void clearAnswers() {
-        answers.clear();
+    /** Forgets all replies. */
+    void clearReplies() {
+        replies.clear();
     }
 
-    /** Those that have answered. */
-    Set<String> answerers() {
-        return Collections.unmodifiableSet(answers.keySet());
+    /** The processes that have replied. */
+    Set<String> repliers() {
+        return Collections.unmodifiableSet(replies.keySet());
     }
 
-    /** Whether most of the group's processes have answered, this one counted. */
-    boolean majorityAnswered() {
-        return 2 * answers.size() + 1 >= setup.names().size();
+    /** Whether a majority of the founding processes has replied, this one counted. */
+    boolean majorityReplied() {
+        return 2 * replies.size() + 1 >= setup.founderNames().size();
     }
 
-    /** Whether this process is to found the group: it has the first name, and all others have answered. */
+    /** Whether this process is to found the group: it is the coordinator, and all others have replied. */
     boolean mayFound() {
         return setup.name().equals(setup.coordinator())
-                && answers.size() + 1 >= setup.names().size();
+                && replies.size() + 1 >= setup.founderNames().size();
     }
 
-    /** The members with which this process founds the group. */
+    /** The founding members if this process founds the group. */
     Set<MemberId> founders() {
-        Set<MemberId> founders = new HashSet<>(Set.of(firstLife()));
-        answers.forEach(
-                (name, standing) -> founders.add(new MemberId(name, IncarnationNumbers.first(standing.nonce()))));
+        Set<MemberId> founders = new HashSet<>(Set.of(firstIncarnation()));
+        replies.forEach((name, info) -> founders.add(new MemberId(name, IncarnationNumbers.first(info.nonce()))));
         return founders;
     }
 
-    /** This process, which has no life, has answered the question of another: it follows no earlier one. */
-    void promise(String name, long itsNonce) {
+    /**
+     * Records that this process, which has no incarnation, has replied to another: if that is the coordinator, this one
+     * no longer follows an earlier coordinator process.
+     */
+    void promise(String name, long processNonce) {
         if (name.equals(setup.coordinator())) {
-            promised = itsNonce;
+            promisedNonce = processNonce;
         }
     }
 
-    /** Whether it was the process with this name and nonce that this one promised to follow. */
-    boolean promisedTo(String name, long itsNonce) {
-        return name.equals(setup.coordinator()) && itsNonce == promised;
+    /** Whether this process promised to follow the process with this name and nonce. */
+    boolean promisedTo(String name, long processNonce) {
+        return name.equals(setup.coordinator()) && processNonce == promisedNonce;
     }
 
-    /** Whether the process that this one promised to follow is among these. */
-    boolean promisedAmong(Set<MemberId> first) {
-        return first.contains(new MemberId(setup.coordinator(), IncarnationNumbers.first(promised)));
+    /** Whether the coordinator process that this one promised to follow is among these members. */
+    boolean promisedAmong(Set<MemberId> founders) {
+        return founders.contains(new MemberId(setup.coordinator(), IncarnationNumbers.first(promisedNonce)));
     }
 }
