--- a/src/main/java/whinlead/replication/raft/GroupHost.java
+++ b/src/main/java/whinlead/replication/raft/GroupHost.java
@@ -24,39 +24,39 @@
 import whinlead.replication.Trace;
 
 /**
- * What one process has to do with all groups of a site: its seats in some of them, and its ways to the others. Requests
- * are placed by their ids ({@link Placement}); whichever process is asked passes what is to be agreed on to the group
- * that keeps the request. Messages and time in, messages out; no I/O. On the engine's thread.
+ * One process's part in all groups of a site: its seats in some of them, and its routes to the others. Requests are
+ * assigned to groups by their ids ({@link Placement}); any process forwards commands to the group that is responsible
+ * for the request. Its inputs are messages and time, its outputs messages; no I/O. On the engine's thread.
  */
 public final class GroupHost implements ReplicationClient.Group {
-    /** What it needs of the process. */
+    /** What the host needs of its process. */
     public interface Outside {
-        /** Sends once, or loses it; never calls back before it returns. */
+        /** Sends once, without a guarantee of delivery; never calls back before it returns. */
         void send(String group, String to, GroupMessage message);
 
-        /** What the disk holds of a seat in this group; empty if there is none, or no disk. */
+        /** The stored log of a seat in this group; empty if there is no seat or no disk. */
         LogMirror found(String group);
 
-        /** Forgets that; what is held from now on goes to the log given back. */
+        /** Erases the stored log; from now on the returned log is used. */
         LogMirror wiped(String group);
 
-        /** There is no seat in this group any more. */
+        /** The process no longer has a seat in this group. */
         void retired(String group);
 
-        /** Tells the operator, in one line. */
+        /** Reports a line to the operator. */
         void note(String line);
 
-        /** Another process lives under this name: this one is to end. */
+        /** Another process is running under this name: this one has to exit. */
         void taken();
     }
 
     /**
-     * What an operator sets.
+     * The operator's settings.
      *
      * @param name of this process
-     * @param processes of the site, this one among them
-     * @param groups by their names, each with its first members; at least one
-     * @param replaceAfterMs of silence, until a member is replaced by a guest; 0 for never
+     * @param processes of the site, this one included
+     * @param groups by name, each with its founding members; at least one
+     * @param replaceAfterMs of silence after which a member is replaced by a guest; 0 for never
      */
     public record Setup(
             String name,
@@ -65,7 +65,7 @@
             double replaceAfterMs,
             RaftConfig consensus,
             ReplicatedState.Limits limits) {
-        /** Keeps copies, and checks that its members are processes. */
+        /** Copies the collections, and checks that all founding members are processes. */
         public Setup {
             processes = Collections.unmodifiableSortedSet(new TreeSet<>(processes));
             SortedMap<String, SortedSet<String>> copy = new TreeMap<>();
@@ -73,16 +73,17 @@
             groups = Collections.unmodifiableSortedMap(copy);
             for (SortedSet<String> names : groups.values()) {
                 if (!processes.containsAll(names)) {
-                    throw new IllegalArgumentException("a group has a member that is no process: " + names);
+                    throw new IllegalArgumentException(
+                            "a group has a founding member that is not a process of the site: " + names);
                 }
             }
         }
 
-        private boolean first(String group) {
+        private boolean isFounder(String group) {
             return groups.get(group).contains(name);
         }
 
-        private SeatSetup seat(String group) {
+        private SeatSetup seatSetup(String group) {
             return new SeatSetup(name, group, groups.get(group), processes, replaceAfterMs, consensus, limits);
         }
     }
@@ -90,105 +91,107 @@
     private final Setup setup;
     private final Timers timers;
     private final Random random;
-    private final Outside outside;
+    private final Outside environment;
     private final Placement placement;
     private final Trace trace;
     private final SortedMap<String, Seat> seats = new TreeMap<>();
-    private final Map<String, GroupRoute> ways = new HashMap<>();
+    private final Map<String, GroupRoute> routes = new HashMap<>();
 
     /**
-     * A host that is yet to start.
+     * A host that is not started yet.
      *
-     * @param random for what tells this process apart from all others: well seeded, or two could be one
+     * @param random for the numbers that identify this process; needs a good seed, or two processes could get the same
+     *     identity
      */
-    public GroupHost(Setup setup, Timers timers, Random random, Outside outside, Trace trace) {
+    public GroupHost(Setup setup, Timers timers, Random random, Outside environment, Trace trace) {
         this.trace = trace;
         this.setup = setup;
         this.timers = timers;
         this.random = random;
-        this.outside = outside;
+        this.environment = environment;
         placement = new Placement(setup.groups().keySet());
         for (String group : setup.groups().keySet()) {
-            LogMirror found = setup.first(group) || setup.replaceAfterMs() > 0 ? outside.found(group) : null;
-            if (setup.first(group) || found != null && found.restored() != null) {
-                seats.put(group, seat(group, found));
+            LogMirror log = setup.isFounder(group) || setup.replaceAfterMs() > 0 ? environment.found(group) : null;
+            if (setup.isFounder(group) || log != null && log.restored() != null) {
+                seats.put(group, seat(group, log));
             }
         }
     }
 
     private Seat seat(String group, LogMirror log) {
-        return new Seat(setup.seat(group), timers, new GroupClock(timers.now()), log, random, new Seat.Outside() {
-            @Override
-            public void send(String to, GroupMessage message) {
-                outside.send(group, to, message);
-            }
+        return new Seat(
+                setup.seatSetup(group), timers, new GroupClock(timers.now()), log, random, new Seat.Environment() {
+                    @Override
+                    public void send(String to, GroupMessage message) {
+                        environment.send(group, to, message);
+                    }
 
-            @Override
-            public LogMirror wiped() {
-                return outside.wiped(group);
-            }
+                    @Override
+                    public LogMirror wipeLog() {
+                        return environment.wiped(group);
+                    }
 
-            @Override
-            public void note(String line) {
-                outside.note(line);
-            }
+                    @Override
+                    public void report(String line) {
+                        environment.note(line);
+                    }
 
-            @Override
-            public void taken() {
-                outside.taken();
-            }
+                    @Override
+                    public void nameTaken() {
+                        environment.taken();
+                    }
 
-            @Override
-            public void retired() {
-                seats.remove(group);
-                outside.retired(group);
-            }
-        });
+                    @Override
+                    public void seatRetired() {
+                        seats.remove(group);
+                        environment.retired(group);
+                    }
+                });
     }
 
-    /** Finds its places from now on. */
+    /** Starts all seats. */
     public void start() {
         List.copyOf(seats.values()).forEach(Seat::start);
     }
 
-    /** The groups in which it has a seat, or looks for one. */
+    /** The groups in which the process has a seat or tries to get one. */
     public Set<String> groups() {
         return Set.copyOf(seats.keySet());
     }
 
-    /** Its seat in this group; null if it has none. */
+    /** The process's seat in this group; null if it has none. */
     public Seat seat(String group) {
         return seats.get(group);
     }
 
-    /** The link to a process is down. */
+    /** The connection to a process is down. */
     public void down(String name) {
-        seats.values().forEach(s -> s.down(name));
+        seats.values().forEach(seat -> seat.down(name));
     }
 
-    /** The disk takes nothing of this group's any more. */
-    public void diskFailed(String group, String why) {
+    /** Writing this group's log to disk has failed. */
+    public void diskFailed(String group, String reason) {
         Seat seat = seats.get(group);
         if (seat != null) {
-            seat.diskFailed(why);
+            seat.diskFailed(reason);
         }
     }
 
     @Override
-    public void submit(Command command, Consumer<Reply> answer) {
+    public void submit(Command command, Consumer<Reply> listener) {
         String id = command.id();
         if (id == null) {
-            seats.values().forEach(s -> s.submit(command, answer));
+            seats.values().forEach(seat -> seat.submit(command, listener));
             return;
         }
         String group = placement.of(id);
         Seat seat = seats.get(group);
-        if (seat != null && (seat.serves() || others(group).isEmpty())) {
-            seat.submit(command, answer);
+        if (seat != null && (seat.canServe() || otherFounders(group).isEmpty())) {
+            seat.submit(command, listener);
         } else {
-            GroupRoute way = way(group);
-            way.ask(command, answer, timers.now());
-            trace.step(id, Trace.Step.PASSED_ON, way.target());
+            GroupRoute route = route(group);
+            route.query(command, listener, timers.now());
+            trace.step(id, Trace.Step.PASSED_ON, route.target());
         }
     }
 
@@ -196,75 +199,79 @@
     public long time(String id) {
         String group = placement.of(id);
         Seat seat = seats.get(group);
-        return seat != null && (seat.serves() || others(group).isEmpty())
+        return seat != null && (seat.canServe() || otherFounders(group).isEmpty())
                 ? seat.time()
-                : way(group).time(timers.now());
+                : route(group).time(timers.now());
     }
 
-    // Those that may be asked, in an order of this process's own, so that not all ask the same.
-    private List<String> others(String group) {
+    // The other founders that may be queried. The order depends on this process's name, to spread the load.
+    private List<String> otherFounders(String group) {
         List<String> others = new ArrayList<>(setup.groups().get(group));
         others.remove(setup.name());
         return Placement.ranked(setup.name(), others);
     }
 
-    private GroupRoute way(String group) {
-        return ways.computeIfAbsent(
+    private GroupRoute route(String group) {
+        return routes.computeIfAbsent(
                 group,
                 g -> new GroupRoute(
-                        others(g),
+                        otherFounders(g),
                         random.nextLong(),
-                        (to, token, command) -> outside.send(
-                                g, to, new GroupMessage(setup.name(), 0, 0, new Envelope.Pass(token, command)))));
+                        (to, token, command) -> environment.send(
+                                g,
+                                to,
+                                new GroupMessage(setup.name(), 0, 0, new Envelope.RoutedCommand(token, command)))));
     }
 
     /**
-     * Something has come.
+     * Handles a message.
      *
-     * @param back to the very process that said it, whoever its name's address leads to
+     * @param replySender replies to the process that sent the message, even if its name's address leads to another
      */
-    public void received(String group, GroupMessage message, Consumer<GroupMessage> back) {
-        if (!setup.groups().containsKey(group) || !setup.processes().contains(message.from())) {
+    public void received(String group, GroupMessage message, Consumer<GroupMessage> replySender) {
+        if (!setup.groups().containsKey(group) || !setup.processes().contains(message.sender())) {
             return;
         }
         Seat seat = seats.get(group);
-        if (message.what() instanceof Envelope.Pass pass) {
-            passed(seat, message.from(), pass, back);
-        } else if (message.what() instanceof Envelope.Passed answer) {
-            GroupRoute way = ways.get(group);
-            if (way != null) {
-                String leader = setup.processes().contains(answer.leader()) ? answer.leader() : "";
-                way.answered(answer.token(), answer.reply(), answer.time(), leader, timers.now());
+        if (message.envelope() instanceof Envelope.RoutedCommand command) {
+            receiveRouted(seat, message.sender(), command, replySender);
+        } else if (message.envelope() instanceof Envelope.RoutedReply reply) {
+            GroupRoute route = routes.get(group);
+            if (route != null) {
+                String leader = setup.processes().contains(reply.leader()) ? reply.leader() : "";
+                route.receiveReply(reply.token(), reply.reply(), reply.groupTimeMs(), leader, timers.now());
             }
-        } else if (message.what() instanceof Envelope.Invite invite) {
-            if (seat == null && !setup.first(group)) {
-                Seat guest = seat(group, outside.wiped(group));
+        } else if (message.envelope() instanceof Envelope.Invite invite) {
+            if (seat == null && !setup.isFounder(group)) {
+                Seat guest = seat(group, environment.wiped(group));
                 seats.put(group, guest);
-                guest.invited(invite.first());
+                guest.acceptInvitation(invite.founders());
             }
         } else if (seat != null) {
-            seat.received(message, back);
+            seat.receive(message, replySender);
         }
     }
 
-    private void passed(Seat seat, String from, Envelope.Pass pass, Consumer<GroupMessage> back) {
-        if (seat == null || !seat.serves()) {
-            back.accept(new GroupMessage(setup.name(), 0, 0, new Envelope.Passed(pass.token(), null, -1, "")));
-        } else if (pass.command() == null) {
-            back.accept(answer(seat, pass, null));
+    private void receiveRouted(
+            Seat seat, String sender, Envelope.RoutedCommand routed, Consumer<GroupMessage> replySender) {
+        if (seat == null || !seat.canServe()) {
+            replySender.accept(
+                    new GroupMessage(setup.name(), 0, 0, new Envelope.RoutedReply(routed.token(), null, -1, "")));
+        } else if (routed.command() == null) {
+            replySender.accept(routedReply(seat, routed, null));
         } else {
-            trace.step(pass.command().id(), Trace.Step.PASSED_HERE, from);
-            seat.submit(pass.command(), reply -> back.accept(answer(seat, pass, reply)));
+            trace.step(routed.command().id(), Trace.Step.PASSED_HERE, sender);
+            seat.submit(routed.command(), reply -> replySender.accept(routedReply(seat, routed, reply)));
         }
     }
 
-    private GroupMessage answer(Seat seat, Envelope.Pass pass, Reply reply) {
+    private GroupMessage routedReply(Seat seat, Envelope.RoutedCommand routed, Reply reply) {
         return new GroupMessage(
                 setup.name(),
                 0,
                 0,
-                new Envelope.Passed(
-                        pass.token(),
+                new Envelope.RoutedReply(
+                        routed.token(),
                         reply,
                         seat.time(),
                         seat.member() == null ? "" : seat.member().leader()));
--- a/src/main/java/whinlead/replication/raft/GroupMessage.java
+++ b/src/main/java/whinlead/replication/raft/GroupMessage.java
@@ -1,20 +1,22 @@
 package whinlead.replication.raft;
 
 /**
- * What one process says to another of its group, by the members' names, which outlive processes.
+ * A message from one process to another, addressed by name, which stays the same over restarts.
  *
- * @param fromLife the sender's, 0 while it has none
- * @param toLife the receiver's that it is meant for, 0 for whichever there is
- * @param speaks what the sender's program can take in
+ * @param sender the sending process's name
+ * @param senderIncarnation 0 while the sender has none
+ * @param receiverIncarnation the incarnation that the message is for; 0 for any
+ * @param protocolVersion that the sender supports
  */
-public record GroupMessage(String from, long fromLife, long toLife, int speaks, Envelope what) {
-    /** What this program can take in; counted up with each kind of message or command that is added. */
-    public static final int SPEAKS = 2;
-    /** From this on a member hears those that are none of the first members. */
-    public static final int GUESTS = 2;
+public record GroupMessage(
+        String sender, long senderIncarnation, long receiverIncarnation, int protocolVersion, Envelope envelope) {
+    /** The version that this program supports; incremented with each new kind of message or command. */
+    public static final int PROTOCOL_VERSION = 2;
+    /** From this version on, a member accepts messages of guests, which are not founding members. */
+    public static final int GUESTS_VERSION = 2;
 
-    /** From this program. */
-    public GroupMessage(String from, long fromLife, long toLife, Envelope what) {
-        this(from, fromLife, toLife, SPEAKS, what);
+    /** A message of this program's version. */
+    public GroupMessage(String sender, long senderIncarnation, long receiverIncarnation, Envelope envelope) {
+        this(sender, senderIncarnation, receiverIncarnation, PROTOCOL_VERSION, envelope);
     }
 }
--- a/src/main/java/whinlead/replication/raft/IncarnationNumbers.java
+++ b/src/main/java/whinlead/replication/raft/IncarnationNumbers.java
@@ -2,13 +2,13 @@
 
 import java.util.Random;
 
-/** The numbers of a member's lives: a count, which goes up under one name, and what the process drew. */
+/** The numbers of a member's incarnations: a count, which increases per name, and the process's random nonce. */
 final class IncarnationNumbers {
     private static final int DRAWN_BITS = 32;
 
     private IncarnationNumbers() {}
 
-    /** Draws what tells a process apart from all others; never 0. */
+    /** Draws the nonce that identifies a process; never 0. */
     static long draw(Random random) {
         long drawn;
         do {
@@ -17,18 +17,18 @@
         return drawn;
     }
 
-    /** The first life under a name, of the process that drew this. */
+    /** The first incarnation under a name, of the process with this nonce. */
     static long first(long drawn) {
-        return of(1, drawn);
+        return number(1, drawn);
     }
 
-    /** The life with this count, of the process that drew this. */
-    static long of(long count, long drawn) {
+    /** The incarnation with this count, of the process with this nonce. */
+    static long number(long count, long drawn) {
         return count << DRAWN_BITS | drawn;
     }
 
-    /** Which life under its name it is, from 1. */
-    static long count(long life) {
-        return life >>> DRAWN_BITS;
+    /** The count of an incarnation under its name, from 1. */
+    static long count(long incarnation) {
+        return incarnation >>> DRAWN_BITS;
     }
 }
--- a/src/main/java/whinlead/replication/raft/LeaderMonitor.java
+++ b/src/main/java/whinlead/replication/raft/LeaderMonitor.java
@@ -3,44 +3,45 @@
 import whinlead.engine.Timers;
 
 /**
- * Guards against a fault of MicroRaft 0.7: a message of the leader's that comes in the midst of a pre-vote ends that,
- * and from then on the member monitors its leader no more; where all do so, a group whose leader dies has none ever
- * after. A follower whose leader is silent and that has not asked for votes either is told to, by the message that a
- * leader hands over with: that is safe at any time, as any election is. On the engine's thread.
+ * Works around a fault of MicroRaft 0.7: a leader's message that arrives during a pre-vote ends the pre-vote, and from
+ * then on the member no longer monitors its leader. If this happens on all members, a group whose leader dies never
+ * elects another. A follower whose leader is silent, and which has not requested votes itself, is therefore made to
+ * start an election by the message for leadership transfer; this is safe at any time, as any election is. On the
+ * engine's thread.
  */
 final class LeaderMonitor {
     private final ConsensusNode node;
     private final Timers timers;
-    /** After so many milliseconds a silent leader is given up. */
+    /** After this time without messages a leader counts as lost. */
     private final double timeoutMs;
 
-    private double lastHeard;
-    private double lastVoteRequest;
+    private double lastLeaderMessageMs;
+    private double lastVoteRequestMs;
 
-    /** Of the leader of a node's group. */
+    /** Monitors the leader of a node's group. */
     LeaderMonitor(ConsensusNode node, Timers timers, double timeoutMs) {
         this.node = node;
         this.timers = timers;
         this.timeoutMs = timeoutMs;
     }
 
-    /** The node starts. */
+    /** Starts monitoring; called when the node starts. */
     void start() {
-        lastHeard = timers.now();
-        lastVoteRequest = lastHeard;
+        lastLeaderMessageMs = timers.now();
+        lastVoteRequestMs = lastLeaderMessageMs;
     }
 
-    /** Something of the leader's has come. */
-    void leaderHeard() {
-        lastHeard = timers.now();
+    /** A message of the leader has arrived. */
+    void leaderMessageReceived() {
+        lastLeaderMessageMs = timers.now();
     }
 
-    /** The node has asked for votes. */
+    /** The node has requested votes. */
     void votesRequested() {
-        lastVoteRequest = timers.now();
+        lastVoteRequestMs = timers.now();
     }
 
-    /** Has votes asked for if the leader has been silent for too long. */
+    /** Starts an election if the leader has been silent for too long. */
     void check() {
         node.report(report -> {
             MemberId leader = node.leader();
@@ -50,10 +51,10 @@
         });
     }
 
-    /** Has votes asked for if this one leads and has been silent since then. */
-    void suspect(String name, double since) {
+    /** Starts an election if the member with this name leads and has been silent since then. */
+    void suspect(String name, double sinceMs) {
         MemberId leader = node.leader();
-        if (leader != null && leader.name().equals(name) && follows() && silentSince(since)) {
+        if (leader != null && leader.name().equals(name) && follows() && silentSince(sinceMs)) {
             node.report(report -> node.requestElection(leader, report));
         }
     }
@@ -62,7 +63,7 @@
         return !node.leads() && node.votes();
     }
 
-    private boolean silentSince(double since) {
-        return lastHeard <= since && lastVoteRequest <= since;
+    private boolean silentSince(double sinceMs) {
+        return lastLeaderMessageMs <= sinceMs && lastVoteRequestMs <= sinceMs;
     }
 }
--- a/src/main/java/whinlead/replication/raft/LivenessChallenges.java
+++ b/src/main/java/whinlead/replication/raft/LivenessChallenges.java
@@ -5,66 +5,66 @@
 import java.util.Random;
 
 /**
- * Finds out whether the life that has a name still lives, when another process asks under that name: whoever answers
- * the challenge's token with that life does. No I/O; time comes with each call.
+ * Checks whether the incarnation that owns a name is still alive when another process appears under that name: the
+ * incarnation proves it by returning the challenge's token. No I/O; the time is passed with each call.
  */
 final class LivenessChallenges {
     /**
-     * In which an earlier life has to prove that it lives, in milliseconds; a shorter time could replace one that is
-     * only slow.
+     * Time within which the earlier incarnation has to prove that it is alive; with a shorter one an incarnation that
+     * is only slow could be replaced.
      */
-    private static final double PROOF_MS = 1000;
+    private static final double PROOF_TIMEOUT_MS = 1000;
 
-    /** What is known of the earlier life. */
+    /** The state of a challenge to the earlier incarnation. */
     enum State {
-        /** It lives. */
+        /** It is alive. */
         PROVEN,
-        /** It did not prove that in time. */
+        /** It did not reply in time. */
         EXPIRED,
-        /** It may still prove that. */
+        /** It may still reply. */
         PENDING
     }
 
     /**
      * One challenge.
      *
-     * @param nonce of the process that asks under the name
-     * @param token to be answered by the earlier life
+     * @param nonce of the new process under the name
+     * @param token that the earlier incarnation has to return
      */
-    record Challenge(long nonce, double since, long token, boolean proven) {
-        State state(double now) {
+    record Challenge(long nonce, double sinceMs, long token, boolean proven) {
+        State state(double nowMs) {
             if (proven) {
                 return State.PROVEN;
             }
-            return now - since > PROOF_MS ? State.EXPIRED : State.PENDING;
+            return nowMs - sinceMs > PROOF_TIMEOUT_MS ? State.EXPIRED : State.PENDING;
         }
     }
 
     private final Random random;
     private final Map<String, Challenge> challenges = new HashMap<>();
 
-    /** None yet; tokens are drawn with this. */
+    /** Without challenges; {@code random} draws the tokens. */
     LivenessChallenges(Random random) {
         this.random = random;
     }
 
-    /** The challenge, present or new, to the life of this name for a process that asks under that. */
-    Challenge challenge(String name, long nonce, double now) {
-        Challenge present = challenges.get(name);
-        if (present != null && present.nonce() == nonce) {
-            return present;
+    /** The existing or a new challenge to the incarnation of this name, on behalf of the process with this nonce. */
+    Challenge challenge(String name, long nonce, double nowMs) {
+        Challenge existing = challenges.get(name);
+        if (existing != null && existing.nonce() == nonce) {
+            return existing;
         }
-        Challenge begun = new Challenge(nonce, now, random.nextLong(), false);
-        challenges.put(name, begun);
-        return begun;
+        Challenge created = new Challenge(nonce, nowMs, random.nextLong(), false);
+        challenges.put(name, created);
+        return created;
     }
 
-    /** A life of this name has answered a token. */
-    void answered(String name, long token) {
+    /** An incarnation of this name has returned a token. */
+    void receiveToken(String name, long token) {
         challenges.computeIfPresent(
                 name,
                 (key, challenge) -> challenge.token() == token
-                        ? new Challenge(challenge.nonce(), challenge.since(), token, true)
+                        ? new Challenge(challenge.nonce(), challenge.sinceMs(), token, true)
                         : challenge);
     }
 }
--- a/src/main/java/whinlead/replication/raft/LogMirror.java
+++ b/src/main/java/whinlead/replication/raft/LogMirror.java
@@ -15,8 +15,8 @@
 import java.util.TreeMap;
 
 /**
- * What a member would find on its disk, kept in memory, and passed on to a disk where there is one. The entries are
- * those that the library holds anyway. For one thread.
+ * An in-memory copy of a member's persistent state; changes are also written to a disk if there is one. The entries are
+ * objects that the library keeps anyway. Not thread-safe.
  */
 public final class LogMirror implements MemberDisk {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -24,26 +24,26 @@
     private MemberDisk disk;
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
-    private RaftEndpointPersistentState self;
-    private RaftGroupMembersView first;
+    private RaftEndpointPersistentState localEndpoint;
+    private RaftGroupMembersView initialMembers;
     private RaftTermPersistentState term;
 
-    /** An empty one with no disk behind it. */
+    /** An empty mirror without a disk. */
     public LogMirror() {}
 
-    /** One that holds what another does, before this disk, or null for none. */
-    public LogMirror(LogMirror held, MemberDisk disk) {
+    /** A copy of another mirror whose changes are written to this disk; null for no disk. */
+    public LogMirror(LogMirror source, MemberDisk disk) {
         this.disk = disk;
-        self = held.self;
-        first = held.first;
-        term = held.term;
-        entries.putAll(held.entries);
-        held.snapshots.forEach((index, chunks) -> snapshots.put(index, new TreeMap<>(chunks)));
+        localEndpoint = source.localEndpoint;
+        initialMembers = source.initialMembers;
+        term = source.term;
+        entries.putAll(source.entries);
+        source.snapshots.forEach((index, chunks) -> snapshots.put(index, new TreeMap<>(chunks)));
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        self = state;
+        localEndpoint = state;
         if (disk != null) {
             disk.persistAndFlushLocalEndpoint(state);
         }
@@ -51,7 +51,7 @@
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        first = members;
+        initialMembers = members;
         if (disk != null) {
             disk.persistAndFlushInitialGroupMembers(members);
         }
@@ -75,13 +75,13 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        add(chunk);
+        putChunk(chunk);
         if (disk != null) {
             disk.persistSnapshotChunk(chunk);
         }
     }
 
-    private void add(SnapshotChunk chunk) {
+    private void putChunk(SnapshotChunk chunk) {
         snapshots.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
     }
 
@@ -111,49 +111,52 @@
     }
 
     @Override
-    public void shortened(LogMirror held) {
-        // Nothing is written here.
+    public void shortened(LogMirror mirror) {
+        // A mirror has nothing to compact.
     }
 
-    /** Where its last whole snapshot ends; 0 without one. */
+    /** The log index of the last complete snapshot; 0 without one. */
     long snapshotEnd() {
-        SnapshotEntry last = snapshot();
+        SnapshotEntry last = lastSnapshot();
         return last == null ? 0 : last.getIndex();
     }
 
-    /** True if it holds this very entry: two of one index and term are the same, and so is all before them. */
-    boolean holds(LogEntry entry) {
-        LogEntry own = entries.get(entry.getIndex());
-        return own != null && own.getTerm() == entry.getTerm();
+    /**
+     * True if the log has this entry: two entries of the same index and term are equal, and so are all entries before
+     * them.
+     */
+    boolean hasEntry(LogEntry entry) {
+        LogEntry existing = entries.get(entry.getIndex());
+        return existing != null && existing.getTerm() == entry.getTerm();
     }
 
-    /** True if it holds entries after this index. */
-    boolean goesBeyond(long index) {
+    /** True if the log has entries after this index. */
+    boolean hasEntriesAfter(long index) {
         return !entries.isEmpty() && entries.lastKey() > index;
     }
 
-    private SnapshotEntry snapshot() {
+    private SnapshotEntry lastSnapshot() {
         for (TreeMap<Integer, SnapshotChunk> chunks : snapshots.descendingMap().values()) {
-            SnapshotChunk one = chunks.firstEntry().getValue();
-            if (chunks.size() == one.getSnapshotChunkCount()) {
+            SnapshotChunk first = chunks.firstEntry().getValue();
+            if (chunks.size() == first.getSnapshotChunkCount()) {
                 return MODELS.createSnapshotEntryBuilder()
-                        .setIndex(one.getIndex())
-                        .setTerm(one.getTerm())
+                        .setIndex(first.getIndex())
+                        .setTerm(first.getTerm())
                         .setSnapshotChunks(List.copyOf(chunks.values()))
-                        .setGroupMembersView(one.getGroupMembersView())
+                        .setGroupMembersView(first.getGroupMembersView())
                         .build();
             }
         }
         return null;
     }
 
-    /** Hands all that it holds to another, in an order in which it could have come. */
+    /** Writes the whole content to another disk, in an order in which it could have been written originally. */
     public void copyTo(MemberDisk other) throws IOException {
-        if (self != null) {
-            other.persistAndFlushLocalEndpoint(self);
+        if (localEndpoint != null) {
+            other.persistAndFlushLocalEndpoint(localEndpoint);
         }
-        if (first != null) {
-            other.persistAndFlushInitialGroupMembers(first);
+        if (initialMembers != null) {
+            other.persistAndFlushInitialGroupMembers(initialMembers);
         }
         if (term != null) {
             other.persistAndFlushTerm(term);
@@ -174,24 +177,27 @@
         }
     }
 
-    /** All that it holds, the last whole snapshot and what follows it; null if nothing lasting was written. */
+    /**
+     * The state to restart from: the last complete snapshot and the entries after it; null if no member's state was
+     * written.
+     */
     public RestoredRaftState restored() {
-        if (self == null || first == null) {
+        if (localEndpoint == null || initialMembers == null) {
             return null;
         }
-        SnapshotEntry snapshot = snapshot();
-        long after = snapshot == null ? 0 : snapshot.getIndex();
-        RaftTermPersistentState known = term != null
+        SnapshotEntry snapshot = lastSnapshot();
+        long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
+        RaftTermPersistentState lastTerm = term != null
                 ? term
                 : MODELS.createRaftTermPersistentStateBuilder()
                         .setTerm(0)
                         .setVotedFor((RaftEndpoint) null)
                         .build();
         return new RestoredRaftState(
-                self,
-                first,
-                known,
+                localEndpoint,
+                initialMembers,
+                lastTerm,
                 snapshot,
-                List.copyOf(entries.tailMap(after, false).values()));
+                List.copyOf(entries.tailMap(snapshotIndex, false).values()));
     }
 }
--- a/src/main/java/whinlead/replication/raft/Member.java
+++ b/src/main/java/whinlead/replication/raft/Member.java
@@ -27,41 +27,41 @@
 import whinlead.replication.Reply;
 
 /**
- * One life of a member of a group: MicroRaft agrees on the order of the commands, the {@link ReplicatedState} on what
- * they come to. It has no thread and no socket; time and turns come by {@link Timers}, messages by {@link Wire} and
- * {@link #received}. On the engine's thread.
+ * One incarnation of a group's member: MicroRaft orders the commands, and the {@link ReplicatedState} applies them. It
+ * has no thread and no socket; time and tasks come from {@link Timers}, messages are sent and received through
+ * {@link MemberTransport} and {@link #receive}. On the engine's thread.
  */
 public final class Member {
-    /** The way to the other members. */
+    /** Sends messages to the other members. */
     @FunctionalInterface
-    public interface Wire {
-        /** Sends once, or loses it; never calls back before it returns. */
-        void send(MemberId to, Envelope what);
+    public interface MemberTransport {
+        /** Sends once, without a guarantee of delivery; never calls back before it returns. */
+        void send(MemberId receiver, Envelope envelope);
     }
 
-    /** What the log holds: commands of one turn, with the time at which the one that leads proposed them. */
-    public record Batch(long stamp, List<Command> commands) {
+    /** The operation of a log entry: commands of one turn, with the timestamp at which the leader proposed them. */
+    public record Batch(long stampMs, List<Command> commands) {
         /** Keeps a copy. */
         public Batch {
             commands = List.copyOf(commands);
         }
     }
 
-    /** A piece of a snapshot: so many requests of the book's, and in the first one the rest. */
-    public record Chunk(long commands, long time, Map<String, Long> drains, List<ReplicatedState.Entry> entries) {}
+    /** A snapshot chunk: a part of the state's requests; the first chunk also has the drains. */
+    public record Chunk(long commandCount, long time, Map<String, Long> drains, List<ReplicatedState.Entry> entries) {}
 
-    /** What the consensus calls its group: one group a member. */
+    /** The consensus library's group id: each member has one group. */
     public static final String GROUP = "copies";
 
-    /** A silent leader is given up after so many of the consensus's own timeouts. */
-    private static final int SILENT_TIMEOUTS = 2;
-    /** A snapshot that is not answered after so many offers is not going to be. */
+    /** A silent leader counts as lost after this many heartbeat timeouts of the consensus library. */
+    private static final int SILENT_HEARTBEAT_TIMEOUTS = 2;
+    /** A snapshot that this member has not answered after this many offers is never going to be answered. */
     private static final int MAX_SNAPSHOT_OFFERS = 2;
 
     private final MemberId id;
-    private final Set<MemberId> first;
+    private final Set<MemberId> founders;
     private final Timers timers;
-    private final Wire wire;
+    private final MemberTransport transport;
     private final ReplicatedState book;
     private final LogMirror log;
     private final RequestStateMachine stateMachine;
@@ -72,79 +72,79 @@
     private final CommandBatcher batcher;
     private final ForwardedCommands forwarded;
     private final double timeoutMs;
-    /** Up to where the leader has told that all is agreed on. */
+    /** The leader's commit index, as last received. */
     private long leaderCommit;
 
     private boolean stopped;
-    private Runnable removed = () -> {};
+    private Runnable removalListener = () -> {};
     private int restarts;
-    /** How often a snapshot was offered since this member last asked for a piece of one. */
+    /** Number of snapshot offers since this member last requested a chunk. */
     private int snapshotOffers;
 
     /**
-     * A member that is yet to start.
+     * A member that is not started yet.
      *
-     * @param first the members of the group when it was founded, on every member the same
-     * @param pace the group's time as this process holds it
-     * @param log what is known of this life, empty if it begins
-     * @param random for the times of elections
-     * @param claims which seat one that asks to be let in may take
+     * @param founders the founding members of the group, the same on every member
+     * @param clock this process's clock of the group's time
+     * @param log of this incarnation; empty if it is new
+     * @param random for election timeouts and tokens
+     * @param claims the seat that a newcomer may take
      */
     public Member(
             MemberId id,
-            Collection<MemberId> first,
+            Collection<MemberId> founders,
             Timers timers,
-            GroupClock pace,
-            Wire wire,
-            ReplicatedState book,
+            GroupClock clock,
+            MemberTransport transport,
+            ReplicatedState state,
             RaftConfig config,
             LogMirror log,
             Random random,
             Function<MemberId, Optional<Replacement.Claim>> claims) {
         this.id = id;
-        this.first = MemberId.sorted(first);
+        this.founders = MemberId.sorted(founders);
         this.timers = timers;
-        this.wire = wire;
-        this.book = book;
+        this.transport = transport;
+        this.book = state;
         this.log = log;
         forwarded = new ForwardedCommands(random.nextLong());
-        stateMachine = new RequestStateMachine(book, pace, timers);
-        node = new ConsensusNode(id, this.first, timers, config, log, random, new NodeTransport(), stateMachine);
-        timeoutMs = SILENT_TIMEOUTS * TimeUnit.SECONDS.toMillis(config.getLeaderHeartbeatTimeoutSecs());
+        stateMachine = new RequestStateMachine(state, clock, timers);
+        node = new ConsensusNode(id, this.founders, timers, config, log, random, new NodeTransport(), stateMachine);
+        timeoutMs = SILENT_HEARTBEAT_TIMEOUTS * TimeUnit.SECONDS.toMillis(config.getLeaderHeartbeatTimeoutSecs());
         overlap = new SnapshotOverlap(log);
         leaderMonitor = new LeaderMonitor(node, timers, timeoutMs);
         membership = new MembershipChanges(node, timers, timeoutMs, claims);
-        batcher = new CommandBatcher(node, timers, pace);
+        batcher = new CommandBatcher(node, timers, clock);
     }
 
-    /** Which life this is. */
+    /** The identity of this incarnation. */
     public MemberId id() {
         return id;
     }
 
-    /** The members with which the group was founded. */
-    public Set<MemberId> first() {
-        return first;
+    /** The founding members of the group. */
+    public Set<MemberId> founders() {
+        return founders;
     }
 
-    /** Takes part from now on. One that is not of the first members asks to be let in until it votes. */
+    /** Starts the member. If it is not a founder, it asks to be admitted until it votes. */
     public void start(double joinEveryMs) {
         node.start();
         leaderMonitor.start();
         timers.after(timeoutMs, this::check);
-        if (!first.contains(id)) {
+        if (!founders.contains(id)) {
             askToJoin(joinEveryMs);
         }
     }
 
-    /** How often it began again, since its library was stuck. */
+    /** How often the node was restarted because the library was stuck. */
     public int restarts() {
         return restarts;
     }
 
-    /** Runs this once it finds that it has been removed. */
+    /** Sets a listener that runs when the member learns that it has been removed. */
     public void onRemoved(Runnable listener) {
-        removed = listener;
+        removalListener = listener;
     }
 
     private void check() {
@@ -152,7 +152,7 @@
             return;
         }
         if (node.terminated()) {
-            removed.run();
+            removalListener.run();
             return;
         }
         leaderMonitor.check();
@@ -160,21 +160,21 @@
     }
 
     /**
-     * Its link to another member is down: where that one leads, votes are asked for after this, unless something of it
-     * has come until then. Without that they are after the time that a silent leader is given.
+     * The connection to another member is down: if that member leads, an election is started after this delay unless a
+     * message of it arrives until then. Otherwise the election would start only after the timeout for a silent leader.
      */
     public void suspect(String name, double afterMs) {
-        double since = timers.now();
+        double sinceMs = timers.now();
         timers.after(afterMs, () -> {
             if (!stopped) {
-                leaderMonitor.suspect(name, since);
+                leaderMonitor.suspect(name, sinceMs);
             }
         });
     }
 
     private void askToJoin(double everyMs) {
         if (!votes() && !stopped) {
-            // To whatever life there is now: those that it knows of may all be over.
+            // Sent to any incarnation: those that this member knows may all have been replaced.
             members().stream()
                     .map(MemberId::name)
                     .distinct()
@@ -184,23 +184,23 @@
         }
     }
 
-    /** Takes part no more. */
+    /** Stops the member. */
     public void stop() {
         stopped = true;
         node.stop();
     }
 
-    /** What this member knows, perhaps less than others do. */
+    /** This member's state, which may be behind that of others. */
     public ReplicatedState book() {
         return book;
     }
 
-    /** The place in the order of all commands up to which it knows them. */
+    /** The log index up to which this member has applied the commands. */
     public long known() {
         return stateMachine.appliedIndex();
     }
 
-    /** True if the leader has told of more than this member knows; a few steps may be on their way. */
+    /** True if this member is over {@code steps} entries behind the leader's commit index; a few may be in transit. */
     public boolean lags(int steps) {
         return !leads() && leaderCommit > known() + steps;
     }
@@ -210,87 +210,89 @@
         return node.leads();
     }
 
-    /** True once it is a voter, as far as it knows. */
+    /** True once this member is a voter, as far as it knows. */
     public boolean votes() {
         return node.votes();
     }
 
-    /** How the group stands, as far as this one knows. */
+    /** The group's members and voters, as far as this member knows. */
     public Replacement.View view() {
         return new Replacement.View(node.members(), node.voters());
     }
 
-    /** Of the change that made the members what they are, as far as this one knows. */
+    /** The log index of the last membership change, as far as this member knows. */
     public long membersIndex() {
         return node.membersIndex();
     }
 
-    /** The member that leads, as far as this one knows; empty if it knows of none. */
+    /** The leader's name, as far as this member knows; empty if it knows none. */
     public String leader() {
         MemberId leader = node.leader();
         return leader == null ? "" : leader.name();
     }
 
-    /** The members as agreed, learners included, as far as this one knows. */
+    /** The committed members, learners included, as far as this member knows. */
     public Set<MemberId> members() {
         return node.members();
     }
 
-    /** Whether some life under a name is a member. */
+    /** Whether any incarnation under this name is a member. */
     boolean knowsName(String name) {
         return members().stream().anyMatch(other -> other.name().equals(name));
     }
 
-    /** Whether a life is no member, but a later one under its name is. */
-    boolean knowsLaterLife(String name, long life) {
-        return hasLaterLife(members(), name, life) && !members().contains(new MemberId(name, life));
+    /** Whether this incarnation is not a member, but a later one of the same name is. */
+    boolean knowsLaterIncarnation(String name, long incarnation) {
+        return hasLaterIncarnation(members(), name, incarnation)
+                && !members().contains(new MemberId(name, incarnation));
     }
 
-    /** Whether by what another knows a later life has this one's seat, or a later change removed this one. */
-    boolean isReplacedIn(Envelope.Standing standing) {
-        return hasLaterLife(standing.members(), id.name(), id.life())
-                || standing.index() > membersIndex()
+    /** Whether another process knows a later incarnation in this one's seat, or a later change that removed it. */
+    boolean isReplacedIn(Envelope.GroupInfo info) {
+        return hasLaterIncarnation(info.members(), id.name(), id.incarnation())
+                || info.membersIndex() > membersIndex()
                         && members().contains(id)
-                        && !standing.members().contains(id);
+                        && !info.members().contains(id);
     }
 
-    private static boolean hasLaterLife(Set<MemberId> all, String name, long life) {
-        return all.stream().anyMatch(other -> other.name().equals(name) && other.life() > life);
+    private static boolean hasLaterIncarnation(Set<MemberId> members, String name, long incarnation) {
+        return members.stream().anyMatch(other -> other.name().equals(name) && other.incarnation() > incarnation);
     }
 
-    /** Has a command agreed on; the answer comes once, later, or never. */
-    public void submit(Command command, Consumer<Reply> answer) {
+    /** Proposes a command; the listener is called later, at most once. */
+    public void submit(Command command, Consumer<Reply> listener) {
         MemberId leader = node.leader();
         if (id.equals(leader)) {
-            batcher.propose(command, answer);
+            batcher.propose(command, listener);
         } else if (leader != null) {
-            send(leader, new Envelope.Forward(forwarded.add(answer), command));
+            send(leader, new Envelope.Forward(forwarded.add(listener), command));
         }
     }
 
-    /** Has a learner be a member no more. Only where it leads. */
-    public void dismiss(MemberId learner) {
-        membership.dismiss(learner);
+    /** Removes a learner from the group. Only on the leader. */
+    public void remove(MemberId learner) {
+        membership.remove(learner);
     }
 
-    /** Something has come from another member. */
-    public void received(MemberId from, Envelope what) {
-        if (what instanceof Envelope.Consensus consensus) {
-            receivedConsensus(from, consensus.message());
-        } else if (what instanceof Envelope.Forward forward) {
+    /** Handles a message of another member. */
+    public void receive(MemberId sender, Envelope envelope) {
+        if (envelope instanceof Envelope.Consensus consensus) {
+            receiveConsensus(sender, consensus.message());
+        } else if (envelope instanceof Envelope.Forward forward) {
             if (leads()) {
-                batcher.propose(forward.command(), reply -> send(from, new Envelope.Answer(forward.token(), reply)));
+                batcher.propose(
+                        forward.command(), reply -> send(sender, new Envelope.ForwardReply(forward.token(), reply)));
             }
-        } else if (what instanceof Envelope.Answer answer) {
-            forwarded.replied(answer.token(), answer.reply());
-        } else if (what instanceof Envelope.Join join) {
-            receivedJoin(from, join);
+        } else if (envelope instanceof Envelope.ForwardReply reply) {
+            forwarded.receiveReply(reply.token(), reply.reply());
+        } else if (envelope instanceof Envelope.Join join) {
+            receiveJoin(sender, join);
         }
     }
 
-    private void receivedConsensus(MemberId from, RaftMessage message) {
-        if (from.equals(node.leader())) {
-            leaderMonitor.leaderHeard();
+    private void receiveConsensus(MemberId sender, RaftMessage message) {
+        if (sender.equals(node.leader())) {
+            leaderMonitor.leaderMessageReceived();
             if (message instanceof AppendEntriesRequest request) {
                 leaderCommit = request.getCommitIndex();
             }
@@ -305,18 +307,18 @@
         }
     }
 
-    // Leaves out what is held, or cuts off what contradicts it; see SnapshotOverlap.
-    private AppendEntriesRequest resolveOverlap(AppendEntriesRequest sent) {
-        if (sent.getTerm() < node.term()) {
-            return sent;
+    // Removes entries that the log has from the request, or truncates conflicting ones; see SnapshotOverlap.
+    private AppendEntriesRequest resolveOverlap(AppendEntriesRequest original) {
+        if (original.getTerm() < node.term()) {
+            return original;
         }
-        AppendEntriesRequest request = overlap.afterSnapshot(sent);
+        AppendEntriesRequest request = overlap.afterSnapshot(original);
         if (!overlap.overlapsLog(request)) {
             return request;
         }
-        int held = overlap.heldEntries(request);
+        int held = overlap.countHeldEntries(request);
         if (held > 0) {
-            return overlap.without(request, held);
+            return overlap.withoutFirst(request, held);
         }
         truncateAfter(request.getPreviousLogIndex());
         return request;
@@ -327,7 +329,7 @@
             log.truncateLogEntriesFrom(index + 1);
             log.flush();
         } catch (IOException e) {
-            // A disk that does not take this leaves it as it was, and has told so.
+            // The disk is unchanged then, and its failure listener has been notified.
             return;
         }
         restart();
@@ -340,8 +342,8 @@
     }
 
     /**
-     * Guards against another fault of MicroRaft 0.7: a member that lost what it was sent of a snapshot waits for that
-     * ever after, and says nothing to those that offer it again.
+     * Works around another fault of MicroRaft 0.7: a member that lost a chunk of a snapshot waits for it forever and
+     * does not answer further offers.
      */
     private void snapshotOffered() {
         if (++snapshotOffers > MAX_SNAPSHOT_OFFERS) {
@@ -351,9 +353,9 @@
     }
 
     /**
-     * Guards against another: one that knows more than the rest, but of a lower term, asks for votes in a term that is
-     * over, is refused for that, and asks in the same one ever after; while those that refuse it know too little to be
-     * voted for. It is told of their term.
+     * Works around another fault of MicroRaft 0.7: a member with the longest log but a lower term requests votes in an
+     * outdated term forever and is always rejected, while the rejecting members' logs are too short for them to be
+     * elected. The member is made to adopt their term.
      */
     private void catchUpTerm(PreVoteResponse response) {
         if (!response.isGranted() && response.getTerm() > node.term() + 1 && node.leader() == null) {
@@ -361,37 +363,37 @@
         }
     }
 
-    // Whoever asks to be let in knows the first members only: the one that leads may be none of them.
-    private void receivedJoin(MemberId from, Envelope.Join join) {
+    // A newcomer knows only the founders, and the leader may be none of them.
+    private void receiveJoin(MemberId sender, Envelope.Join join) {
         MemberId leader = node.leader();
         if (leads()) {
-            membership.admit(join.who());
-        } else if (leader != null && from.equals(join.who())) {
+            membership.admit(join.newcomer());
+        } else if (leader != null && sender.equals(join.newcomer())) {
             send(leader, join);
         }
     }
 
-    private void send(MemberId to, Envelope what) {
-        if (!to.equals(id)) {
-            wire.send(to, what);
+    private void send(MemberId receiver, Envelope envelope) {
+        if (!receiver.equals(id)) {
+            transport.send(receiver, envelope);
         }
     }
 
     private final class NodeTransport implements Transport {
         @Override
-        public void send(RaftEndpoint to, RaftMessage message) {
+        public void send(RaftEndpoint receiver, RaftMessage message) {
             if (message instanceof PreVoteRequest || message instanceof VoteRequest) {
                 leaderMonitor.votesRequested();
             }
             if (message instanceof InstallSnapshotResponse) {
                 snapshotOffers = 0;
             }
-            wire.send((MemberId) to, new Envelope.Consensus(message));
+            transport.send((MemberId) receiver, new Envelope.Consensus(message));
         }
 
         @Override
         public boolean isReachable(RaftEndpoint endpoint) {
-            // A link that is down shows in what does not come.
+            // A broken connection is detected by missing messages.
             return true;
         }
     }
--- a/src/main/java/whinlead/replication/raft/MemberDisk.java
+++ b/src/main/java/whinlead/replication/raft/MemberDisk.java
@@ -3,8 +3,8 @@
 import io.microraft.persistence.RaftStore;
 import java.io.IOException;
 
-/** What a member writes to a disk. For one thread. */
+/** Persistent storage of a member's log. Not thread-safe. */
 public interface MemberDisk extends RaftStore {
-    /** The log has lost its beginning: whatever is written may be written anew from what is held now. */
-    void shortened(LogMirror held) throws IOException;
+    /** The beginning of the log was truncated: the storage may be rewritten from the mirror's current content. */
+    void shortened(LogMirror mirror) throws IOException;
 }
--- a/src/main/java/whinlead/replication/raft/MemberId.java
+++ b/src/main/java/whinlead/replication/raft/MemberId.java
@@ -7,14 +7,14 @@
 import java.util.TreeSet;
 
 /**
- * One life of a member: a process that comes back without what it knew is another, for it must not vote for the one
- * before.
+ * One incarnation of a member: a process that restarts without its state is a new incarnation, since it must not vote
+ * on behalf of the earlier one.
  *
- * @param name of the member, the same over its lives
- * @param life 1 for the first; a later one is higher
+ * @param name of the member, the same for all incarnations
+ * @param incarnation increases with each incarnation of a name
  */
-public record MemberId(String name, long life) implements RaftEndpoint, Comparable<MemberId> {
-    /** These in their order, which is the same in every process; it can't be changed. */
+public record MemberId(String name, long incarnation) implements RaftEndpoint, Comparable<MemberId> {
+    /** These members, sorted in the same order in every process; unmodifiable. */
     public static SortedSet<MemberId> sorted(Collection<MemberId> all) {
         return Collections.unmodifiableSortedSet(new TreeSet<>(all));
     }
@@ -22,7 +22,7 @@
     @Override
     public int compareTo(MemberId other) {
         int byName = name.compareTo(other.name);
-        return byName != 0 ? byName : Long.compare(life, other.life);
+        return byName != 0 ? byName : Long.compare(incarnation, other.incarnation);
     }
 
     @Override
@@ -32,6 +32,6 @@
 
     @Override
     public String toString() {
-        return name + "#" + life;
+        return name + "#" + incarnation;
     }
 }
--- a/src/main/java/whinlead/replication/raft/MembershipChanges.java
+++ b/src/main/java/whinlead/replication/raft/MembershipChanges.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import whinlead.engine.Timers;
 
-/** Changes the members of a group where this node leads, one change at a time. On the engine's thread. */
+/** Changes the members of a group on its leader, one change at a time. On the engine's thread. */
 final class MembershipChanges {
     private static final double NONE = Double.NEGATIVE_INFINITY;
 
@@ -13,14 +13,14 @@
     private final Timers timers;
     private final double timeoutMs;
     private final Function<MemberId, Optional<Replacement.Claim>> claims;
-    /** Until when a change is waited for; the library may never tell what became of one. */
-    private double pendingUntil = NONE;
+    /** End of the wait for a pending change; the library may never report its result. */
+    private double pendingUntilMs = NONE;
 
     /**
-     * Of a node's group.
+     * Changes the members of a node's group.
      *
-     * @param timeoutMs after which a change is waited for no more
-     * @param claims which seat one that asks to be let in may take
+     * @param timeoutMs after which a change is no longer waited for
+     * @param claims the seat that a newcomer may take
      */
     MembershipChanges(
             ConsensusNode node,
@@ -33,47 +33,48 @@
         this.claims = claims;
     }
 
-    /** Waits for no change any more. */
+    /** Stops waiting for a pending change. */
     void reset() {
-        pendingUntil = NONE;
+        pendingUntilMs = NONE;
     }
 
-    /** Takes one step of {@link MembershipManager} to let a newcomer in; the next follows when it asks again. */
+    /** Takes one step of {@link MembershipManager} to admit a newcomer; the next step follows when it asks again. */
     void admit(MemberId newcomer) {
-        if (pending()) {
+        if (isPending()) {
             return;
         }
         Optional<Replacement.Claim> claim = claims.apply(newcomer);
-        MembershipManager.next(newcomer, node.members(), node.voters(), claim).ifPresent(this::apply);
+        MembershipManager.nextStep(newcomer, node.members(), node.voters(), claim)
+                .ifPresent(this::apply);
     }
 
-    /** Has a learner be a member no more. */
-    void dismiss(MemberId learner) {
-        if (!pending()) {
+    /** Removes a learner from the group. */
+    void remove(MemberId learner) {
+        if (!isPending()) {
             change(learner, MembershipChangeMode.REMOVE_MEMBER);
         }
     }
 
-    private boolean pending() {
-        return timers.now() <= pendingUntil;
+    private boolean isPending() {
+        return timers.now() <= pendingUntilMs;
     }
 
     private void apply(MembershipManager.Step step) {
-        if (step instanceof MembershipManager.Step.Learn learn) {
-            change(learn.who(), MembershipChangeMode.ADD_LEARNER);
+        if (step instanceof MembershipManager.Step.AddLearner learn) {
+            change(learn.member(), MembershipChangeMode.ADD_LEARNER);
         } else if (step instanceof MembershipManager.Step.Remove remove) {
-            change(remove.who(), MembershipChangeMode.REMOVE_MEMBER);
+            change(remove.member(), MembershipChangeMode.REMOVE_MEMBER);
         } else if (step instanceof MembershipManager.Step.Promote promote) {
-            change(promote.who(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
+            change(promote.member(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
         }
     }
 
-    private void change(MemberId who, MembershipChangeMode mode) {
-        double until = timers.now() + timeoutMs;
-        pendingUntil = until;
-        node.changeMembership(who, mode, node.membersIndex(), () -> {
-            if (pendingUntil == until) {
-                pendingUntil = NONE;
+    private void change(MemberId member, MembershipChangeMode mode) {
+        double untilMs = timers.now() + timeoutMs;
+        pendingUntilMs = untilMs;
+        node.changeMembership(member, mode, node.membersIndex(), () -> {
+            if (pendingUntilMs == untilMs) {
+                pendingUntilMs = NONE;
             }
         });
     }
--- a/src/main/java/whinlead/replication/raft/NodeExecutor.java
+++ b/src/main/java/whinlead/replication/raft/NodeExecutor.java
@@ -4,17 +4,17 @@
 import java.util.concurrent.TimeUnit;
 import whinlead.engine.Timers;
 
-/** Runs the tasks of one consensus node by timers, until it is stopped. On the engine's thread. */
+/** Runs the tasks of one consensus node on timers until it is stopped. On the engine's thread. */
 final class NodeExecutor implements RaftNodeExecutor {
     private final Timers timers;
     private boolean stopped;
 
-    /** One that runs tasks by these timers. */
+    /** An executor that uses these timers. */
     NodeExecutor(Timers timers) {
         this.timers = timers;
     }
 
-    /** Runs nothing any more, not even what was due before. */
+    /** Stops the executor; tasks that were scheduled before do not run either. */
     void stop() {
         stopped = true;
     }
--- a/src/main/java/whinlead/replication/raft/Replacement.java
+++ b/src/main/java/whinlead/replication/raft/Replacement.java
@@ -12,224 +12,237 @@
 import whinlead.replication.Placement;
 
 /**
- * Who takes the seat of a member that is lost, as the one that leads decides it:
+ * The leader's rules for replacing lost members:
  *
  * <ul>
- *   <li>A new life of a member takes its earlier one's seat.
- *   <li>A member that nothing was heard of for long is replaced by a <em>guest</em>, a process that is no first member
- *       of the group. One at a time, the next is asked if one does not come.
- *   <li>At most as many seats as the group bears to lose are held by guests. So of the first members at least one is
- *       always there that knows the group, however many are lost at once of those that may be: those that came back
- *       with nothing can't found it a second time, for that takes all of them.
- *   <li>Who is lost goes before another has its seat: until then the two of three that are left have to agree on all,
- *       and a guest that dies meanwhile must not be one that they need.
- *   <li>A first member that comes back takes its seat from a guest again, while all that vote are heard. Then both vote
- *       for a moment, and the guest goes after that: a group with one seat less could be stopped for good by a loss
- *       that it is to bear.
- *   <li>A learner that falls silent, or a guest whose seat is not free any more, goes.
+ *   <li>A new incarnation of a member takes the seat of the earlier one.
+ *   <li>A member that has been silent for too long is replaced by a <em>guest</em>, a process that is not a founding
+ *       member of the group. Candidates are invited one at a time; if one does not join, the next is invited.
+ *   <li>Guests hold at most as many seats as the group can lose. So at least one founder that knows the group remains
+ *       if the group loses as many members at once as it tolerates, and founders that restart without state can't found
+ *       the group a second time, since that requires all of them.
+ *   <li>A lost member is removed before another takes its seat. Otherwise a guest that dies meanwhile could be needed
+ *       for a majority: with one of three lost, the other two have to agree on everything.
+ *   <li>A founder that comes back regains its seat from a guest, provided that all voters are reachable. Both vote for
+ *       a moment, and then the guest is removed: a group with one seat less could be stopped for good by a loss that it
+ *       has to tolerate.
+ *   <li>A learner that falls silent, or a guest whose seat is no longer free, is removed.
  * </ul>
  *
- * No clock and no I/O: time comes with each call.
+ * <p>No clock and no I/O: the time is passed with each call.
  */
 public final class Replacement {
-    /** How the group stands, as agreed. */
+    /** The group's committed members and voters. */
     public record View(Set<MemberId> members, Set<MemberId> voters) {
         private Stream<MemberId> learners() {
-            return members.stream().filter(m -> !voters.contains(m)).sorted();
+            return members.stream().filter(member -> !voters.contains(member)).sorted();
         }
 
-        private boolean has(String name) {
-            return members.stream().anyMatch(m -> m.name().equals(name));
+        private boolean hasName(String name) {
+            return members.stream().anyMatch(member -> member.name().equals(name));
         }
     }
 
-    /** What the one that leads is to do. */
-    public sealed interface Act {
-        /** Ask this process to take a seat. */
-        record Invite(String name) implements Act {}
+    /** What the leader has to do. */
+    public sealed interface Action {
+        /** Invite this process to take a seat. */
+        record Invite(String name) implements Action {}
 
-        /** This one is a member no more. */
-        record Dismiss(MemberId who) implements Act {}
+        /** Remove this member. */
+        record Remove(MemberId member) implements Action {}
     }
 
     /**
      * A seat that a newcomer may take.
      *
-     * @param from whose it is; empty if it is nobody's
-     * @param lost whether that one is lost, and so goes before the newcomer votes; else after it does
+     * @param occupant the member that has the seat; empty if it is vacant
+     * @param occupantLost whether the occupant is lost and so removed before the newcomer votes; otherwise it is
+     *     removed after that
      */
-    public record Claim(String from, boolean lost) {}
+    public record Claim(String occupant, boolean occupantLost) {}
 
-    /** In which one that is asked has asked to be let in, most of the time. */
-    private static final double ANSWER_MS = 2000;
-    /** The one that leads says something to each member every second, and is answered. */
-    private static final double FRESH_MS = 1500;
+    /** Time within which an invited process usually asks to be admitted. */
+    private static final double INVITE_TIMEOUT_MS = 2000;
+    /**
+     * Contact within this time counts as recent: the leader sends a message to each member every second and gets a
+     * reply.
+     */
+    private static final double RECENT_CONTACT_MS = 1500;
 
     private final String group;
-    private final String me;
-    private final SortedSet<String> first;
+    private final String self;
+    private final SortedSet<String> founders;
     private final SortedSet<String> processes;
-    private final double after;
-    private final Map<String, Double> heard = new HashMap<>();
-    private double leadsSince = Double.NaN;
-    private double lastTick = Double.NEGATIVE_INFINITY;
-    /** Whom an operator has given up; empty for nobody. */
-    private String given = "";
+    private final double replaceAfterMs;
+    private final Map<String, Double> lastContactMs = new HashMap<>();
+    private double leadsSinceMs = Double.NaN;
+    private double lastTickMs = Double.NEGATIVE_INFINITY;
+    /** The member that an operator has given up; empty for none. */
+    private String givenUp = "";
 
     private String invited = "";
-    private double invitedAt = Double.NEGATIVE_INFINITY;
-    private int turn;
+    private double invitedAtMs = Double.NEGATIVE_INFINITY;
+    private int candidateTurn;
 
     /**
-     * The rule of one group at one process.
+     * The rules of one group on one process.
      *
-     * @param first the names with which the group was founded
-     * @param processes all that may be asked, these among them
-     * @param after milliseconds of silence, several times as long as between two ticks; 0 if nobody is ever replaced by
-     *     another
+     * @param founders names of the founding members
+     * @param processes all that may have a seat, the founders included
+     * @param replaceAfterMs of silence; several times the interval between ticks; 0 if no member is ever replaced by a
+     *     guest
      */
-    public Replacement(String group, String me, Collection<String> first, Collection<String> processes, double after) {
+    public Replacement(
+            String group,
+            String self,
+            Collection<String> founders,
+            Collection<String> processes,
+            double replaceAfterMs) {
         this.group = group;
-        this.me = me;
-        this.first = new TreeSet<>(first);
+        this.self = self;
+        this.founders = new TreeSet<>(founders);
         this.processes = new TreeSet<>(processes);
-        this.after = after;
+        this.replaceAfterMs = replaceAfterMs;
     }
 
-    /** Something of a member has come. */
-    public void heard(String name, double now) {
-        heard.put(name, now);
+    /** A message of a member has arrived. */
+    public void recordContact(String name, double nowMs) {
+        lastContactMs.put(name, nowMs);
     }
 
-    /** An operator says that this member does not come back: it counts as silent until it votes no more. */
-    public void give(String name) {
-        given = name;
+    /** An operator gives up this member: it counts as silent until it no longer votes. */
+    public void giveUp(String name) {
+        givenUp = name;
     }
 
-    /** So many seats may be held by guests: as many as the group bears to lose. */
-    private int guestsMost() {
-        return (first.size() - 1) / 2;
+    /** Limit of seats held by guests: as many as the group can lose. */
+    private int maxGuests() {
+        return (founders.size() - 1) / 2;
     }
 
-    private boolean guest(String name) {
-        return !first.contains(name);
+    private boolean isGuest(String name) {
+        return !founders.contains(name);
     }
 
-    private boolean silent(String name, double now) {
-        double last = Math.max(heard.getOrDefault(name, leadsSince), leadsSince);
-        return after > 0 && !name.equals(me) && (now - last > after || name.equals(given));
+    private boolean silent(String name, double nowMs) {
+        double lastContact = Math.max(lastContactMs.getOrDefault(name, leadsSinceMs), leadsSinceMs);
+        return replaceAfterMs > 0
+                && !name.equals(self)
+                && (nowMs - lastContact > replaceAfterMs || name.equals(givenUp));
     }
 
-    // Guests that vote, but for one whose seat is to be taken.
-    private long guests(View view, String but) {
+    // Voting guests, except one whose seat is to be taken.
+    private long countVotingGuests(View view, String excludedName) {
         return view.voters().stream()
-                .filter(m -> guest(m.name()) && !m.name().equals(but))
+                .filter(member -> isGuest(member.name()) && !member.name().equals(excludedName))
                 .count();
     }
 
-    /** Which seat a newcomer, or a learner, of this name may take now; none if it may not come in. */
-    public Optional<Claim> claim(String name, View view, double now) {
-        if (!guest(name)) {
-            if (view.voters().stream().anyMatch(m -> m.name().equals(name))) {
+    /** The seat that a newcomer or learner of this name may take now; empty if it must not join. */
+    public Optional<Claim> claim(String name, View view, double nowMs) {
+        if (!isGuest(name)) {
+            if (view.voters().stream().anyMatch(member -> member.name().equals(name))) {
                 return Optional.of(new Claim(name, true));
             }
-            if (vacant(view)) {
+            if (hasVacantSeat(view)) {
                 return Optional.of(new Claim("", true));
             }
-            return busy(name, view) ? Optional.empty() : home(view, now);
+            return otherLearnerPending(name, view) ? Optional.empty() : claimAsFounder(view, nowMs);
         }
-        if (busy(name, view) || !view.has(name) && !name.equals(invited)) {
+        if (otherLearnerPending(name, view) || !view.hasName(name) && !name.equals(invited)) {
             return Optional.empty();
         }
-        return seat(view, now);
+        return claimAsGuest(view, nowMs);
     }
 
-    private boolean vacant(View view) {
-        return view.voters().size() < first.size();
+    private boolean hasVacantSeat(View view) {
+        return view.voters().size() < founders.size();
     }
 
-    private Optional<String> silent(View view, double now) {
+    private Optional<String> silent(View view, double nowMs) {
         return view.voters().stream()
                 .map(MemberId::name)
                 .sorted()
-                .filter(n -> silent(n, now))
+                .filter(name -> silent(name, nowMs))
                 .findFirst();
     }
 
-    // The seat that a first member takes which has been replaced.
-    private Optional<Claim> home(View view, double now) {
-        Optional<String> lost = silent(view, now);
+    // The seat for a founder that has been replaced.
+    private Optional<Claim> claimAsFounder(View view, double nowMs) {
+        Optional<String> lost = silent(view, nowMs);
         if (lost.isPresent()) {
             return Optional.of(new Claim(lost.get(), true));
         }
-        boolean all = view.voters().stream()
-                .allMatch(m -> m.name().equals(me)
-                        || now - heard.getOrDefault(m.name(), Double.NEGATIVE_INFINITY) <= FRESH_MS);
+        boolean allVotersHeard = view.voters().stream()
+                .allMatch(member -> member.name().equals(self)
+                        || nowMs - lastContactMs.getOrDefault(member.name(), Double.NEGATIVE_INFINITY)
+                                <= RECENT_CONTACT_MS);
         return view.voters().stream()
-                .filter(m -> all && guest(m.name()))
-                .map(m -> new Claim(m.name(), false))
+                .filter(member -> allVotersHeard && isGuest(member.name()))
+                .map(member -> new Claim(member.name(), false))
                 .findFirst();
     }
 
-    // One learner at a time where it is to take another's seat.
-    private static boolean busy(String name, View view) {
-        return !view.has(name) && view.learners().findAny().isPresent();
+    // Only one learner at a time, if it is to take another member's seat.
+    private static boolean otherLearnerPending(String name, View view) {
+        return !view.hasName(name) && view.learners().findAny().isPresent();
     }
 
-    // The seat that a guest may take.
-    private Optional<Claim> seat(View view, double now) {
-        String from = vacant(view) ? "" : silent(view, now).orElse(null);
-        return from == null || guests(view, from) >= guestsMost()
+    // The seat for a guest.
+    private Optional<Claim> claimAsGuest(View view, double nowMs) {
+        String occupant = hasVacantSeat(view) ? "" : silent(view, nowMs).orElse(null);
+        return occupant == null || countVotingGuests(view, occupant) >= maxGuests()
                 ? Optional.empty()
-                : Optional.of(new Claim(from, true));
+                : Optional.of(new Claim(occupant, true));
     }
 
-    /** What the one that leads is to do now; to be asked now and then while it leads. */
-    public Optional<Act> tick(View view, double now) {
-        if (after <= 0) {
+    /** What the leader has to do now; called periodically while this process leads. */
+    public Optional<Action> tick(View view, double nowMs) {
+        if (replaceAfterMs <= 0) {
             return Optional.empty();
         }
-        if (Double.isNaN(leadsSince) || now - lastTick > after / 2) {
-            // One that stood still heard nobody, and is not to hold it against them.
-            leadsSince = now;
+        if (Double.isNaN(leadsSinceMs) || nowMs - lastTickMs > replaceAfterMs / 2) {
+            // A process that was suspended received nothing, so the members must not count as silent.
+            leadsSinceMs = nowMs;
         }
-        lastTick = now;
-        if (view.voters().stream().noneMatch(m -> m.name().equals(given))) {
-            given = "";
+        lastTickMs = nowMs;
+        if (view.voters().stream().noneMatch(member -> member.name().equals(givenUp))) {
+            givenUp = "";
         }
-        if (view.voters().size() > first.size()) {
+        if (view.voters().size() > founders.size()) {
             return view.voters().stream()
-                    .filter(m -> guest(m.name()))
-                    .<Act>map(Act.Dismiss::new)
+                    .filter(member -> isGuest(member.name()))
+                    .<Action>map(Action.Remove::new)
                     .findFirst();
         }
         if (view.learners().findAny().isPresent()) {
             return view.learners()
-                    .filter(who -> silent(who.name(), now)
-                            || guest(who.name()) && claim(who.name(), view, now).isEmpty())
-                    .<Act>map(Act.Dismiss::new)
+                    .filter(learner -> silent(learner.name(), nowMs)
+                            || isGuest(learner.name())
+                                    && claim(learner.name(), view, nowMs).isEmpty())
+                    .<Action>map(Action.Remove::new)
                     .findFirst();
         }
-        if (seat(view, now).isEmpty() || now - invitedAt < ANSWER_MS) {
+        if (claimAsGuest(view, nowMs).isEmpty() || nowMs - invitedAtMs < INVITE_TIMEOUT_MS) {
             return Optional.empty();
         }
         List<String> candidates = Placement.ranked(group, processes).stream()
-                .filter(n -> guest(n) && !view.has(n))
+                .filter(name -> isGuest(name) && !view.hasName(name))
                 .toList();
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        invited = candidates.get(turn++ % candidates.size());
-        invitedAt = now;
-        return Optional.of(new Act.Invite(invited));
+        invited = candidates.get(candidateTurn++ % candidates.size());
+        invitedAtMs = nowMs;
+        return Optional.of(new Action.Invite(invited));
     }
 
-    /** This process does not lead any more: what it was about to do is another's now. */
-    public void leadsNoMore() {
-        leadsSince = Double.NaN;
-        given = "";
+    /** This process no longer leads: pending actions are dropped and left to the new leader. */
+    public void leadershipLost() {
+        leadsSinceMs = Double.NaN;
+        givenUp = "";
         invited = "";
-        invitedAt = Double.NEGATIVE_INFINITY;
-        turn = 0;
+        invitedAtMs = Double.NEGATIVE_INFINITY;
+        candidateTurn = 0;
     }
 }
--- a/src/main/java/whinlead/replication/raft/ReplacementDriver.java
+++ b/src/main/java/whinlead/replication/raft/ReplacementDriver.java
@@ -5,74 +5,76 @@
 import java.util.Optional;
 import whinlead.engine.Timers;
 
-/** Carries out what {@link Replacement} decides for one seat. On the engine's thread. */
+/** Carries out the decisions of {@link Replacement} for one seat. On the engine's thread. */
 final class ReplacementDriver {
     private final SeatSetup setup;
     private final Timers timers;
-    private final Seat.Outside outside;
+    private final Seat.Environment environment;
     private final Replacement replacement;
-    /** What the program of each process can take in, by its last word. */
-    private final Map<String, Integer> versions = new HashMap<>();
+    /** The protocol version of each process, from its last message. */
+    private final Map<String, Integer> protocolVersions = new HashMap<>();
 
-    /** Of a seat's group, at its process. */
-    ReplacementDriver(SeatSetup setup, Timers timers, Seat.Outside outside) {
+    /** Drives the replacement in a seat's group. */
+    ReplacementDriver(SeatSetup setup, Timers timers, Seat.Environment environment) {
         this.setup = setup;
         this.timers = timers;
-        this.outside = outside;
-        replacement =
-                new Replacement(setup.group(), setup.name(), setup.names(), setup.processes(), setup.replaceAfterMs());
+        this.environment = environment;
+        replacement = new Replacement(
+                setup.group(), setup.name(), setup.founderNames(), setup.processes(), setup.replaceAfterMs());
     }
 
-    /** Something has come from another process. */
-    void received(GroupMessage message) {
-        heard(message.from());
-        versions.put(message.from(), message.speaks());
+    /** A message of another process has arrived. */
+    void receive(GroupMessage message) {
+        recordContact(message.sender());
+        protocolVersions.put(message.sender(), message.protocolVersion());
     }
 
-    /** Something of a process has come, perhaps by way of another. */
-    void heard(String name) {
-        replacement.heard(name, timers.now());
+    /** A message of a process has arrived, possibly forwarded by another. */
+    void recordContact(String name) {
+        replacement.recordContact(name, timers.now());
     }
 
-    /** Which seat one that asks to be let in may take, as the group stands for this member. */
-    Optional<Replacement.Claim> claim(MemberId who, Member member) {
-        return replacement.claim(who.name(), member.view(), timers.now());
+    /** The seat that a newcomer may take, according to this member's view of the group. */
+    Optional<Replacement.Claim> claim(MemberId newcomer, Member member) {
+        return replacement.claim(newcomer.name(), member.view(), timers.now());
     }
 
-    /** Does what is due now, if this member leads; to be called now and then. */
+    /** Carries out what is due if this member leads; called periodically. */
     void tick(Member member) {
         if (member.leads()) {
-            replacement.tick(member.view(), timers.now()).ifPresent(act -> carryOut(act, member));
+            replacement.tick(member.view(), timers.now()).ifPresent(action -> carryOut(action, member));
         } else {
-            replacement.leadsNoMore();
+            replacement.leadershipLost();
         }
     }
 
-    private void carryOut(Replacement.Act act, Member member) {
-        if (act instanceof Replacement.Act.Dismiss dismiss) {
-            member.dismiss(dismiss.who());
-        } else if (act instanceof Replacement.Act.Invite invite && allHearGuests(member)) {
-            outside.note("copies: " + member.id() + " of " + setup.group() + " asks " + invite.name()
-                    + " in, for one that is silent");
-            outside.send(
+    private void carryOut(Replacement.Action action, Member member) {
+        if (action instanceof Replacement.Action.Remove remove) {
+            member.remove(remove.member());
+        } else if (action instanceof Replacement.Action.Invite invite && allSupportGuests(member)) {
+            environment.report("copies: " + member.id() + " of " + setup.group() + " invites " + invite.name()
+                    + " as a guest in place of a silent member");
+            environment.send(
                     invite.name(),
-                    new GroupMessage(setup.name(), member.id().life(), 0, new Envelope.Invite(member.first())));
+                    new GroupMessage(
+                            setup.name(), member.id().incarnation(), 0, new Envelope.Invite(member.founders())));
         }
     }
 
-    // A member of an earlier version would not hear a guest, and so be lost to the group.
-    private boolean allHearGuests(Member member) {
+    // A member of an earlier version would ignore a guest's messages and so be lost to the group.
+    private boolean allSupportGuests(Member member) {
         return member.members().stream()
                 .map(MemberId::name)
                 .filter(name -> !name.equals(setup.name()))
-                .allMatch(name -> versions.getOrDefault(name, GroupMessage.GUESTS) >= GroupMessage.GUESTS);
+                .allMatch(name -> protocolVersions.getOrDefault(name, GroupMessage.GUESTS_VERSION)
+                        >= GroupMessage.GUESTS_VERSION);
     }
 
     /**
-     * An operator says that a member does not come back, and its seat is to be another's.
+     * An operator orders the replacement of a member that does not come back.
      *
      * @param member of this process; null while it has none
-     * @return why not; empty if it is being done
+     * @return why this is not possible; empty if the replacement has started
      */
     String replace(String name, Member member) {
         if (setup.replaceAfterMs() <= 0) {
@@ -87,7 +89,7 @@
         if (name.equals(setup.name()) || !votes) {
             return name + " is no other member that votes";
         }
-        replacement.give(name);
+        replacement.giveUp(name);
         return "";
     }
 }
--- a/src/main/java/whinlead/replication/raft/RestoredLife.java
+++ b/src/main/java/whinlead/replication/raft/RestoredIncarnation.java
@@ -6,21 +6,21 @@
 import java.util.stream.Collectors;
 
 /**
- * The life of a member that a log holds.
+ * The incarnation of a member that is stored in a log.
  *
- * @param first the members with which its group was founded
+ * @param founders the founding members of its group
  */
-record RestoredLife(MemberId id, Set<MemberId> first) {
-    /** That of a log; empty if it holds none. */
-    static Optional<RestoredLife> of(LogMirror log) {
+record RestoredIncarnation(MemberId id, Set<MemberId> founders) {
+    /** Reads the incarnation from a log; empty if the log has none. */
+    static Optional<RestoredIncarnation> of(LogMirror log) {
         RestoredRaftState restored = log.restored();
         if (restored == null) {
             return Optional.empty();
         }
         MemberId id = (MemberId) restored.getLocalEndpointPersistentState().getLocalEndpoint();
-        Set<MemberId> first = restored.getInitialGroupMembers().getMembers().stream()
+        Set<MemberId> founders = restored.getInitialGroupMembers().getMembers().stream()
                 .map(endpoint -> (MemberId) endpoint)
                 .collect(Collectors.toSet());
-        return Optional.of(new RestoredLife(id, first));
+        return Optional.of(new RestoredIncarnation(id, founders));
     }
 }
--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -10,129 +10,133 @@
 import whinlead.replication.Reply;
 
 /**
- * A process's place in its group: which life of a member it is, found out without anybody's help. Messages and time in,
- * messages out; no I/O. On the engine's thread.
+ * A process's place in a group. It finds out without an operator's help which incarnation of a member the process is.
+ * Its inputs are messages and time, its outputs messages; no I/O. On the engine's thread.
  *
- * <p>A process that holds a life on its disk goes on with that. Any other asks the rest what they know, and joins or
- * founds the group as {@link GroupFormation} says. One that asks under a name whose earlier life lives is told that the
- * name is taken, and ends ({@link LivenessChallenges}). A life that has been replaced while it stood still asks anew
- * itself. A process that is none of the first members has a seat only as a guest, where the one that leads has asked it
- * to ({@link Replacement}), and gives it up once it is told to.
+ * <p>A process with an incarnation on its disk continues that one. Any other queries the other processes and joins or
+ * founds the group by the rules of {@link GroupFormation}. A process that queries under the name of an incarnation that
+ * is still alive is told that the name is taken, and exits ({@link LivenessChallenges}). An incarnation that was
+ * replaced while its process was suspended starts over with queries of its own. A process that is not a founding member
+ * has a seat only as a guest, invited by the leader ({@link Replacement}), and gives it up when it is removed.
  */
 public final class Seat {
-    /** What it needs of the process. */
-    public interface Outside {
-        /** Sends once, or loses it; never calls back before it returns. */
+    /** What the seat needs of its process. */
+    public interface Environment {
+        /** Sends once, without a guarantee of delivery; never calls back before it returns. */
         void send(String to, GroupMessage message);
 
-        /** Forgets what the disk holds; what is held from now on goes to the log given back. */
-        LogMirror wiped();
+        /** Erases the stored log; from now on the returned log is used. */
+        LogMirror wipeLog();
 
-        /** Tells the operator, in one line. */
-        void note(String line);
+        /** Reports a line to the operator. */
+        void report(String line);
 
-        /** Another process lives under this name: this one is to end. */
-        void taken();
+        /** Another process is running under this name: this one has to exit. */
+        void nameTaken();
 
-        /** A guest has no seat any more; what its disk holds of it may go. */
-        void retired();
+        /** A guest no longer has a seat; its stored log may be deleted. */
+        void seatRetired();
     }
 
-    private static final double ASK_EVERY_MS = 100;
-    private static final double JOIN_EVERY_MS = 200;
-    /** While it has a life but no vote, or has not heard whether its life is still the one. */
-    private static final double LOOK_EVERY_MS = 1000;
+    private static final double QUERY_INTERVAL_MS = 100;
+    private static final double JOIN_INTERVAL_MS = 200;
+    /** Query interval while the process has an incarnation that does not vote or that may have been replaced. */
+    private static final double VERIFY_INTERVAL_MS = 1000;
 
-    private static final double WATCH_EVERY_MS = 250;
-    /** In which a guest has been let in: by several questions, a snapshot and one change of who leads. */
-    private static final double GUEST_MS = 10_000;
-    /** After a link to a leader goes down, so much and up to as much again until votes are asked for. */
-    private static final double SUSPECT_MS = 100;
+    private static final double WATCH_INTERVAL_MS = 250;
+    /** Time for a guest to be admitted; it covers several queries, a snapshot and one change of leader. */
+    private static final double GUEST_JOIN_TIMEOUT_MS = 10_000;
+    /** Delay from the loss of the connection to a leader until an election; up to as much again is added at random. */
+    private static final double SUSPECT_DELAY_MS = 100;
 
     private final SeatSetup setup;
     private final Timers timers;
-    private final GroupClock pace;
+    private final GroupClock clock;
     private final Random random;
-    private final Outside outside;
+    private final Environment environment;
     private final GroupFormation formation;
     private final LivenessChallenges challenges;
     private final ReplacementDriver replacements;
     private LogMirror log;
     private Member member;
-    private boolean asks;
+    private boolean querying;
     private boolean stopped;
 
     /**
-     * A process that is yet to start.
+     * A seat that is not started yet.
      *
-     * @param log what its disk holds; empty if it has none
-     * @param random for what tells this process apart from all others: well seeded, or two could be one
+     * @param log from the process's disk; empty if it has none
+     * @param random for the numbers that identify this process; needs a good seed, or two processes could get the same
+     *     identity
      */
-    public Seat(SeatSetup setup, Timers timers, GroupClock pace, LogMirror log, Random random, Outside outside) {
+    public Seat(
+            SeatSetup setup, Timers timers, GroupClock clock, LogMirror log, Random random, Environment environment) {
         this.setup = setup;
         this.timers = timers;
-        this.pace = pace;
+        this.clock = clock;
         this.log = log;
         this.random = random;
-        this.outside = outside;
-        replacements = new ReplacementDriver(setup, timers, outside);
+        this.environment = environment;
+        replacements = new ReplacementDriver(setup, timers, environment);
         challenges = new LivenessChallenges(random);
         formation = new GroupFormation(setup, random);
     }
 
-    /** Finds its place from now on. */
+    /** Starts to look for the process's place in the group. */
     public void start() {
-        RestoredLife.of(log).ifPresent(life -> sit(life.id(), life.first(), "goes on with what its disk holds"));
-        ask();
+        RestoredIncarnation.of(log)
+                .ifPresent(
+                        restored -> takeSeat(restored.id(), restored.founders(), "continues from the log on its disk"));
+        queryGroup();
         if (setup.replaceAfterMs() > 0) {
             watch();
         }
     }
 
-    /** Takes a seat of a group that these founded, once it is let in; or gives up. */
-    public void invited(Set<MemberId> first) {
-        sit(formation.firstLife(), first, "is asked in as a guest");
-        ask();
+    /** Joins the group of these founders as a guest; gives up if it is not admitted in time. */
+    public void acceptInvitation(Set<MemberId> founders) {
+        takeSeat(formation.firstIncarnation(), founders, "is asked in as a guest");
+        queryGroup();
         watch();
-        timers.after(GUEST_MS, () -> {
+        timers.after(GUEST_JOIN_TIMEOUT_MS, () -> {
             if (!stopped && member != null && !member.members().contains(member.id())) {
-                retire("was not let in");
+                retire("was not admitted in time");
             }
         });
     }
 
-    private void retire(String why) {
-        outside.note("copies: " + member.id() + " of " + setup.group() + " " + why);
+    private void retire(String reason) {
+        environment.report("copies: " + member.id() + " of " + setup.group() + " " + reason);
         stop();
-        outside.retired();
+        environment.seatRetired();
     }
 
-    // What the one that leads does about members that are lost.
+    // Periodically lets the leader handle lost members.
     private void watch() {
         if (stopped) {
             return;
         }
         if (member != null) {
-            if (!asks && member.leader().isEmpty()) {
-                // Others may have gone on without this life.
-                formation.clearAnswers();
-                ask();
+            if (!querying && member.leader().isEmpty()) {
+                // The others may have replaced this incarnation.
+                formation.clearReplies();
+                queryGroup();
             }
             replacements.tick(member);
         }
-        timers.after(WATCH_EVERY_MS, this::watch);
+        timers.after(WATCH_INTERVAL_MS, this::watch);
     }
 
     /**
-     * An operator says that a member does not come back, and its seat is to be another's.
+     * An operator orders the replacement of a member that does not come back.
      *
-     * @return why not; empty if it is being done
+     * @return why this is not possible; empty if the replacement has started
      */
     public String replace(String name) {
         return replacements.replace(name, member);
     }
 
-    /** Takes part no more, and says nothing any more. */
+    /** Stops taking part; no messages are sent any more. */
     public void stop() {
         stopped = true;
         if (member != null) {
@@ -140,7 +144,7 @@
         }
     }
 
-    /** How it stands. */
+    /** The seat's status for operators. */
     public SeatStatus status() {
         return member == null
                 ? SeatStatus.NONE
@@ -150,226 +154,227 @@
                         member.votes(),
                         member.members(),
                         member.book().size(),
-                        member.book().time());
+                        member.book().timeMs());
     }
 
-    /** The life that it has; null while it has none. */
+    /** The process's incarnation; null while it has none. */
     public Member member() {
         return member;
     }
 
-    /** The group's time, never ahead of it. */
+    /** The group's time, never ahead of the actual one. */
     public long time() {
-        return pace.time(timers.now());
+        return clock.time(timers.now());
     }
 
-    /** True if it has a life that votes, as far as it knows: whoever asks the group may ask it. */
-    public boolean serves() {
+    /** True if the process has an incarnation that votes, as far as it knows: it can answer queries to the group. */
+    public boolean canServe() {
         return member != null && !stopped && member.votes();
     }
 
-    /** Has a command agreed on; the answer comes once, later, or never. */
-    public void submit(Command command, Consumer<Reply> answer) {
-        // Without a life nobody is asked: whoever waits is told so in time.
+    /** Proposes a command; the listener is called later, at most once. */
+    public void submit(Command command, Consumer<Reply> listener) {
+        // Without an incarnation the command is dropped, and the caller's own timeout ends its wait.
         if (member != null && !stopped) {
-            member.submit(command, answer);
+            member.submit(command, listener);
         }
     }
 
-    private void ask() {
-        boolean settled =
-                member != null && member.votes() && !member.leader().isEmpty() && formation.majorityAnswered();
-        asks = !stopped && !settled;
-        if (!asks) {
+    private void queryGroup() {
+        boolean settled = member != null && member.votes() && !member.leader().isEmpty() && formation.majorityReplied();
+        querying = !stopped && !settled;
+        if (!querying) {
             return;
         }
-        for (String other : setup.names()) {
+        for (String other : setup.founderNames()) {
             if (!other.equals(setup.name())) {
-                outside.send(other, message(0, new Envelope.Ask(formation.nonce())));
+                environment.send(other, newMessage(0, new Envelope.GroupQuery(formation.nonce())));
             }
         }
-        found();
-        timers.after(member == null ? ASK_EVERY_MS : LOOK_EVERY_MS, this::ask);
+        foundGroup();
+        timers.after(member == null ? QUERY_INTERVAL_MS : VERIFY_INTERVAL_MS, this::queryGroup);
     }
 
-    private long life() {
-        return member == null ? 0 : member.id().life();
+    private long incarnation() {
+        return member == null ? 0 : member.id().incarnation();
     }
 
-    private GroupMessage message(long toLife, Envelope what) {
-        return new GroupMessage(setup.name(), life(), toLife, what);
+    private GroupMessage newMessage(long receiverIncarnation, Envelope envelope) {
+        return new GroupMessage(setup.name(), incarnation(), receiverIncarnation, envelope);
     }
 
-    // All must have no life: one that has one may hold what others were promised.
-    private void found() {
+    // All must be without an incarnation: one that has one may know promises made to callers.
+    private void foundGroup() {
         if (member != null || !formation.mayFound()) {
             return;
         }
-        Set<MemberId> first = formation.founders();
+        Set<MemberId> founders = formation.founders();
         formation
-                .answerers()
-                .forEach(other -> outside.send(other, message(0, new Envelope.Founded(formation.nonce(), first))));
-        sit(formation.firstLife(), first, "founds the group");
+                .repliers()
+                .forEach(other ->
+                        environment.send(other, newMessage(0, new Envelope.Founded(formation.nonce(), founders))));
+        takeSeat(formation.firstIncarnation(), founders, "founds the group");
     }
 
-    private void sit(MemberId me, Set<MemberId> first, String how) {
-        outside.note("copies: " + me + " " + how);
-        formation.clearAnswers();
-        Member.Wire wire =
-                (to, what) -> outside.send(to.name(), new GroupMessage(me.name(), me.life(), to.life(), what));
+    private void takeSeat(MemberId self, Set<MemberId> founders, String reason) {
+        environment.report("copies: " + self + " " + reason);
+        formation.clearReplies();
+        Member.MemberTransport transport = (receiver, envelope) -> environment.send(
+                receiver.name(), new GroupMessage(self.name(), self.incarnation(), receiver.incarnation(), envelope));
         member = new Member(
-                me,
-                first,
+                self,
+                founders,
                 timers,
-                pace,
-                wire,
+                clock,
+                transport,
                 new ReplicatedState(setup.limits()),
                 setup.consensus(),
                 log,
                 random,
-                who -> replacements.claim(who, member));
-        member.onRemoved(this::beginAnew);
-        member.start(JOIN_EVERY_MS);
+                newcomer -> replacements.claim(newcomer, member));
+        member.onRemoved(this::restartAsNewProcess);
+        member.start(JOIN_INTERVAL_MS);
     }
 
-    private void beginAnew() {
-        if (setup.guest()) {
+    private void restartAsNewProcess() {
+        if (setup.isGuest()) {
             retire("has no seat any more");
             return;
         }
-        outside.note("copies: " + member.id() + " has been replaced by a later life, and begins anew");
+        environment.report("copies: " + member.id() + " was replaced by a later incarnation; restarts without state");
         member.stop();
         member = null;
-        log = outside.wiped();
+        log = environment.wipeLog();
         formation.reset();
-        if (!asks) {
-            ask();
+        if (!querying) {
+            queryGroup();
         }
     }
 
-    /** The disk takes nothing any more: this member steps aside rather than to promise what it can't keep. */
-    public void diskFailed(String why) {
+    /** Writing to disk has failed: this member stops taking part, since it could not keep its promises. */
+    public void diskFailed(String reason) {
         if (!stopped) {
-            outside.note("copies: steps aside, its disk takes nothing: " + why);
+            environment.report("copies: steps aside, a write to its disk failed: " + reason);
             stop();
         }
     }
 
-    /** The link to a member is down. */
+    /** The connection to a member is down. */
     public void down(String name) {
         if (member != null && !stopped) {
-            member.suspect(name, SUSPECT_MS + random.nextDouble() * SUSPECT_MS);
+            member.suspect(name, SUSPECT_DELAY_MS + random.nextDouble() * SUSPECT_DELAY_MS);
         }
     }
 
     /**
-     * Something has come.
+     * Handles a message.
      *
-     * @param back to the very process that said it, whoever its name's address leads to
+     * @param replySender replies to the process that sent the message, even if its name's address leads to another
      */
-    public void received(GroupMessage message, Consumer<GroupMessage> back) {
+    public void receive(GroupMessage message, Consumer<GroupMessage> replySender) {
         if (stopped
-                || !setup.processes().contains(message.from())
-                || message.from().equals(setup.name())) {
+                || !setup.processes().contains(message.sender())
+                || message.sender().equals(setup.name())) {
             return;
         }
-        replacements.received(message);
-        if (message.what() instanceof Envelope.Ask ask) {
-            asked(message, ask, back);
-        } else if (message.what() instanceof Envelope.Standing standing) {
-            told(message, standing);
-        } else if (message.what() instanceof Envelope.Founded founded) {
-            if (member == null && formation.promisedTo(message.from(), founded.nonce())) {
-                adopt(founded.first());
+        replacements.receive(message);
+        if (message.envelope() instanceof Envelope.GroupQuery query) {
+            receiveQuery(message, query, replySender);
+        } else if (message.envelope() instanceof Envelope.GroupInfo info) {
+            receiveGroupInfo(message, info);
+        } else if (message.envelope() instanceof Envelope.Founded founded) {
+            if (member == null && formation.promisedTo(message.sender(), founded.nonce())) {
+                joinFounders(founded.founders());
             }
-        } else if (message.what() instanceof Envelope.Taken) {
-            nameTaken(message);
-        } else if (member != null && (message.toLife() == life() || message.what() instanceof Envelope.Join)) {
-            receivedByMember(message, back);
+        } else if (message.envelope() instanceof Envelope.NameTaken) {
+            handleNameTaken(message);
+        } else if (member != null
+                && (message.receiverIncarnation() == incarnation() || message.envelope() instanceof Envelope.Join)) {
+            passToMember(message, replySender);
         }
     }
 
-    private void nameTaken(GroupMessage message) {
-        if (member != null && message.toLife() == life()) {
-            beginAnew();
-        } else if (member == null && message.toLife() == formation.nonce()) {
+    private void handleNameTaken(GroupMessage message) {
+        if (member != null && message.receiverIncarnation() == incarnation()) {
+            restartAsNewProcess();
+        } else if (member == null && message.receiverIncarnation() == formation.nonce()) {
             stop();
-            outside.taken();
+            environment.nameTaken();
         }
     }
 
-    private void receivedByMember(GroupMessage message, Consumer<GroupMessage> back) {
-        if (member.knowsLaterLife(message.from(), message.fromLife())) {
-            back.accept(message(message.fromLife(), new Envelope.Taken()));
+    private void passToMember(GroupMessage message, Consumer<GroupMessage> replySender) {
+        if (member.knowsLaterIncarnation(message.sender(), message.senderIncarnation())) {
+            replySender.accept(newMessage(message.senderIncarnation(), new Envelope.NameTaken()));
             return;
         }
-        if (message.what() instanceof Envelope.Join join) {
-            replacements.heard(join.who().name());
+        if (message.envelope() instanceof Envelope.Join join) {
+            replacements.recordContact(join.newcomer().name());
         }
-        member.received(new MemberId(message.from(), message.fromLife()), message.what());
+        member.receive(new MemberId(message.sender(), message.senderIncarnation()), message.envelope());
     }
 
-    private void asked(GroupMessage message, Envelope.Ask ask, Consumer<GroupMessage> back) {
-        String from = message.from();
+    private void receiveQuery(GroupMessage message, Envelope.GroupQuery query, Consumer<GroupMessage> replySender) {
+        String sender = message.sender();
         if (member == null) {
-            formation.promise(from, ask.nonce());
-            answer(ask, back);
+            formation.promise(sender, query.nonce());
+            sendGroupInfo(query, replySender);
             return;
         }
-        boolean hasLife = message.fromLife() != 0
-                || member.members().contains(new MemberId(from, IncarnationNumbers.first(ask.nonce())));
-        if (hasLife || !member.knowsName(from)) {
-            answer(ask, back);
+        boolean senderHasIncarnation = message.senderIncarnation() != 0
+                || member.members().contains(new MemberId(sender, IncarnationNumbers.first(query.nonce())));
+        if (senderHasIncarnation || !member.knowsName(sender)) {
+            sendGroupInfo(query, replySender);
             return;
         }
-        LivenessChallenges.Challenge challenge = challenges.challenge(from, ask.nonce(), timers.now());
+        LivenessChallenges.Challenge challenge = challenges.challenge(sender, query.nonce(), timers.now());
         switch (challenge.state(timers.now())) {
-            case PROVEN -> back.accept(message(ask.nonce(), new Envelope.Taken()));
-            case EXPIRED -> answer(ask, back);
-            case PENDING -> outside.send(from, message(0, new Envelope.Ask(challenge.token())));
-            default -> throw new IllegalStateException("no state of a challenge");
+            case PROVEN -> replySender.accept(newMessage(query.nonce(), new Envelope.NameTaken()));
+            case EXPIRED -> sendGroupInfo(query, replySender);
+            case PENDING -> environment.send(sender, newMessage(0, new Envelope.GroupQuery(challenge.token())));
+            default -> throw new IllegalStateException("unknown state of a liveness challenge");
         }
     }
 
-    private void answer(Envelope.Ask ask, Consumer<GroupMessage> back) {
-        Envelope.Standing standing = member == null
-                ? new Envelope.Standing(ask.nonce(), formation.nonce(), Set.of(), Set.of(), 0)
-                : new Envelope.Standing(
-                        ask.nonce(), formation.nonce(), member.first(), member.members(), member.membersIndex());
-        back.accept(message(0, standing));
+    private void sendGroupInfo(Envelope.GroupQuery query, Consumer<GroupMessage> replySender) {
+        Envelope.GroupInfo info = member == null
+                ? new Envelope.GroupInfo(query.nonce(), formation.nonce(), Set.of(), Set.of(), 0)
+                : new Envelope.GroupInfo(
+                        query.nonce(), formation.nonce(), member.founders(), member.members(), member.membersIndex());
+        replySender.accept(newMessage(0, info));
     }
 
-    private void told(GroupMessage message, Envelope.Standing standing) {
-        if (message.fromLife() != 0) {
-            challenges.answered(message.from(), standing.asked());
+    private void receiveGroupInfo(GroupMessage message, Envelope.GroupInfo info) {
+        if (message.senderIncarnation() != 0) {
+            challenges.receiveToken(message.sender(), info.queryNonce());
         }
-        if (standing.asked() != formation.nonce()) {
+        if (info.queryNonce() != formation.nonce()) {
             return;
         }
         if (member == null) {
-            toldWithoutLife(message.from(), standing);
+            decideFromGroupInfo(message.sender(), info);
         } else {
-            formation.answered(message.from(), standing);
-            if (member.isReplacedIn(standing)) {
-                beginAnew();
+            formation.receiveInfo(message.sender(), info);
+            if (member.isReplacedIn(info)) {
+                restartAsNewProcess();
             }
         }
     }
 
-    private void toldWithoutLife(String from, Envelope.Standing standing) {
-        if (standing.first().isEmpty()) {
-            formation.answered(from, standing);
-        } else if (!standing.first().contains(formation.firstLife())) {
-            sit(formation.nextLife(standing), standing.first(), "joins the group");
-        } else if (formation.promisedTo(from, standing.nonce()) || formation.promisedAmong(standing.first())) {
-            adopt(standing.first());
+    private void decideFromGroupInfo(String sender, Envelope.GroupInfo info) {
+        if (info.founders().isEmpty()) {
+            formation.receiveInfo(sender, info);
+        } else if (!info.founders().contains(formation.firstIncarnation())) {
+            takeSeat(formation.nextIncarnation(info), info.founders(), "joins the group");
+        } else if (formation.promisedTo(sender, info.nonce()) || formation.promisedAmong(info.founders())) {
+            joinFounders(info.founders());
         }
     }
 
-    private void adopt(Set<MemberId> first) {
-        MemberId me = formation.firstLife();
-        if (first.contains(me)) {
-            sit(me, first, "is of the group's first members");
+    private void joinFounders(Set<MemberId> founders) {
+        MemberId self = formation.firstIncarnation();
+        if (founders.contains(self)) {
+            takeSeat(self, founders, "is a founding member of the group");
         }
     }
 }
--- a/src/main/java/whinlead/replication/raft/SeatSetup.java
+++ b/src/main/java/whinlead/replication/raft/SeatSetup.java
@@ -7,41 +7,41 @@
 import whinlead.replication.ReplicatedState;
 
 /**
- * What an operator sets.
+ * The operator's settings of one seat.
  *
  * @param name of this process
- * @param group by which its seats are told apart
- * @param names of the first members, this one or not
- * @param processes all that may have a seat, these among them
- * @param replaceAfterMs of silence, until a member is replaced by a guest; 0 for never
+ * @param group name of the group
+ * @param founderNames names of the founding members, with or without this process
+ * @param processes all that may have a seat, the founders included
+ * @param replaceAfterMs of silence after which a member is replaced by a guest; 0 for never
  */
 public record SeatSetup(
         String name,
         String group,
-        SortedSet<String> names,
+        SortedSet<String> founderNames,
         SortedSet<String> processes,
         double replaceAfterMs,
         RaftConfig consensus,
         ReplicatedState.Limits limits) {
-    /** Checks that it is one of them. */
+    /** Copies the sets, and checks that they include this process and all founders. */
     public SeatSetup {
-        names = Collections.unmodifiableSortedSet(new TreeSet<>(names));
+        founderNames = Collections.unmodifiableSortedSet(new TreeSet<>(founderNames));
         processes = Collections.unmodifiableSortedSet(new TreeSet<>(processes));
-        if (!processes.contains(name) || !processes.containsAll(names)) {
-            throw new IllegalArgumentException(name + " is none of the members");
+        if (!processes.contains(name) || !processes.containsAll(founderNames)) {
+            throw new IllegalArgumentException(name + " or a founding member is not among the processes");
         }
     }
 
-    /** Of a group that only its first members ever belong to. */
-    public SeatSetup(String name, SortedSet<String> names, RaftConfig consensus, ReplicatedState.Limits limits) {
-        this(name, Member.GROUP, names, names, 0, consensus, limits);
+    /** The settings of a group that only its founders ever belong to. */
+    public SeatSetup(String name, SortedSet<String> founderNames, RaftConfig consensus, ReplicatedState.Limits limits) {
+        this(name, Member.GROUP, founderNames, founderNames, 0, consensus, limits);
     }
 
     String coordinator() {
-        return names.first();
+        return founderNames.first();
     }
 
-    boolean guest() {
-        return !names.contains(name);
+    boolean isGuest() {
+        return !founderNames.contains(name);
     }
 }
--- a/src/main/java/whinlead/replication/raft/SnapshotOverlap.java
+++ b/src/main/java/whinlead/replication/raft/SnapshotOverlap.java
@@ -7,31 +7,33 @@
 import java.util.List;
 
 /**
- * Guards against a fault of MicroRaft 0.7: it refuses entries that begin right after its snapshot if it holds entries
- * there already, since it looks for the one before, and a leader that missed its answers or leads anew offers no
- * others. Two entries of one index and term are the same and so is all before them: what is held is left out of the
- * request. What stands against it is a tail that was never agreed on and never will be, for a leader holds all that is.
+ * Works around a fault of MicroRaft 0.7: a member rejects entries that begin right after its snapshot if its log has
+ * entries there already, since it looks for the preceding entry, which the snapshot replaced. A leader that missed the
+ * member's replies, or was just elected, offers no other entries. Two entries of the same index and term are equal, and
+ * so are all entries before them, so entries that the log has are removed from the request. Conflicting entries in the
+ * log are a tail that was never committed and never will be, since a leader has all committed entries.
  */
 final class SnapshotOverlap {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
     private final LogMirror log;
 
-    /** Compares requests with this log. */
+    /** Compares append requests with this log. */
     SnapshotOverlap(LogMirror log) {
         this.log = log;
     }
 
     /**
-     * The request without entries up to the snapshot's end (schedule 793): the log has no entry there to compare. All
-     * up to the end was agreed on, so what a leader holds of it is the same.
+     * The request without entries up to the snapshot's end: the log has no entries there to compare. All entries up to
+     * the end are committed, so the leader's are the same. Simulator schedule 793 shows the fault.
      */
     AppendEntriesRequest afterSnapshot(AppendEntriesRequest request) {
-        long from = request.getPreviousLogIndex();
+        long previous = request.getPreviousLogIndex();
         long end = log.snapshotEnd();
-        boolean across =
-                from > 0 && from < end && from + request.getLogEntries().size() >= end;
-        return across ? without(request, (int) (end - from)) : request;
+        boolean crossesEnd = previous > 0
+                && previous < end
+                && previous + request.getLogEntries().size() >= end;
+        return crossesEnd ? withoutFirst(request, (int) (end - previous)) : request;
     }
 
     /** Whether the request has entries right after the snapshot, and the log holds entries there. */
@@ -39,22 +41,22 @@
         long previous = request.getPreviousLogIndex();
         return previous != 0
                 && !request.getLogEntries().isEmpty()
-                && log.goesBeyond(previous)
+                && log.hasEntriesAfter(previous)
                 && previous == log.snapshotEnd();
     }
 
     /** How many of the request's first entries the log holds. */
-    int heldEntries(AppendEntriesRequest request) {
+    int countHeldEntries(AppendEntriesRequest request) {
         List<LogEntry> entries = request.getLogEntries();
-        int held = 0;
-        while (held < entries.size() && log.holds(entries.get(held))) {
-            held++;
+        int count = 0;
+        while (count < entries.size() && log.hasEntry(entries.get(count))) {
+            count++;
         }
-        return held;
+        return count;
     }
 
-    /** The request without so many of its first entries, at least one. */
-    AppendEntriesRequest without(AppendEntriesRequest request, int count) {
+    /** The request without its first {@code count} entries; at least one. */
+    AppendEntriesRequest withoutFirst(AppendEntriesRequest request, int count) {
         List<LogEntry> entries = request.getLogEntries();
         LogEntry last = entries.get(count - 1);
         return MODELS.createAppendEntriesRequestBuilder()
--- a/src/main/java/whinlead/replication/raft/TimersClock.java
+++ b/src/main/java/whinlead/replication/raft/TimersClock.java
@@ -6,11 +6,11 @@
 import java.time.ZoneOffset;
 import whinlead.engine.Timers;
 
-/** The clock of the consensus library, which only ever compares times of it. */
+/** The clock of the consensus library, which only compares its times with each other. */
 final class TimersClock extends Clock {
     private final Timers timers;
 
-    /** Tells the time of these timers. */
+    /** A clock that reads these timers. */
     TimersClock(Timers timers) {
         this.timers = timers;
     }
--- a/src/test/java/whinlead/replication/GroupClockTest.java
+++ b/src/test/java/whinlead/replication/GroupClockTest.java
@@ -10,56 +10,62 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The group's time over members that come to lead after each other. */
+/** The group's time under successive leaders. */
 class GroupClockTest {
-    /** Schedule 129262: a refusal was forgotten 1.1 s early, for the next to lead had been away for less. */
+    /**
+     * Guards against a promise that expires too early after a change of leader: in simulator schedule 129262 a refusal
+     * was forgotten 1.1 s early, because the next leader had been away for less time than the one that gave it.
+     */
     @Test
-    void whatOneStampsAndAnotherForgetsIsNotOverSooner() {
-        GroupClock away = new GroupClock(0);
-        GroupClock there = new GroupClock(0);
-        away.agreed(1000, 1000);
-        there.agreed(1000, 1000);
-        // It is gone for 3 s, comes back with its disk, and leads: its last stamp is all that it knows.
-        GroupClock back = new GroupClock(4000);
-        back.agreed(1000, 4000);
-        long promised = back.time(4100);
-        there.agreed(promised, 4101);
-        assertEquals(promised + 899, there.time(5000));
+    void aLaggingLeadersStampDoesNotShortenAPromise() {
+        GroupClock lagging = new GroupClock(0);
+        GroupClock present = new GroupClock(0);
+        lagging.committed(1000, 1000);
+        present.committed(1000, 1000);
+        // The lagging member is away for 3 s, restarts with its disk and leads: it knows only its last timestamp.
+        GroupClock restarted = new GroupClock(4000);
+        restarted.committed(1000, 4000);
+        long stampMs = restarted.time(4100);
+        present.committed(stampMs, 4101);
+        assertEquals(stampMs + 899, present.time(5000));
     }
 
-    /** Whoever leads, and however late stamps come: between two of them no more passes than really did. */
+    /**
+     * Whichever member leads and however late timestamps arrive, no more time passes between two of them than real
+     * time.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void noMoreTimePassesThanReallyDid(long seed) {
-        Random dice = new Random(seed);
+    void groupTimeNeverRunsFasterThanRealTime(long seed) {
+        Random random = new Random(seed);
         List<GroupClock> members = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             members.add(new GroupClock(0));
         }
-        double now = 0;
-        long last = 0;
-        double lastAt = 0;
+        double nowMs = 0;
+        long lastStampMs = 0;
+        double lastStampedAtMs = 0;
         for (int i = 0; i < 20_000; i++) {
-            now += dice.nextInt(300);
-            int leads = dice.nextInt(5);
-            if (dice.nextInt(50) == 0) {
-                // It was started again with what its disk holds.
-                GroupClock again = new GroupClock(now);
-                again.agreed(last, now);
-                members.set(leads, again);
+            nowMs += random.nextInt(300);
+            int leader = random.nextInt(5);
+            if (random.nextInt(50) == 0) {
+                // The leader was restarted with its disk.
+                GroupClock restarted = new GroupClock(nowMs);
+                restarted.committed(lastStampMs, nowMs);
+                members.set(leader, restarted);
             }
-            long stamp = Math.max(last, members.get(leads).time(now));
-            double passed = now - lastAt;
-            assertTrue(stamp - last <= passed, stamp - last + " in " + passed);
-            last = stamp;
-            lastAt = now;
-            // All know it before another may lead, each after some time.
-            double known = now;
-            for (GroupClock p : members) {
-                known = now + dice.nextInt(20);
-                p.agreed(stamp, known);
+            long stampMs = Math.max(lastStampMs, members.get(leader).time(nowMs));
+            double passedMs = nowMs - lastStampedAtMs;
+            assertTrue(stampMs - lastStampMs <= passedMs, stampMs - lastStampMs + " in " + passedMs);
+            lastStampMs = stampMs;
+            lastStampedAtMs = nowMs;
+            // All members receive the timestamp, each after some delay, before another member may lead.
+            double receivedMs = nowMs;
+            for (GroupClock member : members) {
+                receivedMs = nowMs + random.nextInt(20);
+                member.committed(stampMs, receivedMs);
             }
-            now += 20;
+            nowMs += 20;
         }
     }
 }
--- a/src/test/java/whinlead/replication/ReplicationClientTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -12,164 +12,164 @@
 import whinlead.engine.Timers;
 import whinlead.plan.Calendar;
 
-/** A member's side of its promises, before a group that answers, answers late or doesn't. */
+/** A member's client with a group that replies in time, late or never. */
 class ReplicationClientTest {
-    private static final double TIME = 1000;
-    private static final double VALID = 200;
+    private static final double DEADLINE_MS = 1000;
+    private static final double VALID_MS = 200;
 
-    private final Calendar world = new Calendar();
-    private final List<Command> asked = new ArrayList<>();
-    private final List<Consumer<Reply>> answers = new ArrayList<>();
-    private final List<Object> told = new ArrayList<>();
+    private final Calendar clock = new Calendar();
+    private final List<Command> commands = new ArrayList<>();
+    private final List<Consumer<Reply>> replyListeners = new ArrayList<>();
+    private final List<Object> results = new ArrayList<>();
     private final List<String> steps = new ArrayList<>();
     private final Timers timers = new Timers() {
         @Override
         public double now() {
-            return world.now();
+            return clock.now();
         }
 
         @Override
         public Timer after(double millis, Runnable task) {
-            Calendar.Due due = world.after(Math.max(0, millis), task);
+            Calendar.Due due = clock.after(Math.max(0, millis), task);
             return due::cancel;
         }
     };
-    private double time;
+    private double groupTimeMs;
     private final ReplicationClient.Group group = new ReplicationClient.Group() {
         @Override
         public void submit(Command command, Consumer<Reply> answer) {
-            asked.add(command);
-            answers.add(answer);
+            commands.add(command);
+            replyListeners.add(answer);
         }
 
         @Override
         public long time(String id) {
-            return (long) time;
+            return (long) groupTimeMs;
         }
     };
-    private final ReplicationClient desk = new ReplicationClient(
+    private final ReplicationClient client = new ReplicationClient(
             "a/1",
             timers,
             new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000),
             group,
             (id, ending) -> {},
             (id, step, detail) -> steps.add(id + " " + step + " " + detail));
-    private final Keeper.Kept kept = desk.open("r", "proxy", false, false, TIME);
+    private final Keeper.Kept request = client.open("r", "proxy", false, false, DEADLINE_MS);
 
-    private Command last() {
-        return asked.get(asked.size() - 1);
+    private Command lastCommand() {
+        return commands.get(commands.size() - 1);
     }
 
-    private void answer(Reply reply) {
-        answers.get(answers.size() - 1).accept(reply);
+    private void replyToLast(Reply reply) {
+        replyListeners.get(replyListeners.size() - 1).accept(reply);
     }
 
     @Test
-    void anAttemptIsToldOnceTheGroupKnowsItAndALostQuestionIsAskedAgain() {
-        kept.allow("e", VALID, told::add);
-        world.runTo(130);
-        assertEquals(3, asked.size());
-        assertEquals(1, asked.stream().distinct().count());
-        answer(new Reply.Granted(4));
-        answers.get(0).accept(new Reply.Granted(4));
-        world.runTo(TIME);
-        assertEquals(List.of(new Keeper.Verdict.Granted(4)), told);
-        assertEquals(3, asked.size());
+    void unansweredCommandIsResubmittedAndItsGrantIsReportedOnce() {
+        request.allow("e", VALID_MS, results::add);
+        clock.runTo(130);
+        assertEquals(3, commands.size());
+        assertEquals(1, commands.stream().distinct().count());
+        replyToLast(new Reply.Granted(4));
+        replyListeners.get(0).accept(new Reply.Granted(4));
+        clock.runTo(DEADLINE_MS);
+        assertEquals(List.of(new Keeper.Verdict.Granted(4)), results);
+        assertEquals(3, commands.size());
     }
 
-    /** Another group's time is known only once a member of it has answered. */
+    /** Another group's time is known only after the first reply of one of its members. */
     @Test
-    void nothingIsAskedForBeforeTheTimeOfTheGroupIsKnownAndItsLimitIsWhatIsLeftThen() {
-        time = -1;
-        kept.allow("e", VALID, told::add);
-        world.runTo(59);
-        assertEquals(List.of(), asked);
-        time = 7000;
-        world.runTo(61);
-        assertEquals(7000 + (long) VALID - 60, ((Command.Allow) last()).until());
-        answer(new Reply.Granted(0));
-        assertEquals(List.of(new Keeper.Verdict.Granted(0)), told);
+    void noAttemptIsSubmittedUntilTheGroupTimeIsKnown() {
+        groupTimeMs = -1;
+        request.allow("e", VALID_MS, results::add);
+        clock.runTo(59);
+        assertEquals(List.of(), commands);
+        groupTimeMs = 7000;
+        clock.runTo(61);
+        assertEquals(7000 + (long) VALID_MS - 60, ((Command.Allow) lastCommand()).validUntilMs());
+        replyToLast(new Reply.Granted(0));
+        assertEquals(List.of(new Keeper.Verdict.Granted(0)), results);
     }
 
     @Test
-    void whatNobodyAnswersIsNotRefusedAndIsTakenBack() {
-        kept.allow("e", VALID, told::add);
-        world.runTo(VALID + 1);
-        assertEquals(List.of(new Keeper.Verdict.Unknown()), told);
-        assertEquals(new Command.Attempt("a/1", 1), ((Command.Withdraw) last()).attempt());
+    void unansweredAttemptIsReportedUnknownAndWithdrawn() {
+        request.allow("e", VALID_MS, results::add);
+        clock.runTo(VALID_MS + 1);
+        assertEquals(List.of(new Keeper.Verdict.Unknown()), results);
+        assertEquals(new Command.Attempt("a/1", 1), ((Command.Withdraw) lastCommand()).attempt());
     }
 
     @Test
-    void whatTheGroupTurnsAwayIsRefusedOnlyOnceAllKnowThat() {
-        kept.allow("e", VALID, told::add);
-        answer(new Reply.Full());
-        assertTrue(told.isEmpty());
-        assertEquals(List.of(1L), ((Command.Refuse) last()).neverRan());
-        answer(new Reply.Over(Command.Ending.REFUSED));
-        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), told);
+    void aFullGroupIsReportedAsRefusalOnlyAfterTheGroupAgrees() {
+        request.allow("e", VALID_MS, results::add);
+        replyToLast(new Reply.Full());
+        assertTrue(results.isEmpty());
+        assertEquals(List.of(1L), ((Command.Refuse) lastCommand()).neverRan());
+        replyToLast(new Reply.Over(Command.Ending.REFUSED));
+        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), results);
     }
 
     @Test
-    void aCallerThatIsGoneHearsNothingOfARefusalThatIsUnderWay() {
-        kept.allow("e", VALID, told::add);
-        answer(new Reply.Late());
-        kept.cancel();
-        answer(new Reply.Over(Command.Ending.REFUSED));
-        world.runTo(TIME);
-        assertEquals(List.of(), told);
+    void cancelledCallerIsNotNotifiedOfAPendingRefusal() {
+        request.allow("e", VALID_MS, results::add);
+        replyToLast(new Reply.Late());
+        request.cancel();
+        replyToLast(new Reply.Over(Command.Ending.REFUSED));
+        clock.runTo(DEADLINE_MS);
+        assertEquals(List.of(), results);
     }
 
     @Test
-    void aRefusalOfOnesOwnTellsWhatTheGroupKnows() {
-        kept.end(new Directive.Refused(70), told::add);
-        answer(new Reply.Over(Command.Ending.REFUSED));
-        kept.end(new Directive.Refused(70), told::add);
-        answer(new Reply.Over(Command.Ending.SERVED));
-        kept.end(new Directive.Refused(70), told::add);
-        answer(new Reply.Out());
-        kept.end(new Directive.Refused(70), told::add);
-        world.runTo(150 + 1);
+    void aRefusalReportsTheEndingThatTheGroupKnows() {
+        request.end(new Directive.Refused(70), results::add);
+        replyToLast(new Reply.Over(Command.Ending.REFUSED));
+        request.end(new Directive.Refused(70), results::add);
+        replyToLast(new Reply.Over(Command.Ending.SERVED));
+        request.end(new Directive.Refused(70), results::add);
+        replyToLast(new Reply.Out());
+        request.end(new Directive.Refused(70), results::add);
+        clock.runTo(150 + 1);
         assertEquals(
                 List.of(
                         new Directive.Refused(70),
                         new Directive.Served(),
                         new Directive.AlreadyOut(),
                         new Directive.Failed()),
-                told);
+                results);
     }
 
     @Test
-    void anEndThatCanNotBeAgreedOnIsToldInTimeAllTheSame() {
-        kept.allow("e", VALID, told::add);
-        answer(new Reply.Granted(0));
-        told.clear();
-        kept.end(new Directive.Failed(), told::add);
-        world.runTo(TIME - 26);
-        assertEquals(List.of(), told);
-        world.runTo(TIME);
-        assertEquals(List.of(new Directive.Failed()), told);
+    void anEndingWithoutReplyIsReportedBeforeTheDeadline() {
+        request.allow("e", VALID_MS, results::add);
+        replyToLast(new Reply.Granted(0));
+        results.clear();
+        request.end(new Directive.Failed(), results::add);
+        clock.runTo(DEADLINE_MS - 26);
+        assertEquals(List.of(), results);
+        clock.runTo(DEADLINE_MS);
+        assertEquals(List.of(new Directive.Failed()), results);
     }
 
     @Test
-    void anEndThatWasAnotherForAllIsToldAsThat() {
-        kept.allow("e", VALID, told::add);
-        answer(new Reply.Granted(0));
-        told.clear();
-        kept.end(new Directive.Failed(), told::add);
-        answer(new Reply.Over(Command.Ending.SERVED));
-        assertEquals(List.of(new Directive.Served()), told);
+    void theGroupsEndingOverridesTheRequestedOne() {
+        request.allow("e", VALID_MS, results::add);
+        replyToLast(new Reply.Granted(0));
+        results.clear();
+        request.end(new Directive.Failed(), results::add);
+        replyToLast(new Reply.Over(Command.Ending.SERVED));
+        assertEquals(List.of(new Directive.Served()), results);
     }
 
     @Test
-    void oneThatStoodStillTakesBackWhatItWasGranted() {
-        // Its timers have not run yet when the answer is read.
-        double[] jump = new double[1];
+    void aGrantReadAfterItsValidityIsWithdrawn() {
+        // The process was suspended: its timers have not run yet when the reply is handled.
+        double[] nowMs = new double[1];
         ReplicationClient slow = new ReplicationClient(
                 "b/1",
                 new Timers() {
                     @Override
                     public double now() {
-                        return jump[0];
+                        return nowMs[0];
                     }
 
                     @Override
@@ -181,30 +181,30 @@
                 group,
                 (id, ending) -> {},
                 (id, step, detail) -> {});
-        slow.open("s", "proxy", false, false, TIME).allow("e", VALID, told::add);
-        jump[0] = VALID + 50;
-        answer(new Reply.Granted(0));
-        assertTrue(asked.stream().anyMatch(c -> c instanceof Command.Withdraw w && w.id().equals("s")));
-        answer(new Reply.Over(Command.Ending.REFUSED));
-        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), told);
+        slow.open("s", "proxy", false, false, DEADLINE_MS).allow("e", VALID_MS, results::add);
+        nowMs[0] = VALID_MS + 50;
+        replyToLast(new Reply.Granted(0));
+        assertTrue(commands.stream().anyMatch(c -> c instanceof Command.Withdraw w && w.id().equals("s")));
+        replyToLast(new Reply.Over(Command.Ending.REFUSED));
+        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), results);
     }
 
     @Test
-    void eachStepIsToldWithTheRequestsId() {
-        kept.allow("e", VALID, told::add);
-        answer(new Reply.Granted(4));
-        kept.end(new Directive.Served(), told::add);
-        answer(new Reply.Over(Command.Ending.SERVED));
+    void eachTraceStepCarriesTheRequestId() {
+        request.allow("e", VALID_MS, results::add);
+        replyToLast(new Reply.Granted(4));
+        request.end(new Directive.Served(), results::add);
+        replyToLast(new Reply.Over(Command.Ending.SERVED));
         assertEquals(List.of("r ASKED e", "r GRANTED 4", "r ENDING SERVED", "r ENDED SERVED"), steps);
     }
 
     @Test
-    void aDrainIsToldOnceWhileItIsOnItsWay() {
-        desk.drains("e");
-        desk.drains("e");
-        assertEquals(1, asked.size());
-        answer(new Reply.Noted());
-        desk.drains("e");
-        assertEquals(2, asked.size());
+    void aDrainIsSubmittedOnceWhileItIsPending() {
+        client.drains("e");
+        client.drains("e");
+        assertEquals(1, commands.size());
+        replyToLast(new Reply.Noted());
+        client.drains("e");
+        assertEquals(2, commands.size());
     }
 }
--- a/src/test/java/whinlead/replication/disk/DiskLogTest.java
+++ b/src/test/java/whinlead/replication/disk/DiskLogTest.java
@@ -28,7 +28,7 @@
 import whinlead.replication.raft.Member;
 import whinlead.replication.raft.MemberId;
 
-/** A member's log on a disk: what comes back, what is cut, what is refused. */
+/** A member's log on disk: what is restored, truncated or rejected. */
 class DiskLogTest {
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
     private static final MemberId ME = new MemberId("a", 7);
@@ -50,7 +50,7 @@
                 .build();
     }
 
-    private static LogMirror begun(DiskLog disk) throws IOException {
+    private static LogMirror startLog(DiskLog disk) throws IOException {
         LogMirror log = disk.found();
         log.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(ME)
@@ -73,9 +73,9 @@
     }
 
     @Test
-    void whatWasFlushedComesBack() throws IOException {
+    void flushedEntriesAreRestored() throws IOException {
         try (DiskLog disk = open()) {
-            LogMirror log = begun(disk);
+            LogMirror log = startLog(disk);
             log.persistLogEntries(List.of(entry(1, 1, 0), entry(2, 3, 0), entry(3, 3, 0)));
             log.truncateLogEntriesFrom(3);
             log.persistLogEntries(List.of(entry(3, 4, 0)));
@@ -95,9 +95,9 @@
         assertEquals(List.of(), notes);
     }
 
-    /** A log that the program at commit ce55648 wrote, before names changed. */
+    /** A log written by the version of commit ce55648, before classes were renamed. */
     @Test
-    void aLogOfAnEarlierProgramIsRead() throws IOException {
+    void aLogOfAnEarlierVersionIsRead() throws IOException {
         try (InputStream in = DiskLogTest.class.getResourceAsStream("/whinlead/state-of-ce55648/replication.log")) {
             Files.copy(in, folder.resolve("log"));
         }
@@ -115,16 +115,16 @@
     }
 
     @Test
-    void anEmptyDiskHoldsNoLife() throws IOException {
+    void anEmptyDiskRestoresNothing() throws IOException {
         try (DiskLog disk = open()) {
             assertNull(disk.found().restored());
         }
     }
 
     @Test
-    void filesAreTheOwnersOnly() throws IOException {
+    void filesAreAccessibleToTheOwnerOnly() throws IOException {
         try (DiskLog disk = open()) {
-            begun(disk);
+            startLog(disk);
             assertEquals("rwx------", PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)));
             try (var files = Files.list(folder)) {
                 for (Path file : files.toList()) {
@@ -134,34 +134,34 @@
         }
     }
 
-    /** Wherever the process ends in the midst of its last write, all before that is there and no more. */
+    /** Wherever the process ends during its last write, exactly the records before that are restored. */
     @Test
-    void aTornEndIsCutWhereverItIs() throws IOException {
-        long whole;
+    void aTornLastRecordIsTruncatedAtEveryLength() throws IOException {
+        long intactBytes;
         try (DiskLog disk = open()) {
-            LogMirror log = begun(disk);
+            LogMirror log = startLog(disk);
             log.persistLogEntries(List.of(entry(1, 1, 0)));
             log.flush();
-            whole = Files.size(folder.resolve("log"));
+            intactBytes = Files.size(folder.resolve("log"));
             log.persistLogEntries(List.of(entry(2, 1, 30)));
             log.flush();
         }
         byte[] bytes = Files.readAllBytes(folder.resolve("log"));
-        for (int length = (int) whole + 1; length < bytes.length; length++) {
+        for (int length = (int) intactBytes + 1; length < bytes.length; length++) {
             Files.write(folder.resolve("log"), Arrays.copyOf(bytes, length));
             notes.clear();
             try (DiskLog disk = open()) {
                 assertEquals(List.of(1L), indices(disk.found().restored()));
             }
             assertEquals(1, notes.size());
-            assertEquals(whole, Files.size(folder.resolve("log")));
+            assertEquals(intactBytes, Files.size(folder.resolve("log")));
         }
     }
 
     @Test
-    void aDamagedMiddleIsRefused() throws IOException {
+    void damageBeforeIntactRecordsIsRejected() throws IOException {
         try (DiskLog disk = open()) {
-            LogMirror log = begun(disk);
+            LogMirror log = startLog(disk);
             log.persistLogEntries(List.of(entry(1, 1, 0), entry(2, 1, 0), entry(3, 1, 0)));
             log.flush();
         }
@@ -169,28 +169,31 @@
         int middle = new String(bytes, StandardCharsets.ISO_8859_1).indexOf("r2");
         bytes[middle] ^= 1;
         Files.write(folder.resolve("log"), bytes);
-        IOException refused = assertThrows(IOException.class, this::open);
-        assertTrue(refused.getMessage().contains("damaged"), refused::getMessage);
-        // And the file is as it was, for whoever looks into it.
+        IOException rejected = assertThrows(IOException.class, this::open);
+        assertTrue(rejected.getMessage().contains("damaged"), rejected::getMessage);
+        // The file is left unchanged for analysis.
         assertEquals(bytes.length, Files.size(folder.resolve("log")));
     }
 
-    /** Single bits at random: what is read is what was written, less a torn end, or it is refused. */
+    /**
+     * Flips single random bits: either what was written is read, possibly without the last record, or the file is
+     * rejected.
+     */
     @Test
-    void noFlippedBitIsTakenForWhatWasWritten() throws IOException {
+    void aFlippedBitIsNeverReadAsValidData() throws IOException {
         try (DiskLog disk = open()) {
-            LogMirror log = begun(disk);
+            LogMirror log = startLog(disk);
             for (int i = 1; i <= 20; i++) {
                 log.persistLogEntries(List.of(entry(i, 1, i)));
             }
             log.flush();
         }
         byte[] bytes = Files.readAllBytes(folder.resolve("log"));
-        Random dice = new Random(1);
-        int refused = 0;
+        Random random = new Random(1);
+        int rejected = 0;
         for (int i = 0; i < 300; i++) {
             byte[] flipped = bytes.clone();
-            flipped[dice.nextInt(bytes.length)] ^= (byte) (1 << dice.nextInt(8));
+            flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             Files.write(folder.resolve("log"), flipped);
             try (DiskLog disk = open()) {
                 List<Long> read = indices(disk.found().restored());
@@ -199,16 +202,16 @@
                     assertEquals(k + 1, read.get(k));
                 }
             } catch (IOException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 200, "refused " + refused);
+        assertTrue(rejected > 200, "refused " + rejected);
     }
 
     @Test
-    void anothersFileAndOneInUseAreRefused() throws IOException {
+    void aFileInUseOrOfAnotherMemberIsRejected() throws IOException {
         try (DiskLog disk = open()) {
-            begun(disk);
+            startLog(disk);
             assertTrue(assertThrows(IOException.class, this::open).getMessage().contains("in use"));
         }
         assertTrue(assertThrows(IOException.class, () -> DiskLog.open(folder, "g", "b", notes::add))
@@ -218,9 +221,9 @@
     }
 
     @Test
-    void aLongLogIsWrittenAnewAndKeepsWhatCounts() throws IOException {
+    void aLongLogIsCompactedAndStaysReadable() throws IOException {
         try (DiskLog disk = open()) {
-            LogMirror log = begun(disk);
+            LogMirror log = startLog(disk);
             for (long i = 1; i <= 3000; i++) {
                 log.persistLogEntries(List.of(entry(i, 3, 1000)));
             }
@@ -251,12 +254,12 @@
     }
 
     @Test
-    void aDiskThatTakesNothingTellsSoOnceAndTakesNothingEverAfter() throws IOException {
+    void aFailedDiskReportsOnceAndRejectsAllLaterWrites() throws IOException {
         List<String> failures = new ArrayList<>();
         DiskLog disk = open();
-        LogMirror log = begun(disk);
+        LogMirror log = startLog(disk);
         disk.onFailure(failures::add);
-        // As a disk that has gone away.
+        // Simulates a disk that has disappeared.
         disk.close();
         for (int i = 0; i < 3; i++) {
             assertThrows(IOException.class, () -> {
--- a/src/test/java/whinlead/replication/raft/GroupHostTest.java
+++ b/src/test/java/whinlead/replication/raft/GroupHostTest.java
@@ -30,7 +30,7 @@
 import whinlead.replication.net.Frames;
 import whinlead.replication.wire.Wire;
 
-/** Processes of a site with two groups and one process more, by a driven clock and a network in memory. */
+/** Processes of a site with two groups and one more process, on a simulated clock and an in-memory network. */
 class GroupHostTest {
     private static final RaftConfig CONFIG = RaftConfig.newBuilder()
             .setLeaderElectionTimeoutMillis(300)
@@ -39,50 +39,50 @@
             .build();
     private static final SortedMap<String, SortedSet<String>> GROUPS =
             new TreeMap<>(Map.of("g", new TreeSet<>(Set.of("a", "b", "c")), "h", new TreeSet<>(Set.of("d", "e", "f"))));
-    private static final SortedSet<String> ALL = new TreeSet<>(Set.of("a", "b", "c", "d", "e", "f", "x"));
-    private static final double REPLACE_AFTER = 3000;
+    private static final SortedSet<String> PROCESSES = new TreeSet<>(Set.of("a", "b", "c", "d", "e", "f", "x"));
+    private static final double REPLACE_AFTER_MS = 3000;
 
-    /** Kept, or its level goes with it. */
+    /** Strongly referenced: a garbage-collected logger loses its level. */
     private static final Logger CONSENSUS = Logger.getLogger("io.microraft");
 
-    private final Calendar world = new Calendar();
-    private final Map<String, Process> all = new HashMap<>();
-    private final Random dice = new Random(5);
+    private final Calendar clock = new Calendar();
+    private final Map<String, Process> processes = new HashMap<>();
+    private final Random random = new Random(5);
     private long attempts;
 
     private final class Process implements GroupHost.Outside, Timers {
         private final String name;
         private final GroupHost host;
         private final Map<String, LogMirror> disks;
-        private final int speaks;
+        private final int protocolVersion;
         private boolean dead;
 
-        private Process(String name, Map<String, LogMirror> disks, int speaks) {
+        private Process(String name, Map<String, LogMirror> disks, int protocolVersion) {
             this.name = name;
             this.disks = disks;
-            this.speaks = speaks;
+            this.protocolVersion = protocolVersion;
             host = new GroupHost(
                     new GroupHost.Setup(
                             name,
-                            ALL,
+                            PROCESSES,
                             GROUPS,
-                            speaks < GroupMessage.GUESTS ? 0 : REPLACE_AFTER,
+                            protocolVersion < GroupMessage.GUESTS_VERSION ? 0 : REPLACE_AFTER_MS,
                             CONFIG,
                             new ReplicatedState.Limits(1000, 1000, 10, 60_000)),
                     this,
-                    new Random(dice.nextLong()),
+                    new Random(random.nextLong()),
                     this,
                     (id, step, detail) -> {});
         }
 
         @Override
         public double now() {
-            return world.now();
+            return clock.now();
         }
 
         @Override
         public Timer after(double millis, Runnable task) {
-            Calendar.Due due = world.after(Math.max(0, millis), () -> {
+            Calendar.Due due = clock.after(Math.max(0, millis), () -> {
                 if (!dead) {
                     task.run();
                 }
@@ -91,17 +91,25 @@
         }
 
         @Override
-        public void send(String group, String to, GroupMessage p) {
-            deliver(group, all.get(to), p);
+        public void send(String group, String receiver, GroupMessage message) {
+            deliver(group, processes.get(receiver), message);
         }
 
-        private void deliver(String group, Process to, GroupMessage p) {
-            // As it goes between processes.
-            Wire.Frame frame = Frames.of(group, new GroupMessage(p.from(), p.fromLife(), p.toLife(), speaks, p.what()));
-            if (to != null && !dead) {
-                world.after(1, () -> {
-                    if (!to.dead) {
-                        to.host.received(group, Frames.message(frame), back -> to.deliver(group, this, back));
+        private void deliver(String group, Process receiver, GroupMessage message) {
+            // Encoded and decoded, as between processes.
+            Wire.Frame frame = Frames.of(
+                    group,
+                    new GroupMessage(
+                            message.sender(),
+                            message.senderIncarnation(),
+                            message.receiverIncarnation(),
+                            protocolVersion,
+                            message.envelope()));
+            if (receiver != null && !dead) {
+                clock.after(1, () -> {
+                    if (!receiver.dead) {
+                        receiver.host.received(
+                                group, Frames.message(frame), reply -> receiver.deliver(group, this, reply));
                     }
                 });
             }
@@ -125,7 +133,7 @@
 
         @Override
         public void note(String line) {
-            // Nobody reads it.
+            // Not checked here.
         }
 
         @Override
@@ -138,34 +146,34 @@
         }
     }
 
-    private Process start(String name, int speaks) {
-        Process p = new Process(name, new HashMap<>(), speaks);
-        all.put(name, p);
-        p.host.start();
-        return p;
+    private Process start(String name, int protocolVersion) {
+        Process process = new Process(name, new HashMap<>(), protocolVersion);
+        processes.put(name, process);
+        process.host.start();
+        return process;
     }
 
     private void kill(String name) {
-        all.get(name).dead = true;
+        processes.get(name).dead = true;
     }
 
-    private void pass(double millis) {
-        world.runTo(world.now() + millis);
+    private void advance(double millis) {
+        clock.runTo(clock.now() + millis);
     }
 
-    private void site() {
-        ALL.forEach(name -> start(name, GroupMessage.SPEAKS));
-        pass(3000);
+    private void startAll() {
+        PROCESSES.forEach(name -> start(name, GroupMessage.PROTOCOL_VERSION));
+        advance(3000);
     }
 
     private Set<String> voters(String group) {
-        return all.values().stream()
-                .filter(p -> !p.dead && p.votes(group))
-                .map(p -> p.name)
+        return processes.values().stream()
+                .filter(process -> !process.dead && process.votes(group))
+                .map(process -> process.name)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private static String kept(String group) {
+    private static String requestIdPlacedIn(String group) {
         for (int i = 0; ; i++) {
             if (new Placement(GROUPS.keySet()).of("r" + i).equals(group)) {
                 return "r" + i;
@@ -173,167 +181,171 @@
         }
     }
 
-    // As a desk does: again and again until it is answered.
-    private Reply ask(String at, String id) {
+    // Repeats the command until a reply arrives, as ReplicationClient does.
+    private Reply allow(String processName, String id) {
         List<Reply> replies = new ArrayList<>();
-        Process p = all.get(at);
+        Process process = processes.get(processName);
         Command.Allow command = null;
         for (int i = 0; i < 40 && replies.isEmpty(); i++) {
-            long time = p.host.time(id);
-            if (time >= 0) {
+            long groupTimeMs = process.host.time(id);
+            if (groupTimeMs >= 0) {
                 command = command != null
                         ? command
                         : new Command.Allow(
                                 id,
                                 "p",
                                 Command.Guard.UNSAFE,
-                                new Command.Attempt(at, ++attempts),
+                                new Command.Attempt(processName, ++attempts),
                                 List.of(),
                                 "e",
                                 100_000,
-                                time + 4000,
+                                groupTimeMs + 4000,
                                 false);
-                p.host.submit(command, replies::add);
+                process.host.submit(command, replies::add);
             }
-            pass(80);
+            advance(80);
         }
         return replies.isEmpty() ? null : replies.get(0);
     }
 
     @BeforeAll
-    static void quiet() {
+    static void silenceLogger() {
         CONSENSUS.setLevel(Level.OFF);
     }
 
     @Test
-    void whicheverProcessIsAskedTheGroupThatKeepsItDecides() {
-        site();
+    void anyProcessRoutesARequestToItsGroup() {
+        startAll();
         for (String group : GROUPS.keySet()) {
-            String id = kept(group);
-            assertEquals(new Reply.Granted(0), ask("x", id));
+            String id = requestIdPlacedIn(group);
+            assertEquals(new Reply.Granted(0), allow("x", id));
             for (String other : List.of("a", "d", "f")) {
-                assertEquals(new Reply.Out(), ask(other, id), other);
+                assertEquals(new Reply.Out(), allow(other, id), other);
             }
             GROUPS.get(group)
-                    .forEach(m ->
-                            assertEquals(1, all.get(m).host.seat(group).status().requests(), m));
+                    .forEach(m -> assertEquals(
+                            1, processes.get(m).host.seat(group).status().requests(), m));
         }
     }
 
     @Test
-    void anotherIsAskedWhereTheOneThatLeadsIsLost() {
-        site();
-        String id = kept("h");
-        assertEquals(new Reply.Granted(0), ask("x", id));
-        kill(all.values().stream()
+    void requestsAreRoutedToAnotherMemberAfterTheLeaderIsLost() {
+        startAll();
+        String id = requestIdPlacedIn("h");
+        assertEquals(new Reply.Granted(0), allow("x", id));
+        kill(processes.values().stream()
                 .filter(p -> p.votes("h") && p.host.seat("h").status().leads())
                 .findFirst()
                 .orElseThrow()
                 .name);
-        assertEquals(new Reply.Out(), ask("x", id));
+        assertEquals(new Reply.Out(), allow("x", id));
     }
 
     @Test
-    void aLostMembersSeatIsTakenAndGivenBack() {
-        site();
-        String id = kept("g");
-        assertEquals(new Reply.Granted(0), ask("d", id));
+    void aGuestTakesALostMembersSeatAndReturnsIt() {
+        startAll();
+        String id = requestIdPlacedIn("g");
+        assertEquals(new Reply.Granted(0), allow("d", id));
         kill("b");
-        pass(12_000);
+        advance(12_000);
         Set<String> voters = voters("g");
         assertEquals(3, voters.size());
         String guest = voters.stream()
                 .filter(n -> !GROUPS.get("g").contains(n))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(1, all.get(guest).host.seat("g").status().requests());
-        // Another loss is borne: the guest knows what was promised.
+        assertEquals(1, processes.get(guest).host.seat("g").status().requests());
+        // Another loss is tolerated: the guest knows what was granted.
         kill("c");
-        assertEquals(new Reply.Out(), ask("f", id));
-        start("c", GroupMessage.SPEAKS);
-        start("b", GroupMessage.SPEAKS);
-        pass(20_000);
+        assertEquals(new Reply.Out(), allow("f", id));
+        start("c", GroupMessage.PROTOCOL_VERSION);
+        start("b", GroupMessage.PROTOCOL_VERSION);
+        advance(20_000);
         assertEquals(GROUPS.get("g"), voters("g"));
-        assertNull(all.get(guest).host.seat("g"));
-        assertEquals(new Reply.Out(), ask("x", id));
+        assertNull(processes.get(guest).host.seat("g"));
+        assertEquals(new Reply.Out(), allow("x", id));
     }
 
-    /** An operator does not wait for the silence. */
+    /** The replacement must not wait for the period of silence. */
     @Test
-    void aMemberThatIsGivenUpIsReplacedAtOnce() {
-        site();
-        Seat leads = all.values().stream()
+    void aMemberGivenUpByAnOperatorIsReplacedAtOnce() {
+        startAll();
+        Seat leader = processes.values().stream()
                 .filter(p -> p.votes("g") && p.host.seat("g").status().leads())
                 .findFirst()
                 .orElseThrow()
                 .host
                 .seat("g");
-        String gone = GROUPS.get("g").stream()
-                .filter(n -> !n.equals(leads.status().id().name()))
+        String lost = GROUPS.get("g").stream()
+                .filter(n -> !n.equals(leader.status().id().name()))
                 .findFirst()
                 .orElseThrow();
         String other = GROUPS.get("g").stream()
-                .filter(n -> !n.equals(gone) && !n.equals(leads.status().id().name()))
+                .filter(n -> !n.equals(lost) && !n.equals(leader.status().id().name()))
                 .findFirst()
                 .orElseThrow();
-        assertTrue(all.get(other).host.seat("g").replace(gone).contains("does not lead"));
-        assertTrue(leads.replace("x").contains("no other member"));
-        kill(gone);
-        assertEquals("", leads.replace(gone));
-        pass(REPLACE_AFTER - 1000);
+        assertTrue(processes.get(other).host.seat("g").replace(lost).contains("does not lead"));
+        assertTrue(leader.replace("x").contains("no other member"));
+        kill(lost);
+        assertEquals("", leader.replace(lost));
+        advance(REPLACE_AFTER_MS - 1000);
         assertEquals(3, voters("g").size());
-        assertFalse(voters("g").contains(gone));
+        assertFalse(voters("g").contains(lost));
     }
 
-    /** The first members that are left are too few to found it anew without the one that knows. */
+    /** Founders that restart without state must not found a second group without the one that still knows the first. */
     @Test
-    void firstMembersThatComeBackWithNothingFoundNoSecondGroup() {
-        site();
-        String id = kept("g");
-        assertEquals(new Reply.Granted(0), ask("x", id));
+    void foundersRestartedWithoutStateFoundNoSecondGroup() {
+        startAll();
+        String id = requestIdPlacedIn("g");
+        assertEquals(new Reply.Granted(0), allow("x", id));
         kill("a");
-        pass(12_000);
+        advance(12_000);
         kill("b");
-        start("a", GroupMessage.SPEAKS);
-        start("b", GroupMessage.SPEAKS);
-        pass(20_000);
+        start("a", GroupMessage.PROTOCOL_VERSION);
+        start("b", GroupMessage.PROTOCOL_VERSION);
+        advance(20_000);
         assertEquals(
                 GROUPS.get("g"),
                 voters("g"),
-                () -> all.values().stream()
+                () -> processes.values().stream()
                         .filter(p -> p.host.seat("g") != null)
                         .map(p -> p.name + " " + p.host.seat("g").status())
                         .toList()
                         .toString());
-        assertEquals(new Reply.Out(), ask("x", id));
+        assertEquals(new Reply.Out(), allow("x", id));
     }
 
-    /** An earlier version hears nobody that is no first member: it would be lost to the group. */
+    /** A member of an earlier version ignores guests' messages and would be lost to the group. */
     @Test
-    void nobodyIsAskedInWhileAMemberOfAnEarlierVersionVotes() {
-        ALL.forEach(name -> start(name, name.equals("a") ? GroupMessage.GUESTS - 1 : GroupMessage.SPEAKS));
-        pass(3000);
+    void noGuestIsInvitedWhileAMemberOfAnEarlierVersionVotes() {
+        PROCESSES.forEach(name ->
+                start(name, name.equals("a") ? GroupMessage.GUESTS_VERSION - 1 : GroupMessage.PROTOCOL_VERSION));
+        advance(3000);
         kill("b");
-        pass(15_000);
+        advance(15_000);
         assertEquals(Set.of("a", "c"), voters("g"));
-        Map<String, LogMirror> disks = all.get("a").disks;
+        Map<String, LogMirror> disks = processes.get("a").disks;
         kill("a");
-        Process upgraded = new Process("a", disks, GroupMessage.SPEAKS);
-        all.put("a", upgraded);
+        Process upgraded = new Process("a", disks, GroupMessage.PROTOCOL_VERSION);
+        processes.put("a", upgraded);
         upgraded.host.start();
-        pass(15_000);
+        advance(15_000);
         assertEquals(3, voters("g").size());
         assertTrue(voters("g").containsAll(Set.of("a", "c")));
     }
 
     @Test
-    void aProcessThatIsNoMemberPassesNothingOnToItself() {
-        site();
-        assertFalse(all.get("x").host.groups().contains("g"));
-        List<GroupMessage> said = new ArrayList<>();
-        all.get("x").host.received("g", new GroupMessage("a", 0, 0, new Envelope.Pass(7, null)), said::add);
+    void aProcessWithoutASeatAnswersRoutedCommandsWithoutAReply() {
+        startAll();
+        assertFalse(processes.get("x").host.groups().contains("g"));
+        List<GroupMessage> replies = new ArrayList<>();
+        processes
+                .get("x")
+                .host
+                .received("g", new GroupMessage("a", 0, 0, new Envelope.RoutedCommand(7, null)), replies::add);
         assertEquals(
-                List.of(new Envelope.Passed(7, null, -1, "")),
-                said.stream().map(GroupMessage::what).toList());
+                List.of(new Envelope.RoutedReply(7, null, -1, "")),
+                replies.stream().map(GroupMessage::envelope).toList());
     }
 }
--- a/src/test/java/whinlead/replication/raft/MemberTest.java
+++ b/src/test/java/whinlead/replication/raft/MemberTest.java
@@ -16,28 +16,28 @@
 import whinlead.replication.ReplicatedState;
 import whinlead.replication.Reply;
 
-/** A life of a member that ends with messages still to be worked off. */
+/** One incarnation of a member: pending messages when it stops or restarts. */
 class MemberTest {
-    private static final MemberId ME = new MemberId("a", 1);
+    private static final MemberId SELF = new MemberId("a", 1);
     private static final MemberId OTHER = new MemberId("b", 1);
 
-    private final Calendar world = new Calendar();
+    private final Calendar clock = new Calendar();
     private final List<Envelope> sent = new ArrayList<>();
 
     private final class WorldTimers implements Timers {
         @Override
         public double now() {
-            return world.now();
+            return clock.now();
         }
 
         @Override
         public Timer after(double millis, Runnable task) {
-            Calendar.Due due = world.after(Math.max(0, millis), task);
+            Calendar.Due due = clock.after(Math.max(0, millis), task);
             return due::cancel;
         }
     }
 
-    private static Envelope asksForVote(int term) {
+    private static Envelope voteRequest(int term) {
         return new Envelope.Consensus(new DefaultRaftModelFactory()
                 .createVoteRequestBuilder()
                 .setGroupId(Member.GROUP)
@@ -49,14 +49,17 @@
                 .build());
     }
 
-    /** Its log may be wiped or another's by then: a vote written to it would be one that nobody gave. */
+    /**
+     * Guards against a vote that no member gave: the log may have been erased or may belong to another incarnation by
+     * then.
+     */
     @Test
-    void whatItHadNotYetWorkedOffIsWrittenAndAnsweredNoMore() {
+    void aStoppedMemberNeitherWritesNorAnswersPendingMessages() {
         WorldTimers timers = new WorldTimers();
         LogMirror log = new LogMirror();
         Member member = new Member(
-                ME,
-                List.of(ME, OTHER, new MemberId("c", 1)),
+                SELF,
+                List.of(SELF, OTHER, new MemberId("c", 1)),
                 timers,
                 new GroupClock(0),
                 (to, what) -> sent.add(what),
@@ -70,23 +73,23 @@
                 new Random(1),
                 who -> Optional.empty());
         member.start(100);
-        world.runTo(10);
-        member.received(OTHER, asksForVote(3));
-        world.runTo(20);
+        clock.runTo(10);
+        member.receive(OTHER, voteRequest(3));
+        clock.runTo(20);
         assertEquals(3, log.restored().getTermPersistentState().getTerm());
         int before = sent.size();
-        member.received(OTHER, asksForVote(7));
+        member.receive(OTHER, voteRequest(7));
         member.stop();
-        world.runTo(1000);
+        clock.runTo(1000);
         assertEquals(3, log.restored().getTermPersistentState().getTerm());
         assertEquals(before, sent.size());
     }
 
-    private Member led(LogMirror log, long seed) {
+    private Member followerOfOther(LogMirror log, long seed) {
         WorldTimers timers = new WorldTimers();
         Member member = new Member(
-                ME,
-                List.of(ME, OTHER, new MemberId("c", 1)),
+                SELF,
+                List.of(SELF, OTHER, new MemberId("c", 1)),
                 timers,
                 new GroupClock(0),
                 (to, what) -> sent.add(what),
@@ -100,8 +103,8 @@
                 new Random(seed),
                 who -> Optional.empty());
         member.start(100);
-        world.runTo(world.now() + 10);
-        member.received(
+        clock.runTo(clock.now() + 10);
+        member.receive(
                 OTHER,
                 new Envelope.Consensus(new DefaultRaftModelFactory()
                         .createAppendEntriesRequestBuilder()
@@ -115,27 +118,30 @@
                         .setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0)
                         .build()));
-        world.runTo(world.now() + 10);
+        clock.runTo(clock.now() + 10);
         assertEquals("b", member.leader());
         return member;
     }
 
-    private Envelope.Forward asked(Member member, List<Reply> heard) {
-        member.submit(new Command.Report("r", 0, Command.How.SERVED), heard::add);
+    private Envelope.Forward submitForwarded(Member member, List<Reply> replies) {
+        member.submit(new Command.Report("r", 0, Command.AttemptOutcome.SERVED), replies::add);
         return (Envelope.Forward) sent.get(sent.size() - 1);
     }
 
-    /** Schedules 113260 and 155882: with its disk it is the same life, and a late answer was taken for another's. */
+    /**
+     * Guards against a late reply that is taken for the reply to another command, after a restart with the disk as the
+     * same incarnation: simulator schedules 113260 and 155882.
+     */
     @Test
-    void anAnswerToTheProcessBeforeItFitsNoneOfItsQuestions() {
+    void aReplyToTheEarlierProcessMatchesNoPendingCommand() {
         LogMirror log = new LogMirror();
-        List<Reply> heard = new ArrayList<>();
-        Envelope.Forward before = asked(led(log, 1), new ArrayList<>());
-        Member after = led(new LogMirror(log, null), 2);
-        Envelope.Forward now = asked(after, heard);
-        after.received(OTHER, new Envelope.Answer(before.token(), new Reply.Granted(0)));
-        assertEquals(List.of(), heard);
-        after.received(OTHER, new Envelope.Answer(now.token(), new Reply.Noted()));
-        assertEquals(List.of(new Reply.Noted()), heard);
+        List<Reply> replies = new ArrayList<>();
+        Envelope.Forward earlierCommand = submitForwarded(followerOfOther(log, 1), new ArrayList<>());
+        Member restarted = followerOfOther(new LogMirror(log, null), 2);
+        Envelope.Forward command = submitForwarded(restarted, replies);
+        restarted.receive(OTHER, new Envelope.ForwardReply(earlierCommand.token(), new Reply.Granted(0)));
+        assertEquals(List.of(), replies);
+        restarted.receive(OTHER, new Envelope.ForwardReply(command.token(), new Reply.Noted()));
+        assertEquals(List.of(new Reply.Noted()), replies);
     }
 }
--- a/src/test/java/whinlead/replication/raft/ReplacementTest.java
+++ b/src/test/java/whinlead/replication/raft/ReplacementTest.java
@@ -17,263 +17,278 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who takes whose seat, step by step, while members fall silent and come back in any order. */
+/** Replacement step by step, while members fall silent and come back in any order. */
 class ReplacementTest {
-    private static final double AFTER = 5000;
-    private static final double TICK = 250;
+    private static final double REPLACE_AFTER_MS = 5000;
+    private static final double TICK_MS = 250;
 
     private final Set<MemberId> members = new TreeSet<>();
     private final Set<MemberId> voters = new TreeSet<>();
-    private double now;
+    private double nowMs;
 
     private Replacement.View view() {
         return new Replacement.View(new TreeSet<>(members), new TreeSet<>(voters));
     }
 
-    private void take(MembershipManager.Step step) {
-        if (step instanceof MembershipManager.Step.Learn s) {
-            members.add(s.who());
+    private void applyStep(MembershipManager.Step step) {
+        if (step instanceof MembershipManager.Step.AddLearner s) {
+            members.add(s.member());
         } else if (step instanceof MembershipManager.Step.Remove s) {
-            members.remove(s.who());
-            voters.remove(s.who());
+            members.remove(s.member());
+            voters.remove(s.member());
         } else if (step instanceof MembershipManager.Step.Promote s) {
-            voters.add(s.who());
+            voters.add(s.member());
         }
     }
 
-    private void join(Replacement rule, MemberId who) {
-        MembershipManager.next(who, members, voters, rule.claim(who.name(), view(), now))
-                .ifPresent(this::take);
+    private void join(Replacement rule, MemberId newcomer) {
+        MembershipManager.nextStep(newcomer, members, voters, rule.claim(newcomer.name(), view(), nowMs))
+                .ifPresent(this::applyStep);
     }
 
     private static Set<String> names(Set<MemberId> all) {
         return all.stream().map(MemberId::name).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private Replacement three() {
+    private Replacement threeMembers() {
         for (String name : List.of("a", "b", "c")) {
             members.add(new MemberId(name, 1));
         }
         voters.addAll(members);
-        return new Replacement("g", "a", Set.of("a", "b", "c"), Set.of("a", "b", "c", "x", "y"), AFTER);
+        return new Replacement("g", "a", Set.of("a", "b", "c"), Set.of("a", "b", "c", "x", "y"), REPLACE_AFTER_MS);
     }
 
-    private Optional<Replacement.Act> pass(Replacement rule, double millis, String... alive) {
-        for (double until = now + millis; now < until; ) {
-            now += TICK;
+    private Optional<Replacement.Action> tickUntilAction(Replacement rule, double millis, String... alive) {
+        for (double untilMs = nowMs + millis; nowMs < untilMs; ) {
+            nowMs += TICK_MS;
             for (String name : alive) {
-                rule.heard(name, now);
+                rule.recordContact(name, nowMs);
             }
-            Optional<Replacement.Act> act = rule.tick(view(), now);
-            if (act.isPresent()) {
-                return act;
+            Optional<Replacement.Action> action = rule.tick(view(), nowMs);
+            if (action.isPresent()) {
+                return action;
             }
         }
         return Optional.empty();
     }
 
     @Test
-    void aSilentMemberIsReplacedAndTakesItsSeatAgain() {
-        Replacement rule = three();
-        assertEquals(Optional.empty(), pass(rule, AFTER, "b"));
-        Replacement.Act act = pass(rule, AFTER, "b").orElseThrow();
-        String guest = ((Replacement.Act.Invite) act).name();
-        MemberId who = new MemberId(guest, 1);
-        join(rule, who);
+    void aSilentMemberIsReplacedAndRegainsItsSeat() {
+        Replacement rule = threeMembers();
+        assertEquals(Optional.empty(), tickUntilAction(rule, REPLACE_AFTER_MS, "b"));
+        Replacement.Action action = tickUntilAction(rule, REPLACE_AFTER_MS, "b").orElseThrow();
+        String guest = ((Replacement.Action.Invite) action).name();
+        MemberId guestId = new MemberId(guest, 1);
+        join(rule, guestId);
         assertEquals(Set.of("a", "b", "c"), names(voters));
-        join(rule, who);
+        join(rule, guestId);
         assertEquals(Set.of("a", "b"), names(voters));
-        join(rule, who);
+        join(rule, guestId);
         assertEquals(Set.of("a", "b", guest), names(voters));
-        // It comes back with nothing.
-        MemberId home = new MemberId("c", 2);
-        pass(rule, TICK, "b", guest);
-        join(rule, home);
-        join(rule, home);
+        // The silent member restarts without state.
+        MemberId returned = new MemberId("c", 2);
+        tickUntilAction(rule, TICK_MS, "b", guest);
+        join(rule, returned);
+        join(rule, returned);
         assertEquals(4, voters.size());
-        Replacement.Act goes = pass(rule, TICK, "b", "c", guest).orElseThrow();
-        assertEquals(new Replacement.Act.Dismiss(who), goes);
+        Replacement.Action last =
+                tickUntilAction(rule, TICK_MS, "b", "c", guest).orElseThrow();
+        assertEquals(new Replacement.Action.Remove(guestId), last);
     }
 
     /**
-     * Schedule 1935 of a fleet: with one that votes lost for good, the guest's going left two seats, one of them the
-     * lost one's, and nobody that could ever agree on anything.
+     * Guards against a group that stops for good: in fleet schedule 1935, while one voter was lost, removing the guest
+     * left two seats, one of them the lost voter's, so that no majority was possible any more.
      */
     @Test
-    void aGuestKeepsItsSeatWhileAnotherThatVotesIsNotHeard() {
-        Replacement rule = three();
-        MemberId who = new MemberId(
-                ((Replacement.Act.Invite) pass(rule, 3 * AFTER, "b").orElseThrow()).name(), 1);
+    void aGuestKeepsItsSeatWhileAnotherVoterIsSilent() {
+        Replacement rule = threeMembers();
+        MemberId guestId = new MemberId(
+                ((Replacement.Action.Invite)
+                                tickUntilAction(rule, 3 * REPLACE_AFTER_MS, "b").orElseThrow())
+                        .name(),
+                1);
         for (int i = 0; i < 3; i++) {
-            join(rule, who);
+            join(rule, guestId);
         }
-        pass(rule, 2000, who.name());
+        tickUntilAction(rule, 2000, guestId.name());
         join(rule, new MemberId("c", 2));
-        assertEquals(Set.of("a", "b", who.name()), names(members));
+        assertEquals(Set.of("a", "b", guestId.name()), names(members));
     }
 
     @Test
-    void oneThatWasNotAskedIsNotLetIn() {
-        Replacement rule = three();
+    void aProcessThatWasNotInvitedIsNotAdmitted() {
+        Replacement rule = threeMembers();
         join(rule, new MemberId("x", 1));
         join(rule, new MemberId("y", 1));
         assertEquals(voters, members);
     }
 
     @Test
-    void aMemberThatComesBackInTimeKeepsItsSeatAndTheLearnerGoes() {
-        Replacement rule = three();
-        String guest = ((Replacement.Act.Invite) pass(rule, 3 * AFTER, "b").orElseThrow()).name();
+    void aMemberBackInTimeKeepsItsSeatAndTheLearnerIsRemoved() {
+        Replacement rule = threeMembers();
+        String guest = ((Replacement.Action.Invite)
+                        tickUntilAction(rule, 3 * REPLACE_AFTER_MS, "b").orElseThrow())
+                .name();
         join(rule, new MemberId(guest, 1));
         assertEquals(4, members.size());
         assertEquals(
-                Optional.of(new Replacement.Act.Dismiss(new MemberId(guest, 1))), pass(rule, TICK, "b", "c", guest));
+                Optional.of(new Replacement.Action.Remove(new MemberId(guest, 1))),
+                tickUntilAction(rule, TICK_MS, "b", "c", guest));
     }
 
-    /** Its earlier life is lost as well: it must not keep the seat from everybody. */
+    /** Its earlier incarnation is lost as well, so the seat must not stay blocked for others. */
     @Test
-    void aNewLifeThatDiesBeforeItVotesDoesNotStandInTheWay() {
-        Replacement rule = three();
+    void aNewIncarnationThatDiesBeforeItVotesDoesNotBlockTheSeat() {
+        Replacement rule = threeMembers();
         join(rule, new MemberId("c", 2));
         assertEquals(4, members.size());
-        assertEquals(Optional.of(new Replacement.Act.Dismiss(new MemberId("c", 2))), pass(rule, 2 * AFTER, "b"));
+        assertEquals(
+                Optional.of(new Replacement.Action.Remove(new MemberId("c", 2))),
+                tickUntilAction(rule, 2 * REPLACE_AFTER_MS, "b"));
         members.remove(new MemberId("c", 2));
-        assertTrue(pass(rule, AFTER, "b").orElseThrow() instanceof Replacement.Act.Invite);
+        assertTrue(tickUntilAction(rule, REPLACE_AFTER_MS, "b").orElseThrow() instanceof Replacement.Action.Invite);
     }
 
     @Test
-    void theNextIsAskedWhereOneDoesNotCome() {
-        Replacement rule = three();
-        Set<String> asked = new TreeSet<>();
+    void theNextCandidateIsInvitedIfOneDoesNotJoin() {
+        Replacement rule = threeMembers();
+        Set<String> invited = new TreeSet<>();
         for (int i = 0; i < 2; i++) {
-            asked.add(((Replacement.Act.Invite) pass(rule, 3 * AFTER, "b").orElseThrow()).name());
+            invited.add(((Replacement.Action.Invite)
+                            tickUntilAction(rule, 3 * REPLACE_AFTER_MS, "b").orElseThrow())
+                    .name());
         }
-        assertEquals(Set.of("x", "y"), asked);
+        assertEquals(Set.of("x", "y"), invited);
     }
 
     @Test
-    void oneThatStoodStillItselfHoldsItAgainstNobody() {
-        Replacement rule = three();
-        pass(rule, AFTER, "b", "c");
-        now += 10 * AFTER;
-        assertEquals(Optional.empty(), rule.tick(view(), now));
+    void aLeaderThatWasSuspendedCountsNobodyAsSilent() {
+        Replacement rule = threeMembers();
+        tickUntilAction(rule, REPLACE_AFTER_MS, "b", "c");
+        nowMs += 10 * REPLACE_AFTER_MS;
+        assertEquals(Optional.empty(), rule.tick(view(), nowMs));
     }
 
     @Test
-    void offNobodyIsEverReplacedByAnother() {
-        three();
+    void withoutReplacementNoGuestIsAdmitted() {
+        threeMembers();
         Replacement rule = new Replacement("g", "a", Set.of("a", "b", "c"), Set.of("a", "b", "c", "x"), 0);
-        assertEquals(Optional.empty(), pass(rule, 100 * AFTER));
+        assertEquals(Optional.empty(), tickUntilAction(rule, 100 * REPLACE_AFTER_MS));
         join(rule, new MemberId("x", 1));
         join(rule, new MemberId("c", 2));
         assertEquals(Set.of("a", "b", "c"), names(members));
     }
 
-    /** Processes of all kinds die, come back with nothing, and ask; the one that leads may change at any time. */
+    /** Founders and guests die, restart without state and ask to join; the leader may change at any time. */
     @ParameterizedTest
     @CsvSource({"3, 1", "3, 2", "3, 3", "3, 4", "5, 5", "5, 6", "5, 7", "5, 8", "7, 9", "7, 10"})
-    void seatsAreNeverMoreNorFewerThanTheyMay(int size, long seed) {
-        Random dice = new Random(seed);
-        List<String> first = IntStream.range(0, size).mapToObj(i -> "f" + i).toList();
-        List<String> all = new ArrayList<>(first);
-        IntStream.range(0, 4).forEach(i -> all.add("z" + i));
-        first.forEach(n -> members.add(new MemberId(n, 1)));
+    void seatCountsStayWithinBoundsUnderRandomFailures(int size, long seed) {
+        Random random = new Random(seed);
+        List<String> founders = IntStream.range(0, size).mapToObj(i -> "f" + i).toList();
+        List<String> processes = new ArrayList<>(founders);
+        IntStream.range(0, 4).forEach(i -> processes.add("z" + i));
+        founders.forEach(n -> members.add(new MemberId(n, 1)));
         voters.addAll(members);
-        Map<String, Integer> lives = new HashMap<>();
+        Map<String, Integer> incarnations = new HashMap<>();
         Map<String, Boolean> up = new HashMap<>();
-        all.forEach(n -> up.put(n, true));
-        Map<String, MemberId> asks = new HashMap<>();
+        processes.forEach(n -> up.put(n, true));
+        Map<String, MemberId> joining = new HashMap<>();
         Replacement rule = null;
-        int bears = (size - 1) / 2;
+        int tolerated = (size - 1) / 2;
         int guestsSeen = 0;
         for (int i = 0; i < 20_000; i++) {
-            now += TICK;
-            // So many are away at a time as the group bears to lose; one that leads is not.
-            if (dice.nextInt(40) == 0) {
-                String name = all.get(dice.nextInt(all.size()));
-                long away = names(voters).stream().filter(n -> !up.get(n)).count() + size - voters.size();
-                if (up.get(name) && (!names(voters).contains(name) || away < bears)) {
+            nowMs += TICK_MS;
+            // At most as many voters are down at a time as the group tolerates; the leader is up.
+            if (random.nextInt(40) == 0) {
+                String name = processes.get(random.nextInt(processes.size()));
+                long awayCount = names(voters).stream().filter(n -> !up.get(n)).count() + size - voters.size();
+                if (up.get(name) && (!names(voters).contains(name) || awayCount < tolerated)) {
                     up.put(name, false);
-                    asks.remove(name);
+                    joining.remove(name);
                 } else if (!up.get(name)) {
                     up.put(name, true);
-                    if (first.contains(name)) {
-                        int life = lives.merge(name, 1, Integer::sum) + 1;
-                        asks.put(name, new MemberId(name, life));
+                    if (founders.contains(name)) {
+                        int incarnation = incarnations.merge(name, 1, Integer::sum) + 1;
+                        joining.put(name, new MemberId(name, incarnation));
                     }
                 }
             }
-            String leads = voters.stream()
+            String leader = voters.stream()
                     .map(MemberId::name)
                     .filter(up::get)
                     .findFirst()
                     .orElseThrow();
-            if (rule == null || dice.nextInt(100) == 0 || !up.get(leads)) {
-                rule = new Replacement("g", leads, first, all, AFTER);
+            if (rule == null || random.nextInt(100) == 0 || !up.get(leader)) {
+                rule = new Replacement("g", leader, founders, processes, REPLACE_AFTER_MS);
             }
-            for (String name : all) {
-                boolean lives1 = asks.containsKey(name)
-                        || members.stream().anyMatch(m -> m.name().equals(name));
-                if (up.get(name) && lives1) {
-                    rule.heard(name, now);
+            for (String name : processes) {
+                boolean hasProcess = joining.containsKey(name)
+                        || members.stream().anyMatch(member -> member.name().equals(name));
+                if (up.get(name) && hasProcess) {
+                    rule.recordContact(name, nowMs);
                 }
             }
             Set<MemberId> before = new TreeSet<>(voters);
-            rule.tick(view(), now).ifPresent(act -> {
-                if (act instanceof Replacement.Act.Dismiss d) {
-                    assertTrue(!voters.contains(d.who()) || voters.size() > size);
-                    members.remove(d.who());
-                    voters.remove(d.who());
-                    asks.remove(d.who().name(), d.who());
-                } else if (act instanceof Replacement.Act.Invite in && up.get(in.name())) {
-                    asks.put(in.name(), new MemberId(in.name(), 1 + lives.merge(in.name(), 1, Integer::sum)));
+            rule.tick(view(), nowMs).ifPresent(action -> {
+                if (action instanceof Replacement.Action.Remove remove) {
+                    assertTrue(!voters.contains(remove.member()) || voters.size() > size);
+                    members.remove(remove.member());
+                    voters.remove(remove.member());
+                    joining.remove(remove.member().name(), remove.member());
+                } else if (action instanceof Replacement.Action.Invite invite && up.get(invite.name())) {
+                    joining.put(
+                            invite.name(),
+                            new MemberId(invite.name(), 1 + incarnations.merge(invite.name(), 1, Integer::sum)));
                 }
             });
-            for (MemberId who : List.copyOf(asks.values())) {
-                if (dice.nextInt(3) == 0) {
-                    join(rule, who);
+            for (MemberId newcomer : List.copyOf(joining.values())) {
+                if (random.nextInt(3) == 0) {
+                    join(rule, newcomer);
                 }
-                if (voters.contains(who)) {
-                    asks.remove(who.name());
+                if (voters.contains(newcomer)) {
+                    joining.remove(newcomer.name());
                 }
             }
-            long guests = voters.stream().filter(m -> !first.contains(m.name())).count();
+            long guests = voters.stream()
+                    .filter(member -> !founders.contains(member.name()))
+                    .count();
             guestsSeen += guests > 0 ? 1 : 0;
-            assertTrue(guests <= bears || voters.size() > size, () -> "guests " + voters);
-            assertTrue(voters.size() <= size + 1 && voters.size() >= size - bears, () -> "voters " + voters);
+            assertTrue(guests <= tolerated || voters.size() > size, () -> "guests " + voters);
+            assertTrue(voters.size() <= size + 1 && voters.size() >= size - tolerated, () -> "voters " + voters);
             assertTrue(names(voters).size() == voters.size(), () -> "a name twice " + voters);
-            // One that is there and is heard loses its seat to nobody but its first owner.
-            for (MemberId m : before) {
+            // A voting founder that is up loses its seat to nobody but its own next incarnation.
+            for (MemberId member : before) {
                 assertTrue(
-                        voters.contains(m)
-                                || !up.get(m.name())
-                                || lives.getOrDefault(m.name(), 0) + 1 > m.life()
-                                || !first.contains(m.name()),
-                        () -> m + " of " + before + " lost its seat: " + voters);
+                        voters.contains(member)
+                                || !up.get(member.name())
+                                || incarnations.getOrDefault(member.name(), 0) + 1 > member.incarnation()
+                                || !founders.contains(member.name()),
+                        () -> member + " of " + before + " lost its seat: " + voters);
             }
         }
         assertTrue(guestsSeen > 100, "guests in " + guestsSeen + " rounds");
-        // All are back: every seat is its first member's again.
-        Replacement last = new Replacement("g", first.get(0), first, all, AFTER);
+        // After all are back, every seat belongs to its founder again.
+        Replacement finalRule = new Replacement("g", founders.get(0), founders, processes, REPLACE_AFTER_MS);
         for (int i = 0; i < 400; i++) {
-            now += TICK;
-            for (String name : all) {
-                last.heard(name, now);
-                if (first.contains(name)
-                        && voters.stream().noneMatch(m -> m.name().equals(name))) {
-                    asks.computeIfAbsent(name, n -> new MemberId(n, 1 + lives.merge(n, 1, Integer::sum)));
+            nowMs += TICK_MS;
+            for (String name : processes) {
+                finalRule.recordContact(name, nowMs);
+                if (founders.contains(name)
+                        && voters.stream().noneMatch(member -> member.name().equals(name))) {
+                    joining.computeIfAbsent(name, n -> new MemberId(n, 1 + incarnations.merge(n, 1, Integer::sum)));
                 }
             }
-            for (MemberId who : List.copyOf(asks.values())) {
-                join(last, who);
+            for (MemberId newcomer : List.copyOf(joining.values())) {
+                join(finalRule, newcomer);
             }
-            last.tick(view(), now).ifPresent(act -> {
-                if (act instanceof Replacement.Act.Dismiss d) {
-                    members.remove(d.who());
-                    voters.remove(d.who());
+            finalRule.tick(view(), nowMs).ifPresent(action -> {
+                if (action instanceof Replacement.Action.Remove remove) {
+                    members.remove(remove.member());
+                    voters.remove(remove.member());
                 }
             });
         }
-        assertEquals(new TreeSet<>(first), names(voters), () -> members + " " + asks);
+        assertEquals(new TreeSet<>(founders), names(voters), () -> members + " " + joining);
     }
 }
