--- a/src/test/java/whinlead/replication/raft/SeatTest.java
+++ b/src/test/java/whinlead/replication/raft/SeatTest.java
@@ -27,49 +27,49 @@
 import whinlead.replication.GroupClock;
 import whinlead.replication.ReplicatedState;
 
-/** Processes that find their place in a group, by a driven clock and a network in memory. */
+/** Processes that find their place in a group, on a simulated clock and an in-memory network. */
 class SeatTest {
     private static final RaftConfig CONFIG = RaftConfig.newBuilder()
             .setLeaderElectionTimeoutMillis(300)
             .setLeaderHeartbeatPeriodSecs(1)
             .setLeaderHeartbeatTimeoutSecs(2)
             .build();
-    private static final SortedSet<String> NAMES = new TreeSet<>(Set.of("a", "b", "c"));
+    private static final SortedSet<String> FOUNDER_NAMES = new TreeSet<>(Set.of("a", "b", "c"));
 
-    /** Kept, or its level goes with it. */
+    /** Strongly referenced: a garbage-collected logger loses its level. */
     private static final Logger CONSENSUS = Logger.getLogger("io.microraft");
 
-    private final Calendar world = new Calendar();
-    /** By address: two processes may have one name, and one address leads to one of them. */
+    private final Calendar clock = new Calendar();
+    /** Processes by address: two processes may have the same name, but an address leads to only one of them. */
     private final Map<String, Process> addresses = new HashMap<>();
 
-    private final Random dice = new Random(5);
+    private final Random random = new Random(5);
 
-    private final class Process implements Seat.Outside, Timers {
+    private final class Process implements Seat.Environment, Timers {
         private final Seat seat;
         private final List<String> notes = new ArrayList<>();
-        private boolean taken;
+        private boolean nameTaken;
         private boolean dead;
-        private double frozenUntil;
+        private double suspendedUntilMs;
 
         private Process(String name, LogMirror log) {
             seat = new Seat(
-                    new SeatSetup(name, NAMES, CONFIG, new ReplicatedState.Limits(100, 100, 10, 1000)),
+                    new SeatSetup(name, FOUNDER_NAMES, CONFIG, new ReplicatedState.Limits(100, 100, 10, 1000)),
                     this,
                     new GroupClock(now()),
                     log,
-                    new Random(dice.nextLong()),
+                    new Random(random.nextLong()),
                     this);
         }
 
         @Override
         public double now() {
-            return world.now();
+            return clock.now();
         }
 
         @Override
         public Timer after(double millis, Runnable task) {
-            Calendar.Due due = world.after(Math.max(0, millis), () -> run(task));
+            Calendar.Due due = clock.after(Math.max(0, millis), () -> run(task));
             return due::cancel;
         }
 
@@ -77,73 +77,76 @@
             if (dead) {
                 return;
             }
-            if (world.now() < frozenUntil) {
-                world.at(frozenUntil, () -> run(task));
+            if (clock.now() < suspendedUntilMs) {
+                clock.at(suspendedUntilMs, () -> run(task));
             } else {
                 task.run();
             }
         }
 
         @Override
-        public void send(String to, GroupMessage message) {
-            deliver(addresses.get(to), message);
+        public void send(String receiver, GroupMessage message) {
+            deliver(addresses.get(receiver), message);
         }
 
-        private void deliver(Process to, GroupMessage message) {
-            if (to != null && !dead) {
-                world.after(1, () -> to.run(() -> to.seat.received(message, back -> to.deliver(this, back))));
+        private void deliver(Process receiver, GroupMessage message) {
+            if (receiver != null && !dead) {
+                clock.after(
+                        1,
+                        () -> receiver.run(
+                                () -> receiver.seat.receive(message, reply -> receiver.deliver(this, reply))));
             }
         }
 
         @Override
-        public LogMirror wiped() {
+        public LogMirror wipeLog() {
             return new LogMirror();
         }
 
         @Override
-        public void note(String line) {
+        public void report(String line) {
             notes.add(line);
         }
 
         @Override
-        public void retired() {
+        public void seatRetired() {
             throw new IllegalStateException("no guest");
         }
 
         @Override
-        public void taken() {
-            taken = true;
+        public void nameTaken() {
+            nameTaken = true;
             dead = true;
         }
     }
 
     private Process start(String name) {
-        Process p = new Process(name, new LogMirror());
-        addresses.put(name, p);
-        p.seat.start();
-        return p;
+        Process process = new Process(name, new LogMirror());
+        addresses.put(name, process);
+        process.seat.start();
+        return process;
     }
 
-    private void pass(double millis) {
-        world.runTo(world.now() + millis);
+    private void advance(double millis) {
+        clock.runTo(clock.now() + millis);
     }
 
-    private Map<String, Process> group() {
+    private Map<String, Process> startGroup() {
         Map<String, Process> all = new HashMap<>();
-        NAMES.forEach(n -> all.put(n, start(n)));
-        pass(3000);
+        FOUNDER_NAMES.forEach(n -> all.put(n, start(n)));
+        advance(3000);
         all.values().forEach(p -> assertTrue(p.seat.status().votes()));
         return all;
     }
 
     @BeforeAll
-    static void quiet() {
+    static void silenceLogger() {
         CONSENSUS.setLevel(Level.OFF);
     }
 
     @Test
-    void allFoundOneGroupAndOneLeads() {
-        Map<String, Process> all = group();
+    void allProcessesFoundOneGroupWithOneLeader() {
+        Map<String, Process> all = startGroup();
         Set<Set<MemberId>> known = new HashSet<>();
         all.values().forEach(p -> known.add(p.seat.status().members()));
         assertEquals(1, known.size());
@@ -152,146 +155,149 @@
     }
 
     @Test
-    void noGroupIsFoundedWhileOneIsAway() {
+    void noGroupIsFoundedUntilAllFoundersAreUp() {
         Process a = start("a");
         Process b = start("b");
-        pass(10_000);
+        advance(10_000);
         assertNull(a.seat.status().id());
         assertNull(b.seat.status().id());
         start("c");
-        pass(3000);
+        advance(3000);
         assertTrue(a.seat.status().votes());
     }
 
-    /** The processes that come after each other under the first name each found a group, or none of all. */
+    /** Guards against successive coordinator processes that each found a group. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 50, 90, 99, 100, 101, 102, 103, 104, 110, 150, 203, 400})
-    void theFirstMayComeAgainAtAnyMoment(int after) {
+    void aRestartOfTheCoordinatorAtAnyMomentLeavesOneGroup(int restartAfterMs) {
         start("b");
         start("c");
         Process first = start("a");
-        pass(after);
+        advance(restartAfterMs);
         first.dead = true;
         start("a");
-        pass(15_000);
+        advance(15_000);
         Set<Set<MemberId>> founded = new HashSet<>();
-        for (Process p : addresses.values()) {
-            assertTrue(p.seat.status().votes(), () -> p.notes.toString());
-            founded.add(p.seat.member().first());
+        for (Process process : addresses.values()) {
+            assertTrue(process.seat.status().votes(), () -> process.notes.toString());
+            founded.add(process.seat.member().founders());
         }
         assertEquals(1, founded.size());
     }
 
     @Test
-    void oneThatComesBackWithNothingIsAnother() {
-        Map<String, Process> all = group();
+    void aProcessRestartedWithoutStateIsANewIncarnation() {
+        Map<String, Process> all = startGroup();
         MemberId before = all.get("b").seat.status().id();
         all.get("b").dead = true;
-        Process back = start("b");
-        pass(8000);
-        assertTrue(back.seat.status().votes());
-        assertNotEquals(before, back.seat.status().id());
+        Process restarted = start("b");
+        advance(8000);
+        assertTrue(restarted.seat.status().votes());
+        assertNotEquals(before, restarted.seat.status().id());
         assertFalse(all.get("a").seat.status().members().contains(before));
-        assertFalse(back.taken);
+        assertFalse(restarted.nameTaken);
     }
 
-    /** The last one knows of no life that leads: all that it was told of are over. */
+    /**
+     * Guards against a newcomer that finds no leader: all incarnations that the last process was told of have been
+     * replaced.
+     */
     @Test
-    void allMayBeReplacedOneAfterAnother() {
-        group();
+    void allMembersMayBeReplacedOneAfterAnother() {
+        startGroup();
         for (String name : List.of("a", "b", "c", "a", "c", "b")) {
             addresses.get(name).dead = true;
-            Process back = start(name);
-            pass(9000);
-            assertTrue(back.seat.status().votes(), () -> name + " " + back.notes);
+            Process restarted = start(name);
+            advance(9000);
+            assertTrue(restarted.seat.status().votes(), () -> name + " " + restarted.notes);
         }
     }
 
     @Test
-    void oneThatComesBackWithItsDiskIsTheSame() {
+    void aProcessRestartedWithItsDiskIsTheSameIncarnation() {
         LogMirror disk = new LogMirror();
         Process a = new Process("a", disk);
         addresses.put("a", a);
         a.seat.start();
         start("b");
         start("c");
-        pass(3000);
+        advance(3000);
         MemberId before = a.seat.status().id();
         a.dead = true;
-        Process back = new Process("a", new LogMirror(disk, null));
-        addresses.put("a", back);
-        back.seat.start();
-        pass(3000);
-        assertEquals(before, back.seat.status().id());
-        assertTrue(back.seat.status().votes());
+        Process restarted = new Process("a", new LogMirror(disk, null));
+        addresses.put("a", restarted);
+        restarted.seat.start();
+        advance(3000);
+        assertEquals(before, restarted.seat.status().id());
+        assertTrue(restarted.seat.status().votes());
     }
 
     @Test
-    void aSecondProcessOfOneNameEndsAndTheFirstGoesOn() {
-        Map<String, Process> all = group();
+    void aSecondProcessOfTheSameNameStopsAndTheFirstContinues() {
+        Map<String, Process> all = startGroup();
         MemberId before = all.get("b").seat.status().id();
         Process second = new Process("b", new LogMirror());
         second.seat.start();
-        pass(5000);
-        assertTrue(second.taken);
+        advance(5000);
+        assertTrue(second.nameTaken);
         assertNull(second.seat.status().id());
         assertEquals(before, all.get("b").seat.status().id());
         assertTrue(all.get("a").seat.status().members().contains(before));
     }
 
     @Test
-    void aSecondProcessBesideOneThatOnlyJustBeganEndsToo() {
+    void aSecondProcessStopsEvenIfTheFirstHasJustStarted() {
         start("a");
         start("c");
         Process first = start("b");
         Process second = new Process("b", new LogMirror());
         second.seat.start();
-        pass(8000);
+        advance(8000);
         assertTrue(first.seat.status().votes());
-        assertTrue(second.taken);
+        assertTrue(second.nameTaken);
     }
 
-    /** What one that stood still goes on with is no life any more, and it votes for nobody under it. */
+    /** A process that was suspended while it was replaced must not continue or vote under its old incarnation. */
     @Test
-    void oneThatWasReplacedWhileItStoodStillBeginsAnewAndFindsTheNameTaken() {
-        Map<String, Process> all = group();
-        Process frozen = all.get("b");
-        MemberId before = frozen.seat.status().id();
-        frozen.frozenUntil = world.now() + 8000;
+    void aSuspendedMemberThatWasReplacedFindsItsNameTaken() {
+        Map<String, Process> all = startGroup();
+        Process suspended = all.get("b");
+        MemberId before = suspended.seat.status().id();
+        suspended.suspendedUntilMs = clock.now() + 8000;
         Process other = start("b");
-        pass(7000);
+        advance(7000);
         assertTrue(other.seat.status().votes());
-        pass(10_000);
-        assertTrue(frozen.taken);
+        advance(10_000);
+        assertTrue(suspended.nameTaken);
         assertTrue(other.seat.status().votes());
         assertFalse(all.get("a").seat.status().members().contains(before));
     }
 
     @Test
-    void whatADeadOneSaidThatComesLateProvesNothing() {
-        Map<String, Process> all = group();
+    void lateMessagesOfADeadIncarnationDoNotProveThatItLives() {
+        Map<String, Process> all = startGroup();
         Process old = all.get("b");
         MemberId before = old.seat.status().id();
         old.dead = true;
-        Process back = start("b");
+        Process restarted = start("b");
         for (int i = 0; i < 20; i++) {
             GroupMessage late = new GroupMessage(
                     "b",
-                    before.life(),
-                    all.get("a").seat.status().id().life(),
-                    new Envelope.Standing(i, i, Set.of(), Set.of(), 0));
-            world.after(i * 100, () -> all.get("a").seat.received(late, p -> {}));
+                    before.incarnation(),
+                    all.get("a").seat.status().id().incarnation(),
+                    new Envelope.GroupInfo(i, i, Set.of(), Set.of(), 0));
+            clock.after(i * 100, () -> all.get("a").seat.receive(late, p -> {}));
         }
-        pass(8000);
-        assertFalse(back.taken);
-        assertTrue(back.seat.status().votes());
+        advance(8000);
+        assertFalse(restarted.nameTaken);
+        assertTrue(restarted.seat.status().votes());
     }
 
     @Test
-    void aDiskThatTakesNothingMakesItStepAside() {
-        Map<String, Process> all = group();
+    void aMemberWithAFailedDiskStepsAside() {
+        Map<String, Process> all = startGroup();
         all.get("c").seat.diskFailed("no space left");
-        pass(5000);
+        advance(5000);
         assertEquals(
                 1,
                 all.values().stream()
