--- a/src/main/java/whinlead/mesh/consensus/Acceptor.java
+++ b/src/main/java/whinlead/mesh/consensus/Acceptor.java
@@ -1,40 +1,40 @@
 package whinlead.mesh.consensus;
 
 /**
- * One control node's vote, as Lamport's single-decree Paxos has it, slot after slot: it promises, votes, and keeps its
- * word. Pure; whoever drives it syncs {@link #state} to disk before a reply that says so leaves.
+ * The acceptor of one control node, after Lamport's single-decree Paxos, applied to one slot after another. Pure: the
+ * caller must sync {@link #state} to disk before it sends a reply that depends on it.
  */
 public final class Acceptor {
     /**
-     * What must outlast a loss of power.
+     * The state that must survive a loss of power.
      *
-     * @param decided the newest decision known, or null on a disk that is new
-     * @param promised in the slot after it
-     * @param vote in the slot after it, or null
+     * @param decided the newest known decision, or null on a new disk
+     * @param promised the highest ballot promised in the slot after {@code decided}
+     * @param vote the last vote in that slot, or null
      */
     public record State(Decision decided, Ballot promised, Message.Vote vote) {}
 
-    /** A reply, and whether the memory must be on disk before it leaves. */
-    public record Reply(Message message, boolean synced) {}
+    /** A reply, and whether the state must be on disk before it is sent. */
+    public record Reply(Message message, boolean requiresSync) {}
 
     private State state;
 
-    /** A voter that remembers this. */
+    /** An acceptor with this state. */
     public Acceptor(State state) {
         this.state = state;
     }
 
-    /** What it remembers now. */
+    /** The current state. */
     public State state() {
         return state;
     }
 
-    /** The newest decision that it knows, or null. */
+    /** The newest known decision, or null. */
     public Decision decided() {
         return state.decided();
     }
 
-    /** Takes in a decision; false if it knew as much. */
+    /** Stores a decision; false if this or a newer one was known already. */
     public boolean learn(Decision decision) {
         if (state.decided() != null && decision.slot() <= state.decided().slot()) {
             return false;
@@ -43,34 +43,34 @@
         return true;
     }
 
-    /** Answers to a call for a promise. */
-    public Reply prepare(Message.Prepare call) {
-        Reply reply = place(call.slot(), call.ballot());
-        if (reply != null) {
-            return reply;
+    /** Answers a request for a promise. */
+    public Reply prepare(Message.Prepare request) {
+        Reply rejection = findRejection(request.slot(), request.ballot());
+        if (rejection != null) {
+            return rejection;
         }
-        state = new State(state.decided(), call.ballot(), state.vote());
-        return new Reply(new Message.Promise(call.slot(), call.ballot(), state.vote()), true);
+        state = new State(state.decided(), request.ballot(), state.vote());
+        return new Reply(new Message.Promise(request.slot(), request.ballot(), state.vote()), true);
     }
 
-    /** Answers to a call for a vote. */
-    public Reply accept(Message.Accept call) {
-        Reply reply = place(call.value().slot(), call.ballot());
-        if (reply != null) {
-            return reply;
+    /** Answers a request for a vote. */
+    public Reply accept(Message.Accept request) {
+        Reply rejection = findRejection(request.value().slot(), request.ballot());
+        if (rejection != null) {
+            return rejection;
         }
-        state = new State(state.decided(), call.ballot(), new Message.Vote(call.ballot(), call.value()));
-        return new Reply(new Message.Accepted(call.value().slot(), call.ballot()), true);
+        state = new State(state.decided(), request.ballot(), new Message.Vote(request.ballot(), request.value()));
+        return new Reply(new Message.Accepted(request.value().slot(), request.ballot()), true);
     }
 
-    // The reply where the call is not about the slot to be voted on next, or a promise stands against it.
-    private Reply place(long slot, Ballot ballot) {
-        long have = state.decided() == null ? -1 : state.decided().slot();
-        if (slot <= have) {
+    // The reply if the request is not for the next slot to be voted on, or a higher ballot was promised; else null.
+    private Reply findRejection(long slot, Ballot ballot) {
+        long decidedSlot = state.decided() == null ? -1 : state.decided().slot();
+        if (slot <= decidedSlot) {
             return new Reply(new Message.Decided(state.decided()), false);
         }
-        if (slot > have + 1 || have < 0) {
-            return new Reply(new Message.Lagging(slot, have), false);
+        if (slot > decidedSlot + 1 || decidedSlot < 0) {
+            return new Reply(new Message.Lagging(slot, decidedSlot), false);
         }
         return ballot.compareTo(state.promised()) < 0
                 ? new Reply(new Message.Nack(slot, ballot, state.promised()), false)
--- a/src/main/java/whinlead/mesh/consensus/Ballot.java
+++ b/src/main/java/whinlead/mesh/consensus/Ballot.java
@@ -3,13 +3,13 @@
 import java.util.Comparator;
 
 /**
- * The number of a ballot, Paxos' term: no two lives of control nodes ever use the same one, and any two are in order.
+ * A Paxos ballot number. Ballots are totally ordered, and no two processes of control nodes use the same one. The name
+ * identifies the control node that proposes and the process of it.
  *
- * @param round counts up; 0 is before the first
- * @param by names the control node that calls it, and which life of it
+ * @param round counts up; 0 is before the first ballot
  */
 public record Ballot(long round, String by) implements Comparable<Ballot> {
-    /** Before any ballot. */
+    /** Lower than every ballot in use. */
     public static final Ballot NONE = new Ballot(0, "");
 
     private static final Comparator<Ballot> ORDER =
--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -4,44 +4,47 @@
 import java.util.SplittableRandom;
 
 /**
- * One control node's part in what the control nodes agree on: its vote ({@link Acceptor}), the operations that it
- * carries out one after the other ({@link OperationRunner}), and its place among the voters ({@link Membership}). No
- * control node leads. Pure: events with the time in, actions out; one thread; times in milliseconds on this control
- * node's steady clock.
+ * One control node's part in the consensus: its vote ({@link Acceptor}), the operations that it executes one after the
+ * other ({@link OperationRunner}), and its membership among the voters ({@link Membership}). There is no leader. Pure:
+ * it takes events with the time and emits actions; one thread; times in milliseconds on this control node's steady
+ * clock.
  */
 public final class ConsensusNode {
-    /** How a call of an operator ended. */
+    /** The result of an operator's call. */
     public enum CallResult {
         /** The change is in force, or the read was confirmed. */
         TAKEN,
-        /** Refused: it was built on another version than the newest. */
+        /** Rejected: it builds on a version that is not the newest. */
         MISMATCH,
-        /** Refused: its version does not exceed the newest. */
+        /** Rejected: its version does not exceed the newest. */
         OLD_VERSION,
-        /** Nobody can tell: it may come into force yet. */
+        /** The outcome is unknown: it may still come into force. */
         UNCLEAR
     }
 
-    /** What the consensus node has done for it. */
+    /** Actions that the driver of a consensus node must execute. */
     public interface Actions {
-        /** Sends a message to a control node, this one included, now or never. */
-        void send(String to, Message message);
+        /**
+         * Sends a message to a control node, which may be this one, at once or not at all. A null recipient means all
+         * known control nodes.
+         */
+        void send(String recipient, Message message);
 
-        /** Syncs this memory, then sends the message; if that fails, it sends nothing. */
-        void sync(Acceptor.State memory, String to, Message message);
+        /** Syncs the state, then sends the message; if the sync fails, sends nothing. */
+        void sync(Acceptor.State state, String recipient, Message message);
 
-        /** Tells an operator's call its end. */
-        void replaced(long call, CallResult verdict);
+        /** Reports the result of an operator's call. */
+        void replaced(long call, CallResult result);
 
-        /** Tells a reader the newest decision, or null where none could be made sure of. */
+        /** Reports the newest decision to a reader, or null if none could be confirmed. */
         void read(long call, Decision newest);
 
-        /** A decision was learned; it may be written down without haste. */
+        /** A decision was learned; it need not be written before the consensus goes on. */
         void decided(Decision decision);
     }
 
-    /** A vote older than this that was never told decided is brought to its end, in milliseconds. */
-    private static final double OPEN_VOTE_LIMIT = 400;
+    /** An own vote open for longer than this without a known decision is completed, in milliseconds. */
+    private static final double OPEN_VOTE_LIMIT_MS = 400;
 
     private final String self;
     private final Acceptor acceptor;
@@ -53,19 +56,19 @@
     private final Membership membership;
     private final OperationRunner operations;
     private final JoinTimer joinTimer = new JoinTimer();
-    /** Since when a vote of this control node is open; NaN while none is. */
-    private double votedAt;
-    /** Whether it has seen its first event. */
-    private boolean awake;
-    /** The newest slot that is on disk here, or -1. */
+    /** Since when a vote of this control node has been open; NaN if none is. */
+    private double openVoteSinceMs;
+    /** Whether the first event was handled. */
+    private boolean started;
+    /** The newest slot that is on this node's disk, or -1. */
     private long storedSlot;
 
     /**
-     * A control node's part in the consensus.
+     * A node of the consensus.
      *
-     * @param self its id, drawn anew with each new disk
-     * @param state what its disk holds
-     * @param seed of all that it draws; another in each life, or it would call an old ballot anew
+     * @param self its id, newly drawn for each new disk
+     * @param state the state on its disk
+     * @param seed for all random choices; must differ in each process, or an earlier ballot could be reused
      */
     public ConsensusNode(String self, Acceptor.State state, long seed, Actions actions) {
         this.self = self;
@@ -75,165 +78,170 @@
         this.quorum = new QuorumMonitor(self, contact);
         this.failures = new FailureDetector(self, contact);
         this.membership = new Membership(self, contact, failures);
-        // Names this life's ballots: what an earlier life called, this one may not remember.
+        // Makes ballots unique to this process, which may not remember the ballots of an earlier one.
         String proposerName = self + "/" + Long.toHexString(random.nextLong());
         this.operations = new OperationRunner(self, proposerName, random, new Host(), actions);
-        this.votedAt = state.vote() == null ? Double.NaN : Double.NEGATIVE_INFINITY;
+        this.openVoteSinceMs = state.vote() == null ? Double.NaN : Double.NEGATIVE_INFINITY;
         this.storedSlot = decidedSlot();
         if (decided() != null) {
-            membership.learned(Double.NEGATIVE_INFINITY, decided());
+            membership.decisionLearned(Double.NEGATIVE_INFINITY, decided());
         }
     }
 
-    /** Where an id's control node can be found: the address in it. */
+    /** The network address contained in a control node's id. */
     public static String address(String id) {
         return Membership.address(id);
     }
 
-    /** The newest decision known, or null. */
+    /** The newest known decision, or null. */
     public Decision decided() {
         return acceptor.decided();
     }
 
-    /** Whether it has a vote. */
+    /** Whether this control node is a voter. */
     public boolean isVoter() {
         return decided() != null && decided().voters().contains(self);
     }
 
-    /** The newest slot that is on disk here, or -1. */
+    /** The newest slot that is on this node's disk, or -1. */
     public long storedSlot() {
         return storedSlot;
     }
 
     /**
-     * Whether it is in contact with a quorum: more than half of the voters, itself with them if it is one, have
-     * answered a question that left within so many milliseconds, and none of those knows a newer decision.
+     * Whether this control node is in contact with a quorum: more than half of the voters, counting itself if it is
+     * one, have answered a ping sent at most {@code withinMs} ago, and none of them knows a newer decision.
      */
-    public boolean isInContactWithQuorum(double now, double within) {
-        return quorum.reachesQuorum(now, within, decided());
+    public boolean isInContactWithQuorum(double nowMs, double withinMs) {
+        return quorum.hasContactWithQuorum(nowMs, withinMs, decided());
     }
 
-    /** The decision of this slot is on disk here. */
-    public void decisionStored(double now, long slot) {
-        wake(now);
+    /** The decision of this slot is on this node's disk. */
+    public void decisionStored(double nowMs, long slot) {
+        noteRunning(nowMs);
         if (slot > storedSlot) {
             storedSlot = slot;
             if (!isVoter()) {
-                joinTimer.stored(now);
+                joinTimer.decisionStored(nowMs);
             }
         }
     }
 
     /**
-     * Another control node answered a question.
+     * Another control node answered a ping.
      *
-     * @param sentAt when the question left here
-     * @param slot the newest decision that the other has on disk, or -1
+     * @param sentAtMs when the ping was sent
+     * @param slot the newest decision that the other node has on disk, or -1
      */
-    public void pongReceived(double sentAt, String from, long slot) {
+    public void pongReceived(double sentAtMs, String from, long slot) {
         if (decided() != null && decided().voters().contains(from)) {
-            contact.answered(sentAt, from, slot);
+            contact.replyReceived(sentAtMs, from, slot);
         }
-        // Whoever told it first may have gone, or the message was lost: who is behind asks until it has it.
+        // The node that announced it may have stopped, or the message was lost: a node that is behind asks until it
+        // has it.
         if (slot > decidedSlot()) {
             actions.send(from, new Message.Query(0, decidedSlot()));
         }
     }
 
     /**
-     * This control node is to end. Where there are more than three voters it goes out of them first, by agreement: a
-     * vote of one that is gone makes a quorum of the others no smaller, and two such make it larger. Three stay three,
-     * for two would keep what is agreed on no third disk; and this one may come back.
+     * Prepares to stop. If there are more than three voters, this node first has itself removed from them by consensus:
+     * the vote of a stopped node makes no quorum smaller, and two such votes make it larger. Three voters are not
+     * reduced, because two would leave the agreed state on no third disk, and this node may return.
      */
-    public void leave(double now) {
-        wake(now);
+    public void leave(double nowMs) {
+        noteRunning(nowMs);
         membership.leave(decided());
-        operations.advance(now);
+        operations.advance(nowMs);
     }
 
-    /** Whether it may end: it is out, or need not be, and a quorum and all in contact store why. */
-    public boolean mayEnd(double now) {
-        return decided() == null || membership.mayEnd(now, decided(), storedSlot);
+    /**
+     * Whether it may stop: it has no vote or need not give it up, and a quorum and all voters in contact have stored
+     * the decision that says so.
+     */
+    public boolean mayEnd(double nowMs) {
+        return decided() == null || membership.mayEnd(nowMs, decided(), storedSlot);
     }
 
-    /** An operator sends a configuration built on another. */
-    public void replace(double now, long call, long version, long builtOn, String digest, byte[] body) {
-        submit(now, new PendingOperation.Replace(call, version, builtOn, digest, body));
+    /** An operator submits a configuration that builds on a given version. */
+    public void replace(double nowMs, long call, long version, long builtOn, String digest, byte[] body) {
+        submit(nowMs, new PendingOperation.Replace(call, version, builtOn, digest, body));
     }
 
-    /** Someone asks for the newest configuration. */
-    public void read(double now, long call) {
-        submit(now, new PendingOperation.Read(call));
+    /** A client requests the newest configuration. */
+    public void read(double nowMs, long call) {
+        submit(nowMs, new PendingOperation.Read(call));
     }
 
-    private void submit(double now, PendingOperation operation) {
-        wake(now);
-        quorum.watch(now, decided());
-        // One that may end takes on nothing new: whoever asks goes on to a control node that stays.
-        boolean ending = membership.isLeaving() && mayEnd(now);
+    private void submit(double nowMs, PendingOperation operation) {
+        noteRunning(nowMs);
+        quorum.update(nowMs, decided());
+        // A node that may stop accepts nothing new: the caller then goes to a control node that stays.
+        boolean ending = membership.isLeaving() && mayEnd(nowMs);
         if (quorum.isLost() || ending) {
             operations.reject(operation);
         } else {
-            operations.submit(now, operation);
+            operations.submit(nowMs, operation);
         }
     }
 
-    // One that is dead since before this control node began is silent from now on, not for ever unknown.
-    private void wake(double now) {
-        contact.running(now);
-        if (!awake && decided() != null) {
-            keep(now, decided().voters());
+    // The first event starts the silence of each voter, so a voter that stopped before this node started becomes
+    // silent.
+    private void noteRunning(double nowMs) {
+        contact.noteRunning(nowMs);
+        if (!started && decided() != null) {
+            retainVoters(nowMs, decided().voters());
         }
-        awake = true;
+        started = true;
     }
 
-    /** A message came, from this control node itself too. */
-    public void received(double now, String from, Message message) {
-        wake(now);
+    /** Handles a message, which may come from this control node itself. */
+    public void received(double nowMs, String from, Message message) {
+        noteRunning(nowMs);
         if (message instanceof Message.Prepare prepare) {
-            reply(from, acceptor.prepare(prepare));
+            sendReply(from, acceptor.prepare(prepare));
         } else if (message instanceof Message.Accept accept) {
-            accept(now, from, accept);
+            handleAccept(nowMs, from, accept);
         } else if (message instanceof Message.Query query) {
-            answer(now, from, query);
+            answerQuery(nowMs, from, query);
         } else if (message instanceof Message.Decided update) {
-            learn(now, update.decision());
+            learn(nowMs, update.decision());
         } else if (message instanceof Message.Join join) {
-            join(now, from, join.slot());
+            handleJoin(nowMs, from, join.slot());
         } else if (message instanceof Message.State state) {
-            operations.answered(from, state);
-            failures.answered(now, from, state);
+            operations.stateReceived(from, state);
+            failures.opinionsReceived(nowMs, from, state);
         } else if (message instanceof Message.Lagging lagging) {
             if (lagging.have() < decidedSlot()) {
                 actions.send(from, new Message.Decided(decided()));
             }
         } else {
-            operations.received(now, from, message);
+            operations.replyReceived(nowMs, from, message);
         }
-        operations.advance(now);
+        operations.advance(nowMs);
     }
 
-    private void accept(double now, String from, Message.Accept accept) {
-        reply(from, acceptor.accept(accept));
-        if (acceptor.state().vote() != null && Double.isNaN(votedAt)) {
-            votedAt = now;
+    private void handleAccept(double nowMs, String from, Message.Accept accept) {
+        sendReply(from, acceptor.accept(accept));
+        if (acceptor.state().vote() != null && Double.isNaN(openVoteSinceMs)) {
+            openVoteSinceMs = nowMs;
         }
     }
 
-    // A control node without a vote has promised nothing that it can be held to: it answers no ballot.
-    private void reply(String to, Acceptor.Reply reply) {
-        boolean binds = reply.message() instanceof Message.Promise || reply.message() instanceof Message.Accepted;
-        if (binds && !isVoter()) {
+    // A control node without a vote is not bound by promises: it sends no reply that would bind it.
+    private void sendReply(String recipient, Acceptor.Reply reply) {
+        boolean isBinding = reply.message() instanceof Message.Promise || reply.message() instanceof Message.Accepted;
+        if (isBinding && !isVoter()) {
             return;
         }
-        if (reply.synced()) {
-            actions.sync(acceptor.state(), to, reply.message());
+        if (reply.requiresSync()) {
+            actions.sync(acceptor.state(), recipient, reply.message());
         } else {
-            actions.send(to, reply.message());
+            actions.send(recipient, reply.message());
         }
     }
 
-    private void answer(double now, String from, Message.Query query) {
+    private void answerQuery(double nowMs, String from, Message.Query query) {
         if (decided() == null) {
             return;
         }
@@ -243,74 +251,74 @@
         boolean voted = acceptor.state().vote() != null;
         actions.send(
                 from,
-                new Message.State(query.nonce(), decided().slot(), voted, failures.opinions(now, query.suspects())));
+                new Message.State(query.nonce(), decided().slot(), voted, failures.opinions(nowMs, query.suspects())));
     }
 
-    private void learn(double now, Decision decision) {
+    private void learn(double nowMs, Decision decision) {
         if (acceptor.learn(decision)) {
-            votedAt = Double.NaN;
-            operations.learned();
+            openVoteSinceMs = Double.NaN;
+            operations.decisionLearned();
             actions.decided(decision);
-            keep(now, decision.voters());
-            membership.learned(now, decision);
+            retainVoters(nowMs, decision.voters());
+            membership.decisionLearned(nowMs, decision);
         }
     }
 
-    private void keep(double now, List<String> voters) {
-        contact.retain(now, voters);
+    private void retainVoters(double nowMs, List<String> voters) {
+        contact.retain(nowMs, voters);
         failures.retain(voters);
     }
 
-    private void join(double now, String from, long slot) {
+    private void handleJoin(double nowMs, String from, long slot) {
         if (decided() == null || decided().voters().contains(from)) {
             return;
         }
-        membership.requested(now, from, slot);
+        membership.voteRequested(nowMs, from, slot);
         if (slot < decided().slot()) {
             actions.send(from, new Message.Decided(decided()));
         }
     }
 
-    /** Time passes; to be called some tens of times a second. */
-    public void tick(double now) {
-        wake(now);
-        quorum.watch(now, decided());
-        operations.endOverdue(now, quorum.isLost());
+    /** Advances time; must be called some tens of times a second. */
+    public void tick(double nowMs) {
+        noteRunning(nowMs);
+        quorum.update(nowMs, decided());
+        operations.expireOverdue(nowMs, quorum.isLost());
         if (!isVoter()) {
-            askForVote(now);
+            requestVote(nowMs);
         } else if (!quorum.isLost()) {
-            askAboutSilent(now);
-            finishOpenVote(now);
+            requestOpinions(nowMs);
+            finishOpenVote(nowMs);
         }
-        operations.advance(now);
+        operations.advance(nowMs);
     }
 
-    // A vote that nobody came back for: it may be decided, and nobody knows.
-    private void finishOpenVote(double now) {
-        if (operations.isEmpty() && now - votedAt > OPEN_VOTE_LIMIT * (1 + random.nextDouble())) {
-            votedAt = now;
-            submit(now, new PendingOperation.FinishVote());
+    // Completes an own vote whose proposer did not return: its value may be decided without anybody knowing.
+    private void finishOpenVote(double nowMs) {
+        if (operations.isEmpty() && nowMs - openVoteSinceMs > OPEN_VOTE_LIMIT_MS * (1 + random.nextDouble())) {
+            openVoteSinceMs = nowMs;
+            submit(nowMs, new PendingOperation.FinishVote());
         }
     }
 
-    // A second opinion on whoever is silent here, from the voters that are not.
-    private void askAboutSilent(double now) {
+    // Asks the voters that are not silent for a second opinion on the silent ones.
+    private void requestOpinions(double nowMs) {
         List<String> voters = decided().voters();
-        SuspicionTracker.Question question = failures.question(now, voters, operations::nextNonce);
+        SuspicionTracker.Question question = failures.question(nowMs, voters, operations::nextNonce);
         if (question != null) {
             Message.Query query = new Message.Query(question.nonce(), decided().slot(), question.suspects());
-            failures.witnesses(now, voters).forEach(voter -> actions.send(voter, query));
+            failures.witnesses(nowMs, voters).forEach(voter -> actions.send(voter, query));
         }
     }
 
-    // To all that it knows of: who is asked by name is the driver's to know while there is no decision.
-    private void askForVote(double now) {
-        if (!joinTimer.isDue(now)) {
+    // The query goes to all known control nodes: without a decision only the driver knows addresses.
+    private void requestVote(double nowMs) {
+        if (!joinTimer.isDue(nowMs)) {
             return;
         }
-        joinTimer.restart(now, random.nextDouble());
+        joinTimer.restart(nowMs, random.nextDouble());
         if (storedSlot >= 0 && !membership.isLeaving()) {
-            joinTimer.asked(now);
+            joinTimer.voteRequested(nowMs);
             decided().voters().forEach(voter -> actions.send(voter, new Message.Join(storedSlot)));
         }
         actions.send(null, new Message.Query(0, decidedSlot()));
@@ -320,7 +328,7 @@
         return decided() == null ? -1 : decided().slot();
     }
 
-    /** What the operations need of this control node. */
+    /** The view of this control node that its operations need. */
     private final class Host implements OperationRunner.Host {
         @Override
         public Decision decided() {
@@ -333,18 +341,18 @@
         }
 
         @Override
-        public VoterChange dueChange(double now) {
-            return isVoter() && !quorum.isLost() ? membership.due(now, acceptor.decided()) : null;
+        public VoterChange dueChange(double nowMs) {
+            return isVoter() && !quorum.isLost() ? membership.dueChange(nowMs, acceptor.decided()) : null;
         }
 
         @Override
-        public void learn(double now, Decision decision) {
-            ConsensusNode.this.learn(now, decision);
+        public void learn(double nowMs, Decision decision) {
+            ConsensusNode.this.learn(nowMs, decision);
         }
 
         @Override
         public void voteFinished() {
-            votedAt = Double.NaN;
+            openVoteSinceMs = Double.NaN;
         }
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/ConsensusRound.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusRound.java
@@ -4,110 +4,110 @@
 import java.util.function.BiConsumer;
 
 /**
- * This control node's attempts to have decisions agreed on, one ballot at a time: sends to the voters, sends again, and
- * waits a random time after a ballot that another control node outbid. Not safe for several threads; times in
+ * This control node's proposals, one ballot at a time: sends requests to the voters, retries them, and backs off for a
+ * random time after its ballot was preempted by another control node. Not safe for several threads; times in
  * milliseconds.
  */
 final class ConsensusRound {
-    /** How a ballot stands. */
+    /** The progress of a ballot. */
     enum Progress {
         WAITING,
         WON,
-        OUTBID,
+        PREEMPTED,
         NOTHING_TO_FINISH
     }
 
-    /** A wait after a ballot that was outbid: doubled each time up to the most. */
-    private static final double BACKOFF = 8;
+    /** The mean backoff after the first preempted ballot; doubled each time up to the maximum. */
+    private static final double INITIAL_BACKOFF_MS = 8;
 
-    private static final double MAX_BACKOFF = 250;
+    private static final double MAX_BACKOFF_MS = 250;
 
     private final String proposerName;
     private final SplittableRandom random;
     private final RetryTimer retry = new RetryTimer();
     private Proposer proposer;
-    private Decision won;
-    private long number;
-    private double resumeAt;
-    private double backoff = BACKOFF;
+    private Decision wonDecision;
+    private long highestRound;
+    private double resumeAtMs;
+    private double backoffMs = INITIAL_BACKOFF_MS;
 
     /**
-     * Rounds of one life of a control node.
+     * Rounds of one process of a control node.
      *
-     * @param proposerName names its ballots, and those of no other life of any control node
+     * @param proposerName the name in its ballots, which no other process of any control node uses
      */
     ConsensusRound(String proposerName, SplittableRandom random) {
         this.proposerName = proposerName;
         this.random = random;
     }
 
-    /** Whether a ballot is under way. */
+    /** Whether a ballot is in progress. */
     boolean isActive() {
         return proposer != null;
     }
 
-    /** Whether the wait after the last ballot is over. */
-    boolean mayAct(double now) {
-        return now >= resumeAt;
+    /** Whether the backoff after the last ballot is over. */
+    boolean isBackoffOver(double nowMs) {
+        return nowMs >= resumeAtMs;
     }
 
     /**
      * Begins a ballot.
      *
-     * @param base the decision before
-     * @param wanted the decision to have agreed on, or null to only finish what another control node began
+     * @param base the previous decision
+     * @param proposal the decision to propose, or null to only complete what another control node began
      * @param promised the highest ballot that this control node has promised
      */
-    void begin(double now, Decision base, Decision wanted, Ballot promised) {
-        number = Math.max(number, promised.round()) + 1;
-        proposer = new Proposer(base, new Ballot(number, proposerName), wanted);
-        retry.restart(now);
+    void begin(double nowMs, Decision base, Decision proposal, Ballot promised) {
+        highestRound = Math.max(highestRound, promised.round()) + 1;
+        proposer = new Proposer(base, new Ballot(highestRound, proposerName), proposal);
+        retry.restart(nowMs);
     }
 
-    /** Gives the ballot up. */
+    /** Abandons the ballot. */
     void cancel() {
         proposer = null;
     }
 
-    /** A voter's reply to the ballot, if it is one. */
-    void received(double now, String from, Message message) {
+    /** Handles a voter's reply; ignores replies to other ballots. */
+    void replyReceived(double nowMs, String from, Message message) {
         if (proposer == null) {
             return;
         }
         Proposer.State before = proposer.state();
         if (message instanceof Message.Promise promise && promise.slot() == proposer.slot()) {
-            proposer.promise(from, promise);
+            proposer.promiseReceived(from, promise);
         } else if (message instanceof Message.Accepted accepted && accepted.slot() == proposer.slot()) {
-            proposer.vote(from, accepted);
+            proposer.voteReceived(from, accepted);
         } else if (message instanceof Message.Nack nack && nack.slot() == proposer.slot()) {
-            proposer.outbid(nack);
+            proposer.preempt(nack);
         }
         if (proposer.state() != before) {
-            // The next phase begins without a wait.
-            retry.restart(now);
+            // The next phase starts without waiting for the retry interval.
+            retry.restart(nowMs);
         }
     }
 
-    /** Sends what is due, and tells how the ballot stands; one that has ended is over with this call. */
-    Progress advance(double now, BiConsumer<String, Message> send) {
+    /** Sends the requests that are due and returns the progress; a ballot that has ended is dropped by this call. */
+    Progress advance(double nowMs, BiConsumer<String, Message> send) {
         Proposer current = proposer;
         switch (current.state()) {
             case PREPARING, PROPOSING -> {
-                sendDue(now, send);
+                sendDue(nowMs, send);
                 return Progress.WAITING;
             }
             case WON -> {
-                won = current.value();
+                wonDecision = current.value();
                 proposer = null;
-                backoff = BACKOFF;
+                backoffMs = INITIAL_BACKOFF_MS;
                 return Progress.WON;
             }
-            case NACKED -> {
+            case PREEMPTED -> {
                 proposer = null;
-                number = Math.max(number, current.higher().round());
-                resumeAt = now + backoff * (0.5 + random.nextDouble());
-                backoff = Math.min(MAX_BACKOFF, backoff * 2);
-                return Progress.OUTBID;
+                highestRound = Math.max(highestRound, current.preemptedBy().round());
+                resumeAtMs = nowMs + backoffMs * (0.5 + random.nextDouble());
+                backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
+                return Progress.PREEMPTED;
             }
             default -> {
                 proposer = null;
@@ -117,16 +117,16 @@
     }
 
     /** The decision of the last ballot that was won. */
-    Decision won() {
-        return won;
+    Decision wonDecision() {
+        return wonDecision;
     }
 
-    private void sendDue(double now, BiConsumer<String, Message> send) {
-        if (!retry.isDue(now)) {
+    private void sendDue(double nowMs, BiConsumer<String, Message> send) {
+        if (!retry.isDue(nowMs)) {
             return;
         }
         for (String voter : proposer.voters()) {
-            Message message = proposer.call(voter);
+            Message message = proposer.pendingRequest(voter);
             if (message != null) {
                 send.accept(voter, message);
             }
--- a/src/main/java/whinlead/mesh/consensus/ContactTracker.java
+++ b/src/main/java/whinlead/mesh/consensus/ContactTracker.java
@@ -7,60 +7,60 @@
 import java.util.Set;
 
 /**
- * Whom a control node reaches: a voter counts as of when a question left that it has answered, for a packet that was
- * held back for long proves nothing of now, and what one says that hears nobody is worth nothing. Silence leaves out
- * the time in which this control node itself stood still; contact does not. Pure; one thread; times in milliseconds on
- * this control node's own steady clock.
+ * Tracks which voters this control node can reach. Contact counts from when the answered ping was sent, because a
+ * packet that was delayed for long proves nothing about the present, and one-way messages from a node that receives
+ * nothing do not count. Silence excludes the time in which this control node itself was suspended; contact does not.
+ * Pure; one thread; times in milliseconds on this control node's own steady clock.
  */
 final class ContactTracker {
-    /** A pause between two signs of this control node's own life from which on it slept, in milliseconds. */
-    private static final double SLEPT = 400;
+    /** A gap between two events of this control node above which it counts as suspended, in milliseconds. */
+    private static final double SUSPENSION_THRESHOLD_MS = 400;
 
-    /** As of when each voter is not silent. */
-    private final Map<String, Double> heard = new HashMap<>();
+    /** The time from which each voter's silence counts. */
+    private final Map<String, Double> silentSinceMs = new HashMap<>();
 
-    private final Map<String, Double> echoed = new HashMap<>();
-    private final Map<String, Long> stored = new HashMap<>();
-    private double awake = Double.NaN;
+    private final Map<String, Double> contactAtMs = new HashMap<>();
+    private final Map<String, Long> storedSlots = new HashMap<>();
+    private double lastRunningMs = Double.NaN;
 
-    /** This control node runs: what it slept through is nobody's silence. */
-    void running(double now) {
-        double gap = now - awake;
-        // Before the first time nothing was missed: that comparison is false.
-        if (gap > SLEPT) {
-            heard.replaceAll((voter, at) -> at + gap);
+    /** This control node is running: a time in which it was suspended counts as no voter's silence. */
+    void noteRunning(double nowMs) {
+        double gapMs = nowMs - lastRunningMs;
+        // On the first call the gap is NaN and the comparison is false.
+        if (gapMs > SUSPENSION_THRESHOLD_MS) {
+            silentSinceMs.replaceAll((voter, sinceMs) -> sinceMs + gapMs);
         }
-        awake = now;
+        lastRunningMs = nowMs;
     }
 
-    /** A voter answered what left at {@code sentAt}, and has this slot on disk. */
-    void answered(double sentAt, String from, long slot) {
-        echoed.merge(from, sentAt, Math::max);
-        heard.merge(from, sentAt, Math::max);
-        stored.merge(from, slot, Math::max);
+    /** A voter answered a ping sent at {@code sentAtMs}, and has this slot on disk. */
+    void replyReceived(double sentAtMs, String from, long slot) {
+        contactAtMs.merge(from, sentAtMs, Math::max);
+        silentSinceMs.merge(from, sentAtMs, Math::max);
+        storedSlots.merge(from, slot, Math::max);
     }
 
-    /** Only these matter from now on; one that is new among them counts as heard now. */
-    void retain(double now, Collection<String> voters) {
-        Set<String> those = new HashSet<>(voters);
-        heard.keySet().retainAll(those);
-        echoed.keySet().retainAll(those);
-        stored.keySet().retainAll(those);
-        voters.forEach(e -> heard.putIfAbsent(e, now));
+    /** Replaces the set of tracked voters; the silence of new ones starts now. */
+    void retain(double nowMs, Collection<String> voters) {
+        Set<String> retained = new HashSet<>(voters);
+        silentSinceMs.keySet().retainAll(retained);
+        contactAtMs.keySet().retainAll(retained);
+        storedSlots.keySet().retainAll(retained);
+        voters.forEach(voter -> silentSinceMs.putIfAbsent(voter, nowMs));
     }
 
-    /** For how long it has answered nothing while this control node was awake; 0 for one never asked. */
-    double silence(double now, String voter) {
-        return now - heard.getOrDefault(voter, now);
+    /** How long a voter has answered nothing while this control node was running; 0 for a voter that is not tracked. */
+    double silenceMs(double nowMs, String voter) {
+        return nowMs - silentSinceMs.getOrDefault(voter, nowMs);
     }
 
-    /** Whether it has answered a question that left within so many milliseconds. */
-    boolean reached(double now, double within, String voter) {
-        return now - echoed.getOrDefault(voter, Double.NEGATIVE_INFINITY) < within;
+    /** Whether a voter has answered a ping sent less than {@code withinMs} ago. */
+    boolean hasContact(double nowMs, double withinMs, String voter) {
+        return nowMs - contactAtMs.getOrDefault(voter, Double.NEGATIVE_INFINITY) < withinMs;
     }
 
-    /** The newest slot that it said to have on disk; -1 where it has said nothing. */
+    /** The newest slot that a voter reported to have on disk; -1 if it reported none. */
     long storedSlot(String voter) {
-        return stored.getOrDefault(voter, -1L);
+        return storedSlots.getOrDefault(voter, -1L);
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/Decision.java
+++ b/src/main/java/whinlead/mesh/consensus/Decision.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * What the control nodes agreed on in one slot, whole: whoever has the newest needs none before it.
+ * The complete state agreed on in one slot: a node that has the newest decision needs none of the earlier ones. It
+ * lists the versions applied lately, newest last, so that a repeated call finds its own.
  *
- * @param slot counts decisions; 0 is what the first control nodes were founded with
+ * @param slot counts decisions; 0 is the founding decision
  * @param version of the configuration; 0 before the first one
  * @param body the configuration as it was sent, deflated
- * @param taken versions lately taken, newest last, so that a call repeated finds its own
  * @param voters ids of the control nodes that vote on the next slot
  */
 public record Decision(long slot, long version, byte[] body, List<Taken> taken, List<String> voters) {
-    /** How many versions are remembered; of one before them nobody can tell any more whether it was taken. */
+    /** How many versions are remembered; for an older one it is unknown whether it was applied. */
     public static final int MAX_TAKEN = 256;
 
-    /** A version and the digest of what was sent under it. */
+    /** A version and the digest of the configuration sent under it. */
     public record Taken(long version, String digest) {}
 
     /** Copies the lists. */
@@ -25,52 +25,56 @@
         voters = List.copyOf(voters);
     }
 
-    /** What the first control nodes start from. */
+    /** The decision with which the first control nodes start. */
     public static Decision founding(List<String> voters) {
         return new Decision(0, 0, new byte[0], List.of(), voters);
     }
 
-    /** The next one, with another configuration. */
+    /** The next decision, with another configuration. */
     public Decision with(long newVersion, String digest, byte[] newBody) {
-        List<Taken> list = new ArrayList<>(taken);
-        list.add(new Taken(newVersion, digest));
+        List<Taken> versions = new ArrayList<>(taken);
+        versions.add(new Taken(newVersion, digest));
         return new Decision(
-                slot + 1, newVersion, newBody, list.subList(Math.max(0, list.size() - MAX_TAKEN), list.size()), voters);
+                slot + 1,
+                newVersion,
+                newBody,
+                versions.subList(Math.max(0, versions.size() - MAX_TAKEN), versions.size()),
+                voters);
     }
 
-    /** The next one, with other voters. */
+    /** The next decision, with other voters. */
     public Decision with(List<String> newVoters) {
         return new Decision(slot + 1, version, body, taken, newVoters);
     }
 
-    /** Whether exactly this was taken under this version. */
-    public boolean has(long aVersion, String digest) {
-        return taken.contains(new Taken(aVersion, digest));
+    /** Whether exactly this configuration was applied under this version. */
+    public boolean has(long otherVersion, String digest) {
+        return taken.contains(new Taken(otherVersion, digest));
     }
 
-    /** Whether what is not {@link #taken} under this version surely never was: versions only rise. */
-    public boolean remembers(long aVersion) {
-        return taken.size() < MAX_TAKEN || aVersion >= taken.get(0).version();
+    /** Whether a version missing from the remembered ones was certainly never applied; versions only increase. */
+    public boolean coversVersion(long otherVersion) {
+        return taken.size() < MAX_TAKEN || otherVersion >= taken.get(0).version();
     }
 
-    /** Without what only those that decide need. */
+    /** This decision without the parts that only control nodes need. */
     public Decision forSidecars() {
         return new Decision(slot, version, body, List.of(), voters);
     }
 
-    /** How many voters are a quorum: more than half. */
+    /** The size of a quorum: more than half of the voters. */
     public int quorum() {
         return voters.size() / 2 + 1;
     }
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof Decision d
-                && d.slot == slot
-                && d.version == version
-                && d.taken.equals(taken)
-                && d.voters.equals(voters)
-                && java.util.Arrays.equals(d.body, body);
+        return o instanceof Decision other
+                && other.slot == slot
+                && other.version == version
+                && other.taken.equals(taken)
+                && other.voters.equals(voters)
+                && java.util.Arrays.equals(other.body, body);
     }
 
     @Override
--- a/src/main/java/whinlead/mesh/consensus/JoinTimer.java
+++ b/src/main/java/whinlead/mesh/consensus/JoinTimer.java
@@ -1,38 +1,38 @@
 package whinlead.mesh.consensus;
 
-/** When a control node without a vote asks for one again. Not safe for several threads; times in milliseconds. */
+/** When a control node without a vote next asks for one. Not safe for several threads; times in milliseconds. */
 final class JoinTimer {
-    /** How often it asks on average, in milliseconds. */
-    private static final double INTERVAL = 250;
-    /** How often it asks at most, as what it has on disk gets newer, in milliseconds. */
-    private static final double MIN_INTERVAL = 100;
-    /** An interval is at least this part of the average; at most as much over it. */
-    private static final double MIN_PART = 0.75;
+    /** The mean time between requests, in milliseconds. */
+    private static final double MEAN_INTERVAL_MS = 250;
+    /** The minimum time between requests if newer decisions reach the disk meanwhile, in milliseconds. */
+    private static final double MIN_INTERVAL_MS = 100;
+    /** The shortest interval as a fraction of the mean; the longest exceeds the mean by as much. */
+    private static final double MIN_FRACTION = 0.75;
 
-    private double dueAt;
-    private double askedAt = Double.NEGATIVE_INFINITY;
+    private double dueAtMs;
+    private double requestedAtMs = Double.NEGATIVE_INFINITY;
 
-    /** Whether it is due. */
-    boolean isDue(double now) {
-        return now >= dueAt;
+    /** Whether a request is due. */
+    boolean isDue(double nowMs) {
+        return nowMs >= dueAtMs;
     }
 
     /**
-     * Waits for another interval.
+     * Starts another interval.
      *
-     * @param draw uniform from 0 to 1: several nodes that start together should not ask together
+     * @param draw uniform from 0 to 1, so that nodes which start together do not ask together
      */
-    void restart(double now, double draw) {
-        dueAt = now + INTERVAL * (MIN_PART + 2 * (1 - MIN_PART) * draw);
+    void restart(double nowMs, double draw) {
+        dueAtMs = nowMs + MEAN_INTERVAL_MS * (MIN_FRACTION + 2 * (1 - MIN_FRACTION) * draw);
     }
 
-    /** The node has asked for a vote. */
-    void asked(double now) {
-        askedAt = now;
+    /** This node has asked for a vote. */
+    void voteRequested(double nowMs) {
+        requestedAtMs = nowMs;
     }
 
-    /** The node has a newer decision on disk, which is what it has waited for to ask. */
-    void stored(double now) {
-        dueAt = Math.min(dueAt, Math.max(now, askedAt + MIN_INTERVAL));
+    /** A newer decision is on this node's disk: it may ask again earlier. */
+    void decisionStored(double nowMs) {
+        dueAtMs = Math.min(dueAtMs, Math.max(nowMs, requestedAtMs + MIN_INTERVAL_MS));
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/MembershipTurn.java
+++ b/src/main/java/whinlead/mesh/consensus/MembershipTurn.java
@@ -1,28 +1,27 @@
 package whinlead.mesh.consensus;
 
 /**
- * Shares the ballots of a control node between the operations that wait and the changes of voters that are due: no
- * change waits for more than a few operations, and none follows another without an operation in between where one
- * waits. Not safe for several threads.
+ * Shares a control node's ballots between waiting operations and due changes of voters: a change waits for at most a
+ * few operations, and no change directly follows another while an operation waits. Not safe for several threads.
  */
 final class MembershipTurn {
-    /** So many operations, at most, end between two changes of voters that are due. */
+    /** The number of operations that end between two due changes of voters, at most. */
     static final int OPERATIONS_BETWEEN_CHANGES = 1;
 
-    private int operations = OPERATIONS_BETWEEN_CHANGES;
+    private int operationsSinceChange = OPERATIONS_BETWEEN_CHANGES;
 
     /** An operation has ended. */
     void operationEnded() {
-        operations = Math.min(OPERATIONS_BETWEEN_CHANGES, operations + 1);
+        operationsSinceChange = Math.min(OPERATIONS_BETWEEN_CHANGES, operationsSinceChange + 1);
     }
 
-    /** A change of voters was agreed on. */
-    void changed() {
-        operations = 0;
+    /** A change of voters was decided. */
+    void votersChanged() {
+        operationsSinceChange = 0;
     }
 
-    /** Whether a change comes before the operations that wait. */
+    /** Whether a change goes before the waiting operations. */
     boolean isNext() {
-        return operations >= OPERATIONS_BETWEEN_CHANGES;
+        return operationsSinceChange >= OPERATIONS_BETWEEN_CHANGES;
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/Message.java
+++ b/src/main/java/whinlead/mesh/consensus/Message.java
@@ -2,50 +2,50 @@
 
 import java.util.List;
 
-/** What control nodes say to each other about ballots. Each is about one slot; replies echo it and the ballot. */
+/** Messages between control nodes about ballots. Each is about one slot; replies repeat the slot and the ballot. */
 public sealed interface Message {
-    /** A vote once given. */
+    /** A vote that was given. */
     record Vote(Ballot ballot, Decision value) {}
 
-    /** Asks for a promise to vote in no lower ballot. */
+    /** Requests a promise to vote in no lower ballot. */
     record Prepare(long slot, Ballot ballot) implements Message {}
 
-    /** Promised; {@code vote} is the last one given in this slot, or null. */
+    /** The promise; {@code vote} is the last vote given in this slot, or null. */
     record Promise(long slot, Ballot ballot, Vote vote) implements Message {}
 
-    /** Asks for a vote. */
+    /** Requests a vote. */
     record Accept(Ballot ballot, Decision value) implements Message {}
 
-    /** Accepted. */
+    /** The vote. */
     record Accepted(long slot, Ballot ballot) implements Message {}
 
-    /** Not promised or voted, for a higher promise stands. */
+    /** Rejects a promise or vote because a higher ballot was promised. */
     record Nack(long slot, Ballot ballot, Ballot promised) implements Message {}
 
-    /** Not promised or voted, for the sender knows no decision before this slot but this older one. */
+    /** Rejects a promise or vote because the sender knows no decision for the previous slot, only an older one. */
     record Lagging(long slot, long have) implements Message {}
 
-    /** A decision, whole. */
+    /** A decision, complete. */
     record Decided(Decision decision) implements Message {}
 
-    /** How a voter fares with asking another one. */
+    /** A voter's contact with another voter. */
     enum Reachability {
-        /** It was answered lately. */
+        /** The other voter answered lately. */
         REACHED,
-        /** Neither of the others holds: for a while no answer came, or it has not asked for long enough. */
+        /** Neither of the others: no answer came for some time, or the silence time has not passed yet. */
         UNSURE,
-        /** It had no answer for the whole silence time. */
+        /** The other voter did not answer for the whole silence time. */
         SILENT
     }
 
-    /** What the sender can say of whether it reaches a voter. */
+    /** The sender's opinion on whether it reaches a voter. */
     record Opinion(String voter, Reachability reachability) {}
 
     /**
-     * Asks what the other knows.
+     * Asks for the recipient's state.
      *
-     * @param slot the newest decision that the one who asks has, or -1
-     * @param suspects voters that don't answer the one who asks, on whom it wants an opinion; mostly none
+     * @param slot the newest decision that the sender has, or -1
+     * @param suspects voters that do not answer the sender, on which it wants opinions; usually none
      */
     record Query(long nonce, long slot, List<String> suspects) implements Message {
         /** Copies the list. */
@@ -53,7 +53,7 @@
             suspects = List.copyOf(suspects);
         }
 
-        /** A question that wants no opinion. */
+        /** A query without suspects. */
         public Query(long nonce, long slot) {
             this(nonce, slot, List.of());
         }
@@ -62,9 +62,9 @@
     /**
      * The answer to a query.
      *
-     * @param slot its newest decision's slot
-     * @param voted whether it has voted in the slot after
-     * @param opinions on the suspects; none from a program that does not know the question
+     * @param slot the slot of the sender's newest decision
+     * @param voted whether the sender has voted in the slot after it
+     * @param opinions on the suspects; empty from a version that does not know them
      */
     record State(long nonce, long slot, boolean voted, List<Opinion> opinions) implements Message {
         /** Copies the list. */
@@ -78,6 +78,6 @@
         }
     }
 
-    /** A control node that is no voter asks to be one; a learner that has this slot's decision on disk. */
+    /** A control node without a vote asks for one; it is a learner that has this slot's decision on disk. */
     record Join(long slot) implements Message {}
 }
--- a/src/main/java/whinlead/mesh/consensus/OperationQueue.java
+++ b/src/main/java/whinlead/mesh/consensus/OperationQueue.java
@@ -6,53 +6,53 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Operations in the order of their arrival, each with a deadline; bounded. Not safe for several threads. */
+/** Operations in order of arrival, each with a deadline; bounded. Not safe for several threads. */
 final class OperationQueue {
-    /** How many operations may wait. */
+    /** The maximum number of waiting operations. */
     private static final int CAPACITY = 64;
-    /** How long an operation may wait and run, in milliseconds. */
-    private static final double TIMEOUT = 2000;
+    /** The maximum time that an operation may wait and run, in milliseconds. */
+    private static final double TIMEOUT_MS = 2000;
 
-    private record Entry(PendingOperation operation, double deadline) {}
+    private record Entry(PendingOperation operation, double deadlineMs) {}
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
 
     /** Adds an operation at the end; false if the queue is full. */
-    boolean offer(double now, PendingOperation operation) {
+    boolean offer(double nowMs, PendingOperation operation) {
         if (entries.size() >= CAPACITY) {
             return false;
         }
-        entries.add(new Entry(operation, now + TIMEOUT));
+        entries.add(new Entry(operation, nowMs + TIMEOUT_MS));
         return true;
     }
 
-    /** The operation whose turn it is, or null. */
+    /** The operation at the head, or null. */
     PendingOperation head() {
         Entry head = entries.peek();
         return head == null ? null : head.operation();
     }
 
-    /** Takes the head out. */
+    /** Removes the head. */
     void removeHead() {
         entries.poll();
     }
 
-    /** Takes out all operations whose deadline has passed, in their order. */
-    List<PendingOperation> removeExpired(double now) {
-        return removeIf(entry -> now > entry.deadline());
+    /** Removes all operations whose deadline has passed and returns them in order. */
+    List<PendingOperation> removeExpired(double nowMs) {
+        return removeIf(entry -> nowMs > entry.deadlineMs());
     }
 
-    /** Takes out all operations, in their order. */
+    /** Removes all operations and returns them in order. */
     List<PendingOperation> removeAll() {
         return removeIf(entry -> true);
     }
 
     private List<PendingOperation> removeIf(Predicate<Entry> condition) {
         List<PendingOperation> removed = new ArrayList<>();
-        for (Iterator<Entry> all = entries.iterator(); all.hasNext(); ) {
-            Entry entry = all.next();
+        for (Iterator<Entry> iterator = entries.iterator(); iterator.hasNext(); ) {
+            Entry entry = iterator.next();
             if (condition.test(entry)) {
-                all.remove();
+                iterator.remove();
                 removed.add(entry.operation());
             }
         }
--- a/src/main/java/whinlead/mesh/consensus/OperationRunner.java
+++ b/src/main/java/whinlead/mesh/consensus/OperationRunner.java
@@ -4,27 +4,26 @@
 import java.util.SplittableRandom;
 
 /**
- * Carries out the operations that wait at this control node, one after the other and each to its end: puts changes to
- * the vote ({@link ConsensusRound}), confirms reads and refusals by a quorum ({@link QuorumRead}), and lets changes of
- * voters take their turn between them ({@link MembershipTurn}). Not safe for several threads; times in milliseconds on
- * this control node's steady clock.
+ * Executes the waiting operations of this control node one after the other: proposes changes ({@link ConsensusRound}),
+ * confirms reads and rejections by a quorum ({@link QuorumRead}), and interleaves changes of voters
+ * ({@link MembershipTurn}). Not safe for several threads; times in milliseconds on this control node's steady clock.
  */
 final class OperationRunner {
     /** The control node whose operations these are. */
     interface Host {
-        /** The newest decision known, or null. */
+        /** The newest known decision, or null. */
         Decision decided();
 
         /** The highest ballot that this control node has promised. */
         Ballot promised();
 
-        /** The change of voters that this control node is to propose now, or null. */
-        VoterChange dueChange(double now);
+        /** The change of voters that this control node should propose now, or null. */
+        VoterChange dueChange(double nowMs);
 
-        /** Takes in a decision that was agreed on. */
-        void learn(double now, Decision decision);
+        /** Learns a decision that was agreed on. */
+        void learn(double nowMs, Decision decision);
 
-        /** No voter has a vote open any more that this control node would have to bring to its end. */
+        /** A quorum has no vote open in the current slot, so this control node has none to complete. */
         void voteFinished();
     }
 
@@ -36,13 +35,13 @@
     private final QuorumRead quorumRead = new QuorumRead();
     private final MembershipTurn membershipTurn = new MembershipTurn();
     private final ConsensusRound round;
-    /** What the ballot under way is for; null for a change of voters. */
-    private PendingOperation balloted;
+    /** The operation for which the current ballot runs; null for a change of voters. */
+    private PendingOperation proposedOperation;
 
     /**
      * A runner without operations.
      *
-     * @param proposerName names the ballots of this life of the control node, and those of no other
+     * @param proposerName the name in this process's ballots, which no other process uses
      */
     OperationRunner(
             String self, String proposerName, SplittableRandom random, Host host, ConsensusNode.Actions actions) {
@@ -58,154 +57,154 @@
         return queue.isEmpty();
     }
 
-    /** Takes an operation on; one that there is no room for ends at once. */
-    void submit(double now, PendingOperation operation) {
-        if (queue.offer(now, operation)) {
-            advance(now);
+    /** Enqueues an operation; if the queue is full, rejects it at once. */
+    void submit(double nowMs, PendingOperation operation) {
+        if (queue.offer(nowMs, operation)) {
+            advance(nowMs);
         } else {
             reject(operation);
         }
     }
 
-    /** Ends an operation that was not taken on. */
+    /** Completes an operation that was not accepted, with an unknown outcome. */
     void reject(PendingOperation operation) {
-        end(operation, ConsensusNode.CallResult.UNCLEAR);
+        complete(operation, ConsensusNode.CallResult.UNCLEAR);
     }
 
-    /** A number for a question that was never used before, not in an earlier life either. */
+    /** A nonce that was never used before, not even by an earlier process. */
     long nextNonce() {
         return random.nextLong() | 1;
     }
 
-    /** A decision was learned: what was under way for its slot is over. */
-    void learned() {
+    /** A decision was learned: the ballot or read for its slot is over. */
+    void decisionLearned() {
         round.cancel();
         quorumRead.reset();
     }
 
     /** A voter's reply to a ballot. */
-    void received(double now, String from, Message message) {
-        round.received(now, from, message);
+    void replyReceived(double nowMs, String from, Message message) {
+        round.replyReceived(nowMs, from, message);
     }
 
     /** A voter's answer to a read. */
-    void answered(String from, Message.State state) {
-        quorumRead.answered(from, state, host.decided());
+    void stateReceived(String from, Message.State state) {
+        quorumRead.stateReceived(from, state, host.decided());
     }
 
-    /** Ends operations whose time is up, or all of them where no quorum is in contact. */
-    void endOverdue(double now, boolean withoutQuorum) {
+    /** Completes operations whose deadline has passed, or all of them if no quorum is in contact. */
+    void expireOverdue(double nowMs, boolean withoutQuorum) {
         PendingOperation head = queue.head();
-        List<PendingOperation> overdue = withoutQuorum ? queue.removeAll() : queue.removeExpired(now);
+        List<PendingOperation> overdue = withoutQuorum ? queue.removeAll() : queue.removeExpired(nowMs);
         overdue.forEach(operation -> {
             membershipTurn.operationEnded();
-            end(operation, ConsensusNode.CallResult.UNCLEAR);
+            complete(operation, ConsensusNode.CallResult.UNCLEAR);
         });
         if (queue.head() != head) {
             quorumRead.reset();
         }
-        if (withoutQuorum || balloted != null && balloted != queue.head()) {
+        if (withoutQuorum || proposedOperation != null && proposedOperation != queue.head()) {
             round.cancel();
         }
     }
 
-    /** Carries what is under way, or else what is next, as far as it goes now. */
-    void advance(double now) {
+    /** Advances the current operation, or starts the next, as far as possible now. */
+    void advance(double nowMs) {
         boolean progressed = true;
-        while (progressed && host.decided() != null && round.mayAct(now)) {
-            progressed = round.isActive() ? advanceRound(now) : beginNext(now);
+        while (progressed && host.decided() != null && round.isBackoffOver(nowMs)) {
+            progressed = round.isActive() ? advanceRound(nowMs) : beginNext(nowMs);
         }
     }
 
-    // False while it waits, or nothing is to be done.
-    private boolean beginNext(double now) {
+    // Returns false if it must wait or there is nothing to do.
+    private boolean beginNext(double nowMs) {
         boolean betweenOperations = quorumRead.state() == QuorumRead.State.IDLE;
         if (betweenOperations && (queue.isEmpty() || membershipTurn.isNext())) {
-            VoterChange change = host.dueChange(now);
+            VoterChange change = host.dueChange(nowMs);
             if (change != null) {
                 Decision decided = host.decided();
-                propose(now, null, decided.with(change.applyTo(decided.voters())));
+                propose(nowMs, null, decided.with(change.applyTo(decided.voters())));
                 return true;
             }
         }
-        return !queue.isEmpty() && advance(now, queue.head());
+        return !queue.isEmpty() && advance(nowMs, queue.head());
     }
 
-    // False while it waits.
-    private boolean advance(double now, PendingOperation operation) {
+    // Returns false if it must wait.
+    private boolean advance(double nowMs, PendingOperation operation) {
         if (operation instanceof PendingOperation.FinishVote) {
-            propose(now, operation, null);
+            propose(nowMs, operation, null);
         } else if (operation instanceof PendingOperation.Replace replace
                 && quorumRead.state() == QuorumRead.State.IDLE) {
-            advance(now, replace);
+            advance(nowMs, replace);
         } else {
-            return advanceRead(now, operation);
+            return advanceRead(nowMs, operation);
         }
         return true;
     }
 
-    private void advance(double now, PendingOperation.Replace replace) {
-        switch (ruling(replace)) {
-            case TAKEN -> finishHead(ConsensusNode.CallResult.TAKEN);
-            case FORGOTTEN -> finishHead(ConsensusNode.CallResult.UNCLEAR);
+    private void advance(double nowMs, PendingOperation.Replace replace) {
+        switch (verdict(replace)) {
+            case TAKEN -> completeHead(ConsensusNode.CallResult.TAKEN);
+            case FORGOTTEN -> completeHead(ConsensusNode.CallResult.UNCLEAR);
             case NEXT ->
-                propose(now, replace, host.decided().with(replace.version(), replace.digest(), replace.body()));
-            case MISMATCH, OLD_VERSION -> quorumRead.begin(now, nextNonce());
-            default -> throw new IllegalStateException("no such ruling");
+                propose(nowMs, replace, host.decided().with(replace.version(), replace.digest(), replace.body()));
+            case MISMATCH, OLD_VERSION -> quorumRead.begin(nowMs, nextNonce());
+            default -> throw new IllegalStateException("unknown verdict on a configuration change");
         }
     }
 
-    // A read, or a change that may only be refused after one. False while it waits.
-    private boolean advanceRead(double now, PendingOperation operation) {
+    // Advances a read, or a change that may only be rejected after a read. Returns false if it must wait.
+    private boolean advanceRead(double nowMs, PendingOperation operation) {
         switch (quorumRead.state()) {
-            case IDLE -> quorumRead.begin(now, nextNonce());
+            case IDLE -> quorumRead.begin(nowMs, nextNonce());
             case ASKING -> {
                 Decision decided = host.decided();
                 if (!quorumRead.confirm(decided)) {
-                    Message.Query question = quorumRead.question(decided);
-                    quorumRead.unanswered(now, decided).forEach(voter -> actions.send(voter, question));
+                    Message.Query question = quorumRead.query(decided);
+                    quorumRead.unanswered(nowMs, decided).forEach(voter -> actions.send(voter, question));
                     return false;
                 }
                 if (quorumRead.isVoteOpen()) {
-                    propose(now, operation, null);
+                    propose(nowMs, operation, null);
                 }
             }
-            case CONFIRMED -> finishHead(refusal(operation));
-            default -> throw new IllegalStateException("not a state of a read");
+            case CONFIRMED -> completeHead(refusalResult(operation));
+            default -> throw new IllegalStateException("unknown state of a quorum read");
         }
         return true;
     }
 
-    private ConsensusNode.CallResult refusal(PendingOperation operation) {
+    private ConsensusNode.CallResult refusalResult(PendingOperation operation) {
         boolean isOld =
-                operation instanceof PendingOperation.Replace replace && ruling(replace) == OrderRuling.OLD_VERSION;
+                operation instanceof PendingOperation.Replace replace && verdict(replace) == OrderRuling.OLD_VERSION;
         return isOld ? ConsensusNode.CallResult.OLD_VERSION : ConsensusNode.CallResult.MISMATCH;
     }
 
-    private OrderRuling ruling(PendingOperation.Replace replace) {
+    private OrderRuling verdict(PendingOperation.Replace replace) {
         return OrderRuling.of(host.decided(), replace.version(), replace.builtOn(), replace.digest());
     }
 
-    private void propose(double now, PendingOperation operation, Decision wanted) {
-        balloted = operation;
-        round.begin(now, host.decided(), wanted, host.promised());
+    private void propose(double nowMs, PendingOperation operation, Decision proposal) {
+        proposedOperation = operation;
+        round.begin(nowMs, host.decided(), proposal, host.promised());
     }
 
-    // False while it waits.
-    private boolean advanceRound(double now) {
-        switch (round.advance(now, actions::send)) {
+    // Returns false if it must wait.
+    private boolean advanceRound(double nowMs) {
+        switch (round.advance(nowMs, actions::send)) {
             case WON -> {
-                won(now, round.won());
+                roundWon(nowMs, round.wonDecision());
                 return true;
             }
-            case OUTBID -> {
+            case PREEMPTED -> {
                 if (quorumRead.state() == QuorumRead.State.CONFIRMED) {
                     quorumRead.reset();
                 }
                 return false;
             }
             case NOTHING_TO_FINISH -> {
-                if (balloted instanceof PendingOperation.FinishVote) {
+                if (proposedOperation instanceof PendingOperation.FinishVote) {
                     host.voteFinished();
                     removeHead();
                 }
@@ -217,23 +216,23 @@
         }
     }
 
-    private void won(double now, Decision decision) {
+    private void roundWon(double nowMs, Decision decision) {
         if (!decision.voters().equals(host.decided().voters())) {
-            membershipTurn.changed();
+            membershipTurn.votersChanged();
         }
-        host.learn(now, decision);
+        host.learn(nowMs, decision);
         decision.voters().stream()
                 .filter(voter -> !voter.equals(self))
                 .forEach(voter -> actions.send(voter, new Message.Decided(decision)));
-        if (balloted instanceof PendingOperation.FinishVote) {
+        if (proposedOperation instanceof PendingOperation.FinishVote) {
             removeHead();
         }
     }
 
-    private void finishHead(ConsensusNode.CallResult result) {
+    private void completeHead(ConsensusNode.CallResult result) {
         PendingOperation operation = queue.head();
         removeHead();
-        end(operation, result);
+        complete(operation, result);
     }
 
     private void removeHead() {
@@ -242,7 +241,7 @@
         quorumRead.reset();
     }
 
-    private void end(PendingOperation operation, ConsensusNode.CallResult result) {
+    private void complete(PendingOperation operation, ConsensusNode.CallResult result) {
         if (operation instanceof PendingOperation.Read read) {
             actions.read(read.call(), result == ConsensusNode.CallResult.UNCLEAR ? null : host.decided());
         } else if (operation instanceof PendingOperation.Replace replace) {
--- a/src/main/java/whinlead/mesh/consensus/OrderRuling.java
+++ b/src/main/java/whinlead/mesh/consensus/OrderRuling.java
@@ -1,24 +1,24 @@
 package whinlead.mesh.consensus;
 
 /**
- * What the newest decision says of an operator's order, that is of a configuration and the version that it builds on.
- * Every control node that knows the decision rules the same. A refusal is told only once a quorum has confirmed that
- * there is no newer decision.
+ * The verdict of the newest decision on an operator's change request, that is on a configuration and the version that
+ * it builds on. All control nodes that know the decision reach the same verdict. A rejection is reported only once a
+ * quorum has confirmed that there is no newer decision.
  */
 public enum OrderRuling {
-    /** This very configuration was taken: acknowledged again. */
+    /** Exactly this configuration was applied before: acknowledged again. */
     TAKEN,
-    /** It builds on the newest version: it may become the next decision. */
+    /** It builds on the newest version and may become the next decision. */
     NEXT,
-    /** Refused: another version is in force than the one that it builds on. */
+    /** Rejected: it builds on a version that is not in force. */
     MISMATCH,
-    /** Refused: its version does not exceed the one in force. */
+    /** Rejected: its version does not exceed the one in force. */
     OLD_VERSION,
-    /** It may have been taken before the versions that are remembered: neither refused nor acknowledged. */
+    /** It may have been applied before the remembered versions: neither rejected nor acknowledged. */
     FORGOTTEN;
 
     /**
-     * Rules on an order.
+     * Returns the verdict on a change request.
      *
      * @param version of the configuration
      * @param builtOn the version that it builds on
@@ -28,8 +28,8 @@
         if (newest.has(version, digest)) {
             return TAKEN;
         }
-        // An order that does not rise above what it builds on can never have been taken.
-        if (version > builtOn && !newest.remembers(version)) {
+        // A request whose version does not exceed the one it builds on can never have been applied.
+        if (version > builtOn && !newest.coversVersion(version)) {
             return FORGOTTEN;
         }
         if (builtOn != newest.version()) {
--- a/src/main/java/whinlead/mesh/consensus/Proposer.java
+++ b/src/main/java/whinlead/mesh/consensus/Proposer.java
@@ -4,36 +4,36 @@
 import java.util.List;
 import java.util.Set;
 
-/** One control node's attempt to have a value agreed on in one slot. Pure. */
+/** One control node's attempt to get a value agreed on in one slot. Pure. */
 final class Proposer {
-    /** Where it stands. */
+    /** The state of the attempt. */
     enum State {
         PREPARING,
         PROPOSING,
         WON,
-        NACKED,
-        IDLE
+        PREEMPTED,
+        NOTHING_TO_PROPOSE
     }
 
     private final Decision base;
     private final Ballot ballot;
-    private final Decision wanted;
+    private final Decision proposal;
     private final Set<String> promised = new HashSet<>();
     private final Set<String> voted = new HashSet<>();
-    private Message.Vote highest;
-    private Ballot higher = Ballot.NONE;
+    private Message.Vote highestVote;
+    private Ballot preemptedBy = Ballot.NONE;
     private State state = State.PREPARING;
 
     /**
-     * An attempt.
+     * Starts an attempt.
      *
-     * @param base the decision before
-     * @param wanted the value to have agreed on, or null to only finish what another began
+     * @param base the previous decision
+     * @param proposal the value to propose, or null to only complete what another control node began
      */
-    Proposer(Decision base, Ballot ballot, Decision wanted) {
+    Proposer(Decision base, Ballot ballot, Decision proposal) {
         this.base = base;
         this.ballot = ballot;
-        this.wanted = wanted;
+        this.proposal = proposal;
     }
 
     State state() {
@@ -44,27 +44,27 @@
         return ballot;
     }
 
-    /** The ballot that stood against it. */
-    Ballot higher() {
-        return higher;
+    /** The higher ballot that preempted this one. */
+    Ballot preemptedBy() {
+        return preemptedBy;
     }
 
     long slot() {
         return base.slot() + 1;
     }
 
-    /** Whom it asks. */
+    /** The voters that are asked. */
     List<String> voters() {
         return base.voters();
     }
 
-    /** What it proposes: a vote that may have been the last needed binds it. */
+    /** The value to propose: a vote reported with a promise may already be part of a quorum and takes precedence. */
     Decision value() {
-        return highest == null ? wanted : highest.value();
+        return highestVote == null ? proposal : highestVote.value();
     }
 
-    /** What to ask a voter now that has not answered; null if nothing. */
-    Message call(String voter) {
+    /** The request that a voter has not answered yet; null if there is none. */
+    Message pendingRequest(String voter) {
         return switch (state) {
             case PREPARING -> promised.contains(voter) ? null : new Message.Prepare(slot(), ballot);
             case PROPOSING -> voted.contains(voter) ? null : new Message.Accept(ballot, value());
@@ -72,44 +72,45 @@
         };
     }
 
-    /** A promise came. */
-    void promise(String from, Message.Promise p) {
+    /** A promise arrived. */
+    void promiseReceived(String from, Message.Promise promise) {
         if (state != State.PREPARING
-                || !p.ballot().equals(ballot)
+                || !promise.ballot().equals(ballot)
                 || !base.voters().contains(from)) {
             return;
         }
         promised.add(from);
-        if (p.vote() != null && (highest == null || p.vote().ballot().compareTo(highest.ballot()) > 0)) {
-            highest = p.vote();
+        if (promise.vote() != null
+                && (highestVote == null || promise.vote().ballot().compareTo(highestVote.ballot()) > 0)) {
+            highestVote = promise.vote();
         }
         if (promised.size() >= base.quorum()) {
-            to(value() == null ? State.IDLE : State.PROPOSING);
+            enter(value() == null ? State.NOTHING_TO_PROPOSE : State.PROPOSING);
         }
     }
 
-    /** A vote came. */
-    void vote(String from, Message.Accepted v) {
+    /** A vote arrived. */
+    void voteReceived(String from, Message.Accepted vote) {
         if (state != State.PROPOSING
-                || !v.ballot().equals(ballot)
+                || !vote.ballot().equals(ballot)
                 || !base.voters().contains(from)) {
             return;
         }
         voted.add(from);
         if (voted.size() >= base.quorum()) {
-            to(State.WON);
+            enter(State.WON);
         }
     }
 
-    /** A higher promise stands somewhere. */
-    void outbid(Message.Nack o) {
-        if (o.ballot().equals(ballot) && (state == State.PREPARING || state == State.PROPOSING)) {
-            higher = o.promised();
-            to(State.NACKED);
+    /** A voter has promised a higher ballot. */
+    void preempt(Message.Nack nack) {
+        if (nack.ballot().equals(ballot) && (state == State.PREPARING || state == State.PROPOSING)) {
+            preemptedBy = nack.promised();
+            enter(State.PREEMPTED);
         }
     }
 
-    private void to(State next) {
+    private void enter(State next) {
         state = next;
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/QuorumMonitor.java
+++ b/src/main/java/whinlead/mesh/consensus/QuorumMonitor.java
@@ -3,19 +3,21 @@
 import java.util.List;
 
 /**
- * Watches whether this control node is in contact with a quorum of the voters. Not safe for several threads; times in
+ * Monitors whether this control node is in contact with a quorum of the voters. Not safe for several threads; times in
  * milliseconds on this control node's steady clock.
  */
 final class QuorumMonitor {
-    /** An answer to a question that left so many milliseconds ago tells nothing of whom it reaches now. */
-    private static final double CONTACT_LIMIT = 1000;
-    /** Without contact with a quorum for so long, operations end unclear at once, in milliseconds. */
-    private static final double LOST_LIMIT = 500;
+    /** An answer to a ping sent this long ago proves no contact now, in milliseconds. */
+    private static final double CONTACT_LIMIT_MS = 1000;
+    /**
+     * After this long without contact with a quorum, operations end at once with an unknown outcome, in milliseconds.
+     */
+    private static final double LOST_LIMIT_MS = 500;
 
     private final String self;
     private final ContactTracker contact;
-    /** Since when no quorum is in contact; NaN while one is, infinite before the first look. */
-    private double lostSince = Double.NEGATIVE_INFINITY;
+    /** Since when no quorum has been in contact; NaN while one is, infinite before the first update. */
+    private double lostSinceMs = Double.NEGATIVE_INFINITY;
 
     private boolean lost;
 
@@ -25,31 +27,33 @@
     }
 
     /**
-     * Whether more than half of the voters, this control node with them if it is one, have answered a question that
-     * left within so many milliseconds, and none of those knows a newer decision.
+     * Whether more than half of the voters, counting this control node if it is one, have answered a ping sent less
+     * than {@code withinMs} ago, and none of them knows a newer decision.
      */
-    boolean reachesQuorum(double now, double within, Decision decided) {
+    boolean hasContactWithQuorum(double nowMs, double withinMs, Decision decided) {
         if (decided == null) {
             return false;
         }
         List<String> reached = decided.voters().stream()
-                .filter(voter -> voter.equals(self) || contact.reached(now, within, voter))
+                .filter(voter -> voter.equals(self) || contact.hasContact(nowMs, withinMs, voter))
                 .toList();
         return reached.size() >= decided.quorum()
                 && reached.stream().allMatch(voter -> contact.storedSlot(voter) <= decided.slot());
     }
 
-    /** Looks whether a quorum is in contact now. */
-    void watch(double now, Decision decided) {
-        if (decided == null || reachesQuorum(now, CONTACT_LIMIT, decided)) {
-            lostSince = Double.NaN;
-        } else if (Double.isNaN(lostSince) || lostSince == Double.NEGATIVE_INFINITY) {
-            lostSince = now;
+    /** Checks whether a quorum is in contact now. */
+    void update(double nowMs, Decision decided) {
+        if (decided == null || hasContactWithQuorum(nowMs, CONTACT_LIMIT_MS, decided)) {
+            lostSinceMs = Double.NaN;
+        } else if (Double.isNaN(lostSinceMs) || lostSinceMs == Double.NEGATIVE_INFINITY) {
+            lostSinceMs = nowMs;
         }
-        lost = now - lostSince > LOST_LIMIT;
+        lost = nowMs - lostSinceMs > LOST_LIMIT_MS;
     }
 
-    /** Whether, as of the last look, no quorum has been in contact for so long that no operation is worth the wait. */
+    /**
+     * Whether, as of the last update, contact with a quorum has been lost for so long that operations should not wait.
+     */
     boolean isLost() {
         return lost;
     }
--- a/src/main/java/whinlead/mesh/consensus/QuorumRead.java
+++ b/src/main/java/whinlead/mesh/consensus/QuorumRead.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /**
- * Asks a quorum for the newest decision that it knows, so that nothing older is taken for the newest (a read index).
+ * Asks a quorum for its newest known decision, so that a stale decision is not returned as the newest (a read index).
  * Not safe for several threads; times in milliseconds.
  */
 final class QuorumRead {
-    /** Where a read stands. */
+    /** The state of a read. */
     enum State {
         IDLE,
         ASKING,
@@ -26,35 +26,38 @@
         return state;
     }
 
-    /** Whether one that answered has a vote that may be decided. */
+    /** Whether a voter that answered has an open vote, whose value may be decided. */
     boolean isVoteOpen() {
         return voteOpen;
     }
 
-    /** Begins to ask, under a number that was never used before. */
-    void begin(double now, long newNonce) {
+    /** Starts asking, with a nonce that was never used before. */
+    void begin(double nowMs, long newNonce) {
         state = State.ASKING;
         nonce = newNonce;
         answered.clear();
         voteOpen = false;
-        retry.restart(now);
+        retry.restart(nowMs);
     }
 
-    /** What was confirmed, or asked, is worth nothing any more. */
+    /** Drops the read and its confirmation. */
     void reset() {
         state = State.IDLE;
     }
 
-    /** A voter's answer; one that knows a newer decision counts once that decision is here. */
-    void answered(String from, Message.State answer, Decision decided) {
-        boolean current = decided != null && answer.slot() <= decided.slot();
-        if (answer.nonce() == nonce && current && decided.voters().contains(from)) {
+    /**
+     * Handles a voter's answer; if the voter knows a newer decision, the answer counts only once that decision is known
+     * here.
+     */
+    void stateReceived(String from, Message.State answer, Decision decided) {
+        boolean isCurrent = decided != null && answer.slot() <= decided.slot();
+        if (answer.nonce() == nonce && isCurrent && decided.voters().contains(from)) {
             answered.add(from);
             voteOpen |= answer.voted() && answer.slot() >= decided.slot();
         }
     }
 
-    /** Confirms the read if a quorum has answered; false while it has not. */
+    /** Confirms the read if a quorum has answered; returns false otherwise. */
     boolean confirm(Decision decided) {
         if (answered.size() < decided.quorum()) {
             return false;
@@ -64,16 +67,16 @@
     }
 
     /** The voters to ask now, for the first time or again. */
-    List<String> unanswered(double now, Decision decided) {
-        return retry.isDue(now)
+    List<String> unanswered(double nowMs, Decision decided) {
+        return retry.isDue(nowMs)
                 ? decided.voters().stream()
                         .filter(voter -> !answered.contains(voter))
                         .toList()
                 : List.of();
     }
 
-    /** The question. */
-    Message.Query question(Decision decided) {
+    /** The query to send to the voters. */
+    Message.Query query(Decision decided) {
         return new Message.Query(nonce, decided.slot());
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/RetryTimer.java
+++ b/src/main/java/whinlead/mesh/consensus/RetryTimer.java
@@ -1,22 +1,22 @@
 package whinlead.mesh.consensus;
 
-/** When a message that was not answered is due again. Times in milliseconds. */
+/** When an unanswered message is due to be sent again. Times in milliseconds. */
 final class RetryTimer {
-    private static final double INTERVAL = 150;
+    private static final double INTERVAL_MS = 150;
 
-    private double dueAt;
+    private double dueAtMs;
 
-    /** It is due at once. */
-    void restart(double now) {
-        dueAt = now;
+    /** Makes the message due at once. */
+    void restart(double nowMs) {
+        dueAtMs = nowMs;
     }
 
-    /** Whether it is due; if so, it is due next after the interval. */
-    boolean isDue(double now) {
-        if (now < dueAt) {
+    /** Whether the message is due; if so, it is next due after the interval. */
+    boolean isDue(double nowMs) {
+        if (nowMs < dueAtMs) {
             return false;
         }
-        dueAt = now + INTERVAL;
+        dueAtMs = nowMs + INTERVAL_MS;
         return true;
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/SuspicionTracker.java
+++ b/src/main/java/whinlead/mesh/consensus/SuspicionTracker.java
@@ -10,110 +10,112 @@
 import java.util.function.Predicate;
 
 /**
- * Gathers second opinions on voters that have been silent for this observer. A silent voter is removable only once a
- * majority of all voters, this observer among them, says that it had no answer from the suspect for the silence time
- * either. A voter that still answers one of them refutes the suspicion for a while.
+ * Collects second opinions on voters that have been silent towards this observer. A silent voter is removable only once
+ * a majority of all voters, this observer included, has had no answer from the suspect for the silence time. A voter
+ * that still gets answers from the suspect refutes the suspicion for a while.
  *
- * <p>A voter in contact with a quorum can't be removed: that quorum and the majority which would have to be silent
- * about it share a voter. And wherever a decision is possible at all a quorum is up to confirm. Pure; one thread; times
- * in milliseconds on the observer's own steady clock.
+ * <p>A voter in contact with a quorum can't be removed, because that quorum and the majority that would have to find it
+ * silent share a voter. Whenever a decision is possible at all, a quorum is up to confirm the silence. Pure; one
+ * thread; times in milliseconds on the observer's own steady clock.
  */
 final class SuspicionTracker {
-    /** An opinion counts for so long after its question left, in milliseconds. */
-    static final double OPINION_VALID = 1000;
-    /** After a refutation the suspect is not asked about again for so long, in milliseconds. */
-    static final double REFUTED_FOR = 1000;
-    /** Time between questions while opinions are still wanting, in milliseconds. */
-    static final double ASK_AGAIN = 150;
-    /** Confirmed opinions are renewed at this age, in milliseconds, so that they don't lapse meanwhile. */
-    static final double RENEW_AFTER = 500;
+    /** How long an opinion is valid after its question was sent, in milliseconds. */
+    static final double OPINION_VALID_MS = 1000;
+    /** How long the suspect is not asked about again after a refutation, in milliseconds. */
+    static final double REFUTED_FOR_MS = 1000;
+    /** Time between questions while confirmation is missing, in milliseconds. */
+    static final double ASK_INTERVAL_MS = 150;
+    /** The age at which confirmed opinions are renewed, in milliseconds, so that they don't expire meanwhile. */
+    static final double RENEW_AFTER_MS = 500;
 
-    /** What a voter said, and when the question that it answered left here. */
-    private record Statement(Message.Reachability reachability, double askedAt) {}
+    /** A voter's opinion, and when the question that it answers was sent. */
+    private record ReceivedOpinion(Message.Reachability reachability, double askedAtMs) {}
 
     /** A question to send to the other voters. */
     record Question(long nonce, List<String> suspects) {}
 
     private final String observer;
     private List<String> voters = List.of();
-    /** By suspect, by the voter that was asked. */
-    private final Map<String, Map<String, Statement>> statements = new HashMap<>();
-    /** When the questions that may still be answered left, by their nonce. */
-    private final Map<Long, Double> questions = new HashMap<>();
+    /** The opinions by suspect and by the voter that was asked. */
+    private final Map<String, Map<String, ReceivedOpinion>> opinions = new HashMap<>();
+    /** When each question that may still be answered was sent, by its nonce. */
+    private final Map<Long, Double> sentAtMs = new HashMap<>();
 
-    private double askedAt = Double.NEGATIVE_INFINITY;
+    private double lastAskedMs = Double.NEGATIVE_INFINITY;
 
     /**
      * A tracker that has asked nothing.
      *
-     * @param observer the id of the voter that keeps it
+     * @param observer the id of the voter that runs this tracker
      */
     SuspicionTracker(String observer) {
         this.observer = observer;
     }
 
-    /** From now on these are the voters: what others have said, or what was said of others, is dropped. */
+    /** Replaces the set of voters; drops the opinions of former voters and those on them. */
     void retain(Collection<String> newVoters) {
         voters = List.copyOf(newVoters);
-        statements.keySet().retainAll(voters);
-        statements.values().forEach(byVoter -> byVoter.keySet().retainAll(voters));
+        opinions.keySet().retainAll(voters);
+        opinions.values().forEach(byVoter -> byVoter.keySet().retainAll(voters));
     }
 
     /**
      * The question to send now, or null if none is due.
      *
-     * @param silent whom this observer has had no answer from for the silence time
-     * @param nonces draws a name for the question, one that no earlier life of this observer has used
+     * @param silent the voters from which this observer has had no answer for the silence time
+     * @param nonces draws a nonce that no earlier process of this observer has used
      */
-    Question due(double now, Collection<String> silent, LongSupplier nonces) {
-        List<String> open =
-                silent.stream().filter(suspect -> !refuted(now, suspect)).toList();
-        boolean confirmed = open.stream().allMatch(suspect -> removable(now, suspect));
-        if (open.isEmpty() || now - askedAt < (confirmed ? RENEW_AFTER : ASK_AGAIN)) {
+    Question dueQuestion(double nowMs, Collection<String> silent, LongSupplier nonces) {
+        List<String> unrefuted =
+                silent.stream().filter(suspect -> !isRefuted(nowMs, suspect)).toList();
+        boolean confirmed = unrefuted.stream().allMatch(suspect -> isRemovable(nowMs, suspect));
+        if (unrefuted.isEmpty() || nowMs - lastAskedMs < (confirmed ? RENEW_AFTER_MS : ASK_INTERVAL_MS)) {
             return null;
         }
-        askedAt = now;
-        questions.values().removeIf(at -> now - at >= OPINION_VALID);
+        lastAskedMs = nowMs;
+        sentAtMs.values().removeIf(askedAtMs -> nowMs - askedAtMs >= OPINION_VALID_MS);
         long nonce = nonces.getAsLong();
-        questions.put(nonce, now);
-        return new Question(nonce, open);
+        sentAtMs.put(nonce, nowMs);
+        return new Question(nonce, unrefuted);
     }
 
-    /** A voter answered; what answers no question, or one asked too long ago, counts for nothing. */
-    void answered(double now, String voter, long nonce, List<Message.Opinion> opinions) {
-        Double sentAt = questions.get(nonce);
-        if (sentAt == null || now - sentAt >= OPINION_VALID || !voters.contains(voter)) {
+    /** A voter answered; answers to unknown or expired questions are ignored. */
+    void opinionsReceived(double nowMs, String voter, long nonce, List<Message.Opinion> answers) {
+        Double askedAtMs = sentAtMs.get(nonce);
+        if (askedAtMs == null || nowMs - askedAtMs >= OPINION_VALID_MS || !voters.contains(voter)) {
             return;
         }
-        for (Message.Opinion opinion : opinions) {
+        for (Message.Opinion opinion : answers) {
             if (voters.contains(opinion.voter()) && !opinion.voter().equals(voter)) {
-                statements
-                        .computeIfAbsent(opinion.voter(), s -> new HashMap<>())
+                opinions.computeIfAbsent(opinion.voter(), s -> new HashMap<>())
                         .merge(
                                 voter,
-                                new Statement(opinion.reachability(), sentAt),
-                                (old, young) -> young.askedAt() >= old.askedAt() ? young : old);
+                                new ReceivedOpinion(opinion.reachability(), askedAtMs),
+                                (older, newer) -> newer.askedAtMs() >= older.askedAtMs() ? newer : older);
             }
         }
     }
 
-    /** Whether a suspect that is silent for this observer may lose its vote on the word of a majority. */
-    boolean removable(double now, String suspect) {
-        if (!voters.contains(suspect) || !voters.contains(observer) || refuted(now, suspect)) {
+    /**
+     * Whether a suspect that is silent towards this observer may lose its vote because a majority confirms the silence.
+     */
+    boolean isRemovable(double nowMs, String suspect) {
+        if (!voters.contains(suspect) || !voters.contains(observer) || isRefuted(nowMs, suspect)) {
             return false;
         }
         Set<String> confirming = new HashSet<>(List.of(observer));
-        statements.getOrDefault(suspect, Map.of()).forEach((voter, statement) -> {
-            if (statement.reachability() == Message.Reachability.SILENT && now - statement.askedAt() < OPINION_VALID) {
+        opinions.getOrDefault(suspect, Map.of()).forEach((voter, opinion) -> {
+            if (opinion.reachability() == Message.Reachability.SILENT
+                    && nowMs - opinion.askedAtMs() < OPINION_VALID_MS) {
                 confirming.add(voter);
             }
         });
         return confirming.size() >= voters.size() / 2 + 1;
     }
 
-    private boolean refuted(double now, String suspect) {
-        Predicate<Statement> refutes = statement ->
-                statement.reachability() == Message.Reachability.REACHED && now - statement.askedAt() < REFUTED_FOR;
-        return statements.getOrDefault(suspect, Map.of()).values().stream().anyMatch(refutes);
+    private boolean isRefuted(double nowMs, String suspect) {
+        Predicate<ReceivedOpinion> refutes = opinion ->
+                opinion.reachability() == Message.Reachability.REACHED && nowMs - opinion.askedAtMs() < REFUTED_FOR_MS;
+        return opinions.getOrDefault(suspect, Map.of()).values().stream().anyMatch(refutes);
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/VoterChange.java
+++ b/src/main/java/whinlead/mesh/consensus/VoterChange.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A change of one voter. It names no slot: it is applied to the newest decision as it is proposed. */
+/** A change of one voter. It names no slot: it is applied to the newest decision when it is proposed. */
 sealed interface VoterChange {
-    /** The voters after it, in the order of those before. */
+    /** The voters after the change, in their previous order. */
     List<String> applyTo(List<String> voters);
 
-    /** Gives a learner a vote beside the others. */
+    /** Adds a learner as a voter. */
     record Add(String learner) implements VoterChange {
         @Override
         public List<String> applyTo(List<String> voters) {
@@ -18,21 +18,21 @@
         }
     }
 
-    /** Gives a learner the vote of another. */
+    /** Replaces a voter by a learner. */
     record Exchange(String voter, String learner) implements VoterChange {
         @Override
         public List<String> applyTo(List<String> voters) {
             return voters.stream()
-                    .map(each -> each.equals(voter) ? learner : each)
+                    .map(other -> other.equals(voter) ? learner : other)
                     .toList();
         }
     }
 
-    /** Takes a vote away. */
+    /** Removes a voter. */
     record Remove(String voter) implements VoterChange {
         @Override
         public List<String> applyTo(List<String> voters) {
-            return voters.stream().filter(each -> !each.equals(voter)).toList();
+            return voters.stream().filter(other -> !other.equals(voter)).toList();
         }
     }
 }
