--- a/src/main/java/whinlead/mesh/storage/DutyStore.java
+++ b/src/main/java/whinlead/mesh/storage/DutyStore.java
@@ -9,8 +9,8 @@
 import whinlead.mesh.duty.DutyPromise;
 
 /**
- * For whom this control node voted last as the one that grants keys, on its disk. A file of two lines, epoch and
- * holder, replaced as a whole; synced when {@link #write} returns. One thread; a call may wait for the disk.
+ * Persists this control node's last vote for the grantor of keys. A file of two lines, epoch and holder, replaced as a
+ * whole; synced when {@link #write} returns. One thread; a call may wait for the disk.
  */
 public final class DutyStore {
     private static final String FILE = "duty";
@@ -19,28 +19,28 @@
     private final Path folder;
     private final Syncer syncer;
 
-    /** The store in this folder, which must be there. */
+    /** The store in this folder, which must exist. */
     public DutyStore(Path folder) {
         this(folder, Syncer.DISK);
     }
 
-    /** The store in this folder, with these syncs. */
+    /** The store in this folder, which uses this syncer. */
     public DutyStore(Path folder, Syncer syncer) {
         this.folder = folder;
         this.syncer = syncer;
     }
 
     /**
-     * What was written last; {@link DutyPromise#NONE} if nothing ever was.
+     * The last written promise; {@link DutyPromise#NONE} if none was written.
      *
-     * @throws IOException if the file can't be read, or is none of ours
+     * @throws IOException if the file can't be read or parsed
      */
     public DutyPromise read() throws IOException {
         Path file = folder.resolve(FILE);
         if (!Files.exists(file)) {
             return DutyPromise.NONE;
         }
-        // What an earlier process wrote lasts before anything follows from it.
+        // An earlier process may have been killed before its sync; sync before anything depends on what is read.
         syncer.file(file);
         syncer.folder(folder);
         List<String> lines = Files.readAllLines(file, StandardCharsets.UTF_8);
@@ -52,15 +52,15 @@
     }
 
     /**
-     * Replaces what was written before.
+     * Replaces the promise.
      *
-     * @throws IOException if it may not last
+     * @throws IOException if it may not survive a loss of power
      */
     public void write(DutyPromise promise) throws IOException {
-        Path fresh = folder.resolve(NEW_FILE);
-        Files.write(fresh, List.of(Long.toString(promise.epoch()), promise.holder()), StandardCharsets.UTF_8);
-        syncer.file(fresh);
-        Files.move(fresh, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path newFile = folder.resolve(NEW_FILE);
+        Files.write(newFile, List.of(Long.toString(promise.epoch()), promise.holder()), StandardCharsets.UTF_8);
+        syncer.file(newFile);
+        Files.move(newFile, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         syncer.folder(folder);
     }
 }
--- a/src/main/java/whinlead/mesh/storage/LesseeStore.java
+++ b/src/main/java/whinlead/mesh/storage/LesseeStore.java
@@ -11,21 +11,21 @@
 import java.util.Set;
 
 /**
- * Which sidecars may hold leases from this control node, on its disk: a process that starts waits for what they hold. A
- * file of one name a line, replaced as a whole; synced when {@link #write} returns. One thread; a call may wait for the
- * disk.
+ * Persists which sidecars may hold leases from this control node: a process that starts waits until these leases have
+ * ended. A file with one name per line, replaced as a whole; synced when {@link #write} returns. One thread; a call may
+ * wait for the disk.
  */
 public final class LesseeStore {
     private static final String FILE = "lessees";
     private static final String NEW_FILE = "lessees.new";
-    /** A first line that no sidecar's name begins with: the process that wrote it had started lately. */
+    /** A first line, distinct from all sidecar names: the reserve may lately have been in use. */
     private static final String RESERVE_MARK = "#reserve";
 
     /**
-     * What is on disk.
+     * The persistent entry.
      *
      * @param lessees sidecars that may hold leases
-     * @param reserveInUse whether the process that wrote it may lately have given out tokens of the reserve
+     * @param reserveInUse whether the process that wrote it may lately have granted tokens from the reserve
      */
     public record Entry(Set<String> lessees, boolean reserveInUse) {
         /** Copies the set. */
@@ -37,19 +37,19 @@
     private final Path folder;
     private final Syncer syncer;
 
-    /** The store in this folder, which must be there. */
+    /** The store in this folder, which must exist. */
     public LesseeStore(Path folder) {
         this(folder, Syncer.DISK);
     }
 
-    /** The store in this folder, with these syncs. */
+    /** The store in this folder, which uses this syncer. */
     public LesseeStore(Path folder, Syncer syncer) {
         this.folder = folder;
         this.syncer = syncer;
     }
 
     /**
-     * What was written last; an empty entry if nothing ever was.
+     * The last written entry; an empty one if none was written.
      *
      * @throws IOException if the file can't be read
      */
@@ -58,7 +58,7 @@
         if (!Files.exists(file)) {
             return new Entry(Set.of(), false);
         }
-        // What an earlier process wrote lasts before anything follows from it.
+        // An earlier process may have been killed before its sync; sync before anything depends on what is read.
         syncer.file(file);
         syncer.folder(folder);
         Set<String> names = new LinkedHashSet<>(Files.readAllLines(file, StandardCharsets.UTF_8));
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Replaces what was written before.
+     * Replaces the entry.
      *
-     * @throws IOException if it may not last
+     * @throws IOException if it may not survive a loss of power
      */
     public void write(Entry entry) throws IOException {
         List<String> lines = new ArrayList<>();
@@ -78,10 +78,10 @@
             lines.add(RESERVE_MARK);
         }
         lines.addAll(entry.lessees());
-        Path fresh = folder.resolve(NEW_FILE);
-        Files.write(fresh, lines, StandardCharsets.UTF_8);
-        syncer.file(fresh);
-        Files.move(fresh, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path newFile = folder.resolve(NEW_FILE);
+        Files.write(newFile, lines, StandardCharsets.UTF_8);
+        syncer.file(newFile);
+        Files.move(newFile, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         syncer.folder(folder);
     }
 }
--- a/src/main/java/whinlead/mesh/storage/StateSchema.java
+++ b/src/main/java/whinlead/mesh/storage/StateSchema.java
@@ -9,77 +9,77 @@
 import java.util.zip.CRC32C;
 
 /**
- * How the state store's file is laid out: its format, told by SQLite's {@code user_version}. Each format is read and
- * written as the program that made it does; a file is never changed so that this program's predecessor can't write it.
- * So a fleet may hold several versions, and any of them may be set back.
+ * The layouts of the state store's file, identified by SQLite's {@code user_version}. Each format is read and written
+ * exactly as the version that introduced it does; a file is never changed in a way that prevents the previous version
+ * of this program from writing it. So a fleet may run several versions, and each can be rolled back.
  */
 enum StateSchema {
     /**
-     * Format 0, of programs without checksums. The checksum stands in a table of its own, which these programs don't
-     * know. Triggers clear it when they write, so that their rows are told from damaged ones.
+     * Format 0, of versions without checksums. The checksum is in a separate table that these versions don't know.
+     * Triggers clear it when they write, so that their rows can be distinguished from damaged ones.
      */
     SEPARATE_CHECKSUM(0) {
         @Override
-        void prepare(Connection c, Statement s) throws SQLException {
-            // Only once: a checksum that is missing later on is a sign of damage.
-            if (hasTable(s, "checksum")) {
+        void prepare(Connection connection, Statement statement) throws SQLException {
+            // Only once: a checksum that is missing later is a sign of damage.
+            if (hasTable(statement, "checksum")) {
                 return;
             }
-            s.execute("BEGIN");
-            s.execute("CREATE TABLE checksum (one INTEGER PRIMARY KEY CHECK (one = 1), crc INTEGER)");
-            s.execute("INSERT INTO checksum VALUES (1, NULL)");
+            statement.execute("BEGIN");
+            statement.execute("CREATE TABLE checksum (one INTEGER PRIMARY KEY CHECK (one = 1), crc INTEGER)");
+            statement.execute("INSERT INTO checksum VALUES (1, NULL)");
             for (String cause : new String[] {"INSERT", "UPDATE"}) {
-                s.execute("CREATE TRIGGER checksum_cleared_by_" + cause + " AFTER " + cause
+                statement.execute("CREATE TRIGGER checksum_cleared_by_" + cause + " AFTER " + cause
                         + " ON office BEGIN UPDATE checksum SET crc = NULL; END");
             }
-            s.execute("COMMIT");
+            statement.execute("COMMIT");
         }
 
         @Override
-        Stored read(Connection c) throws SQLException {
-            return row(
-                    c,
+        Stored read(Connection connection) throws SQLException {
+            return readRow(
+                    connection,
                     "SELECT office.one, office.id, office.memory, checksum.crc,"
                             + " checksum.one IS NOT NULL AND checksum.crc IS NULL"
                             + " FROM office LEFT JOIN checksum LIMIT 2");
         }
 
         @Override
-        void write(Connection c, StateStore.Entry entry) throws SQLException {
-            c.setAutoCommit(false);
+        void write(Connection connection, StateStore.Entry entry) throws SQLException {
+            connection.setAutoCommit(false);
             try {
-                // Column by column: columns that a later program has added keep what they hold.
+                // Lists the columns, so that columns added by a later version keep their values.
                 execute(
-                        c,
+                        connection,
                         "INSERT INTO office (one, id, memory) VALUES (1, ?, ?) ON CONFLICT (one) DO UPDATE"
                                 + " SET id = excluded.id, memory = excluded.memory",
                         entry.id(),
                         entry.memory());
-                execute(c, "UPDATE checksum SET crc = ?", checksum(entry));
-                c.commit();
+                execute(connection, "UPDATE checksum SET crc = ?", checksum(entry));
+                connection.commit();
             } catch (SQLException e) {
-                c.rollback();
+                connection.rollback();
                 throw e;
             } finally {
-                c.setAutoCommit(true);
+                connection.setAutoCommit(true);
             }
         }
     },
 
-    /** Format 1: the checksum is a column. What this program founds. */
+    /** Format 1: the checksum is a column. New stores use this format. */
     CHECKSUM_COLUMN(1) {
         @Override
-        void prepare(Connection c, Statement s) {}
+        void prepare(Connection connection, Statement statement) {}
 
         @Override
-        Stored read(Connection c) throws SQLException {
-            return row(c, "SELECT one, id, memory, crc, 0 FROM office LIMIT 2");
+        Stored read(Connection connection) throws SQLException {
+            return readRow(connection, "SELECT one, id, memory, crc, 0 FROM office LIMIT 2");
         }
 
         @Override
-        void write(Connection c, StateStore.Entry entry) throws SQLException {
+        void write(Connection connection, StateStore.Entry entry) throws SQLException {
             execute(
-                    c,
+                    connection,
                     "INSERT INTO office (one, id, memory, crc) VALUES (1, ?, ?, ?) ON CONFLICT (one)"
                             + " DO UPDATE SET id = excluded.id, memory = excluded.memory, crc = excluded.crc",
                     entry.id(),
@@ -88,8 +88,8 @@
         }
     };
 
-    /** A row as it stands: whole by its checksum, or of a program that wrote none, or neither. */
-    record Stored(StateStore.Entry entry, boolean whole, boolean withoutChecksum) {}
+    /** A row that was read: its checksum matches, or it was written by a version without checksums, or neither. */
+    record Stored(StateStore.Entry entry, boolean checksumMatches, boolean withoutChecksum) {}
 
     /** The newest format that this program knows. */
     static final StateSchema NEWEST = CHECKSUM_COLUMN;
@@ -100,68 +100,68 @@
         this.format = format;
     }
 
-    /** The layout of this format, or null if this program knows none. */
-    static StateSchema of(long format) {
-        for (StateSchema layout : values()) {
-            if (layout.format == format) {
-                return layout;
+    /** The schema of this format, or null if it is unknown. */
+    static StateSchema forFormat(long format) {
+        for (StateSchema schema : values()) {
+            if (schema.format == format) {
+                return schema;
             }
         }
         return null;
     }
 
-    /** Makes the tables of a new state store, in one transaction. */
-    static void found(Statement s) throws SQLException {
-        s.execute("BEGIN");
-        s.execute("CREATE TABLE office (one INTEGER PRIMARY KEY CHECK (one = 1), id TEXT NOT NULL,"
+    /** Creates the tables of a new state store in one transaction. */
+    static void create(Statement statement) throws SQLException {
+        statement.execute("BEGIN");
+        statement.execute("CREATE TABLE office (one INTEGER PRIMARY KEY CHECK (one = 1), id TEXT NOT NULL,"
                 + " memory BLOB NOT NULL, crc INTEGER)");
-        s.execute("PRAGMA user_version=" + NEWEST.format);
-        s.execute("COMMIT");
+        statement.execute("PRAGMA user_version=" + NEWEST.format);
+        statement.execute("COMMIT");
     }
 
-    /** The number that stands in the file. */
+    /** The number stored in the file. */
     int format() {
         return format;
     }
 
-    /** Adds what this program needs beside what its predecessors know. */
-    abstract void prepare(Connection c, Statement s) throws SQLException;
+    /** Adds the tables and triggers that this program needs beyond those of the format's own version. */
+    abstract void prepare(Connection connection, Statement statement) throws SQLException;
 
     /** The row, or null if there is none. */
-    abstract Stored read(Connection c) throws SQLException;
+    abstract Stored read(Connection connection) throws SQLException;
 
     /** Replaces the row; it is on disk when this returns. */
-    abstract void write(Connection c, StateStore.Entry entry) throws SQLException;
+    abstract void write(Connection connection, StateStore.Entry entry) throws SQLException;
 
-    private static boolean hasTable(Statement s, String name) throws SQLException {
-        try (ResultSet r =
-                s.executeQuery("SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = '" + name + "'")) {
-            return r.next();
+    private static boolean hasTable(Statement statement, String name) throws SQLException {
+        try (ResultSet rows =
+                statement.executeQuery("SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = '" + name + "'")) {
+            return rows.next();
         }
     }
 
-    private static Stored row(Connection c, String query) throws SQLException {
-        try (Statement s = c.createStatement();
-                ResultSet r = s.executeQuery(query)) {
-            if (!r.next()) {
+    private static Stored readRow(Connection connection, String query) throws SQLException {
+        try (Statement statement = connection.createStatement();
+                ResultSet row = statement.executeQuery(query)) {
+            if (!row.next()) {
                 return null;
             }
-            StateStore.Entry entry = new StateStore.Entry(r.getString(2), r.getBytes(3));
-            boolean complete = r.getLong(1) == 1 && entry.id() != null && entry.memory() != null;
-            boolean without = complete && r.getBoolean(5);
-            boolean matches = complete && r.getString(4) != null && r.getLong(4) == checksum(entry);
-            boolean alone = !r.next();
-            return new Stored(entry, matches && alone, without && alone);
+            StateStore.Entry entry = new StateStore.Entry(row.getString(2), row.getBytes(3));
+            boolean isComplete = row.getLong(1) == 1 && entry.id() != null && entry.memory() != null;
+            boolean lacksChecksum = isComplete && row.getBoolean(5);
+            boolean matches = isComplete && row.getString(4) != null && row.getLong(4) == checksum(entry);
+            boolean isOnlyRow = !row.next();
+            return new Stored(entry, matches && isOnlyRow, lacksChecksum && isOnlyRow);
         }
     }
 
-    // Made anew each time: the driver ends a statement that a full disk refused once, for good.
-    private static void execute(Connection c, String statement, Object... values) throws SQLException {
-        try (PreparedStatement p = c.prepareStatement(statement)) {
+    // Prepared anew each time: after a statement has failed on a full disk, the driver can't execute it again.
+    private static void execute(Connection connection, String statement, Object... values) throws SQLException {
+        try (PreparedStatement prepared = connection.prepareStatement(statement)) {
             for (int i = 0; i < values.length; i++) {
-                p.setObject(i + 1, values[i]);
+                prepared.setObject(i + 1, values[i]);
             }
-            p.executeUpdate();
+            prepared.executeUpdate();
         }
     }
 
--- a/src/main/java/whinlead/mesh/storage/StateStore.java
+++ b/src/main/java/whinlead/mesh/storage/StateStore.java
@@ -12,87 +12,88 @@
 import java.util.Deque;
 
 /**
- * A control node's memory on disk: one row, replaced and synced each time. SQLite in WAL mode with full syncs: a commit
- * is one sync. One thread; a call may wait for the disk.
+ * A control node's persistent state: one row, replaced and synced at each write. SQLite in WAL mode with full syncs, so
+ * a commit is one sync. One thread; a call may wait for the disk.
  *
- * <p>What {@link #read} gives lasts: a log that a process left unsynced is synced before it is read. What is damaged is
- * refused, never mended: a control node that has forgotten what it promised must not vote under its old name.
+ * <p>The result of {@link #read} is durable: a log that an earlier process left unsynced is synced before it is read. A
+ * damaged store is rejected and never repaired, because a control node that has forgotten its promises must not vote
+ * under its old id.
  */
 public final class StateStore implements AutoCloseable {
     private static final String FILE = "office.db";
-    private static final String LOG = FILE + "-wal";
-    /** Pages in the log after which it is folded into the file; keeps it at some hundred kilobytes. */
+    private static final String LOG_FILE = FILE + "-wal";
+    /** Pages in the log after which it is checkpointed; keeps it at some hundred kilobytes. */
     private static final int CHECKPOINT_PAGES = 200;
 
-    /** What was found. */
+    /** The persistent entry: the control node's id and its encoded state. */
     public record Entry(String id, byte[] memory) {}
 
     private final Connection connection;
-    private final StateSchema layout;
+    private final StateSchema schema;
 
     private StateStore(Connection connection, StateSchema layout) {
         this.connection = connection;
-        this.layout = layout;
+        this.schema = layout;
     }
 
     /**
-     * Opens the state store in this folder, or founds one.
+     * Opens the state store in this folder, or creates one.
      *
-     * @throws StateStoreException if that can't be done, or what is there is damaged
+     * @throws StateStoreException if that fails, or the store is damaged
      */
     public static StateStore open(Path folder) throws StateStoreException {
         return open(folder, Syncer.DISK);
     }
 
     /**
-     * Opens the state store in this folder, or founds one, with these syncs besides SQLite's own.
+     * Opens the state store in this folder, or creates one, with this syncer for syncs besides SQLite's own.
      *
-     * @throws StateStoreException if that can't be done, or what is there is damaged
+     * @throws StateStoreException if that fails, or the store is damaged
      */
     public static StateStore open(Path folder, Syncer syncer) throws StateStoreException {
-        Connection c = null;
+        Connection connection = null;
         try {
-            make(folder, syncer);
-            boolean log = size(folder.resolve(LOG)) > 0;
-            if (log && size(folder.resolve(FILE)) == 0) {
-                // SQLite would remove the log and begin anew.
+            createFolders(folder, syncer);
+            boolean hasLog = size(folder.resolve(LOG_FILE)) > 0;
+            if (hasLog && size(folder.resolve(FILE)) == 0) {
+                // SQLite would remove the log and create an empty database.
                 throw new StateStoreException("the state store in " + folder + " has a log, but no " + FILE
                         + "; remove both to join as a new control node");
             }
-            if (log) {
-                // A process that was killed may have left there what no sync has covered.
-                syncer.file(folder.resolve(LOG));
+            if (hasLog) {
+                // A process that was killed may have left writes in the log that were not synced.
+                syncer.file(folder.resolve(LOG_FILE));
             }
-            c = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(FILE));
-            return new StateStore(c, prepare(c, folder, syncer));
+            connection = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(FILE));
+            return new StateStore(connection, prepare(connection, folder, syncer));
         } catch (SQLException | IOException e) {
-            close(c);
+            close(connection);
             throw new StateStoreException("the state store in " + folder + " can't be opened: " + e.getMessage(), e);
         } catch (StateStoreException e) {
-            close(c);
+            close(connection);
             throw e;
         }
     }
 
-    private static void close(Connection c) {
+    private static void close(Connection connection) {
         try {
-            if (c != null) {
-                c.close();
+            if (connection != null) {
+                connection.close();
             }
         } catch (SQLException e) {
-            // What made it useless is reported; nothing was written that this could lose.
+            // The failure that made the connection unusable is reported; nothing was written that could be lost here.
         }
     }
 
-    // A new folder's name lasts when the folder above it is synced.
-    private static void make(Path folder, Syncer syncer) throws IOException {
+    // A new folder survives a loss of power only after its parent was synced.
+    private static void createFolders(Path folder, Syncer syncer) throws IOException {
         Deque<Path> missing = new ArrayDeque<>();
-        for (Path p = folder.toAbsolutePath(); p != null && !Files.exists(p); p = p.getParent()) {
-            missing.push(p);
+        for (Path path = folder.toAbsolutePath(); path != null && !Files.exists(path); path = path.getParent()) {
+            missing.push(path);
         }
-        for (Path p : missing) {
-            Files.createDirectory(p);
-            syncer.folder(p.getParent());
+        for (Path path : missing) {
+            Files.createDirectory(path);
+            syncer.folder(path.getParent());
         }
     }
 
@@ -100,54 +101,55 @@
         return Files.exists(file) ? Files.size(file) : 0;
     }
 
-    private static StateSchema prepare(Connection c, Path folder, Syncer syncer)
+    private static StateSchema prepare(Connection connection, Path folder, Syncer syncer)
             throws SQLException, IOException, StateStoreException {
-        try (Statement s = c.createStatement()) {
-            // The locking mode first: then the log's index needs no mapped file. And before the switch to the
-            // log that removed names are synced: a journal that comes back would undo the founding.
-            s.execute("PRAGMA locking_mode=EXCLUSIVE");
-            s.execute("PRAGMA synchronous=EXTRA");
-            s.execute("PRAGMA journal_mode=WAL");
-            s.execute("PRAGMA wal_autocheckpoint=" + CHECKPOINT_PAGES);
-            long format = number(s, "PRAGMA user_version");
-            if (number(s, "SELECT count(*) FROM sqlite_schema") == 0) {
-                StateSchema.found(s);
+        try (Statement statement = connection.createStatement()) {
+            // The locking mode comes first, so that the log's index needs no mapped file. The synchronous mode comes
+            // before the switch to the log, so that removed names are synced: a rollback journal that reappears would
+            // undo the creation.
+            statement.execute("PRAGMA locking_mode=EXCLUSIVE");
+            statement.execute("PRAGMA synchronous=EXTRA");
+            statement.execute("PRAGMA journal_mode=WAL");
+            statement.execute("PRAGMA wal_autocheckpoint=" + CHECKPOINT_PAGES);
+            long format = queryNumber(statement, "PRAGMA user_version");
+            if (queryNumber(statement, "SELECT count(*) FROM sqlite_schema") == 0) {
+                StateSchema.create(statement);
                 syncer.folder(folder);
                 return StateSchema.NEWEST;
             }
-            StateSchema layout = StateSchema.of(format);
-            if (layout == null) {
+            StateSchema schema = StateSchema.forFormat(format);
+            if (schema == null) {
                 throw new StateStoreException("the state store in " + folder + " is damaged, or of a later version: "
                         + "its format is " + format + ", this program knows 0 to " + StateSchema.NEWEST.format()
-                        + "; it is left as it was");
+                        + "; it is left unchanged");
             }
-            layout.prepare(c, s);
-            return layout;
+            schema.prepare(connection, statement);
+            return schema;
         }
     }
 
-    private static long number(Statement s, String query) throws SQLException {
-        try (ResultSet r = s.executeQuery(query)) {
-            return r.getLong(1);
+    private static long queryNumber(Statement statement, String query) throws SQLException {
+        try (ResultSet rows = statement.executeQuery(query)) {
+            return rows.getLong(1);
         }
     }
 
     /**
-     * What was written last, or null in a new state store. It lasts: no loss of power after this takes it.
+     * The last written entry, or null in a new state store. The entry survives any later loss of power.
      *
      * @throws StateStoreException if it can't be read, or is damaged
      */
     public Entry read() throws StateStoreException {
         try {
-            StateSchema.Stored stored = layout.read(connection);
+            StateSchema.Stored stored = schema.read(connection);
             if (stored == null) {
-                check();
+                quickCheck();
                 return null;
             }
             if (stored.withoutChecksum()) {
-                check();
-                layout.write(connection, stored.entry());
-            } else if (!stored.whole()) {
+                quickCheck();
+                schema.write(connection, stored.entry());
+            } else if (!stored.checksumMatches()) {
                 throw new StateStoreException(
                         "the state store's entry is damaged; remove it to join as a new control node");
             }
@@ -157,25 +159,25 @@
         }
     }
 
-    // Where no checksum tells: a damaged page may hide a row, or hold one of a program without checksums.
-    private void check() throws SQLException, StateStoreException {
-        try (Statement s = connection.createStatement();
-                ResultSet r = s.executeQuery("PRAGMA quick_check")) {
-            if (!"ok".equals(r.getString(1))) {
-                throw new StateStoreException(
-                        "the state store is damaged: " + r.getString(1) + "; remove it to join as a new control node");
+    // Without a checksum, a damaged page may hide a row, or show one as written by a version without checksums.
+    private void quickCheck() throws SQLException, StateStoreException {
+        try (Statement statement = connection.createStatement();
+                ResultSet rows = statement.executeQuery("PRAGMA quick_check")) {
+            if (!"ok".equals(rows.getString(1))) {
+                throw new StateStoreException("the state store is damaged: " + rows.getString(1)
+                        + "; remove it to join as a new control node");
             }
         }
     }
 
     /**
-     * Writes and syncs; it is on disk when this returns.
+     * Writes and syncs; the entry is on disk when this returns.
      *
-     * @throws StateStoreException if it may not be
+     * @throws StateStoreException if it may not be on disk
      */
-    public void write(String id, byte[] memory) throws StateStoreException {
+    public void write(String id, byte[] state) throws StateStoreException {
         try {
-            layout.write(connection, new Entry(id, memory));
+            schema.write(connection, new Entry(id, state));
         } catch (SQLException e) {
             throw new StateStoreException("the state store can't be written: " + e.getMessage(), e);
         }
--- a/src/main/java/whinlead/mesh/storage/StateStoreException.java
+++ b/src/main/java/whinlead/mesh/storage/StateStoreException.java
@@ -1,15 +1,15 @@
 package whinlead.mesh.storage;
 
-/** The disk, or what is on it, can't be used. */
+/** The disk or the store on it can't be used. */
 public final class StateStoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** What failed, and the reason that a layer below gave. */
+    /** What failed, with the exception that caused it. */
     public StateStoreException(String message, Throwable cause) {
         super(message, cause);
     }
 
-    /** What was found. */
+    /** What failed. */
     public StateStoreException(String message) {
         super(message);
     }
--- a/src/main/java/whinlead/mesh/storage/Syncer.java
+++ b/src/main/java/whinlead/mesh/storage/Syncer.java
@@ -6,11 +6,11 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The state store's own syncs, besides those of SQLite. A seam, so that a rehearsal knows which were asked for. On the
- * thread that opens the state store; a call may wait for the disk.
+ * The state store's own syncs, besides those of SQLite. An interface, so that simulations can record which syncs were
+ * requested. On the thread that opens the state store; a call may wait for the disk.
  */
 public interface Syncer {
-    /** Syncs for good. */
+    /** Syncs to the physical disk. */
     Syncer DISK = new Syncer() {
         @Override
         public void file(Path file) throws IOException {
@@ -22,24 +22,24 @@
             force(folder, StandardOpenOption.READ);
         }
 
-        private void force(Path path, StandardOpenOption how) throws IOException {
-            try (FileChannel c = FileChannel.open(path, how)) {
-                c.force(true);
+        private void force(Path path, StandardOpenOption option) throws IOException {
+            try (FileChannel channel = FileChannel.open(path, option)) {
+                channel.force(true);
             }
         }
     };
 
     /**
-     * What was written to this file, by whatever process, lasts when this returns.
+     * Makes the contents of a file durable, whichever process wrote them.
      *
-     * @throws IOException if it may not
+     * @throws IOException if they may not be durable
      */
     void file(Path file) throws IOException;
 
     /**
-     * The names made and removed in this folder last, or are gone for good, when this returns.
+     * Makes the creations and removals of names in a folder durable.
      *
-     * @throws IOException if they may not be
+     * @throws IOException if they may not be durable
      */
     void folder(Path folder) throws IOException;
 }
--- a/src/test/java/whinlead/mesh/storage/DutyStoreTest.java
+++ b/src/test/java/whinlead/mesh/storage/DutyStoreTest.java
@@ -12,13 +12,13 @@
 import org.testng.annotations.Test;
 import whinlead.mesh.duty.DutyPromise;
 
-/** For whom a voter voted, on disk. */
+/** Persistence of a voter's last vote. */
 public class DutyStoreTest {
     private Path folder;
     private List<String> synced;
 
     @BeforeMethod
-    public void make() throws Exception {
+    public void createFolder() throws Exception {
         folder = Files.createTempDirectory("duty");
         synced = new ArrayList<>();
     }
@@ -38,20 +38,20 @@
     }
 
     @Test
-    public void whatWasWrittenIsReadByTheNextProcess() throws Exception {
+    public void newStoreReadsWhatWasWritten() throws Exception {
         assertEquals(store().read(), DutyPromise.NONE);
         store().write(new DutyPromise(64, "10.0.0.1#0"));
         assertEquals(store().read(), new DutyPromise(64, "10.0.0.1#0"));
     }
 
     @Test
-    public void theNewFileIsSyncedBeforeItTakesTheOldOnesNameAndTheNameAfterwards() throws Exception {
+    public void newFileIsSyncedBeforeRenameAndFolderAfterwards() throws Exception {
         store().write(new DutyPromise(1, "a"));
         assertEquals(synced, List.of("duty.new", "folder"));
     }
 
     @Test
-    public void whatIsDamagedIsSaid() throws Exception {
+    public void damagedFileIsReported() throws Exception {
         Files.writeString(folder.resolve("duty"), "sixty\na\n");
         assertThrows(IOException.class, () -> store().read());
     }
--- a/src/test/java/whinlead/mesh/storage/LesseeStoreTest.java
+++ b/src/test/java/whinlead/mesh/storage/LesseeStoreTest.java
@@ -10,13 +10,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who may hold leases, on disk. */
+/** Persistence of the sidecars that may hold leases. */
 public class LesseeStoreTest {
     private Path folder;
     private List<String> synced;
 
     @BeforeMethod
-    public void make() throws Exception {
+    public void createFolder() throws Exception {
         folder = Files.createTempDirectory("lessees");
         synced = new ArrayList<>();
     }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void whatWasWrittenIsReadByTheNextProcess() throws Exception {
+    public void newStoreReadsWhatWasWritten() throws Exception {
         assertEquals(store().read(), new LesseeStore.Entry(Set.of(), false));
         LesseeStore.Entry entry = new LesseeStore.Entry(Set.of("10.0.0.1:7000", "10.0.0.2:7000"), true);
         store().write(entry);
@@ -46,13 +46,13 @@
     }
 
     @Test
-    public void theNewFileIsSyncedBeforeItTakesTheOldOnesNameAndTheNameAfterwards() throws Exception {
+    public void newFileIsSyncedBeforeRenameAndFolderAfterwards() throws Exception {
         store().write(new LesseeStore.Entry(Set.of("a"), false));
         assertEquals(synced, List.of("lessees.new", "folder"));
     }
 
     @Test
-    public void whatAKilledProcessLeftHalfWrittenIsNotRead() throws Exception {
+    public void unfinishedNewFileIsIgnored() throws Exception {
         LesseeStore.Entry entry = new LesseeStore.Entry(Set.of("a"), false);
         store().write(entry);
         Files.writeString(folder.resolve("lessees.new"), "b");
--- a/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
+++ b/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
@@ -22,13 +22,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** State stores that programs of several formats write in turn, by the statements of each. */
+/** State stores written in turn by versions with different formats, using the SQL statements of each version. */
 public class OtherFormatTest {
     private static final String ID = "10.0.0.1#0";
 
     private Path folder;
 
-    /** The statements of an earlier program. */
+    /** The SQL statements of an earlier version. */
     private enum Predecessor {
         /** Format 0: no checksum. */
         WITHOUT_CHECKSUM(
@@ -37,7 +37,7 @@
                 "INSERT INTO office VALUES (1, ?, ?)"
                         + " ON CONFLICT (one) DO UPDATE SET id = excluded.id, memory = excluded.memory",
                 null),
-        /** Format 1, which accepts no other number in its file. */
+        /** Format 1, which accepts no other format number in its file. */
         WITH_COLUMN(
                 "CREATE TABLE IF NOT EXISTS office (one INTEGER PRIMARY KEY CHECK (one = 1),"
                         + " id TEXT NOT NULL, memory BLOB NOT NULL, crc INTEGER)",
@@ -55,41 +55,41 @@
             this.format = format;
         }
 
-        private void open(Connection c) throws SQLException {
-            try (Statement s = c.createStatement()) {
-                s.execute("PRAGMA journal_mode=WAL");
-                s.execute(create);
+        private void open(Connection connection) throws SQLException {
+            try (Statement statement = connection.createStatement()) {
+                statement.execute("PRAGMA journal_mode=WAL");
+                statement.execute(create);
                 if (format != null) {
-                    s.execute(format);
+                    statement.execute(format);
                 }
             }
         }
 
-        private void write(Path folder, byte[] memory) throws SQLException {
-            try (Connection c = connect(folder)) {
-                open(c);
-                try (PreparedStatement p = c.prepareStatement(write)) {
-                    p.setString(1, ID);
-                    p.setBytes(2, memory);
+        private void write(Path folder, byte[] state) throws SQLException {
+            try (Connection connection = connect(folder)) {
+                open(connection);
+                try (PreparedStatement statement = connection.prepareStatement(write)) {
+                    statement.setString(1, ID);
+                    statement.setBytes(2, state);
                     if (this == WITH_COLUMN) {
-                        p.setLong(3, checksum(memory));
+                        statement.setLong(3, checksum(state));
                     }
-                    p.executeUpdate();
+                    statement.executeUpdate();
                 }
             }
         }
 
         private byte[] read(Path folder) throws SQLException {
-            try (Connection c = connect(folder)) {
-                open(c);
-                try (Statement s = c.createStatement();
-                        ResultSet r = s.executeQuery("SELECT * FROM office")) {
-                    assertTrue(r.next());
-                    assertEquals(r.getString(2), ID);
-                    byte[] memory = r.getBytes(3);
-                    assertTrue(this == WITHOUT_CHECKSUM || r.getLong(4) == checksum(memory));
-                    assertFalse(r.next(), "one row");
-                    return memory;
+            try (Connection connection = connect(folder)) {
+                open(connection);
+                try (Statement statement = connection.createStatement();
+                        ResultSet rows = statement.executeQuery("SELECT * FROM office")) {
+                    assertTrue(rows.next());
+                    assertEquals(rows.getString(2), ID);
+                    byte[] state = rows.getBytes(3);
+                    assertTrue(this == WITHOUT_CHECKSUM || rows.getLong(4) == checksum(state));
+                    assertFalse(rows.next(), "one row");
+                    return state;
                 }
             }
         }
@@ -99,27 +99,27 @@
         return DriverManager.getConnection("jdbc:sqlite:" + folder.resolve("office.db"));
     }
 
-    private static long checksum(byte[] memory) {
+    private static long checksum(byte[] state) {
         java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
         crc.update(ID.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         crc.update(0);
-        crc.update(memory);
+        crc.update(state);
         return crc.getValue();
     }
 
-    private static byte[] memory(int fill) {
-        byte[] m = new byte[1500];
-        Arrays.fill(m, (byte) fill);
-        return m;
+    private static byte[] filled(int fill) {
+        byte[] bytes = new byte[1500];
+        Arrays.fill(bytes, (byte) fill);
+        return bytes;
     }
 
     @BeforeMethod
-    public void make() throws IOException {
+    public void createFolder() throws IOException {
         folder = Files.createTempDirectory("state store");
     }
 
     @AfterMethod(alwaysRun = true)
-    public void remove() throws IOException {
+    public void deleteFolder() throws IOException {
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(p);
@@ -128,143 +128,146 @@
     }
 
     private void execute(String statement) throws SQLException {
-        try (Connection c = connect(folder);
-                Statement s = c.createStatement()) {
-            s.execute(statement);
+        try (Connection connection = connect(folder);
+                Statement sql = connection.createStatement()) {
+            sql.execute(statement);
         }
     }
 
-    private String refused() {
+    private String readError() {
         return expectThrows(StateStoreException.class, () -> {
-                    try (StateStore l = StateStore.open(folder)) {
-                        l.read();
+                    try (StateStore store = StateStore.open(folder)) {
+                        store.read();
                     }
                 })
                 .getMessage();
     }
 
     @Test
-    public void everyPredecessorWritesAfterThisProgramAndThisOneAfterIt() throws Exception {
-        for (Predecessor p : Predecessor.values()) {
+    public void predecessorsAndThisVersionReadEachOthersWrites() throws Exception {
+        for (Predecessor predecessor : Predecessor.values()) {
             int fill = 1;
-            p.write(folder, memory(fill));
+            predecessor.write(folder, filled(fill));
             for (int turn = 0; turn < 3; turn++) {
-                try (StateStore l = StateStore.open(folder)) {
-                    assertEquals(l.read().memory(), memory(fill), p + " wrote it");
-                    assertEquals(l.read().id(), ID);
-                    l.write(ID, memory(++fill));
-                    l.write(ID, memory(++fill));
-                    assertEquals(l.read().memory(), memory(fill));
+                try (StateStore store = StateStore.open(folder)) {
+                    assertEquals(store.read().memory(), filled(fill), predecessor + " wrote this state");
+                    assertEquals(store.read().id(), ID);
+                    store.write(ID, filled(++fill));
+                    store.write(ID, filled(++fill));
+                    assertEquals(store.read().memory(), filled(fill));
                 }
-                assertEquals(p.read(folder), memory(fill), p + " reads what this program wrote");
-                p.write(folder, memory(++fill));
-                assertEquals(p.read(folder), memory(fill));
+                assertEquals(
+                        predecessor.read(folder),
+                        filled(fill),
+                        predecessor + " reads the state that this version wrote");
+                predecessor.write(folder, filled(++fill));
+                assertEquals(predecessor.read(folder), filled(fill));
             }
-            remove();
+            deleteFolder();
             Files.createDirectory(folder);
         }
     }
 
     @Test
-    public void whatThisProgramFoundsTheLastOneReadsAndWrites() throws Exception {
-        try (StateStore l = StateStore.open(folder)) {
-            l.write(ID, memory(1));
+    public void newStoreIsReadAndWrittenByPreviousVersion() throws Exception {
+        try (StateStore store = StateStore.open(folder)) {
+            store.write(ID, filled(1));
         }
-        assertEquals(Predecessor.WITH_COLUMN.read(folder), memory(1));
-        Predecessor.WITH_COLUMN.write(folder, memory(2));
-        try (StateStore l = StateStore.open(folder)) {
-            assertEquals(l.read().memory(), memory(2));
+        assertEquals(Predecessor.WITH_COLUMN.read(folder), filled(1));
+        Predecessor.WITH_COLUMN.write(folder, filled(2));
+        try (StateStore store = StateStore.open(folder)) {
+            assertEquals(store.read().memory(), filled(2));
         }
     }
 
-    // The last program turned format 0 into 1 by these statements; it may do so after this one.
+    // The previous version upgraded format 0 to 1 by these statements, and may do so after this version has run.
     @Test
-    public void theUpgradeByTheLastProgramIsReadAfterThisOne() throws Exception {
-        Predecessor.WITHOUT_CHECKSUM.write(folder, memory(1));
-        try (StateStore l = StateStore.open(folder)) {
-            l.write(ID, memory(2));
+    public void upgradeByPreviousVersionIsRead() throws Exception {
+        Predecessor.WITHOUT_CHECKSUM.write(folder, filled(1));
+        try (StateStore store = StateStore.open(folder)) {
+            store.write(ID, filled(2));
         }
         execute("ALTER TABLE office ADD COLUMN crc INTEGER");
-        execute("UPDATE office SET crc = " + checksum(memory(2)));
-        Predecessor.WITH_COLUMN.write(folder, memory(3));
-        try (StateStore l = StateStore.open(folder)) {
-            assertEquals(l.read().memory(), memory(3));
-            l.write(ID, memory(4));
+        execute("UPDATE office SET crc = " + checksum(filled(2)));
+        Predecessor.WITH_COLUMN.write(folder, filled(3));
+        try (StateStore store = StateStore.open(folder)) {
+            assertEquals(store.read().memory(), filled(3));
+            store.write(ID, filled(4));
         }
-        assertEquals(Predecessor.WITH_COLUMN.read(folder), memory(4));
+        assertEquals(Predecessor.WITH_COLUMN.read(folder), filled(4));
     }
 
     @Test
-    public void columnsAndTablesOfALaterProgramKeepWhatTheyHold() throws Exception {
-        for (Predecessor p : Predecessor.values()) {
-            p.write(folder, memory(1));
+    public void columnsAndTablesOfLaterVersionArePreserved() throws Exception {
+        for (Predecessor predecessor : Predecessor.values()) {
+            predecessor.write(folder, filled(1));
             execute("ALTER TABLE office ADD COLUMN later TEXT DEFAULT 'kept'");
             execute("CREATE TABLE later (x)");
-            try (StateStore l = StateStore.open(folder)) {
-                assertEquals(l.read().memory(), memory(1));
-                l.write(ID, memory(2));
-                assertEquals(l.read().memory(), memory(2));
+            try (StateStore store = StateStore.open(folder)) {
+                assertEquals(store.read().memory(), filled(1));
+                store.write(ID, filled(2));
+                assertEquals(store.read().memory(), filled(2));
             }
-            try (Connection c = connect(folder);
-                    Statement s = c.createStatement();
-                    ResultSet r = s.executeQuery("SELECT later FROM office")) {
-                assertEquals(r.getString(1), "kept");
+            try (Connection connection = connect(folder);
+                    Statement statement = connection.createStatement();
+                    ResultSet rows = statement.executeQuery("SELECT later FROM office")) {
+                assertEquals(rows.getString(1), "kept");
             }
-            remove();
+            deleteFolder();
             Files.createDirectory(folder);
         }
     }
 
-    // Found after this program opened it: from then on its own writes are guarded, in every format.
+    // Detected only after this version has opened the store: from then on its writes have checksums in every format.
     @Test
-    public void aDamagedMemoryIsRefusedInTheOldFormatToo() throws Exception {
-        Predecessor.WITHOUT_CHECKSUM.write(folder, memory(1));
-        try (StateStore l = StateStore.open(folder)) {
-            l.write(ID, memory(9));
+    public void damagedStateIsRejectedInFormatZero() throws Exception {
+        Predecessor.WITHOUT_CHECKSUM.write(folder, filled(1));
+        try (StateStore store = StateStore.open(folder)) {
+            store.write(ID, filled(9));
         }
         Path file = folder.resolve("office.db");
-        byte[] all = Files.readAllBytes(file);
-        int at = 0;
-        while (!Arrays.equals(all, at, at + 100, memory(9), 0, 100)) {
-            at++;
+        byte[] bytes = Files.readAllBytes(file);
+        int offset = 0;
+        while (!Arrays.equals(bytes, offset, offset + 100, filled(9), 0, 100)) {
+            offset++;
         }
-        all[at + 50] ^= 4;
-        Files.write(file, all);
-        assertTrue(refused().contains("the state store's entry is damaged"));
+        bytes[offset + 50] ^= 4;
+        Files.write(file, bytes);
+        assertTrue(readError().contains("the state store's entry is damaged"));
     }
 
     @Test
-    public void aChecksumThatIsGoneIsDamage() throws Exception {
-        Predecessor.WITHOUT_CHECKSUM.write(folder, memory(1));
-        try (StateStore l = StateStore.open(folder)) {
-            l.write(ID, memory(2));
+    public void missingChecksumIsRejectedAsDamage() throws Exception {
+        Predecessor.WITHOUT_CHECKSUM.write(folder, filled(1));
+        try (StateStore store = StateStore.open(folder)) {
+            store.write(ID, filled(2));
         }
         execute("DELETE FROM checksum");
-        assertTrue(refused().contains("the state store's entry is damaged"));
+        assertTrue(readError().contains("the state store's entry is damaged"));
     }
 
-    // Neither the new memory nor its checksum alone may stay.
+    // Neither the new state nor its checksum may be stored alone.
     @Test
-    public void aWriteThatIsRefusedLeavesTheOldFormatWhole() throws Exception {
-        Predecessor.WITHOUT_CHECKSUM.write(folder, memory(1));
-        try (StateStore l = StateStore.open(folder)) {
-            l.write(ID, memory(2));
+    public void failedWriteLeavesFormatZeroConsistent() throws Exception {
+        Predecessor.WITHOUT_CHECKSUM.write(folder, filled(1));
+        try (StateStore store = StateStore.open(folder)) {
+            store.write(ID, filled(2));
         }
-        // Stands for a disk that is full for a while: an error that is no broken constraint.
+        // Simulates a disk that is full for a while: an error that is not a constraint violation.
         execute("CREATE TRIGGER refuse BEFORE UPDATE OF crc ON checksum WHEN new.crc IS NOT NULL"
                 + " AND (SELECT id FROM office) = 'full' BEGIN SELECT abs(-9223372036854775807 - 1); END");
-        try (StateStore l = StateStore.open(folder)) {
-            expectThrows(StateStoreException.class, () -> l.write("full", memory(3)));
-            assertEquals(l.read().memory(), memory(2));
-            l.write(ID, memory(4));
-            assertEquals(l.read().memory(), memory(4));
+        try (StateStore store = StateStore.open(folder)) {
+            expectThrows(StateStoreException.class, () -> store.write("full", filled(3)));
+            assertEquals(store.read().memory(), filled(2));
+            store.write(ID, filled(4));
+            assertEquals(store.read().memory(), filled(4));
         }
     }
 
     @Test
-    public void aLaterFormatIsRefusedByItsNumberAndLeftAsItWas() throws Exception {
-        try (StateStore l = StateStore.open(folder)) {
-            l.write(ID, memory(1));
+    public void laterFormatIsRejectedAndLeftUnchanged() throws Exception {
+        try (StateStore store = StateStore.open(folder)) {
+            store.write(ID, filled(1));
         }
         execute("PRAGMA user_version=7");
         List<Path> before;
@@ -272,7 +275,7 @@
             before = list.toList();
         }
         byte[] file = Files.readAllBytes(folder.resolve("office.db"));
-        assertTrue(refused().contains("its format is 7, this program knows 0 to 1"), refused());
+        assertTrue(readError().contains("its format is 7, this program knows 0 to 1"), readError());
         assertEquals(Files.readAllBytes(folder.resolve("office.db")), file);
         try (Stream<Path> list = Files.list(folder)) {
             assertEquals(list.toList(), before);
--- a/src/test/java/whinlead/mesh/storage/StateStoreTest.java
+++ b/src/test/java/whinlead/mesh/storage/StateStoreTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the state store gives back, and what it refuses. */
+/** What the state store returns, and what it rejects. */
 public class StateStoreTest {
     private static final int PAGE = 4096;
 
@@ -30,14 +30,14 @@
     private Path file;
 
     @BeforeMethod
-    public void make() throws IOException {
+    public void createPaths() throws IOException {
         base = Files.createTempDirectory("state store");
         folder = base.resolve("a").resolve("b");
         file = folder.resolve("office.db");
     }
 
     @AfterMethod
-    public void remove() throws IOException {
+    public void deleteFolder() throws IOException {
         try (Stream<Path> all = Files.walk(base)) {
             for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(p);
@@ -45,189 +45,189 @@
         }
     }
 
-    private static byte[] memory(int fill) {
-        byte[] m = new byte[1500];
-        Arrays.fill(m, (byte) fill);
-        return m;
+    private static byte[] filled(int fill) {
+        byte[] bytes = new byte[1500];
+        Arrays.fill(bytes, (byte) fill);
+        return bytes;
     }
 
-    private void written(String id, byte[] memory) throws StateStoreException {
-        try (StateStore l = StateStore.open(folder)) {
-            l.write(id, memory);
+    private void writeState(String id, byte[] state) throws StateStoreException {
+        try (StateStore store = StateStore.open(folder)) {
+            store.write(id, state);
         }
     }
 
-    private String refused() {
+    private String readError() {
         return expectThrows(StateStoreException.class, () -> {
-                    try (StateStore l = StateStore.open(folder)) {
-                        l.read();
+                    try (StateStore store = StateStore.open(folder)) {
+                        store.read();
                     }
                 })
                 .getMessage();
     }
 
-    // What a process that is killed now would leave.
-    private Path copy() throws IOException {
-        Path to = Files.createDirectory(base.resolve("copy"));
+    // Copies the files as they would be left if the process were killed now.
+    private Path copyFolder() throws IOException {
+        Path target = Files.createDirectory(base.resolve("copy"));
         try (Stream<Path> list = Files.list(folder)) {
             for (Path p : list.toList()) {
-                Files.copy(p, to.resolve(p.getFileName()));
+                Files.copy(p, target.resolve(p.getFileName()));
             }
         }
-        return to;
+        return target;
     }
 
     @Test
-    public void givesWhatWasWrittenLast() throws StateStoreException {
-        try (StateStore l = StateStore.open(folder)) {
-            assertNull(l.read());
-            l.write("a#0", memory(1));
-            l.write("a#0", memory(2));
-            assertEquals(l.read().memory(), memory(2));
+    public void returnsLastWrittenState() throws StateStoreException {
+        try (StateStore store = StateStore.open(folder)) {
+            assertNull(store.read());
+            store.write("a#0", filled(1));
+            store.write("a#0", filled(2));
+            assertEquals(store.read().memory(), filled(2));
         }
-        try (StateStore l = StateStore.open(folder)) {
-            assertEquals(l.read().id(), "a#0");
-            assertEquals(l.read().memory(), memory(2));
+        try (StateStore store = StateStore.open(folder)) {
+            assertEquals(store.read().id(), "a#0");
+            assertEquals(store.read().memory(), filled(2));
         }
     }
 
     @Test
-    public void writesAgainOnceAFullDiskHasRoom() throws Exception {
-        try (StateStore l = StateStore.open(folder)) {
-            l.write("a#0", memory(1));
+    public void writesAgainAfterFullDiskHasSpace() throws Exception {
+        try (StateStore store = StateStore.open(folder)) {
+            store.write("a#0", filled(1));
             java.lang.reflect.Field field = StateStore.class.getDeclaredField("connection");
             field.setAccessible(true);
-            try (Statement s = ((Connection) field.get(l)).createStatement()) {
-                s.execute("PRAGMA max_page_count=2");
+            try (Statement statement = ((Connection) field.get(store)).createStatement()) {
+                statement.execute("PRAGMA max_page_count=2");
                 for (int i = 0; i < 3; i++) {
-                    assertThrows(StateStoreException.class, () -> l.write("a#0", new byte[50_000]));
+                    assertThrows(StateStoreException.class, () -> store.write("a#0", new byte[50_000]));
                 }
-                s.execute("PRAGMA max_page_count=1000000");
+                statement.execute("PRAGMA max_page_count=1000000");
             }
-            assertEquals(l.read().memory(), memory(1));
-            l.write("a#0", new byte[50_000]);
-            assertEquals(l.read().memory().length, 50_000);
+            assertEquals(store.read().memory(), filled(1));
+            store.write("a#0", new byte[50_000]);
+            assertEquals(store.read().memory().length, 50_000);
         }
     }
 
     @Test
-    public void anEmptyFileIsANewStateStore() throws StateStoreException, IOException {
+    public void emptyFileIsNewStore() throws StateStoreException, IOException {
         Files.createDirectories(folder);
         Files.createFile(file);
-        try (StateStore l = StateStore.open(folder)) {
-            assertNull(l.read());
-            l.write("a#0", memory(1));
-            assertEquals(l.read().memory(), memory(1));
+        try (StateStore store = StateStore.open(folder)) {
+            assertNull(store.read());
+            store.write("a#0", filled(1));
+            assertEquals(store.read().memory(), filled(1));
         }
     }
 
     @Test
-    public void readsAStateStoreOfBeforeAndGuardsItFromThenOn() throws Exception {
+    public void addsChecksumToStoreOfEarlierVersion() throws Exception {
         Files.createDirectories(folder);
-        try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + file);
-                Statement s = c.createStatement()) {
-            s.execute("PRAGMA journal_mode=WAL");
-            s.execute("CREATE TABLE IF NOT EXISTS office"
+        try (Connection connection = DriverManager.getConnection("jdbc:sqlite:" + file);
+                Statement statement = connection.createStatement()) {
+            statement.execute("PRAGMA journal_mode=WAL");
+            statement.execute("CREATE TABLE IF NOT EXISTS office"
                     + " (one INTEGER PRIMARY KEY CHECK (one = 1), id TEXT NOT NULL, memory BLOB NOT NULL)");
-            s.execute("INSERT INTO office VALUES (1, 'a#0', x'" + "07".repeat(1500) + "')");
+            statement.execute("INSERT INTO office VALUES (1, 'a#0', x'" + "07".repeat(1500) + "')");
         }
-        try (StateStore l = StateStore.open(folder)) {
-            assertEquals(l.read().memory(), memory(7));
+        try (StateStore store = StateStore.open(folder)) {
+            assertEquals(store.read().memory(), filled(7));
         }
-        spoil(7);
-        assertTrue(refused().contains("damaged"));
+        corrupt(7);
+        assertTrue(readError().contains("damaged"));
     }
 
-    // One bit of the first byte in the file from which on this fill stands.
-    private void spoil(int fill) throws IOException {
-        byte[] all = Files.readAllBytes(file);
-        int at = 0;
-        while (!Arrays.equals(all, at, at + 100, memory(fill), 0, 100)) {
-            at++;
+    // Flips one bit in the first run of this fill byte in the file.
+    private void corrupt(int fill) throws IOException {
+        byte[] bytes = Files.readAllBytes(file);
+        int offset = 0;
+        while (!Arrays.equals(bytes, offset, offset + 100, filled(fill), 0, 100)) {
+            offset++;
         }
-        all[at + 50] ^= 4;
-        Files.write(file, all);
+        bytes[offset + 50] ^= 4;
+        Files.write(file, bytes);
     }
 
     @Test
-    public void aDamagedMemoryIsRefused() throws StateStoreException, IOException {
-        written("a#0", memory(9));
-        spoil(9);
-        assertEquals(refused(), "the state store's entry is damaged; remove it to join as a new control node");
+    public void damagedStateIsRejected() throws StateStoreException, IOException {
+        writeState("a#0", filled(9));
+        corrupt(9);
+        assertEquals(readError(), "the state store's entry is damaged; remove it to join as a new control node");
     }
 
     @Test
-    public void aRowHiddenByADamagedPageIsNoNewStateStore() throws StateStoreException, IOException {
-        written("a#0", memory(9));
-        byte[] all = Files.readAllBytes(file);
+    public void rowHiddenByDamagedPageIsNotNewStore() throws StateStoreException, IOException {
+        writeState("a#0", filled(9));
+        byte[] bytes = Files.readAllBytes(file);
         // The number of cells on the table's only page.
-        assertEquals(all[PAGE + 4], 1);
-        all[PAGE + 4] = 0;
-        Files.write(file, all);
-        assertTrue(refused().contains("damaged"));
+        assertEquals(bytes[PAGE + 4], 1);
+        bytes[PAGE + 4] = 0;
+        Files.write(file, bytes);
+        assertTrue(readError().contains("damaged"));
     }
 
     @Test
-    public void aLogWithoutItsFileIsNoNewStateStore() throws StateStoreException, IOException {
-        try (StateStore l = StateStore.open(folder)) {
-            l.write("a#0", memory(1));
-            folder = copy();
+    public void logWithoutDatabaseFileIsNotNewStore() throws StateStoreException, IOException {
+        try (StateStore store = StateStore.open(folder)) {
+            store.write("a#0", filled(1));
+            folder = copyFolder();
         }
         Files.delete(folder.resolve("office.db"));
-        assertTrue(refused().contains("has a log, but no office.db"));
-        assertTrue(Files.size(folder.resolve("office.db-wal")) > 0, "refused, and left as it was");
+        assertTrue(readError().contains("has a log, but no office.db"));
+        assertTrue(Files.size(folder.resolve("office.db-wal")) > 0, "rejected and left unchanged");
     }
 
     @Test
-    public void aStateStoreOfALaterVersionIsRefused() throws Exception {
-        written("a#0", memory(1));
-        try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + file);
-                Statement s = c.createStatement()) {
-            s.execute("PRAGMA user_version=2");
+    public void storeOfLaterVersionIsRejected() throws Exception {
+        writeState("a#0", filled(1));
+        try (Connection connection = DriverManager.getConnection("jdbc:sqlite:" + file);
+                Statement statement = connection.createStatement()) {
+            statement.execute("PRAGMA user_version=2");
         }
-        assertTrue(refused().contains("later version"));
+        assertTrue(readError().contains("later version"));
     }
 
     @Test
-    public void writesAgainAfterARefusedWrite() throws Exception {
-        written("a#0", memory(1));
-        // Stands for a disk that is full for a while: an error that is no broken constraint.
-        try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + file);
-                Statement s = c.createStatement()) {
-            s.execute("CREATE TRIGGER refuse BEFORE INSERT ON office WHEN new.id = 'full'"
+    public void writesAgainAfterFailedWrite() throws Exception {
+        writeState("a#0", filled(1));
+        // Simulates a disk that is full for a while: an error that is not a constraint violation.
+        try (Connection connection = DriverManager.getConnection("jdbc:sqlite:" + file);
+                Statement statement = connection.createStatement()) {
+            statement.execute("CREATE TRIGGER refuse BEFORE INSERT ON office WHEN new.id = 'full'"
                     + " BEGIN SELECT abs(-9223372036854775807 - 1); END");
         }
-        try (StateStore l = StateStore.open(folder)) {
-            assertThrows(StateStoreException.class, () -> l.write("full", memory(2)));
-            assertEquals(l.read().memory(), memory(1));
-            l.write("a#0", memory(3));
-            assertEquals(l.read().memory(), memory(3));
+        try (StateStore store = StateStore.open(folder)) {
+            assertThrows(StateStoreException.class, () -> store.write("full", filled(2)));
+            assertEquals(store.read().memory(), filled(1));
+            store.write("a#0", filled(3));
+            assertEquals(store.read().memory(), filled(3));
         }
     }
 
     @Test
-    public void theNamesOfANewStateStoreAreSynced() throws StateStoreException {
-        Recorder r = new Recorder();
-        StateStore.open(folder, r).close();
-        assertEquals(r.asked, List.of("folder " + base, "folder " + folder.getParent(), "folder " + folder));
+    public void foldersOfNewStoreAreSynced() throws StateStoreException {
+        RecordingSyncer recorder = new RecordingSyncer();
+        StateStore.open(folder, recorder).close();
+        assertEquals(recorder.syncs, List.of("folder " + base, "folder " + folder.getParent(), "folder " + folder));
     }
 
     @Test
-    public void theLogOfAKilledProcessIsSyncedBeforeItIsRead() throws StateStoreException, IOException {
-        try (StateStore l = StateStore.open(folder)) {
-            l.write("a#0", memory(1));
-            folder = copy();
+    public void logOfKilledProcessIsSyncedBeforeReading() throws StateStoreException, IOException {
+        try (StateStore store = StateStore.open(folder)) {
+            store.write("a#0", filled(1));
+            folder = copyFolder();
         }
-        Recorder r = new Recorder();
-        try (StateStore l = StateStore.open(folder, r)) {
-            assertEquals(r.asked, List.of("file " + folder.resolve("office.db-wal")));
-            assertEquals(l.read().memory(), memory(1));
+        RecordingSyncer recorder = new RecordingSyncer();
+        try (StateStore store = StateStore.open(folder, recorder)) {
+            assertEquals(recorder.syncs, List.of("file " + folder.resolve("office.db-wal")));
+            assertEquals(store.read().memory(), filled(1));
         }
     }
 
     @Test
-    public void aSyncThatFailsRefusesTheStateStore() throws StateStoreException {
-        written("a#0", memory(1));
+    public void failedSyncPreventsOpening() throws StateStoreException {
+        writeState("a#0", filled(1));
         assertThrows(
                 StateStoreException.class,
                 () -> StateStore.open(base.resolve("other"), new Syncer() {
@@ -241,18 +241,18 @@
                 }));
     }
 
-    private static final class Recorder implements Syncer {
-        private final List<String> asked = new ArrayList<>();
+    private static final class RecordingSyncer implements Syncer {
+        private final List<String> syncs = new ArrayList<>();
 
         @Override
         public void file(Path synced) throws IOException {
-            asked.add("file " + synced);
+            syncs.add("file " + synced);
             DISK.file(synced);
         }
 
         @Override
         public void folder(Path synced) throws IOException {
-            asked.add("folder " + synced);
+            syncs.add("folder " + synced);
             DISK.folder(synced);
         }
     }
