--- a/src/main/java/whinlead/mesh/control/ConfigCodec.java
+++ b/src/main/java/whinlead/mesh/control/ConfigCodec.java
@@ -10,46 +10,49 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 
-/** Configurations as they are kept and sent: deflated, for links are narrow and routes alike. For any thread. */
+/**
+ * Encodes configurations for storage and transfer: deflated, because links are narrow and routes compress well. For any
+ * thread.
+ */
 public final class ConfigCodec {
     /** The largest configuration, in bytes. */
     private static final int MAX_BYTES = 16 << 20;
-    /** Of a digest, what is kept. */
+    /** The number of bytes of a hash that form a digest. */
     private static final int DIGEST_BYTES = 16;
 
     private ConfigCodec() {}
 
-    /** Deflates. */
+    /** Deflates a configuration. */
     public static byte[] deflate(byte[] body) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (DeflaterOutputStream d = new DeflaterOutputStream(out)) {
-            d.write(body);
+        ByteArrayOutputStream deflated = new ByteArrayOutputStream();
+        try (DeflaterOutputStream deflater = new DeflaterOutputStream(deflated)) {
+            deflater.write(body);
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory failed", e);
         }
-        return out.toByteArray();
+        return deflated.toByteArray();
     }
 
     /**
-     * Inflates.
+     * Inflates a configuration.
      *
-     * @throws IOException if these bytes are not what {@link #deflate} gave
+     * @throws IOException if these bytes were not made by {@link #deflate}
      */
     public static byte[] inflate(byte[] body) throws IOException {
         try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(body))) {
-            byte[] all = in.readNBytes(MAX_BYTES);
+            byte[] inflated = in.readNBytes(MAX_BYTES);
             if (in.read() >= 0) {
-                throw new IOException("a configuration over " + MAX_BYTES + " bytes");
+                throw new IOException("the configuration exceeds " + MAX_BYTES + " bytes");
             }
-            return all;
+            return inflated;
         }
     }
 
-    /** What tells one configuration from another; short, for hundreds of them are kept and sent. */
+    /** Identifies a configuration; short, because hundreds of digests are stored and sent. */
     public static String digest(byte[] body) {
         try {
-            byte[] all = MessageDigest.getInstance("SHA-256").digest(body);
-            return Base64.getUrlEncoder().withoutPadding().encodeToString(Arrays.copyOf(all, DIGEST_BYTES));
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest(body);
+            return Base64.getUrlEncoder().withoutPadding().encodeToString(Arrays.copyOf(hash, DIGEST_BYTES));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java has SHA-256", e);
         }
--- a/src/main/java/whinlead/mesh/control/ConsensusTicker.java
+++ b/src/main/java/whinlead/mesh/control/ConsensusTicker.java
@@ -7,44 +7,44 @@
 import whinlead.mesh.wire.TimerGrid;
 
 /**
- * Has the consensus module act periodically: often while something is under way and for some time after the last
- * activity, else less often, for a wake-up costs on an idle machine too. On its loop's thread.
+ * Runs the consensus module periodically: often while something is in progress and for some time after the last
+ * activity, otherwise less often, because wake-ups cost CPU time on an idle machine. On its loop's thread.
  */
 final class ConsensusTicker {
-    /** Between two acts where something is under way, in milliseconds. */
+    /** Time between two runs while active, in milliseconds. */
     static final long ACTIVE_PERIOD_MS = 25;
-    /** The same where nothing is; short against what counts as a sleep of this process. */
+    /** Time between two runs while idle, in milliseconds; short compared to the gap that counts as a suspension. */
     static final long IDLE_PERIOD_MS = 75;
-    /** From the last activity until the module counts as idle, in milliseconds. */
-    static final long ACTIVE_MS = 2000;
+    /** Time from the last activity until the module counts as idle, in milliseconds. */
+    static final long ACTIVE_DURATION_MS = 2000;
 
-    private static final double NANOS_IN_MILLI = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     private final Timers timers;
     private final LongSupplier nanoClock;
-    private final Runnable act;
-    private final BooleanSupplier busy;
+    private final Runnable action;
+    private final BooleanSupplier isBusy;
     private boolean active;
-    private long activeUntil;
-    private Timers.Timer next;
+    private long activeUntilNs;
+    private Timers.Timer nextTimer;
 
     /**
-     * Nothing acts before {@link #activity} is called.
+     * A ticker that runs nothing before {@link #noteActivity} is called.
      *
      * @param nanoClock steady, in nanoseconds
-     * @param act has the module act; may call {@link #activity}, and throws nothing
-     * @param busy whether something is under way, however long ago it began
+     * @param action runs the module; may call {@link #noteActivity}, and throws nothing
+     * @param isBusy whether something is in progress, however long ago it began
      */
-    ConsensusTicker(Timers timers, LongSupplier nanoClock, Runnable act, BooleanSupplier busy) {
+    ConsensusTicker(Timers timers, LongSupplier nanoClock, Runnable action, BooleanSupplier isBusy) {
         this.timers = timers;
         this.nanoClock = nanoClock;
-        this.act = act;
-        this.busy = busy;
+        this.action = action;
+        this.isBusy = isBusy;
     }
 
-    /** Something has happened that the module follows up: it acts often from now on. */
-    void activity() {
-        activeUntil = nanoClock.getAsLong() + TimeUnit.MILLISECONDS.toNanos(ACTIVE_MS);
+    /** Notes an event that the module follows up: it runs often from now on. */
+    void noteActivity() {
+        activeUntilNs = nanoClock.getAsLong() + TimeUnit.MILLISECONDS.toNanos(ACTIVE_DURATION_MS);
         if (!active) {
             active = true;
             schedule();
@@ -52,17 +52,17 @@
     }
 
     private void run() {
-        act.run();
-        active = busy.getAsBoolean() || nanoClock.getAsLong() - activeUntil < 0;
+        action.run();
+        active = isBusy.getAsBoolean() || nanoClock.getAsLong() - activeUntilNs < 0;
         schedule();
     }
 
     private void schedule() {
-        if (next != null) {
-            next.cancel();
+        if (nextTimer != null) {
+            nextTimer.cancel();
         }
-        long period = TimeUnit.MILLISECONDS.toNanos(active ? ACTIVE_PERIOD_MS : IDLE_PERIOD_MS);
-        long wait = TimerGrid.untilNext(nanoClock.getAsLong(), period);
-        next = timers.after(wait / NANOS_IN_MILLI, this::run);
+        long periodNs = TimeUnit.MILLISECONDS.toNanos(active ? ACTIVE_PERIOD_MS : IDLE_PERIOD_MS);
+        long delayNs = TimerGrid.untilNext(nanoClock.getAsLong(), periodNs);
+        nextTimer = timers.after(delayNs / NANOS_PER_MILLI, this::run);
     }
 }
--- a/src/main/java/whinlead/mesh/control/ControlNode.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -39,20 +39,24 @@
 import whinlead.mesh.wire.ProtocolVersion;
 
 /**
- * A control node, the process of one core machine: assembles its parts and carries events between them. It votes on
- * configurations ({@link ConsensusNode}), takes them from operators ({@link OperatorCalls}), tells sidecars of them and
- * of endpoints ({@link SidecarChannel}) and talks to the other control nodes ({@link ControlPeers}). All state is the
- * loop's; the disk and the checks of configurations have threads of their own.
+ * A control node, the process on one core machine: assembles its components and routes events between them. It votes on
+ * configurations ({@link ConsensusNode}), accepts them from operators ({@link OperatorCalls}), announces them and
+ * endpoints to sidecars ({@link SidecarChannel}) and exchanges messages with the other control nodes
+ * ({@link ControlPeers}). All state belongs to the event loop; disk writes and configuration checks have their own
+ * threads.
  */
 public final class ControlNode {
     private static final long LEAVE_POLL_MS = 25;
-    /** What sidecars begin with is confirmed by a majority that answered what left within this. */
-    private static final double CONFIRMED_MS = LeaseTerms.CONFIRMED_MS;
-    /** How long before the kill a control node that can't leave in order ends all the same, in seconds. */
-    private static final double END_S = 0.8;
+    /**
+     * The configuration for a starting sidecar must be confirmed by a majority in answers to pings sent within this
+     * time.
+     */
+    private static final double CONFIRMATION_VALID_MS = LeaseTerms.CONFIRMED_MS;
+    /** How long before the kill a control node exits even if it could not leave in order, in seconds. */
+    private static final double EXIT_MARGIN_S = 0.8;
 
-    private static final double NANOS_IN_MILLI = 1e6;
-    private static final double MILLIS_IN_SECOND = 1000;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final NodeSettings settings;
     private final EventLoop loop;
@@ -69,15 +73,15 @@
     private String id;
     private boolean isVoter;
 
-    /** A control node that has not begun. */
+    /** A control node that has not started. */
     public ControlNode(NodeSettings settings, EventLoop loop, ObjectMapper mapper) {
         this(settings, loop, mapper, UnaryOperator.identity());
     }
 
     /**
-     * A control node that has not begun.
+     * A control node that has not started.
      *
-     * @param dialAddresses gives the address to dial for that of another control node
+     * @param dialAddresses maps another control node's address to the address to dial
      */
     public ControlNode(
             NodeSettings settings,
@@ -93,7 +97,7 @@
     }
 
     /**
-     * Opens the state store and listens.
+     * Opens the state store and starts to listen.
      *
      * @throws StateStoreException if the disk can't be used
      * @throws InterruptedException if interrupted
@@ -106,7 +110,7 @@
         isVoter = consensus.isVoter();
         Event.STARTED.log("control node " + id + ", slot "
                 + (consensus.decided() == null ? "none" : consensus.decided().slot()));
-        loop.submit(this::begin).sync();
+        loop.submit(this::startOnLoop).sync();
         new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -114,7 +118,7 @@
                 .bind(new InetSocketAddress(
                         settings.self().ip(), settings.network().peerPort()))
                 .sync();
-        new RpcServer(loop, mapper, this::run)
+        new RpcServer(loop, mapper, this::runCall)
                 .listen(EndpointList.address(control))
                 .sync();
         Event.READY.log(id);
@@ -129,12 +133,12 @@
         calls = new OperatorCalls(loop, ControlNode::nowMs, consensus);
         peers = new ControlPeers(loop, settings, dialAddresses, id, new PeerListener());
         sidecars = new SidecarChannel(ControlNode::nowMs, consensus::decided, this::isConfirmed, peers);
-        Executor disk = Executors.newSingleThreadExecutor(ControlNode::leaseThread);
+        Executor disk = Executors.newSingleThreadExecutor(ControlNode::newLeaseThread);
         leases = new QuotaLeases(ControlNode::nowMs, this::isConfirmed, id, consensus.decided(), folder, disk, loop);
-        keyDuty = keyDuty(new DutyStore(folder), disk);
+        keyDuty = createKeyDuty(new DutyStore(folder), disk);
     }
 
-    private KeyDuty keyDuty(DutyStore store, Executor disk) {
+    private KeyDuty createKeyDuty(DutyStore store, Executor disk) {
         DutyPromise promise = null;
         try {
             promise = store.read();
@@ -151,31 +155,31 @@
                 (voter, message) -> peers.send(ConsensusNode.address(voter), message));
     }
 
-    private static Thread leaseThread(Runnable task) {
+    private static Thread newLeaseThread(Runnable task) {
         Thread thread = new Thread(task, "lease-writer");
         thread.setDaemon(true);
         return thread;
     }
 
     private boolean isConfirmed() {
-        return consensus.isInContactWithQuorum(nowMs(), CONFIRMED_MS);
+        return consensus.isInContactWithQuorum(nowMs(), CONFIRMATION_VALID_MS);
     }
 
-    private void begin() {
-        seeds(settings.network().seeds());
+    private void startOnLoop() {
+        addSeeds(settings.network().seeds());
         if (consensus.decided() != null) {
             addVoters(consensus.decided());
         }
-        ticker.activity();
+        ticker.noteActivity();
         loop.scheduleAtFixedRate(
                 () -> GuardedTask.run(sidecars::shareContact),
-                SidecarContact.REPEAT_MS,
-                SidecarContact.REPEAT_MS,
+                SidecarContact.SHARE_INTERVAL_MS,
+                SidecarContact.SHARE_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Other machines may be asked first from now on. On the loop's thread. */
-    public void seeds(List<String> seeds) {
+    /** Adds machines to connect to. On the loop's thread. */
+    public void addSeeds(List<String> seeds) {
         seeds.forEach(seed -> peers.add(ControlPeers.host(seed)));
     }
 
@@ -183,27 +187,27 @@
         decision.voters().forEach(voter -> peers.add(ConsensusNode.address(voter)));
     }
 
-    /** Leaves: runs while the process ends on SIGTERM, on a thread of its own. */
+    /** Leaves in order; runs on a thread of its own while the process ends on SIGTERM. */
     public void leave() {
-        CountDownLatch ended = new CountDownLatch(1);
-        double endAtMs = nowMs() + (settings.clauses().bounds().graceS() - END_S) * MILLIS_IN_SECOND;
-        loop.execute(() -> GuardedTask.run(() -> beginLeaving(ended, endAtMs)));
+        CountDownLatch readyToExit = new CountDownLatch(1);
+        double exitAtMs = nowMs() + (settings.clauses().bounds().graceS() - EXIT_MARGIN_S) * MILLIS_PER_SECOND;
+        loop.execute(() -> GuardedTask.run(() -> beginLeaving(readyToExit, exitAtMs)));
         try {
-            ended.await();
+            readyToExit.await();
             Event.ENDED.log(id);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void beginLeaving(CountDownLatch ended, double endAtMs) {
-        Event.LEAVING.log(calls.pending() + " calls under way");
-        ticker.activity();
+    private void beginLeaving(CountDownLatch readyToExit, double exitAtMs) {
+        Event.LEAVING.log(calls.pendingCalls() + " calls under way");
+        ticker.noteActivity();
         consensus.leave(nowMs());
         loop.scheduleAtFixedRate(
                 () -> GuardedTask.run(() -> {
-                    if (nowMs() > endAtMs || consensus.mayEnd(nowMs()) && calls.pending() == 0) {
-                        ended.countDown();
+                    if (nowMs() > exitAtMs || consensus.mayEnd(nowMs()) && calls.pendingCalls() == 0) {
+                        readyToExit.countDown();
                     }
                 }),
                 0,
@@ -212,11 +216,12 @@
     }
 
     private boolean isBusy() {
-        return calls.pending() > 0 || sidecars.awaitsConfirmation() || !consensus.isVoter();
+        return calls.pendingCalls() > 0 || sidecars.hasUnconfirmed() || !consensus.isVoter();
     }
 
     private void tick() {
-        // What was to be told of a write that the disk refused at first never is; that it is there now, is.
+        // A write that the disk first refused never runs its callback. Once all is synced, the newest decision is on
+        // disk.
         if (stateWriter.isSynced()) {
             consensus.decisionStored(nowMs(), decidedSlot());
         }
@@ -226,8 +231,8 @@
         keyDuty.tick();
     }
 
-    private void run(RpcCall call, Consumer<RpcResponse> respond) {
-        ticker.activity();
+    private void runCall(RpcCall call, Consumer<RpcResponse> respond) {
+        ticker.noteActivity();
         calls.run(call, respond);
     }
 
@@ -236,14 +241,14 @@
     }
 
     private static double nowMs() {
-        return System.nanoTime() / NANOS_IN_MILLI;
+        return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    /** Hears of the connections that this control node keeps to the others. */
+    /** Handles events of this control node's connections to the others. */
     private final class PeerListener implements ControlPeers.Listener {
         @Override
         public void connectionChanged() {
-            ticker.activity();
+            ticker.noteActivity();
         }
 
         @Override
@@ -252,12 +257,12 @@
         }
 
         @Override
-        public void pongReceived(double sentAt, PeerMessage.Pong pong) {
-            GuardedTask.run(() -> consensus.pongReceived(sentAt, pong.id(), pong.slot()));
+        public void pongReceived(double sentAtMs, PeerMessage.Pong pong) {
+            GuardedTask.run(() -> consensus.pongReceived(sentAtMs, pong.id(), pong.slot()));
         }
     }
 
-    /** Takes the messages that sidecars and other control nodes send on connections of theirs. */
+    /** Handles messages on connections that sidecars and other control nodes have opened. */
     private final class PeerMessageHandler implements PeerConnection.MessageHandler {
         @Override
         public void connected(PeerConnection connection) {
@@ -274,12 +279,12 @@
 
         @Override
         public void message(PeerConnection connection, PeerMessage message) {
-            GuardedTask.run(() -> take(connection, message));
+            GuardedTask.run(() -> dispatch(connection, message));
         }
 
-        private void take(PeerConnection connection, PeerMessage message) {
+        private void dispatch(PeerConnection connection, PeerMessage message) {
             if (message instanceof PeerMessage.Hello hello) {
-                greeted(connection, hello);
+                helloReceived(connection, hello);
             } else if (connection.peer() == null) {
                 connection.close();
             } else if (message instanceof PeerMessage.Ping ping) {
@@ -287,72 +292,72 @@
             } else if (message instanceof PeerMessage.Subscribe subscribe) {
                 sidecars.subscribe(connection, subscribe.slot());
             } else if (message instanceof PeerMessage.FetchConfig && consensus.decided() != null) {
-                fetched(connection);
+                sendConfig(connection);
             } else if (message instanceof PeerMessage.EndpointUpdate update) {
                 sidecars.merge(connection, update.records());
             } else if (message instanceof PeerMessage.Consensus consensusMessage) {
-                ticker.activity();
+                ticker.noteActivity();
                 consensus.received(nowMs(), connection.peer(), consensusMessage.message());
             } else if (message instanceof PeerMessage.DemandReport report) {
                 sidecars.report(connection, report);
             } else if (message instanceof PeerMessage.QuotaLeaseReport report) {
                 leases.report(connection, report.report());
             } else if (message instanceof PeerMessage.QuotaTokenRequest request) {
-                leases.take(connection, request.request());
+                leases.tokenRequested(connection, request.request());
             } else {
-                takeAboutKeys(connection, message);
+                dispatchKeyMessage(connection, message);
             }
         }
 
-        private void takeAboutKeys(PeerConnection connection, PeerMessage message) {
+        private void dispatchKeyMessage(PeerConnection connection, PeerMessage message) {
             if (message instanceof PeerMessage.KeyLeaseReport report) {
                 keyDuty.report(connection, report.report());
             } else if (message instanceof PeerMessage.DutyQuestion question) {
-                keyDuty.vote(connection.peer(), question.request());
+                keyDuty.voteRequested(connection.peer(), question.request());
             } else if (message instanceof PeerMessage.DutyAnswer answer) {
-                keyDuty.answered(connection.peer(), answer.vote());
+                keyDuty.voteReceived(connection.peer(), answer.vote());
             }
         }
 
-        private void greeted(PeerConnection connection, PeerMessage.Hello hello) {
+        private void helloReceived(PeerConnection connection, PeerMessage.Hello hello) {
             connection.peer(hello.id());
-            // A program without versions would not know what a greeting on a connection of its own means.
+            // A peer without protocol versions does not expect a greeting on a connection that it opened.
             if (connection.version() > ProtocolVersion.UNVERSIONED) {
                 connection.send(new PeerMessage.Hello(id, true));
             }
             if (hello.controlNode()) {
-                peers.listensNow(ConsensusNode.address(hello.id()));
+                peers.peerIsListening(ConsensusNode.address(hello.id()));
             } else {
                 connection.send(sidecars.allRecords());
-                keyDuty.greeted(connection);
+                keyDuty.sidecarConnected(connection);
             }
         }
 
-        private void fetched(PeerConnection connection) {
+        private void sendConfig(PeerConnection connection) {
             if (!sidecars.sendConfig(connection)) {
-                ticker.activity();
+                ticker.noteActivity();
             }
         }
     }
 
-    /** Does what the consensus asks for. */
+    /** Executes the actions of the consensus. */
     private final class ConsensusActions implements ConsensusNode.Actions {
         @Override
-        public void send(String to, Message message) {
-            ticker.activity();
-            if (to == null) {
+        public void send(String recipient, Message message) {
+            ticker.noteActivity();
+            if (recipient == null) {
                 peers.broadcast(new PeerMessage.Consensus(message));
-            } else if (to.equals(id)) {
+            } else if (recipient.equals(id)) {
                 loop.execute(() -> GuardedTask.run(() -> consensus.received(nowMs(), id, message)));
             } else {
-                peers.send(ConsensusNode.address(to), new PeerMessage.Consensus(message));
+                peers.send(ConsensusNode.address(recipient), new PeerMessage.Consensus(message));
             }
         }
 
         @Override
-        public void sync(Acceptor.State state, String to, Message message) {
-            ticker.activity();
-            stateWriter.write(AcceptorRecord.write(state), () -> send(to, message));
+        public void sync(Acceptor.State state, String recipient, Message message) {
+            ticker.noteActivity();
+            stateWriter.write(AcceptorRecord.write(state), () -> send(recipient, message));
         }
 
         @Override
@@ -374,12 +379,12 @@
 
         @Override
         public void replaced(long call, ConsensusNode.CallResult result) {
-            calls.replaced(call, result);
+            calls.replaceCompleted(call, result);
         }
 
         @Override
         public void read(long call, Decision newest) {
-            calls.read(call, newest);
+            calls.readCompleted(call, newest);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/control/ControlPeers.java
+++ b/src/main/java/whinlead/mesh/control/ControlPeers.java
@@ -11,25 +11,25 @@
 import whinlead.mesh.wire.ReconnectingConnection;
 
 /**
- * The connections that a control node keeps to the other ones it knows of, by their address. Bounded: where there is no
- * room, one that is not connected makes room for a new one. On the loop's thread.
+ * The connections that this control node maintains to the other known ones, by address. Bounded: if there is no room, a
+ * peer that is not connected is removed for a new one. On the loop's thread.
  */
 final class ControlPeers {
     private static final ReconnectingConnection.Timeouts TIMEOUTS =
             new ReconnectingConnection.Timeouts(300, 900, 1500, 150);
-    /** Control nodes that are known at most, present and past. */
+    /** The maximum number of known control nodes, including former ones. */
     private static final int MAX_PEERS = 16;
 
-    /** Hears of the connections. */
+    /** Is notified of events on the connections. */
     interface Listener {
         /** A connection changed its state, so there may be something to do. */
         void connectionChanged();
 
-        /** What a peer is sent first on a new connection. */
+        /** The messages that a peer is sent first on a new connection. */
         List<PeerMessage> greeting();
 
-        /** A ping that left at this time, by the steady clock in milliseconds, was answered. */
-        void pongReceived(double sentAt, PeerMessage.Pong pong);
+        /** A ping sent at this time, by the steady clock in milliseconds, was answered. */
+        void pongReceived(double sentAtMs, PeerMessage.Pong pong);
     }
 
     private final EventLoop loop;
@@ -40,10 +40,10 @@
     private final Map<String, ReconnectingConnection> connections = new LinkedHashMap<>();
 
     /**
-     * No connections yet.
+     * Peers without connections.
      *
-     * @param dialAddresses gives the address to dial for that of a peer
-     * @param id this control node's
+     * @param dialAddresses maps a peer's address to the address to dial
+     * @param id this control node's id
      */
     ControlPeers(
             EventLoop loop,
@@ -58,18 +58,18 @@
         this.listener = listener;
     }
 
-    /** The host of an address HOST:PORT; empty where there is no port. */
+    /** The host of an address HOST:PORT; empty if there is no port. */
     static String host(String address) {
         return address.substring(0, Math.max(0, address.lastIndexOf(':')));
     }
 
-    /** Keeps a connection to the control node at this address from now on, if there is room. */
+    /** Maintains a connection to the control node at this address from now on, if there is room. */
     void add(String ip) {
         if (ip.isEmpty() || ip.equals(settings.self().ip()) || connections.containsKey(ip)) {
             return;
         }
         if (connections.size() >= MAX_PEERS) {
-            removeOneThatIsDown();
+            removeDisconnectedPeer();
         }
         if (connections.size() >= MAX_PEERS) {
             return;
@@ -81,18 +81,20 @@
         connection.dial();
     }
 
-    private void removeOneThatIsDown() {
+    private void removeDisconnectedPeer() {
         connections.entrySet().stream()
-                .filter(each -> !each.getValue().isUp())
+                .filter(entry -> !entry.getValue().isUp())
                 .findFirst()
-                .ifPresent(each -> {
-                    connections.remove(each.getKey());
-                    each.getValue().close();
+                .ifPresent(entry -> {
+                    connections.remove(entry.getKey());
+                    entry.getValue().close();
                 });
     }
 
-    /** The control node at this address has dialled this one, so it listens: dials it now if need be. */
-    void listensNow(String ip) {
+    /**
+     * The control node at this address has dialled this one and therefore listens: dials it now unless it is connected.
+     */
+    void peerIsListening(String ip) {
         add(ip);
         ReconnectingConnection connection = connections.get(ip);
         if (connection != null) {
@@ -100,7 +102,7 @@
         }
     }
 
-    /** Sends a message to the control node at this address, now or never. */
+    /** Sends a message to the control node at this address, at once or not at all. */
     void send(String ip, PeerMessage message) {
         add(ip);
         ReconnectingConnection connection = connections.get(ip);
@@ -109,7 +111,7 @@
         }
     }
 
-    /** Sends a message to all that are connected. */
+    /** Sends a message to all connected peers. */
     void broadcast(PeerMessage message) {
         connections.values().forEach(connection -> connection.send(message));
     }
@@ -126,12 +128,12 @@
 
         @Override
         public void message(ReconnectingConnection connection, PeerMessage message) {
-            // The peer sends on its own connection to this control node; here only its pongs come.
+            // Peers send messages on the connections that they open; only pongs arrive on this one.
         }
 
         @Override
-        public void pongReceived(double sentAt, PeerMessage.Pong pong) {
-            listener.pongReceived(sentAt, pong);
+        public void pongReceived(double sentAtMs, PeerMessage.Pong pong) {
+            listener.pongReceived(sentAtMs, pong);
         }
 
         @Override
--- a/src/main/java/whinlead/mesh/control/DutyRecorder.java
+++ b/src/main/java/whinlead/mesh/control/DutyRecorder.java
@@ -9,25 +9,25 @@
 import whinlead.mesh.storage.DutyStore;
 
 /**
- * Has a voter's vote on disk before it is told. Writes on a thread of its own, one write at a time; what waits when one
- * is done goes into the next. On the control node's loop.
+ * Persists a voter's vote before it is sent. Writes on a separate thread, one write at a time; votes that arrive during
+ * a write go into the next one. On the control node's loop.
  */
 final class DutyRecorder implements KeyDuty.Recorder {
-    private record Waiting(DutyPromise promise, Runnable then) {}
+    private record PendingPromise(DutyPromise promise, Runnable onRecorded) {}
 
     private final DutyStore store;
     private final Executor disk;
     private final Executor loop;
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<PendingPromise> pending = new ArrayList<>();
     private DutyPromise recorded;
     private boolean writing;
 
     /**
-     * A recorder.
+     * Creates a recorder.
      *
-     * @param recorded what is on disk
-     * @param disk runs what may wait for the disk
-     * @param loop runs what follows
+     * @param recorded the promise on disk
+     * @param disk runs tasks that may wait for the disk
+     * @param loop runs the callbacks
      */
     DutyRecorder(DutyStore store, DutyPromise recorded, Executor disk, Executor loop) {
         this.store = store;
@@ -37,20 +37,20 @@
     }
 
     @Override
-    public void whenRecorded(DutyPromise promise, Runnable then) {
+    public void whenRecorded(DutyPromise promise, Runnable onRecorded) {
         if (promise.equals(recorded) && !writing) {
-            then.run();
+            onRecorded.run();
             return;
         }
-        waiting.add(new Waiting(promise, then));
+        pending.add(new PendingPromise(promise, onRecorded));
         writeNext();
     }
 
     private void writeNext() {
-        if (writing || waiting.isEmpty()) {
+        if (writing || pending.isEmpty()) {
             return;
         }
-        DutyPromise newest = waiting.get(waiting.size() - 1).promise();
+        DutyPromise newest = pending.get(pending.size() - 1).promise();
         writing = true;
         disk.execute(() -> write(newest));
     }
@@ -68,19 +68,19 @@
 
     private void written(DutyPromise promise, String failure) {
         writing = false;
-        List<Waiting> due = List.copyOf(waiting);
-        waiting.clear();
+        List<PendingPromise> due = List.copyOf(pending);
+        pending.clear();
         if (failure != null) {
-            // Who waits asks again.
+            // Candidates whose vote was not sent ask again.
             Event.VOTE_NOT_RECORDED.log(failure);
             return;
         }
         recorded = promise;
-        for (Waiting each : due) {
-            if (each.promise().equals(promise)) {
-                each.then().run();
-            } else if (each.promise().epoch() > promise.epoch()) {
-                waiting.add(each);
+        for (PendingPromise pendingPromise : due) {
+            if (pendingPromise.promise().equals(promise)) {
+                pendingPromise.onRecorded().run();
+            } else if (pendingPromise.promise().epoch() > promise.epoch()) {
+                pending.add(pendingPromise);
             }
         }
         writeNext();
--- a/src/main/java/whinlead/mesh/control/GuardedTask.java
+++ b/src/main/java/whinlead/mesh/control/GuardedTask.java
@@ -2,11 +2,11 @@
 
 import whinlead.mesh.log.Event;
 
-/** Runs tasks of an event loop whose failure must be logged and must not end what follows. */
+/** Runs event loop tasks whose failure must be logged and must not stop later tasks. */
 final class GuardedTask {
     private GuardedTask() {}
 
-    /** Runs it; what it throws is logged as a fault of the program. */
+    /** Runs the task; an exception is logged as an internal error. */
     static void run(Runnable task) {
         try {
             task.run();
--- a/src/main/java/whinlead/mesh/control/KeyDuty.java
+++ b/src/main/java/whinlead/mesh/control/KeyDuty.java
@@ -26,33 +26,33 @@
 import whinlead.mesh.wire.ProtocolVersion;
 
 /**
- * A control node's part in granting keys: votes for the one that does, stands for it, and leases keys while it is the
- * one. On the loop's thread.
+ * A control node's part in granting keys: votes for the grantor, campaigns for the duty, and leases keys while it holds
+ * the duty. On the loop's thread.
  *
- * <p>Each event reads the clock once, asks by this reading whether the duty is held, and leases by the same reading: so
- * a process that stands still between two steps leases nothing by a duty that it has lost.
+ * <p>Each event reads the clock once, and this one reading decides whether the duty is held and dates the leases. So a
+ * process that is suspended between two steps leases nothing under a duty that it has lost.
  */
 final class KeyDuty {
-    /** Divided services that keys are granted for. */
+    /** The maximum number of divided services for which keys are granted. */
     private static final int MAX_SERVICES = 64;
     /** How often keys are planned for all services, in milliseconds. */
-    private static final double PLAN_MS = 250;
+    private static final double PLAN_INTERVAL_MS = 250;
 
-    /** Without a report for so long nobody stands for the duty. */
-    private static final double WANTED_MS = 5000;
+    /** After this long without a report, nobody campaigns for the duty. */
+    private static final double DEMAND_VALID_MS = 5000;
 
-    /** In place of a vote that can't be read. */
-    private static final DutyPromise UNREADABLE = new DutyPromise(1, "unreadable");
+    /** Stands in for a promise that can't be read. */
+    private static final DutyPromise UNREADABLE_PROMISE = new DutyPromise(1, "unreadable");
 
-    /** Has a vote on disk. */
+    /** Persists votes. */
     interface Recorder {
-        /** Runs this once the promise is on disk; never, if it can't be written or a later one takes its place. */
-        void whenRecorded(DutyPromise promise, Runnable then);
+        /** Runs the callback once the promise is on disk; never, if it can't be written or a later one replaces it. */
+        void whenRecorded(DutyPromise promise, Runnable onRecorded);
     }
 
-    /** Sends a message to another control node. */
+    /** Sends messages to other control nodes. */
     interface Peers {
-        /** Sends it to the voter of this id. */
+        /** Sends a message to the voter with this id. */
         void send(String voter, PeerMessage message);
     }
 
@@ -64,28 +64,28 @@
     private final DutyQuorum quorum;
     private final DutyVoter voter;
     private final DutyCandidate candidate;
-    /** Sidecars' connections, in the order in which they were opened; of one node the last one counts. */
+    /** The sidecars' connections in the order in which they were opened; for each node only the last one is used. */
     private final Map<MessageSender, String> sidecars = new LinkedHashMap<>();
 
-    private final Map<String, MessageSender> newest = new HashMap<>();
+    private final Map<String, MessageSender> newestConnections = new HashMap<>();
     private final Map<String, KeyGrantor> grantors = new LinkedHashMap<>();
     private FenceCounter fences;
-    private double startedAt;
-    private double plannedAt;
-    /** When a sidecar reported last, whether or not this control node grants keys. */
-    private double reportedAt = Double.NEGATIVE_INFINITY;
+    private double termStartedAtMs;
+    private double plannedAtMs;
+    /** When a sidecar last reported, whether or not this control node grants keys. */
+    private double reportedAtMs = Double.NEGATIVE_INFINITY;
 
-    private boolean holds;
+    private boolean wasHolder;
 
     /**
-     * A process starts.
+     * The state of a process that starts.
      *
      * @param clockMs steady, in milliseconds
      * @param confirmed whether a quorum has lately confirmed that there is no newer decision
-     * @param id this control node's
+     * @param id this control node's id
      * @param decided the decision on its disk, or null
-     * @param promise what its disk has of its votes; null where that can't be read
-     * @param recorder has later votes on disk
+     * @param promise the promise on its disk; null if it can't be read
+     * @param recorder persists later promises
      */
     KeyDuty(
             DoubleSupplier clockMs,
@@ -100,13 +100,13 @@
         this.id = id;
         this.peers = peers;
         this.recorder = recorder;
-        double now = clockMs.getAsDouble();
+        double nowMs = clockMs.getAsDouble();
         boolean founding = promise != null && decided != null && decided.slot() == 0;
         this.quorum = new DutyQuorum(
-                now, id, decided == null ? -1 : decided.slot(), decided == null ? List.of() : decided.voters());
-        // What can't be read may be any vote: none is given until it has surely ended.
-        this.voter = new DutyVoter(now, promise == null ? UNREADABLE : promise, founding);
-        this.candidate = new DutyCandidate(id, quorum, this::ask);
+                nowMs, id, decided == null ? -1 : decided.slot(), decided == null ? List.of() : decided.voters());
+        // An unreadable promise may stand for any vote, so no vote is given until it has certainly expired.
+        this.voter = new DutyVoter(nowMs, promise == null ? UNREADABLE_PROMISE : promise, founding);
+        this.candidate = new DutyCandidate(id, quorum, this::requestVote);
     }
 
     /** A newer decision is known. */
@@ -114,87 +114,87 @@
         quorum.decided(clockMs.getAsDouble(), decision.slot(), decision.voters());
     }
 
-    private void ask(String other, DutyRequest request) {
-        if (other.equals(id)) {
-            vote(id, request);
+    private void requestVote(String recipient, DutyRequest request) {
+        if (recipient.equals(id)) {
+            voteRequested(id, request);
         } else {
-            peers.send(other, new PeerMessage.DutyQuestion(request));
+            peers.send(recipient, new PeerMessage.DutyQuestion(request));
         }
     }
 
-    /** A control node asks for this one's vote. */
-    void vote(String from, DutyRequest request) {
-        double now = clockMs.getAsDouble();
+    /** A control node requests this one's vote. */
+    void voteRequested(String from, DutyRequest request) {
+        double nowMs = clockMs.getAsDouble();
         DutyVote vote = voter.vote(
-                now, from, request, quorum.mayVote(now) && quorum.voters().contains(from));
+                nowMs, from, request, quorum.mayVote(nowMs) && quorum.voters().contains(from));
         if (vote.granted()) {
-            recorder.whenRecorded(voter.promise(), () -> answer(from, vote));
+            recorder.whenRecorded(voter.promise(), () -> sendVote(from, vote));
         } else {
-            answer(from, vote);
+            sendVote(from, vote);
         }
     }
 
-    private void answer(String to, DutyVote vote) {
-        if (to.equals(id)) {
-            answered(id, vote);
+    private void sendVote(String recipient, DutyVote vote) {
+        if (recipient.equals(id)) {
+            voteReceived(id, vote);
         } else {
-            peers.send(to, new PeerMessage.DutyAnswer(vote));
+            peers.send(recipient, new PeerMessage.DutyAnswer(vote));
         }
     }
 
     /** A voter answers. */
-    void answered(String from, DutyVote vote) {
-        candidate.answered(clockMs.getAsDouble(), from, vote);
-        update();
+    void voteReceived(String from, DutyVote vote) {
+        candidate.voteReceived(clockMs.getAsDouble(), from, vote);
+        updateHolder();
     }
 
-    /** Time passes. To be called several times a second. */
+    /** Advances time. Must be called several times a second. */
     void tick() {
-        double now = clockMs.getAsDouble();
-        // Where no service is divided by key nobody need grant any.
-        boolean wanted = holds || now - reportedAt < WANTED_MS;
-        candidate.tick(now, voter, wanted && confirmed.getAsBoolean());
-        update();
-        if (holds(now) && now - plannedAt >= PLAN_MS) {
-            plannedAt = now;
+        double nowMs = clockMs.getAsDouble();
+        // Without a service divided by key, no grantor is needed.
+        boolean isNeeded = wasHolder || nowMs - reportedAtMs < DEMAND_VALID_MS;
+        candidate.tick(nowMs, voter, isNeeded && confirmed.getAsBoolean());
+        updateHolder();
+        if (holdsDuty(nowMs) && nowMs - plannedAtMs >= PLAN_INTERVAL_MS) {
+            plannedAtMs = nowMs;
             grantors.forEach((service, grantor) -> {
-                grantor.plan(now);
-                send(now, service, grantor);
+                grantor.plan(nowMs);
+                sendChanges(nowMs, service, grantor);
             });
         }
     }
 
-    private boolean holds(double now) {
-        return candidate.isHolder(now, confirmed.getAsBoolean());
+    private boolean holdsDuty(double nowMs) {
+        return candidate.isHolder(nowMs, confirmed.getAsBoolean());
     }
 
-    private void update() {
-        double now = clockMs.getAsDouble();
-        boolean holdsNow = holds(now);
-        boolean otherTerm = holdsNow && (fences == null || fences.epoch() != candidate.epoch());
-        if (otherTerm) {
+    private void updateHolder() {
+        double nowMs = clockMs.getAsDouble();
+        boolean isHolder = holdsDuty(nowMs);
+        boolean isNewTerm = isHolder && (fences == null || fences.epoch() != candidate.epoch());
+        if (isNewTerm) {
             grantors.clear();
             fences = new FenceCounter(candidate.epoch());
-            startedAt = now;
+            termStartedAtMs = nowMs;
         }
-        if (holdsNow && (otherTerm || !holds)) {
-            Event.GRANTS_KEYS.log("epoch " + candidate.epoch());
+        if (isHolder && (isNewTerm || !wasHolder)) {
+            Event.KEY_GRANTING_STARTED.log("epoch " + candidate.epoch());
             announceAll();
-        } else if (holds && !holdsNow) {
-            Event.GRANTS_KEYS_NO_MORE.log("epoch " + fences.epoch());
+        } else if (wasHolder && !isHolder) {
+            Event.KEY_GRANTING_STOPPED.log("epoch " + fences.epoch());
         }
-        holds = holdsNow;
+        wasHolder = isHolder;
     }
 
     private void announceAll() {
-        sidecars.keySet().forEach(each -> each.send(new PeerMessage.KeyGrantorChanged(candidate.epoch())));
+        sidecars.keySet().forEach(connection -> connection.send(new PeerMessage.KeyGrantorChanged(candidate.epoch())));
     }
 
-    /** A sidecar has greeted on a connection of its own. */
-    void greeted(MessageSender connection) {
+    /** A sidecar has sent its greeting on a connection that it opened. */
+    void sidecarConnected(MessageSender connection) {
         sidecars.put(connection, connection.peer());
-        newest.put(connection.peer(), connection);
-        if (holds(clockMs.getAsDouble())) {
+        newestConnections.put(connection.peer(), connection);
+        if (holdsDuty(clockMs.getAsDouble())) {
             connection.send(new PeerMessage.KeyGrantorChanged(candidate.epoch()));
             grantors.forEach((service, grantor) -> sendRoutes(connection, service, grantor.routes()));
         }
@@ -204,56 +204,56 @@
     void closed(MessageSender connection) {
         String node = sidecars.remove(connection);
         if (node != null) {
-            newest.remove(node, connection);
+            newestConnections.remove(node, connection);
         }
     }
 
     /** A sidecar reports. */
     void report(MessageSender connection, KeyReport report) {
-        double now = clockMs.getAsDouble();
+        double nowMs = clockMs.getAsDouble();
         String node = connection.peer();
-        reportedAt = now;
-        // What an earlier process of it sent may still come on an earlier connection.
-        if (!holds(now) || newest.get(node) != connection) {
+        reportedAtMs = nowMs;
+        // Messages of an earlier process of the sidecar may still arrive on an earlier connection.
+        if (!holdsDuty(nowMs) || newestConnections.get(node) != connection) {
             return;
         }
-        KeyGrantor grantor = grantor(now, report.service());
-        if (grantor == null || !grantor.report(now, node, report)) {
+        KeyGrantor grantor = grantorFor(nowMs, report.service());
+        if (grantor == null || !grantor.report(nowMs, node, report)) {
             return;
         }
         if (!report.released().isEmpty() || report.leaving()) {
-            grantor.plan(now);
+            grantor.plan(nowMs);
         }
-        sendLease(now, node, grantor);
-        send(now, report.service(), grantor);
+        sendLease(nowMs, node, grantor);
+        sendChanges(nowMs, report.service(), grantor);
     }
 
-    private KeyGrantor grantor(double now, String service) {
-        KeyGrantor known = grantors.get(service);
-        if (known == null && grantors.size() < MAX_SERVICES) {
-            // Nothing was leased before the first term; and later than a lease may last, nothing of an earlier one is
-            // left.
-            boolean nothingLeased = candidate.isFirstTerm() || now - startedAt > KeyTerms.COUNTED_MS;
-            known = new KeyGrantor(now, candidate.epoch(), fences, nothingLeased);
-            grantors.put(service, known);
+    private KeyGrantor grantorFor(double nowMs, String service) {
+        KeyGrantor grantor = grantors.get(service);
+        if (grantor == null && grantors.size() < MAX_SERVICES) {
+            // Before the first term nothing was leased; after the maximum duration of a lease, all leases of earlier
+            // terms have ended.
+            boolean nothingLeased = candidate.isFirstTerm() || nowMs - termStartedAtMs > KeyTerms.COUNTED_MS;
+            grantor = new KeyGrantor(nowMs, candidate.epoch(), fences, nothingLeased);
+            grantors.put(service, grantor);
         }
-        return known;
+        return grantor;
     }
 
-    private void send(double now, String service, KeyGrantor grantor) {
-        grantor.takeDirty().forEach(node -> sendLease(now, node, grantor));
+    private void sendChanges(double nowMs, String service, KeyGrantor grantor) {
+        grantor.takeDirty().forEach(node -> sendLease(nowMs, node, grantor));
         List<KeyRoute> routes = grantor.takeNewRoutes();
         if (!routes.isEmpty()) {
             byte[] encoded = PeerMessageCodec.write(new PeerMessage.KeyRoutesUpdate(service, routes));
             sidecars.keySet().stream()
-                    .filter(each -> each.version() >= ProtocolVersion.KEYS)
-                    .forEach(each -> each.send(encoded));
+                    .filter(connection -> connection.version() >= ProtocolVersion.KEYS)
+                    .forEach(connection -> connection.send(encoded));
         }
     }
 
-    private void sendLease(double now, String node, KeyGrantor grantor) {
-        MessageSender connection = newest.get(node);
-        KeyLease lease = connection == null ? null : grantor.lease(now, node);
+    private void sendLease(double nowMs, String node, KeyGrantor grantor) {
+        MessageSender connection = newestConnections.get(node);
+        KeyLease lease = connection == null ? null : grantor.lease(nowMs, node);
         if (lease != null) {
             connection.send(new PeerMessage.KeyLeaseGrant(lease));
         }
--- a/src/main/java/whinlead/mesh/control/LesseeRecorder.java
+++ b/src/main/java/whinlead/mesh/control/LesseeRecorder.java
@@ -9,101 +9,107 @@
 import whinlead.mesh.storage.LesseeStore;
 
 /**
- * Has on disk which sidecars may hold leases, before any of them is given one. Writes on a thread of its own, one write
- * at a time; what comes meanwhile goes into the next one. On the control node's loop.
+ * Persists which sidecars may hold leases, before a sidecar is granted one. Writes on a separate thread, one write at a
+ * time; changes during a write go into the next one. On the control node's loop.
  */
 final class LesseeRecorder {
     private final LesseeStore store;
     private final Executor disk;
     private final Executor loop;
-    private final Supplier<Set<String>> current;
+    private final Supplier<Set<String>> currentLessees;
     private final Set<String> recorded = new LinkedHashSet<>();
-    private final Set<String> wanted = new LinkedHashSet<>();
+    private final Set<String> unrecorded = new LinkedHashSet<>();
     private boolean writing;
-    private boolean markChanged;
+    private boolean changed;
     private boolean failing;
     private boolean reserveInUse;
 
     /**
-     * A recorder.
+     * Creates a recorder.
      *
-     * @param before what the disk has at the start
-     * @param disk runs what may wait for the disk
-     * @param loop runs what follows
-     * @param current sidecars that may hold leases now; others are dropped with the next write
+     * @param initial what is on disk at the start
+     * @param disk runs tasks that may wait for the disk
+     * @param loop runs the callbacks
+     * @param currentLessees the sidecars that may hold leases now; others are dropped with the next write
      */
     LesseeRecorder(
-            LesseeStore store, LesseeStore.Entry before, Executor disk, Executor loop, Supplier<Set<String>> current) {
+            LesseeStore store,
+            LesseeStore.Entry initial,
+            Executor disk,
+            Executor loop,
+            Supplier<Set<String>> currentLessees) {
         this.store = store;
         this.disk = disk;
         this.loop = loop;
-        this.current = current;
-        this.recorded.addAll(before.lessees());
-        this.reserveInUse = before.reserveInUse();
+        this.currentLessees = currentLessees;
+        this.recorded.addAll(initial.lessees());
+        this.reserveInUse = initial.reserveInUse();
     }
 
-    /** Whether this sidecar is on disk; if not, it will be. */
+    /** Whether this sidecar is on disk; if not, it is scheduled to be written. */
     boolean isRecorded(String sidecar) {
         if (recorded.contains(sidecar)) {
             return true;
         }
-        wanted.add(sidecar);
+        unrecorded.add(sidecar);
         writeNext();
         return false;
     }
 
-    /** From now on a process that starts finds that the reserve was, or was not, lately in use. */
+    /** Records whether the reserve was lately in use, for the next process that starts. */
     void markReserve(boolean inUse) {
         if (reserveInUse != inUse) {
             reserveInUse = inUse;
-            markChanged = true;
+            changed = true;
             writeNext();
         }
     }
 
-    /** Sidecars that hold nothing any more are taken off the disk, so that no process that starts waits for them. */
+    /**
+     * Removes sidecars that no longer hold leases from the disk, so that a process that starts does not wait for them.
+     */
     void prune() {
-        if (!writing && !current.get().containsAll(recorded)) {
-            markChanged = true;
+        if (!writing && !currentLessees.get().containsAll(recorded)) {
+            changed = true;
             writeNext();
         }
     }
 
     private void writeNext() {
-        if (writing || wanted.isEmpty() && !markChanged) {
+        if (writing || unrecorded.isEmpty() && !changed) {
             return;
         }
-        markChanged = false;
-        LesseeStore.Entry entry = new LesseeStore.Entry(next(), reserveInUse);
-        // Until the write is done the disk may have either.
+        changed = false;
+        LesseeStore.Entry entry = new LesseeStore.Entry(takeLessees(), reserveInUse);
+        // Until the write has ended, the disk may have the old or the new entry.
         recorded.retainAll(entry.lessees());
         writing = true;
         disk.execute(() -> write(entry));
     }
 
-    private Set<String> next() {
-        Set<String> next = new LinkedHashSet<>(current.get());
-        next.addAll(wanted);
-        wanted.clear();
-        return next;
+    private Set<String> takeLessees() {
+        Set<String> lessees = new LinkedHashSet<>(currentLessees.get());
+        lessees.addAll(unrecorded);
+        unrecorded.clear();
+        return lessees;
     }
 
-    private void write(LesseeStore.Entry next) {
+    private void write(LesseeStore.Entry entry) {
         String failure = null;
         try {
-            store.write(next);
+            store.write(entry);
         } catch (IOException e) {
             failure = e.toString();
         }
         String outcome = failure;
-        loop.execute(() -> GuardedTask.run(() -> written(next, outcome)));
+        loop.execute(() -> GuardedTask.run(() -> written(entry, outcome)));
     }
 
-    // A sidecar that is not recorded reports again, and is written then.
-    private void written(LesseeStore.Entry next, String failure) {
+    // A sidecar whose record was not written reports again and is written then.
+    private void written(LesseeStore.Entry entry, String failure) {
         writing = false;
         if (failure == null) {
-            recorded.addAll(next.lessees());
+            recorded.addAll(entry.lessees());
         } else if (!failing) {
             Event.LESSEES_NOT_RECORDED.log(failure);
         }
--- a/src/main/java/whinlead/mesh/control/OperatorCalls.java
+++ b/src/main/java/whinlead/mesh/control/OperatorCalls.java
@@ -20,8 +20,8 @@
 import whinlead.mesh.rpc.RpcResponse;
 
 /**
- * The calls of operators at a control node: checks a configuration, submits it to the consensus, and answers each call
- * once by what became of it. Configurations are checked on a thread of its own; all else is on the loop's.
+ * Operators' calls at a control node: checks a configuration, submits it to the consensus, and answers each call once
+ * with its result. Configurations are checked on a separate thread; everything else runs on the loop's thread.
  */
 final class OperatorCalls {
     private static final String NO_MAJORITY = "no majority of control nodes answered in time";
@@ -30,15 +30,15 @@
     private final DoubleSupplier clockMs;
     private final ConsensusNode consensus;
     private final ConfigReader reader = new ConfigReader();
-    /** Calls that the consensus has not ended yet, by the number they were submitted under. */
-    private final Map<Long, Consumer<RpcResponse>> pending = new HashMap<>();
+    /** Calls that the consensus has not completed yet, by their number. */
+    private final Map<Long, Consumer<RpcResponse>> pendingCalls = new HashMap<>();
 
     private final ExecutorService checkExecutor = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "config-check");
         thread.setDaemon(true);
         return thread;
     });
-    /** Made and used on the executor's thread. */
+    /** Created and used on the executor's thread. */
     private ConfigValidator validator;
 
     private long lastCall;
@@ -52,21 +52,21 @@
         this.loop = loop;
         this.clockMs = clockMs;
         this.consensus = consensus;
-        // Ahead of the first call: loading the validator takes longer than checking with it.
+        // Before the first call, because loading the validator takes longer than checking with it.
         checkExecutor.execute(() -> validator = new ConfigValidator());
     }
 
-    /** How many calls are to be answered yet. */
-    int pending() {
-        return pending.size();
+    /** The number of calls that are not answered yet. */
+    int pendingCalls() {
+        return pendingCalls.size();
     }
 
-    /** Carries a call out and answers it once, now or later, from any thread. */
+    /** Executes a call and answers it once, now or later, from any thread. */
     void run(RpcCall call, Consumer<RpcResponse> respond) {
         if (call instanceof RpcCall.Replace replace) {
             checkExecutor.execute(() -> check(replace, respond));
         } else if (call instanceof RpcCall.Read) {
-            consensus.read(clockMs.getAsDouble(), submitted(respond));
+            consensus.read(clockMs.getAsDouble(), register(respond));
         } else {
             respond.accept(RpcResponse.error(HttpResponseStatus.NOT_FOUND, "endpoints call the sidecar beside them"));
         }
@@ -80,25 +80,25 @@
             String digest = ConfigCodec.digest(replace.body());
             byte[] deflated = ConfigCodec.deflate(replace.body());
             loop.execute(() -> GuardedTask.run(() -> consensus.replace(
-                    clockMs.getAsDouble(), submitted(respond), config.version(), replace.builtOn(), digest, deflated)));
+                    clockMs.getAsDouble(), register(respond), config.version(), replace.builtOn(), digest, deflated)));
         } catch (InvalidConfigException e) {
-            Event.REFUSED_CALL.log(e.getMessage());
+            Event.CALL_REJECTED.log(e.getMessage());
             respond.accept(RpcResponse.error(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
         } catch (RuntimeException e) {
-            Event.FAULT.log("checking a configuration: " + e);
+            Event.FAULT.log("checking a configuration failed: " + e);
             respond.accept(unavailable("the configuration could not be checked"));
         }
     }
 
-    private long submitted(Consumer<RpcResponse> respond) {
+    private long register(Consumer<RpcResponse> respond) {
         lastCall++;
-        pending.put(lastCall, respond);
+        pendingCalls.put(lastCall, respond);
         return lastCall;
     }
 
-    /** The consensus has ended a replace. */
-    void replaced(long call, ConsensusNode.CallResult result) {
-        Consumer<RpcResponse> respond = pending.remove(call);
+    /** The consensus has completed a replace. */
+    void replaceCompleted(long call, ConsensusNode.CallResult result) {
+        Consumer<RpcResponse> respond = pendingCalls.remove(call);
         if (respond == null) {
             return;
         }
@@ -114,9 +114,9 @@
                 });
     }
 
-    /** The consensus has ended a read; {@code newest} is null where nothing could be made sure of. */
-    void read(long call, Decision newest) {
-        Consumer<RpcResponse> respond = pending.remove(call);
+    /** The consensus has completed a read; {@code newest} is null if no decision could be confirmed. */
+    void readCompleted(long call, Decision newest) {
+        Consumer<RpcResponse> respond = pendingCalls.remove(call);
         if (respond != null) {
             respond.accept(response(newest));
         }
@@ -137,7 +137,7 @@
         }
     }
 
-    private static RpcResponse unavailable(String why) {
-        return RpcResponse.error(HttpResponseStatus.SERVICE_UNAVAILABLE, why);
+    private static RpcResponse unavailable(String message) {
+        return RpcResponse.error(HttpResponseStatus.SERVICE_UNAVAILABLE, message);
     }
 }
--- a/src/main/java/whinlead/mesh/control/QuotaLeases.java
+++ b/src/main/java/whinlead/mesh/control/QuotaLeases.java
@@ -23,15 +23,18 @@
 import whinlead.mesh.wire.PeerMessage;
 
 /**
- * A control node's part of tenants' limits: answers the reports of sidecars with leases, and gives out single tokens.
- * On the loop's thread.
+ * A control node's part in tenants' limits: answers sidecars' reports with leases, and grants single tokens. On the
+ * loop's thread.
  */
 final class QuotaLeases {
-    /** Stands for sidecars that are not known, where the disk does not tell which there were. */
+    /** Stands for unknown sidecars, if the disk does not tell which held leases. */
     private static final String UNKNOWN_LESSEE = "unknown";
-    /** How often it is looked for sidecars that hold nothing any more, in milliseconds. */
-    private static final double PRUNE_MS = 1000;
-    /** Until the tokens of the reserve that this process may give out are of an earlier window, in milliseconds. */
+    /** How often sidecars that no longer hold leases are removed, in milliseconds. */
+    private static final double PRUNE_INTERVAL_MS = 1000;
+    /**
+     * Time after the start until the tokens that this process may grant from the reserve belong to an earlier window,
+     * in milliseconds.
+     */
     private static final double RESERVE_WINDOW_MS = LeaseTerms.COUNTED_MS + 6000;
 
     private final DoubleSupplier clockMs;
@@ -39,26 +42,26 @@
     private final GrantAuthority authority;
     private final QuotaGrantor grantor;
     private final LesseeRecorder recorder;
-    /** By sidecar, the connection that was opened last: what an earlier process of it sent may still come on others. */
-    private final Map<String, PeerConnection> newest = new HashMap<>();
-    /** Counts connections in the order in which they were opened. */
-    private final Map<PeerConnection, Long> openedAs = new HashMap<>();
+    /** By sidecar, the connection opened last: messages of an earlier process may still arrive on others. */
+    private final Map<String, PeerConnection> newestConnections = new HashMap<>();
+    /** Numbers the connections in the order in which they were opened. */
+    private final Map<PeerConnection, Long> connectionNumbers = new HashMap<>();
 
-    private long opened;
-    private final double reserveUntil;
-    private double pruneAt;
+    private long connectionCount;
+    private final double reserveUntilMs;
+    private double pruneAtMs;
     private boolean recovering;
 
     /**
-     * Leases of a process that starts.
+     * The leases of a process that starts.
      *
      * @param clockMs steady, in milliseconds
      * @param confirmed whether a quorum has lately confirmed that there is no newer decision
-     * @param id this control node's
+     * @param id this control node's id
      * @param decided the decision on its disk, or null
      * @param folder of its disk
-     * @param disk runs what may wait for the disk
-     * @param loop runs what follows
+     * @param disk runs tasks that may wait for the disk
+     * @param loop runs the callbacks
      */
     QuotaLeases(
             DoubleSupplier clockMs,
@@ -71,22 +74,27 @@
         this.clockMs = clockMs;
         this.confirmed = confirmed;
         LesseeStore store = new LesseeStore(folder);
-        LesseeStore.Entry before = read(store);
-        Set<String> earlier = before.lessees();
-        boolean hasReserve = !earlier.isEmpty() && !before.reserveInUse() && mark(store, earlier);
-        double now = clockMs.getAsDouble();
-        boolean founds = earlier.isEmpty() && decided != null && decided.slot() == 0;
+        LesseeStore.Entry recordedEntry = read(store);
+        Set<String> recordedLessees = recordedEntry.lessees();
+        boolean hasReserve =
+                !recordedLessees.isEmpty() && !recordedEntry.reserveInUse() && markReserveInUse(store, recordedLessees);
+        double nowMs = clockMs.getAsDouble();
+        boolean isFounder = recordedLessees.isEmpty() && decided != null && decided.slot() == 0;
         this.authority = new GrantAuthority(
-                now,
+                nowMs,
                 decided == null ? -1 : decided.slot(),
                 decided == null ? 0 : decided.voters().size(),
                 decided != null && decided.voters().contains(id),
-                founds);
-        this.grantor = new QuotaGrantor(now, new SecureRandom().nextLong(), earlier, hasReserve);
+                isFounder);
+        this.grantor = new QuotaGrantor(nowMs, new SecureRandom().nextLong(), recordedLessees, hasReserve);
         this.recorder = new LesseeRecorder(
-                store, new LesseeStore.Entry(earlier, !earlier.isEmpty()), disk, loop, grantor::lessees);
+                store,
+                new LesseeStore.Entry(recordedLessees, !recordedLessees.isEmpty()),
+                disk,
+                loop,
+                grantor::lessees);
         this.recovering = grantor.isRecovering();
-        this.reserveUntil = now + RESERVE_WINDOW_MS;
+        this.reserveUntilMs = nowMs + RESERVE_WINDOW_MS;
     }
 
     private static LesseeStore.Entry read(LesseeStore store) {
@@ -98,8 +106,8 @@
         }
     }
 
-    // On disk before the first token of the reserve goes out: a process that starts soon after has none.
-    private static boolean mark(LesseeStore store, Set<String> lessees) {
+    // On disk before the first token of the reserve is granted: a process that starts soon after has no reserve.
+    private static boolean markReserveInUse(LesseeStore store, Set<String> lessees) {
         try {
             store.write(new LesseeStore.Entry(lessees, true));
             return true;
@@ -111,33 +119,33 @@
 
     /** A process has connected. */
     void opened(PeerConnection connection) {
-        openedAs.put(connection, ++opened);
+        connectionNumbers.put(connection, ++connectionCount);
     }
 
     /** A connection has ended. */
     void closed(PeerConnection connection) {
-        openedAs.remove(connection);
+        connectionNumbers.remove(connection);
         if (connection.peer() != null) {
-            newest.remove(connection.peer(), connection);
+            newestConnections.remove(connection.peer(), connection);
         }
     }
 
-    /** A newer decision is known; {@code isVoter} tells whether this control node votes by it. */
+    /** A newer decision is known; {@code isVoter} says whether it makes this control node a voter. */
     void decided(Decision decision, boolean isVoter) {
         authority.decided(
                 clockMs.getAsDouble(), decision.slot(), decision.voters().size(), isVoter);
         tick();
     }
 
-    /** Time passes. To be called several times a second. */
+    /** Advances time. Must be called several times a second. */
     void tick() {
-        double now = clockMs.getAsDouble();
-        grantor.advance(now, authority.capacity(now, confirmed.getAsBoolean()));
-        if (now >= pruneAt) {
-            pruneAt = now + PRUNE_MS;
+        double nowMs = clockMs.getAsDouble();
+        grantor.advance(nowMs, authority.capacity(nowMs, confirmed.getAsBoolean()));
+        if (nowMs >= pruneAtMs) {
+            pruneAtMs = nowMs + PRUNE_INTERVAL_MS;
             recorder.prune();
         }
-        if (now >= reserveUntil) {
+        if (nowMs >= reserveUntilMs) {
             recorder.markReserve(false);
         }
         if (recovering && !grantor.isRecovering()) {
@@ -165,19 +173,20 @@
         }
     }
 
-    /** A sidecar asks for a token. */
-    void take(PeerConnection connection, TokenRequest request) {
+    /** A sidecar requests a token. */
+    void tokenRequested(PeerConnection connection, TokenRequest request) {
         tick();
         TokenResponse response = grantor.take(clockMs.getAsDouble(), request);
         connection.send(new PeerMessage.QuotaTokenResponse(response));
     }
 
     private boolean isNewest(PeerConnection connection) {
-        PeerConnection known = newest.get(connection.peer());
-        if (known != null && openedAs.getOrDefault(known, 0L) > openedAs.getOrDefault(connection, 0L)) {
+        PeerConnection known = newestConnections.get(connection.peer());
+        if (known != null
+                && connectionNumbers.getOrDefault(known, 0L) > connectionNumbers.getOrDefault(connection, 0L)) {
             return false;
         }
-        newest.put(connection.peer(), connection);
+        newestConnections.put(connection.peer(), connection);
         return true;
     }
 }
--- a/src/main/java/whinlead/mesh/control/RestoredState.java
+++ b/src/main/java/whinlead/mesh/control/RestoredState.java
@@ -13,47 +13,48 @@
 import whinlead.mesh.wire.LaterFormatException;
 
 /**
- * What a control node starts from: what its disk holds, or on a new disk a new identity. A new disk is a new voter, for
- * what the old one may have promised, this one can't know.
+ * The state with which a control node starts: the state on its disk, or a new identity on a new disk. A new disk makes
+ * a new voter, because the promises made on the old one are unknown.
  *
- * @param id the machine's address and what tells this disk from others that were there
+ * @param id the machine's address and a number that tells this disk from earlier ones
  */
 record RestoredState(String id, Acceptor.State acceptor) {
-    /** Stands between the address and the disk's number in an id. */
+    /** Separates the address and the disk's number in an id. */
     private static final String SEPARATOR = "#";
-    /** The number of the disks with which the first voters founded the mesh. */
+    /** The disk number of the first voters, which found the mesh. */
     private static final String FOUNDING_DISK = "0";
 
     /**
-     * Reads the store, or begins a new one. What is begun is on disk when this returns, before anything is said under
-     * the new id.
+     * Reads the store, or creates a new identity. A new identity is on disk when this returns, before it is used in any
+     * message.
      *
      * @throws StateStoreException if the store can't be used, or is damaged
      */
     static RestoredState load(StateStore store, NodeSettings settings) throws StateStoreException {
         StateStore.Entry entry = store.read();
-        return entry == null ? begin(store, settings) : new RestoredState(entry.id(), read(entry));
+        return entry == null ? create(store, settings) : new RestoredState(entry.id(), read(entry));
     }
 
     private static Acceptor.State read(StateStore.Entry entry) throws StateStoreException {
         try {
             return AcceptorRecord.read(entry.memory());
         } catch (LaterFormatException e) {
-            throw new StateStoreException(e.getMessage() + "; it is left as it was", e);
+            throw new StateStoreException(e.getMessage() + "; it is left unchanged", e);
         } catch (IOException e) {
             throw new StateStoreException(
                     "the state store's entry is damaged; remove it to join as a new control node", e);
         }
     }
 
-    private static RestoredState begin(StateStore store, NodeSettings settings) throws StateStoreException {
+    private static RestoredState create(StateStore store, NodeSettings settings) throws StateStoreException {
         String ip = settings.self().ip();
         List<String> seeds =
                 settings.network().seeds().stream().map(ControlPeers::host).toList();
-        boolean founds = settings.self().bootstrap() && seeds.contains(ip);
-        String disk = founds ? FOUNDING_DISK : Long.toHexString(new SecureRandom().nextLong() | 1);
-        Decision decided = founds ? Decision.founding(foundingVoters(seeds)) : null;
-        RestoredState state = new RestoredState(ip + SEPARATOR + disk, new Acceptor.State(decided, Ballot.NONE, null));
+        boolean isFounder = settings.self().bootstrap() && seeds.contains(ip);
+        String diskId = isFounder ? FOUNDING_DISK : Long.toHexString(new SecureRandom().nextLong() | 1);
+        Decision decided = isFounder ? Decision.founding(foundingVoters(seeds)) : null;
+        RestoredState state =
+                new RestoredState(ip + SEPARATOR + diskId, new Acceptor.State(decided, Ballot.NONE, null));
         store.write(state.id(), AcceptorRecord.write(state.acceptor()));
         return state;
     }
--- a/src/main/java/whinlead/mesh/control/SidecarChannel.java
+++ b/src/main/java/whinlead/mesh/control/SidecarChannel.java
@@ -18,11 +18,11 @@
 import whinlead.mesh.wire.PeerMessageCodec;
 
 /**
- * What a control node tells sidecars, on the connections that these and other control nodes have made to it: newer
- * configurations, the records of other sidecars' endpoints, and the demand of tenants in sum. On the loop's thread.
+ * Sends sidecars newer configurations, the records of other sidecars' endpoints, and the total demand of tenants, on
+ * the connections that sidecars and other control nodes have opened. On the loop's thread.
  */
 final class SidecarChannel {
-    /** Stands in the ids of control nodes and not in those of sidecars. */
+    /** Occurs in the ids of control nodes but not in those of sidecars. */
     private static final char CONTROL_NODE_MARK = '#';
 
     private final DoubleSupplier clockMs;
@@ -62,13 +62,13 @@
         unconfirmed.remove(connection);
     }
 
-    /** A sidecar has this slot's configuration and wants to hear of newer ones and of endpoints. */
+    /** A sidecar has this slot's configuration and subscribes to newer ones and to endpoints. */
     void subscribe(PeerConnection connection, long slot) {
         connections.put(connection, slot);
         announce(connection, slot);
     }
 
-    /** Tells all subscribers that a newer configuration than theirs can be fetched. */
+    /** Announces to all subscribers with an older configuration that a newer one can be fetched. */
     void announceDecision() {
         connections.forEach(this::announce);
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Sends the newest configuration, which must be there; false if no quorum has confirmed it. */
+    /** Sends the newest configuration, which must exist; returns false if no quorum has confirmed it. */
     boolean sendConfig(PeerConnection connection) {
         boolean isConfirmed = confirmed.getAsBoolean();
         if (!isConfirmed) {
@@ -90,12 +90,12 @@
         return isConfirmed;
     }
 
-    /** Whether someone waits to have its configuration confirmed. */
-    boolean awaitsConfirmation() {
+    /** Whether a subscriber waits for its configuration to be confirmed. */
+    boolean hasUnconfirmed() {
         return !unconfirmed.isEmpty();
     }
 
-    /** A sidecar that starts waits for what is confirmed: it is sent again as soon as that is so. */
+    /** Sends the configuration again once it is confirmed: a starting sidecar waits for a confirmed one. */
     void sendConfirmed() {
         if (!unconfirmed.isEmpty() && confirmed.getAsBoolean()) {
             List<PeerConnection> waiting = List.copyOf(unconfirmed);
@@ -104,42 +104,44 @@
         }
     }
 
-    /** All records that are known, as a message. */
+    /** All known records, as a message. */
     PeerMessage.EndpointUpdate allRecords() {
         return new PeerMessage.EndpointUpdate(List.copyOf(registry.all()));
     }
 
-    /** Takes records in and passes on what is new. */
+    /** Merges records and propagates the new ones. */
     void merge(PeerConnection from, List<EndpointRecord> records) {
         List<EndpointRecord> changed = new ArrayList<>();
         boolean fromSidecar = from.peer().indexOf(CONTROL_NODE_MARK) < 0;
-        for (EndpointRecord each : records) {
-            if (registry.merge(each)) {
-                changed.add(each);
+        for (EndpointRecord record : records) {
+            if (registry.merge(record)) {
+                changed.add(record);
             }
-            // Of those that there is room for only: these tables grow by what peers say.
-            if (registry.find(each.node()) != null && each.phase() != EndpointRecord.Phase.GONE) {
-                contact.heard(clockMs.getAsDouble(), each.node(), fromSidecar);
+            // Only for records that were stored: the contact tables grow with what peers send, and the registry is
+            // bounded.
+            if (registry.find(record.node()) != null && record.phase() != EndpointRecord.Phase.GONE) {
+                contact.noteContact(clockMs.getAsDouble(), record.node(), fromSidecar);
             }
         }
-        spread(from, changed);
+        propagate(from, changed);
     }
 
     /**
-     * Lists silent sidecars as gone, and tells the other control nodes of whom this one hears, so that one that no
-     * sidecar is connected to counts nobody out. To be called each {@link SidecarContact#REPEAT_MS}.
+     * Marks silent sidecars as gone, and tells the other control nodes which sidecars this one is in contact with, so
+     * that a control node without connections to sidecars does not mark them as gone. Must be called at each
+     * {@link SidecarContact#SHARE_INTERVAL_MS}.
      */
     void shareContact() {
-        List<EndpointRecord> lost = contact.lost(clockMs.getAsDouble(), registry);
+        List<EndpointRecord> lost = contact.silentSidecars(clockMs.getAsDouble(), registry);
         lost.forEach(registry::merge);
-        spread(null, lost);
-        List<EndpointRecord> fresh = contact.fresh(clockMs.getAsDouble(), registry);
+        propagate(null, lost);
+        List<EndpointRecord> fresh = contact.recentDirectContacts(clockMs.getAsDouble(), registry);
         if (!fresh.isEmpty()) {
             peers.broadcast(new PeerMessage.EndpointUpdate(fresh));
         }
     }
 
-    private void spread(PeerConnection from, List<EndpointRecord> records) {
+    private void propagate(PeerConnection from, List<EndpointRecord> records) {
         if (records.isEmpty()) {
             return;
         }
@@ -153,7 +155,7 @@
         peers.broadcast(update);
     }
 
-    /** A sidecar of an earlier version reports its demand; it is sent the sums if it asks for them. */
+    /** A sidecar of an earlier version reports its demand; it is sent the totals if it asks for them. */
     void report(PeerConnection connection, PeerMessage.DemandReport report) {
         demand.report(clockMs.getAsDouble(), connection.peer(), report.uses());
         if (report.wanted()) {
--- a/src/main/java/whinlead/mesh/control/SidecarContact.java
+++ b/src/main/java/whinlead/mesh/control/SidecarContact.java
@@ -8,56 +8,57 @@
 import whinlead.mesh.registry.EndpointRegistry;
 
 /**
- * When a control node last heard of each sidecar, from itself or from another control node, and what follows: which
- * endpoint records it repeats to the other control nodes, and which sidecars it lists as gone. Pure; one thread; times
- * in milliseconds.
+ * Tracks when a control node last had contact with each sidecar, directly or through another control node. This decides
+ * which endpoint records it repeats to the other control nodes, and which sidecars it marks as gone. Pure; one thread;
+ * times in milliseconds.
  */
 final class SidecarContact {
-    /** A sidecar of which nothing was heard for so long, anywhere, is listed as gone, in milliseconds. */
+    /** A sidecar without contact anywhere for this long is marked as gone, in milliseconds. */
     static final double SILENT_MS = 15_000;
     /**
-     * How often control nodes tell each other of whom they hear, in milliseconds. One may be lost, and a sidecar that
-     * only one of them can reach does not count as silent at the others.
+     * How often control nodes share their contacts, in milliseconds. Short enough that one message may be lost before a
+     * sidecar that only one control node can reach counts as silent at the others.
      */
-    static final long REPEAT_MS = 5000;
+    static final long SHARE_INTERVAL_MS = 5000;
 
-    private final Map<String, Double> heard = new HashMap<>();
-    /** Of these, when it was from the sidecar itself. */
-    private final Map<String, Double> heardDirect = new HashMap<>();
+    private final Map<String, Double> contactAtMs = new HashMap<>();
+    /** The same for direct contact only. */
+    private final Map<String, Double> directContactAtMs = new HashMap<>();
 
-    /** A sidecar that has not gone was heard of, from itself or from another control node. */
-    void heard(double now, String node, boolean direct) {
-        heard.put(node, now);
+    /** Notes contact with a sidecar that has not gone, directly or through another control node. */
+    void noteContact(double nowMs, String node, boolean direct) {
+        contactAtMs.put(node, nowMs);
         if (direct) {
-            heardDirect.put(node, now);
+            directContactAtMs.put(node, nowMs);
         }
     }
 
-    /** The endpoint records of sidecars that have fallen silent, as gone. */
-    List<EndpointRecord> lost(double now, EndpointRegistry endpointRegistry) {
+    /** The endpoint records of silent sidecars, marked as gone. */
+    List<EndpointRecord> silentSidecars(double nowMs, EndpointRegistry endpointRegistry) {
         List<EndpointRecord> lost = new ArrayList<>();
-        for (EndpointRecord l : endpointRegistry.all()) {
-            double silent = now - heard.getOrDefault(l.node(), now);
-            if (l.phase() != EndpointRecord.Phase.GONE && silent > SILENT_MS) {
+        for (EndpointRecord record : endpointRegistry.all()) {
+            double silenceMs = nowMs - contactAtMs.getOrDefault(record.node(), nowMs);
+            if (record.phase() != EndpointRecord.Phase.GONE && silenceMs > SILENT_MS) {
                 lost.add(new EndpointRecord(
-                        l.node(),
-                        l.life(),
-                        l.seq() + 1,
-                        l.zone(),
-                        l.endpoint(),
-                        l.target(),
+                        record.node(),
+                        record.life(),
+                        record.seq() + 1,
+                        record.zone(),
+                        record.endpoint(),
+                        record.target(),
                         EndpointRecord.Phase.GONE,
-                        l.capacity(),
+                        record.capacity(),
                         0));
             }
         }
         return lost;
     }
 
-    /** The endpoint records of sidecars that were heard from themselves since the last repetition. */
-    List<EndpointRecord> fresh(double now, EndpointRegistry endpointRegistry) {
+    /** The endpoint records of sidecars with direct contact within the last share interval. */
+    List<EndpointRecord> recentDirectContacts(double nowMs, EndpointRegistry endpointRegistry) {
         return endpointRegistry.all().stream()
-                .filter(l -> now - heardDirect.getOrDefault(l.node(), Double.NEGATIVE_INFINITY) < REPEAT_MS)
+                .filter(record -> nowMs - directContactAtMs.getOrDefault(record.node(), Double.NEGATIVE_INFINITY)
+                        < SHARE_INTERVAL_MS)
                 .toList();
     }
 }
--- a/src/main/java/whinlead/mesh/control/StateWriter.java
+++ b/src/main/java/whinlead/mesh/control/StateWriter.java
@@ -9,103 +9,108 @@
 import whinlead.mesh.storage.StateStoreException;
 
 /**
- * Writes a control node's memory on a thread of its own, for a disk may stall. What waits meanwhile is written once, as
- * it is last: each memory holds all that was promised before. A memory that the disk refuses is tried again until it,
- * or a later one, is written; what waited for it is never run, as if lost on the way. Called from the control node's
- * loop.
+ * Writes a control node's state on a separate thread, because the disk may stall. States queued during a write are
+ * written once, as the latest of them, since each state includes all earlier promises. A state that the disk refuses is
+ * retried until it or a later one is written; the callbacks that waited for it never run, as if their messages were
+ * lost. Called from the control node's loop.
  */
 final class StateWriter {
-    /** Between two tries of a disk that refuses, unless there is a later memory, in milliseconds. */
-    static final long PAUSE_MS = 250;
-    /** What may wait for a disk that stalls; the oldest beyond are dropped, as messages lost on the way. */
-    static final int MAX_WAITING = 1000;
+    /** Time between two attempts on a failing disk, unless there is a later state, in milliseconds. */
+    static final long RETRY_INTERVAL_MS = 250;
+    /**
+     * The maximum number of callbacks that wait for a stalled disk; the oldest beyond it are dropped like lost
+     * messages.
+     */
+    static final int MAX_PENDING = 1000;
 
-    private static final double NANOS = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
-    /** Where it writes: a state store. */
+    /** The disk to write to: a state store. */
     interface Disk {
         /**
-         * Writes and syncs; it is on disk when this returns.
+         * Writes and syncs the state; it is on disk when this returns.
          *
-         * @throws StateStoreException if it may not be
+         * @throws StateStoreException if it may not be on disk
          */
-        void write(byte[] memory) throws StateStoreException;
+        void write(byte[] state) throws StateStoreException;
     }
 
     private final Disk disk;
     private final Executor loop;
-    private final DoubleSupplier clock;
+    private final DoubleSupplier clockMs;
     private final Object lock = new Object();
-    private Queue<Runnable> waiting = new ArrayDeque<>();
+    private Queue<Runnable> pendingCallbacks = new ArrayDeque<>();
     private byte[] newest;
-    /** When the oldest memory that is not on disk was handed in, in milliseconds; NaN if there is none. */
-    private double since = Double.NaN;
-    /** The same, of those that came while the disk was busy. */
-    private double sinceNext = Double.NaN;
+    /** When the oldest state that is not on disk was submitted, in milliseconds; NaN if there is none. */
+    private double unsyncedSinceMs = Double.NaN;
+    /** The same for states submitted while a write is in progress. */
+    private double nextUnsyncedSinceMs = Double.NaN;
 
-    private boolean refused;
+    private boolean failing;
 
     /**
-     * A state writer.
+     * A writer to this store.
      *
-     * @param loop runs what waited for the disk
+     * @param loop runs the callbacks
      */
     StateWriter(StateStore store, String id, Executor loop) {
-        this(memory -> store.write(id, memory), loop, () -> System.nanoTime() / NANOS);
+        this(state -> store.write(id, state), loop, () -> System.nanoTime() / NANOS_PER_MILLI);
     }
 
     /**
-     * A state writer of this disk.
+     * A writer to this disk.
      *
-     * @param clock steady, in milliseconds
+     * @param clockMs steady, in milliseconds
      */
-    StateWriter(Disk disk, Executor loop, DoubleSupplier clock) {
+    StateWriter(Disk disk, Executor loop, DoubleSupplier clockMs) {
         this.disk = disk;
         this.loop = loop;
-        this.clock = clock;
+        this.clockMs = clockMs;
     }
 
-    /** Begins to write. */
+    /** Starts the thread that writes. */
     void start() {
         Thread thread = new Thread(this::run, "state-writer");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Writes and syncs this memory, or a later one, then has this run; if that fails, it never runs. */
-    void write(byte[] memory, Runnable then) {
+    /**
+     * Writes and syncs this state or a later one, then runs the callback; if the write fails, the callback never runs.
+     */
+    void write(byte[] state, Runnable onSynced) {
         synchronized (lock) {
-            newest = memory;
-            if (waiting.size() >= MAX_WAITING) {
-                waiting.remove();
+            newest = state;
+            if (pendingCallbacks.size() >= MAX_PENDING) {
+                pendingCallbacks.remove();
             }
-            waiting.add(then);
-            if (Double.isNaN(sinceNext)) {
-                sinceNext = clock.getAsDouble();
+            pendingCallbacks.add(onSynced);
+            if (Double.isNaN(nextUnsyncedSinceMs)) {
+                nextUnsyncedSinceMs = clockMs.getAsDouble();
             }
             lock.notifyAll();
         }
     }
 
-    /** Whether the disk refused what it was last given. For any thread. */
+    /** Whether the last write failed. For any thread. */
     boolean isFailing() {
         synchronized (lock) {
-            return refused;
+            return failing;
         }
     }
 
-    /** For how long there has been a memory that is not on disk, in ms; 0 if all is. For any thread. */
+    /** For how long there has been a state that is not on disk, in milliseconds; 0 if there is none. For any thread. */
     double stalledMs() {
         synchronized (lock) {
-            double from = Double.isNaN(since) ? sinceNext : since;
-            return Double.isNaN(from) ? 0 : Math.max(0, clock.getAsDouble() - from);
+            double sinceMs = Double.isNaN(unsyncedSinceMs) ? nextUnsyncedSinceMs : unsyncedSinceMs;
+            return Double.isNaN(sinceMs) ? 0 : Math.max(0, clockMs.getAsDouble() - sinceMs);
         }
     }
 
-    /** Whether all that it was given is on disk. For any thread. */
+    /** Whether all submitted states are on disk. For any thread. */
     boolean isSynced() {
         synchronized (lock) {
-            return Double.isNaN(since) && Double.isNaN(sinceNext);
+            return Double.isNaN(unsyncedSinceMs) && Double.isNaN(nextUnsyncedSinceMs);
         }
     }
 
@@ -116,62 +121,63 @@
                     while (newest == null) {
                         lock.wait();
                     }
-                    if (refused && waiting.isEmpty()) {
-                        lock.wait(PAUSE_MS);
+                    if (failing && pendingCallbacks.isEmpty()) {
+                        lock.wait(RETRY_INTERVAL_MS);
                     }
                 }
-                step();
+                writeOnce();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Writes what is newest, if anything is, once. On the state writer's thread. */
-    void step() {
-        byte[] memory;
-        Queue<Runnable> then;
+    /** Writes the newest state once, if there is one. On the state writer's thread. */
+    void writeOnce() {
+        byte[] state;
+        Queue<Runnable> callbacks;
         synchronized (lock) {
             if (newest == null) {
                 return;
             }
-            memory = newest;
-            then = waiting;
+            state = newest;
+            callbacks = pendingCallbacks;
             newest = null;
-            waiting = new ArrayDeque<>();
-            if (Double.isNaN(since)) {
-                since = sinceNext;
+            pendingCallbacks = new ArrayDeque<>();
+            if (Double.isNaN(unsyncedSinceMs)) {
+                unsyncedSinceMs = nextUnsyncedSinceMs;
             }
-            sinceNext = Double.NaN;
+            nextUnsyncedSinceMs = Double.NaN;
         }
-        String fault = attempt(memory);
-        boolean first;
-        boolean again;
+        String failure = tryWrite(state);
+        boolean failedNow;
+        boolean recovered;
         synchronized (lock) {
-            first = fault != null && !refused;
-            again = fault == null && refused;
-            refused = fault != null;
-            if (!refused) {
-                since = Double.NaN;
+            failedNow = failure != null && !failing;
+            recovered = failure == null && failing;
+            failing = failure != null;
+            if (!failing) {
+                unsyncedSinceMs = Double.NaN;
             } else if (newest == null) {
-                newest = memory;
+                newest = state;
             }
         }
-        if (again) {
-            Event.DISK_AGAIN.log("after a refusal");
+        if (recovered) {
+            Event.DISK_RECOVERED.log("after a failed write");
         }
-        if (first) {
-            // Not voting is all that a member may do then; the others carry on. Said once, not at each try.
-            Event.DISK_FAILED.log(fault);
-        } else if (fault == null) {
-            then.forEach(loop::execute);
+        if (failedNow) {
+            // A voter with a failing disk must not vote; the others carry on. Logged once, not at each attempt.
+            Event.DISK_FAILED.log(failure);
+        } else if (failure == null) {
+            callbacks.forEach(loop::execute);
         }
     }
 
-    // What failed, or null. Whatever is thrown: an ended state writer would keep the control node from voting for good.
-    private String attempt(byte[] memory) {
+    // Returns the failure, or null. Catches every exception, because without this thread the control node would never
+    // vote again.
+    private String tryWrite(byte[] state) {
         try {
-            disk.write(memory);
+            disk.write(state);
             return null;
         } catch (StateStoreException e) {
             return e.getMessage();
--- a/src/main/java/whinlead/mesh/control/package-info.java
+++ b/src/main/java/whinlead/mesh/control/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The control node, the process on a core machine: it takes configurations from operators, agrees on them with the
- * other control nodes, and tells sidecars of the newest one and of each other's endpoints.
+ * The control node, the process on a core machine: it accepts configurations from operators, agrees on them with the
+ * other control nodes, and sends sidecars the newest one and each other's endpoints.
  *
  * <p>Begin with {@link whinlead.mesh.control.ControlNode}, which assembles the parts. All state belongs to one event
  * loop; {@link whinlead.mesh.control.StateWriter} owns the thread that waits for the disk. May use every package of the
--- a/src/main/java/whinlead/mesh/duty/DutyCandidate.java
+++ b/src/main/java/whinlead/mesh/duty/DutyCandidate.java
@@ -6,49 +6,50 @@
 import java.util.Map;
 
 /**
- * One control node's way to the duty: it asks the voters for their votes while nobody holds it, in the order of the
- * voters, and renews them while it holds it. A term is a lease by a quorum, as in PaxosLease, published; its code was
- * not read.
+ * One control node's candidacy for the duty: it requests votes while nobody holds the duty, after a delay by its rank
+ * among the voters, and renews them while it holds the duty. A term is a lease granted by a quorum, as described in the
+ * published PaxosLease algorithm; its code was not read.
  *
- * <p>Invariant: {@link #isHolder} is true at one control node at a time. A vote counts here from when it was asked for,
- * and at the voter from when it was given, so it ends here first. Pure; one thread; times in milliseconds.
+ * <p>Invariant: {@link #isHolder} is true at one control node at a time. The candidate counts a vote from when it was
+ * requested, and the voter from when it was given, so the vote expires at the candidate first. Pure; one thread; times
+ * in milliseconds.
  */
 public final class DutyCandidate {
-    /** Carries a candidate's questions. */
+    /** Sends a candidate's requests. */
     public interface Voters {
-        /** Sends a question to a voter, which may be this control node itself. */
-        void ask(String voter, DutyRequest request);
+        /** Sends a request to a voter, which may be this control node itself. */
+        void requestVote(String voter, DutyRequest request);
     }
 
-    /** Between the candidates' first questions, by the order of the voters. */
+    /** Delay between the first requests of two candidates next to each other in the order of the voters. */
     private static final double STAGGER_MS = 250;
-    /** After so long without a quorum a candidate gives way. */
-    private static final double CAMPAIGN_MS = 700;
-    /** Questions whose answers are waited for. */
-    private static final int MAX_OPEN = 64;
-    /** Epochs that one decision leaves room for before those of the next begin. */
-    private static final long EPOCHS_A_SLOT = 64;
+    /** A candidate without a quorum withdraws after this time. */
+    private static final double CAMPAIGN_TIMEOUT_MS = 700;
+    /** The maximum number of requests whose answers are accepted. */
+    private static final int MAX_OPEN_REQUESTS = 64;
+    /** The number of epochs reserved for each decision before those of the next one begin. */
+    private static final long EPOCHS_PER_SLOT = 64;
 
     private final String self;
     private final DutyQuorum quorum;
     private final Voters voters;
-    private final Map<Long, Double> sentAt = new LinkedHashMap<>();
-    /** By voter, until when its vote is valid. */
-    private final Map<String, Double> validUntil = new HashMap<>();
+    private final Map<Long, Double> sentAtMs = new LinkedHashMap<>();
+    /** Until when each voter's vote is valid. */
+    private final Map<String, Double> voteValidUntilMs = new HashMap<>();
 
-    private long number;
+    private long lastRequestNumber;
     private long highestEpoch;
-    /** Of the term that is held or asked for; 0 for none. */
+    /** The epoch of the term that is held or requested; 0 for none. */
     private long epoch;
 
-    private double campaignSince;
-    private double askedAt = Double.NEGATIVE_INFINITY;
-    private double freeSince = Double.NaN;
-    private double pausedUntil = Double.NEGATIVE_INFINITY;
+    private double campaignSinceMs;
+    private double requestedAtMs = Double.NEGATIVE_INFINITY;
+    private double freeSinceMs = Double.NaN;
+    private double pausedUntilMs = Double.NEGATIVE_INFINITY;
     private boolean isHolder;
-    private boolean first;
+    private boolean firstTerm;
 
-    /** A candidate that has not asked yet. */
+    /** A candidate that has not requested votes yet. */
     public DutyCandidate(String self, DutyQuorum quorum, Voters voters) {
         this.self = self;
         this.quorum = quorum;
@@ -56,108 +57,110 @@
     }
 
     /**
-     * Time passes. To be called several times a second.
+     * Advances time. Must be called several times a second.
      *
      * @param voter this control node's own part as a voter
      * @param confirmed whether a quorum has confirmed that there is no newer decision on who votes
      */
-    public void tick(double now, DutyVoter voter, boolean confirmed) {
+    public void tick(double nowMs, DutyVoter voter, boolean confirmed) {
         highestEpoch = Math.max(highestEpoch, voter.promise().epoch());
         if (epoch == 0) {
-            standIfDue(now, voter, confirmed);
-        } else if (isHolder && !hasQuorum(now)) {
-            giveUp(now, STAGGER_MS);
-        } else if (!isHolder && now - campaignSince > CAMPAIGN_MS) {
-            // Most voters are out of reach, or keep another's term up, which this one does not hear of.
-            giveUp(now, DutyTerms.TERM_MS / 2);
+            campaignIfDue(nowMs, voter, confirmed);
+        } else if (isHolder && !hasQuorum(nowMs)) {
+            withdraw(nowMs, STAGGER_MS);
+        } else if (!isHolder && nowMs - campaignSinceMs > CAMPAIGN_TIMEOUT_MS) {
+            // Most voters are unreachable, or renew the term of a holder that this candidate has no contact with.
+            withdraw(nowMs, DutyTerms.TERM_MS / 2);
         }
-        if (epoch > 0 && now - askedAt >= DutyTerms.RENEW_MS) {
-            ask(now);
+        if (epoch > 0 && nowMs - requestedAtMs >= DutyTerms.RENEW_INTERVAL_MS) {
+            requestVotes(nowMs);
         }
     }
 
-    // The first in the order of the voters that is there: each waits a little longer than the one before it.
-    private void standIfDue(double now, DutyVoter voter, boolean confirmed) {
-        int place = quorum.voters().indexOf(self);
-        if (place < 0 || !confirmed || !voter.isFreeFor(now, self)) {
-            freeSince = Double.NaN;
+    // Each candidate waits a little longer than the one before it in the order of the voters, so the first available
+    // one wins.
+    private void campaignIfDue(double nowMs, DutyVoter voter, boolean confirmed) {
+        int rank = quorum.voters().indexOf(self);
+        if (rank < 0 || !confirmed || !voter.isFreeFor(nowMs, self)) {
+            freeSinceMs = Double.NaN;
             return;
         }
-        if (Double.isNaN(freeSince)) {
-            freeSince = now;
+        if (Double.isNaN(freeSinceMs)) {
+            freeSinceMs = nowMs;
         }
-        if (now >= freeSince + place * STAGGER_MS && now >= pausedUntil) {
-            epoch = Math.max(highestEpoch + 1, Math.max(1, quorum.slot() * EPOCHS_A_SLOT));
+        if (nowMs >= freeSinceMs + rank * STAGGER_MS && nowMs >= pausedUntilMs) {
+            epoch = Math.max(highestEpoch + 1, Math.max(1, quorum.slot() * EPOCHS_PER_SLOT));
             highestEpoch = epoch;
-            campaignSince = now;
-            first = true;
-            validUntil.clear();
-            ask(now);
+            campaignSinceMs = nowMs;
+            firstTerm = true;
+            voteValidUntilMs.clear();
+            requestVotes(nowMs);
         }
     }
 
-    private void ask(double now) {
-        askedAt = now;
-        DutyRequest request = new DutyRequest(++number, epoch);
-        sentAt.put(number, now);
-        if (sentAt.size() > MAX_OPEN) {
-            sentAt.remove(sentAt.keySet().iterator().next());
+    private void requestVotes(double nowMs) {
+        requestedAtMs = nowMs;
+        DutyRequest request = new DutyRequest(++lastRequestNumber, epoch);
+        sentAtMs.put(lastRequestNumber, nowMs);
+        if (sentAtMs.size() > MAX_OPEN_REQUESTS) {
+            sentAtMs.remove(sentAtMs.keySet().iterator().next());
         }
-        List.copyOf(quorum.voters()).forEach(voter -> voters.ask(voter, request));
+        List.copyOf(quorum.voters()).forEach(voter -> voters.requestVote(voter, request));
     }
 
-    private void giveUp(double now, double pauseMs) {
+    private void withdraw(double nowMs, double pauseMs) {
         epoch = 0;
         isHolder = false;
-        freeSince = Double.NaN;
-        pausedUntil = now + pauseMs + STAGGER_MS * Math.max(0, quorum.voters().indexOf(self));
-        sentAt.clear();
-        validUntil.clear();
+        freeSinceMs = Double.NaN;
+        pausedUntilMs =
+                nowMs + pauseMs + STAGGER_MS * Math.max(0, quorum.voters().indexOf(self));
+        sentAtMs.clear();
+        voteValidUntilMs.clear();
     }
 
     /** A voter answers. */
-    public void answered(double now, String voter, DutyVote vote) {
+    public void voteReceived(double nowMs, String voter, DutyVote vote) {
         highestEpoch = Math.max(highestEpoch, vote.epoch());
-        Double asked = sentAt.get(vote.number());
-        if (asked == null || epoch == 0) {
+        Double requestSentAtMs = sentAtMs.get(vote.number());
+        if (requestSentAtMs == null || epoch == 0) {
             return;
         }
         if (!vote.granted()) {
-            // A voter with a later vote of its own ends no term that the others hold up.
+            // A refusal from one voter with a later vote does not end a term that a quorum still renews.
             if (vote.epoch() > epoch && !isHolder) {
-                giveUp(now, STAGGER_MS);
+                withdraw(nowMs, STAGGER_MS);
             }
             return;
         }
         if (vote.epoch() == epoch) {
-            first &= isHolder || vote.first();
-            validUntil.merge(voter, asked + DutyTerms.TERM_MS, Math::max);
-            isHolder |= hasQuorum(now);
+            firstTerm &= isHolder || vote.first();
+            voteValidUntilMs.merge(voter, requestSentAtMs + DutyTerms.TERM_MS, Math::max);
+            isHolder |= hasQuorum(nowMs);
         }
     }
 
-    private boolean hasQuorum(double now) {
+    private boolean hasQuorum(double nowMs) {
         return quorum.voters().stream()
-                        .filter(voter -> validUntil.getOrDefault(voter, Double.NEGATIVE_INFINITY) > now)
+                        .filter(voter -> voteValidUntilMs.getOrDefault(voter, Double.NEGATIVE_INFINITY) > nowMs)
                         .count()
-                >= quorum.needed(now);
+                >= quorum.requiredVotes(nowMs);
     }
 
     /**
-     * Whether this control node holds the duty at this time, which must have been read just before: what is decided by
-     * this answer must be decided by the same reading of the clock.
+     * Whether this control node holds the duty at this time, which must have been read just before: whatever is decided
+     * based on the result must use the same reading of the clock.
      */
-    public boolean isHolder(double now, boolean confirmed) {
-        return isHolder && confirmed && hasQuorum(now);
+    public boolean isHolder(double nowMs, boolean confirmed) {
+        return isHolder && confirmed && hasQuorum(nowMs);
     }
 
-    /** The epoch of the term that is held; of no meaning otherwise. */
+    /** The epoch of the term that is held; meaningless if none is held. */
     public long epoch() {
         return epoch;
     }
 
-    /** Whether there surely was no holder before this term. */
+    /** Whether there certainly was no holder before this term. */
     public boolean isFirstTerm() {
-        return first;
+        return firstTerm;
     }
 }
--- a/src/main/java/whinlead/mesh/duty/DutyPromise.java
+++ b/src/main/java/whinlead/mesh/duty/DutyPromise.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.duty;
 
 /**
- * What a voter has on disk: for whom it voted last.
+ * A voter's persistent state: its last vote.
  *
  * @param epoch of that vote; 0 if it never voted
  * @param holder the control node that it voted for; empty if it never voted
@@ -10,7 +10,7 @@
     /** No vote yet. */
     public static final DutyPromise NONE = new DutyPromise(0, "");
 
-    /** Checks that nothing is missing. */
+    /** Rejects negative epochs and a missing holder. */
     public DutyPromise {
         if (epoch < 0 || holder == null) {
             throw new IllegalArgumentException("a vote of epoch " + epoch + " for " + holder);
--- a/src/main/java/whinlead/mesh/duty/DutyRequest.java
+++ b/src/main/java/whinlead/mesh/duty/DutyRequest.java
@@ -1,9 +1,9 @@
 package whinlead.mesh.duty;
 
 /**
- * A candidate asks for a vote, or to renew it.
+ * A candidate's request for a vote, or for its renewal.
  *
- * @param number counts the questions of one process
- * @param epoch of the term that it asks for
+ * @param number counts the requests of one process
+ * @param epoch of the requested term
  */
 public record DutyRequest(long number, long epoch) {}
--- a/src/main/java/whinlead/mesh/duty/package-info.java
+++ b/src/main/java/whinlead/mesh/duty/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which control node does a duty that only one may do at a time: a lease of the duty by a quorum of the voters, under
- * an epoch that rises with each holder.
+ * Elects the control node for a duty that only one may perform at a time: a lease on the duty granted by a quorum of
+ * the voters, under an epoch that increases with each holder.
  *
  * <p>Begin with {@link whinlead.mesh.duty.DutyCandidate}. Pure; one thread; uses {@code java.util} only.
  */
--- a/src/main/java/whinlead/mesh/log/Event.java
+++ b/src/main/java/whinlead/mesh/log/Event.java
@@ -3,23 +3,23 @@
 import com.google.common.flogger.FluentLogger;
 import java.util.logging.Level;
 
-/** What the mesh's processes log: each event has its number for good; {@code docs/events.md} is the catalogue. */
+/** The events that the mesh's processes log. Each event keeps its number; {@code docs/events.md} is the catalogue. */
 public enum Event {
-    /** 1xx: a process. */
+    /** 1xx: process. */
     STARTED(101, Level.INFO, "started"),
     READY(102, Level.INFO, "ready"),
     LEAVING(103, Level.INFO, "leaving"),
     ENDED(104, Level.INFO, "ended"),
     SETTINGS_REREAD(105, Level.INFO, "settings read again"),
-    SETTINGS_BAD(106, Level.WARNING, "settings can't be used"),
+    INVALID_SETTINGS(106, Level.WARNING, "settings can't be used"),
     FAULT(107, Level.WARNING, "a fault of the program"),
-    /** 2xx: what the control nodes agree on. */
+    /** 2xx: consensus of the control nodes. */
     DECIDED(201, Level.INFO, "decided"),
-    REFUSED_CALL(202, Level.INFO, "operator's call refused"),
+    CALL_REJECTED(202, Level.INFO, "operator's call refused"),
     DISK_FAILED(203, Level.WARNING, "disk failed, not voting"),
     VOTER_STATUS(204, Level.INFO, "vote"),
-    DISK_AGAIN(205, Level.INFO, "disk writes again"),
-    /** 3xx: links and endpoint records. */
+    DISK_RECOVERED(205, Level.INFO, "disk writes again"),
+    /** 3xx: connections and endpoint records. */
     CONTROL_NODE_UP(301, Level.INFO, "control node in reach"),
     CONTROL_NODE_DOWN(302, Level.INFO, "control node out of reach"),
     PEER_DOWN(303, Level.INFO, "sidecar out of reach"),
@@ -29,15 +29,15 @@
     /** 4xx: configuration at sidecars. */
     IN_FORCE(401, Level.INFO, "configuration in force"),
     UNREADABLE(402, Level.WARNING, "configuration can't be read"),
-    /** 5xx: decisions. */
+    /** 5xx: the decision module. */
     MODULE(501, Level.INFO, "decisions"),
     /** 6xx: tenants' limits. */
     TENANT_LIMITED(601, Level.INFO, "tenant limited"),
     LEASES_RECOVERED(602, Level.INFO, "leases of an earlier process known"),
     LESSEES_NOT_RECORDED(603, Level.WARNING, "disk failed, no leases to further sidecars"),
     /** 7xx: keys of divided services. */
-    GRANTS_KEYS(701, Level.INFO, "grants keys"),
-    GRANTS_KEYS_NO_MORE(702, Level.INFO, "grants keys no more"),
+    KEY_GRANTING_STARTED(701, Level.INFO, "started granting keys"),
+    KEY_GRANTING_STOPPED(702, Level.INFO, "stopped granting keys"),
     VOTE_NOT_RECORDED(703, Level.WARNING, "disk failed, no vote for who grants keys"),
     KEYS_HELD(704, Level.INFO, "keys held"),
     GRANT_REFUSED(705, Level.WARNING, "endpoint refused a grant");
@@ -53,17 +53,17 @@
         this.text = text;
     }
 
-    /** Its number. */
+    /** The event's number. */
     public int number() {
         return number;
     }
 
-    /** What it says. */
+    /** The text logged after the number. */
     public String text() {
         return text;
     }
 
-    /** Logs it with this detail. */
+    /** Logs the event with this detail. */
     public void log(String detail) {
         LOG.at(level).log("%d %s: %s", number, text, detail);
     }
--- a/src/main/java/whinlead/mesh/log/Logs.java
+++ b/src/main/java/whinlead/mesh/log/Logs.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.logging.LogManager;
 
-/** How the mesh's processes log: one line an event, on standard error. */
+/** Logging setup of the mesh's processes: one line per event, on standard error. */
 public final class Logs {
-    /** Libraries' notes on themselves are no lines for operators; what goes wrong is. */
+    /** Log lines of libraries are hidden unless they report errors. */
     private static final String CONFIGURATION = """
             handlers=java.util.logging.ConsoleHandler
             .level=INFO
@@ -20,7 +20,7 @@
 
     private Logs() {}
 
-    /** Sets it up; to be called before the first event. */
+    /** Configures logging; must be called before the first event. */
     public static void start() {
         System.setProperty("slf4j.internal.verbosity", "ERROR");
         try {
--- a/src/main/java/whinlead/mesh/run/MeshCommand.java
+++ b/src/main/java/whinlead/mesh/run/MeshCommand.java
@@ -23,37 +23,37 @@
 import whinlead.mesh.storage.StateStoreException;
 import whinlead.signals.Hangup;
 
-/** The mesh's roles on the command line: {@code sidecar} and {@code control}. */
+/** The command line of the mesh's roles, {@code sidecar} and {@code control}. */
 public final class MeshCommand {
-    /** Names the settings file. */
-    public static final String SETTINGS = "WHINLEAD_NODE_FILE";
+    /** The environment variable that names the settings file. */
+    public static final String SETTINGS_VARIABLE = "WHINLEAD_NODE_FILE";
 
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
     private static final String SIDECAR = "sidecar";
     private static final String CONTROL = "control";
-    /** Roles by their names of before, which are understood for one more version. */
+    /** Former names of the roles, which are accepted for one more version. */
     private static final Map<String, String> FORMER_NAMES = Map.of("carrier", SIDECAR, "office", CONTROL);
 
     private MeshCommand() {}
 
-    /** Whether this names a role of the mesh. */
+    /** Whether this is the name of a role of the mesh. */
     public static boolean knows(String role) {
         return SIDECAR.equals(role) || CONTROL.equals(role) || FORMER_NAMES.containsKey(role);
     }
 
-    /** Runs a role until the process ends; exits with 2 on bad usage and 1 on settings that can't be used. */
+    /** Runs a role until the process ends; exits with 2 on invalid usage and 1 on settings that can't be used. */
     public static void main(String... args) {
         run(UnaryOperator.identity(), args);
     }
 
     /**
-     * Runs a role as {@link #main} does.
+     * Runs a role like {@link #main}.
      *
-     * @param dialAddresses gives the address to dial for that of another process
+     * @param dialAddresses maps another process's address to the address to dial
      */
     public static void run(UnaryOperator<InetSocketAddress> dialAddresses, String... args) {
         Logs.start();
-        Hangup hangup = guard();
+        Hangup hangup = installHangup();
         Options options = options();
         try {
             CommandLine line = new DefaultParser().parse(options, args);
@@ -63,13 +63,13 @@
                 run(line, hangup, dialAddresses);
             }
         } catch (ParseException e) {
-            quit(e.getMessage(), USAGE);
+            quit(e.getMessage(), EXIT_USAGE);
         } catch (NodeSettingsException | IllegalArgumentException e) {
             quit("settings: " + e.getMessage(), 1);
         } catch (StateStoreException e) {
             quit("state store: " + e.getMessage(), 1);
         } catch (Exception e) {
-            // What the future throws of a failed bind is a checked exception that it does not declare.
+            // A failed bind throws a checked exception that Netty's future does not declare.
             quit("cannot start: " + e.getMessage(), 1);
         }
     }
@@ -80,13 +80,16 @@
                         .longOpt("settings")
                         .hasArg()
                         .argName("FILE")
-                        .desc("the settings file; else " + SETTINGS + " names it")
+                        .desc("the settings file; by default the one that " + SETTINGS_VARIABLE + " names")
                         .get())
                 .addOption(Option.builder("c")
                         .longOpt("check")
                         .desc("only read and check the settings")
                         .get())
-                .addOption(Option.builder("h").longOpt("help").desc("tell this").get());
+                .addOption(Option.builder("h")
+                        .longOpt("help")
+                        .desc("print this help")
+                        .get());
     }
 
     private static void printHelp(Options options) {
@@ -101,12 +104,12 @@
     private static void run(CommandLine line, Hangup hangup, UnaryOperator<InetSocketAddress> dialAddresses)
             throws Exception {
         if (line.getArgList().size() != 1) {
-            throw new ParseException("which role?");
+            throw new ParseException("expected exactly one role: sidecar or control");
         }
         ObjectMapper mapper = new ObjectMapper();
-        String path = line.getOptionValue("settings", System.getenv(SETTINGS));
+        String path = line.getOptionValue("settings", System.getenv(SETTINGS_VARIABLE));
         if (path == null) {
-            throw new NodeSettingsException(SETTINGS + " is not set");
+            throw new NodeSettingsException(SETTINGS_VARIABLE + " is not set");
         }
         NodeSettingsReader reader = new NodeSettingsReader(mapper);
         NodeSettings settings = reader.read(Path.of(path));
@@ -116,39 +119,39 @@
         }
     }
 
-    // From here on SIGHUP ends nothing.
-    private static Hangup guard() {
+    // From here on SIGHUP does not end the process.
+    private static Hangup installHangup() {
         try {
             return Hangup.guard(line -> Event.SETTINGS_REREAD.log(line));
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this Java has no signals", e);
+            throw new IllegalStateException("this Java runtime provides no signal handling", e);
         }
     }
 
     private static void start(
             String role,
-            NodeSettings nodeSettings,
-            SettingsWatcher settings,
+            NodeSettings settings,
+            SettingsWatcher watcher,
             Hangup hangup,
             ObjectMapper mapper,
-            UnaryOperator<InetSocketAddress> dials)
+            UnaryOperator<InetSocketAddress> dialAddresses)
             throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         if (CONTROL.equals(FORMER_NAMES.getOrDefault(role, role))) {
-            ControlNode controlNode = new ControlNode(nodeSettings, loop, mapper, dials);
+            ControlNode controlNode = new ControlNode(settings, loop, mapper, dialAddresses);
             controlNode.start();
             Runtime.getRuntime().addShutdownHook(new Thread(controlNode::leave, "leave"));
-            settings.watch(hangup, loop, controlNode::seeds);
+            watcher.watch(hangup, loop, controlNode::addSeeds);
         } else {
-            Sidecar sidecar = new Sidecar(nodeSettings, loop, mapper, dials);
+            Sidecar sidecar = new Sidecar(settings, loop, mapper, dialAddresses);
             Runtime.getRuntime().addShutdownHook(new Thread(sidecar::leave, "leave"));
             sidecar.start();
-            settings.watch(hangup, loop, sidecar::seeds);
+            watcher.watch(hangup, loop, sidecar::seeds);
         }
     }
 
-    private static void quit(String why, int code) {
-        System.err.println("whinlead: " + why);
+    private static void quit(String message, int code) {
+        System.err.println("whinlead: " + message);
         System.exit(code);
     }
 }
--- a/src/main/java/whinlead/mesh/run/SettingsWatcher.java
+++ b/src/main/java/whinlead/mesh/run/SettingsWatcher.java
@@ -12,43 +12,43 @@
 import whinlead.signals.Hangup;
 
 /**
- * The settings file while a process runs: read again on SIGHUP and now and then, for it may change without one. Only
- * the seeds are taken over; addresses and figures of a running process stay. On the loop's thread.
+ * Watches the settings file of a running process: reads it again on SIGHUP and periodically, because it may change
+ * without a signal. Only the seeds are applied; addresses and bounds of a running process stay. On the loop's thread.
  */
 final class SettingsWatcher {
-    private static final long EVERY_MS = 2000;
+    private static final long INTERVAL_MS = 2000;
 
     private final Path path;
     private final NodeSettingsReader reader;
     private List<String> seeds;
-    private String wrong = "";
+    private String lastError = "";
 
-    SettingsWatcher(Path path, NodeSettings nodeSettings, NodeSettingsReader reader) {
+    SettingsWatcher(Path path, NodeSettings settings, NodeSettingsReader reader) {
         this.path = path;
         this.reader = reader;
-        this.seeds = nodeSettings.network().seeds();
+        this.seeds = settings.network().seeds();
     }
 
-    /** Has this told of other seeds. */
-    void watch(Hangup hangup, EventLoop loop, Consumer<List<String>> changed) {
-        hangup.on(() -> loop.execute(() -> read(changed)));
-        loop.scheduleAtFixedRate(() -> read(changed), EVERY_MS, EVERY_MS, TimeUnit.MILLISECONDS);
+    /** Starts watching; the callback receives the new seeds when they have changed. */
+    void watch(Hangup hangup, EventLoop loop, Consumer<List<String>> seedsChanged) {
+        hangup.on(() -> loop.execute(() -> read(seedsChanged)));
+        loop.scheduleAtFixedRate(() -> read(seedsChanged), INTERVAL_MS, INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void read(Consumer<List<String>> changed) {
+    private void read(Consumer<List<String>> seedsChanged) {
         try {
-            List<String> now = reader.read(path).network().seeds();
-            if (!now.equals(seeds)) {
-                seeds = now;
-                Event.SETTINGS_REREAD.log("seeds " + now);
-                changed.accept(now);
+            List<String> newSeeds = reader.read(path).network().seeds();
+            if (!newSeeds.equals(seeds)) {
+                seeds = newSeeds;
+                Event.SETTINGS_REREAD.log("seeds " + newSeeds);
+                seedsChanged.accept(newSeeds);
             }
-            wrong = "";
+            lastError = "";
         } catch (NodeSettingsException e) {
-            // What was read last stands; the same fault is told once.
-            if (!e.getMessage().equals(wrong)) {
-                wrong = e.getMessage();
-                Event.SETTINGS_BAD.log(wrong);
+            // The last settings that were read stay in force; the same error is logged once.
+            if (!e.getMessage().equals(lastError)) {
+                lastError = e.getMessage();
+                Event.INVALID_SETTINGS.log(lastError);
             }
         }
     }
--- a/src/test/java/whinlead/mesh/control/ConsensusTickerTest.java
+++ b/src/test/java/whinlead/mesh/control/ConsensusTickerTest.java
@@ -9,14 +9,14 @@
 import org.testng.annotations.Test;
 import whinlead.engine.Timers;
 
-/** How often the consensus module acts. */
+/** How often the consensus module runs. */
 public class ConsensusTickerTest {
-    private static final double NANOS_IN_MILLI = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
-    /** A driven clock; of its timers the newest alone is kept, as a ticker has one. */
-    private static final class Driven implements Timers {
+    /** Timers under a simulated clock; only one timer may be pending, because a ticker uses one at a time. */
+    private static final class SimulatedTimers implements Timers {
         private double now = 5_000;
-        private double at = Double.POSITIVE_INFINITY;
+        private double dueAtMs = Double.POSITIVE_INFINITY;
         private Runnable task;
 
         @Override
@@ -25,88 +25,96 @@
         }
 
         @Override
-        public Timer after(double millis, Runnable run) {
-            assertEquals(at, Double.POSITIVE_INFINITY, "two timers at a time");
-            at = now + millis;
-            task = run;
-            return () -> at = Double.POSITIVE_INFINITY;
+        public Timer after(double millis, Runnable action) {
+            assertEquals(dueAtMs, Double.POSITIVE_INFINITY, "two timers are pending");
+            dueAtMs = now + millis;
+            task = action;
+            return () -> dueAtMs = Double.POSITIVE_INFINITY;
         }
 
-        private void until(double end) {
-            while (at <= end) {
-                now = at;
-                at = Double.POSITIVE_INFINITY;
+        private void advanceTo(double endMs) {
+            while (dueAtMs <= endMs) {
+                now = dueAtMs;
+                dueAtMs = Double.POSITIVE_INFINITY;
                 task.run();
             }
-            now = end;
+            now = endMs;
         }
     }
 
-    private Driven driven;
-    private List<Double> acts;
+    private SimulatedTimers timers;
+    private List<Double> actionTimesMs;
     private boolean busy;
     private ConsensusTicker ticker;
 
-    /** A ticker with nothing under way. */
+    /** Creates a ticker while nothing is in progress. */
     @BeforeMethod
-    public void begin() {
-        driven = new Driven();
-        acts = new ArrayList<>();
+    public void createTicker() {
+        timers = new SimulatedTimers();
+        actionTimesMs = new ArrayList<>();
         busy = false;
         ticker = new ConsensusTicker(
-                driven, () -> (long) (driven.now() * NANOS_IN_MILLI), () -> acts.add(driven.now()), () -> busy);
-        ticker.activity();
+                timers,
+                () -> (long) (timers.now() * NANOS_PER_MILLI),
+                () -> actionTimesMs.add(timers.now()),
+                () -> busy);
+        ticker.noteActivity();
     }
 
-    private int actsIn(double millis) {
-        int before = acts.size();
-        driven.until(driven.now() + millis);
-        return acts.size() - before;
+    private int countActions(double durationMs) {
+        int before = actionTimesMs.size();
+        timers.advanceTo(timers.now() + durationMs);
+        return actionTimesMs.size() - before;
     }
 
     @Test
-    public void itActsOftenForSomeTimeAndThenSeldom() {
-        int active = actsIn(ConsensusTicker.ACTIVE_MS);
-        assertTrue(active >= ConsensusTicker.ACTIVE_MS / ConsensusTicker.ACTIVE_PERIOD_MS - 1, "" + active);
-        actsIn(100);
-        int idle = actsIn(60_000);
+    public void actsOftenAfterActivityAndThenRarely() {
+        int active = countActions(ConsensusTicker.ACTIVE_DURATION_MS);
+        assertTrue(active >= ConsensusTicker.ACTIVE_DURATION_MS / ConsensusTicker.ACTIVE_PERIOD_MS - 1, "" + active);
+        countActions(100);
+        int idle = countActions(60_000);
         assertTrue(idle <= 60_000 / ConsensusTicker.IDLE_PERIOD_MS + 1, "" + idle);
         assertTrue(idle >= 60_000 / ConsensusTicker.IDLE_PERIOD_MS - 1, "" + idle);
     }
 
     @Test
-    public void anActivityWhileIdleIsFollowedUpAtOnce() {
-        actsIn(30_000);
-        ticker.activity();
-        double began = driven.now();
-        actsIn(200);
-        double first = acts.stream().filter(at -> at > began).findFirst().orElse(Double.MAX_VALUE);
-        assertTrue(first - began <= 1.5 * ConsensusTicker.ACTIVE_PERIOD_MS + 0.001, first - began + " ms");
-        assertTrue(actsIn(1000) >= 39);
+    public void activityWhileIdleIsFollowedByActionAtOnce() {
+        countActions(30_000);
+        ticker.noteActivity();
+        double activityAtMs = timers.now();
+        countActions(200);
+        double firstActionMs = actionTimesMs.stream()
+                .filter(at -> at > activityAtMs)
+                .findFirst()
+                .orElse(Double.MAX_VALUE);
+        assertTrue(
+                firstActionMs - activityAtMs <= 1.5 * ConsensusTicker.ACTIVE_PERIOD_MS + 0.001,
+                firstActionMs - activityAtMs + " ms");
+        assertTrue(countActions(1000) >= 39);
     }
 
     @Test
-    public void whatIsUnderWayKeepsItActive() {
+    public void staysActiveWhileBusy() {
         busy = true;
-        actsIn(10_000);
-        assertTrue(actsIn(1000) >= 39);
+        countActions(10_000);
+        assertTrue(countActions(1000) >= 39);
         busy = false;
-        actsIn(100);
-        assertTrue(actsIn(1000) <= 14);
+        countActions(100);
+        assertTrue(countActions(1000) <= 14);
     }
 
     @Test
-    public void anActivityOfItsOwnActDoesNotAddATimer() {
+    public void activityFromItsOwnActionAddsNoTimer() {
         ticker = new ConsensusTicker(
-                driven,
-                () -> (long) (driven.now() * NANOS_IN_MILLI),
+                timers,
+                () -> (long) (timers.now() * NANOS_PER_MILLI),
                 () -> {
-                    acts.add(driven.now());
-                    ticker.activity();
+                    actionTimesMs.add(timers.now());
+                    ticker.noteActivity();
                 },
                 () -> false);
-        driven.at = Double.POSITIVE_INFINITY;
-        ticker.activity();
-        assertTrue(actsIn(10_000) <= 401);
+        timers.dueAtMs = Double.POSITIVE_INFINITY;
+        ticker.noteActivity();
+        assertTrue(countActions(10_000) <= 401);
     }
 }
--- a/src/test/java/whinlead/mesh/control/KeyChecker.java
+++ b/src/test/java/whinlead/mesh/control/KeyChecker.java
@@ -5,21 +5,21 @@
 import whinlead.mesh.keys.KeyRange;
 import whinlead.plan.Calendar;
 
-/** Looks again and again which endpoints hold which keys. */
+/** Checks periodically which endpoints hold which keys. */
 final class KeyChecker {
-    private static final double CHECK_MS = 5;
-    /** Keys that are looked at are so far apart. */
+    private static final double CHECK_INTERVAL_MS = 5;
+    /** The distance between two checked keys. */
     private static final int KEY_STEP = 512;
-    /** A grant that arrives so soon after its sender went on does not count. */
-    private static final double THAW_MS = 300;
+    /** A grant that arrives this soon after its sender resumed is excused. */
+    private static final double RESUME_TOLERANCE_MS = 300;
 
     private final Calendar calendar;
     private final KeyScenario scenario;
     private final SimulatedEndpoint[] endpoints;
     private final KeyOutcome outcome = new KeyOutcome();
-    private final Map<Integer, SimulatedEndpoint.Held> lastOwner = new HashMap<>();
+    private final Map<Integer, SimulatedEndpoint.Holding> lastOwner = new HashMap<>();
 
-    /** Looks at the endpoints that the array holds at each time. */
+    /** A checker of the endpoints that the array holds at the time of each check. */
     KeyChecker(Calendar calendar, KeyScenario scenario, SimulatedEndpoint[] endpoints) {
         this.calendar = calendar;
         this.scenario = scenario;
@@ -31,7 +31,7 @@
     }
 
     void check() {
-        calendar.after(CHECK_MS, () -> {
+        calendar.after(CHECK_INTERVAL_MS, () -> {
             for (int key = 0; key <= KeyRange.MAX_KEY; key += KEY_STEP) {
                 check(key);
             }
@@ -40,44 +40,44 @@
     }
 
     private void check(int key) {
-        double now = calendar.now();
-        SimulatedEndpoint.Held only = null;
-        SimulatedEndpoint owner = null;
+        double nowMs = calendar.now();
+        SimulatedEndpoint.Holding holding = null;
+        SimulatedEndpoint holder = null;
         for (SimulatedEndpoint endpoint : endpoints) {
-            SimulatedEndpoint.Held held = endpoint.held(key);
+            SimulatedEndpoint.Holding held = endpoint.holdingOf(key);
             if (held == null) {
                 continue;
             }
-            if (only != null && !isExcused(only) && !isExcused(held) && outcome.violation == null) {
-                outcome.violation = "at " + now + " ms endpoints " + owner.id() + " (fence " + only.fence() + ") and "
-                        + endpoint.id() + " (fence " + held.fence() + ") hold key " + key;
+            if (holding != null && !isExcused(holding) && !isExcused(held) && outcome.violation == null) {
+                outcome.violation = "at " + nowMs + " ms endpoints " + holder.id() + " (fence " + holding.fence()
+                        + ") and " + endpoint.id() + " (fence " + held.fence() + ") hold key " + key;
             }
-            only = held;
-            owner = endpoint;
+            holding = held;
+            holder = endpoint;
         }
-        if (now > scenario.startMs()) {
-            outcome.checked++;
-            outcome.served += only != null ? 1 : 0;
-            if (now > scenario.lengthMs() - 2 * CHECK_MS && only == null) {
+        if (nowMs > scenario.startMs()) {
+            outcome.totalChecks++;
+            outcome.servedChecks += holding != null ? 1 : 0;
+            if (nowMs > scenario.lengthMs() - 2 * CHECK_INTERVAL_MS && holding == null) {
                 outcome.unservedAtEnd++;
             }
         }
-        if (only != null) {
-            noteOwner(key, only);
+        if (holding != null) {
+            checkFence(key, holding);
         }
     }
 
-    private void noteOwner(int key, SimulatedEndpoint.Held held) {
-        SimulatedEndpoint.Held before = lastOwner.put(key, held);
-        boolean other =
-                before != null && before.grantedBy().index() != held.grantedBy().index();
-        if (other && held.fence() <= before.fence() && outcome.fenceViolation == null) {
-            outcome.fenceViolation = "key " + key + " went from fence " + before.fence() + " to " + held.fence();
+    private void checkFence(int key, SimulatedEndpoint.Holding held) {
+        SimulatedEndpoint.Holding previous = lastOwner.put(key, held);
+        boolean ownerChanged = previous != null
+                && previous.grantedBy().index() != held.grantedBy().index();
+        if (ownerChanged && held.fence() <= previous.fence() && outcome.fenceViolation == null) {
+            outcome.fenceViolation = "key " + key + " went from fence " + previous.fence() + " to " + held.fence();
         }
     }
 
-    private static boolean isExcused(SimulatedEndpoint.Held held) {
-        double since = held.grantedAt() - held.grantedBy().thawedAt();
-        return since >= 0 && since < THAW_MS;
+    private static boolean isExcused(SimulatedEndpoint.Holding held) {
+        double sinceResumeMs = held.grantedAtMs() - held.grantedBy().resumedAtMs();
+        return sinceResumeMs >= 0 && sinceResumeMs < RESUME_TOLERANCE_MS;
     }
 }
--- a/src/test/java/whinlead/mesh/control/KeyLeaseTest.java
+++ b/src/test/java/whinlead/mesh/control/KeyLeaseTest.java
@@ -11,55 +11,56 @@
 import org.testng.annotations.Test;
 
 /**
- * Keys under drawn days: cuts, processes that stand still, clocks that differ, restarts, crashes, drains and joins that
- * overlap. No key is held by two endpoints at a time, fences rise with each owner, and after the trouble each key is
- * served.
+ * Key leases in random scenarios of overlapping cuts, suspended processes, different clock rates, restarts, crashes,
+ * drains and joins. No key may be held by two endpoints at a time, fences must increase with each owner, and each key
+ * must be served after the faults have ended.
  *
- * <p>While it was built such days showed two faults. Another endpoint beside another process of a sidecar was taken as
- * proof that what the node held had ended, although the process before had granted keys to this endpoint. And a voter
- * with a later vote of its own ended each term of another's after some seconds, so that keys stayed unserved.
+ * <p>Guards against two faults that such scenarios have shown. First, when a sidecar's process and its endpoint had
+ * both been replaced, the new endpoint was taken as proof that the node's earlier holdings had ended, although the
+ * previous process had granted keys to this very endpoint. Second, a voter with a later vote of its own ended each term
+ * of another holder after some seconds, so that keys stayed unserved.
  */
 public class KeyLeaseTest {
-    private static final int DAYS = 30;
-    private static final int DAYS_WITH_FAULT = 40;
-    /** Of the checks of all keys, those in which somebody held the key; the trouble is much. */
-    private static final double MIN_SERVED = 0.8;
+    private static final int SCENARIOS = 30;
+    private static final int SCENARIOS_WITH_FAULT = 40;
+    /** The share of key checks in which an endpoint held the key; below 1 because of the many faults. */
+    private static final double MIN_SERVED_SHARE = 0.8;
 
-    private Level logged;
+    private Level originalLevel;
 
     @BeforeClass
-    public void quiet() {
+    public void reduceLogging() {
         Logger root = Logger.getLogger("");
-        logged = root.getLevel();
+        originalLevel = root.getLevel();
         root.setLevel(Level.WARNING);
     }
 
     @AfterClass(alwaysRun = true)
-    public void loud() {
-        Logger.getLogger("").setLevel(logged);
+    public void restoreLogging() {
+        Logger.getLogger("").setLevel(originalLevel);
     }
 
-    private static KeyOutcome assertKept(long seed) {
-        KeyOutcome outcome = KeyMesh.play(KeyScenario.draw(seed));
-        assertNull(outcome.violation, "day " + seed);
-        assertNull(outcome.fenceViolation, "day " + seed);
-        assertEquals(outcome.unservedAtEnd, 0, "keys that nobody serves after the calm, day " + seed);
+    private static KeyOutcome assertNoViolation(long seed) {
+        KeyOutcome outcome = KeyMesh.run(KeyScenario.random(seed));
+        assertNull(outcome.violation, "seed " + seed);
+        assertNull(outcome.fenceViolation, "seed " + seed);
+        assertEquals(outcome.unservedAtEnd, 0, "unserved keys after the faults have ended, seed " + seed);
         return outcome;
     }
 
     @Test
-    public void noKeyIsHeldTwiceAndAllAreServedAfterTheTrouble() {
+    public void noKeyIsHeldTwiceAndAllKeysAreServedAfterTheFaults() {
         double served = 0;
-        for (long seed = 1; seed <= DAYS; seed++) {
-            KeyOutcome outcome = assertKept(seed);
-            served += (double) outcome.served / outcome.checked / DAYS;
+        for (long seed = 1; seed <= SCENARIOS; seed++) {
+            KeyOutcome outcome = assertNoViolation(seed);
+            served += (double) outcome.servedChecks / outcome.totalChecks / SCENARIOS;
         }
-        assertTrue(served >= MIN_SERVED, "served " + served);
+        assertTrue(served >= MIN_SERVED_SHARE, "served " + served);
     }
 
-    private static boolean isFound(KeyMesh.Fault fault) {
-        for (long seed = 1001; seed <= 1000 + DAYS_WITH_FAULT; seed++) {
-            KeyOutcome outcome = KeyMesh.play(KeyScenario.draw(seed), fault);
+    private static boolean isDetected(KeyMesh.Fault fault) {
+        for (long seed = 1001; seed <= 1000 + SCENARIOS_WITH_FAULT; seed++) {
+            KeyOutcome outcome = KeyMesh.run(KeyScenario.random(seed), fault);
             if (outcome.violation != null) {
                 return true;
             }
@@ -68,9 +69,9 @@
     }
 
     @Test
-    public void aFaultThatIsPutInIsFound() {
+    public void injectedFaultsAreDetected() {
         for (KeyMesh.Fault fault : KeyMesh.Fault.values()) {
-            assertEquals(isFound(fault), fault != KeyMesh.Fault.NONE, fault.toString());
+            assertEquals(isDetected(fault), fault != KeyMesh.Fault.NONE, fault.toString());
         }
     }
 }
--- a/src/test/java/whinlead/mesh/control/KeyMesh.java
+++ b/src/test/java/whinlead/mesh/control/KeyMesh.java
@@ -17,56 +17,55 @@
 import whinlead.plan.Calendar;
 
 /**
- * Plays a {@link KeyScenario} with the real classes of control nodes and sidecars under simulated time: each process
- * has a clock of its own, stands still, restarts, and its messages take their time, are held up by cuts and lost with
- * their connections. The endpoints keep to their published protocol, by clocks up to 2% slow.
+ * Runs a {@link KeyScenario} with the real classes of control nodes and sidecars under simulated time: each process has
+ * its own clock and may be suspended or restarted, and messages are delayed, held up by cuts and lost with their
+ * connections. The endpoints follow their published protocol, with clocks up to 2% slow.
  */
 final class KeyMesh {
     private static final String SERVICE = "svc";
-    private static final double TICK_MS = 100;
+    private static final double SIDECAR_TICK_MS = 100;
     private static final double CONTROL_TICK_MS = 50;
-    /** A sidecar is asked for keys that are so far apart. */
+    /** The distance between two keys that a sidecar is asked for. */
     private static final int KEY_STEP = 512;
-    /** A cut that lasts longer ends the connection, and what was on its way is lost. */
+    /** A cut that lasts longer ends the connection, and the messages in transit are lost. */
     private static final double CONNECTION_LOST_MS = 3000;
-    /** What a process sent just before it stood still leaves when it goes on. */
-    private static final double STUCK_MS = 2;
-    /** For so long too long endpoints are granted keys, as a fault. */
-    private static final double TOO_LONG_MS = 2500;
+    /** The maximum time between a decision to send and the write, in which a process may be suspended. */
+    private static final double MAX_SEND_DELAY_MS = 2;
+    /** By how much longer endpoints are granted keys as an injected fault. */
+    private static final double EXCESS_HOLD_MS = 2500;
 
-    /** A fault that is put into the mesh, to see that it is found. */
+    /** A fault that is injected to check that it is detected. */
     enum Fault {
         NONE,
-        /** Control nodes forget at a restart that they ever voted. */
-        FORGETS_VOTES,
-        /** Endpoints are granted keys for longer than these are leased. */
-        HOLDS_TOO_LONG
+        VOTES_LOST_AT_RESTART,
+        /** Endpoints are granted keys for longer than the keys are leased. */
+        HOLD_EXCEEDS_LEASE
     }
 
-    /** One way of a connection: in order, held up by cuts, lost with the connection. */
-    private final class Way {
-        private double lastAt;
+    /** One direction of a connection: in order, held up by cuts, lost with the connection. */
+    private final class Link {
+        private double lastMs;
 
         private void send(
-                SimulatedProcess from,
-                SimulatedProcess to,
+                SimulatedProcess sender,
+                SimulatedProcess recipient,
                 int sidecar,
                 int control,
                 long connection,
-                Runnable arrival) {
-            // The process may stand still between this decision and the write.
-            calendar.after(random.nextDouble() * STUCK_MS, () -> {
-                double at = Math.max(lastAt, from.leavesAt() + 1 + random.nextInt(scenario.maxDelayMs()));
-                double held = at;
-                while (sidecar >= 0 && !scenario.reaches(sidecar, control, at)
-                        || sidecar < 0 && !scenario.coreReaches(-sidecar - 1, control, at)) {
-                    at++;
+                Runnable deliver) {
+            // The process may be suspended between this decision and the write.
+            calendar.after(random.nextDouble() * MAX_SEND_DELAY_MS, () -> {
+                double arrivalMs = Math.max(lastMs, sender.sendTimeMs() + 1 + random.nextInt(scenario.maxDelayMs()));
+                double undelayedMs = arrivalMs;
+                while (sidecar >= 0 && !scenario.isReachable(sidecar, control, arrivalMs)
+                        || sidecar < 0 && !scenario.isCoreReachable(-sidecar - 1, control, arrivalMs)) {
+                    arrivalMs++;
                 }
-                lastAt = at;
-                boolean broken = at - held > CONNECTION_LOST_MS;
-                calendar.at(at, () -> {
-                    if (!broken) {
-                        to.run(arrival);
+                lastMs = arrivalMs;
+                boolean isLost = arrivalMs - undelayedMs > CONNECTION_LOST_MS;
+                calendar.at(arrivalMs, () -> {
+                    if (!isLost) {
+                        recipient.run(deliver);
                     } else if (sidecar >= 0 && connections[sidecar][control] == connection) {
                         connect(sidecar, control);
                     }
@@ -75,7 +74,7 @@
         }
     }
 
-    /** A control node's machine, whose disk lasts. */
+    /** A control node whose disk survives restarts. */
     private final class Control extends SimulatedProcess {
         private final int index;
         private final String id;
@@ -92,7 +91,7 @@
                 voters.add("control-" + i);
             }
             Decision decided = new Decision(first ? 0 : 3, 1, new byte[0], List.of(), voters);
-            DutyPromise promise = fault == Fault.FORGETS_VOTES ? DutyPromise.NONE : disk[0];
+            DutyPromise promise = fault == Fault.VOTES_LOST_AT_RESTART ? DutyPromise.NONE : disk[0];
             duty = new KeyDuty(this::now, this::isConfirmed, id, decided, promise, this::record, this::send);
             tick();
         }
@@ -100,31 +99,31 @@
         private boolean isConfirmed() {
             int reached = 0;
             for (int other = 0; other < controls.length; other++) {
-                reached +=
-                        other == index || controls[other].isUp() && scenario.coreReaches(index, other, calendar.now())
-                                ? 1
-                                : 0;
+                reached += other == index
+                                || controls[other].isUp() && scenario.isCoreReachable(index, other, calendar.now())
+                        ? 1
+                        : 0;
             }
             return reached > controls.length / 2;
         }
 
-        private void record(DutyPromise promise, Runnable then) {
+        private void record(DutyPromise promise, Runnable onRecorded) {
             calendar.after(
                     1 + random.nextInt(10),
                     () -> run(() -> {
                         disk[0] = promise;
-                        then.run();
+                        onRecorded.run();
                     }));
         }
 
         private void send(String voter, PeerMessage message) {
             int other = Integer.parseInt(voter.substring("control-".length()));
             Control self = this;
-            coreWays[index][other].send(this, controls[other], -index - 1, other, 0, () -> {
+            coreLinks[index][other].send(this, controls[other], -index - 1, other, 0, () -> {
                 if (message instanceof PeerMessage.DutyQuestion question) {
-                    controls[other].duty.vote(self.id, question.request());
+                    controls[other].duty.voteRequested(self.id, question.request());
                 } else if (message instanceof PeerMessage.DutyAnswer answer) {
-                    controls[other].duty.answered(self.id, answer.vote());
+                    controls[other].duty.voteReceived(self.id, answer.vote());
                 }
             });
         }
@@ -167,8 +166,8 @@
 
         @Override
         public void send(PeerMessage message) {
-            Control from = controls[control];
-            downWays[sidecar][control].send(from, process, sidecar, control, number, () -> {
+            Control sender = controls[control];
+            downLinks[sidecar][control].send(sender, process, sidecar, control, number, () -> {
                 if (isOpen()) {
                     process.received("control-" + control, message);
                 }
@@ -185,10 +184,10 @@
         }
     }
 
-    /** A sidecar's process, beside an endpoint that lasts longer than it. */
+    /** A sidecar's process with a local endpoint that may outlive it. */
     private final class Sidecar extends SimulatedProcess {
         private final int index;
-        private final EndpointGate gate = new EndpointGate(SimulatedEndpoint.BEAT_MS);
+        private final EndpointGate gate = new EndpointGate(SimulatedEndpoint.HEARTBEAT_MS);
         private final KeyClient keys;
         private boolean leaving;
 
@@ -203,7 +202,7 @@
                             random,
                             this,
                             () -> endpoints[index],
-                            fault == Fault.HOLDS_TOO_LONG ? TOO_LONG_MS : 0),
+                            fault == Fault.HOLD_EXCEEDS_LEASE ? EXCESS_HOLD_MS : 0),
                     SERVICE::equals,
                     () -> leaving,
                     10_000,
@@ -212,7 +211,7 @@
         }
 
         private void tick() {
-            after(TICK_MS, () -> {
+            after(SIDECAR_TICK_MS, () -> {
                 gate.tick(now());
                 keys.tick();
                 for (int key = index * 7; key <= KeyRange.MAX_KEY; key += KEY_STEP * 5) {
@@ -243,9 +242,9 @@
     private final SimulatedEndpoint[] endpoints;
     private final long[][] connections;
     private final Connection[][] opened;
-    private final Way[][] downWays;
-    private final Way[][] upWays;
-    private final Way[][] coreWays;
+    private final Link[][] downLinks;
+    private final Link[][] upLinks;
+    private final Link[][] coreLinks;
     private final KeyRoutes routes = new KeyRoutes();
     private final KeyChecker checker;
     private long connectionCount;
@@ -254,45 +253,45 @@
         this.scenario = scenario;
         this.fault = fault;
         this.random = new Random(scenario.seed());
-        int n = scenario.sidecars();
-        int c = scenario.controls();
-        this.controls = new Control[c];
-        this.disks = new DutyPromise[c][];
-        this.sidecars = new Sidecar[n];
-        this.endpoints = new SimulatedEndpoint[n];
+        int sidecarCount = scenario.sidecars();
+        int controlCount = scenario.controls();
+        this.controls = new Control[controlCount];
+        this.disks = new DutyPromise[controlCount][];
+        this.sidecars = new Sidecar[sidecarCount];
+        this.endpoints = new SimulatedEndpoint[sidecarCount];
         this.checker = new KeyChecker(calendar, scenario, endpoints);
-        this.connections = new long[n][c];
-        this.opened = new Connection[n][c];
-        this.downWays = ways(n, c);
-        this.upWays = ways(n, c);
-        this.coreWays = ways(c, c);
-        for (int i = 0; i < c; i++) {
+        this.connections = new long[sidecarCount][controlCount];
+        this.opened = new Connection[sidecarCount][controlCount];
+        this.downLinks = links(sidecarCount, controlCount);
+        this.upLinks = links(sidecarCount, controlCount);
+        this.coreLinks = links(controlCount, controlCount);
+        for (int i = 0; i < controlCount; i++) {
             disks[i] = new DutyPromise[] {DutyPromise.NONE};
             controls[i] = new Control(i, disks[i], true);
         }
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < sidecarCount; i++) {
             endpoints[i] = endpoint(i, "endpoint-" + i);
-            if (i < scenario.sidecarsAtFirst()) {
+            if (i < scenario.initialSidecars()) {
                 startSidecar(i);
             }
         }
     }
 
-    private Way[][] ways(int rows, int columns) {
-        Way[][] ways = new Way[rows][columns];
-        for (Way[] row : ways) {
+    private Link[][] links(int rows, int columns) {
+        Link[][] links = new Link[rows][columns];
+        for (Link[] row : links) {
             for (int i = 0; i < columns; i++) {
-                row[i] = new Way();
+                row[i] = new Link();
             }
         }
-        return ways;
+        return links;
     }
 
-    static KeyOutcome play(KeyScenario scenario) {
-        return play(scenario, Fault.NONE);
+    static KeyOutcome run(KeyScenario scenario) {
+        return run(scenario, Fault.NONE);
     }
 
-    static KeyOutcome play(KeyScenario scenario, Fault fault) {
+    static KeyOutcome run(KeyScenario scenario, Fault fault) {
         KeyMesh mesh = new KeyMesh(scenario, fault);
         scenario.events().forEach(event -> mesh.calendar.at(event.atMs(), () -> mesh.apply(event)));
         mesh.checker.check();
@@ -300,43 +299,43 @@
         return mesh.checker.outcome();
     }
 
-    private void startSidecar(int i) {
-        if (sidecars[i] != null) {
-            sidecars[i].kill();
+    private void startSidecar(int index) {
+        if (sidecars[index] != null) {
+            sidecars[index].kill();
         }
-        sidecars[i] = new Sidecar(i);
-        for (int c = 0; c < controls.length; c++) {
-            connect(i, c);
+        sidecars[index] = new Sidecar(index);
+        for (int control = 0; control < controls.length; control++) {
+            connect(index, control);
         }
     }
 
-    private SimulatedEndpoint endpoint(int i, String id) {
-        return new SimulatedEndpoint(calendar, random, id, SERVICE, (from, status) -> {
-            Sidecar beside = sidecars[i];
-            if (endpoints[i] == from && beside != null) {
-                beside.run(() -> {
-                    beside.gate.heartbeat(beside.now(), from.id(), status);
-                    beside.keys.tick();
+    private SimulatedEndpoint endpoint(int index, String id) {
+        return new SimulatedEndpoint(calendar, random, id, SERVICE, (source, status) -> {
+            Sidecar localSidecar = sidecars[index];
+            if (endpoints[index] == source && localSidecar != null) {
+                localSidecar.run(() -> {
+                    localSidecar.gate.heartbeat(localSidecar.now(), source.id(), status);
+                    localSidecar.keys.tick();
                 });
             }
         });
     }
 
-    private void connect(int i, int c) {
-        if (opened[i][c] != null && controls[c].isUp()) {
-            controls[c].duty.closed(opened[i][c]);
+    private void connect(int sidecar, int controlIndex) {
+        if (opened[sidecar][controlIndex] != null && controls[controlIndex].isUp()) {
+            controls[controlIndex].duty.closed(opened[sidecar][controlIndex]);
         }
         long number = ++connectionCount;
-        connections[i][c] = number;
-        Connection connection = new Connection(i, c, number);
-        opened[i][c] = connection;
-        Sidecar process = sidecars[i];
+        connections[sidecar][controlIndex] = number;
+        Connection connection = new Connection(sidecar, controlIndex, number);
+        opened[sidecar][controlIndex] = connection;
+        Sidecar process = sidecars[sidecar];
         calendar.after(5, () -> {
-            if (!connection.isOpen() || !controls[c].isUp()) {
+            if (!connection.isOpen() || !controls[controlIndex].isUp()) {
                 return;
             }
-            Control control = controls[c];
-            process.run(() -> process.keys.connected("control-" + c, new KeyClient.Connection() {
+            Control control = controls[controlIndex];
+            process.run(() -> process.keys.connected("control-" + controlIndex, new KeyClient.Connection() {
                 @Override
                 public boolean isUp() {
                     return connection.isOpen() && control.isUp();
@@ -344,51 +343,55 @@
 
                 @Override
                 public void send(PeerMessage message) {
-                    upWays[i][c].send(process, control, i, c, number, () -> {
+                    upLinks[sidecar][controlIndex].send(process, control, sidecar, controlIndex, number, () -> {
                         if (connection.isOpen() && message instanceof PeerMessage.KeyLeaseReport report) {
                             control.duty.report(connection, report.report());
                         }
                     });
                 }
             }));
-            control.run(() -> control.duty.greeted(connection));
+            control.run(() -> control.duty.sidecarConnected(connection));
         });
     }
 
     private void apply(KeyScenario.Event event) {
-        int i = event.index();
+        int index = event.index();
         switch (event.kind()) {
-            case FREEZE_CONTROL -> controls[i].freeze(event.forMs());
-            case FREEZE_SIDECAR -> sidecars[i].freeze(event.forMs());
+            case FREEZE_CONTROL -> controls[index].freeze(event.durationMs());
+            case FREEZE_SIDECAR -> sidecars[index].freeze(event.durationMs());
             case RESTART_CONTROL -> {
-                controls[i].kill();
-                calendar.after(event.forMs(), () -> {
-                    controls[i].kill();
-                    controls[i] = new Control(i, disks[i], fault == Fault.FORGETS_VOTES);
-                    for (int s = 0; s < sidecars.length; s++) {
-                        if (sidecars[s] != null) {
-                            connect(s, i);
+                controls[index].kill();
+                calendar.after(event.durationMs(), () -> {
+                    controls[index].kill();
+                    controls[index] = new Control(index, disks[index], fault == Fault.VOTES_LOST_AT_RESTART);
+                    for (int sidecar = 0; sidecar < sidecars.length; sidecar++) {
+                        if (sidecars[sidecar] != null) {
+                            connect(sidecar, index);
                         }
                     }
                 });
             }
             case RESTART_SIDECAR -> {
-                if (sidecars[i] != null) {
-                    sidecars[i].kill();
-                    calendar.after(event.forMs(), () -> startSidecar(i));
+                if (sidecars[index] != null) {
+                    sidecars[index].kill();
+                    calendar.after(event.durationMs(), () -> startSidecar(index));
                 }
             }
             case CRASH_ENDPOINT -> {
-                endpoints[i].crash();
-                calendar.after(event.forMs(), () -> endpoints[i] = endpoint(i, "endpoint-" + i + "-" + calendar.now()));
+                endpoints[index].crash();
+                calendar.after(
+                        event.durationMs(),
+                        () -> endpoints[index] = endpoint(index, "endpoint-" + index + "-" + calendar.now()));
             }
             case DRAIN_ENDPOINT -> {
-                endpoints[i].drain();
-                calendar.after(event.forMs(), () -> endpoints[i] = endpoint(i, "endpoint-" + i + "-" + calendar.now()));
+                endpoints[index].drain();
+                calendar.after(
+                        event.durationMs(),
+                        () -> endpoints[index] = endpoint(index, "endpoint-" + index + "-" + calendar.now()));
             }
             case START_SIDECAR -> {
-                if (sidecars[i] == null) {
-                    startSidecar(i);
+                if (sidecars[index] == null) {
+                    startSidecar(index);
                 }
             }
             default -> throw new AssertionError(event.kind());
--- a/src/test/java/whinlead/mesh/control/KeyOutcome.java
+++ b/src/test/java/whinlead/mesh/control/KeyOutcome.java
@@ -1,15 +1,15 @@
 package whinlead.mesh.control;
 
-/** What came of a day that {@link KeyMesh} played. */
+/** The outcome of a scenario that {@link KeyMesh} ran. */
 final class KeyOutcome {
-    /** The first time that two endpoints held one key, in words; null if there was none. */
+    /** The first time that two endpoints held one key, described; null if there was none. */
     String violation;
     /** The first time that a key's new owner had no higher fence; null if there was none. */
     String fenceViolation;
-    /** Checks in which a key was served, and all. */
-    long served;
+    /** Checks in which a key was served, and all checks. */
+    long servedChecks;
 
-    long checked;
-    /** Of the last checks, after the calm: keys that nobody served. */
+    long totalChecks;
+    /** Unserved keys in the last checks, after the faults have ended. */
     int unservedAtEnd;
 }
--- a/src/test/java/whinlead/mesh/control/SidecarContactTest.java
+++ b/src/test/java/whinlead/mesh/control/SidecarContactTest.java
@@ -8,10 +8,10 @@
 import whinlead.mesh.registry.EndpointRecord;
 import whinlead.mesh.registry.EndpointRegistry;
 
-/** What a control node concludes from when it heard of sidecars, and what it repeats to the others. */
+/** Which sidecars a control node marks as gone, and which contacts it shares with the others. */
 public class SidecarContactTest {
-    /** How often a sidecar says its endpoint record again. */
-    private static final double SAY_MS = 3100;
+    /** How often a sidecar repeats its endpoint record. */
+    private static final double SIDECAR_REPEAT_MS = 3100;
 
     private static final String NODE = "10.0.0.1:80";
 
@@ -25,50 +25,50 @@
         return endpointRegistry;
     }
 
-    // One control node is said the endpoint record, and the other hears of it from that one alone, which loses each
-    // second repetition.
+    // One control node has direct contact with the sidecar; the other has contact only through the first one and
+    // misses every second of its shares.
     @Test
-    public void aSidecarThatOneControlNodeReachesIsNotSilentAtTheOthers() {
+    public void sidecarReachedByOneControlNodeIsNotSilentAtTheOthers() {
         EndpointRegistry endpointRegistry = registry();
         SidecarContact near = new SidecarContact();
         SidecarContact far = new SidecarContact();
-        far.heard(0, NODE, false);
+        far.noteContact(0, NODE, false);
         int repeated = 0;
-        double said = Double.NEGATIVE_INFINITY;
+        double lastReportMs = Double.NEGATIVE_INFINITY;
         for (int i = 1; i <= 60; i++) {
-            double now = i * SidecarContact.REPEAT_MS;
-            while (said + SAY_MS <= now) {
-                said = Math.max(0, said + SAY_MS);
-                near.heard(said, NODE, true);
+            double nowMs = i * SidecarContact.SHARE_INTERVAL_MS;
+            while (lastReportMs + SIDECAR_REPEAT_MS <= nowMs) {
+                lastReportMs = Math.max(0, lastReportMs + SIDECAR_REPEAT_MS);
+                near.noteContact(lastReportMs, NODE, true);
             }
-            List<EndpointRecord> fresh = near.fresh(now, endpointRegistry);
-            assertEquals(fresh.size(), 1, "repeated at " + now);
+            List<EndpointRecord> fresh = near.recentDirectContacts(nowMs, endpointRegistry);
+            assertEquals(fresh.size(), 1, "shared at " + nowMs);
             if (i % 2 == 0) {
                 repeated++;
-                assertEquals(far.lost(now, endpointRegistry), List.of(), "at " + now);
-                far.heard(now, NODE, false);
+                assertEquals(far.silentSidecars(nowMs, endpointRegistry), List.of(), "at " + nowMs);
+                far.noteContact(nowMs, NODE, false);
             }
         }
         assertEquals(repeated, 30);
-        assertEquals(far.fresh(300_000, endpointRegistry), List.of(), "what another said is not repeated");
+        assertEquals(far.recentDirectContacts(300_000, endpointRegistry), List.of(), "indirect contact is not shared");
     }
 
     @Test
-    public void aSilentSidecarIsGoneByANumberThatItCanRefute() {
+    public void silentSidecarIsMarkedGoneUntilItSendsANewerRecord() {
         EndpointRegistry endpointRegistry = registry();
         SidecarContact contact = new SidecarContact();
-        contact.heard(1000, NODE, true);
-        assertEquals(contact.lost(1000 + SidecarContact.SILENT_MS, endpointRegistry), List.of());
-        List<EndpointRecord> lost = contact.lost(1001 + SidecarContact.SILENT_MS, endpointRegistry);
+        contact.noteContact(1000, NODE, true);
+        assertEquals(contact.silentSidecars(1000 + SidecarContact.SILENT_MS, endpointRegistry), List.of());
+        List<EndpointRecord> lost = contact.silentSidecars(1001 + SidecarContact.SILENT_MS, endpointRegistry);
         assertEquals(lost, List.of(record(2, EndpointRecord.Phase.GONE)));
         assertTrue(endpointRegistry.merge(lost.get(0)));
-        assertEquals(contact.lost(99_000, endpointRegistry), List.of(), "it is said once");
+        assertEquals(contact.silentSidecars(99_000, endpointRegistry), List.of(), "it is reported once");
         assertTrue(endpointRegistry.merge(record(3, EndpointRecord.Phase.SERVING)));
     }
 
     @Test
-    public void oneOfWhomNothingWasEverHeardIsNotLost() {
-        assertEquals(new SidecarContact().lost(1_000_000, registry()), List.of());
-        assertEquals(new SidecarContact().fresh(1_000_000, registry()), List.of());
+    public void sidecarNeverHeardFromIsNotMarkedGone() {
+        assertEquals(new SidecarContact().silentSidecars(1_000_000, registry()), List.of());
+        assertEquals(new SidecarContact().recentDirectContacts(1_000_000, registry()), List.of());
     }
 }
--- a/src/test/java/whinlead/mesh/control/SimulatedEndpointKeys.java
+++ b/src/test/java/whinlead/mesh/control/SimulatedEndpointKeys.java
@@ -8,66 +8,67 @@
 import whinlead.mesh.sidecar.EndpointKeys;
 import whinlead.plan.Calendar;
 
-/** How a sidecar's calls reach the endpoint beside it, under simulated time. */
+/** A sidecar's calls to its local endpoint under simulated time. */
 final class SimulatedEndpointKeys implements EndpointKeys {
-    /** Between a decision and the write the process may begin to stand still. */
-    private static final double STUCK_MS = 2;
+    /** The maximum time between a decision and the write; the process may be suspended in between. */
+    private static final double MAX_SEND_DELAY_MS = 2;
 
     private static final double ANSWER_MS = 1;
     private static final double TIMEOUT_MS = 800;
-    /** What runs when keys are released ends within this. */
+    /** Requests that run when keys are released end within this time. */
     private static final int MAX_RUN_MS = 500;
 
     private final Calendar calendar;
     private final Random random;
     private final SimulatedProcess sidecar;
     private final Supplier<SimulatedEndpoint> endpoint;
-    private final double tooLongMs;
+    private final double excessHoldMs;
     private int generation;
 
     /**
-     * Calls of a sidecar.
+     * A sidecar's calls.
      *
-     * @param tooLongMs by how much longer than was asked for the endpoint is granted keys, as a fault; 0 for none
+     * @param excessHoldMs by how much longer than requested the endpoint is granted keys, as an injected fault; 0 for
+     *     none
      */
     SimulatedEndpointKeys(
             Calendar calendar,
             Random random,
             SimulatedProcess sidecar,
             Supplier<SimulatedEndpoint> endpoint,
-            double tooLongMs) {
+            double excessHoldMs) {
         this.calendar = calendar;
         this.random = random;
         this.sidecar = sidecar;
         this.endpoint = endpoint;
-        this.tooLongMs = tooLongMs;
+        this.excessHoldMs = excessHoldMs;
     }
 
     @Override
     public void grant(GrantCall call, DoubleUnaryOperator holdMs, GrantListener listener) {
-        double writtenAt = sidecar.now();
-        double ms = holdMs.applyAsDouble(writtenAt);
-        if (ms <= 0) {
+        double writtenAtMs = sidecar.now();
+        double requestedMs = holdMs.applyAsDouble(writtenAtMs);
+        if (requestedMs <= 0) {
             sidecar.after(0, listener::failed);
             return;
         }
-        calendar.after(random.nextDouble() * STUCK_MS, () -> {
+        calendar.after(random.nextDouble() * MAX_SEND_DELAY_MS, () -> {
             if (sidecar.isUp()) {
-                calendar.at(sidecar.leavesAt(), () -> arrive(call, writtenAt, ms, listener));
+                calendar.at(sidecar.sendTimeMs(), () -> deliverGrant(call, writtenAtMs, requestedMs, listener));
             }
         });
     }
 
-    private void arrive(GrantCall call, double writtenAt, double ms, GrantListener listener) {
-        SimulatedEndpoint there = endpoint.get();
-        if (!there.isUp()) {
+    private void deliverGrant(GrantCall call, double writtenAtMs, double requestedMs, GrantListener listener) {
+        SimulatedEndpoint current = endpoint.get();
+        if (!current.isUp()) {
             answer(TIMEOUT_MS, listener::failed);
             return;
         }
-        int status = there.grant(call.range(), call.fence(), ms + tooLongMs, sidecar);
+        int status = current.grant(call.range(), call.fence(), requestedMs + excessHoldMs, sidecar);
         answer(ANSWER_MS, () -> {
             if (status == SimulatedEndpoint.OK) {
-                listener.granted(writtenAt, ms);
+                listener.granted(writtenAtMs, requestedMs);
             } else {
                 listener.refused();
             }
@@ -76,10 +77,10 @@
 
     @Override
     public void release(ReleaseCall call, ReleaseListener listener) {
-        calendar.at(sidecar.leavesAt(), () -> {
-            SimulatedEndpoint there = endpoint.get();
-            if (there.isUp()) {
-                String handoff = there.release(call.range(), call.fence());
+        calendar.at(sidecar.sendTimeMs(), () -> {
+            SimulatedEndpoint current = endpoint.get();
+            if (current.isUp()) {
+                String handoff = current.release(call.range(), call.fence());
                 answer(ANSWER_MS + random.nextInt(MAX_RUN_MS), () -> listener.released(handoff));
             } else {
                 answer(TIMEOUT_MS, listener::failed);
@@ -87,13 +88,13 @@
         });
     }
 
-    // Unless the endpoint has been replaced meanwhile.
+    // Drops the answer if the endpoint has been replaced meanwhile.
     private void answer(double afterMs, Runnable listener) {
-        int of = generation;
+        int requestGeneration = generation;
         calendar.after(
                 afterMs,
                 () -> sidecar.run(() -> {
-                    if (of == generation) {
+                    if (requestGeneration == generation) {
                         listener.run();
                     }
                 }));
--- a/src/test/java/whinlead/mesh/control/SimulatedProcess.java
+++ b/src/test/java/whinlead/mesh/control/SimulatedProcess.java
@@ -4,29 +4,29 @@
 import whinlead.engine.Timers;
 import whinlead.plan.Calendar;
 
-/** A process under simulated time that may stand still, with a clock of its own. */
+/** A process under simulated time that has its own clock and can be suspended. */
 class SimulatedProcess implements Timers {
-    /** A process's clock is off by so much of its time at most, either way. */
+    /** The maximum relative error of a process's clock rate, in both directions. */
     private static final double MAX_CLOCK_DRIFT = 0.004;
 
     private final Calendar calendar;
     private final int index;
     private final double clockRate;
-    private final double clockOffset;
-    private double frozenUntil;
-    private double thawedAt = Double.NEGATIVE_INFINITY;
+    private final double clockOffsetMs;
+    private double frozenUntilMs;
+    private double resumedAtMs = Double.NEGATIVE_INFINITY;
     private boolean up = true;
 
     SimulatedProcess(Calendar calendar, Random random, int index) {
         this.calendar = calendar;
         this.index = index;
         this.clockRate = 1 + (2 * random.nextDouble() - 1) * MAX_CLOCK_DRIFT;
-        this.clockOffset = random.nextInt(1_000_000);
+        this.clockOffsetMs = random.nextInt(1_000_000);
     }
 
     @Override
     public double now() {
-        return clockOffset + calendar.now() * clockRate;
+        return clockOffsetMs + calendar.now() * clockRate;
     }
 
     @Override
@@ -34,31 +34,31 @@
         return calendar.after(millis / clockRate, () -> run(task));
     }
 
-    /** Runs a task once it goes on, if it stands still; never, once it has ended. */
+    /** Runs a task; if the process is suspended, runs it on resumption; if the process has ended, never. */
     final void run(Runnable task) {
         if (!up) {
             return;
         }
-        if (calendar.now() < frozenUntil) {
-            calendar.at(frozenUntil, () -> run(task));
+        if (calendar.now() < frozenUntilMs) {
+            calendar.at(frozenUntilMs, () -> run(task));
         } else {
             task.run();
         }
     }
 
-    final void freeze(double forMs) {
-        frozenUntil = Math.max(frozenUntil, calendar.now() + forMs);
-        thawedAt = frozenUntil;
+    final void freeze(double durationMs) {
+        frozenUntilMs = Math.max(frozenUntilMs, calendar.now() + durationMs);
+        resumedAtMs = frozenUntilMs;
     }
 
-    /** When what it sends now leaves it. */
-    final double leavesAt() {
-        return Math.max(frozenUntil, calendar.now());
+    /** When a message sent now leaves the process. */
+    final double sendTimeMs() {
+        return Math.max(frozenUntilMs, calendar.now());
     }
 
-    /** When it went on last, or will, in simulated time. */
-    final double thawedAt() {
-        return thawedAt;
+    /** When the process last resumed, or will resume, in simulated time. */
+    final double resumedAtMs() {
+        return resumedAtMs;
     }
 
     final void kill() {
--- a/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterHandOverTest.java
@@ -17,42 +17,42 @@
 import whinlead.mesh.storage.StateStoreException;
 
 /**
- * The two threads that share a control node's memory, its loop and the one that writes to the disk, switched at every
- * point where one hands over to the other, in a seeded order; and as real threads that give way there.
+ * The two threads that share a control node's state, its loop and the one that writes to the disk. Switches between
+ * them at every hand-over point in a seeded order, and also runs real threads that yield there.
  */
 public class StateWriterHandOverTest {
     private static final int SCHEDULES = 5000;
     private static final int STEPS = 60;
     private static final int RUNS = 50;
-    private static final int MEMORIES = 100;
+    private static final int STATES = 100;
     private static final long WAIT_S = 20;
 
-    /** What a disk holds, and which memories were said to be on it. */
+    /** The state on disk, and the states whose callbacks have run. */
     private static final class Record {
         private int onDisk = -1;
-        private int said = -1;
-        private int wrong;
+        private int notified = -1;
+        private int violations;
 
-        private synchronized void written(int memory) {
-            wrong += memory < onDisk ? 1 : 0;
-            onDisk = memory;
+        private synchronized void written(int number) {
+            violations += number < onDisk ? 1 : 0;
+            onDisk = number;
         }
 
-        private synchronized void said(int memory) {
-            wrong += memory > onDisk || memory <= said ? 1 : 0;
-            said = memory;
+        private synchronized void notified(int number) {
+            violations += number > onDisk || number <= notified ? 1 : 0;
+            notified = number;
         }
     }
 
-    private static byte[] bytes(int memory) {
-        return ByteBuffer.allocate(Integer.BYTES).putInt(memory).array();
+    private static byte[] encode(int number) {
+        return ByteBuffer.allocate(Integer.BYTES).putInt(number).array();
     }
 
-    private static int memory(byte[] bytes) {
+    private static int number(byte[] bytes) {
         return ByteBuffer.wrap(bytes).getInt();
     }
 
-    /** One schedule: every hand-over may be followed by work of the other thread. */
+    /** One schedule: after every hand-over the other thread may run. */
     private static final class Schedule {
         private final SplittableRandom random;
         private final Record record = new Record();
@@ -71,7 +71,7 @@
             if (refuses && random.nextBoolean()) {
                 throw new StateStoreException("refused");
             }
-            record.written(memory(bytes));
+            record.written(number(bytes));
             switchToLoop();
         }
 
@@ -82,34 +82,34 @@
 
         private void switchToLoop() {
             while (random.nextInt(3) == 0) {
-                loopActs();
+                runLoopStep();
             }
         }
 
-        private void loopActs() {
+        private void runLoopStep() {
             Runnable task = random.nextBoolean() ? loop.poll() : null;
             if (task != null) {
                 task.run();
             } else if (random.nextInt(4) > 0) {
-                int memory = ++newest;
-                stateWriter.write(bytes(memory), () -> record.said(memory));
+                int number = ++newest;
+                stateWriter.write(encode(number), () -> record.notified(number));
             } else if (stateWriter.isSynced() && record.onDisk != newest) {
-                faults.add("settled with " + record.onDisk + " of " + newest);
+                faults.add("reported as synced with state " + record.onDisk + " of " + newest);
             }
         }
 
-        private void play() {
+        private void run() {
             refuses = random.nextBoolean();
             for (int i = 0; i < STEPS; i++) {
                 if (random.nextBoolean()) {
-                    loopActs();
+                    runLoopStep();
                 } else {
-                    stateWriter.step();
+                    stateWriter.writeOnce();
                 }
             }
             refuses = false;
             while (!stateWriter.isSynced()) {
-                stateWriter.step();
+                stateWriter.writeOnce();
             }
             while (!loop.isEmpty()) {
                 loop.poll().run();
@@ -118,26 +118,26 @@
     }
 
     @Test
-    public void nothingIsSaidBeforeItIsOnDiskHoweverTheThreadsAreSwitched() {
+    public void callbacksRunOnlyAfterSyncInRandomSchedules() {
         for (long seed = 1; seed <= SCHEDULES; seed++) {
             Schedule schedule = new Schedule(seed);
-            schedule.play();
+            schedule.run();
             assertEquals(schedule.faults, List.of(), "seed " + seed);
-            assertEquals(schedule.record.wrong, 0, "seed " + seed);
+            assertEquals(schedule.record.violations, 0, "seed " + seed);
             assertEquals(schedule.record.onDisk, schedule.newest, "seed " + seed);
             assertFalse(schedule.stateWriter.isFailing(), "seed " + seed);
         }
     }
 
-    // Gives way, or not, by the seed.
-    private static void giveWay(SplittableRandom random) {
+    // Yields up to three times, depending on the seed.
+    private static void yieldRandomly(SplittableRandom random) {
         for (int i = random.nextInt(4); i > 0; i--) {
             Thread.yield();
         }
     }
 
     @Test
-    public void realThreadsThatGiveWayAtEachHandOverSayNothingTooSoon() throws InterruptedException {
+    public void callbacksRunOnlyAfterSyncWithRealThreads() throws InterruptedException {
         for (int run = 0; run < RUNS; run++) {
             Record record = new Record();
             BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
@@ -145,28 +145,30 @@
             SplittableRandom own = disk.split();
             StateWriter stateWriter = new StateWriter(
                     bytes -> {
-                        giveWay(disk);
-                        record.written(memory(bytes));
-                        giveWay(disk);
+                        yieldRandomly(disk);
+                        record.written(number(bytes));
+                        yieldRandomly(disk);
                     },
                     loop::add,
                     () -> 0);
             stateWriter.start();
             int next = 0;
-            while (record.said < MEMORIES - 1) {
-                if (next < MEMORIES) {
-                    int memory = next++;
-                    stateWriter.write(bytes(memory), () -> record.said(memory));
-                    giveWay(own);
+            while (record.notified < STATES - 1) {
+                if (next < STATES) {
+                    int number = next++;
+                    stateWriter.write(encode(number), () -> record.notified(number));
+                    yieldRandomly(own);
                 }
-                Runnable task = next < MEMORIES ? loop.poll() : loop.poll(WAIT_S, TimeUnit.SECONDS);
-                assertTrue(task != null || next < MEMORIES, "run " + run + ": " + record.said + " were said");
+                Runnable task = next < STATES ? loop.poll() : loop.poll(WAIT_S, TimeUnit.SECONDS);
+                assertTrue(
+                        task != null || next < STATES,
+                        "run " + run + ": " + record.notified + " was the last state whose callback ran");
                 if (task != null) {
                     task.run();
                 }
             }
-            assertEquals(record.wrong, 0, "run " + run);
-            assertEquals(record.onDisk, MEMORIES - 1, "run " + run);
+            assertEquals(record.violations, 0, "run " + run);
+            assertEquals(record.onDisk, STATES - 1, "run " + run);
         }
     }
 }
--- a/src/test/java/whinlead/mesh/control/StateWriterTest.java
+++ b/src/test/java/whinlead/mesh/control/StateWriterTest.java
@@ -14,136 +14,136 @@
 import org.testng.annotations.Test;
 import whinlead.mesh.storage.StateStoreException;
 
-/** What is said only once it is on disk, on disks that stall, are slow, are full or fail. */
+/** Callbacks run only once the state is on disk, for disks that stall, are slow, are full or fail. */
 public class StateWriterTest {
     private static final long WAIT_S = 20;
 
     private final List<Integer> onDisk = new ArrayList<>();
-    private final List<String> said = new ArrayList<>();
+    private final List<String> callbacksRun = new ArrayList<>();
     private final Queue<Runnable> loop = new ArrayDeque<>();
-    private boolean full;
-    private double now;
-    /** Happens while the disk is at work. */
-    private Runnable meanwhile;
+    private boolean diskFull;
+    private double nowMs;
+    /** Runs while the disk is writing. */
+    private Runnable duringWrite;
 
     private StateWriter stateWriter;
 
     @BeforeMethod
-    public void make() {
+    public void createWriter() {
         onDisk.clear();
-        said.clear();
+        callbacksRun.clear();
         loop.clear();
-        full = false;
-        now = 0;
-        meanwhile = () -> {};
-        stateWriter = new StateWriter(this::write, loop::add, () -> now);
+        diskFull = false;
+        nowMs = 0;
+        duringWrite = () -> {};
+        stateWriter = new StateWriter(this::write, loop::add, () -> nowMs);
     }
 
-    private void write(byte[] memory) throws StateStoreException {
-        Runnable task = meanwhile;
-        meanwhile = () -> {};
+    private void write(byte[] state) throws StateStoreException {
+        Runnable task = duringWrite;
+        duringWrite = () -> {};
         task.run();
-        if (full) {
+        if (diskFull) {
             throw new StateStoreException("the state store can't be written: disk is full");
         }
-        onDisk.add((int) memory[0]);
+        onDisk.add((int) state[0]);
     }
 
-    private void hand(int memory, String then) {
-        stateWriter.write(new byte[] {(byte) memory}, () -> {
-            // Only once this memory, or a later one, is on disk.
-            assertTrue(onDisk.stream().anyMatch(m -> m >= memory), then);
-            said.add(then);
+    private void submit(int state, String name) {
+        stateWriter.write(new byte[] {(byte) state}, () -> {
+            // Only once this state, or a later one, is on disk.
+            assertTrue(onDisk.stream().anyMatch(written -> written >= state), name);
+            callbacksRun.add(name);
         });
     }
 
     private void step() {
-        stateWriter.step();
+        stateWriter.writeOnce();
         while (!loop.isEmpty()) {
             loop.remove().run();
         }
     }
 
     @Test
-    public void saysWhatIsOnDisk() {
-        hand(1, "one");
-        assertEquals(said, List.of());
+    public void callbackRunsAfterWrite() {
+        submit(1, "one");
+        assertEquals(callbacksRun, List.of());
         step();
-        assertEquals(said, List.of("one"));
+        assertEquals(callbacksRun, List.of("one"));
         step();
-        assertEquals(onDisk, List.of(1), "nothing is written twice");
+        assertEquals(onDisk, List.of(1), "a state was written twice");
     }
 
     @Test
-    public void whatWaitsForAStalledDiskIsWrittenOnceAsItIsLast() {
-        hand(1, "one");
-        meanwhile = () -> {
-            hand(2, "two");
-            hand(3, "three");
-            assertEquals(said, List.of());
-            now = 3000;
+    public void statesQueuedDuringStallAreWrittenOnceAsTheLatest() {
+        submit(1, "one");
+        duringWrite = () -> {
+            submit(2, "two");
+            submit(3, "three");
+            assertEquals(callbacksRun, List.of());
+            nowMs = 3000;
             assertEquals(stateWriter.stalledMs(), 3000.0);
-            assertFalse(stateWriter.isFailing(), "slow is not failing");
+            assertFalse(stateWriter.isFailing(), "a slow disk is not a failing one");
         };
         step();
-        assertEquals(said, List.of("one"));
-        // Those that came meanwhile have waited since they came.
+        assertEquals(callbacksRun, List.of("one"));
+        // The states submitted during the write have waited since their submission.
         assertEquals(stateWriter.stalledMs(), 3000.0);
         step();
         assertEquals(onDisk, List.of(1, 3));
-        assertEquals(said, List.of("one", "two", "three"));
+        assertEquals(callbacksRun, List.of("one", "two", "three"));
         assertEquals(stateWriter.stalledMs(), 0.0);
     }
 
     @Test
-    public void whatAStalledDiskHoldsUpIsBounded() {
-        for (int i = 0; i < StateWriter.MAX_WAITING + 2; i++) {
-            hand(1, "" + i);
+    public void pendingCallbacksAreBounded() {
+        for (int i = 0; i < StateWriter.MAX_PENDING + 2; i++) {
+            submit(1, "" + i);
         }
         step();
-        assertEquals(said.size(), StateWriter.MAX_WAITING);
-        assertEquals(said.get(0), "2", "the oldest are as if lost on the way");
+        assertEquals(callbacksRun.size(), StateWriter.MAX_PENDING);
+        assertEquals(callbacksRun.get(0), "2", "the oldest callbacks are dropped");
     }
 
     @Test
-    public void whatWaitedForARefusedMemoryIsNeverSaidAndTheMemoryIsTriedAgain() {
-        full = true;
-        hand(1, "one");
+    public void failedWriteIsRetriedAndItsCallbacksAreDropped() {
+        diskFull = true;
+        submit(1, "one");
         step();
-        now = 500;
+        nowMs = 500;
         assertTrue(stateWriter.isFailing());
         assertFalse(stateWriter.isSynced());
         assertEquals(stateWriter.stalledMs(), 500.0);
         step();
         assertEquals(onDisk, List.of());
-        full = false;
+        diskFull = false;
         step();
         assertEquals(onDisk, List.of(1));
-        assertEquals(said, List.of());
+        assertEquals(callbacksRun, List.of());
         assertFalse(stateWriter.isFailing());
         assertTrue(stateWriter.isSynced());
         assertEquals(stateWriter.stalledMs(), 0.0);
     }
 
     @Test
-    public void aLaterMemoryTakesThePlaceOfARefusedOne() {
-        full = true;
-        hand(1, "one");
-        meanwhile = () -> hand(2, "two");
+    public void laterStateReplacesFailedOne() {
+        diskFull = true;
+        submit(1, "one");
+        duringWrite = () -> submit(2, "two");
         step();
-        full = false;
+        diskFull = false;
         step();
         step();
         assertEquals(onDisk, List.of(2));
-        assertEquals(said, List.of("two"));
+        assertEquals(callbacksRun, List.of("two"));
     }
 
     @Test
-    public void aFaultBelowEndsNothing() {
-        meanwhile = () -> {
+    public void runtimeExceptionOfDiskIsRetried() {
+        duringWrite = () -> {
             throw new IllegalStateException("a fault");
         };
-        hand(1, "one");
+        submit(1, "one");
         step();
         assertTrue(stateWriter.isFailing());
         step();
@@ -151,30 +151,30 @@
     }
 
     @Test
-    public void whatIsSaidFailsAlone() {
+    public void callbacksRunAsSeparateTasks() {
         stateWriter.write(new byte[] {1}, () -> {
             throw new IllegalStateException("a fault");
         });
-        hand(1, "two");
-        stateWriter.step();
-        assertEquals(loop.size(), 2, "each is a task of its own");
+        submit(1, "two");
+        stateWriter.writeOnce();
+        assertEquals(loop.size(), 2, "each callback is a separate task");
     }
 
     @Test
-    public void theThreadTriesAgainByItself() throws InterruptedException {
+    public void threadRetriesWithoutFurtherWrites() throws InterruptedException {
         CountDownLatch written = new CountDownLatch(1);
-        int[] tries = new int[1];
-        StateWriter alone = new StateWriter(
-                memory -> {
-                    if (++tries[0] < 3) {
+        int[] attempts = new int[1];
+        StateWriter threadedWriter = new StateWriter(
+                state -> {
+                    if (++attempts[0] < 3) {
                         throw new StateStoreException("the state store can't be written: disk is full");
                     }
                     written.countDown();
                 },
                 Runnable::run,
                 () -> 0);
-        alone.start();
-        alone.write(new byte[] {1}, () -> {});
+        threadedWriter.start();
+        threadedWriter.write(new byte[] {1}, () -> {});
         assertTrue(written.await(WAIT_S, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/whinlead/mesh/duty/DutyCandidateTest.java
+++ b/src/test/java/whinlead/mesh/duty/DutyCandidateTest.java
@@ -10,105 +10,108 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who holds a duty, by votes that end. */
+/** Election of the holder of a duty by votes that expire. */
 public class DutyCandidateTest {
     private static final List<String> VOTERS = List.of("a", "b", "c");
 
-    /** A voter that stands as well; its questions are answered at once by those that are in reach. */
-    private final class Member {
+    /** A voter that is also a candidate; reachable voters answer its requests at once. */
+    private final class SimulatedNode {
         private final DutyQuorum quorum;
         private DutyVoter voter;
         private final DutyCandidate candidate;
         private boolean reachable = true;
 
-        private Member(String id, DutyPromise promise) {
-            quorum = new DutyQuorum(now, id, 0, VOTERS);
-            voter = new DutyVoter(now, promise, true);
+        private SimulatedNode(String id, DutyPromise promise) {
+            quorum = new DutyQuorum(nowMs, id, 0, VOTERS);
+            voter = new DutyVoter(nowMs, promise, true);
             candidate = new DutyCandidate(id, quorum, (other, request) -> {
-                Member asked = members.get(other);
+                SimulatedNode asked = nodes.get(other);
                 if (asked != null && (other.equals(id) || reachable && asked.reachable)) {
-                    DutyVote vote = asked.voter.vote(now, id, request, asked.quorum.mayVote(now));
-                    members.get(id).candidate.answered(now, other, vote);
+                    DutyVote vote = asked.voter.vote(nowMs, id, request, asked.quorum.mayVote(nowMs));
+                    nodes.get(id).candidate.voteReceived(nowMs, other, vote);
                 }
             });
         }
 
-        private boolean holds() {
-            return candidate.isHolder(now, true);
+        private boolean isHolder() {
+            return candidate.isHolder(nowMs, true);
         }
     }
 
-    private final Map<String, Member> members = new HashMap<>();
-    private double now;
+    private final Map<String, SimulatedNode> nodes = new HashMap<>();
+    private double nowMs;
 
     @BeforeMethod
     public void start() {
-        now = 0;
-        members.clear();
-        VOTERS.forEach(id -> members.put(id, new Member(id, DutyPromise.NONE)));
+        nowMs = 0;
+        nodes.clear();
+        VOTERS.forEach(id -> nodes.put(id, new SimulatedNode(id, DutyPromise.NONE)));
     }
 
-    private void run(double ms) {
-        for (double end = now + ms; now < end; now += 50) {
+    private void run(double durationMs) {
+        for (double endMs = nowMs + durationMs; nowMs < endMs; nowMs += 50) {
             VOTERS.forEach(id -> {
-                Member member = members.get(id);
-                member.candidate.tick(now, member.voter, true);
+                SimulatedNode node = nodes.get(id);
+                node.candidate.tick(nowMs, node.voter, true);
             });
-            assertTrue(members.values().stream().filter(Member::holds).count() <= 1, "two hold it at " + now);
+            assertTrue(nodes.values().stream().filter(SimulatedNode::isHolder).count() <= 1, "two holders at " + nowMs);
         }
     }
 
     @Test
-    public void theFirstInTheOrderOfTheVotersHoldsItAndKeepsIt() {
+    public void firstVoterBecomesHolderAndRenews() {
         run(10_000);
-        assertTrue(members.get("a").holds());
-        assertTrue(members.get("a").candidate.isFirstTerm());
-        assertEquals(members.get("a").candidate.epoch(), 1);
+        assertTrue(nodes.get("a").isHolder());
+        assertTrue(nodes.get("a").candidate.isFirstTerm());
+        assertEquals(nodes.get("a").candidate.epoch(), 1);
     }
 
     @Test
-    public void anotherHoldsItUnderAHigherEpochOnceTheTermOfOneOutOfReachIsOver() {
+    public void unreachableHolderIsReplacedUnderHigherEpoch() {
         run(2000);
-        members.get("a").reachable = false;
+        nodes.get("a").reachable = false;
         run(3500);
-        assertFalse(members.get("a").holds());
-        Member next = members.get("b");
-        assertTrue(next.holds());
+        assertFalse(nodes.get("a").isHolder());
+        SimulatedNode next = nodes.get("b");
+        assertTrue(next.isHolder());
         assertTrue(next.candidate.epoch() > 1);
         assertFalse(next.candidate.isFirstTerm());
     }
 
     @Test
-    public void aVoterWithALaterVoteOfItsOwnEndsNoTermThatTheOthersHoldUp() {
+    public void voterWithHigherEpochDoesNotEndTermOfQuorum() {
         run(2000);
-        members.get("c").reachable = false;
+        nodes.get("c").reachable = false;
         run(5000);
-        members.get("c").reachable = true;
-        long epoch = members.get("a").candidate.epoch();
+        nodes.get("c").reachable = true;
+        long epoch = nodes.get("a").candidate.epoch();
         run(10_000);
-        assertTrue(members.get("a").holds());
-        assertEquals(members.get("a").candidate.epoch(), epoch);
+        assertTrue(nodes.get("a").isHolder());
+        assertEquals(nodes.get("a").candidate.epoch(), epoch);
     }
 
     @Test
-    public void aVoterThatStartsAgainKeepsTheVoteOnItsDisk() {
+    public void restartedVoterRetainsVoteOnDisk() {
         run(2000);
-        DutyVoter again = new DutyVoter(now, members.get("b").voter.promise(), true);
-        assertFalse(again.vote(now + 10, "c", new DutyRequest(1, 50), true).granted());
-        assertTrue(again.vote(now + 10, "a", new DutyRequest(1, 1), true).granted(), "the same one's again");
-        assertTrue(again.vote(now + 10 + DutyTerms.KEPT_MS, "c", new DutyRequest(1, 50), true)
+        DutyVoter restarted = new DutyVoter(nowMs, nodes.get("b").voter.promise(), true);
+        assertFalse(
+                restarted.vote(nowMs + 10, "c", new DutyRequest(1, 50), true).granted());
+        assertTrue(
+                restarted.vote(nowMs + 10, "a", new DutyRequest(1, 1), true).granted(), "a renewal by the same holder");
+        assertTrue(restarted
+                .vote(nowMs + 10 + DutyTerms.VOTE_RETAINED_MS, "c", new DutyRequest(1, 50), true)
                 .granted());
     }
 
     @Test
-    public void whoGetsAVoteGivesNoneUntilEarlierVotesHaveEnded() {
+    public void newVoterWaitsUntilEarlierVotesExpired() {
         DutyQuorum quorum = new DutyQuorum(0, "d", 5, VOTERS);
         quorum.decided(100, 6, List.of("a", "b", "d"));
-        assertFalse(quorum.mayVote(100 + DutyTerms.KEPT_MS));
-        assertTrue(quorum.mayVote(100 + DutyTerms.SETTLED_MS));
+        assertFalse(quorum.mayVote(100 + DutyTerms.VOTE_RETAINED_MS));
+        assertTrue(quorum.mayVote(100 + DutyTerms.SETTLE_TIME_MS));
         quorum.decided(200, 7, List.of("a", "b", "d", "e", "f"));
         quorum.decided(10_000, 8, List.of("a"));
-        assertEquals(quorum.needed(10_100), 3, "the larger set may have elected a holder");
-        assertEquals(quorum.needed(10_000 + DutyTerms.SETTLED_MS), 1);
+        assertEquals(quorum.requiredVotes(10_100), 3, "the larger set may have elected a holder");
+        assertEquals(quorum.requiredVotes(10_000 + DutyTerms.SETTLE_TIME_MS), 1);
     }
 }
