--- a/src/main/java/whinlead/mesh/config/ConfigReader.java
+++ b/src/main/java/whinlead/mesh/config/ConfigReader.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import java.util.stream.Collectors;
 
-/** Reads a configuration's JSON; it is known to be whole then, but not yet to be valid. For any thread. */
+/** Parses a configuration's JSON. The result is complete, but its values are not validated yet. For any thread. */
 public final class ConfigReader {
     private final ObjectMapper mapper = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
@@ -20,9 +20,9 @@
             .build();
 
     /**
-     * Reads it.
+     * Parses a configuration.
      *
-     * @throws InvalidConfigException if it can't be read whole, naming where
+     * @throws InvalidConfigException if it can't be parsed completely, naming the place
      */
     public MeshConfig read(byte[] json) throws InvalidConfigException {
         try {
--- a/src/main/java/whinlead/mesh/config/ConfigValidator.java
+++ b/src/main/java/whinlead/mesh/config/ConfigValidator.java
@@ -12,16 +12,16 @@
 import org.hibernate.validator.messageinterpolation.ParameterMessageInterpolator;
 
 /**
- * Whether a configuration may be taken: each field by its constraints, then what fields say of each other. For any
- * thread; making one loads the validator, some hundred milliseconds on a small core.
+ * Validates a configuration: first the constraints of each field, then those between fields. For any thread; creating
+ * one loads the Bean Validation provider, which takes some hundred milliseconds on a small core.
  */
 public final class ConfigValidator {
-    /** A target this much beyond its route's deadline, in seconds, is an error of the operator's. */
-    private static final double TARGET_OVER = 60;
+    /** A target that exceeds its route's deadline by this much, in seconds, is a configuration error. */
+    private static final double MAX_TARGET_EXCESS_S = 60;
 
     private final Validator validator;
 
-    /** A check. */
+    /** Creates a validator. */
     public ConfigValidator() {
         validator = Validation.byDefaultProvider()
                 .configure()
@@ -31,57 +31,60 @@
     }
 
     /**
-     * Checks it.
+     * Validates a configuration.
      *
-     * @throws InvalidConfigException naming the first field that is wrong
+     * @throws InvalidConfigException naming the first invalid field
      */
     public void check(MeshConfig meshConfig) throws InvalidConfigException {
-        Set<ConstraintViolation<MeshConfig>> wrong = validator.validate(meshConfig);
-        if (!wrong.isEmpty()) {
-            ConstraintViolation<MeshConfig> first = wrong.stream()
-                    .min(Comparator.comparing(v -> v.getPropertyPath().toString()))
+        Set<ConstraintViolation<MeshConfig>> violations = validator.validate(meshConfig);
+        if (!violations.isEmpty()) {
+            ConstraintViolation<MeshConfig> first = violations.stream()
+                    .min(Comparator.comparing(
+                            violation -> violation.getPropertyPath().toString()))
                     .orElseThrow();
             throw new InvalidConfigException(first.getPropertyPath() + " " + first.getMessage());
         }
-        Map<String, String> places = new HashMap<>();
-        for (Map.Entry<String, MeshConfig.Route> e : meshConfig.routes().entrySet()) {
-            route(meshConfig, e.getKey(), e.getValue(), places);
+        Map<String, String> routesByPrefix = new HashMap<>();
+        for (Map.Entry<String, MeshConfig.Route> entry : meshConfig.routes().entrySet()) {
+            checkRoute(meshConfig, entry.getKey(), entry.getValue(), routesByPrefix);
         }
         Set<String> keys = new HashSet<>();
         if (meshConfig.tenants() != null) {
-            for (Map.Entry<String, MeshConfig.Tenant> e : meshConfig.tenants().entrySet()) {
-                for (String key : Set.copyOf(e.getValue().credentials())) {
+            for (Map.Entry<String, MeshConfig.Tenant> entry :
+                    meshConfig.tenants().entrySet()) {
+                for (String key : Set.copyOf(entry.getValue().credentials())) {
                     if (!keys.add(key)) {
                         throw new InvalidConfigException(
-                                "Tenants." + e.getKey() + ".Credentials holds a key of another tenant");
+                                "Tenants." + entry.getKey() + ".Credentials holds a key of another tenant");
                     }
                 }
             }
         }
     }
 
-    private static void route(MeshConfig meshConfig, String name, MeshConfig.Route route, Map<String, String> places)
+    private static void checkRoute(
+            MeshConfig meshConfig, String name, MeshConfig.Route route, Map<String, String> routesByPrefix)
             throws InvalidConfigException {
-        String at = "Routes." + name;
-        String other = places.put(RoutingTable.host(route.authority()) + " " + route.pathPrefix(), name);
+        String field = "Routes." + name;
+        String other = routesByPrefix.put(RoutingTable.host(route.authority()) + " " + route.pathPrefix(), name);
         if (other != null) {
-            throw new InvalidConfigException(at + ".PathPrefix is that of Routes." + other + " at the same host");
+            throw new InvalidConfigException(field + ".PathPrefix is that of Routes." + other + " at the same host");
         }
-        if (route.targetS() >= route.deadlineS() + TARGET_OVER) {
-            throw new InvalidConfigException(at + ".TargetS exceeds DeadlineS by a minute or more");
+        if (route.targetS() >= route.deadlineS() + MAX_TARGET_EXCESS_S) {
+            throw new InvalidConfigException(field + ".TargetS exceeds DeadlineS by a minute or more");
         }
-        boolean shared = route.shares() != null && !route.shares().isEmpty();
-        if (shared == (route.target() != null)) {
-            throw new InvalidConfigException(at + " needs either Target or Shares");
+        boolean hasShares = route.shares() != null && !route.shares().isEmpty();
+        if (hasShares == (route.target() != null)) {
+            throw new InvalidConfigException(field + " needs either Target or Shares");
         }
-        List<MeshConfig.Share> shares = shared ? route.shares() : List.of(new MeshConfig.Share(route.target(), 1));
+        List<MeshConfig.Share> shares = hasShares ? route.shares() : List.of(new MeshConfig.Share(route.target(), 1));
         for (MeshConfig.Share share : shares) {
             if (!meshConfig.services().containsKey(share.target())) {
-                throw new InvalidConfigException(at + ".Target names no service: " + share.target());
+                throw new InvalidConfigException(field + ".Target names no service: " + share.target());
             }
         }
         if (shares.stream().mapToDouble(MeshConfig.Share::weight).sum() <= 0) {
-            throw new InvalidConfigException(at + ".Shares have no weight");
+            throw new InvalidConfigException(field + ".Shares have no weight");
         }
     }
 }
--- a/src/main/java/whinlead/mesh/config/MeshConfig.java
+++ b/src/main/java/whinlead/mesh/config/MeshConfig.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * A whole configuration as the operator sends it: which places requests may go to and at what terms. Tables are keyed
- * by name; times are in seconds. The constraints are checked at the control nodes ({@link ConfigValidator}).
+ * A complete configuration as the operator sends it: where requests may be sent, and under which limits. Tables are
+ * keyed by name; times are in seconds. Control nodes check the constraints ({@link ConfigValidator}).
  *
- * @param epoch its version, eight hexadecimal digits
- * @param tenants null or empty where no key is asked for
+ * @param epoch the configuration's version, eight hexadecimal digits
+ * @param tenants null or empty if no key is required
  */
 public record MeshConfig(
         @JsonProperty("Epoch") @NotNull @Pattern(regexp = "[0-9a-fA-F]{8}")
@@ -26,19 +26,19 @@
         @JsonProperty("Limits") @NotNull @Valid Limits limits,
         @JsonProperty("Tenants") Map<String, @NotNull @Valid Tenant> tenants) {
 
-    /** What may be done with a request again. */
+    /** A kind of route: requests may run more than once. */
     public static final String IDEMPOTENT = "idempotent";
-    /** At most one run a try. */
+    /** Each try runs at most once. */
     public static final String MUTATING = "mutating";
-    /** The same, with a large body. */
+    /** Like {@link #MUTATING}, with a large body. */
     public static final String INGEST = "ingest";
 
     /**
-     * A route: requests of one host below one prefix.
+     * A route: the requests of one host below one path prefix.
      *
      * @param rank 0 is the highest
-     * @param shares services by weight, or null where {@code target} names the one
-     * @param tries endpoints to which one try may be sent, at most
+     * @param shares services by weight, or null if {@code target} names the only one
+     * @param tries maximum number of endpoints to which one try may be sent
      */
     public record Route(
             @JsonProperty("Authority") @NotEmpty String authority,
@@ -57,7 +57,7 @@
             @JsonProperty("Tries") @Positive int tries,
             @JsonProperty("Public") boolean open) {}
 
-    /** A part of a route's requests for one service. */
+    /** The part of a route's requests that one service gets. */
     public record Share(
             @JsonProperty("Target") @NotEmpty String target,
             @JsonProperty("Weight") @PositiveOrZero double weight) {}
@@ -65,34 +65,34 @@
     /**
      * A service.
      *
-     * @param maxConns connections that an endpoint of it takes from all callers
-     * @param divided whether each endpoint runs the requests of the keys that it was granted only
+     * @param maxConns connections that an endpoint of it accepts from all callers
+     * @param divided whether each endpoint runs only the requests of the keys that it was granted
      */
     public record Service(
             @JsonProperty("Probe") String probe,
             @JsonProperty("MaxConns") @PositiveOrZero int maxConns,
             @JsonProperty("Partitioned") boolean divided) {
-        /** One whose endpoints run any request. */
+        /** A service whose endpoints run any request. */
         public Service(String probe, int maxConns) {
             this(probe, maxConns, false);
         }
     }
 
-    /** What clients may send, in bytes, and how long they may take or stay idle, in seconds. */
+    /** Limits on clients' requests: sizes in bytes, times to send a header or to stay idle in seconds. */
     public record Limits(
             @JsonProperty("HeaderBytes") @Positive int headerBytes,
             @JsonProperty("BodyBytes") @PositiveOrZero long bodyBytes,
             @JsonProperty("HeaderS") @Positive double headerS,
             @JsonProperty("IdleS") @Positive double idleS) {}
 
-    /** A tenant; a rate of 0 is no limit. */
+    /** A tenant; a rate of 0 means no limit. */
     public record Tenant(
             @JsonProperty("Credentials") @NotNull List<@NotEmpty String> credentials,
             @JsonProperty("Rank") @PositiveOrZero Integer rank,
             @JsonProperty("RatePerS") @PositiveOrZero double ratePerS,
             @JsonProperty("Burst") @PositiveOrZero double burst) {}
 
-    /** Its version as a number. */
+    /** The version as a number. */
     public long version() {
         return Long.parseLong(epoch, 16);
     }
--- a/src/main/java/whinlead/mesh/config/RoutingTable.java
+++ b/src/main/java/whinlead/mesh/config/RoutingTable.java
@@ -7,12 +7,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A configuration made ready for requests: finds a request's route, its service and its tenant. Immutable. */
+/** A configuration prepared for lookups: finds a request's route, service and tenant. Immutable. */
 public final class RoutingTable {
-    /** Before the first configuration. */
-    public static final long NONE = 0;
+    /** The slot before the first configuration. */
+    public static final long NO_SLOT = 0;
 
-    /** A route by its name. */
+    /** A route with its name. */
     public record NamedRoute(String name, MeshConfig.Route route) {
         /** Whether a request may run more than once. */
         public boolean isIdempotent() {
@@ -20,7 +20,7 @@
         }
 
         /**
-         * The service for one request.
+         * Selects the service for one request.
          *
          * @param draw uniform from 0 to 1
          */
@@ -28,80 +28,82 @@
             if (route.target() != null) {
                 return route.target();
             }
-            double left = draw
+            double remaining = draw
                     * route.shares().stream()
                             .mapToDouble(MeshConfig.Share::weight)
                             .sum();
-            String last = null;
+            String selected = null;
             for (MeshConfig.Share share : route.shares()) {
                 if (share.weight() > 0) {
-                    last = share.target();
-                    left -= share.weight();
-                    if (left < 0) {
+                    selected = share.target();
+                    remaining -= share.weight();
+                    if (remaining < 0) {
                         break;
                     }
                 }
             }
-            return last;
+            return selected;
         }
     }
 
-    /** A tenant by its name. */
+    /** A tenant with its name. */
     public record NamedTenant(String name, MeshConfig.Tenant tenant) {}
 
     private final MeshConfig meshConfig;
     private final long slot;
-    private final Map<String, List<NamedRoute>> hosts = new HashMap<>();
-    private final Map<String, NamedTenant> keys = new HashMap<>();
+    private final Map<String, List<NamedRoute>> routesByHost = new HashMap<>();
+    private final Map<String, NamedTenant> tenantsByKey = new HashMap<>();
 
-    /** Of a configuration that was agreed on in this slot. */
+    /** The routing table of a configuration that was agreed on in this slot. */
     public RoutingTable(long slot, MeshConfig meshConfig) {
         this.slot = slot;
         this.meshConfig = meshConfig;
         meshConfig
                 .routes()
-                .forEach((name, r) -> hosts.computeIfAbsent(host(r.authority()), h -> new ArrayList<>())
-                        .add(new NamedRoute(name, r)));
-        Comparator<NamedRoute> longest =
-                Comparator.comparingInt(w -> -w.route().pathPrefix().length());
-        hosts.values().forEach(ways -> ways.sort(longest));
+                .forEach((name, route) -> routesByHost
+                        .computeIfAbsent(host(route.authority()), host -> new ArrayList<>())
+                        .add(new NamedRoute(name, route)));
+        Comparator<NamedRoute> longestPrefixFirst =
+                Comparator.comparingInt(route -> -route.route().pathPrefix().length());
+        routesByHost.values().forEach(routes -> routes.sort(longestPrefixFirst));
         if (meshConfig.tenants() != null) {
             meshConfig
                     .tenants()
-                    .forEach((name, t) -> t.credentials().forEach(k -> keys.put(k, new NamedTenant(name, t))));
+                    .forEach((name, tenant) ->
+                            tenant.credentials().forEach(key -> tenantsByKey.put(key, new NamedTenant(name, tenant))));
         }
     }
 
-    /** The slot in which it was agreed on. */
+    /** The slot in which the configuration was agreed on. */
     public long slot() {
         return slot;
     }
 
-    /** What it was made from. */
+    /** The configuration from which this table was made. */
     public MeshConfig config() {
         return meshConfig;
     }
 
-    /** The route of a request, the one with the longest prefix; null if there is none. */
+    /** The route of a request, which is the one with the longest matching prefix; null if there is none. */
     public NamedRoute route(String authority, String path) {
-        List<NamedRoute> ways = authority == null ? null : hosts.get(host(authority));
-        if (ways == null) {
+        List<NamedRoute> routes = authority == null ? null : routesByHost.get(host(authority));
+        if (routes == null) {
             return null;
         }
-        int query = path.indexOf('?');
-        String plain = query < 0 ? path : path.substring(0, query);
-        for (NamedRoute way : ways) {
-            if (plain.startsWith(way.route().pathPrefix())) {
-                return way;
+        int queryStart = path.indexOf('?');
+        String pathWithoutQuery = queryStart < 0 ? path : path.substring(0, queryStart);
+        for (NamedRoute route : routes) {
+            if (pathWithoutQuery.startsWith(route.route().pathPrefix())) {
+                return route;
             }
         }
         return null;
     }
 
-    /** Whether each endpoint of this service runs requests of the keys only that it was granted. */
+    /** Whether each endpoint of this service runs only the requests of the keys that it was granted. */
     public boolean isDivided(String service) {
-        MeshConfig.Service known = meshConfig.services().get(service);
-        return known != null && known.divided();
+        MeshConfig.Service definition = meshConfig.services().get(service);
+        return definition != null && definition.divided();
     }
 
     /** Whether requests of routes that are not public need a key. */
@@ -109,12 +111,12 @@
         return meshConfig.tenants() != null && !meshConfig.tenants().isEmpty();
     }
 
-    /** Whose key it is; null if nobody's. */
+    /** The tenant to which a key belongs; null if there is none. */
     public NamedTenant tenantOf(String key) {
-        return key == null ? null : keys.get(key);
+        return key == null ? null : tenantsByKey.get(key);
     }
 
-    /** A host as it is compared: in lower case and without a port. */
+    /** A host in the form used for comparison: in lower case and without a port. */
     static String host(String authority) {
         int colon = authority.lastIndexOf(':');
         String name = colon > 0 && authority.indexOf(']', colon) < 0 ? authority.substring(0, colon) : authority;
--- a/src/main/java/whinlead/mesh/registry/EndpointRecord.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRecord.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * What one sidecar says of itself and the endpoint beside it. Of two, the one of the later life, and in one life that
- * with the higher number, holds: whoever merges them in whatever order ends with the same.
+ * A sidecar's record of itself and its local endpoint. Of two records of a node, the one with the later life wins, and
+ * within one life the one with the higher sequence number, so merging in any order has the same result.
  *
- * @param node where the sidecar takes requests for its endpoint, ADDRESS:PORT
- * @param life of the sidecar, rises with each start
- * @param seq counts what it said in this life
- * @param endpoint id of the endpoint's life; empty where none is known
+ * @param node address at which the sidecar takes requests for its endpoint, ADDRESS:PORT
+ * @param life of the sidecar, increases with each start
+ * @param seq counts the records of this life
+ * @param endpoint id of the endpoint's life; empty if none is known
  * @param target the endpoint's service
- * @param capacity requests that the endpoint works on at a time
- * @param warmMs how long the endpoint stays slow from when this was said, in milliseconds
+ * @param capacity requests that the endpoint processes concurrently
+ * @param warmMs how long the endpoint stays slow after this record was made, in milliseconds
  */
 public record EndpointRecord(
         String node,
@@ -24,17 +24,17 @@
         Phase phase,
         int capacity,
         int warmMs) {
-    /** What may be sent to it. */
+    /** Which requests may be sent to the endpoint. */
     public enum Phase {
-        /** New requests are welcome. */
+        /** New requests are accepted. */
         SERVING,
-        /** None that have not been sent yet. */
+        /** No requests that have not been sent yet. */
         DRAINING,
-        /** The sidecar has left, or nothing was heard of it for long. */
+        /** The sidecar has left, or has been silent for long. */
         GONE
     }
 
-    /** Checks that nothing is missing. */
+    /** Checks that no field is missing. */
     public EndpointRecord {
         Objects.requireNonNull(node);
         Objects.requireNonNull(zone);
@@ -43,12 +43,12 @@
         Objects.requireNonNull(phase);
     }
 
-    /** Whether this holds against the other. */
+    /** Whether this record replaces the other. */
     public boolean isNewerThan(EndpointRecord other) {
         return other == null || life > other.life || life == other.life && seq > other.seq;
     }
 
-    /** Whether requests may be sent there. */
+    /** Whether requests may be sent to the endpoint. */
     public boolean acceptsRequests() {
         return phase == Phase.SERVING && !endpoint.isEmpty();
     }
--- a/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
+++ b/src/main/java/whinlead/mesh/registry/EndpointRegistry.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 
 /**
- * All endpoint records known here, with the counts and the lists by service that requests ask for, which are kept as
- * endpoint records change. Mergeable state: any order of merges gives the same. Pure; one thread.
+ * All endpoint records known here, with counts and per-service lists that are updated with each record, because each
+ * request uses them. Mergeable state: any order of merges has the same result. Pure; one thread.
  */
 public final class EndpointRegistry {
-    /** Beyond so many nodes learners are left out: a peer's fault must not fill the memory. */
+    /** Records of further nodes are ignored above this number, so that a faulty peer can't exhaust the memory. */
     public static final int MAX_NODES = 4096;
 
     private final Map<String, EndpointRecord> records = new LinkedHashMap<>();
-    /** By service and then by node: endpoint records of sidecars that have not gone and that have an endpoint. */
+    /** By service and then by node: the records of sidecars that have not gone and that have an endpoint. */
     private final Map<String, Map<String, EndpointRecord>> endpoints = new HashMap<>();
 
-    private int present;
+    private int presentCount;
 
-    /** Takes an endpoint record in; true if it is new. */
+    /** Merges an endpoint record; returns true if it is new. */
     public boolean merge(EndpointRecord record) {
         EndpointRecord known = records.get(record.node());
         if (known == null && records.size() >= MAX_NODES || !record.isNewerThan(known)) {
@@ -39,7 +39,7 @@
         if (record.phase() == EndpointRecord.Phase.GONE) {
             return;
         }
-        present++;
+        presentCount++;
         if (!record.endpoint().isEmpty()) {
             endpoints
                     .computeIfAbsent(record.target(), service -> new LinkedHashMap<>())
@@ -51,22 +51,22 @@
         if (record.phase() == EndpointRecord.Phase.GONE) {
             return;
         }
-        present--;
-        Map<String, EndpointRecord> service = endpoints.getOrDefault(record.target(), Map.of());
+        presentCount--;
+        Map<String, EndpointRecord> serviceEndpoints = endpoints.getOrDefault(record.target(), Map.of());
         if (!record.endpoint().isEmpty()) {
-            service.remove(record.node());
+            serviceEndpoints.remove(record.node());
         }
-        if (service.isEmpty()) {
+        if (serviceEndpoints.isEmpty()) {
             endpoints.remove(record.target());
         }
     }
 
-    /** The newest of a node, or null. */
+    /** The newest record of a node, or null. */
     public EndpointRecord find(String node) {
         return records.get(node);
     }
 
-    /** All. */
+    /** All records, including those of sidecars that have gone. */
     public Collection<EndpointRecord> all() {
         return Collections.unmodifiableCollection(records.values());
     }
@@ -76,8 +76,8 @@
         return List.copyOf(endpoints.getOrDefault(service, Map.of()).values());
     }
 
-    /** How many sidecars are there now, as far as is known. */
+    /** The number of sidecars that have not gone, as far as is known. */
     public int presentCount() {
-        return present;
+        return presentCount;
     }
 }
--- a/src/main/java/whinlead/mesh/registry/package-info.java
+++ b/src/main/java/whinlead/mesh/registry/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What is known of the sidecars and the endpoints beside them, as mergeable state: whoever merges the same records in
- * whatever order ends with the same registry.
+ * The known sidecars and their local endpoints, as mergeable state: merging the same records in any order gives the
+ * same registry.
  *
  * <p>Begin with {@link whinlead.mesh.registry.EndpointRecord}. Pure; one thread; uses {@code java.util} only.
  */
--- a/src/main/java/whinlead/mesh/settings/NodeSettings.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettings.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * A process's settings: what the platform's settings file tells it. Checked where it is made, so that a sidecar need
- * not load a validator for it at its start. Times are in seconds, as in the file.
+ * A process's settings, from the settings file that the platform provides. Records check themselves when created, so a
+ * sidecar need not load Bean Validation at its start. Times are in seconds, as in the file.
  *
- * @param self what this process is
- * @param network where it listens, and three machines that it may ask
+ * @param self the identity of this process
+ * @param network the addresses to listen at, and up to three machines to contact
  * @param substrate how often endpoints send heartbeats
- * @param clauses the figures of the rules
+ * @param clauses the bounds of the contract with the platform
  */
 public record NodeSettings(
         @JsonProperty("Self") Self self,
@@ -18,7 +18,7 @@
         @JsonProperty("Substrate") Substrate substrate,
         @JsonProperty("Clauses") Clauses clauses) {
 
-    /** Checks that every table is there. */
+    /** Checks that every table exists. */
     public NodeSettings {
         require(self, "Self");
         require(network, "Network");
@@ -27,7 +27,7 @@
     }
 
     /**
-     * What this process is. Of the fields for one role only, those of the other are null.
+     * The identity of this process. Fields of the other role are null.
      *
      * @param bootstrap whether the whole system starts for the first time, on empty disks
      */
@@ -40,7 +40,7 @@
             @JsonProperty("AppAddr") String appAddr,
             @JsonProperty("Target") String target,
             @JsonProperty("Limits") Limits limits) {
-        /** Checks what both roles need. */
+        /** Checks the fields that both roles need. */
         public Self {
             require(node, "Self.Node");
             require(ip, "Self.Ip");
@@ -48,15 +48,15 @@
         }
     }
 
-    /** What the machine gives: memory in MB, descriptors as a count. */
+    /** The machine's limits: memory in MB, and the number of file descriptors. */
     public record Limits(
             @JsonProperty("MemoryMb") double memoryMb,
             @JsonProperty("FdLimit") int fdLimit) {}
 
     /**
-     * Where it listens, and whom it may ask first.
+     * The addresses to listen at, and the machines to contact first.
      *
-     * @param portRange the first and the last of the ports that are free for the system's own talk
+     * @param portRange the first and the last port reserved for the system's own connections
      * @param seeds control addresses of up to three machines
      */
     public record Network(
@@ -65,7 +65,7 @@
             @JsonProperty("Seeds") List<String> seeds) {
         private static final int MAX_PORT = 65535;
 
-        /** Checks the ports and that there is someone to ask. */
+        /** Checks the ports, and that the seeds exist. */
         public Network {
             require(bind, "Network.Bind");
             require(seeds, "Network.Seeds");
@@ -78,36 +78,36 @@
             }
         }
 
-        /** The port at which processes of the system talk to each other, alike on all machines. */
+        /** The port for connections between processes of the system, the same on all machines. */
         public int peerPort() {
             return portRange.get(0);
         }
     }
 
-    /** Addresses to listen at; null where the role does not serve them. */
+    /** Addresses to listen at; null if the role does not serve them. */
     public record Bind(
             @JsonProperty("Ingress") String ingress,
             @JsonProperty("Egress") String egress,
             @JsonProperty("Readiness") String readiness,
             @JsonProperty("Control") String control) {}
 
-    /** How often an endpoint beats. */
+    /** How often an endpoint sends a heartbeat. */
     public record Substrate(@JsonProperty("HeartbeatS") double heartbeatS) {
         /** Checks the time. */
         public Substrate {
-            positive(heartbeatS, "Substrate.HeartbeatS");
+            requirePositive(heartbeatS, "Substrate.HeartbeatS");
         }
     }
 
-    /** The figures of the rules in force. */
+    /** The bounds in force. */
     public record Clauses(@JsonProperty("Bounds") Bounds bounds) {
-        /** Checks that the figures are there. */
+        /** Checks that the bounds exist. */
         public Clauses {
             require(bounds, "Clauses.Bounds");
         }
     }
 
-    /** The bounds that this program keeps to; in seconds, or shares and counts of requests. */
+    /** The bounds that this program must satisfy, in seconds, or as ratios and numbers of requests. */
     public record Bounds(
             @JsonProperty("DrainS") double drainS,
             @JsonProperty("GraceS") double graceS,
@@ -146,22 +146,22 @@
                     null);
         }
 
-        /** Checks that each figure is one. */
+        /** Checks that the figures are numbers in their ranges. */
         public Bounds {
-            positive(drainS, "Clauses.Bounds.DrainS");
-            positive(graceS, "Clauses.Bounds.GraceS");
-            notNegative(retryRatio, "Clauses.Bounds.RetryRatio");
-            notNegative(retrySlack, "Clauses.Bounds.RetrySlack");
-            notNegative(quotaExcess, "Clauses.Bounds.QuotaExcess");
-            notNegative(quotaSlack, "Clauses.Bounds.QuotaSlack");
+            requirePositive(drainS, "Clauses.Bounds.DrainS");
+            requirePositive(graceS, "Clauses.Bounds.GraceS");
+            requireNotNegative(retryRatio, "Clauses.Bounds.RetryRatio");
+            requireNotNegative(retrySlack, "Clauses.Bounds.RetrySlack");
+            requireNotNegative(quotaExcess, "Clauses.Bounds.QuotaExcess");
+            requireNotNegative(quotaSlack, "Clauses.Bounds.QuotaSlack");
             if (holdCapS != null) {
-                positive(holdCapS, "Clauses.Bounds.HoldCapS");
+                requirePositive(holdCapS, "Clauses.Bounds.HoldCapS");
             }
         }
     }
 
     /**
-     * A field that this role can't do without.
+     * Returns a field that this role needs.
      *
      * @throws NodeSettingsException if it is null
      */
@@ -172,13 +172,13 @@
         return value;
     }
 
-    private static void positive(double value, String field) {
+    private static void requirePositive(double value, String field) {
         if (!(value > 0 && value < Double.POSITIVE_INFINITY)) {
             throw new NodeSettingsException(field + " is missing or not a number over 0");
         }
     }
 
-    private static void notNegative(double value, String field) {
+    private static void requireNotNegative(double value, String field) {
         if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
             throw new NodeSettingsException(field + " is not a number of 0 or more");
         }
--- a/src/main/java/whinlead/mesh/settings/NodeSettingsException.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettingsException.java
@@ -4,12 +4,12 @@
 public final class NodeSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong with which field. */
+    /** A message that names the field and the problem. */
     public NodeSettingsException(String message) {
         super(message);
     }
 
-    /** The same, for the reason that a layer below gave. */
+    /** The same, with the exception that caused it. */
     public NodeSettingsException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/whinlead/mesh/settings/NodeSettingsReader.java
+++ b/src/main/java/whinlead/mesh/settings/NodeSettingsReader.java
@@ -13,12 +13,12 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads a settings file of lines {@code a.b=value}, lists joined by commas. Fields not known are left. */
+/** Reads a settings file of lines {@code a.b=value}, with lists separated by commas. Ignores unknown fields. */
 public final class NodeSettingsReader {
     private static final Set<String> LISTS = Set.of("Network.Seeds", "Network.PortRange", "Clauses.Invariants");
     private final ObjectMapper mapper;
 
-    /** A reader; the mapper is copied, not changed. */
+    /** A reader; copies the mapper and leaves the original unchanged. */
     public NodeSettingsReader(ObjectMapper mapper) {
         this.mapper = mapper.copy().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
@@ -26,7 +26,7 @@
     /**
      * Reads a file.
      *
-     * @throws NodeSettingsException naming the file or the field that is wrong
+     * @throws NodeSettingsException naming the invalid file or field
      */
     public NodeSettings read(Path file) {
         try {
@@ -37,24 +37,24 @@
     }
 
     /**
-     * Reads its lines.
+     * Parses the lines of a file.
      *
-     * @throws NodeSettingsException naming the field that is wrong
+     * @throws NodeSettingsException naming the invalid field
      */
     public NodeSettings parse(List<String> lines) {
         ObjectNode root = mapper.createObjectNode();
         for (String line : lines) {
-            int equals = line.indexOf('=');
+            int separator = line.indexOf('=');
             if (line.isBlank() || line.startsWith("#")) {
                 continue;
             }
-            if (equals <= 0) {
+            if (separator <= 0) {
                 throw new NodeSettingsException("'" + line + "' is not FIELD=VALUE");
             }
             put(
                     root,
-                    line.substring(0, equals).trim(),
-                    line.substring(equals + 1).trim());
+                    line.substring(0, separator).trim(),
+                    line.substring(separator + 1).trim());
         }
         try {
             return mapper.treeToValue(root, NodeSettings.class);
--- a/src/test/java/whinlead/mesh/registry/EndpointRegistryTest.java
+++ b/src/test/java/whinlead/mesh/registry/EndpointRegistryTest.java
@@ -8,21 +8,21 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** That the counts and lists that a directory keeps are those of its endpoint records. */
+/** The registry's counts and per-service lists match its endpoint records. */
 public class EndpointRegistryTest {
     private static final int NODES = 12;
     private static final List<String> SERVICES = List.of("one", "two", "three", "");
 
-    private static Set<EndpointRecord> walked(EndpointRegistry endpointRegistry, String service) {
-        Set<EndpointRecord> open = new HashSet<>(endpointRegistry.all());
-        open.removeIf(l -> l.phase() == EndpointRecord.Phase.GONE
-                || l.endpoint().isEmpty()
-                || !l.target().equals(service));
-        return open;
+    private static Set<EndpointRecord> expectedEndpoints(EndpointRegistry endpointRegistry, String service) {
+        Set<EndpointRecord> expected = new HashSet<>(endpointRegistry.all());
+        expected.removeIf(record -> record.phase() == EndpointRecord.Phase.GONE
+                || record.endpoint().isEmpty()
+                || !record.target().equals(service));
+        return expected;
     }
 
     @Test
-    public void whatIsKeptIsWhatAWalkFinds() {
+    public void indexesMatchFullScan() {
         for (int seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
             EndpointRegistry endpointRegistry = new EndpointRegistry();
@@ -38,13 +38,13 @@
                         6,
                         0));
                 long present = endpointRegistry.all().stream()
-                        .filter(l -> l.phase() != EndpointRecord.Phase.GONE)
+                        .filter(record -> record.phase() != EndpointRecord.Phase.GONE)
                         .count();
                 assertEquals(endpointRegistry.presentCount(), present);
                 for (String service : SERVICES) {
-                    List<EndpointRecord> kept = endpointRegistry.endpoints(service);
-                    assertEquals(new HashSet<>(kept), walked(endpointRegistry, service));
-                    assertEquals(kept.size(), new HashSet<>(kept).size());
+                    List<EndpointRecord> indexed = endpointRegistry.endpoints(service);
+                    assertEquals(new HashSet<>(indexed), expectedEndpoints(endpointRegistry, service));
+                    assertEquals(indexed.size(), new HashSet<>(indexed).size());
                 }
             }
         }
