--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -254,7 +254,7 @@
     /** Writing to disk has failed: this member stops taking part, since it could not keep its promises. */
     public void diskFailed(String reason) {
         if (!stopped) {
-            environment.report("copies: steps aside, a write to its disk failed: " + reason);
+            environment.report("copies: steps aside, its disk takes nothing: " + reason);
             stop();
         }
     }
