--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -160,7 +160,7 @@
      * the decision that says so.
      */
     public boolean mayEnd(double nowMs) {
-        return decided() == null || membership.mayEnd(nowMs, decided(), storedSlot);
+        return decided() == null || membership.mayStop(nowMs, decided(), storedSlot);
     }
 
     /** An operator submits a configuration that builds on a given version. */
@@ -177,8 +177,8 @@
         noteRunning(nowMs);
         quorum.update(nowMs, decided());
         // A node that may stop accepts nothing new: the caller then goes to a control node that stays.
-        boolean ending = membership.isLeaving() && mayEnd(nowMs);
-        if (quorum.isLost() || ending) {
+        boolean mayStop = membership.isLeaving() && mayEnd(nowMs);
+        if (quorum.isLost() || mayStop) {
             operations.reject(operation);
         } else {
             operations.submit(nowMs, operation);
--- a/src/main/java/whinlead/mesh/consensus/Decision.java
+++ b/src/main/java/whinlead/mesh/consensus/Decision.java
@@ -5,7 +5,7 @@
 
 /**
  * The complete state agreed on in one slot: a node that has the newest decision needs none of the earlier ones. It
- * lists the versions applied lately, newest last, so that a repeated call finds its own.
+ * lists the versions applied recently, newest last, so that a repeated call finds its own.
  *
  * @param slot counts decisions; 0 is the founding decision
  * @param version of the configuration; 0 before the first one
--- a/src/main/java/whinlead/mesh/consensus/Membership.java
+++ b/src/main/java/whinlead/mesh/consensus/Membership.java
@@ -68,7 +68,7 @@
      * contact. Later decisions reach a quorum's disks without this control node, so it does not wait for them during a
      * stream of decisions.
      */
-    boolean mayEnd(double nowMs, Decision decided, long storedSlot) {
+    boolean mayStop(double nowMs, Decision decided, long storedSlot) {
         List<String> voters = decided.voters();
         boolean mustHandOver =
                 voters.contains(self) && (mayShrink(decided) || learners.hasPendingRequest(nowMs, voters));
--- a/src/main/java/whinlead/mesh/consensus/Message.java
+++ b/src/main/java/whinlead/mesh/consensus/Message.java
@@ -30,7 +30,7 @@
 
     /** A voter's contact with another voter. */
     enum Reachability {
-        /** The other voter answered lately. */
+        /** The other voter answered recently. */
         REACHED,
         /** Neither of the others: no answer came for some time, or the silence time has not passed yet. */
         UNSURE,
--- a/src/main/java/whinlead/mesh/control/KeyDuty.java
+++ b/src/main/java/whinlead/mesh/control/KeyDuty.java
@@ -81,7 +81,7 @@
      * The state of a process that starts.
      *
      * @param clockMs steady, in milliseconds
-     * @param confirmed whether a quorum has lately confirmed that there is no newer decision
+     * @param confirmed whether a quorum has recently confirmed that there is no newer decision
      * @param id this control node's id
      * @param decided the decision on its disk, or null
      * @param promise the promise on its disk; null if it can't be read
--- a/src/main/java/whinlead/mesh/control/LesseeRecorder.java
+++ b/src/main/java/whinlead/mesh/control/LesseeRecorder.java
@@ -56,7 +56,7 @@
         return false;
     }
 
-    /** Records whether the reserve was lately in use, for the next process that starts. */
+    /** Records whether the reserve was recently in use, for the next process that starts. */
     void markReserve(boolean inUse) {
         if (reserveInUse != inUse) {
             reserveInUse = inUse;
--- a/src/main/java/whinlead/mesh/control/QuotaLeases.java
+++ b/src/main/java/whinlead/mesh/control/QuotaLeases.java
@@ -27,7 +27,7 @@
  * loop's thread.
  */
 final class QuotaLeases {
-    /** Stands for unknown sidecars, if the disk does not tell which held leases. */
+    /** Stands for unknown sidecars, if the disk does not record which held leases. */
     private static final String UNKNOWN_LESSEE = "unknown";
     /** How often sidecars that no longer hold leases are removed, in milliseconds. */
     private static final double PRUNE_INTERVAL_MS = 1000;
@@ -56,7 +56,7 @@
      * The leases of a process that starts.
      *
      * @param clockMs steady, in milliseconds
-     * @param confirmed whether a quorum has lately confirmed that there is no newer decision
+     * @param confirmed whether a quorum has recently confirmed that there is no newer decision
      * @param id this control node's id
      * @param decided the decision on its disk, or null
      * @param folder of its disk
--- a/src/main/java/whinlead/mesh/control/RestoredState.java
+++ b/src/main/java/whinlead/mesh/control/RestoredState.java
@@ -16,7 +16,7 @@
  * The state with which a control node starts: the state on its disk, or a new identity on a new disk. A new disk makes
  * a new voter, because the promises made on the old one are unknown.
  *
- * @param id the machine's address and a number that tells this disk from earlier ones
+ * @param id the machine's address and a number that distinguishes this disk from earlier ones
  */
 record RestoredState(String id, Acceptor.State acceptor) {
     /** Separates the address and the disk's number in an id. */
--- a/src/main/java/whinlead/mesh/control/SidecarChannel.java
+++ b/src/main/java/whinlead/mesh/control/SidecarChannel.java
@@ -42,7 +42,7 @@
      *
      * @param clockMs steady, in milliseconds
      * @param decided the newest decision, or null
-     * @param confirmed whether a quorum has lately confirmed that there is no newer one
+     * @param confirmed whether a quorum has recently confirmed that there is no newer one
      */
     SidecarChannel(DoubleSupplier clockMs, Supplier<Decision> decided, BooleanSupplier confirmed, ControlPeers peers) {
         this.clockMs = clockMs;
@@ -113,31 +113,31 @@
     void merge(PeerConnection from, List<EndpointRecord> records) {
         List<EndpointRecord> changed = new ArrayList<>();
         boolean fromSidecar = from.peer().indexOf(CONTROL_NODE_MARK) < 0;
-        for (EndpointRecord record : records) {
-            if (registry.merge(record)) {
-                changed.add(record);
+        for (EndpointRecord endpointRecord : records) {
+            if (registry.merge(endpointRecord)) {
+                changed.add(endpointRecord);
             }
             // Only for records that were stored: the contact tables grow with what peers send, and the registry is
             // bounded.
-            if (registry.find(record.node()) != null && record.phase() != EndpointRecord.Phase.GONE) {
-                contact.noteContact(clockMs.getAsDouble(), record.node(), fromSidecar);
+            if (registry.find(endpointRecord.node()) != null && endpointRecord.phase() != EndpointRecord.Phase.GONE) {
+                contact.noteContact(clockMs.getAsDouble(), endpointRecord.node(), fromSidecar);
             }
         }
         propagate(from, changed);
     }
 
     /**
-     * Marks silent sidecars as gone, and tells the other control nodes which sidecars this one is in contact with, so
-     * that a control node without connections to sidecars does not mark them as gone. Must be called at each
+     * Marks silent sidecars as gone, and notifies the other control nodes which sidecars this one is in contact with,
+     * so that a control node without connections to sidecars does not mark them as gone. Must be called at each
      * {@link SidecarContact#SHARE_INTERVAL_MS}.
      */
     void shareContact() {
-        List<EndpointRecord> lost = contact.silentSidecars(clockMs.getAsDouble(), registry);
-        lost.forEach(registry::merge);
-        propagate(null, lost);
-        List<EndpointRecord> fresh = contact.recentDirectContacts(clockMs.getAsDouble(), registry);
-        if (!fresh.isEmpty()) {
-            peers.broadcast(new PeerMessage.EndpointUpdate(fresh));
+        List<EndpointRecord> silent = contact.silentSidecars(clockMs.getAsDouble(), registry);
+        silent.forEach(registry::merge);
+        propagate(null, silent);
+        List<EndpointRecord> recent = contact.recentDirectContacts(clockMs.getAsDouble(), registry);
+        if (!recent.isEmpty()) {
+            peers.broadcast(new PeerMessage.EndpointUpdate(recent));
         }
     }
 
--- a/src/main/java/whinlead/mesh/control/SidecarContact.java
+++ b/src/main/java/whinlead/mesh/control/SidecarContact.java
@@ -35,30 +35,31 @@
 
     /** The endpoint records of silent sidecars, marked as gone. */
     List<EndpointRecord> silentSidecars(double nowMs, EndpointRegistry endpointRegistry) {
-        List<EndpointRecord> lost = new ArrayList<>();
-        for (EndpointRecord record : endpointRegistry.all()) {
-            double silenceMs = nowMs - contactAtMs.getOrDefault(record.node(), nowMs);
-            if (record.phase() != EndpointRecord.Phase.GONE && silenceMs > SILENT_MS) {
-                lost.add(new EndpointRecord(
-                        record.node(),
-                        record.life(),
-                        record.seq() + 1,
-                        record.zone(),
-                        record.endpoint(),
-                        record.target(),
+        List<EndpointRecord> silent = new ArrayList<>();
+        for (EndpointRecord endpointRecord : endpointRegistry.all()) {
+            double silenceMs = nowMs - contactAtMs.getOrDefault(endpointRecord.node(), nowMs);
+            if (endpointRecord.phase() != EndpointRecord.Phase.GONE && silenceMs > SILENT_MS) {
+                silent.add(new EndpointRecord(
+                        endpointRecord.node(),
+                        endpointRecord.life(),
+                        endpointRecord.seq() + 1,
+                        endpointRecord.zone(),
+                        endpointRecord.endpoint(),
+                        endpointRecord.target(),
                         EndpointRecord.Phase.GONE,
-                        record.capacity(),
+                        endpointRecord.capacity(),
                         0));
             }
         }
-        return lost;
+        return silent;
     }
 
     /** The endpoint records of sidecars with direct contact within the last share interval. */
     List<EndpointRecord> recentDirectContacts(double nowMs, EndpointRegistry endpointRegistry) {
         return endpointRegistry.all().stream()
-                .filter(record -> nowMs - directContactAtMs.getOrDefault(record.node(), Double.NEGATIVE_INFINITY)
-                        < SHARE_INTERVAL_MS)
+                .filter(endpointRecord ->
+                        nowMs - directContactAtMs.getOrDefault(endpointRecord.node(), Double.NEGATIVE_INFINITY)
+                                < SHARE_INTERVAL_MS)
                 .toList();
     }
 }
--- a/src/main/java/whinlead/mesh/storage/LesseeStore.java
+++ b/src/main/java/whinlead/mesh/storage/LesseeStore.java
@@ -18,14 +18,14 @@
 public final class LesseeStore {
     private static final String FILE = "lessees";
     private static final String NEW_FILE = "lessees.new";
-    /** A first line, distinct from all sidecar names: the reserve may lately have been in use. */
+    /** A first line, distinct from all sidecar names: the reserve may recently have been in use. */
     private static final String RESERVE_MARK = "#reserve";
 
     /**
      * The persistent entry.
      *
      * @param lessees sidecars that may hold leases
-     * @param reserveInUse whether the process that wrote it may lately have granted tokens from the reserve
+     * @param reserveInUse whether the process that wrote it may recently have granted tokens from the reserve
      */
     public record Entry(Set<String> lessees, boolean reserveInUse) {
         /** Copies the set. */
--- a/src/test/java/whinlead/mesh/control/SidecarContactTest.java
+++ b/src/test/java/whinlead/mesh/control/SidecarContactTest.java
@@ -41,8 +41,8 @@
                 lastReportMs = Math.max(0, lastReportMs + SIDECAR_REPEAT_MS);
                 near.noteContact(lastReportMs, NODE, true);
             }
-            List<EndpointRecord> fresh = near.recentDirectContacts(nowMs, endpointRegistry);
-            assertEquals(fresh.size(), 1, "shared at " + nowMs);
+            List<EndpointRecord> recent = near.recentDirectContacts(nowMs, endpointRegistry);
+            assertEquals(recent.size(), 1, "shared at " + nowMs);
             if (i % 2 == 0) {
                 repeated++;
                 assertEquals(far.silentSidecars(nowMs, endpointRegistry), List.of(), "at " + nowMs);
@@ -59,9 +59,9 @@
         SidecarContact contact = new SidecarContact();
         contact.noteContact(1000, NODE, true);
         assertEquals(contact.silentSidecars(1000 + SidecarContact.SILENT_MS, endpointRegistry), List.of());
-        List<EndpointRecord> lost = contact.silentSidecars(1001 + SidecarContact.SILENT_MS, endpointRegistry);
-        assertEquals(lost, List.of(record(2, EndpointRecord.Phase.GONE)));
-        assertTrue(endpointRegistry.merge(lost.get(0)));
+        List<EndpointRecord> silent = contact.silentSidecars(1001 + SidecarContact.SILENT_MS, endpointRegistry);
+        assertEquals(silent, List.of(record(2, EndpointRecord.Phase.GONE)));
+        assertTrue(endpointRegistry.merge(silent.get(0)));
         assertEquals(contact.silentSidecars(99_000, endpointRegistry), List.of(), "it is reported once");
         assertTrue(endpointRegistry.merge(record(3, EndpointRecord.Phase.SERVING)));
     }
--- a/src/test/java/whinlead/mesh/registry/EndpointRegistryTest.java
+++ b/src/test/java/whinlead/mesh/registry/EndpointRegistryTest.java
@@ -15,9 +15,9 @@
 
     private static Set<EndpointRecord> expectedEndpoints(EndpointRegistry endpointRegistry, String service) {
         Set<EndpointRecord> expected = new HashSet<>(endpointRegistry.all());
-        expected.removeIf(record -> record.phase() == EndpointRecord.Phase.GONE
-                || record.endpoint().isEmpty()
-                || !record.target().equals(service));
+        expected.removeIf(endpointRecord -> endpointRecord.phase() == EndpointRecord.Phase.GONE
+                || endpointRecord.endpoint().isEmpty()
+                || !endpointRecord.target().equals(service));
         return expected;
     }
 
@@ -38,7 +38,7 @@
                         6,
                         0));
                 long present = endpointRegistry.all().stream()
-                        .filter(record -> record.phase() != EndpointRecord.Phase.GONE)
+                        .filter(endpointRecord -> endpointRecord.phase() != EndpointRecord.Phase.GONE)
                         .count();
                 assertEquals(endpointRegistry.presentCount(), present);
                 for (String service : SERVICES) {
