--- a/src/main/java/whinlead/decide/Attempt.java
+++ b/src/main/java/whinlead/decide/Attempt.java
@@ -1,21 +1,22 @@
 package whinlead.decide;
 
-/** One attempt of a request at one server, in the list of those out there. */
+/** One attempt of a request at one server, linked into the list of attempts in flight at that server. */
 final class Attempt {
     final Call call;
     final Node node;
-    final double sentAt;
-    boolean out = true;
-    // Whether any sent there later was served, and any of its own class; how many of those were far faster.
-    boolean passed;
-    boolean passedByOwn;
-    int overtaken;
+    final double sentAtMs;
+    boolean inFlight = true;
+    // Whether a later attempt at this server was served, and whether one of the same class was; how many later
+    // attempts were served far faster.
+    boolean laterServed;
+    boolean laterOfClassServed;
+    int overtakes;
     Attempt older;
     Attempt newer;
 
-    Attempt(Call call, Node node, double sentAt) {
+    Attempt(Call call, Node node, double sentAtMs) {
         this.call = call;
         this.node = node;
-        this.sentAt = sentAt;
+        this.sentAtMs = sentAtMs;
     }
 }
--- a/src/main/java/whinlead/decide/Call.java
+++ b/src/main/java/whinlead/decide/Call.java
@@ -4,69 +4,71 @@
 import java.util.List;
 import whinlead.Contract;
 
-/** A request, its attempts, and what may still be done for it. */
+/** A request, its attempts, and the rules on what may still be done for it. */
 final class Call {
     final Contract.Request request;
-    final Contract.RequestClass type;
+    final Contract.RequestClass requestClass;
     final int level;
-    final double aimAt;
-    final double endAt;
+    final double targetAtMs;
+    final double deadlineMs;
     final List<Attempt> attempts = new ArrayList<>(1);
     boolean ended;
-    // The first attempt that may have run; null while every one is known not to have.
+    // The first attempt that may have run; null while none may have run.
     Attempt mayHaveRun;
 
-    Call(double now, Contract.Request request, Contract.RequestClass type, int level) {
+    Call(double nowMs, Contract.Request request, Contract.RequestClass type, int level) {
         this.request = request;
-        this.type = type;
+        this.requestClass = type;
         this.level = level;
-        this.aimAt = now + type.aim();
-        this.endAt = now + request.timeLeft;
+        this.targetAtMs = nowMs + type.aim();
+        this.deadlineMs = nowMs + request.timeLeft;
     }
 
-    // The attempt of that number while it is out, else null: outcomes are told once.
-    Attempt out(int attempt) {
-        Attempt a = attempt >= 0 && attempt < attempts.size() ? attempts.get(attempt) : null;
-        return a != null && a.out ? a : null;
+    // The attempt with that index while it is in flight, else null, so that each outcome is processed once.
+    Attempt inFlightAttempt(int index) {
+        Attempt attempt = index >= 0 && index < attempts.size() ? attempts.get(index) : null;
+        return attempt != null && attempt.inFlight ? attempt : null;
     }
 
-    // A keyed request that may have run, whose repeat only some servers discard.
-    boolean grouped() {
-        return mayHaveRun != null && type.effect() == Contract.Effect.KEYED && type.group() != Contract.Group.ALL;
+    // A keyed request that may have run and whose repeat only some servers discard.
+    boolean needsDedupGroup() {
+        return mayHaveRun != null
+                && requestClass.effect() == Contract.Effect.KEYED
+                && requestClass.group() != Contract.Group.ALL;
     }
 
-    // Not where it has been, and for a keyed request that may have run only within its group and window.
-    boolean mayGo(double now, Node n) {
+    // Never a server that was already tried. A keyed request that may have run stays within its group and window.
+    boolean mayUse(double nowMs, Node node) {
         for (int i = 0; i < attempts.size(); i++) {
-            if (attempts.get(i).node == n) {
+            if (attempts.get(i).node == node) {
                 return false;
             }
         }
-        if (mayHaveRun == null || type.effect() != Contract.Effect.KEYED) {
+        if (mayHaveRun == null || requestClass.effect() != Contract.Effect.KEYED) {
             return true;
         }
-        Contract.Server a = mayHaveRun.node.entry;
-        return now < mayHaveRun.sentAt + type.window()
-                && switch (type.group()) {
+        Contract.Server server = mayHaveRun.node.entry;
+        return nowMs < mayHaveRun.sentAtMs + requestClass.window()
+                && switch (requestClass.group()) {
                     case ALL -> true;
-                    case ZONE -> a.zone().equals(n.entry.zone());
-                    case CELL -> a.cell() == n.entry.cell();
+                    case ZONE -> server.zone().equals(node.entry.zone());
+                    case CELL -> server.cell() == node.entry.cell();
                 };
     }
 
-    // A refusal is true only where it is known that a retry does no harm.
-    boolean mayRefuse(double now) {
-        return now < endAt && (mayHaveRun == null || clientMayRepeat());
+    // A refusal promises that a retry does no harm, so it is given only where that is known.
+    boolean mayRefuse(double nowMs) {
+        return nowMs < deadlineMs && (mayHaveRun == null || clientMayRepeat());
     }
 
     boolean clientMayRepeat() {
-        return type.effect() == Contract.Effect.SAFE
-                || type.effect() == Contract.Effect.KEYED && type.group() == Contract.Group.ALL;
+        return requestClass.effect() == Contract.Effect.SAFE
+                || requestClass.effect() == Contract.Effect.KEYED && requestClass.group() == Contract.Group.ALL;
     }
 
-    // How long an attempt may stay out; 0 for as long as the client waits.
-    double within(double now) {
-        boolean stopAtAim = type.lateWorth() <= 0 && !clientMayRepeat();
-        return stopAtAim && aimAt < endAt ? Math.max(1, aimAt - now) : 0;
+    // How long an attempt may stay in flight, in ms; 0 for as long as the client waits.
+    double attemptTimeoutMs(double nowMs) {
+        boolean stopAtAim = requestClass.lateWorth() <= 0 && !clientMayRepeat();
+        return stopAtAim && targetAtMs < deadlineMs ? Math.max(1, targetAtMs - nowMs) : 0;
     }
 }
--- a/src/main/java/whinlead/decide/Controller.java
+++ b/src/main/java/whinlead/decide/Controller.java
@@ -1,23 +1,24 @@
 package whinlead.decide;
 
-/** Moves each server's percentage, a step a period: up while too much is not accepted, else down to zero. */
+/** Adjusts each server's drop share once a period: up while too many outcomes are bad, else down towards zero. */
 final class Controller {
-    // The share not accepted that is let be; chance alone gives this much near a sound load.
-    private static final double TARGET = 0.2;
-    // How far one bad period takes the percentage on towards 100; the whole of it from so much excess on.
+    // Tolerated share of bad outcomes; random variation alone gives this much close to full load.
+    private static final double TOLERATED_SHARE = 0.2;
+    // How far one bad period moves the drop share towards 1; a full step from FULL_STEP_EXCESS on.
     private static final double STEP_UP = 0.5;
-    private static final double STEP_WHOLE_AT = 0.5;
-    // What a good or an idle period takes off: this part of what passes, and a little for one wholly shut.
+    private static final double FULL_STEP_EXCESS = 0.5;
+    // Decrease in a good or idle period: this part of what passes, plus a minimum for a server that is fully dropped.
     private static final double STEP_DOWN = 0.08;
     private static final double MIN_STEP_DOWN = 0.004;
-    // What stays of the evidence from period to period, so that 0 to 2 outcomes a period still add up.
-    private static final double KEEP = 0.7;
-    // Outcomes of the whole subset that stand in for a server's own: one bad answer is no trend.
-    private static final double PRIOR = 2.0;
-    // What the subset does not accept beyond this counts: single servers' troubles stay theirs.
-    private static final double POOL_TARGET = 0.25;
-    // What stays of the subset's evidence from one period to the next: about a second of outcomes.
-    private static final double POOL_KEEP = 0.95;
+    // Factor on the evidence from period to period, so that 0 to 2 outcomes a period still add up.
+    private static final double EVIDENCE_DECAY = 0.7;
+    // Weight of the whole subset's outcomes in the estimate for one server: a single bad answer is no trend.
+    private static final double PRIOR_WEIGHT = 2.0;
+    // The subset's share of bad outcomes counts only beyond this, so that troubles of single servers affect just
+    // these.
+    private static final double POOL_TOLERATED_SHARE = 0.25;
+    // Factor on the subset's evidence from period to period: about one second of outcomes.
+    private static final double POOL_DECAY = 0.95;
 
     private final Lateness lateness;
     private final Evidence pool = new Evidence();
@@ -26,67 +27,69 @@
         this.lateness = lateness;
     }
 
-    void note(Node n, double badness) {
-        n.evidence.note(badness, 1);
-        pool.note(badness, 1);
+    void record(Node node, double badness) {
+        node.evidence.record(badness, 1);
+        pool.record(badness, 1);
     }
 
-    void broke(Node n) {
-        note(n, 1);
-        n.evidence.broken++;
-        pool.broken++;
+    void recordReset(Node node) {
+        record(node, 1);
+        node.evidence.resets++;
+        pool.resets++;
     }
 
-    void step(double now, Node n) {
-        double bad = n.evidence.bad;
-        double all = n.evidence.all;
-        double lateOut = 0;
-        int count = 0;
-        Attempt a = n.out.mark.newer;
-        for (int i = 0; i < Outstanding.LOOK && a != n.out.mark; i++, a = a.newer) {
-            double late = lateness.of(now - a.sentAt, a.call.request.classIndex);
-            if (late > 0 && !a.passed && !n.failing.mostly(a.call.request.classIndex)) {
-                lateOut += late;
-                count++;
+    void updateDropShare(double nowMs, Node node) {
+        double bad = node.evidence.bad;
+        double total = node.evidence.total;
+        double latenessSum = 0;
+        int lateCount = 0;
+        Attempt attempt = node.outstanding.sentinel.newer;
+        for (int i = 0;
+                i < Outstanding.MAX_SCAN && attempt != node.outstanding.sentinel;
+                i++, attempt = attempt.newer) {
+            double degree = lateness.degree(nowMs - attempt.sentAtMs, attempt.call.request.classIndex);
+            if (degree > 0 && !attempt.laterServed && !node.failing.failsMostly(attempt.call.request.classIndex)) {
+                latenessSum += degree;
+                lateCount++;
             }
         }
-        // A single request without an answer would count anew in each period: a second must bear it out.
-        if (count > 1) {
-            bad += lateOut;
-            all += count;
+        // A single unanswered request would count again in each period, so at least two must be late.
+        if (lateCount > 1) {
+            bad += latenessSum;
+            total += lateCount;
         }
-        double pooled = Math.max(0, pool.bad / (pool.all + PRIOR) - POOL_TARGET);
-        double excess = (bad + PRIOR * pooled) / (all + PRIOR) - TARGET;
+        double poolExcess = Math.max(0, pool.bad / (pool.total + PRIOR_WEIGHT) - POOL_TOLERATED_SHARE);
+        double excess = (bad + PRIOR_WEIGHT * poolExcess) / (total + PRIOR_WEIGHT) - TOLERATED_SHARE;
         if (excess > 0) {
-            n.percentage += (1 - n.percentage) * STEP_UP * Math.min(1, excess / STEP_WHOLE_AT);
+            node.dropShare += (1 - node.dropShare) * STEP_UP * Math.min(1, excess / FULL_STEP_EXCESS);
         } else {
-            // Slower by as much as the answers take longer than usual.
-            double fall = STEP_DOWN * lateness.pace;
-            n.percentage = Math.max(0, n.percentage - fall * (1 - n.percentage) - MIN_STEP_DOWN);
+            // The more answers exceed their usual time, the slower the decrease.
+            double stepDown = STEP_DOWN * lateness.pace;
+            node.dropShare = Math.max(0, node.dropShare - stepDown * (1 - node.dropShare) - MIN_STEP_DOWN);
         }
-        n.evidence.fade(KEEP);
+        node.evidence.decay(EVIDENCE_DECAY);
     }
 
-    // From 1, where no late outcome of the server or the subset was bad, to 0.
-    double soundness(Node n) {
-        return Math.max(0, 1 - Math.max(n.evidence.share(), pool.share()) / TARGET);
+    // From 1, where no recent outcome of the server or the subset was bad, to 0.
+    double health(Node node) {
+        return Math.max(0, 1 - Math.max(node.evidence.badShare(), pool.badShare()) / TOLERATED_SHARE);
     }
 
-    boolean timely(Node n) {
-        return n.evidence.share() < TARGET;
+    boolean answersInTime(Node node) {
+        return node.evidence.badShare() < TOLERATED_SHARE;
     }
 
-    void period() {
-        pool.fade(POOL_KEEP);
+    void endPeriod() {
+        pool.decay(POOL_DECAY);
     }
 
-    // Out of the subset no period is spent on a server; it falls on its return by as many as it was away.
-    static void idle(Node n, double periods) {
+    // Servers outside the subset are not updated each period; on return the drop share falls by the periods missed.
+    static void recoverWhileUnused(Node node, double periods) {
         if (periods >= 1) {
-            double most = MIN_STEP_DOWN / STEP_DOWN;
-            double passing = (1 - n.percentage + most) * Math.pow(1 + STEP_DOWN, periods) - most;
-            n.percentage = Math.max(0, 1 - passing);
-            n.evidence = new Evidence();
+            double stepRatio = MIN_STEP_DOWN / STEP_DOWN;
+            double passingShare = (1 - node.dropShare + stepRatio) * Math.pow(1 + STEP_DOWN, periods) - stepRatio;
+            node.dropShare = Math.max(0, 1 - passingShare);
+            node.evidence = new Evidence();
         }
     }
 }
--- a/src/main/java/whinlead/decide/Crowding.java
+++ b/src/main/java/whinlead/decide/Crowding.java
@@ -1,87 +1,95 @@
 package whinlead.decide;
 
-/** Against a burst, or a slow server, before outcomes tell: one that holds over its share passes less. */
+/** Reacts to a burst or a slow server before outcomes arrive: a server with more than its share in flight gets less. */
 final class Crowding {
-    // What is out at a server beyond the subset's mean is drawn against, with this slack.
+    // Slack, in attempts, on a server's number in flight and on the limit that it is compared with.
     private static final double SLACK = 0.5;
-    // A server that reports a busy share under this may hold more than that, up to so many times as much.
-    private static final double ROOM_BELOW = 0.75;
-    private static final double MAX_ROOM = 2.5;
-    // A server none of whose late outcomes was bad may double what it holds, as a sender in slow start may.
-    private static final double SOUND = 2;
-    // From this percentage on a server that holds nothing is taken to be dead.
-    private static final double SHUT = 0.97;
-    // A server is taken to hold so many when well, whatever it answered: one attempt out is no crowd.
-    private static final double MIN_WELL = 1;
-    // For so many periods nothing is known of a new server; all sidecars may hold a first window (RFC 6928).
-    private static final int FRESH = 20;
-    private static final double WINDOW = 10;
+    // A server that reports a utilization under ROOM_BELOW_UTIL may have more than its usual number in flight, up to
+    // this factor.
+    private static final double ROOM_BELOW_UTIL = 0.75;
+    private static final double MAX_ROOM_FACTOR = 2.5;
+    // A server without recent bad outcomes may double its number in flight, as a sender in slow start may.
+    private static final double HEALTHY_FACTOR = 2;
+    // From this drop share on a server with nothing in flight is taken to be dead.
+    private static final double DEAD_DROP_SHARE = 0.97;
+    // The usual number in flight is at least this: a single attempt in flight is no overload.
+    private static final double MIN_USUAL_IN_FLIGHT = 1;
+    // A server counts as new for this many periods; all sidecars together may have an initial window (RFC 6928) in
+    // flight at it.
+    private static final int NEW_SERVER_PERIODS = 20;
+    private static final double INITIAL_WINDOW = 10;
 
     private final Controller controller;
-    // For so long a server's own word of what it holds stands; without any, what it may hold at first.
-    private final double reportStands;
-    private final boolean unreported;
-    private final double first;
-    // Mean of what the servers looked at hold, as of the walk under way.
-    private double mean;
+    // How long, in ms, a server's reported number in flight is used; the number allowed at a new server that reports
+    // none.
+    private final double reportValidMs;
+    private final boolean noReports;
+    private final double initialInFlight;
+    // Mean number in flight at the servers of the current choice.
+    private double meanInFlight;
 
-    Crowding(Controller controller, double shortestAim, boolean unreported, int sidecars) {
+    Crowding(Controller controller, double shortestTargetMs, boolean noReports, int sidecars) {
         this.controller = controller;
-        this.unreported = unreported;
-        this.first = unreported ? Math.max(MIN_WELL, WINDOW / sidecars) : MIN_WELL;
-        this.reportStands = shortestAim;
+        this.noReports = noReports;
+        this.initialInFlight =
+                noReports ? Math.max(MIN_USUAL_IN_FLIGHT, INITIAL_WINDOW / sidecars) : MIN_USUAL_IN_FLIGHT;
+        this.reportValidMs = shortestTargetMs;
     }
 
-    // Before a walk over these servers. One that is shut and holds none is dead, and lowers no mean.
-    void look(double now, Node[] nodes) {
+    // Called before a choice among these servers. A server that is fully dropped and has nothing in flight is dead and
+    // does not lower the mean.
+    void updateMean(double nowMs, Node[] nodes) {
         double sum = 0;
-        int open = 0;
-        for (Node n : nodes) {
-            double h = held(now, n);
-            sum += h;
-            open += h > 0 || n.percentage < SHUT ? 1 : 0;
+        int counted = 0;
+        for (Node node : nodes) {
+            double inFlight = inFlight(nowMs, node);
+            sum += inFlight;
+            counted += inFlight > 0 || node.dropShare < DEAD_DROP_SHARE ? 1 : 0;
         }
-        mean = open == 0 ? 0 : sum / open;
+        meanInFlight = counted == 0 ? 0 : sum / counted;
     }
 
-    // The share to turn away from a server that holds more than when well, or than the mean while not sound.
-    double share(double now, Node n) {
-        double well = Math.max(least(n), n.wellHeld);
-        return Math.max(share(well * room(n), n.out.counted()), uneven(now, n) * (1 - sound(n)));
+    // The drop share for a server with more in flight than usual, or, while it is not healthy, more than the mean.
+    double dropShare(double nowMs, Node node) {
+        double usual = Math.max(minUsualInFlight(node), node.usualInFlight);
+        return Math.max(
+                dropShare(usual * roomFactor(node), node.outstanding.countedInFlight()),
+                excessShare(nowMs, node) * (1 - health(node)));
     }
 
-    double least(Node n) {
-        return n.periods < FRESH ? first : MIN_WELL;
+    double minUsualInFlight(Node node) {
+        return node.periods < NEW_SERVER_PERIODS ? initialInFlight : MIN_USUAL_IN_FLIGHT;
     }
 
-    // By how much a server's answers vouch for it. Where servers report, their own word tells sooner.
-    double sound(Node n) {
-        return unreported ? controller.soundness(n) : 0;
+    // Health as seen from the server's outcomes; 0 where servers report load, since reports show overload sooner.
+    double health(Node node) {
+        return noReports ? controller.health(node) : 0;
     }
 
-    // The share to take elsewhere from one that holds more than the mean.
-    double uneven(double now, Node n) {
-        return share(mean, held(now, n));
+    // The share to move away from a server with more than the mean in flight.
+    double excessShare(double nowMs, Node node) {
+        return dropShare(meanInFlight, inFlight(nowMs, node));
     }
 
-    private static double share(double wanted, double held) {
-        double ratio = Math.min(1, (wanted + SLACK) / (held + SLACK));
+    private static double dropShare(double allowed, double inFlight) {
+        double ratio = Math.min(1, (allowed + SLACK) / (inFlight + SLACK));
         double square = ratio * ratio;
         double fourth = square * square;
         return 1 - fourth * fourth;
     }
 
-    // How many times what it holds when well a server has room for, by its own word or its answers. Guards
-    // against a draw that holds itself down: what is refused brings no answers, and fewer let less through.
-    private double room(Node n) {
-        double told = ROOM_BELOW / Math.max(ROOM_BELOW / MAX_ROOM, n.reported.util);
-        return Math.max(1 + (SOUND - 1) * sound(n), told);
+    // How many times its usual number in flight a server has room for, by its reports or its outcomes. Guards against
+    // a limit that perpetuates itself: refused requests bring no answers, and fewer answers lower the limit.
+    private double roomFactor(Node node) {
+        double reportedFactor = ROOM_BELOW_UTIL / Math.max(ROOM_BELOW_UTIL / MAX_ROOM_FACTOR, node.reported.util);
+        return Math.max(1 + (HEALTHY_FACTOR - 1) * health(node), reportedFactor);
     }
 
-    // What a server holds: as it reported within an aim, with what we sent and got back since, else our own.
-    double held(double now, Node n) {
-        return now - n.reported.heldAt < reportStands
-                ? Math.max(n.out.count, n.reported.held + n.reported.since)
-                : n.out.counted();
+    // A server's number in flight: its last report if recent, adjusted by our own sends and outcomes since, else our
+    // own count.
+    double inFlight(double nowMs, Node node) {
+        return nowMs - node.reported.inFlightAtMs < reportValidMs
+                ? Math.max(node.outstanding.count, node.reported.inFlight + node.reported.balanceSince)
+                : node.outstanding.countedInFlight();
     }
 }
--- a/src/main/java/whinlead/decide/Decide.java
+++ b/src/main/java/whinlead/decide/Decide.java
@@ -1,4 +1,4 @@
-// The decisions of whinlead, one rule a file; their interface is Contract.java, a folder up.
+// The decision module of whinlead, one rule per file; its interface is Contract.java, one directory up.
 package whinlead.decide;
 
 import java.util.List;
@@ -6,288 +6,314 @@
 import whinlead.Contract;
 
 /**
- * Decides for one sidecar. For each server a drop percentage is learned from its outcomes. A request walks a small
- * random subset in random order; the first server whose draw passes gets it, and if none passes it is refused at once.
- * docs/design.md names what is kept of the source and when each exception acts.
+ * Makes the decisions of one sidecar. For each server a drop share is learned from its outcomes. A request tries a
+ * small random subset of servers in random order; the first server whose random draw passes gets it, and if none passes
+ * the request is refused at once. docs/design.md describes which parts follow the published design and when each
+ * exception applies.
  */
 public final class Decide implements Contract.Events {
-    // A period, as a share of the shortest aim, and the least: several steps fit in a client's wait.
-    private static final double PERIOD_OF_AIM = 0.1;
-    private static final double MIN_PERIOD = 10;
-    // Retry-after, as shares of the aim: the least, and what a percentage of 100 adds.
-    private static final double MIN_AFTER = 0.15;
-    private static final double AFTER_FULL = 0.3;
+    // Length of a period as a share of the shortest latency target, and its minimum: several steps fit into the time
+    // that a client waits.
+    private static final double PERIOD_TARGET_SHARE = 0.1;
+    private static final double MIN_PERIOD_MS = 10;
+    // Retry-after as shares of the latency target: the minimum, and what a drop share of 1 adds.
+    private static final double MIN_RETRY_AFTER_SHARE = 0.15;
+    private static final double FULL_DROP_RETRY_AFTER_SHARE = 0.3;
 
     private final Contract.Settings settings;
-    private final Contract.Actions out;
+    private final Contract.Actions actions;
     private final SplittableRandom random;
-    private final double period;
-    final ServerList list;
+    private final double periodMs;
+    final ServerList serverList;
     private final Subset subset;
     private final Worth worth;
     private final Lateness lateness;
     private final Controller controller;
     private final Crowding crowding;
     private final Ceiling ceiling = new Ceiling();
-    private final boolean unreported;
-    private final ColdBudget cold;
+    private final boolean noReports;
+    private final ColdBudget coldBudget;
     private final Retries retries;
     private final Probes probes;
     private final Relief relief = new Relief();
     private final Strain strain;
-    private double lastWake;
-    private double wakeAt;
+    private double lastWakeMs;
+    private double wakeAtMs;
 
-    /** A module for one sidecar; the same seed and events give the same actions. */
-    public Decide(Contract.Settings settings, long seed, Contract.Actions out) {
+    /** Creates the module of one sidecar. The same seed and events give the same actions. */
+    public Decide(Contract.Settings settings, long seed, Contract.Actions actions) {
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         this.random = new SplittableRandom(seed);
-        double aim = settings.classes().stream()
+        double shortestTargetMs = settings.classes().stream()
                 .mapToDouble(Contract.RequestClass::aim)
                 .min()
                 .orElse(Double.MAX_VALUE);
-        this.period = Math.max(MIN_PERIOD, aim * PERIOD_OF_AIM);
-        this.list = new ServerList(settings, random, out);
-        this.subset = new Subset(settings.sidecars(), period);
+        this.periodMs = Math.max(MIN_PERIOD_MS, shortestTargetMs * PERIOD_TARGET_SHARE);
+        this.serverList = new ServerList(settings, random, actions);
+        this.subset = new Subset(settings.sidecars(), periodMs);
         this.worth = new Worth(settings, random);
-        this.unreported = settings.reporting() == Contract.Reporting.NONE;
+        this.noReports = settings.reporting() == Contract.Reporting.NONE;
         this.lateness = new Lateness(settings.classes());
         this.controller = new Controller(lateness);
-        this.crowding = new Crowding(controller, aim, unreported, settings.sidecars());
-        this.cold = new ColdBudget(settings, aim);
+        this.crowding = new Crowding(controller, shortestTargetMs, noReports, settings.sidecars());
+        this.coldBudget = new ColdBudget(settings, shortestTargetMs);
         this.retries = new Retries(settings.limits());
-        this.probes = new Probes(settings, aim);
-        this.strain = new Strain(aim);
+        this.probes = new Probes(settings, shortestTargetMs);
+        this.strain = new Strain(shortestTargetMs);
     }
 
     @Override
-    public void start(double now) {
-        lastWake = now;
-        list.start(now, settings.listMustBeAsked());
-        wake(now, 0.5 + random.nextDouble());
+    public void start(double nowMs) {
+        lastWakeMs = nowMs;
+        serverList.start(nowMs, settings.listMustBeAsked());
+        wake(nowMs, 0.5 + random.nextDouble());
     }
 
-    private void wake(double now, double periods) {
-        wakeAt = now + period * periods;
-        out.wake(wakeAt);
+    private void wake(double nowMs, double periods) {
+        wakeAtMs = nowMs + periodMs * periods;
+        actions.wake(wakeAtMs);
     }
 
     @Override
-    public void servers(double now, Contract.ListKind kind, List<Contract.Server> entries) {
-        if (list.told(now, kind, entries)) {
-            subset.pick(now, list.nodes.values());
+    public void servers(double nowMs, Contract.ListKind kind, List<Contract.Server> entries) {
+        if (serverList.update(nowMs, kind, entries)) {
+            subset.pick(nowMs, serverList.nodes.values());
         }
     }
 
     @Override
-    public void request(double now, Contract.Request request) {
+    public void request(double nowMs, Contract.Request request) {
         if (request.state != null) {
             return;
         }
-        Call c = new Call(now, request, settings.classes().get(request.classIndex), worth.arrived(request));
-        request.state = c;
-        retries.arrived();
-        relief.asked++;
-        probes.arrived();
-        double own = strain.share(request.room, worth.lesser());
-        if (own > 0 && random.nextDouble() < worth.dropShare(c.level, own)) {
-            end(now, c);
+        Call call = new Call(nowMs, request, settings.classes().get(request.classIndex), worth.recordRequest(request));
+        request.state = call;
+        retries.recordRequest();
+        relief.requests++;
+        probes.recordRequest();
+        double ownDropShare = strain.dropShare(request.room, worth.lowerWorthShare());
+        if (ownDropShare > 0 && random.nextDouble() < worth.dropShare(call.level, ownDropShare)) {
+            endWithoutAttempt(nowMs, call);
         } else {
-            place(now, c);
+            startAttempt(nowMs, call);
         }
     }
 
-    private void place(double now, Call c) {
-        Node n = walk(now, c);
-        if (n == null) {
-            end(now, c);
+    private void startAttempt(double nowMs, Call call) {
+        Node node = chooseServer(nowMs, call);
+        if (node == null) {
+            endWithoutAttempt(nowMs, call);
             return;
         }
-        Attempt a = new Attempt(c, n, now);
-        c.attempts.add(a);
-        n.out.add(a);
-        n.reported.since++;
-        n.sends++;
-        out.send(c.request, n.entry.id(), c.within(now));
+        Attempt attempt = new Attempt(call, node, nowMs);
+        call.attempts.add(attempt);
+        node.outstanding.add(attempt);
+        node.reported.balanceSince++;
+        node.sendsInPeriod++;
+        actions.send(call.request, node.entry.id(), call.attemptTimeoutMs(nowMs));
     }
 
-    // The walk: the subset in random order, an independent draw at each server, the first that passes.
-    private Node walk(double now, Call c) {
-        double over = unreported ? ceiling.share(subset.ranked, crowding) : 0;
-        if (over > 0 && random.nextDouble() < worth.dropShare(c.level, over)) {
+    // Tries the subset in random order with an independent draw at each server, and returns the first that passes.
+    private Node chooseServer(double nowMs, Call call) {
+        double limitDropShare = noReports ? ceiling.dropShare(subset.ranked, crowding) : 0;
+        if (limitDropShare > 0 && random.nextDouble() < worth.dropShare(call.level, limitDropShare)) {
             return null;
         }
-        // A small subset rarely holds another server that would discard a repeat: such a retry looks at all.
-        Node[] s = c.grouped() ? subset.usable : subset.walked;
-        crowding.look(now, s);
-        Node spare = null;
-        for (int left = s.length; left > 0; left--) {
-            int j = random.nextInt(left);
-            Node n = s[j];
-            s[j] = s[left - 1];
-            s[left - 1] = n;
-            if (n.reach.shuns(now, n.out.count) || !c.mayGo(now, n) || !passes(now, c, n)) {
+        // A small subset rarely contains another server that would discard a repeat, so such a retry considers all
+        // servers.
+        Node[] candidates = call.needsDedupGroup() ? subset.allUsable : subset.shuffled;
+        crowding.updateMean(nowMs, candidates);
+        Node fallback = null;
+        for (int remaining = candidates.length; remaining > 0; remaining--) {
+            int j = random.nextInt(remaining);
+            Node node = candidates[j];
+            candidates[j] = candidates[remaining - 1];
+            candidates[remaining - 1] = node;
+            if (node.reachability.avoids(nowMs, node.outstanding.count)
+                    || !call.mayUse(nowMs, node)
+                    || !passesDraws(nowMs, call, node)) {
                 continue;
             }
-            // A small server comes later in the walk, and a sound one that is crowded; that refuses nothing.
-            double first = n.weight * (1 - crowding.uneven(now, n) * crowding.sound(n));
-            // Handshakes cost a busy server work: where we hold some, one with a free connection comes first.
-            boolean free = n.out.count == 0 || out.connected(c.request, n.entry.id());
-            if (free && (first >= 1 || random.nextDouble() < first)) {
-                if (cold.take(now, n, subset.spread())) {
-                    return n;
+            // A small server is tried later, and so is a healthy one with more than the mean in flight; neither
+            // refuses anything.
+            double firstChance = node.relativeSize * (1 - crowding.excessShare(nowMs, node) * crowding.health(node));
+            // Handshakes cost a busy server work: with attempts in flight there, a server with a free connection is
+            // preferred.
+            boolean connectionFree = node.outstanding.count == 0 || actions.connected(call.request, node.entry.id());
+            if (connectionFree && (firstChance >= 1 || random.nextDouble() < firstChance)) {
+                if (coldBudget.tryAcquire(nowMs, node, subset.serversPerSlot())) {
+                    return node;
                 }
-            } else if (spare == null) {
-                spare = n;
+            } else if (fallback == null) {
+                fallback = node;
             }
         }
-        return spare != null && cold.take(now, spare, subset.spread()) ? spare : null;
+        return fallback != null && coldBudget.tryAcquire(nowMs, fallback, subset.serversPerSlot()) ? fallback : null;
     }
 
-    // The draws against a server: its percentage, and what it fails of this class.
-    private boolean passes(double now, Call c, Node n) {
-        double p = 1 - (1 - Math.max(n.percentage, 1 - cold.warmth(now, n))) * (1 - crowding.share(now, n));
-        return random.nextDouble() >= worth.dropShare(c.level, p) && n.failing.passes(c.request.classIndex, random);
+    // The draws for a server: its drop share, and its failure share for this class.
+    private boolean passesDraws(double nowMs, Call call, Node node) {
+        double dropShare = 1
+                - (1 - Math.max(node.dropShare, 1 - coldBudget.capacityShare(nowMs, node)))
+                        * (1 - crowding.dropShare(nowMs, node));
+        return random.nextDouble() >= worth.dropShare(call.level, dropShare)
+                && node.failing.passes(call.request.classIndex, random);
     }
 
-    // Final answer without a further attempt: a refusal where it is true that a retry does no harm.
-    private void end(double now, Call c) {
-        c.ended = true;
-        if (c.mayRefuse(now)) {
+    // Sends the final answer without a further attempt: a refusal where a retry is known to do no harm, else a
+    // failure.
+    private void endWithoutAttempt(double nowMs, Call call) {
+        call.ended = true;
+        if (call.mayRefuse(nowMs)) {
             relief.refused++;
-            out.refuse(
-                    c.request,
+            actions.refuse(
+                    call.request,
                     Math.min(
                             settings.limits().maxRetryAfter(),
-                            c.type.aim()
-                                    * (MIN_AFTER + AFTER_FULL * subset.shut())
+                            call.requestClass.aim()
+                                    * (MIN_RETRY_AFTER_SHARE + FULL_DROP_RETRY_AFTER_SHARE * subset.meanDropShare())
                                     * (0.75 + 0.5 * random.nextDouble())));
         } else {
-            out.fail(c.request);
+            actions.fail(call.request);
         }
     }
 
     @Override
     public void outcome(
-            double now,
+            double nowMs,
             Contract.Request request,
-            int attempt,
+            int attemptIndex,
             Contract.Outcome outcome,
-            double took,
+            double durationMs,
             boolean finished,
             Contract.Report report) {
-        Call c = (Call) request.state;
-        Attempt a = c == null ? null : c.out(attempt);
-        if (a == null) {
+        Call call = (Call) request.state;
+        Attempt attempt = call == null ? null : call.inFlightAttempt(attemptIndex);
+        if (attempt == null) {
             return;
         }
-        Node n = a.node;
+        Node node = attempt.node;
         if (outcome == Contract.Outcome.SERVED) {
-            n.out.overtake(now, a, Math.max(took, lateness.usual(request.classIndex)));
+            node.outstanding.recordServed(nowMs, attempt, Math.max(durationMs, lateness.usualMs(request.classIndex)));
         }
-        n.out.remove(a);
-        n.reported.since--;
-        n.reach.ended(now, period, outcome);
-        list.forget(n);
-        if (!outcome.neverRan && c.mayHaveRun == null) {
-            c.mayHaveRun = a;
+        node.outstanding.remove(attempt);
+        node.reported.balanceSince--;
+        node.reachability.recordOutcome(nowMs, periodMs, outcome);
+        serverList.removeIfUnused(node);
+        if (!outcome.neverRan && call.mayHaveRun == null) {
+            call.mayHaveRun = attempt;
         }
-        grade(n, a, outcome, took, request.classIndex, n.reported.strain(report, n.sendRate));
-        c.ended |= finished || outcome == Contract.Outcome.SERVED;
-        if (c.ended) {
+        gradeOutcome(
+                node,
+                attempt,
+                outcome,
+                durationMs,
+                request.classIndex,
+                node.reported.excessLoad(report, node.sendRate));
+        call.ended |= finished || outcome == Contract.Outcome.SERVED;
+        if (call.ended) {
             return;
         }
-        if (retries.take(now, c, outcome)) {
-            place(now, c);
+        if (retries.tryAcquire(nowMs, call, outcome)) {
+            startAttempt(nowMs, call);
         } else {
-            end(now, c);
+            endWithoutAttempt(nowMs, call);
         }
     }
 
-    private void grade(Node n, Attempt a, Contract.Outcome outcome, double took, int k, double strain) {
-        // While the server answers other classes in time, a time-out tells of its own, as an error does.
-        boolean silent = outcome == Contract.Outcome.TIMED_OUT
-                && !a.passedByOwn
-                && (a.passed && controller.timely(n) || n.failing.mostly(k));
-        switch (silent ? Contract.Outcome.ERROR : outcome) {
+    private void gradeOutcome(
+            Node node,
+            Attempt attempt,
+            Contract.Outcome outcome,
+            double durationMs,
+            int classIndex,
+            double excessLoad) {
+        // While the server answers other classes in time, a time-out concerns its own class only, as an error does.
+        boolean silentToClass = outcome == Contract.Outcome.TIMED_OUT
+                && !attempt.laterOfClassServed
+                && (attempt.laterServed && controller.answersInTime(node) || node.failing.failsMostly(classIndex));
+        switch (silentToClass ? Contract.Outcome.ERROR : outcome) {
             case SERVED -> {
-                n.failing.note(k, settings.classes().size(), false);
-                controller.note(n, lateness.of(took, k));
-                n.evidence.note(strain, strain > 0 ? Reported.OUTCOMES : 0);
-                n.answered += lateness.usual(k);
-                cold.answered(n);
-                ceiling.answered(lateness.usual(k), settings.classes().get(k).aim());
-                lateness.answered(took, k);
+                node.failing.record(classIndex, settings.classes().size(), false);
+                controller.record(node, lateness.degree(durationMs, classIndex));
+                node.evidence.record(excessLoad, excessLoad > 0 ? Reported.REPORT_WEIGHT : 0);
+                node.answeredWorkMs += lateness.usualMs(classIndex);
+                coldBudget.recordAnswer(node);
+                ceiling.answeredWork(
+                        lateness.usualMs(classIndex),
+                        settings.classes().get(classIndex).aim());
+                lateness.recordAnswer(durationMs, classIndex);
                 relief.answered++;
             }
-            case FULL, TIMED_OUT -> controller.note(n, 1);
-            case RESET -> controller.broke(n);
-            // Tells of one server, or of the way to it, and not of load.
-            case CONNECT_FAILED -> n.evidence.note(1, 1);
-            case ERROR -> n.failing.note(k, settings.classes().size(), true);
+            case FULL, TIMED_OUT -> controller.record(node, 1);
+            case RESET -> controller.recordReset(node);
+            // Concerns this server or the path to it, not load, so the subset's evidence is not affected.
+            case CONNECT_FAILED -> node.evidence.record(1, 1);
+            case ERROR -> node.failing.record(classIndex, settings.classes().size(), true);
             default -> {}
         }
     }
 
     @Override
-    public void streaming(double now, Contract.Request request, int attempt) {
-        Call c = (Call) request.state;
-        if (c != null) {
-            c.ended = true;
+    public void streaming(double nowMs, Contract.Request request, int attempt) {
+        Call call = (Call) request.state;
+        if (call != null) {
+            call.ended = true;
         }
     }
 
     @Override
-    public void abandoned(double now, Contract.Request request) {
-        Call c = (Call) request.state;
-        if (c != null && !c.ended) {
-            c.ended = true;
-            // Only the last attempt of a request can be out.
-            int last = c.attempts.size() - 1;
-            if (c.out(last) != null && settings.limits().cancel()) {
-                out.cancel(request, last);
+    public void abandoned(double nowMs, Contract.Request request) {
+        Call call = (Call) request.state;
+        if (call != null && !call.ended) {
+            call.ended = true;
+            // Only the last attempt of a request can be in flight.
+            int last = call.attempts.size() - 1;
+            if (call.inFlightAttempt(last) != null && settings.limits().cancel()) {
+                actions.cancel(request, last);
             }
         }
     }
 
     @Override
-    public void probed(double now, String server, Contract.Outcome outcome, double took, Contract.Report report) {
-        Node n = list.nodes.get(server);
-        if (n != null) {
-            n.reported.probed(now, report);
+    public void probed(
+            double nowMs, String server, Contract.Outcome outcome, double durationMs, Contract.Report report) {
+        Node node = serverList.nodes.get(server);
+        if (node != null) {
+            node.reported.recordProbe(nowMs, report);
         }
     }
 
-    /** A known server's drop percentage, as a share. */
+    /** The drop share of a known server, from 0 to 1. */
     public double dropShare(String server) {
-        return list.nodes.get(server).percentage;
+        return serverList.nodes.get(server).dropShare;
     }
 
     @Override
-    public void message(double now, int from, byte[] text) {}
+    public void message(double nowMs, int from, byte[] text) {}
 
     @Override
-    public void wake(double now) {
-        double span = Math.max(1, now - lastWake);
-        lastWake = now;
-        worth.period();
-        lateness.period(relief.period(span, subset.ranked), Math.max(0, now - wakeAt));
-        strain.period(now - wakeAt, out);
-        for (Node n : subset.ranked) {
-            n.period(span);
-            controller.step(now, n);
-            n.failing.period();
+    public void wake(double nowMs) {
+        double elapsedMs = Math.max(1, nowMs - lastWakeMs);
+        lastWakeMs = nowMs;
+        worth.endPeriod();
+        lateness.endPeriod(relief.endPeriod(elapsedMs, subset.ranked), Math.max(0, nowMs - wakeAtMs));
+        strain.endPeriod(nowMs - wakeAtMs, actions);
+        for (Node node : subset.ranked) {
+            node.endPeriod(elapsedMs);
+            controller.updateDropShare(nowMs, node);
+            node.failing.endPeriod();
         }
         if (subset.period()) {
-            subset.pick(now, list.nodes.values());
+            subset.pick(nowMs, serverList.nodes.values());
         }
-        ceiling.period(span);
-        controller.period();
-        cold.period(now, subset.ranked);
-        subset.weigh();
-        probes.period(now, subset.ranked, crowding, out);
-        list.period(now);
-        wake(now, 0.9 + 0.2 * random.nextDouble());
+        ceiling.endPeriod(elapsedMs);
+        controller.endPeriod();
+        coldBudget.endPeriod(nowMs, subset.ranked);
+        subset.updateRelativeSizes();
+        probes.endPeriod(nowMs, subset.ranked, crowding, actions);
+        serverList.endPeriod(nowMs);
+        wake(nowMs, 0.9 + 0.2 * random.nextDouble());
     }
 }
--- a/src/main/java/whinlead/decide/Evidence.java
+++ b/src/main/java/whinlead/decide/Evidence.java
@@ -1,24 +1,25 @@
 package whinlead.decide;
 
-/** Outcomes, weighed: how many there were lately, and how many of them were not accepted. */
+/** Weighted recent outcomes: how many there were, and how many of them were bad. */
 final class Evidence {
     double bad;
-    double all;
-    double broken;
+    double total;
+    double resets;
 
-    void note(double badness, double weight) {
+    void record(double badness, double weight) {
         bad += badness * weight;
-        all += weight;
+        total += weight;
     }
 
-    // Of what may tell of a queue: lines break on their own too.
-    double share() {
-        return (bad - broken) / Math.max(1, all);
+    // The share of bad outcomes that may indicate a queue. Resets are left out, since connections also break for other
+    // reasons.
+    double badShare() {
+        return (bad - resets) / Math.max(1, total);
     }
 
-    void fade(double keep) {
-        bad *= keep;
-        all *= keep;
-        broken *= keep;
+    void decay(double factor) {
+        bad *= factor;
+        total *= factor;
+        resets *= factor;
     }
 }
--- a/src/main/java/whinlead/decide/Node.java
+++ b/src/main/java/whinlead/decide/Node.java
@@ -2,58 +2,58 @@
 
 import whinlead.Contract;
 
-/** A server as this sidecar knows it: what the list says, and the state that each rule keeps of it. */
+/** A server as this sidecar knows it: its list entry and the state that each rule keeps for it. */
 final class Node {
-    // Weight of a period in the rates of sends and of work answered.
+    // Weight of a period in the send rate and in the rate of answered work.
     private static final double SEND_WEIGHT = 0.1;
-    private static final double WELL_WEIGHT = 0.2;
+    private static final double USUAL_WEIGHT = 0.2;
 
     final long rank;
-    final Outstanding out = new Outstanding();
+    final Outstanding outstanding = new Outstanding();
     Evidence evidence = new Evidence();
     Failing failing = new Failing();
     final Reported reported = new Reported();
-    Unreachable reach = new Unreachable();
+    Unreachable reachability = new Unreachable();
     ColdBudget.Bucket bucket = new ColdBudget.Bucket();
     Contract.Server entry;
-    // What goes to it; what it holds of ours at the rate that it answers, when as fast as usual.
+    // Requests sent per ms; our usual number in flight there, from its answer rate and the usual answer times.
     double sendRate;
-    double wellHeld;
-    // Of this period: sends, and the usual times of the answers.
-    double sends;
-    double answered;
-    // Periods in the subset; the drop percentage, as a share.
+    double usualInFlight;
+    // In this period: sends, and the sum of the usual times of the answers in ms.
+    double sendsInPeriod;
+    double answeredWorkMs;
+    // Periods in the subset; the drop share from 0 to 1.
     int periods;
-    double percentage;
-    // The start of its process: an entry that goes back in it is of an older list.
-    double startedAt;
+    double dropShare;
+    // Start time of its process. A list entry with an earlier start comes from an older list.
+    double startedAtMs;
     boolean usable;
     boolean listed;
-    // Its size against the largest of the subset, and when it last left that.
-    double weight = 1;
-    double leftAt;
+    // Size relative to the largest server of the subset; when it last left the subset.
+    double relativeSize = 1;
+    double leftSubsetAtMs;
 
-    Node(long rank, double startedAt) {
+    Node(long rank, double startedAtMs) {
         this.rank = rank;
-        this.startedAt = startedAt;
+        this.startedAtMs = startedAtMs;
     }
 
-    void period(double span) {
-        sendRate += (sends / span - sendRate) * SEND_WEIGHT;
-        sends = 0;
+    void endPeriod(double periodMs) {
+        sendRate += (sendsInPeriod / periodMs - sendRate) * SEND_WEIGHT;
+        sendsInPeriod = 0;
         periods++;
-        wellHeld += (answered / span - wellHeld) * WELL_WEIGHT;
-        answered = 0;
+        usualInFlight += (answeredWorkMs / periodMs - usualInFlight) * USUAL_WEIGHT;
+        answeredWorkMs = 0;
     }
 
-    // A restarted process owes nothing to the past of the one before; the cold ramp guards it.
-    void restarted(double at) {
-        percentage = 0;
+    // A restarted process starts without history; the cold-start ramp protects it.
+    void reset(double newStartMs) {
+        dropShare = 0;
         evidence = new Evidence();
         failing = new Failing();
         reported.capacity = 0;
-        reach = new Unreachable();
+        reachability = new Unreachable();
         bucket = new ColdBudget.Bucket();
-        startedAt = at;
+        startedAtMs = newStartMs;
     }
 }
--- a/src/main/java/whinlead/decide/Outstanding.java
+++ b/src/main/java/whinlead/decide/Outstanding.java
@@ -1,58 +1,60 @@
 package whinlead.decide;
 
-/** The attempts out at one server, oldest first; those that later ones overtook by far tell of no queue. */
+/**
+ * The attempts in flight at one server, oldest first. Attempts that later ones overtook by far do not count as a queue.
+ */
 final class Outstanding {
-    // Attempts looked at in one go; keeps the work of a period and of an outcome bounded.
-    static final int LOOK = 64;
-    // From so many later attempts on that its server served, each in this part of the time that it has been
-    // out, an attempt tells nothing of a queue. With less, long work in shared cores would pass for lost.
-    static final double OVERTAKEN_PART = 0.3;
-    private static final int OVERTAKEN = 2;
+    // Most attempts scanned at once; bounds the work of a period and of an outcome.
+    static final int MAX_SCAN = 64;
+    // An attempt is disregarded as a sign of a queue once MIN_OVERTAKES later attempts were served, each within this
+    // part of the time that it has been in flight. With fewer, long work on shared cores would be taken for lost.
+    static final double OVERTAKE_DURATION_SHARE = 0.3;
+    private static final int MIN_OVERTAKES = 2;
 
-    // A ring: the oldest is newer than this mark, and the newest older.
-    final Attempt mark = new Attempt(null, null, 0);
+    // Sentinel of a ring: its newer neighbour is the oldest attempt, its older neighbour the newest.
+    final Attempt sentinel = new Attempt(null, null, 0);
     int count;
-    private int stuck;
+    private int disregarded;
 
     Outstanding() {
-        mark.older = mark;
-        mark.newer = mark;
+        sentinel.older = sentinel;
+        sentinel.newer = sentinel;
     }
 
-    // Those that count against the server.
-    int counted() {
-        return count - stuck;
+    // Attempts that count as load on the server.
+    int countedInFlight() {
+        return count - disregarded;
     }
 
-    void add(Attempt a) {
-        a.older = mark.older;
-        a.newer = mark;
-        a.older.newer = a;
-        mark.older = a;
+    void add(Attempt attempt) {
+        attempt.older = sentinel.older;
+        attempt.newer = sentinel;
+        attempt.older.newer = attempt;
+        sentinel.older = attempt;
         count++;
     }
 
-    void remove(Attempt a) {
-        a.out = false;
+    void remove(Attempt attempt) {
+        attempt.inFlight = false;
         count--;
-        if (a.overtaken >= OVERTAKEN) {
-            stuck--;
+        if (attempt.overtakes >= MIN_OVERTAKES) {
+            disregarded--;
         }
-        a.older.newer = a.newer;
-        a.newer.older = a.older;
+        attempt.older.newer = attempt.newer;
+        attempt.newer.older = attempt.older;
     }
 
-    // Later attempts served far faster than an older one has waited show that the server is at work and that
-    // the older one is lost, or heavy. Guards against silent connections and work that hangs, which would
-    // shut a sound server. One that starves old work for new shows its queue in answers' times alone.
-    void overtake(double now, Attempt served, double took) {
-        double longest = took / OVERTAKEN_PART;
-        int looked = 0;
-        for (Attempt o = served.older; o != mark && looked < LOOK; o = o.older, looked++) {
-            o.passed = true;
-            o.passedByOwn |= o.call.request.classIndex == served.call.request.classIndex;
-            if (now - o.sentAt > longest && ++o.overtaken == OVERTAKEN) {
-                stuck++;
+    // Later attempts that are served far faster than an older one has waited show that the server works and that the
+    // older attempt is lost or heavy. Guards against dropping at a healthy server because of silent connections or
+    // hanging work. A server that starves old work in favour of new is detected by its answer times only.
+    void recordServed(double nowMs, Attempt served, double durationMs) {
+        double minAgeMs = durationMs / OVERTAKE_DURATION_SHARE;
+        int scanned = 0;
+        for (Attempt older = served.older; older != sentinel && scanned < MAX_SCAN; older = older.older, scanned++) {
+            older.laterServed = true;
+            older.laterOfClassServed |= older.call.request.classIndex == served.call.request.classIndex;
+            if (nowMs - older.sentAtMs > minAgeMs && ++older.overtakes == MIN_OVERTAKES) {
+                disregarded++;
             }
         }
     }
--- a/src/main/java/whinlead/decide/Probes.java
+++ b/src/main/java/whinlead/decide/Probes.java
@@ -2,41 +2,46 @@
 
 import whinlead.Contract;
 
-/** Probes the subset in turn, as far as requests pay for it, spread over the time between them. */
+/**
+ * Probes the servers of the subset in turn. Requests earn the probes, which are spread over the time between requests.
+ */
 final class Probes {
-    // What probes may cost, in the site's own price for a probe a request, and the most of them a request.
-    private static final double SPEND = 0.008;
-    private static final double MOST = 8;
-    // Weight of a period in the rate at which requests pay for probes.
+    // Most that probes may cost per request, in units of the configured cost of one probe a request, and most probes
+    // per request.
+    private static final double MAX_COST_PER_REQUEST = 0.008;
+    private static final double MAX_PER_REQUEST = 8;
+    // Weight of a period in the rate at which requests earn probes.
     private static final double WEIGHT = 0.02;
 
-    private final double perRequest;
-    private final double reportStands;
+    private final double probesPerRequest;
+    private final double reportValidMs;
     private double tokens;
     private double earned;
     private double rate;
     private int next;
 
-    Probes(Contract.Settings settings, double shortestAim) {
-        this.perRequest = settings.limits().probes() && settings.reporting() == Contract.Reporting.WITH_PROBES
-                ? Math.min(MOST, SPEND / Math.max(1e-9, settings.limits().probeCost()))
+    Probes(Contract.Settings settings, double shortestTargetMs) {
+        this.probesPerRequest = settings.limits().probes() && settings.reporting() == Contract.Reporting.WITH_PROBES
+                ? Math.min(
+                        MAX_PER_REQUEST,
+                        MAX_COST_PER_REQUEST / Math.max(1e-9, settings.limits().probeCost()))
                 : 0;
-        this.reportStands = shortestAim / 2;
+        this.reportValidMs = shortestTargetMs / 2;
     }
 
-    void arrived() {
-        earned += perRequest;
+    void recordRequest() {
+        earned += probesPerRequest;
     }
 
-    void period(double now, Node[] subset, Crowding crowding, Contract.Actions out) {
+    void endPeriod(double nowMs, Node[] subset, Crowding crowding, Contract.Actions actions) {
         rate += (earned - rate) * WEIGHT;
         earned = 0;
         tokens = Math.min(tokens + rate, subset.length);
         for (int i = 0; i < subset.length && tokens >= 1; i++) {
             next = (next + 1) % subset.length;
-            Node n = subset[next];
-            if (now - n.reported.heldAt > reportStands || crowding.held(now, n) < 1) {
-                out.probe(n.entry.id());
+            Node node = subset[next];
+            if (nowMs - node.reported.inFlightAtMs > reportValidMs || crowding.inFlight(nowMs, node) < 1) {
+                actions.probe(node.entry.id());
                 tokens--;
             }
         }
--- a/src/main/java/whinlead/decide/Reported.java
+++ b/src/main/java/whinlead/decide/Reported.java
@@ -2,62 +2,62 @@
 
 import whinlead.Contract;
 
-/** What one server last told of itself. */
+/** The load that one server last reported. */
 final class Reported {
-    // The busy share that is wanted; beyond it a report counts as this many outcomes not accepted in part.
-    private static final double UTIL_WANTED = 0.9;
-    // Its busy share tells of room from this one down, of ease from that one.
-    private static final double UTIL_ROOM = 0.7;
-    private static final double UTIL_EASY = 0.3;
-    static final int OUTCOMES = 3;
-    // A busy share under or over these is nonsense, or too small to divide by.
+    // Wanted utilization. A report counts as REPORT_WEIGHT outcomes, bad to the extent that it exceeds this.
+    private static final double WANTED_UTIL = 0.9;
+    // Utilization below which a server has room, and below which it counts as idle.
+    private static final double ROOM_BELOW_UTIL = 0.7;
+    private static final double IDLE_BELOW_UTIL = 0.3;
+    static final int REPORT_WEIGHT = 3;
+    // A utilization above MAX_UTIL is invalid; one below MIN_UTIL is too small to divide by.
     private static final double MIN_UTIL = 0.1;
     private static final double MAX_UTIL = 1.5;
-    // A sidecar that itself sends one in this many of a server's requests knows its load without reports.
-    private static final double SEEN_ENOUGH = 4;
-    // Weight of a report in the size of a server.
+    // A sidecar that sends one in this many of a server's requests sees its load without reports.
+    private static final double OWN_TRAFFIC_DIVISOR = 4;
+    // Weight of a report in the estimated size of a server.
     private static final double SIZE_WEIGHT = 0.2;
-    private static final double SECOND = 1000;
+    private static final double SECOND_MS = 1000;
 
-    // What it reported to hold, when, and our own sends less outcomes since then.
-    double held;
-    double heldAt = Double.NEGATIVE_INFINITY;
-    int since;
-    // Requests a second it could serve.
+    // Reported number in flight, when it was reported, and our own sends minus outcomes since then.
+    double inFlight;
+    double inFlightAtMs = Double.NEGATIVE_INFINITY;
+    int balanceSince;
+    // Estimated capacity in requests per second.
     double capacity;
-    // The busy share, if there was a report of it.
+    // Smoothed utilization, and whether any was reported.
     double util = 1;
-    boolean any;
+    boolean utilKnown;
 
-    // Takes in a report that came with an answer, and tells how far the busy share is over the wanted one, as
-    // the paper's overloaded node reckons it: the load of all the others, so it counts less the more of it is
-    // our own. Requests a second by busy share are the server's size.
-    double strain(Contract.Report r, double sendRate) {
-        if (r == null
-                || !(r.util() >= 0 && r.util() <= MAX_UTIL && r.perSecond() > 0)
-                || r.perSecond() == Double.POSITIVE_INFINITY) {
+    // Processes a report that came with an answer, and returns how far the utilization exceeds the wanted one, as the
+    // overloaded node of the published design computes it. This measures the load of all sidecars, so it counts less
+    // the more of it is our own. Requests per second divided by utilization is the server's capacity.
+    double excessLoad(Contract.Report report, double sendRate) {
+        if (report == null
+                || !(report.util() >= 0 && report.util() <= MAX_UTIL && report.perSecond() > 0)
+                || report.perSecond() == Double.POSITIVE_INFINITY) {
             return 0;
         }
-        any = true;
-        util += (r.util() - util) * SIZE_WEIGHT;
-        if (r.util() >= MIN_UTIL) {
-            capacity += (r.perSecond() / r.util() - capacity) * (capacity > 0 ? SIZE_WEIGHT : 1);
+        utilKnown = true;
+        util += (report.util() - util) * SIZE_WEIGHT;
+        if (report.util() >= MIN_UTIL) {
+            capacity += (report.perSecond() / report.util() - capacity) * (capacity > 0 ? SIZE_WEIGHT : 1);
         }
-        double over = Math.min(1, Math.max(0, (r.util() - UTIL_WANTED) / (1 - UTIL_WANTED)));
-        double ours = sendRate * SECOND / r.perSecond();
-        return over * Math.max(0, 1 - SEEN_ENOUGH * ours);
+        double excess = Math.min(1, Math.max(0, (report.util() - WANTED_UTIL) / (1 - WANTED_UTIL)));
+        double ownShare = sendRate * SECOND_MS / report.perSecond();
+        return excess * Math.max(0, 1 - OWN_TRAFFIC_DIVISOR * ownShare);
     }
 
-    // From 1, where it has little to do or tells nothing, to 0.
-    double ease() {
-        return any ? Math.max(0, Math.min(1, (UTIL_ROOM - util) / (UTIL_ROOM - UTIL_EASY))) : 1;
+    // Spare capacity from 1, where the server is idle or reports nothing, to 0.
+    double spareCapacity() {
+        return utilKnown ? Math.max(0, Math.min(1, (ROOM_BELOW_UTIL - util) / (ROOM_BELOW_UTIL - IDLE_BELOW_UTIL))) : 1;
     }
 
-    void probed(double now, Contract.Report r) {
-        if (r != null && r.inflight() >= 0 && r.inflight() < Double.POSITIVE_INFINITY) {
-            held = r.inflight();
-            heldAt = now;
-            since = 0;
+    void recordProbe(double nowMs, Contract.Report report) {
+        if (report != null && report.inflight() >= 0 && report.inflight() < Double.POSITIVE_INFINITY) {
+            inFlight = report.inflight();
+            inFlightAtMs = nowMs;
+            balanceSince = 0;
         }
     }
 }
--- a/src/main/java/whinlead/decide/Retries.java
+++ b/src/main/java/whinlead/decide/Retries.java
@@ -2,32 +2,34 @@
 
 import whinlead.Contract;
 
-/** Further attempts: earned by requests and bounded, and only where a second run does no harm. */
+/** Retry budget: further attempts are earned by requests and bounded, and made only where a second run does no harm. */
 final class Retries {
-    // Further attempts earned by each request, and how many may be saved up: they must not multiply a jam.
-    private static final double EARN = 0.15;
-    private static final double SAVE = 10;
+    // Retries earned by each request, and the most that may be saved up, so that retries do not multiply an overload.
+    private static final double TOKENS_PER_REQUEST = 0.15;
+    private static final double MAX_TOKENS = 10;
 
-    private final int attemptsMost;
-    private double tokens = SAVE / 2;
+    private final int maxAttempts;
+    private double tokens = MAX_TOKENS / 2;
 
     Retries(Contract.Limits limits) {
-        this.attemptsMost = limits.attempts();
+        this.maxAttempts = limits.attempts();
     }
 
-    void arrived() {
-        tokens = Math.min(SAVE, tokens + EARN);
+    void recordRequest() {
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
-    // Whether it may go out again, which is paid for, but after a failed connect: that put load on nobody.
-    boolean take(double now, Call c, Contract.Outcome last) {
+    // Whether a further attempt may be made, which is paid for with a token. After a failed connect it is free, since
+    // that put load on no server.
+    boolean tryAcquire(double nowMs, Call call, Contract.Outcome last) {
         double price = last == Contract.Outcome.CONNECT_FAILED ? 0 : 1;
-        if (last == Contract.Outcome.NEVER_SENT || tokens < price || c.attempts.size() >= attemptsMost) {
+        if (last == Contract.Outcome.NEVER_SENT || tokens < price || call.attempts.size() >= maxAttempts) {
             return false;
         }
-        boolean useful = now < (c.type.lateWorth() > 0 ? c.endAt : Math.min(c.aimAt, c.endAt));
-        boolean may = useful && (c.mayHaveRun == null || c.type.effect() != Contract.Effect.UNSAFE);
-        tokens -= may ? price : 0;
-        return may;
+        boolean useful = nowMs
+                < (call.requestClass.lateWorth() > 0 ? call.deadlineMs : Math.min(call.targetAtMs, call.deadlineMs));
+        boolean allowed = useful && (call.mayHaveRun == null || call.requestClass.effect() != Contract.Effect.UNSAFE);
+        tokens -= allowed ? price : 0;
+        return allowed;
     }
 }
--- a/src/main/java/whinlead/decide/ServerList.java
+++ b/src/main/java/whinlead/decide/ServerList.java
@@ -6,91 +6,94 @@
 import java.util.SplittableRandom;
 import whinlead.Contract;
 
-/** The servers that the list names, and when to ask for the list again. */
+/** The servers on the server list, and when to request the list again. */
 final class ServerList {
-    // Waits before asking for the list again, doubled up to the longest.
-    private static final double ASK_FIRST = 300;
-    private static final double ASK_LONGEST = 4000;
-    // All sidecars' calls are spread over so much time each, at most over this share of `askWithin`.
-    private static final double ASK_EACH = 10;
-    private static final double MAX_ASK_SPREAD = 0.4;
+    // Delay before the list is requested again, doubled up to the maximum.
+    private static final double MIN_RETRY_MS = 300;
+    private static final double MAX_RETRY_MS = 4000;
+    // The requests of all sidecars are spread over this much time each, at most over this share of the time within
+    // which the obligations want the list requested.
+    private static final double SPREAD_PER_SIDECAR_MS = 10;
+    private static final double MAX_SPREAD_SHARE = 0.4;
 
     private final SplittableRandom random;
-    private final Contract.Actions out;
+    private final Contract.Actions actions;
     private final long salt;
-    private final double spread;
+    private final double spreadMs;
     final Map<String, Node> nodes = new LinkedHashMap<>();
-    private double askAt = Double.NaN;
-    private double askWait = ASK_FIRST;
-    private boolean asked;
+    private double watchAtMs = Double.NaN;
+    private double retryWaitMs = MIN_RETRY_MS;
+    private boolean watchRequested;
 
-    ServerList(Contract.Settings settings, SplittableRandom random, Contract.Actions out) {
+    ServerList(Contract.Settings settings, SplittableRandom random, Contract.Actions actions) {
         this.random = random;
-        this.out = out;
+        this.actions = actions;
         this.salt = random.nextLong();
-        this.spread = Math.min(settings.obligations().askWithin() * MAX_ASK_SPREAD, settings.sidecars() * ASK_EACH);
+        this.spreadMs = Math.min(
+                settings.obligations().askWithin() * MAX_SPREAD_SHARE, settings.sidecars() * SPREAD_PER_SIDECAR_MS);
     }
 
-    void start(double now, boolean mustBeAsked) {
+    void start(double nowMs, boolean mustBeAsked) {
         if (mustBeAsked) {
-            askAt = now + spread * random.nextDouble();
+            watchAtMs = nowMs + spreadMs * random.nextDouble();
         }
     }
 
-    // True if there is anything new.
-    boolean told(double now, Contract.ListKind kind, List<Contract.Server> entries) {
+    // Returns true if the list may have changed.
+    boolean update(double nowMs, Contract.ListKind kind, List<Contract.Server> entries) {
         if (kind == Contract.ListKind.FAILED) {
-            // A list service that comes back must not be met by every sidecar at once.
-            askAt = now + askWait * (0.5 + random.nextDouble()) + spread * random.nextDouble();
-            if (askWait == ASK_FIRST) {
-                out.log("server list out of reach: deciding on the last one");
+            // Spread at random, so that a recovering list service does not get the requests of all sidecars at once.
+            watchAtMs = nowMs + retryWaitMs * (0.5 + random.nextDouble()) + spreadMs * random.nextDouble();
+            if (retryWaitMs == MIN_RETRY_MS) {
+                actions.log("server list out of reach: deciding on the last one");
             }
-            askWait = Math.min(ASK_LONGEST, askWait * 2);
+            retryWaitMs = Math.min(MAX_RETRY_MS, retryWaitMs * 2);
             return false;
         }
-        if (kind != Contract.ListKind.STALE && asked) {
-            if (askWait > ASK_FIRST) {
-                out.log("server list back in reach");
+        if (kind != Contract.ListKind.STALE && watchRequested) {
+            if (retryWaitMs > MIN_RETRY_MS) {
+                actions.log("server list back in reach");
             }
-            askAt = Double.NaN;
-            askWait = ASK_FIRST;
+            watchAtMs = Double.NaN;
+            retryWaitMs = MIN_RETRY_MS;
         }
         if (kind != Contract.ListKind.CHANGES) {
             nodes.values().forEach(n -> n.usable = n.listed = false);
         }
-        for (Contract.Server e : entries) {
-            learn(e);
+        for (Contract.Server entry : entries) {
+            updateEntry(entry);
         }
-        // What is off the list goes at once or with its last attempt: nothing piles up over rolling deploys.
-        nodes.values().removeIf(n -> !n.listed && n.out.count == 0);
+        // Unlisted servers are removed at once or after their last attempt, so that none accumulate over rolling
+        // deploys.
+        nodes.values().removeIf(n -> !n.listed && n.outstanding.count == 0);
         return true;
     }
 
-    // After a server's attempt has ended.
-    void forget(Node n) {
-        if (n.out.count == 0 && !n.listed) {
-            nodes.remove(n.entry.id());
+    // Called after an attempt at this server has ended.
+    void removeIfUnused(Node node) {
+        if (node.outstanding.count == 0 && !node.listed) {
+            nodes.remove(node.entry.id());
         }
     }
 
-    void period(double now) {
-        if (askAt <= now) {
-            askAt = Double.NaN;
-            asked = true;
-            out.watchServers();
+    void endPeriod(double nowMs) {
+        if (watchAtMs <= nowMs) {
+            watchAtMs = Double.NaN;
+            watchRequested = true;
+            actions.watchServers();
         }
     }
 
-    private void learn(Contract.Server e) {
-        Node n = nodes.get(e.id());
-        if (n == null) {
-            n = new Node(new SplittableRandom(salt + e.id().hashCode()).nextLong(), e.startedAt());
-            nodes.put(e.id(), n);
-        } else if (e.startedAt() > n.startedAt) {
-            n.restarted(e.startedAt());
+    private void updateEntry(Contract.Server entry) {
+        Node node = nodes.get(entry.id());
+        if (node == null) {
+            node = new Node(new SplittableRandom(salt + entry.id().hashCode()).nextLong(), entry.startedAt());
+            nodes.put(entry.id(), node);
+        } else if (entry.startedAt() > node.startedAtMs) {
+            node.reset(entry.startedAt());
         }
-        n.entry = e;
-        n.usable = e.standing() == Contract.Standing.UP;
-        n.listed = e.standing() != Contract.Standing.GONE;
+        node.entry = entry;
+        node.usable = entry.standing() == Contract.Standing.UP;
+        node.listed = entry.standing() != Contract.Standing.GONE;
     }
 }
--- a/src/main/java/whinlead/decide/Unreachable.java
+++ b/src/main/java/whinlead/decide/Unreachable.java
@@ -2,24 +2,24 @@
 
 import whinlead.Contract;
 
-/** A server that can't be connected to is left alone, for a time that doubles; then one attempt tries it. */
+/** Avoids a server that can't be connected to for a time that doubles; after that a single attempt tries it again. */
 final class Unreachable {
-    // How often the wait, at first a period, doubles: the list tells of what is gone after some seconds.
+    // How often the wait, at first one period, doubles. The server list removes a dead server after some seconds.
     private static final int DOUBLINGS = 4;
 
-    private int failed;
-    private double until;
+    private int failures;
+    private double avoidUntilMs;
 
-    // An attempt's end. Those sent before the first failure tell no more.
-    void ended(double now, double period, Contract.Outcome how) {
-        if (how == Contract.Outcome.CONNECT_FAILED && (failed == 0 || now >= until)) {
-            until = now + period * (1 << Math.min(DOUBLINGS, failed++));
-        } else if (how == Contract.Outcome.FULL || !how.neverRan) {
-            failed = 0;
+    // Records the outcome of an attempt. Failures of attempts sent before the first failure add nothing.
+    void recordOutcome(double nowMs, double periodMs, Contract.Outcome outcome) {
+        if (outcome == Contract.Outcome.CONNECT_FAILED && (failures == 0 || nowMs >= avoidUntilMs)) {
+            avoidUntilMs = nowMs + periodMs * (1 << Math.min(DOUBLINGS, failures++));
+        } else if (outcome == Contract.Outcome.FULL || !outcome.neverRan) {
+            failures = 0;
         }
     }
 
-    boolean shuns(double now, int out) {
-        return failed > 0 && (now < until || out > 0);
+    boolean avoids(double nowMs, int inFlight) {
+        return failures > 0 && (nowMs < avoidUntilMs || inFlight > 0);
     }
 }
--- a/src/main/java/whinlead/decide/Worth.java
+++ b/src/main/java/whinlead/decide/Worth.java
@@ -4,80 +4,85 @@
 import java.util.SplittableRandom;
 import whinlead.Contract;
 
-/** Lowest worth first: the levels of worth, their mix in the traffic, and each level's share of a drop. */
+/**
+ * Drops the lowest worth first: the levels of worth, their mix in the traffic, and each level's part of a drop share.
+ */
 final class Worth {
-    // What stays of the mix from period to period.
-    private static final double MIX_KEEP = 0.98;
+    // Factor on the mix per period.
+    private static final double MIX_DECAY = 0.98;
 
     private final Contract.Settings settings;
     private final SplittableRandom random;
-    // Levels, lowest first: that of each class within and over its tenant's share.
-    private final int[] within;
-    private final int[] over;
+    // Levels, lowest first: the level of each class within and over its tenant's share.
+    private final int[] levelWithinShare;
+    private final int[] levelOverShare;
     private final double[] mix;
-    private final double[] below;
-    private final double[] tenantSeen;
-    private double seen;
+    private final double[] shareBelow;
+    private final double[] tenantRequests;
+    private double requestsSeen;
 
     Worth(Contract.Settings settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
-        int n = settings.classes().size();
-        double[] worths = new double[2 * n];
-        for (int i = 0; i < n; i++) {
+        int classCount = settings.classes().size();
+        double[] worths = new double[2 * classCount];
+        for (int i = 0; i < classCount; i++) {
             double worth = settings.classes().get(i).worth();
             worths[i] = worth;
-            worths[n + i] = worth * settings.overShareWorth();
+            worths[classCount + i] = worth * settings.overShareWorth();
         }
         double[] levels = Arrays.stream(worths).sorted().distinct().toArray();
-        this.within = new int[n];
-        this.over = new int[n];
-        for (int i = 0; i < n; i++) {
-            within[i] = Arrays.binarySearch(levels, worths[i]);
-            over[i] = Arrays.binarySearch(levels, worths[n + i]);
+        this.levelWithinShare = new int[classCount];
+        this.levelOverShare = new int[classCount];
+        for (int i = 0; i < classCount; i++) {
+            levelWithinShare[i] = Arrays.binarySearch(levels, worths[i]);
+            levelOverShare[i] = Arrays.binarySearch(levels, worths[classCount + i]);
         }
         this.mix = new double[levels.length];
-        this.below = new double[levels.length + 1];
-        this.tenantSeen = new double[settings.tenants().size()];
+        this.shareBelow = new double[levels.length + 1];
+        this.tenantRequests = new double[settings.tenants().size()];
     }
 
-    // Counts a request and tells its level: the lower one for what is beyond its tenant's share, by chance.
-    int arrived(Contract.Request r) {
-        int level = within[r.classIndex];
-        if (r.tenantIndex >= 0) {
-            seen++;
-            double fraction = ++tenantSeen[r.tenantIndex] / seen;
-            double share = settings.tenants().get(r.tenantIndex).share();
-            level = fraction > share && random.nextDouble() * fraction > share ? over[r.classIndex] : level;
+    // Counts a request and returns its level: the lower one, chosen at random, for traffic beyond its tenant's share.
+    int recordRequest(Contract.Request request) {
+        int level = levelWithinShare[request.classIndex];
+        if (request.tenantIndex >= 0) {
+            requestsSeen++;
+            double tenantFraction = ++tenantRequests[request.tenantIndex] / requestsSeen;
+            double quotaShare = settings.tenants().get(request.tenantIndex).share();
+            level = tenantFraction > quotaShare && random.nextDouble() * tenantFraction > quotaShare
+                    ? levelOverShare[request.classIndex]
+                    : level;
         }
         mix[level]++;
         return level;
     }
 
-    // The percentage split over the levels by the mix: the lowest takes it all before the next takes any.
-    double dropShare(int level, double p) {
-        if (p <= 0) {
+    // Splits a drop share over the levels by the mix: the lowest level is dropped fully before the next is dropped at
+    // all.
+    double dropShare(int level, double dropShare) {
+        if (dropShare <= 0) {
             return 0;
         }
-        double own = below[level + 1] - below[level];
-        return own > 0 ? (p - below[level]) / own : p > below[level] ? 1 : 0;
+        double levelShare = shareBelow[level + 1] - shareBelow[level];
+        return levelShare > 0 ? (dropShare - shareBelow[level]) / levelShare : dropShare > shareBelow[level] ? 1 : 0;
     }
 
-    // The share of the traffic that is worth less than the most.
-    double lesser() {
-        return below[below.length - 2];
+    // The share of the traffic below the highest worth.
+    double lowerWorthShare() {
+        return shareBelow[shareBelow.length - 2];
     }
 
-    void period() {
+    void endPeriod() {
         double total = Arrays.stream(mix).sum();
         double sum = 0;
         for (int i = 0; i < mix.length; i++) {
-            below[i] = total > 0 ? sum / total : 0;
+            shareBelow[i] = total > 0 ? sum / total : 0;
             sum += mix[i];
-            mix[i] *= MIX_KEEP;
+            mix[i] *= MIX_DECAY;
         }
-        below[mix.length] = 1;
-        seen *= MIX_KEEP;
-        Arrays.setAll(tenantSeen, i -> tenantSeen[i] * MIX_KEEP);
+        shareBelow[mix.length] = 1;
+        requestsSeen *= MIX_DECAY;
+        Arrays.setAll(tenantRequests, i -> tenantRequests[i] * MIX_DECAY);
     }
 }
--- a/src/test/java/whinlead/decide/CeilingTest.java
+++ b/src/test/java/whinlead/decide/CeilingTest.java
@@ -8,92 +8,95 @@
 import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 
-/** What a sidecar holds in all where servers tell nothing of their load, and failed connects beside it. */
+/** The limit on all attempts in flight where servers report no load; also that failed connects cause no refusals. */
 class CeilingTest {
     private static final int SERVERS = 12;
-    private static final double TOOK = 140;
+    private static final double DURATION_MS = 140;
 
-    private record Out(double at, Contract.Request request) {}
+    private record Out(double sentAtMs, Contract.Request request) {}
 
     private final Rig rig =
-            new Rig(Rig.settings(false, Rig.kind("read", 1, Contract.Effect.SAFE, Contract.Group.ALL)), 5);
-    private final Deque<Out> out = new ArrayDeque<>();
-    private int asked;
+            new Rig(Rig.settings(false, Rig.requestClass("read", 1, Contract.Effect.SAFE, Contract.Group.ALL)), 5);
+    private final Deque<Out> inFlight = new ArrayDeque<>();
+    private int requests;
     private int refused;
-    private int most;
+    private int maxInFlight;
 
     CeilingTest() {
         rig.module.start(0);
         rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(SERVERS));
     }
 
-    /** One request each gap; each is answered once it has been out for so long. */
-    private void drive(double from, double to, double gap, double took) {
-        for (double now = from; now < to; now += gap) {
-            while (!out.isEmpty() && out.peek().at() + took <= now) {
-                Out o = out.poll();
-                rig.runTo(o.at() + took);
-                rig.end(o.at() + took, o.request(), Contract.Outcome.SERVED, took);
+    /** Sends one request every {@code gapMs} and answers each after {@code durationMs}. */
+    private void drive(double fromMs, double toMs, double gapMs, double durationMs) {
+        for (double nowMs = fromMs; nowMs < toMs; nowMs += gapMs) {
+            while (!inFlight.isEmpty() && inFlight.peek().sentAtMs() + durationMs <= nowMs) {
+                Out attempt = inFlight.poll();
+                rig.runTo(attempt.sentAtMs() + durationMs);
+                rig.endAttempt(attempt.sentAtMs() + durationMs, attempt.request(), Contract.Outcome.SERVED, durationMs);
             }
-            rig.runTo(now);
-            Contract.Request r = rig.ask(now, 0);
-            asked++;
-            if (rig.sends(r) > 0) {
-                out.add(new Out(now, r));
+            rig.runTo(nowMs);
+            Contract.Request request = rig.sendRequest(nowMs, 0);
+            requests++;
+            if (rig.sendCount(request) > 0) {
+                inFlight.add(new Out(nowMs, request));
             } else {
                 refused++;
             }
-            most = Math.max(most, out.size());
+            maxInFlight = Math.max(maxInFlight, inFlight.size());
         }
     }
 
     @Test
-    void aBurstDoesNotFillAllServers() {
-        drive(1, 6000, 10, TOOK);
-        assertEquals(0, refused, "held 14 of the 14 that it holds when well");
-        // Ten times as much, and slower for it: the walk finds a server that passes for nearly each.
+    void burstDoesNotFillAllServers() {
+        drive(1, 6000, 10, DURATION_MS);
+        assertEquals(0, refused, "refused at the usual 14 in flight");
+        // Ten times the load with slower answers. Without the limit nearly every request would find a server that
+        // passes.
         drive(6000, 6400, 1, 400);
-        assertTrue(most <= 20, "held " + most);
+        assertTrue(maxInFlight <= 20, "most in flight: " + maxInFlight);
         assertTrue(refused > 300, "refused " + refused);
     }
 
     @Test
-    void aRiseThatIsAnsweredInTimeIsFollowed() {
-        drive(1, 3000, 10, TOOK);
-        drive(3000, 6000, 3, TOOK);
-        asked = 0;
+    void limitFollowsARiseAnsweredInTime() {
+        drive(1, 3000, 10, DURATION_MS);
+        drive(3000, 6000, 3, DURATION_MS);
+        requests = 0;
         refused = 0;
-        drive(6000, 9000, 3, TOOK);
-        assertTrue(refused < asked / 100, refused + " refused of " + asked);
+        drive(6000, 9000, 3, DURATION_MS);
+        assertTrue(refused < requests / 100, refused + " refused of " + requests);
     }
 
     @Test
-    void whatWasHeldWhenWellIsKnownAfterALull() {
-        drive(1, 3000, 3, TOOK);
-        drive(3000, 23_000, 100, TOOK);
+    void limitIsRememberedAfterALull() {
+        drive(1, 3000, 3, DURATION_MS);
+        drive(3000, 23_000, 100, DURATION_MS);
         refused = 0;
-        asked = 0;
-        drive(23_000, 24_000, 3, TOOK);
-        assertTrue(refused < asked / 20, refused + " refused of " + asked);
+        requests = 0;
+        drive(23_000, 24_000, 3, DURATION_MS);
+        assertTrue(refused < requests / 20, refused + " refused of " + requests);
     }
 
     @Test
-    void halfTheServersOutOfReachRefuseNothingAndBlameNoOther() {
-        for (double now = 1; now < 8000; now += 10) {
-            rig.runTo(now);
-            Contract.Request r = rig.ask(now, 0);
-            while (!rig.answers.containsKey(r.id)
-                    && Integer.parseInt(rig.lastServer(r).substring(1)) % 2 == 0) {
-                rig.end(now, r, Contract.Outcome.CONNECT_FAILED, 0);
+    void unreachableHalfCausesNoRefusalsAndNoDropsElsewhere() {
+        for (double nowMs = 1; nowMs < 8000; nowMs += 10) {
+            rig.runTo(nowMs);
+            Contract.Request request = rig.sendRequest(nowMs, 0);
+            while (!rig.answers.containsKey(request.id)
+                    && Integer.parseInt(rig.lastServer(request).substring(1)) % 2 == 0) {
+                rig.endAttempt(nowMs, request, Contract.Outcome.CONNECT_FAILED, 0);
             }
-            if (!rig.answers.containsKey(r.id)) {
-                rig.end(now, r, Contract.Outcome.SERVED, TOOK);
+            if (!rig.answers.containsKey(request.id)) {
+                rig.endAttempt(nowMs, request, Contract.Outcome.SERVED, DURATION_MS);
             }
-            refused += rig.answers.containsKey(r.id) ? 1 : 0;
+            refused += rig.answers.containsKey(request.id) ? 1 : 0;
             for (int i = 1; i < SERVERS; i += 2) {
-                assertEquals(0, rig.module.dropShare("s" + i), "at " + now + " of s" + i);
+                assertEquals(0, rig.module.dropShare("s" + i), "at " + nowMs + " of s" + i);
             }
         }
-        assertTrue(refused <= 8, refused + " of 800, for want of a fifth attempt only");
+        assertTrue(
+                refused <= 8,
+                refused + " refused of 800; expected only where all attempts of a request failed to connect");
     }
 }
--- a/src/test/java/whinlead/decide/EmbeddingExampleTest.java
+++ b/src/test/java/whinlead/decide/EmbeddingExampleTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 
-/** The README's example of a sidecar that embeds the module; it compiles and runs here. */
+/** The README's example of a sidecar that embeds the module, compiled and run. */
 class EmbeddingExampleTest {
-    /** A sidecar's side: it carries out what the module decides. */
+    /** The sidecar's part: carries out the module's decisions. */
     static final class Sidecar implements Contract.Actions {
         final List<String> did = new ArrayList<>();
 
--- a/src/test/java/whinlead/decide/FleetSumsTest.java
+++ b/src/test/java/whinlead/decide/FleetSumsTest.java
@@ -16,113 +16,116 @@
 import whinlead.Contract;
 import whinlead.testbed.DrivenClock;
 
-/** What a fleet of light sidecars holds open at one server, makes anew and probes: the sums of docs/large-fleet.md. */
+/**
+ * How many connections and handshakes a fleet of light sidecars needs at one server and how much it probes, checked
+ * against the figures of docs/large-fleet.md.
+ */
 class FleetSumsTest {
     private static final int SERVERS = 60;
     private static final double PER_SECOND = 2;
-    private static final double ANSWER = 100;
-    private static final double AIM = 1000;
-    private static final double DEADLINE = 4000;
-    /** An idle connection is closed after so long, and the figures are taken over so long. */
-    private static final double IDLE = 10_000;
+    private static final double ANSWER_MS = 100;
+    private static final double TARGET_MS = 1000;
+    private static final double DEADLINE_MS = 4000;
+    /** An idle connection is closed after this time, and the figures are taken over this time. */
+    private static final double IDLE_MS = 10_000;
 
-    private static final double SPAN = 30_000;
+    private static final double RUN_MS = 30_000;
     private static final double PROBE_COST = 0.002;
-    private static final double PROBES_A_REQUEST = 4;
+    private static final double PROBES_PER_REQUEST = 4;
 
     private final DrivenClock clock = new DrivenClock();
     private final List<Sidecar> sidecars = new ArrayList<>();
-    private int asked;
+    private int requests;
     private int probes;
 
-    /** Connections as the sidecar keeps them: a free one is used, last used first, else one is made. */
-    private static final class Line {
-        private final ArrayDeque<Double> free = new ArrayDeque<>();
-        private int out;
-        private int made;
-
-        private void send(double now) {
-            close(now);
-            out++;
-            if (free.pollLast() == null) {
-                made++;
+    /** A sidecar's connections to one server: the most recently used idle one is reused, else one is opened. */
+    private static final class ConnectionPool {
+        private final ArrayDeque<Double> idleSinceMs = new ArrayDeque<>();
+        private int inUse;
+        private int opened;
+
+        private void send(double nowMs) {
+            closeIdle(nowMs);
+            inUse++;
+            if (idleSinceMs.pollLast() == null) {
+                opened++;
             }
         }
 
-        private void answered(double now) {
-            out--;
-            free.addLast(now);
+        private void answered(double nowMs) {
+            inUse--;
+            idleSinceMs.addLast(nowMs);
         }
 
-        private void close(double now) {
-            while (!free.isEmpty() && free.peekFirst() < now - IDLE) {
-                free.pollFirst();
+        private void closeIdle(double nowMs) {
+            while (!idleSinceMs.isEmpty() && idleSinceMs.peekFirst() < nowMs - IDLE_MS) {
+                idleSinceMs.pollFirst();
             }
         }
 
-        private int open(double now) {
-            close(now);
-            return out + free.size();
+        private int openCount(double nowMs) {
+            closeIdle(nowMs);
+            return inUse + idleSinceMs.size();
         }
     }
 
     private final class Sidecar extends NoActions {
         private final Contract.Events module;
-        private final Random dice;
-        private final Map<String, Line> lines = new HashMap<>();
+        private final Random random;
+        private final Map<String, ConnectionPool> pools = new HashMap<>();
         private final Map<Long, Integer> attempts = new HashMap<>();
-        private long ids;
+        private long nextId;
 
-        private Sidecar(int ordinal, int of, boolean probing) {
-            Contract.RequestClass type = new Contract.RequestClass(
-                    "read", 1, 0, AIM, DEADLINE, Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
+        private Sidecar(int ordinal, int sidecarCount, boolean probing) {
+            Contract.RequestClass requestClass = new Contract.RequestClass(
+                    "read", 1, 0, TARGET_MS, DEADLINE_MS, Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
             module = new Decide(
                     new Contract.Settings(
-                            List.of(type),
+                            List.of(requestClass),
                             List.of(),
                             1,
                             new Contract.Limits(6, false, true, probing, false, true, 2000, PROBE_COST),
                             new Contract.Obligations(2000, 4, 1500, 0.12, 24_000, 10_000),
                             probing ? Contract.Reporting.WITH_PROBES : Contract.Reporting.NONE,
                             false,
-                            of,
+                            sidecarCount,
                             ordinal),
                     ordinal,
                     this);
-            dice = new Random(ordinal);
+            random = new Random(ordinal);
         }
 
         private void start() {
             module.start(clock.now());
             module.servers(clock.now(), Contract.ListKind.FULL, Rig.fleet(SERVERS));
-            next();
+            scheduleNextRequest();
         }
 
-        private void next() {
-            clock.after(-Math.log(1 - dice.nextDouble()) * 1000 / PER_SECOND, () -> {
-                asked++;
-                module.request(clock.now(), new Contract.Request(ids++, 0, -1, DEADLINE, false));
-                next();
+        private void scheduleNextRequest() {
+            clock.after(-Math.log(1 - random.nextDouble()) * 1000 / PER_SECOND, () -> {
+                requests++;
+                module.request(clock.now(), new Contract.Request(nextId++, 0, -1, DEADLINE_MS, false));
+                scheduleNextRequest();
             });
         }
 
         @Override
         public boolean connected(Contract.Request request, String server) {
-            Line line = lines.get(server);
-            return line != null && line.open(clock.now()) > line.out;
+            ConnectionPool pool = pools.get(server);
+            return pool != null && pool.openCount(clock.now()) > pool.inUse;
         }
 
         @Override
-        public void send(Contract.Request request, String server, double within) {
-            double sentAt = clock.now();
+        public void send(Contract.Request request, String server, double timeoutMs) {
+            double sentAtMs = clock.now();
             int attempt = attempts.merge(request.id, 1, Integer::sum) - 1;
-            Line line = lines.computeIfAbsent(server, id -> new Line());
-            line.send(sentAt);
-            clock.after(ANSWER * (0.5 + dice.nextDouble()), () -> {
-                line.answered(clock.now());
+            ConnectionPool pool = pools.computeIfAbsent(server, id -> new ConnectionPool());
+            pool.send(sentAtMs);
+            clock.after(ANSWER_MS * (0.5 + random.nextDouble()), () -> {
+                pool.answered(clock.now());
                 attempts.remove(request.id);
                 module.outcome(
-                        clock.now(), request, attempt, Contract.Outcome.SERVED, clock.now() - sentAt, true, null);
+                        clock.now(), request, attempt, Contract.Outcome.SERVED, clock.now() - sentAtMs, true, null);
             });
         }
 
@@ -133,8 +136,8 @@
         }
 
         @Override
-        public void wake(double at) {
-            clock.at(at, () -> module.wake(clock.now()));
+        public void wake(double timeMs) {
+            clock.at(timeMs, () -> module.wake(clock.now()));
         }
     }
 
@@ -144,58 +147,65 @@
             sidecars.add(new Sidecar(i, count, probing));
         }
         sidecars.forEach(Sidecar::start);
-        clock.runTo(SPAN);
+        clock.runTo(RUN_MS);
     }
 
-    /** As stated: eight servers while all together have room for them, the room's part beyond, three at least. */
-    private static int subset(int count) {
+    /**
+     * The documented size of a subset: eight servers while there is room for the connections of all sidecars, fewer
+     * beyond that, and at least three.
+     */
+    private static int expectedSubsetSize(int count) {
         return Math.max(3, Math.min(8, (int) Math.ceil(SERVERS * 12.0 / count)));
     }
 
     @ParameterizedTest
     @CsvSource({"3", "14", "50", "200", "1000"})
-    void sidecarsAtOneServerAndTheirHandshakesStayWithinTheSums(int count) {
+    void connectionsAndHandshakesStayWithinTheStatedTotals(int count) {
         run(count, false);
-        double now = clock.now();
-        double mean = (double) count * subset(count) / SERVERS;
+        double nowMs = clock.now();
+        double mean = (double) count * expectedSubsetSize(count) / SERVERS;
         int open = 0;
-        int made = 0;
+        int opened = 0;
         for (int i = 0; i < SERVERS; i++) {
             String id = "s" + i;
             int users = 0;
             for (Sidecar s : sidecars) {
-                Line line = s.lines.get(id);
-                users += line == null ? 0 : 1;
-                open += line == null ? 0 : line.open(now);
-                made += line == null ? 0 : line.made;
+                ConnectionPool pool = s.pools.get(id);
+                users += pool == null ? 0 : 1;
+                open += pool == null ? 0 : pool.openCount(nowMs);
+                opened += pool == null ? 0 : pool.opened;
             }
-            assertTrue(users <= mean + 4 * Math.sqrt(mean) + 1, users + " sidecars at " + id + ", on average " + mean);
+            assertTrue(
+                    users <= mean + 4 * Math.sqrt(mean) + 1, users + " sidecars at " + id + ", expected mean " + mean);
         }
         for (Sidecar s : sidecars) {
-            assertTrue(s.lines.size() <= subset(count), s.lines.size() + " servers of " + subset(count));
+            assertTrue(
+                    s.pools.size() <= expectedSubsetSize(count),
+                    s.pools.size() + " servers of " + expectedSubsetSize(count));
         }
-        double lines = 1.1 * count * subset(count);
-        assertTrue(open <= lines, open + " connections of the fleet, at most " + lines);
-        assertTrue(made <= lines * (1 + SPAN / IDLE), made + " handshakes of the fleet");
+        double maxConnections = 1.1 * count * expectedSubsetSize(count);
+        assertTrue(open <= maxConnections, open + " open connections of the fleet, expected at most " + maxConnections);
+        assertTrue(opened <= maxConnections * (1 + RUN_MS / IDLE_MS), opened + " handshakes of the fleet");
     }
 
     @ParameterizedTest
     @CsvSource({"3", "14", "50", "200"})
-    void probesStayWithinWhatRequestsPayForAndOneForEachServerOfASubset(int count) {
+    void probesStayWithinTheirBudget(int count) {
         run(count, true);
-        assertTrue(probes > asked / 2, probes + " probes for " + asked + " requests");
-        double most = PROBES_A_REQUEST * asked + (double) count * subset(count);
-        assertTrue(probes <= most, probes + " probes, at most " + most);
+        assertTrue(probes > requests / 2, probes + " probes for " + requests + " requests");
+        double maxProbes = PROBES_PER_REQUEST * requests + (double) count * expectedSubsetSize(count);
+        assertTrue(probes <= maxProbes, probes + " probes, expected at most " + maxProbes);
     }
 
     @ParameterizedTest
     @CsvSource({"14", "200"})
-    void everyServerIsUsedWhereTheSumsReachAll(int count) {
+    void serversOutsideAllSubsetsAreAsFewAsChanceGives(int count) {
         run(count, false);
         Set<String> used = new HashSet<>();
-        sidecars.forEach(s -> used.addAll(s.lines.keySet()));
-        // By chance a server is in nobody's subset: (1 - subset / servers) to the power of the sidecars.
-        double nobody = Math.pow(1 - (double) subset(count) / SERVERS, count);
-        assertEquals(SERVERS * (1 - nobody), used.size(), 4 * Math.sqrt(SERVERS * nobody) + 1);
+        sidecars.forEach(s -> used.addAll(s.pools.keySet()));
+        // The probability that a server is in no subset is (1 - subset / servers) to the power of the number of
+        // sidecars.
+        double unusedShare = Math.pow(1 - (double) expectedSubsetSize(count) / SERVERS, count);
+        assertEquals(SERVERS * (1 - unusedShare), used.size(), 4 * Math.sqrt(SERVERS * unusedShare) + 1);
     }
 }
--- a/src/test/java/whinlead/decide/ModuleFilesTest.java
+++ b/src/test/java/whinlead/decide/ModuleFilesTest.java
@@ -9,18 +9,20 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The module is audited by the users: the deploy file names all of it. */
+/** Users audit the module by the deploy file, which must name all of its source files. */
 class ModuleFilesTest {
     private static final Path MODULE = Path.of("src/main/java/whinlead/decide");
 
     @Test
-    void theDeployFileNamesEveryFileOfTheModule() throws IOException {
+    void deployFileNamesEveryFileOfTheModule() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("policy = "))
                 .findFirst()
                 .orElseThrow();
         for (Path file : files()) {
-            assertTrue(policy.contains("\"" + file + "\""), () -> file + " is not named");
+            assertTrue(
+                    policy.contains("\"" + file + "\""),
+                    () -> file + " is missing in the policy of deploy/balancer.toml");
         }
     }
 
--- a/src/test/java/whinlead/decide/NoActions.java
+++ b/src/test/java/whinlead/decide/NoActions.java
@@ -2,10 +2,10 @@
 
 import whinlead.Contract;
 
-/** Carries nothing out; tests override what they look at. */
+/** Actions that do nothing; tests override those that they observe. */
 public abstract class NoActions implements Contract.Actions {
     @Override
-    public void send(Contract.Request request, String server, double within) {}
+    public void send(Contract.Request request, String server, double timeoutMs) {}
 
     @Override
     public void cancel(Contract.Request request, int attempt) {}
--- a/src/test/java/whinlead/decide/RecordedRunTest.java
+++ b/src/test/java/whinlead/decide/RecordedRunTest.java
@@ -16,8 +16,8 @@
 import whinlead.Contract;
 
 /**
- * Whole runs of random events against digests of the actions that they brought: a change that is meant to move code and
- * nothing else must give the same actions to the bit. Who changes a decision records anew, and says so.
+ * Compares digests of the actions of whole random runs: a change that only moves code must give exactly the same
+ * actions. A change of decisions records new digests and states so.
  */
 class RecordedRunTest {
     private static final Map<String, String> RECORDED = Map.of(
@@ -28,7 +28,7 @@
             "random 4", "9e24e0efb9bcd835");
 
     @Test
-    void theSameEventsGiveTheSameActionsToTheBit() {
+    void sameEventsGiveTheRecordedActions() {
         Map<String, String> actual = new TreeMap<>();
         for (long seed = 1; seed <= 4; seed++) {
             actual.put("random " + seed, digest(RandomEventsTest.play(seed, "n", seed % 2 == 0)));
@@ -37,13 +37,13 @@
         assertEquals(new TreeMap<>(RECORDED), actual);
     }
 
-    /** An hour-glass of a day: load up to twice of what six servers with reports can do, and back. */
+    /** Load that rises to twice the capacity of six servers with reports, and falls again. */
     private static List<String> queues(long seed) {
-        Random dice = new Random(seed);
+        Random random = new Random(seed);
         Contract.Settings base = Rig.settings(
                 false,
-                Rig.kind("a", 5, Contract.Effect.SAFE, Contract.Group.ALL),
-                Rig.kind("b", 2, Contract.Effect.UNSAFE, Contract.Group.ALL));
+                Rig.requestClass("a", 5, Contract.Effect.SAFE, Contract.Group.ALL),
+                Rig.requestClass("b", 2, Contract.Effect.UNSAFE, Contract.Group.ALL));
         Rig rig = new Rig(
                 new Contract.Settings(
                         base.classes(),
@@ -58,36 +58,37 @@
                 seed);
         rig.module.start(0);
         rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(6));
-        double[] free = new double[6];
-        PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
-        double now = 0;
-        while (now < 12_000) {
-            now += 1 + dice.nextDouble() * (now > 4000 && now < 8000 ? 8 : 24);
-            for (Due d = due.peek(); d != null && d.at() <= now; d = due.peek()) {
+        double[] freeAtMs = new double[6];
+        PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::timeMs));
+        double nowMs = 0;
+        while (nowMs < 12_000) {
+            nowMs += 1 + random.nextDouble() * (nowMs > 4000 && nowMs < 8000 ? 8 : 24);
+            for (Due next = due.peek(); next != null && next.timeMs() <= nowMs; next = due.peek()) {
                 due.poll();
-                rig.runTo(d.at());
+                rig.runTo(next.timeMs());
                 rig.module.outcome(
-                        d.at(),
-                        d.request(),
-                        d.attempt(),
+                        next.timeMs(),
+                        next.request(),
+                        next.attempt(),
                         Contract.Outcome.SERVED,
-                        d.at() - d.sent(),
+                        next.timeMs() - next.sentAtMs(),
                         true,
-                        new Contract.Report(Double.NaN, Double.NaN, d.util(), Double.NaN, 20 + dice.nextInt(9), 0));
+                        new Contract.Report(
+                                Double.NaN, Double.NaN, next.util(), Double.NaN, 20 + random.nextInt(9), 0));
             }
-            rig.runTo(now);
-            int k = dice.nextInt(2);
-            Contract.Request r = rig.ask(now, k);
-            if (rig.sends(r) > 0) {
-                int s = Integer.parseInt(rig.lastServer(r).substring(1));
-                free[s] = Math.max(now, free[s]) + 20 + dice.nextInt(40);
-                due.add(new Due(free[s], now, r, 0, Math.min(1, (free[s] - now) / 200)));
+            rig.runTo(nowMs);
+            int classIndex = random.nextInt(2);
+            Contract.Request request = rig.sendRequest(nowMs, classIndex);
+            if (rig.sendCount(request) > 0) {
+                int s = Integer.parseInt(rig.lastServer(request).substring(1));
+                freeAtMs[s] = Math.max(nowMs, freeAtMs[s]) + 20 + random.nextInt(40);
+                due.add(new Due(freeAtMs[s], nowMs, request, 0, Math.min(1, (freeAtMs[s] - nowMs) / 200)));
             }
         }
         return rig.actions;
     }
 
-    private record Due(double at, double sent, Contract.Request request, int attempt, double util) {}
+    private record Due(double timeMs, double sentAtMs, Contract.Request request, int attempt, double util) {}
 
     private static String digest(List<String> actions) {
         try {
--- a/src/test/java/whinlead/decide/Rig.java
+++ b/src/test/java/whinlead/decide/Rig.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import whinlead.Contract;
 
-/** A scripted sidecar: collects the module's actions and lets a test answer them one by one. */
+/** A scripted sidecar that collects the module's actions and lets a test answer them one by one. */
 final class Rig implements Contract.Actions {
-    /** An action as text, for comparing whole runs. */
+    /** The actions as text, for comparing whole runs. */
     final List<String> actions = new ArrayList<>();
 
     final Map<Long, List<String>> sentTo = new LinkedHashMap<>();
@@ -18,9 +18,9 @@
     final List<String> probes = new ArrayList<>();
     final List<double[]> cancels = new ArrayList<>();
     int watches;
-    double wakeAt = Double.NaN;
+    double wakeAtMs = Double.NaN;
     double lastRetryAfter = Double.NaN;
-    double lastWithin = Double.NaN;
+    double lastTimeoutMs = Double.NaN;
     final Decide module;
     private final Contract.Settings settings;
     private long nextId;
@@ -30,7 +30,7 @@
         module = new Decide(settings, seed, this);
     }
 
-    static Contract.RequestClass kind(String name, double worth, Contract.Effect effect, Contract.Group group) {
+    static Contract.RequestClass requestClass(String name, double worth, Contract.Effect effect, Contract.Group group) {
         return new Contract.RequestClass(name, worth, 0, 500, 2000, effect, group, 5000, false);
     }
 
@@ -47,49 +47,51 @@
                 0);
     }
 
-    /** The clock, and the ends of each request's attempts, for a test that checks the rules at each action. */
-    double now;
+    /** The time, and below the outcomes of each request's attempts, for tests that check the rules at each action. */
+    double nowMs;
 
-    boolean checked;
-    /** Of the places at the front those free as a request arrives; the servers with a free connection. */
-    double room = 1;
+    boolean checkRules;
+    /** Free share of the places at the front when a request arrives, and the servers with a free connection. */
+    double freeShare = 1;
 
     Set<String> connected;
-    private final Map<Long, List<Contract.Outcome>> ends = new LinkedHashMap<>();
-    private final Map<Long, List<Double>> sentAt = new LinkedHashMap<>();
+    private final Map<Long, List<Contract.Outcome>> outcomes = new LinkedHashMap<>();
+    private final Map<Long, List<Double>> sentAtMs = new LinkedHashMap<>();
 
-    void noteOutcome(Contract.Request r, int attempt, Contract.Outcome outcome) {
-        ends.get(r.id).set(attempt, outcome);
+    void noteOutcome(Contract.Request request, int attempt, Contract.Outcome outcome) {
+        outcomes.get(request.id).set(attempt, outcome);
     }
 
-    int outstanding(Contract.Request r) {
-        int n = 0;
-        for (Contract.Outcome o : ends.getOrDefault(r.id, List.of())) {
-            n += o == null ? 1 : 0;
+    int outstanding(Contract.Request request) {
+        int count = 0;
+        for (Contract.Outcome outcome : outcomes.getOrDefault(request.id, List.of())) {
+            count += outcome == null ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
-    /** Rule 2: what may be sent again, and where, and when a refusal is true. */
-    private void checkRepeat(Contract.Request r, String server) {
-        Contract.RequestClass k = settings.classes().get(r.classIndex);
-        List<Contract.Outcome> e = ends.computeIfAbsent(r.id, x -> new ArrayList<>());
-        if (server != null && !settings.limits().copies() && outstanding(r) > 0) {
-            throw new AssertionError("two attempts at once: " + r.id);
+    /** Rule 2: which requests may be sent again, at which servers, and when a refusal is allowed. */
+    private void checkRepeat(Contract.Request request, String server) {
+        Contract.RequestClass requestClass = settings.classes().get(request.classIndex);
+        List<Contract.Outcome> attemptOutcomes = outcomes.computeIfAbsent(request.id, x -> new ArrayList<>());
+        if (server != null && !settings.limits().copies() && outstanding(request) > 0) {
+            throw new AssertionError("two attempts in flight for request " + request.id);
         }
-        for (int i = 0; i < e.size(); i++) {
-            if (e.get(i) != null && e.get(i).neverRan || k.effect() == Contract.Effect.SAFE) {
+        for (int i = 0; i < attemptOutcomes.size(); i++) {
+            if (attemptOutcomes.get(i) != null && attemptOutcomes.get(i).neverRan
+                    || requestClass.effect() == Contract.Effect.SAFE) {
                 continue;
             }
-            if (k.effect() == Contract.Effect.UNSAFE || server == null) {
-                throw new AssertionError("may have run, " + (server == null ? "refused: " : "sent again: ") + r.id);
+            if (requestClass.effect() == Contract.Effect.UNSAFE || server == null) {
+                throw new AssertionError(
+                        "request may have run but was " + (server == null ? "refused: " : "sent again: ") + request.id);
             }
             int zone = Integer.parseInt(server.substring(1)) % 3;
-            if (zone != Integer.parseInt(sentTo.get(r.id).get(i).substring(1)) % 3) {
-                throw new AssertionError("keyed request left its group: " + r.id);
+            if (zone != Integer.parseInt(sentTo.get(request.id).get(i).substring(1)) % 3) {
+                throw new AssertionError("keyed request sent outside its group: " + request.id);
             }
-            if (now > sentAt.get(r.id).get(i) + k.window()) {
-                throw new AssertionError("keyed request after its window: " + r.id);
+            if (nowMs > sentAtMs.get(request.id).get(i) + requestClass.window()) {
+                throw new AssertionError("keyed request sent after its deduplication window: " + request.id);
             }
         }
     }
@@ -98,99 +100,99 @@
         return settings.classes().size();
     }
 
-    static Contract.Server up(String id) {
+    static Contract.Server upServer(String id) {
         return new Contract.Server(id, Contract.Standing.UP, 1, "z", 0, 0);
     }
 
-    static List<Contract.Server> fleet(int n) {
+    static List<Contract.Server> fleet(int count) {
         List<Contract.Server> list = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            list.add(up("s" + i));
+        for (int i = 0; i < count; i++) {
+            list.add(upServer("s" + i));
         }
         return list;
     }
 
-    Contract.Request ask(double now, int classIndex) {
-        return ask(now, classIndex, -1, 2000);
+    Contract.Request sendRequest(double nowMs, int classIndex) {
+        return sendRequest(nowMs, classIndex, -1, 2000);
     }
 
-    Contract.Request ask(double now, int classIndex, int tenant, double left) {
-        Contract.Request r = new Contract.Request(nextId++, classIndex, tenant, left, false, room);
-        requests.put(r.id, r);
-        module.request(now, r);
-        return r;
+    Contract.Request sendRequest(double nowMs, int classIndex, int tenant, double timeLeftMs) {
+        Contract.Request request = new Contract.Request(nextId++, classIndex, tenant, timeLeftMs, false, freeShare);
+        requests.put(request.id, request);
+        module.request(nowMs, request);
+        return request;
     }
 
-    /** Wakes the module whenever it asked for it, up to a time. */
-    void runTo(double until) {
-        while (wakeAt <= until) {
-            double at = wakeAt;
-            this.now = at;
-            wakeAt = Double.NaN;
-            module.wake(at);
+    /** Wakes the module at the times that it requested, up to the given time. */
+    void runTo(double untilMs) {
+        while (wakeAtMs <= untilMs) {
+            double timeMs = wakeAtMs;
+            this.nowMs = timeMs;
+            wakeAtMs = Double.NaN;
+            module.wake(timeMs);
         }
     }
 
-    void end(double now, Contract.Request r, Contract.Outcome outcome, double took) {
-        int attempt = sentTo.get(r.id).size() - 1;
-        module.outcome(now, r, attempt, outcome, took, outcome == Contract.Outcome.SERVED, null);
+    void endAttempt(double nowMs, Contract.Request request, Contract.Outcome outcome, double durationMs) {
+        int attempt = sentTo.get(request.id).size() - 1;
+        module.outcome(nowMs, request, attempt, outcome, durationMs, outcome == Contract.Outcome.SERVED, null);
     }
 
-    String lastServer(Contract.Request r) {
-        List<String> s = sentTo.get(r.id);
-        return s == null ? null : s.get(s.size() - 1);
+    String lastServer(Contract.Request request) {
+        List<String> servers = sentTo.get(request.id);
+        return servers == null ? null : servers.get(servers.size() - 1);
     }
 
-    int sends(Contract.Request r) {
-        return sentTo.containsKey(r.id) ? sentTo.get(r.id).size() : 0;
+    int sendCount(Contract.Request request) {
+        return sentTo.containsKey(request.id) ? sentTo.get(request.id).size() : 0;
     }
 
-    private void answer(Contract.Request r, String what) {
-        if (answers.put(r.id, what) != null) {
-            throw new AssertionError("two answers for " + r.id);
+    private void answer(Contract.Request request, String answer) {
+        if (answers.put(request.id, answer) != null) {
+            throw new AssertionError("two answers for request " + request.id);
         }
     }
 
     @Override
-    public void send(Contract.Request r, String server, double within) {
-        if (answers.containsKey(r.id)) {
-            throw new AssertionError("sent after the answer: " + r.id);
+    public void send(Contract.Request request, String server, double timeoutMs) {
+        if (answers.containsKey(request.id)) {
+            throw new AssertionError("sent after its final answer: request " + request.id);
         }
-        if (checked) {
-            checkRepeat(r, server);
-            ends.get(r.id).add(null);
-            sentAt.computeIfAbsent(r.id, k -> new ArrayList<>()).add(now);
+        if (checkRules) {
+            checkRepeat(request, server);
+            outcomes.get(request.id).add(null);
+            sentAtMs.computeIfAbsent(request.id, k -> new ArrayList<>()).add(nowMs);
         }
-        sentTo.computeIfAbsent(r.id, k -> new ArrayList<>()).add(server);
-        lastWithin = within;
-        actions.add("send " + r.id + " " + server + " " + within);
+        sentTo.computeIfAbsent(request.id, k -> new ArrayList<>()).add(server);
+        lastTimeoutMs = timeoutMs;
+        actions.add("send " + request.id + " " + server + " " + timeoutMs);
     }
 
     @Override
-    public boolean connected(Contract.Request r, String server) {
+    public boolean connected(Contract.Request request, String server) {
         return connected == null || connected.contains(server);
     }
 
     @Override
-    public void cancel(Contract.Request r, int attempt) {
-        cancels.add(new double[] {r.id, attempt});
-        actions.add("cancel " + r.id + " " + attempt);
+    public void cancel(Contract.Request request, int attempt) {
+        cancels.add(new double[] {request.id, attempt});
+        actions.add("cancel " + request.id + " " + attempt);
     }
 
     @Override
-    public void refuse(Contract.Request r, double retryAfter) {
-        if (checked) {
-            checkRepeat(r, null);
+    public void refuse(Contract.Request request, double retryAfter) {
+        if (checkRules) {
+            checkRepeat(request, null);
         }
-        answer(r, "refuse");
+        answer(request, "refuse");
         lastRetryAfter = retryAfter;
-        actions.add("refuse " + r.id + " " + retryAfter);
+        actions.add("refuse " + request.id + " " + retryAfter);
     }
 
     @Override
-    public void fail(Contract.Request r) {
-        answer(r, "fail");
-        actions.add("fail " + r.id);
+    public void fail(Contract.Request request) {
+        answer(request, "fail");
+        actions.add("fail " + request.id);
     }
 
     @Override
@@ -211,9 +213,9 @@
     }
 
     @Override
-    public void wake(double at) {
-        wakeAt = at;
-        actions.add("wake " + at);
+    public void wake(double timeMs) {
+        wakeAtMs = timeMs;
+        actions.add("wake " + timeMs);
     }
 
     @Override
--- a/src/test/java/whinlead/decide/RulesTest.java
+++ b/src/test/java/whinlead/decide/RulesTest.java
@@ -8,61 +8,64 @@
 import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 
-/** The four rules, each by a script that fails when its guard is taken out. */
+/** The four rules; each script fails if the guard of its rule is removed. */
 class RulesTest {
-    private static final Contract.RequestClass SAFE = Rig.kind("a", 2, Contract.Effect.SAFE, Contract.Group.ALL);
-    private static final Contract.RequestClass UNSAFE = Rig.kind("b", 2, Contract.Effect.UNSAFE, Contract.Group.ALL);
-    private static final Contract.RequestClass KEYED = Rig.kind("c", 2, Contract.Effect.KEYED, Contract.Group.ZONE);
+    private static final Contract.RequestClass SAFE =
+            Rig.requestClass("a", 2, Contract.Effect.SAFE, Contract.Group.ALL);
+    private static final Contract.RequestClass UNSAFE =
+            Rig.requestClass("b", 2, Contract.Effect.UNSAFE, Contract.Group.ALL);
+    private static final Contract.RequestClass KEYED =
+            Rig.requestClass("c", 2, Contract.Effect.KEYED, Contract.Group.ZONE);
 
-    private static Rig rig(boolean copies, Contract.RequestClass k, List<Contract.Server> fleet) {
-        Rig rig = new Rig(Rig.settings(copies, k), 7);
+    private static Rig rig(boolean copies, Contract.RequestClass requestClass, List<Contract.Server> fleet) {
+        Rig rig = new Rig(Rig.settings(copies, requestClass), 7);
         rig.module.start(0);
         rig.module.servers(0, Contract.ListKind.FULL, fleet);
         return rig;
     }
 
     @Test
-    void anEmptyFleetRefusesAtOnce() {
+    void emptyFleetRefusesAtOnce() {
         Rig rig = rig(false, SAFE, List.of());
-        Contract.Request r = rig.ask(1, 0);
-        assertEquals("refuse", rig.answers.get(r.id));
+        Contract.Request request = rig.sendRequest(1, 0);
+        assertEquals("refuse", rig.answers.get(request.id));
     }
 
     @Test
-    void aTimeOutAtTheDeadlineIsFailed() {
+    void timeoutAtTheDeadlineFails() {
         Rig rig = rig(false, SAFE, Rig.fleet(6));
-        Contract.Request r = rig.ask(1, 0, -1, 300);
-        rig.end(301, r, Contract.Outcome.TIMED_OUT, 300);
-        assertEquals("fail", rig.answers.get(r.id));
-        assertEquals(1, rig.sends(r));
+        Contract.Request request = rig.sendRequest(1, 0, -1, 300);
+        rig.endAttempt(301, request, Contract.Outcome.TIMED_OUT, 300);
+        assertEquals("fail", rig.answers.get(request.id));
+        assertEquals(1, rig.sendCount(request));
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused() {
-        for (Contract.Outcome o : Contract.Outcome.values()) {
-            if (o.neverRan || o == Contract.Outcome.SERVED) {
+    void unsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused() {
+        for (Contract.Outcome outcome : Contract.Outcome.values()) {
+            if (outcome.neverRan || outcome == Contract.Outcome.SERVED) {
                 continue;
             }
             Rig rig = rig(false, UNSAFE, Rig.fleet(6));
-            Contract.Request r = rig.ask(1, 0);
-            rig.end(20, r, o, 19);
-            assertEquals(1, rig.sends(r), o.toString());
-            assertEquals("fail", rig.answers.get(r.id), o.toString());
+            Contract.Request request = rig.sendRequest(1, 0);
+            rig.endAttempt(20, request, outcome, 19);
+            assertEquals(1, rig.sendCount(request), outcome.toString());
+            assertEquals("fail", rig.answers.get(request.id), outcome.toString());
         }
     }
 
     @Test
-    void anUnsafeRequestThatNeverRanGoesToAnotherServer() {
+    void unsafeRequestThatNeverRanGoesToAnotherServer() {
         Rig rig = rig(false, UNSAFE, Rig.fleet(6));
-        Contract.Request r = rig.ask(1, 0);
-        String first = rig.lastServer(r);
-        rig.end(20, r, Contract.Outcome.FULL, 19);
-        assertEquals(2, rig.sends(r));
-        assertNotEquals(first, rig.lastServer(r));
+        Contract.Request request = rig.sendRequest(1, 0);
+        String first = rig.lastServer(request);
+        rig.endAttempt(20, request, Contract.Outcome.FULL, 19);
+        assertEquals(2, rig.sendCount(request));
+        assertNotEquals(first, rig.lastServer(request));
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsZone() {
+    void keyedRequestThatMayHaveRunStaysInItsZone() {
         for (int seed = 0; seed < 40; seed++) {
             Rig rig = new Rig(Rig.settings(false, KEYED), seed);
             rig.module.start(0);
@@ -71,44 +74,47 @@
                 fleet.add(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z" + i % 2, 0, 0));
             }
             rig.module.servers(0, Contract.ListKind.FULL, fleet);
-            Contract.Request r = rig.ask(1, 0);
-            String first = rig.lastServer(r);
-            rig.end(20, r, Contract.Outcome.RESET, 19);
-            if (rig.sends(r) == 2) {
-                assertEquals(first.charAt(1) % 2, rig.lastServer(r).charAt(1) % 2);
+            Contract.Request request = rig.sendRequest(1, 0);
+            String first = rig.lastServer(request);
+            rig.endAttempt(20, request, Contract.Outcome.RESET, 19);
+            if (rig.sendCount(request) == 2) {
+                assertEquals(first.charAt(1) % 2, rig.lastServer(request).charAt(1) % 2);
             } else {
-                assertEquals("fail", rig.answers.get(r.id));
+                assertEquals("fail", rig.answers.get(request.id));
             }
         }
     }
 
     @Test
-    void noSecondAttemptWhileOneIsOut() {
-        // An overdue attempt is neither copied nor called off: in a jam such repeats were what kept it going.
+    void noSecondAttemptWhileOneIsInFlight() {
+        // An overdue attempt is neither duplicated nor cancelled: in an overload such repeats kept the overload going.
         for (boolean copies : new boolean[] {false, true}) {
             Rig rig = rig(copies, SAFE, Rig.fleet(6));
-            Contract.Request r = rig.ask(1, 0);
+            Contract.Request request = rig.sendRequest(1, 0);
             rig.runTo(1900);
-            assertEquals(1, rig.sends(r));
+            assertEquals(1, rig.sendCount(request));
             assertTrue(rig.cancels.isEmpty());
-            rig.end(1900, r, Contract.Outcome.RESET, 1899);
-            assertEquals("refuse", rig.answers.get(r.id), "past its aim another attempt is worth nothing");
+            rig.endAttempt(1900, request, Contract.Outcome.RESET, 1899);
+            assertEquals(
+                    "refuse",
+                    rig.answers.get(request.id),
+                    "no retry after the latency target, when an answer has no value");
         }
     }
 
     @Test
-    void aClientThatLeftHasItsAttemptCalledOff() {
+    void attemptIsCancelledWhenTheClientLeaves() {
         Rig rig = rig(false, SAFE, Rig.fleet(6));
-        Contract.Request r = rig.ask(1, 0);
-        rig.module.abandoned(5, r);
+        Contract.Request request = rig.sendRequest(1, 0);
+        rig.module.abandoned(5, request);
         assertEquals(1, rig.cancels.size());
-        rig.end(6, r, Contract.Outcome.CANCELLED, 5);
-        assertTrue(rig.answers.isEmpty(), "nothing is owed any more");
-        assertEquals(1, rig.sends(r));
+        rig.endAttempt(6, request, Contract.Outcome.CANCELLED, 5);
+        assertTrue(rig.answers.isEmpty(), "no answer after the client has left");
+        assertEquals(1, rig.sendCount(request));
     }
 
     @Test
-    void nothingNewGoesToADrainingOrMissingServer() {
+    void drainingOrMissingServerGetsNothingNew() {
         Rig rig = rig(false, SAFE, Rig.fleet(3));
         rig.module.servers(
                 5,
@@ -117,41 +123,43 @@
         rig.module.servers(
                 6,
                 Contract.ListKind.FULL,
-                List.of(new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0), Rig.up("s1")));
+                List.of(new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0), Rig.upServer("s1")));
         for (int i = 0; i < 50; i++) {
-            Contract.Request r = rig.ask(7 + i, 0);
-            assertEquals("s1", rig.lastServer(r));
-            rig.end(7 + i, r, Contract.Outcome.SERVED, 1);
+            Contract.Request request = rig.sendRequest(7 + i, 0);
+            assertEquals("s1", rig.lastServer(request));
+            rig.endAttempt(7 + i, request, Contract.Outcome.SERVED, 1);
         }
     }
 
     @Test
-    void aColdServerGetsOnlyItsFractionOfAWarmOnesTraffic() {
+    void coldServerGetsOnlyItsFractionOfTheTraffic() {
         Rig rig = rig(false, SAFE, Rig.fleet(4));
-        double now = 0;
+        double nowMs = 0;
         int cold = 0;
         int sent = 0;
         for (int i = 0; i < 8000; i++) {
-            now += 1;
-            rig.runTo(now);
+            nowMs += 1;
+            rig.runTo(nowMs);
             if (i == 4000) {
                 rig.module.servers(
-                        now,
+                        nowMs,
                         Contract.ListKind.CHANGES,
-                        List.of(new Contract.Server("s1", Contract.Standing.UP, 1, "z", 0, now)));
+                        List.of(new Contract.Server("s1", Contract.Standing.UP, 1, "z", 0, nowMs)));
             }
-            Contract.Request r = rig.ask(now, 0);
-            String s = rig.lastServer(r);
-            if (s == null) {
+            Contract.Request request = rig.sendRequest(nowMs, 0);
+            String server = rig.lastServer(request);
+            if (server == null) {
                 continue;
             }
             if (i >= 4000) {
                 sent++;
-                cold += s.equals("s1") ? 1 : 0;
+                cold += server.equals("s1") ? 1 : 0;
             }
-            rig.end(now, r, Contract.Outcome.SERVED, 5);
+            rig.endAttempt(nowMs, request, Contract.Outcome.SERVED, 5);
         }
-        assertTrue(cold > 100, "it is warmed up: " + cold);
-        assertTrue(cold < 0.45 * sent / 4, "and spared: " + cold + " of " + sent);
+        assertTrue(cold > 100, "requests at the cold server: " + cold);
+        assertTrue(
+                cold < 0.45 * sent / 4,
+                "requests at the cold server, expected under 45 % of a quarter: " + cold + " of " + sent);
     }
 }
