--- a/src/main/java/whinlead/engine/Clock.java
+++ b/src/main/java/whinlead/engine/Clock.java
@@ -1,17 +1,18 @@
 package whinlead.engine;
 
 /**
- * The module's clock: milliseconds that begin at Unix time and from then on follow the monotonic clock. Starts of
- * endpoints, told in Unix time, so need no conversion, and a clock that is set cannot run the module backwards.
+ * The module's clock, in milliseconds: starts at the Unix time and then follows the monotonic clock. So the start times
+ * of endpoints, which are Unix times, need no conversion, and setting the system clock cannot turn back the module's
+ * time.
  */
 public final class Clock {
-    private static final double NANOS_IN_MILLI = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
-    private final double unixAtStart = System.currentTimeMillis();
+    private final double unixMsAtStart = System.currentTimeMillis();
     private final long nanosAtStart = System.nanoTime();
 
-    /** Milliseconds since Unix time began. */
+    /** Milliseconds since the Unix epoch. */
     public double now() {
-        return unixAtStart + (System.nanoTime() - nanosAtStart) / NANOS_IN_MILLI;
+        return unixMsAtStart + (System.nanoTime() - nanosAtStart) / NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/whinlead/engine/Engine.java
+++ b/src/main/java/whinlead/engine/Engine.java
@@ -13,197 +13,203 @@
 import whinlead.membership.Source;
 
 /**
- * Drives the module and carries out what it decides. It owns the requests taken, their attempts and timers, and sees to
- * it that each request ends exactly once and nothing is sent for it afterwards. It knows no protocol: fronts bring
- * requests with a {@link ResponseSink} for the end and a {@link Transport} for the attempts. Everything here runs on
- * the one thread that owns it, which is that of its timers.
+ * Drives the decision module and carries out its decisions. It owns the accepted requests, their attempts and timers,
+ * and guarantees that each request ends exactly once and that nothing is sent for it afterwards. It depends on no
+ * protocol: a front passes in each request with a {@link ResponseSink} for the result and a {@link Transport} for the
+ * attempts. All code here runs on the thread of its timers.
  */
 public final class Engine implements Contract.Actions, Membership {
-    /** Taken off what the client waits, for its request's way here, our answer's way back and a late loop. */
-    private static final double ANSWER_MARGIN = 25;
-    /** How long after its deadline a request is failed that the module, told of the deadline, has not ended. */
-    private static final double MODULE_GRACE = 5;
+    /** Subtracted from the client's time-out, for the transit of request and answer and for delays of the loop. */
+    private static final double ANSWER_MARGIN_MS = 25;
+    /** How long after its deadline a request is failed if the module has not ended it by then. */
+    private static final double MODULE_GRACE_MS = 5;
 
     private final Timers timers;
     private final Contract.Settings settings;
-    private final Consumer<EndpointList> endpoints;
+    private final Consumer<EndpointList> endpointListener;
     private final Consumer<String> log;
     private final Contract.Events module;
-    private final Map<Long, Held<?>> open = new HashMap<>();
-    private final ArrayDeque<Runnable> events = new ArrayDeque<>();
+    private final Map<Long, Held<?>> pendingRequests = new HashMap<>();
+    private final ArrayDeque<Runnable> queuedEvents = new ArrayDeque<>();
     private RequestListener journal = RequestListener.NONE;
-    private Source source;
-    private boolean telling;
+    private Source listSource;
+    private boolean dispatching;
     private long nextId;
 
     /**
-     * An engine that has taken nothing.
+     * Creates an engine without requests.
      *
-     * @param module makes the module that decides, given what carries its decisions out
-     * @param endpoints hears of every list, before the module does
+     * @param module creates the decision module, given the actions that carry out its decisions
+     * @param endpointListener receives every list, before the module does
      */
     public Engine(
             Timers timers,
             Contract.Settings settings,
             Function<Contract.Actions, Contract.Events> module,
-            Consumer<EndpointList> endpoints,
+            Consumer<EndpointList> endpointListener,
             Consumer<String> log) {
         this.timers = timers;
         this.settings = settings;
-        this.endpoints = endpoints;
+        this.endpointListener = endpointListener;
         this.log = log;
         this.module = module.apply(this);
     }
 
-    /** Has every request that is taken from now on noted when it is over. */
-    public void journal(RequestListener keeper) {
-        journal = keeper;
+    /** Sets the listener that is notified of the end of each request from now on. */
+    public void journal(RequestListener listener) {
+        journal = listener;
     }
 
-    /** Starts the module, with the list as last known, or null, and the source that it is to be watched at. */
-    public void start(Source watched, EndpointList known) {
-        source = watched;
-        tell(() -> module.start(timers.now()));
-        if (known != null) {
-            list(Contract.ListKind.STALE, known);
+    /** Starts the module with the last known list, which may be null, and the source of further lists. */
+    public void start(Source source, EndpointList lastKnown) {
+        listSource = source;
+        dispatch(() -> module.start(timers.now()));
+        if (lastKnown != null) {
+            list(Contract.ListKind.STALE, lastKnown);
         }
         if (!settings.listMustBeAsked()) {
-            // A pushed list comes from an agent on this machine, which the module does not ask.
-            source.watch();
+            // A pushed list comes from an agent on this machine, so the module does not request it.
+            listSource.watch();
         }
     }
 
     @Override
     public void list(Contract.ListKind kind, EndpointList list) {
-        endpoints.accept(list);
-        tell(() -> module.servers(timers.now(), kind, list.servers()));
+        endpointListener.accept(list);
+        dispatch(() -> module.servers(timers.now(), kind, list.servers()));
     }
 
     @Override
     public void outOfReach() {
-        tell(() -> module.servers(timers.now(), Contract.ListKind.FAILED, List.of()));
+        dispatch(() -> module.servers(timers.now(), Contract.ListKind.FAILED, List.of()));
     }
 
     /**
-     * Takes a request; the caller is told its end exactly once, within its time.
+     * Accepts a request. The sink receives its result exactly once, before the client's time-out.
      *
-     * @param transport sends its attempts
+     * @param transport sends the attempts
      */
-    public <A> Held<A> take(Request ask, Transport<A> transport, ResponseSink<A> caller) {
-        double left = Math.max(0, ask.timeout() - ANSWER_MARGIN);
-        Held<A> h = new Held<>(
-                new Contract.Request(nextId++, ask.classIndex(), ask.tenantIndex(), left, ask.repeat(), ask.room()),
+    public <A> Held<A> take(Request request, Transport<A> transport, ResponseSink<A> sink) {
+        double timeLeftMs = Math.max(0, request.timeout() - ANSWER_MARGIN_MS);
+        Held<A> pending = new Held<>(
+                new Contract.Request(
+                        nextId++,
+                        request.classIndex(),
+                        request.tenantIndex(),
+                        timeLeftMs,
+                        request.repeat(),
+                        request.freeShare()),
                 transport,
-                caller,
-                ask);
-        open.put(h.request.id, h);
-        tell(() -> {
-            double now = timers.now();
-            h.endAt = now + left;
+                sink,
+                request);
+        pendingRequests.put(pending.request.id, pending);
+        dispatch(() -> {
+            double nowMs = timers.now();
+            pending.deadlineMs = nowMs + timeLeftMs;
             try {
-                module.request(now, h.request);
+                module.request(nowMs, pending.request);
             } finally {
-                h.guard(now);
+                pending.ensureDeadlineTimer(nowMs);
             }
         });
-        return h;
+        return pending;
     }
 
-    /** Fails whatever is still held: the process is about to be killed, and no answer at all would lose it. */
+    /** Fails all pending requests: the process is about to be killed, and they would otherwise get no answer. */
     public void failAll() {
-        // One that can't be told must not keep the rest from it.
-        List.copyOf(open.values()).forEach(h -> run(h::endUnserved));
+        // A sink that throws must not prevent the other answers.
+        List.copyOf(pendingRequests.values()).forEach(pending -> runGuarded(pending::failUnanswered));
     }
 
-    // An event may cause another before the module has returned from it: that one waits its turn.
-    private void tell(Runnable event) {
-        events.add(event);
-        if (telling) {
+    // An event may cause another one before the module has returned; that one is queued.
+    private void dispatch(Runnable event) {
+        queuedEvents.add(event);
+        if (dispatching) {
             return;
         }
-        telling = true;
+        dispatching = true;
         try {
-            for (Runnable e = events.poll(); e != null; e = events.poll()) {
-                run(e);
+            for (Runnable next = queuedEvents.poll(); next != null; next = queuedEvents.poll()) {
+                runGuarded(next);
             }
         } finally {
-            telling = false;
+            dispatching = false;
         }
     }
 
-    // Guards against a fault in one decision taking down all requests; the deadline ends this one.
-    private void run(Runnable event) {
+    // An exception in one decision must not affect other requests; this request ends at its deadline.
+    private void runGuarded(Runnable event) {
         try {
             event.run();
         } catch (RuntimeException | StackOverflowError fault) {
-            // The JVM leaves the trace out of a fault that it has seen often.
+            // The JVM omits the stack trace of an exception that is thrown often.
             StackTraceElement[] trace = fault.getStackTrace();
             log.accept("decision failed: " + fault + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
     @Override
-    public void send(Contract.Request r, String server, double within) {
-        Held<?> h = open.get(r.id);
-        if (h != null) {
-            h.send(server, within);
+    public void send(Contract.Request request, String server, double timeoutMs) {
+        Held<?> pending = pendingRequests.get(request.id);
+        if (pending != null) {
+            pending.send(server, timeoutMs);
         }
     }
 
     @Override
-    public boolean connected(Contract.Request r, String server) {
-        Held<?> h = open.get(r.id);
-        return h == null || h.transport.connected(server);
+    public boolean connected(Contract.Request request, String server) {
+        Held<?> pending = pendingRequests.get(request.id);
+        return pending == null || pending.transport.connected(server);
     }
 
     @Override
-    public void cancel(Contract.Request r, int attempt) {
-        Held<?> h = open.get(r.id);
-        if (h != null && attempt >= 0 && attempt < h.attempts.size()) {
-            h.attempts.get(attempt).giveUp(Contract.Outcome.CANCELLED);
+    public void cancel(Contract.Request request, int attempt) {
+        Held<?> pending = pendingRequests.get(request.id);
+        if (pending != null && attempt >= 0 && attempt < pending.attempts.size()) {
+            pending.attempts.get(attempt).abort(Contract.Outcome.CANCELLED);
         }
     }
 
     @Override
-    public void refuse(Contract.Request r, double retryAfter) {
-        Held<?> h = open.get(r.id);
-        if (h != null && !h.over) {
-            h.over(h.mayRefuse() ? RequestListener.End.REFUSED : RequestListener.End.FAILED);
-            if (h.mayRefuse()) {
-                h.caller.refused(settings.limits().retryAfter() ? retryAfter : 0);
+    public void refuse(Contract.Request request, double retryAfterMs) {
+        Held<?> pending = pendingRequests.get(request.id);
+        if (pending != null && !pending.ended) {
+            pending.ended(pending.mayRefuse() ? RequestListener.End.REFUSED : RequestListener.End.FAILED);
+            if (pending.mayRefuse()) {
+                pending.sink.refused(settings.limits().retryAfter() ? retryAfterMs : 0);
             } else {
-                h.caller.failed();
+                pending.sink.failed();
             }
         }
     }
 
     @Override
-    public void fail(Contract.Request r) {
-        Held<?> h = open.get(r.id);
-        if (h != null && !h.over) {
-            h.over(RequestListener.End.FAILED);
-            h.caller.failed();
+    public void fail(Contract.Request request) {
+        Held<?> pending = pendingRequests.get(request.id);
+        if (pending != null && !pending.ended) {
+            pending.ended(RequestListener.End.FAILED);
+            pending.sink.failed();
         }
     }
 
     @Override
     public void probe(String server) {
-        tell(() -> module.probed(timers.now(), server, Contract.Outcome.NEVER_SENT, 0, null));
+        dispatch(() -> module.probed(timers.now(), server, Contract.Outcome.NEVER_SENT, 0, null));
     }
 
     @Override
     public void watchServers() {
-        source.watch();
+        listSource.watch();
     }
 
     @Override
-    public void tellPeers(byte[] text) {
-        // The design shares nothing between sidecars; the module sends no such message.
+    public void tellPeers(byte[] message) {
+        // Sidecars share nothing by design; the module sends no such message.
     }
 
     @Override
-    public void wake(double at) {
-        timers.after(at - timers.now(), () -> tell(() -> module.wake(timers.now())));
+    public void wake(double timeMs) {
+        timers.after(timeMs - timers.now(), () -> dispatch(() -> module.wake(timers.now())));
     }
 
     @Override
@@ -211,61 +217,61 @@
         log.accept(line);
     }
 
-    /** A request taken. It is kept until it is over and all its attempts have ended. */
+    /** An accepted request. It is retained until it and all its attempts have ended. */
     public final class Held<A> {
         private final Contract.Request request;
         private final Transport<A> transport;
-        private final ResponseSink<A> caller;
+        private final ResponseSink<A> sink;
         private final List<Attempt<A>> attempts = new ArrayList<>(1);
-        private final Request ask;
-        private double endAt;
-        private boolean over;
-        private Timers.Timer deadline;
+        private final Request frontRequest;
+        private double deadlineMs;
+        private boolean ended;
+        private Timers.Timer deadlineTimer;
 
-        private Held(Contract.Request request, Transport<A> transport, ResponseSink<A> caller, Request ask) {
-            this.ask = ask;
+        private Held(Contract.Request request, Transport<A> transport, ResponseSink<A> sink, Request frontRequest) {
+            this.frontRequest = frontRequest;
             this.request = request;
             this.transport = transport;
-            this.caller = caller;
+            this.sink = sink;
         }
 
-        /** The client went away: nothing is owed any more. */
+        /** The client has disconnected; no answer is due any more. */
         public void abandon() {
-            if (!over) {
-                over(RequestListener.End.LEFT);
-                tell(() -> module.abandoned(timers.now(), request));
+            if (!ended) {
+                ended(RequestListener.End.LEFT);
+                dispatch(() -> module.abandoned(timers.now(), request));
             }
         }
 
         /**
-         * The answer to an attempt has begun to reach the client by another way than the caller, which ends what the
-         * request is owed; the outcome of the attempt is still to come.
+         * The answer to an attempt has begun to reach the client by another way than the sink, which ends the request;
+         * the outcome of the attempt follows later.
          *
-         * @param attempt as the transport was told it
+         * @param attempt index of the attempt, as passed to the transport
          */
         public void streaming(int attempt) {
-            if (!over) {
-                over(RequestListener.End.SERVED);
-                tell(() -> module.streaming(timers.now(), request, attempt));
+            if (!ended) {
+                ended(RequestListener.End.SERVED);
+                dispatch(() -> module.streaming(timers.now(), request, attempt));
             }
         }
 
-        private void over(RequestListener.End end) {
-            over = true;
-            journal.over(ask, endAt - request.timeLeft, end);
-            if (deadline != null) {
-                deadline.cancel();
+        private void ended(RequestListener.End result) {
+            ended = true;
+            journal.over(frontRequest, deadlineMs - request.timeLeft, result);
+            if (deadlineTimer != null) {
+                deadlineTimer.cancel();
             }
-            tidy();
+            removeIfDone();
         }
 
-        private void tidy() {
-            if (over && !out()) {
-                open.remove(request.id);
+        private void removeIfDone() {
+            if (ended && !hasOutstandingAttempts()) {
+                pendingRequests.remove(request.id);
             }
         }
 
-        private boolean out() {
+        private boolean hasOutstandingAttempts() {
             for (int i = 0; i < attempts.size(); i++) {
                 if (attempts.get(i).outcome == null) {
                     return true;
@@ -274,105 +280,107 @@
             return false;
         }
 
-        private boolean underWay() {
+        private boolean hasAttemptInProgress() {
             for (int i = 0; i < attempts.size(); i++) {
-                if (attempts.get(i).underWay()) {
+                if (attempts.get(i).inProgress()) {
                     return true;
                 }
             }
             return false;
         }
 
-        // An attempt under way has a timer of its own, after which the module is asked again. A request with
-        // none, be it that sending it failed by a fault, needs one here; for each it would be one more timer.
-        private void guard(double now) {
-            if (!over && deadline == null && !underWay()) {
-                deadline = timers.after(endAt - now + MODULE_GRACE, this::endUnserved);
+        // An attempt in progress has its own timer, after which the module decides again. A request without one, for
+        // instance because sending threw an exception, needs a timer here. Not set for every request, to save timers.
+        private void ensureDeadlineTimer(double nowMs) {
+            if (!ended && deadlineTimer == null && !hasAttemptInProgress()) {
+                deadlineTimer = timers.after(deadlineMs - nowMs + MODULE_GRACE_MS, this::failUnanswered);
             }
         }
 
-        // Guards against a module that leaves a request without an answer, by a fault say, and against a
-        // kill.
-        private void endUnserved() {
-            if (!over) {
-                over(RequestListener.End.FAILED);
-                caller.failed();
-                tell(() -> module.abandoned(timers.now(), request));
+        // Called when the module left a request without an answer, for instance because of an exception, and before the
+        // process is killed.
+        private void failUnanswered() {
+            if (!ended) {
+                ended(RequestListener.End.FAILED);
+                sink.failed();
+                dispatch(() -> module.abandoned(timers.now(), request));
             }
         }
 
-        // Rule 2, kept here as well as in the module: a refusal says that trying again does no harm.
+        // Rule 2, enforced here as well as in the module: a refusal promises that a retry does no harm.
         private boolean mayRefuse() {
-            Contract.RequestClass k = settings.classes().get(request.classIndex);
-            return k.effect() == Contract.Effect.SAFE
-                    || k.effect() == Contract.Effect.KEYED && k.group() == Contract.Group.ALL
+            Contract.RequestClass requestClass = settings.classes().get(request.classIndex);
+            return requestClass.effect() == Contract.Effect.SAFE
+                    || requestClass.effect() == Contract.Effect.KEYED && requestClass.group() == Contract.Group.ALL
                     || attempts.stream().allMatch(a -> a.outcome != null && a.outcome.neverRan);
         }
 
-        private void send(String server, double within) {
-            double now = timers.now();
-            Attempt<A> a = new Attempt<>(this, attempts.size(), now);
-            attempts.add(a);
-            if (over || now >= endAt || attempts.size() > settings.limits().attempts()) {
-                a.ended(Contract.Outcome.NEVER_SENT, null, null);
+        private void send(String server, double requestedTimeoutMs) {
+            double nowMs = timers.now();
+            Attempt<A> attempt = new Attempt<>(this, attempts.size(), nowMs);
+            attempts.add(attempt);
+            if (ended
+                    || nowMs >= deadlineMs
+                    || attempts.size() > settings.limits().attempts()) {
+                attempt.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return;
             }
-            double wait = within > 0 ? Math.min(within, endAt - now) : endAt - now;
-            a.timer = timers.after(wait, () -> a.giveUp(Contract.Outcome.TIMED_OUT));
-            a.sending = transport.send(server, a.index, wait, a);
+            double timeoutMs =
+                    requestedTimeoutMs > 0 ? Math.min(requestedTimeoutMs, deadlineMs - nowMs) : deadlineMs - nowMs;
+            attempt.timer = timers.after(timeoutMs, () -> attempt.abort(Contract.Outcome.TIMED_OUT));
+            attempt.handle = transport.send(server, attempt.index, timeoutMs, attempt);
         }
     }
 
-    /** One attempt, whose outcome is told to the module exactly once. */
+    /** One attempt, whose outcome is reported to the module exactly once. */
     private final class Attempt<A> implements Transport.Outcomes<A> {
-        private final Held<A> held;
+        private final Held<A> pending;
         private final int index;
-        private final double sentAt;
-        private Transport.Sending sending;
+        private final double sentAtMs;
+        private Transport.Sending handle;
         private Timers.Timer timer;
         private Contract.Outcome outcome;
 
-        private Attempt(Held<A> held, int index, double sentAt) {
-            this.held = held;
+        private Attempt(Held<A> pending, int index, double sentAtMs) {
+            this.pending = pending;
             this.index = index;
-            this.sentAt = sentAt;
+            this.sentAtMs = sentAtMs;
         }
 
-        // What was not yet written whole can't run, whatever the reason for giving it up.
-        private void giveUp(Contract.Outcome reason) {
-            if (underWay()) {
-                ended(sending.giveUp() ? reason : Contract.Outcome.CONNECT_FAILED, null, null);
+        // A request that was not completely written cannot run, whatever the reason for aborting it.
+        private void abort(Contract.Outcome reason) {
+            if (inProgress()) {
+                ended(handle.giveUp() ? reason : Contract.Outcome.CONNECT_FAILED, null, null);
             }
         }
 
-        private boolean underWay() {
-            return outcome == null && sending != null;
+        private boolean inProgress() {
+            return outcome == null && handle != null;
         }
 
         @Override
-        public void ended(Contract.Outcome how, A answer, Contract.Report report) {
+        public void ended(Contract.Outcome result, A answer, Contract.Report report) {
             if (outcome != null) {
                 return;
             }
-            outcome = how;
+            outcome = result;
             if (timer != null) {
                 timer.cancel();
             }
-            // Guards against events out of order: an answer may bring the client's next request at once,
-            // which must wait until the module has heard of this outcome, or it would think the endpoint
-            // still busy.
-            tell(() -> {
-                double now = timers.now();
-                if (how == Contract.Outcome.SERVED && !held.over) {
-                    held.over(RequestListener.End.SERVED);
-                    held.caller.served(answer);
+            // Keeps events in order: an answer may trigger the client's next request at once. That one must wait until
+            // the module has received this outcome, or the module would count the endpoint as still busy.
+            dispatch(() -> {
+                double nowMs = timers.now();
+                if (result == Contract.Outcome.SERVED && !pending.ended) {
+                    pending.ended(RequestListener.End.SERVED);
+                    pending.sink.served(answer);
                 }
-                boolean finished = held.over;
-                held.tidy();
+                boolean finished = pending.ended;
+                pending.removeIfDone();
                 try {
-                    module.outcome(now, held.request, index, how, now - sentAt, finished, report);
+                    module.outcome(nowMs, pending.request, index, result, nowMs - sentAtMs, finished, report);
                 } finally {
-                    held.guard(now);
+                    pending.ensureDeadlineTimer(nowMs);
                 }
             });
         }
--- a/src/main/java/whinlead/engine/RequestListener.java
+++ b/src/main/java/whinlead/engine/RequestListener.java
@@ -1,6 +1,6 @@
 package whinlead.engine;
 
-/** Is told of every request once, when it is over; on the engine's thread, which it must not hold up. */
+/** Receives the end of every request, once, on the engine's thread. It must not block. */
 public interface RequestListener {
     /** How a request ended for its client. */
     enum End {
@@ -10,13 +10,13 @@
         LEFT
     }
 
-    /** Notes nothing. */
+    /** Does nothing. */
     RequestListener NONE = (ask, at, end) -> {};
 
     /**
-     * A request is over.
+     * A request has ended.
      *
-     * @param at when it was taken, in milliseconds of the engine's time
+     * @param acceptedAtMs when it was accepted, in milliseconds of the engine's clock
      */
-    void over(Request ask, double at, End end);
+    void over(Request request, double acceptedAtMs, End result);
 }
--- a/src/main/java/whinlead/engine/ResponseSink.java
+++ b/src/main/java/whinlead/engine/ResponseSink.java
@@ -1,21 +1,21 @@
 package whinlead.engine;
 
 /**
- * Where the one end of a request goes. Of these methods exactly one is called, once, on the engine's thread, unless the
- * request was abandoned before; it may be called before {@link Engine#take} has returned.
+ * Receives the result of a request. Exactly one of these methods is called, once, on the engine's thread, unless the
+ * request was abandoned before. The call may happen before the engine's method that accepts the request has returned.
  *
- * @param <A> what an endpoint's answer is to this front
+ * @param <A> the type of an endpoint's answer
  */
 public interface ResponseSink<A> {
     /** An endpoint served it. */
     void served(A answer);
 
     /**
-     * It was turned away, and nothing of it ran or another try does no harm.
+     * It was refused: it did not run, or a retry does no harm.
      *
-     * @param retryAfter milliseconds after which to try again; 0 for nothing said
+     * @param retryAfterMs milliseconds after which to retry; 0 if not given
      */
-    void refused(double retryAfter);
+    void refused(double retryAfterMs);
 
     /** It failed, and may have run. */
     void failed();
--- a/src/main/java/whinlead/engine/Timers.java
+++ b/src/main/java/whinlead/engine/Timers.java
@@ -1,20 +1,20 @@
 package whinlead.engine;
 
 /**
- * The engine's time and timers, so that it runs by a real loop or by a driven clock. Tasks run on the one thread that
- * owns the engine, never inside {@link #after}.
+ * The engine's clock and timers, implemented by a real event loop or by a simulated clock. Tasks run on the one thread
+ * that owns the engine, never inside the call that schedules them.
  */
 public interface Timers {
-    /** Milliseconds since Unix time began; never falls. */
+    /** Milliseconds since the Unix epoch; never decreases. */
     double now();
 
-    /** Runs a task once, no sooner than after so many milliseconds; 0 or less means soon. */
-    Timer after(double millis, Runnable task);
+    /** Runs a task once, no earlier than after this delay; with 0 or less, as soon as possible. */
+    Timer after(double delayMs, Runnable task);
 
-    /** A task that waits. */
+    /** A scheduled task. */
     @FunctionalInterface
     interface Timer {
-        /** Has it not run; without effect once it has. */
+        /** Prevents the task from running; without effect once it has run. */
         void cancel();
     }
 }
--- a/src/main/java/whinlead/engine/Transport.java
+++ b/src/main/java/whinlead/engine/Transport.java
@@ -3,45 +3,45 @@
 import whinlead.Contract;
 
 /**
- * How the attempts of one request reach the endpoints that the module chose: a transport of our own, or somebody else
- * who sends them and reports. It sends what it is told once and never again.
+ * Sends the attempts of one request to the endpoints that the module chose: either one of our own transports, or a
+ * proxy that sends them and reports the outcomes. It sends each attempt once and never retries.
  *
- * @param <A> what an endpoint's answer is to the front
+ * @param <A> the type of an endpoint's answer
  */
 @FunctionalInterface
 public interface Transport<A> {
     /**
-     * Sends an attempt, or tells at once why it can't.
+     * Sends an attempt, or reports at once why it cannot be sent.
      *
-     * @param endpoint the id of one that is, or lately was, on the list
-     * @param attempt 0 for the request's first, and so on
-     * @param within milliseconds that it has
-     * @param told hears how it ended, once, unless it was given up first
+     * @param endpoint the id of an endpoint that is, or recently was, on the list
+     * @param attempt index of the attempt within its request, from 0
+     * @param timeoutMs milliseconds until the engine aborts it
+     * @param listener receives its outcome once, unless it was aborted before
      */
-    Sending send(String endpoint, int attempt, double within, Outcomes<A> told);
+    Sending send(String endpoint, int attempt, double timeoutMs, Outcomes<A> listener);
 
     /** Whether an attempt at this endpoint would find an open connection; true where that is not known. */
     default boolean connected(String endpoint) {
         return true;
     }
 
-    /** An attempt under way. */
+    /** An attempt in progress. */
     interface Sending {
         /**
-         * Gives it up; its end is told no more. True if the endpoint may have had the whole request, so that it may
-         * run.
+         * Aborts the attempt; its outcome is no longer reported. Returns true if the endpoint may have received the
+         * whole request, which may then run.
          */
         boolean giveUp();
     }
 
-    /** Hears how an attempt ended. */
+    /** Receives the outcome of an attempt. */
     @FunctionalInterface
     interface Outcomes<A> {
         /**
-         * The end.
+         * The attempt has ended.
          *
-         * @param answer null unless served
-         * @param report what the endpoint told of its load, or null
+         * @param answer the endpoint's answer; null unless served
+         * @param report the endpoint's load report, or null
          */
         void ended(Contract.Outcome outcome, A answer, Contract.Report report);
     }
--- a/src/test/java/whinlead/engine/EngineRandomEventsTest.java
+++ b/src/test/java/whinlead/engine/EngineRandomEventsTest.java
@@ -18,42 +18,42 @@
 import whinlead.testbed.DrivenClock;
 import whinlead.testbed.Settings;
 
-/** The engine with the real module under random fronts, endpoints and lists, drawn by a seed. */
+/** The engine with the real module under seeded random requests, outcomes and lists. */
 class EngineRandomEventsTest {
     private static final int REQUESTS = 3000;
     private static final int ENDPOINTS = 6;
     private static final double GAP_MS = 4;
     private static final Outcome[] FAULTS = {Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED};
-    /** One attempt in so many ends badly, and one never; between these two requests one in two does. */
-    private static final int BAD = 20;
+    /** One attempt in this many fails, and one never ends; between the two requests below every second one fails. */
+    private static final int FAULT_EVERY = 20;
 
-    private static final int WORSE_FROM = 1500;
-    private static final int WORSE_TO = 2000;
+    private static final int OUTAGE_FROM = 1500;
+    private static final int OUTAGE_TO = 2000;
 
     private final DrivenClock clock = new DrivenClock();
-    private int taken;
+    private int accepted;
 
-    /** One request, what became of it and where its attempts stand. */
-    private final class One implements ResponseSink<String>, Transport<String> {
+    /** One request, its result and the state of its attempts. */
+    private final class TestRequest implements ResponseSink<String>, Transport<String> {
         final Contract.Effect effect;
-        final double endBy;
-        final Random dice;
+        final double endByMs;
+        final Random random;
         final List<Outcome> attempts = new ArrayList<>();
-        int ends;
+        int endCount;
         boolean refused;
         boolean abandoned;
 
-        One(Contract.Effect effect, double timeout, Random dice) {
+        TestRequest(Contract.Effect effect, double timeoutMs, Random random) {
             this.effect = effect;
-            this.endBy = clock.now() + timeout;
-            this.dice = dice;
+            this.endByMs = clock.now() + timeoutMs;
+            this.random = random;
         }
 
         private void end() {
-            ends++;
-            assertEquals(1, ends);
-            assertTrue(!abandoned, "an end for a caller that is gone");
-            assertTrue(clock.now() <= endBy, "an end after the client's time");
+            endCount++;
+            assertEquals(1, endCount);
+            assertTrue(!abandoned, "an answer after the request was abandoned");
+            assertTrue(clock.now() <= endByMs, "an answer after the client's time-out");
         }
 
         @Override
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public void refused(double retryAfter) {
+        public void refused(double retryAfterMs) {
             end();
             refused = true;
             assertTrue(effect == Contract.Effect.SAFE || attempts.stream().allMatch(o -> o != null && o.neverRan));
@@ -74,18 +74,18 @@
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double within, Outcomes<String> told) {
-            assertEquals(0, ends, "an attempt after the end");
+        public Sending send(String endpoint, int attempt, double timeoutMs, Outcomes<String> listener) {
+            assertEquals(0, endCount, "an attempt was sent after the answer");
             assertEquals(attempts.size(), attempt);
             assertTrue(
                     effect == Contract.Effect.SAFE || attempts.stream().allMatch(o -> o != null && o.neverRan),
-                    "an unsafe request goes out again that may have run");
+                    "an unsafe request that may have run was sent again");
             attempts.add(null);
-            boolean bad = dice.nextInt(taken > WORSE_FROM && taken < WORSE_TO ? 2 : BAD) == 0;
-            Outcome how = bad ? FAULTS[dice.nextInt(FAULTS.length)] : Outcome.SERVED;
-            boolean written = dice.nextInt(4) > 0;
-            if (dice.nextInt(BAD) > 0) {
-                clock.after(dice.nextInt(40), () -> end(attempt, how, told));
+            boolean faulty = random.nextInt(accepted > OUTAGE_FROM && accepted < OUTAGE_TO ? 2 : FAULT_EVERY) == 0;
+            Outcome outcome = faulty ? FAULTS[random.nextInt(FAULTS.length)] : Outcome.SERVED;
+            boolean written = random.nextInt(4) > 0;
+            if (random.nextInt(FAULT_EVERY) > 0) {
+                clock.after(random.nextInt(40), () -> end(attempt, outcome, listener));
             }
             return () -> {
                 attempts.set(attempt, written ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED);
@@ -93,115 +93,115 @@
             };
         }
 
-        // As a transport must, it tells nothing of what was given up.
-        private void end(int attempt, Outcome how, Outcomes<String> told) {
+        // As required of a transport, the outcome of an aborted attempt is not reported.
+        private void end(int attempt, Outcome outcome, Outcomes<String> listener) {
             if (attempts.get(attempt) == null) {
-                attempts.set(attempt, how);
-                told.ended(how, how == Outcome.SERVED ? "answer" : null, null);
+                attempts.set(attempt, outcome);
+                listener.ended(outcome, outcome == Outcome.SERVED ? "answer" : null, null);
             }
         }
     }
 
-    /** The real module, seen from outside: each attempt is told of once. */
-    private static final class Watched extends ScriptedModule {
+    /** Passes events to the real module and counts the outcomes of each attempt. */
+    private static final class OutcomeCounter extends ScriptedModule {
         private final Map<String, Integer> outcomes = new HashMap<>();
-        private Contract.Events real;
+        private Contract.Events module;
 
         @Override
-        public void start(double now) {
-            real.start(now);
+        public void start(double nowMs) {
+            module.start(nowMs);
         }
 
         @Override
-        public void servers(double now, Contract.ListKind kind, List<Contract.Server> entries) {
-            real.servers(now, kind, entries);
+        public void servers(double nowMs, Contract.ListKind kind, List<Contract.Server> entries) {
+            module.servers(nowMs, kind, entries);
         }
 
         @Override
-        public void request(double now, Contract.Request request) {
-            real.request(now, request);
+        public void request(double nowMs, Contract.Request request) {
+            module.request(nowMs, request);
         }
 
         @Override
         public void outcome(
-                double now,
+                double nowMs,
                 Contract.Request request,
                 int attempt,
                 Outcome outcome,
-                double took,
+                double durationMs,
                 boolean finished,
                 Contract.Report report) {
             outcomes.merge(request.id + "/" + attempt, 1, Integer::sum);
-            real.outcome(now, request, attempt, outcome, took, finished, report);
+            module.outcome(nowMs, request, attempt, outcome, durationMs, finished, report);
         }
 
         @Override
-        public void abandoned(double now, Contract.Request request) {
-            real.abandoned(now, request);
+        public void abandoned(double nowMs, Contract.Request request) {
+            module.abandoned(nowMs, request);
         }
 
         @Override
-        public void wake(double now) {
-            real.wake(now);
+        public void wake(double nowMs) {
+            module.wake(nowMs);
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void everyRequestHasOneEndInTimeAndEveryAttemptOneOutcome(long seed) {
-        Random dice = new Random(seed);
+        Random random = new Random(seed);
         Contract.Settings settings = Settings.of(
                 true,
                 Settings.type("read", 5, Contract.Effect.SAFE),
                 Settings.type("write", 2, Contract.Effect.UNSAFE));
         List<String> log = new ArrayList<>();
-        Watched watched = new Watched();
+        OutcomeCounter counter = new OutcomeCounter();
         Engine engine = new Engine(
                 clock,
                 settings,
                 actions -> {
-                    watched.real = new Decide(settings, seed, actions);
-                    return watched;
+                    counter.module = new Decide(settings, seed, actions);
+                    return counter;
                 },
                 list -> {},
                 log::add);
-        engine.start(() -> {}, list(dice));
-        List<One> all = new ArrayList<>();
+        engine.start(() -> {}, list(random));
+        List<TestRequest> all = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
-            int k = dice.nextInt(2);
-            double timeout = 50 + dice.nextInt(500);
-            One one = new One(settings.classes().get(k).effect(), timeout, dice);
-            all.add(one);
-            taken++;
-            Engine.Held<String> held = engine.take(new Request(k, -1, timeout, false), one, one);
-            if (dice.nextInt(10) == 0) {
-                clock.after(dice.nextInt(100), () -> {
-                    one.abandoned |= one.ends == 0;
-                    held.abandon();
+            int classIndex = random.nextInt(2);
+            double timeoutMs = 50 + random.nextInt(500);
+            TestRequest request =
+                    new TestRequest(settings.classes().get(classIndex).effect(), timeoutMs, random);
+            all.add(request);
+            accepted++;
+            Engine.Held<String> pending = engine.take(new Request(classIndex, -1, timeoutMs, false), request, request);
+            if (random.nextInt(10) == 0) {
+                clock.after(random.nextInt(100), () -> {
+                    request.abandoned |= request.endCount == 0;
+                    pending.abandon();
                 });
             }
-            if (dice.nextInt(100) == 0) {
-                engine.list(Contract.ListKind.FULL, list(dice));
+            if (random.nextInt(100) == 0) {
+                engine.list(Contract.ListKind.FULL, list(random));
             }
-            clock.runTo(clock.now() + dice.nextDouble() * 2 * GAP_MS);
+            clock.runTo(clock.now() + random.nextDouble() * 2 * GAP_MS);
         }
         clock.runTo(clock.now() + 2000);
         assertEquals(List.of(), log);
-        assertTrue(all.stream().allMatch(o -> o.ends == (o.abandoned ? 0 : 1)));
+        assertTrue(all.stream().allMatch(o -> o.endCount == (o.abandoned ? 0 : 1)));
         int sent = all.stream().mapToInt(o -> o.attempts.size()).sum();
-        assertTrue(sent > REQUESTS / 2, "only " + sent + " went out");
-        assertTrue(watched.outcomes.values().stream().allMatch(n -> n == 1));
-        assertTrue(watched.outcomes.size() >= sent, "attempts without an outcome");
+        assertTrue(sent > REQUESTS / 2, "too few attempts sent: " + sent);
+        assertTrue(counter.outcomes.values().stream().allMatch(n -> n == 1));
+        assertTrue(counter.outcomes.size() >= sent, "attempts without an outcome");
         assertTrue(all.stream().anyMatch(o -> o.refused), "nothing was refused");
     }
 
-    private static EndpointList list(Random dice) {
+    private static EndpointList list(Random random) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            Contract.Standing standing = dice.nextInt(4) == 0 ? Contract.Standing.DRAINING : Contract.Standing.UP;
+            Contract.Standing state = random.nextInt(4) == 0 ? Contract.Standing.DRAINING : Contract.Standing.UP;
             entries.add(new EndpointList.Entry(
-                    new Contract.Server("s" + i, standing, 1, "z", 0, 0),
-                    InetSocketAddress.createUnresolved("none", 1)));
+                    new Contract.Server("s" + i, state, 1, "z", 0, 0), InetSocketAddress.createUnresolved("none", 1)));
         }
         return new EndpointList(1, true, entries);
     }
--- a/src/test/java/whinlead/engine/EngineTest.java
+++ b/src/test/java/whinlead/engine/EngineTest.java
@@ -13,21 +13,21 @@
 import whinlead.testbed.DrivenClock;
 import whinlead.testbed.Settings;
 
-/** The engine between a scripted front, a scripted transport and a scripted module, without sockets. */
+/** The engine with a scripted front, transport and module, without sockets. */
 class EngineTest {
     private static final int READ = 0;
     private static final int WRITE = 1;
-    private static final double TIMEOUT = 1000;
+    private static final double TIMEOUT_MS = 1000;
 
     private final DrivenClock clock = new DrivenClock();
     private final List<String> log = new ArrayList<>();
-    private final List<Integer> lists = new ArrayList<>();
+    private final List<Integer> listSizes = new ArrayList<>();
     private final ScriptedModule module = new ScriptedModule();
-    private final Engine engine = with(module);
+    private final Engine engine = engineWith(module);
     private final ScriptedTransport transport = new ScriptedTransport();
     private final ScriptedFront front = new ScriptedFront();
 
-    private Engine with(ScriptedModule scripted) {
+    private Engine engineWith(ScriptedModule scripted) {
         return new Engine(
                 clock,
                 Settings.of(
@@ -38,12 +38,12 @@
                     scripted.actions = actions;
                     return scripted;
                 },
-                list -> lists.add(list.entries().size()),
+                list -> listSizes.add(list.entries().size()),
                 log::add);
     }
 
-    private Engine.Held<String> take(int classIndex) {
-        return engine.take(new Request(classIndex, -1, TIMEOUT, false), transport, front);
+    private Engine.Held<String> accept(int classIndex) {
+        return engine.take(new Request(classIndex, -1, TIMEOUT_MS, false), transport, front);
     }
 
     private void send(String server) {
@@ -51,78 +51,78 @@
     }
 
     @Test
-    void whatIsServedEndsOnceAndTheModuleHearsThatItIsOver() {
-        take(READ);
+    void servedRequestEndsOnceAndTheModuleIsNotified() {
+        accept(READ);
         send("a");
         assertEquals("a", transport.sent.get(0).endpoint);
-        transport.sent.get(0).ends(Outcome.SERVED);
-        transport.sent.get(0).ends(Outcome.RESET);
-        clock.runTo(10 * TIMEOUT);
-        assertEquals(List.of("served answer"), front.ends);
+        transport.sent.get(0).end(Outcome.SERVED);
+        transport.sent.get(0).end(Outcome.RESET);
+        clock.runTo(10 * TIMEOUT_MS);
+        assertEquals(List.of("served answer"), front.results);
         assertEquals(List.of("request 0", "outcome 0/0 SERVED over"), module.heard);
     }
 
     @Test
-    void anAttemptHasTheRequestsTimeLessTheWayBack() {
-        take(READ);
+    void attemptTimeoutLeavesAMarginForTheAnswer() {
+        accept(READ);
         clock.runTo(100);
         send("a");
-        assertEquals(TIMEOUT - 100 - 25, transport.sent.get(0).within);
+        assertEquals(TIMEOUT_MS - 100 - 25, transport.sent.get(0).timeoutMs);
     }
 
     @Test
-    void whatTheModuleForgetsIsFailedAtItsDeadline() {
-        take(READ);
-        clock.runTo(TIMEOUT);
-        assertEquals(List.of("failed"), front.ends);
+    void requestWithoutADecisionFailsAtItsDeadline() {
+        accept(READ);
+        clock.runTo(TIMEOUT_MS);
+        assertEquals(List.of("failed"), front.results);
         assertEquals(List.of("request 0", "abandoned 0"), module.heard);
         send("a");
-        assertTrue(transport.sent.isEmpty(), "nothing goes out for what is over");
+        assertTrue(transport.sent.isEmpty(), "no attempt is sent after the request has ended");
     }
 
     @Test
-    void anAttemptOutOfTimeIsGivenUpAndMayHaveRun() {
-        take(READ);
+    void timedOutAttemptIsAbortedAndMayHaveRun() {
+        accept(READ);
         send("a");
-        clock.runTo(TIMEOUT);
-        assertTrue(transport.sent.get(0).givenUp);
+        clock.runTo(TIMEOUT_MS);
+        assertTrue(transport.sent.get(0).aborted);
         assertEquals("outcome 0/0 TIMED_OUT", module.heard.get(1));
-        assertEquals(List.of("failed"), front.ends);
+        assertEquals(List.of("failed"), front.results);
     }
 
     @Test
-    void anAttemptNeverWrittenWholeIsKnownNotToHaveRun() {
-        take(WRITE);
+    void partlyWrittenAttemptIsKnownNotToHaveRun() {
+        accept(WRITE);
         module.actions.send(module.requests.get(0), "a", 50);
         transport.sent.get(0).written = false;
         clock.runTo(60);
         assertEquals("outcome 0/0 CONNECT_FAILED", module.heard.get(1));
         module.actions.refuse(module.requests.get(0), 300);
-        assertEquals(List.of("refused 300"), front.ends);
+        assertEquals(List.of("refused 300"), front.results);
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsFailedWhereTheModuleWouldRefuseIt() {
-        take(WRITE);
+    void unsafeRequestThatMayHaveRunFailsInsteadOfBeingRefused() {
+        accept(WRITE);
         send("a");
-        transport.sent.get(0).ends(Outcome.RESET);
+        transport.sent.get(0).end(Outcome.RESET);
         module.actions.refuse(module.requests.get(0), 300);
         module.actions.refuse(module.requests.get(0), 300);
-        assertEquals(List.of("failed"), front.ends);
+        assertEquals(List.of("failed"), front.results);
     }
 
     @Test
-    void aSafeRequestMayBeRefusedWhateverRan() {
-        take(READ);
+    void safeRequestMayBeRefusedAfterItMayHaveRun() {
+        accept(READ);
         send("a");
-        transport.sent.get(0).ends(Outcome.RESET);
+        transport.sent.get(0).end(Outcome.RESET);
         module.actions.refuse(module.requests.get(0), 300);
-        assertEquals(List.of("refused 300"), front.ends);
+        assertEquals(List.of("refused 300"), front.results);
     }
 
     @Test
-    void noMoreAttemptsGoOutThanTheLimit() {
-        take(READ);
+    void attemptsAreLimited() {
+        accept(READ);
         for (int i = 0; i < 5; i++) {
             send("a");
         }
@@ -131,53 +131,53 @@
     }
 
     @Test
-    void whatEndsAfterTheRequestIsToldToTheModuleOnly() {
-        take(READ);
+    void outcomeAfterTheEndGoesToTheModuleOnly() {
+        accept(READ);
         send("a");
         send("b");
-        transport.sent.get(1).ends(Outcome.SERVED);
-        transport.sent.get(0).ends(Outcome.SERVED);
-        assertEquals(List.of("served answer"), front.ends);
+        transport.sent.get(1).end(Outcome.SERVED);
+        transport.sent.get(0).end(Outcome.SERVED);
+        assertEquals(List.of("served answer"), front.results);
         assertEquals(List.of("request 0", "outcome 0/1 SERVED over", "outcome 0/0 SERVED over"), module.heard);
     }
 
     @Test
-    void aCallerGoneHearsNothingAndTheModuleHearsItOnce() {
-        Engine.Held<String> held = take(READ);
+    void abandonedRequestHasNoAnswerAndIsReportedOnce() {
+        Engine.Held<String> pending = accept(READ);
         send("a");
-        held.abandon();
-        held.abandon();
+        pending.abandon();
+        pending.abandon();
         send("b");
-        assertEquals(1, transport.sent.size(), "nothing goes out for what is over");
-        transport.sent.get(0).ends(Outcome.SERVED);
-        clock.runTo(10 * TIMEOUT);
-        assertEquals(List.of(), front.ends);
+        assertEquals(1, transport.sent.size(), "no attempt is sent after the request has ended");
+        transport.sent.get(0).end(Outcome.SERVED);
+        clock.runTo(10 * TIMEOUT_MS);
+        assertEquals(List.of(), front.results);
         assertEquals(
                 List.of("request 0", "abandoned 0", "outcome 0/1 NEVER_SENT over", "outcome 0/0 SERVED over"),
                 module.heard);
     }
 
     @Test
-    void oneThatCanNotBeToldDoesNotKeepTheRestFromIt() {
-        List<String> told = new ArrayList<>();
+    void failAllContinuesAfterASinkThrows() {
+        List<String> answers = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             int number = i;
-            engine.take(new Request(READ, -1, TIMEOUT, false), transport, new ResponseSink<String>() {
+            engine.take(new Request(READ, -1, TIMEOUT_MS, false), transport, new ResponseSink<String>() {
                 @Override
                 public void served(String answer) {
-                    told.add("served " + number);
+                    answers.add("served " + number);
                 }
 
                 @Override
                 public void refused(double retryAfter) {
-                    told.add("refused " + number);
+                    answers.add("refused " + number);
                 }
 
                 @Override
                 public void failed() {
-                    told.add("failed " + number);
+                    answers.add("failed " + number);
                     if (number == 0) {
-                        throw new IllegalStateException("its connection is in no state for an answer");
+                        throw new IllegalStateException("the connection cannot take an answer");
                     }
                 }
             });
@@ -185,65 +185,65 @@
         engine.failAll();
         assertEquals(
                 List.of("failed 0", "failed 1", "failed 2"),
-                told.stream().sorted().toList());
+                answers.stream().sorted().toList());
         assertEquals(1, log.size());
     }
 
     @Test
-    void whatIsHeldWhenTheProcessEndsIsFailed() {
-        take(READ);
+    void failAllFailsPendingRequestsOnce() {
+        accept(READ);
         send("a");
         engine.failAll();
         engine.failAll();
-        assertEquals(List.of("failed"), front.ends);
+        assertEquals(List.of("failed"), front.results);
     }
 
     @Test
-    void anEventInsideAnEventWaits() {
-        ScriptedModule sends = new ScriptedModule() {
+    void nestedEventIsQueued() {
+        ScriptedModule sendingModule = new ScriptedModule() {
             @Override
             public void request(double now, Contract.Request request) {
                 actions.send(request, "a", 0);
                 super.request(now, request);
             }
         };
-        // Ends while it is being sent, as when there is no such endpoint.
-        with(sends)
+        // Ends during the call that sends it, as for an unknown endpoint.
+        engineWith(sendingModule)
                 .take(
-                        new Request(READ, -1, TIMEOUT, false),
-                        (endpoint, attempt, within, told) -> {
-                            told.ended(Outcome.NEVER_SENT, null, null);
+                        new Request(READ, -1, TIMEOUT_MS, false),
+                        (endpoint, attempt, timeoutMs, listener) -> {
+                            listener.ended(Outcome.NEVER_SENT, null, null);
                             return () -> false;
                         },
                         front);
-        assertEquals(List.of("request 0", "outcome 0/0 NEVER_SENT"), sends.heard);
+        assertEquals(List.of("request 0", "outcome 0/0 NEVER_SENT"), sendingModule.heard);
     }
 
     @Test
-    void aFaultInADecisionIsLoggedAndTheDeadlineEndsTheRequest() {
-        ScriptedModule faulty = new ScriptedModule() {
+    void exceptionInADecisionIsLoggedAndTheDeadlineEndsTheRequest() {
+        ScriptedModule throwingModule = new ScriptedModule() {
             @Override
             public void request(double now, Contract.Request request) {
                 throw new IllegalStateException("on purpose");
             }
         };
-        with(faulty).take(new Request(READ, -1, TIMEOUT, false), transport, front);
+        engineWith(throwingModule).take(new Request(READ, -1, TIMEOUT_MS, false), transport, front);
         assertTrue(log.get(0).startsWith("decision failed: java.lang.IllegalStateException: on purpose"));
-        clock.runTo(TIMEOUT);
-        assertEquals(List.of("failed"), front.ends);
-        assertFalse(faulty.heard.isEmpty());
+        clock.runTo(TIMEOUT_MS);
+        assertEquals(List.of("failed"), front.results);
+        assertFalse(throwingModule.heard.isEmpty());
     }
 
     @Test
-    void aSourceFeedsTheTransportsAndThenTheModule() {
-        List<String> watched = new ArrayList<>();
-        engine.start(() -> watched.add("watch"), null);
+    void listGoesToTheTransportsAndTheModule() {
+        List<String> watchCalls = new ArrayList<>();
+        engine.start(() -> watchCalls.add("watch"), null);
         module.actions.watchServers();
         engine.outOfReach();
-        assertEquals(List.of("watch"), watched);
+        assertEquals(List.of("watch"), watchCalls);
         assertEquals(List.of("start", "servers FAILED 0"), module.heard);
         engine.list(Contract.ListKind.FULL, new EndpointList(1, true, List.of()));
-        assertEquals(List.of(0), lists);
+        assertEquals(List.of(0), listSizes);
         assertEquals("servers FULL 0", module.heard.get(2));
     }
 }
--- a/src/test/java/whinlead/engine/ScriptedFront.java
+++ b/src/test/java/whinlead/engine/ScriptedFront.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A front's side of one request, which notes its ends. */
+/** Collects the results of one request. */
 final class ScriptedFront implements ResponseSink<String> {
-    final List<String> ends = new ArrayList<>();
+    final List<String> results = new ArrayList<>();
 
     @Override
     public void served(String answer) {
-        ends.add("served " + answer);
+        results.add("served " + answer);
     }
 
     @Override
-    public void refused(double retryAfter) {
-        ends.add("refused " + (long) retryAfter);
+    public void refused(double retryAfterMs) {
+        results.add("refused " + (long) retryAfterMs);
     }
 
     @Override
     public void failed() {
-        ends.add("failed");
+        results.add("failed");
     }
 }
--- a/src/test/java/whinlead/engine/ScriptedTransport.java
+++ b/src/test/java/whinlead/engine/ScriptedTransport.java
@@ -4,31 +4,31 @@
 import java.util.List;
 import whinlead.Contract;
 
-/** A transport that keeps what it is to send until a test says how it ended. */
+/** A transport that records the attempts; a test sets their outcomes. */
 final class ScriptedTransport implements Transport<String> {
-    /** One attempt that it was given. */
+    /** One attempt. */
     static final class Sent implements Sending {
         final String endpoint;
         final int attempt;
-        final double within;
-        final Outcomes<String> told;
+        final double timeoutMs;
+        final Outcomes<String> listener;
         boolean written = true;
-        boolean givenUp;
+        boolean aborted;
 
-        private Sent(String endpoint, int attempt, double within, Outcomes<String> told) {
+        private Sent(String endpoint, int attempt, double timeoutMs, Outcomes<String> listener) {
             this.endpoint = endpoint;
             this.attempt = attempt;
-            this.within = within;
-            this.told = told;
+            this.timeoutMs = timeoutMs;
+            this.listener = listener;
         }
 
-        void ends(Contract.Outcome outcome) {
-            told.ended(outcome, outcome == Contract.Outcome.SERVED ? "answer" : null, null);
+        void end(Contract.Outcome outcome) {
+            listener.ended(outcome, outcome == Contract.Outcome.SERVED ? "answer" : null, null);
         }
 
         @Override
         public boolean giveUp() {
-            givenUp = true;
+            aborted = true;
             return written;
         }
     }
@@ -36,9 +36,9 @@
     final List<Sent> sent = new ArrayList<>();
 
     @Override
-    public Sending send(String endpoint, int attempt, double within, Outcomes<String> told) {
-        Sent s = new Sent(endpoint, attempt, within, told);
-        sent.add(s);
-        return s;
+    public Sending send(String endpoint, int attempt, double timeoutMs, Outcomes<String> listener) {
+        Sent attempted = new Sent(endpoint, attempt, timeoutMs, listener);
+        sent.add(attempted);
+        return attempted;
     }
 }
