--- a/src/main/java/whinlead/Contract.java
+++ b/src/main/java/whinlead/Contract.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module {@code whinlead.decide.Decide}: the settings it starts from, the events it
- * is told and the actions it takes. A sidecar embeds this file and that package and nothing else.
+ * The complete interface of the decision module {@code whinlead.decide.Decide}: its settings, the events that it
+ * receives and the actions that it takes. A sidecar embeds this file and that package and nothing else.
  *
  * <p>Times are milliseconds on the embedder's own clock, which may start anywhere and never runs backwards. The module
  * reads no clock, starts no thread and does no I/O: it acts only inside an event.
  */
 public interface Contract {
 
-    /** What repeating a request of a class may do. */
+    /** The effect of running a request of a class more than once. */
     enum Effect {
-        /** Any number of runs is as good as one. */
+        /** Idempotent: several runs have the effect of one. */
         SAFE,
-        /** Servers of one group discard a repeat for a while. */
+        /** Servers of one group discard a repeat within a time window. */
         KEYED,
-        /** A second run does damage. */
+        /** A second run does harm. */
         UNSAFE
     }
 
@@ -47,22 +47,22 @@
         }
     }
 
-    /** What the list says of a server. */
+    /** The state of a server on the list. */
     enum Standing {
         UP,
         DRAINING,
         GONE
     }
 
-    /** What a list event holds. */
+    /** The content of a list event. */
     enum ListKind {
         /** Only the entries that changed. */
         CHANGES,
         /** Every server; one that is missing is gone. */
         FULL,
-        /** Every server as last known at start, perhaps long out of date. */
+        /** Every server as last known at start; may be long out of date. */
         STALE,
-        /** No entries: a call failed or the subscription broke. The old list stands. */
+        /** No entries: a call failed or the subscription broke. The old list stays valid. */
         FAILED
     }
 
@@ -85,10 +85,10 @@
             double window,
             boolean stream) {}
 
-    /** A tenant and the requests a second that are within its share, over all sidecars. */
+    /** A tenant and the requests per second that are within its share, over all sidecars. */
     record Tenant(String name, double share, double quotaPerSecond) {}
 
-    /** What the deployment lets the module do; {@code probeCost} is its price for one probe a request. */
+    /** What the deployment permits the module to do; {@code probeCost} is the cost of one probe per request. */
     record Limits(
             int attempts,
             boolean copies,
@@ -99,7 +99,7 @@
             double maxRetryAfter,
             double probeCost) {}
 
-    /** The figures of the rules on drains and on cold servers. */
+    /** The parameters of the rules on draining and cold servers. */
     record Obligations(
             double drainGrace,
             double fallMultiple,
@@ -108,7 +108,7 @@
             double coldTime,
             double askWithin) {}
 
-    /** Everything the module is told at start. */
+    /** All settings of the module, given at its start. */
     record Settings(
             List<RequestClass> classes,
             List<Tenant> tenants,
@@ -120,37 +120,37 @@
             int sidecars,
             int ordinal) {}
 
-    /** An entry of the server list. {@code startedAt} of 0 or less than the clock's start means long ago. */
+    /** An entry of the server list. A {@code startedAt} of 0, or before the clock's start, means long ago. */
     record Server(String id, Standing standing, double size, String zone, int cell, double startedAt) {}
 
-    /** A load report; a value that it lacks is NaN. */
+    /** A load report; missing values are NaN. */
     record Report(double inflight, double queue, double util, double latency, double perSecond, double errors) {}
 
-    /** A request. The same object stands for it in every event and action; {@link #state} is the module's own. */
+    /** A request. Every event and action uses the same object for it; {@link #state} belongs to the module. */
     final class Request {
         /** Position of its class in the settings. */
         public final int classIndex;
         /** Position of its tenant in the settings, or -1. */
         public final int tenantIndex;
-        /** How long until the client gives up this try. */
+        /** Time until the client stops waiting for the answer. */
         public final double timeLeft;
-        /** True if the client says that it is a repeat. */
+        /** True if the client marks it as a retry. */
         public final boolean repeat;
-        /** Share of the places at its front that are free, itself counted; 1 where nothing bounds them. */
-        public final double room;
-        /** The embedder's name for it. */
+        /** Free share of the places at its front, this request counted; 1 without a limit. */
+        public final double freeShare;
+        /** The embedder's id of it. */
         public final long id;
-        /** What the module notes of it; the embedder leaves it alone. */
+        /** The module's state for it; the embedder must not use it. */
         public Object state;
 
-        /** A request that has just arrived, at a front that takes any number. */
+        /** A request that has just arrived, at a front without a limit on requests. */
         public Request(long id, int classIndex, int tenantIndex, double timeLeft, boolean repeat) {
             this(id, classIndex, tenantIndex, timeLeft, repeat, 1);
         }
 
         /** A request that has just arrived. */
-        public Request(long id, int classIndex, int tenantIndex, double timeLeft, boolean repeat, double room) {
-            this.room = room;
+        public Request(long id, int classIndex, int tenantIndex, double timeLeft, boolean repeat, double freeShare) {
+            this.freeShare = freeShare;
             this.id = id;
             this.classIndex = classIndex;
             this.tenantIndex = tenantIndex;
@@ -159,76 +159,76 @@
         }
     }
 
-    /** What the module is told, one method an event, each with the time. */
+    /** The events that the module receives, each with the time. */
     interface Events {
-        /** The sidecar starts, knowing nothing. */
-        void start(double now);
+        /** The sidecar starts, without a server list. */
+        void start(double nowMs);
 
         /** The list of servers, or changes to it. */
-        void servers(double now, ListKind kind, List<Server> entries);
+        void servers(double nowMs, ListKind kind, List<Server> entries);
 
-        /** A client's request arrived; it is owed one final answer. */
-        void request(double now, Request request);
+        /** A client's request arrived; it must get one final answer. */
+        void request(double nowMs, Request request);
 
         /**
-         * An attempt ended. With {@code finished} the client has had its final answer; else it is still owed.
+         * An attempt ended. {@code finished} says whether the client already has its final answer; if not, one is due.
          * {@code report} may be null.
          */
         void outcome(
-                double now,
+                double nowMs,
                 Request request,
                 int attempt,
                 Outcome outcome,
-                double took,
+                double durationMs,
                 boolean finished,
                 Report report);
 
-        /** The answer to an attempt began to stream to the client, which ends the module's duty to it. */
-        void streaming(double now, Request request, int attempt);
+        /** The answer to an attempt began to stream to the client, so no other final answer is due. */
+        void streaming(double nowMs, Request request, int attempt);
 
-        /** The client left; nothing more is owed. */
-        void abandoned(double now, Request request);
+        /** The client disconnected; no answer is due any more. */
+        void abandoned(double nowMs, Request request);
 
-        /** A probe ended; {@code report} is null unless one came. */
-        void probed(double now, String server, Outcome outcome, double took, Report report);
+        /** A probe ended; {@code report} is null if it brought none. */
+        void probed(double nowMs, String server, Outcome outcome, double durationMs, Report report);
 
         /** Another sidecar sent a message. */
-        void message(double now, int from, byte[] text);
+        void message(double nowMs, int from, byte[] message);
 
-        /** The time asked for with {@link Actions#wake} has come. */
-        void wake(double now);
+        /** The time requested with {@link Actions#wake} has come. */
+        void wake(double nowMs);
     }
 
-    /** What the module does. */
+    /** The actions of the module. */
     interface Actions {
-        /** Send the request to a server as its next attempt, timing out after {@code within}; 0: at the deadline. */
-        void send(Request request, String server, double within);
+        /** Send the request to a server as its next attempt, timing out after {@code timeoutMs}; 0: at the deadline. */
+        void send(Request request, String server, double timeoutMs);
 
-        /** Whether the request would find an open connection to this server; true where it makes no odds. */
+        /** Whether this server has an open connection free for the request; true where that makes no difference. */
         default boolean connected(Request request, String server) {
             return true;
         }
 
-        /** Stop waiting for one attempt. */
+        /** Stop waiting for this attempt. */
         void cancel(Request request, int attempt);
 
-        /** Final answer: not done, a retry does no harm; come back after {@code retryAfter}. */
-        void refuse(Request request, double retryAfter);
+        /** Final answer: refused, a retry does no harm; the client may retry after {@code retryAfterMs}. */
+        void refuse(Request request, double retryAfterMs);
 
         /** Final answer: failed, with no promise about effects. */
         void fail(Request request);
 
-        /** Ask a server for its load report. */
+        /** Request a load report from a server. */
         void probe(String server);
 
         /** Subscribe to the server list. */
         void watchServers();
 
         /** Send a message to every other sidecar. */
-        void tellPeers(byte[] text);
+        void tellPeers(byte[] message);
 
         /** Call {@link Events#wake} at this time. */
-        void wake(double at);
+        void wake(double timeMs);
 
         /** A line for the on-call staff. */
         void log(String line);
--- a/src/main/java/whinlead/SettingsReader.java
+++ b/src/main/java/whinlead/SettingsReader.java
@@ -5,97 +5,105 @@
 import java.util.Map;
 
 /**
- * The settings of an instance, read from path and value pairs. The simulator's first message and the real sidecar's
- * configuration hold the same ones, so both adapters read them here. Unknown keys are ignored.
+ * Reads the settings of an instance from pairs of path and value. The simulator's first message and the sidecar's
+ * configuration contain the same pairs, so both adapters use this class. Unknown keys are ignored.
  */
 public final class SettingsReader {
     private final Map<String, String> pairs;
 
-    /** Reads from these pairs, whose keys are paths such as {@code classes.0.name}. */
+    /** Creates a reader of these pairs, whose keys are paths such as {@code classes.0.name}. */
     public SettingsReader(Map<String, String> pairs) {
         this.pairs = Map.copyOf(pairs);
     }
 
     /**
-     * The settings.
+     * Returns the settings.
      *
-     * @throws IllegalArgumentException naming the key that is missing or makes no sense
+     * @throws IllegalArgumentException if a key is missing or its value is invalid; the message names the key
      */
     public Contract.Settings settings() {
         List<Contract.RequestClass> classes = new ArrayList<>();
-        int n = whole("classes.count", 1);
-        for (int i = 0; i < n; i++) {
+        int classCount = integer("classes.count", 1);
+        for (int i = 0; i < classCount; i++) {
             classes.add(requestClass("classes." + i + "."));
         }
         List<Contract.Tenant> tenants = new ArrayList<>();
-        int t = pairs.containsKey("tenants.count") ? whole("tenants.count", 0) : 0;
-        for (int i = 0; i < t; i++) {
-            String at = "tenants." + i + ".";
+        int tenantCount = pairs.containsKey("tenants.count") ? integer("tenants.count", 0) : 0;
+        for (int i = 0; i < tenantCount; i++) {
+            String prefix = "tenants." + i + ".";
             tenants.add(new Contract.Tenant(
-                    word(at + "name"), number(at + "share", 0, 1), number(at + "quota_per_s", 0, 1e12)));
+                    text(prefix + "name"), number(prefix + "share", 0, 1), number(prefix + "quota_per_s", 0, 1e12)));
         }
-        int sidecars = whole("peers_total", 1);
-        int ordinal = whole("ordinal", 0);
+        int sidecars = integer("peers_total", 1);
+        int ordinal = integer("ordinal", 0);
         if (ordinal >= sidecars) {
-            throw fault("ordinal", "is not below peers_total");
+            throw invalid("ordinal", "is not below peers_total");
         }
         Contract.Reporting reporting =
-                switch (word("reporting.how")) {
+                switch (text("reporting.how")) {
                     case "off" -> Contract.Reporting.NONE;
                     case "inline" -> Contract.Reporting.WITH_ANSWERS;
                     case "on_probe" -> Contract.Reporting.WITH_PROBES;
-                    default -> throw fault("reporting.how", "is not one of off, inline, on_probe");
+                    default -> throw invalid("reporting.how", "is not one of off, inline, on_probe");
                 };
-        boolean ask =
-                switch (word("discovery")) {
+        boolean listMustBeRequested =
+                switch (text("discovery")) {
                     case "ask" -> true;
                     case "push" -> false;
-                    default -> throw fault("discovery", "is not one of ask, push");
+                    default -> throw invalid("discovery", "is not one of ask, push");
                 };
-        double over = t == 0 ? 1 : number("over_share_worth", 0, 1);
+        double overShareWorth = tenantCount == 0 ? 1 : number("over_share_worth", 0, 1);
         return new Contract.Settings(
-                classes, tenants, over, limits(), obligations(), reporting, ask, sidecars, ordinal);
+                classes,
+                tenants,
+                overShareWorth,
+                limits(),
+                obligations(),
+                reporting,
+                listMustBeRequested,
+                sidecars,
+                ordinal);
     }
 
-    private Contract.RequestClass requestClass(String at) {
+    private Contract.RequestClass requestClass(String prefix) {
         Contract.Effect effect =
-                switch (word(at + "effect")) {
+                switch (text(prefix + "effect")) {
                     case "idempotent" -> Contract.Effect.SAFE;
                     case "deduplicated" -> Contract.Effect.KEYED;
                     case "at_most_once" -> Contract.Effect.UNSAFE;
-                    default -> throw fault(at + "effect", "is not one of idempotent, deduplicated, at_most_once");
+                    default -> throw invalid(prefix + "effect", "is not one of idempotent, deduplicated, at_most_once");
                 };
-        Contract.Group group = Contract.Group.ALL;
-        double window = 0;
+        Contract.Group dedupGroup = Contract.Group.ALL;
+        double dedupWindow = 0;
         if (effect == Contract.Effect.KEYED) {
-            group = switch (word(at + "group")) {
+            dedupGroup = switch (text(prefix + "group")) {
                 case "all" -> Contract.Group.ALL;
                 case "zone" -> Contract.Group.ZONE;
                 case "cell" -> Contract.Group.CELL;
-                default -> throw fault(at + "group", "is not one of all, zone, cell");
+                default -> throw invalid(prefix + "group", "is not one of all, zone, cell");
             };
-            window = number(at + "window", 0, 1e12);
+            dedupWindow = number(prefix + "window", 0, 1e12);
         }
-        double aim = number(at + "slo", 1e-3, 1e12);
-        double deadline = number(at + "deadline", 1e-3, 1e12);
-        if (aim > deadline) {
-            throw fault(at + "slo", "is over the deadline of its class");
+        double latencyTarget = number(prefix + "slo", 1e-3, 1e12);
+        double deadline = number(prefix + "deadline", 1e-3, 1e12);
+        if (latencyTarget > deadline) {
+            throw invalid(prefix + "slo", "is longer than the deadline of its class");
         }
         return new Contract.RequestClass(
-                word(at + "name"),
-                number(at + "value", 0, 1e12),
-                number(at + "late_worth", 0, 1),
-                aim,
+                text(prefix + "name"),
+                number(prefix + "value", 0, 1e12),
+                number(prefix + "late_worth", 0, 1),
+                latencyTarget,
                 deadline,
                 effect,
-                group,
-                window,
-                pairs.containsKey(at + "stream") && flag(at + "stream"));
+                dedupGroup,
+                dedupWindow,
+                pairs.containsKey(prefix + "stream") && flag(prefix + "stream"));
     }
 
     private Contract.Limits limits() {
         return new Contract.Limits(
-                whole("limits.attempts_cap", 1),
+                integer("limits.attempts_cap", 1),
                 flag("limits.may_duplicate"),
                 flag("limits.cancel"),
                 flag("limits.probes"),
@@ -115,44 +123,44 @@
                 pairs.containsKey("obligations.ask_within") ? number("obligations.ask_within", 0, 1e12) : 0);
     }
 
-    private String word(String key) {
-        String v = pairs.get(key);
-        if (v == null) {
-            throw fault(key, "is missing");
+    private String text(String key) {
+        String value = pairs.get(key);
+        if (value == null) {
+            throw invalid(key, "is missing");
         }
-        return v;
+        return value;
     }
 
     private boolean flag(String key) {
-        return switch (word(key)) {
+        return switch (text(key)) {
             case "true", "1" -> true;
             case "false", "0" -> false;
-            default -> throw fault(key, "is neither true nor false");
+            default -> throw invalid(key, "is neither true nor false");
         };
     }
 
-    private int whole(String key, int least) {
-        double v = number(key, least, 1e9);
-        if (v != Math.rint(v)) {
-            throw fault(key, "is not a whole number");
+    private int integer(String key, int min) {
+        double value = number(key, min, 1e9);
+        if (value != Math.rint(value)) {
+            throw invalid(key, "is not a whole number");
         }
-        return (int) v;
+        return (int) value;
     }
 
-    private double number(String key, double least, double most) {
-        double v;
+    private double number(String key, double min, double max) {
+        double value;
         try {
-            v = Double.parseDouble(word(key));
+            value = Double.parseDouble(text(key));
         } catch (NumberFormatException e) {
-            throw fault(key, "is not a number");
+            throw invalid(key, "is not a number");
         }
-        if (!(v >= least && v <= most)) {
-            throw fault(key, "is out of range");
+        if (!(value >= min && value <= max)) {
+            throw invalid(key, "is out of range");
         }
-        return v;
+        return value;
     }
 
-    private static IllegalArgumentException fault(String key, String what) {
-        return new IllegalArgumentException(key + " " + what);
+    private static IllegalArgumentException invalid(String key, String problem) {
+        return new IllegalArgumentException(key + " " + problem);
     }
 }
--- a/src/main/java/whinlead/decide/Decide.java
+++ b/src/main/java/whinlead/decide/Decide.java
@@ -92,7 +92,7 @@
         retries.recordRequest();
         relief.requests++;
         probes.recordRequest();
-        double ownDropShare = strain.dropShare(request.room, worth.lowerWorthShare());
+        double ownDropShare = strain.dropShare(request.freeShare, worth.lowerWorthShare());
         if (ownDropShare > 0 && random.nextDouble() < worth.dropShare(call.level, ownDropShare)) {
             endWithoutAttempt(nowMs, call);
         } else {
--- a/src/test/java/whinlead/PackagesTest.java
+++ b/src/test/java/whinlead/PackagesTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: {@code docs/design.md} says why. */
+/** Which package may depend on which; {@code docs/design.md} gives the reasons. */
 class PackagesTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void whatAGroupAgreesOnDoesNoInputOrOutput() {
+    void replicationDoesNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAPackage("whinlead.replication")
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void whatTheMeshDecidesDoesNoInputOrOutput() {
+    void meshDecisionsDoNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void thePlannerDependsOnTheEngineAndTheDecisionsAndOnNothingElse() {
+    void plannerDependsOnEngineAndDecisionsOnly() {
         noClasses()
                 .that()
                 .resideInAPackage("whinlead.plan")
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void theEngineKnowsNoProtocolLoopOrModule() {
+    void engineDependsOnNoProtocolLoopOrModule() {
         noClasses()
                 .that()
                 .resideInAPackage("whinlead.engine..")
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void frontsAndTransportsKnowNothingOfEachOther() {
+    void frontsAndTransportsAreIndependent() {
         noClasses()
                 .that()
                 .resideInAPackage("whinlead.front..")
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void nothingThatASidecarRunsNeedsTheStandInsButTheCommandLine() {
+    void onlyTheCommandLineDependsOnTheTestbed() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("whinlead.testbed..", "whinlead.run..")
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void noPackagesGoRoundInCircles() {
+    void packagesHaveNoCycles() {
         slices().matching("whinlead.(**)").should().beFreeOfCycles().check(CLASSES);
     }
 }
