--- a/src/test/java/whinlead/bench/DecideBenchmark.java
+++ b/src/test/java/whinlead/bench/DecideBenchmark.java
@@ -19,8 +19,8 @@
 import whinlead.decide.NoActions;
 
 /**
- * What a decision costs: one request, its choice of server and its outcome, and the periods that fall due. Run with
- * {@code mvn -q test-compile exec:exec}; it is no test.
+ * Cost of a decision: one request, the choice of its server and its outcome, and the periods that end meanwhile. Run it
+ * with {@code mvn -q test-compile exec:exec}; it is not a test.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -32,29 +32,29 @@
         jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx48m"})
 public class DecideBenchmark {
     private static final double GAP_MS = 1;
-    private static final double TOOK_MS = 5;
+    private static final double DURATION_MS = 5;
 
     /** Servers on the list. */
     @Param({"3", "12", "100"})
     public int servers;
 
-    /** Whether all are refusing, so that every draw fails. */
+    /** Whether all servers refuse, so that every draw fails. */
     @Param({"false", "true"})
     public boolean shut;
 
     private final Sink sink = new Sink();
     private Contract.Events module;
-    private double now;
-    private long id;
+    private double nowMs;
+    private long nextId;
 
-    /** A module that has seen ten seconds of traffic. */
+    /** Creates a module and runs ten seconds of traffic through it. */
     @Setup
-    public void warm() {
-        Contract.RequestClass read =
+    public void warmUp() {
+        Contract.RequestClass requestClass =
                 new Contract.RequestClass("read", 1, 0, 500, 2000, Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
         module = new Decide(
                 new Contract.Settings(
-                        List.of(read),
+                        List.of(requestClass),
                         List.of(),
                         1,
                         new Contract.Limits(3, true, true, false, false, true, 1000, 0),
@@ -79,31 +79,38 @@
     /** One request to its end. */
     @Benchmark
     public Object decide() {
-        now += GAP_MS;
-        while (sink.wakeAt <= now) {
-            module.wake(sink.wakeAt);
+        nowMs += GAP_MS;
+        while (sink.wakeAtMs <= nowMs) {
+            module.wake(sink.wakeAtMs);
         }
-        Contract.Request r = new Contract.Request(id++, 0, -1, 2000, false);
+        Contract.Request request = new Contract.Request(nextId++, 0, -1, 2000, false);
         sink.attempts = 0;
-        module.request(now, r);
-        for (int told = 0; told < sink.attempts; told++) {
-            module.outcome(now, r, told, shut ? Contract.Outcome.FULL : Contract.Outcome.SERVED, TOOK_MS, !shut, null);
+        module.request(nowMs, request);
+        for (int attemptIndex = 0; attemptIndex < sink.attempts; attemptIndex++) {
+            module.outcome(
+                    nowMs,
+                    request,
+                    attemptIndex,
+                    shut ? Contract.Outcome.FULL : Contract.Outcome.SERVED,
+                    DURATION_MS,
+                    !shut,
+                    null);
         }
-        return r;
+        return request;
     }
 
     private static final class Sink extends NoActions {
         private int attempts;
-        private double wakeAt;
+        private double wakeAtMs;
 
         @Override
-        public void send(Contract.Request request, String server, double within) {
+        public void send(Contract.Request request, String server, double timeoutMs) {
             attempts++;
         }
 
         @Override
-        public void wake(double at) {
-            wakeAt = at;
+        public void wake(double timeMs) {
+            wakeAtMs = timeMs;
         }
     }
 }
--- a/src/test/java/whinlead/bench/EngineBenchmark.java
+++ b/src/test/java/whinlead/bench/EngineBenchmark.java
@@ -26,8 +26,9 @@
 import whinlead.testbed.Settings;
 
 /**
- * What the engine's path costs with the module in it: a request taken, its attempt sent and answered 5 ms later, its
- * timers, its end; neither a front nor a transport. Run with {@code mvn -q test-compile exec:exec}; it is no test.
+ * Cost of a request in the engine with the module: accepting it, sending its attempt, which is answered 5 ms later, its
+ * timers and its end, without a front and a transport. Run it with {@code mvn -q test-compile exec:exec}; it is not a
+ * test.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -39,50 +40,50 @@
         jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx48m"})
 public class EngineBenchmark {
     private static final double GAP_MS = 1;
-    private static final double TOOK_MS = 5;
-    private static final int WARM = 10_000;
+    private static final double DURATION_MS = 5;
+    private static final int WARMUP_REQUESTS = 10_000;
 
     /** Servers on the list. */
     @Param({"3", "12", "60", "600"})
     public int servers;
 
     private final DrivenClock clock = new DrivenClock();
-    private final Request ask = new Request(0, -1, Settings.DEADLINE, false);
-    private final Ends ends = new Ends();
+    private final Request request = new Request(0, -1, Settings.DEADLINE, false);
+    private final CountingSink sink = new CountingSink();
     private final Transport<String> transport = (endpoint, attempt, within, told) -> {
-        clock.after(TOOK_MS, () -> told.ended(Contract.Outcome.SERVED, "", null));
+        clock.after(DURATION_MS, () -> told.ended(Contract.Outcome.SERVED, "", null));
         return () -> true;
     };
     private Engine engine;
 
-    /** An engine that has seen ten seconds of traffic. */
+    /** Creates an engine and runs ten seconds of traffic through it. */
     @Setup
-    public void warm() {
+    public void warmUp() {
         Contract.Settings settings = Settings.of(true, Settings.type("read", 1, Contract.Effect.SAFE));
-        engine = new Engine(clock, settings, actions -> new Decide(settings, 7, actions), list -> {}, line -> {});
-        List<EndpointList.Entry> list = new ArrayList<>();
+        engine = new Engine(clock, settings, actions -> new Decide(settings, 7, actions), entries -> {}, line -> {});
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            list.add(new EndpointList.Entry(
+            entries.add(new EndpointList.Entry(
                     new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 0), new InetSocketAddress(1)));
         }
-        engine.start(() -> {}, new EndpointList(1, true, list));
-        for (int i = 0; i < WARM; i++) {
+        engine.start(() -> {}, new EndpointList(1, true, entries));
+        for (int i = 0; i < WARMUP_REQUESTS; i++) {
             request();
         }
-        if (ends.served < WARM / 2) {
-            throw new IllegalStateException("only " + ends.served + " served");
+        if (sink.served < WARMUP_REQUESTS / 2) {
+            throw new IllegalStateException("too few requests served in the warm-up: " + sink.served);
         }
     }
 
-    /** One request, and what falls due until the next. */
+    /** One request, and the events until the next. */
     @Benchmark
     public Object request() {
-        Object held = engine.take(ask, transport, ends);
+        Object pending = engine.take(request, transport, sink);
         clock.runTo(clock.now() + GAP_MS);
-        return held;
+        return pending;
     }
 
-    private static final class Ends implements ResponseSink<String> {
+    private static final class CountingSink implements ResponseSink<String> {
         private long served;
 
         @Override
