--- a/src/main/java/whinlead/transport/EndpointPool.java
+++ b/src/main/java/whinlead/transport/EndpointPool.java
@@ -45,90 +45,94 @@
 import whinlead.membership.EndpointList;
 
 /**
- * Connections to endpoints, each with one request at a time, and what became of each attempt. It sends what it is told
- * once and never again. Everything here runs on the one event loop.
+ * Connections to endpoints, each with one request at a time, and the outcome of each attempt. It sends each attempt
+ * once and never retries. All code here runs on one event loop.
  */
 public final class EndpointPool {
     private static final String NOT_STARTED = "Not-Started";
-    /** Of the endpoint's own idle limit: a request must never cross the endpoint's closing. */
-    private static final double IDLE_SHARE = 0.75;
+    /** Share of the endpoint's own idle limit, so that no request is sent while the endpoint closes the connection. */
+    private static final double IDLE_LIMIT_SHARE = 0.75;
 
-    private static final long SWEEP_MS = 1000;
-    /** No endpoint is taken to close connections that have been idle for less. */
+    private static final long IDLE_CHECK_INTERVAL_MS = 1000;
+    /** The idle limit of an endpoint is never assumed to be shorter than this. */
     private static final double MIN_IDLE_MS = 50;
-    /** Of the idle time after which an endpoint was found to have closed, and what a second adds to it again. */
-    private static final double IDLE_CUT = 0.5;
+    /**
+     * If an endpoint closed a connection after some idle time, the limit becomes this share of that time. It then grows
+     * by the factor IDLE_LIMIT_REGAIN per second.
+     */
+    private static final double IDLE_LIMIT_CUT = 0.5;
 
-    private static final double IDLE_REGAIN = 1.2;
-    /** Interim answers ahead of the real one; more are not meant to end. */
-    private static final int MAX_INTERIM = 8;
-    /** An answer that has begun and brings nothing for so long will not end. */
-    private static final double STALL_MS = 500;
-    /** How long a connection rests after an answer, for bytes behind it to show themselves. */
-    private static final long REST_MS = 10;
+    private static final double IDLE_LIMIT_REGAIN = 1.2;
+    /** Most interim responses (1xx) before the final one, since an endpoint could send them without end. */
+    private static final int MAX_INTERIM_RESPONSES = 8;
+    /** A response that has begun fails when no further bytes arrive for this time. */
+    private static final double STALL_TIMEOUT_MS = 500;
+    /** How long a connection is not reused after a response, so that extra bytes behind it are detected. */
+    private static final long SETTLE_MS = 10;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Bootstrap bootstrap;
-    private final double idleMost;
+    private final double maxIdleMs;
     private final Budget budget;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    private final ArrayDeque<Connection> resting = new ArrayDeque<>();
-    private boolean restTimer;
-    private int open;
+    private final ArrayDeque<Connection> settling = new ArrayDeque<>();
+    private boolean settleTimerRunning;
+    private int openConnections;
 
     /**
-     * A pool.
+     * Creates a pool without connections.
      *
-     * @param channels the kind of connections
-     * @param endpointIdle milliseconds after which an endpoint closes an idle connection
-     * @param budget says how many connections to all endpoints together may be open at once
+     * @param channelType the type of the connections
+     * @param endpointIdleMs milliseconds after which an endpoint closes an idle connection
+     * @param budget limits the number of open connections to all endpoints together
      */
     public EndpointPool(
             EventLoop loop,
-            Class<? extends Channel> channels,
+            Class<? extends Channel> channelType,
             Clock clock,
-            int connectTimeout,
-            double endpointIdle,
+            int connectTimeoutMs,
+            double endpointIdleMs,
             Budget budget) {
         this.loop = loop;
         this.clock = clock;
-        this.idleMost = endpointIdle * IDLE_SHARE;
+        this.maxIdleMs = endpointIdleMs * IDLE_LIMIT_SHARE;
         this.budget = budget;
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channel(channels)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout);
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                .channel(channelType)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
+        loop.scheduleAtFixedRate(
+                this::closeExpiredIdle, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes in the list: addresses may move, and what drains or is gone keeps no idle connections. */
+    /** Updates the endpoints: addresses may change, and endpoints that drain or are gone keep no idle connections. */
     public void update(EndpointList list) {
         if (list.whole()) {
-            endpoints.values().forEach(e -> e.up = false);
+            endpoints.values().forEach(endpoint -> endpoint.up = false);
         }
         for (EndpointList.Entry entry : list.entries()) {
-            Endpoint e = endpoints.computeIfAbsent(entry.server().id(), id -> new Endpoint(idleMost));
-            if (!Objects.equals(entry.address(), e.address)) {
-                e.closeIdle();
-                e.address = entry.address();
+            Endpoint endpoint = endpoints.computeIfAbsent(entry.server().id(), id -> new Endpoint(maxIdleMs));
+            if (!Objects.equals(entry.address(), endpoint.address)) {
+                endpoint.closeIdle();
+                endpoint.address = entry.address();
             }
-            e.up = entry.server().standing() == Contract.Standing.UP;
+            endpoint.up = entry.server().standing() == Contract.Standing.UP;
         }
-        endpoints.values().removeIf(e -> {
-            if (!e.up) {
-                e.closeIdle();
+        endpoints.values().removeIf(endpoint -> {
+            if (!endpoint.up) {
+                endpoint.closeIdle();
             }
-            return !e.up;
+            return !endpoint.up;
         });
     }
 
-    /** What sends the attempts of this request. */
-    public Transport<HttpAnswer> transport(HttpAsk ask) {
+    /** Returns the transport that sends the attempts of this request. */
+    public Transport<HttpAnswer> transport(HttpAsk request) {
         return new Transport<>() {
             @Override
             public Sending send(String endpoint, int attempt, double within, Outcomes<HttpAnswer> told) {
-                return EndpointPool.this.send(endpoint, ask.attempt(attempt, within), told);
+                return EndpointPool.this.send(endpoint, request.attempt(attempt, within), told);
             }
 
             @Override
@@ -146,13 +150,13 @@
             attempt.end(Contract.Outcome.NEVER_SENT, null, null);
             return attempt;
         }
-        Connection idle = endpoint.takeIdle(clock.now());
+        Connection idle = endpoint.pollIdle(clock.now());
         if (idle != null) {
             idle.write(attempt);
-        } else if (open < budget.may(Budget.Purpose.ENDPOINTS) || closeOldestIdle()) {
+        } else if (openConnections < budget.may(Budget.Purpose.ENDPOINTS) || closeOldestIdle()) {
             connect(endpoint, attempt);
         } else {
-            // Guards against running out of descriptors: nothing was sent, and the module may go elsewhere.
+            // Guards against running out of descriptors. Nothing was sent, so the module may choose another endpoint.
             budget.refused(Budget.Purpose.ENDPOINTS);
             attempt.end(Contract.Outcome.CONNECT_FAILED, null, null);
         }
@@ -161,7 +165,7 @@
 
     private void connect(Endpoint endpoint, Attempt attempt) {
         Connection connection = new Connection(endpoint);
-        count(1);
+        changeOpenConnections(1);
         ChannelFuture connecting = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<>() {
@@ -172,18 +176,16 @@
                 })
                 .connect(endpoint.address);
         connection.channel = connecting.channel();
-        connecting.addListener(f -> {
-            // Guards against counting for ever what never was: with no descriptor left there is no channel
-            // to close.
-            if (!f.isSuccess()) {
-                count(-1);
+        connecting.addListener(future -> {
+            // Without a free descriptor there is no channel whose close event would reduce the count.
+            if (!future.isSuccess()) {
+                changeOpenConnections(-1);
                 attempt.end(Contract.Outcome.CONNECT_FAILED, null, null);
                 return;
             }
-            connection.channel.closeFuture().addListener(closed -> count(-1));
-            if (attempt.over) {
-                // Given up while connecting: the endpoint has paid for the connection, so the next request
-                // has it.
+            connection.channel.closeFuture().addListener(closed -> changeOpenConnections(-1));
+            if (attempt.ended) {
+                // Aborted while connecting: the endpoint has spent work on the connection, so the next request uses it.
                 connection.release();
             } else {
                 connection.write(attempt);
@@ -191,79 +193,81 @@
         });
     }
 
-    private void count(int more) {
-        open += more;
-        budget.used(Budget.Purpose.ENDPOINTS, open);
+    private void changeOpenConnections(int change) {
+        openConnections += change;
+        budget.used(Budget.Purpose.ENDPOINTS, openConnections);
     }
 
-    private void sweep() {
-        for (Endpoint e : endpoints.values()) {
-            e.idleMost = Math.min(idleMost, e.idleMost * IDLE_REGAIN);
-            double before = clock.now() - e.idleMost;
-            while (!e.idle.isEmpty() && e.idle.peekFirst().idleSince < before) {
-                e.idle.pollFirst().channel.close();
+    private void closeExpiredIdle() {
+        for (Endpoint endpoint : endpoints.values()) {
+            endpoint.maxIdleMs = Math.min(maxIdleMs, endpoint.maxIdleMs * IDLE_LIMIT_REGAIN);
+            double idleBeforeMs = clock.now() - endpoint.maxIdleMs;
+            while (!endpoint.idle.isEmpty() && endpoint.idle.peekFirst().idleSinceMs < idleBeforeMs) {
+                endpoint.idle.pollFirst().channel.close();
             }
         }
     }
 
-    private void rest(Connection c) {
-        c.restsFrom = clock.now();
-        resting.addLast(c);
-        if (!restTimer) {
-            restTimer = true;
-            loop.schedule(this::releaseRested, REST_MS, TimeUnit.MILLISECONDS);
+    private void settle(Connection connection) {
+        connection.settlingSinceMs = clock.now();
+        settling.addLast(connection);
+        if (!settleTimerRunning) {
+            settleTimerRunning = true;
+            loop.schedule(this::releaseSettled, SETTLE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    // One timer for all that rest, for at many requests a second one for each took longer than the rest of
-    // the way.
-    private void releaseRested() {
-        double before = clock.now() - REST_MS;
-        while (!resting.isEmpty() && resting.peekFirst().restsFrom <= before) {
-            resting.pollFirst().release();
+    // One timer for all settling connections: at high request rates one timer each cost more than all other work on a
+    // request.
+    private void releaseSettled() {
+        double settlingBeforeMs = clock.now() - SETTLE_MS;
+        while (!settling.isEmpty() && settling.peekFirst().settlingSinceMs <= settlingBeforeMs) {
+            settling.pollFirst().release();
         }
-        restTimer = !resting.isEmpty();
-        if (restTimer) {
-            double wait = resting.peekFirst().restsFrom - before;
-            loop.schedule(this::releaseRested, (long) Math.ceil(wait), TimeUnit.MILLISECONDS);
+        settleTimerRunning = !settling.isEmpty();
+        if (settleTimerRunning) {
+            double waitMs = settling.peekFirst().settlingSinceMs - settlingBeforeMs;
+            loop.schedule(this::releaseSettled, (long) Math.ceil(waitMs), TimeUnit.MILLISECONDS);
         }
     }
 
     private boolean closeOldestIdle() {
         Endpoint oldest = null;
-        for (Endpoint e : endpoints.values()) {
-            if (!e.idle.isEmpty()
-                    && (oldest == null || e.idle.peekFirst().idleSince < oldest.idle.peekFirst().idleSince)) {
-                oldest = e;
+        for (Endpoint endpoint : endpoints.values()) {
+            if (!endpoint.idle.isEmpty()
+                    && (oldest == null
+                            || endpoint.idle.peekFirst().idleSinceMs < oldest.idle.peekFirst().idleSinceMs)) {
+                oldest = endpoint;
             }
         }
-        Connection victim = oldest == null ? resting.pollFirst() : oldest.idle.pollFirst();
-        if (victim == null) {
+        Connection closing = oldest == null ? settling.pollFirst() : oldest.idle.pollFirst();
+        if (closing == null) {
             return false;
         }
-        victim.channel.close();
+        closing.channel.close();
         return true;
     }
 
-    /** An endpoint on the list, and its idle connections, the longest idle first. */
+    /** An endpoint on the list and its idle connections, the one that has been idle longest first. */
     private static final class Endpoint {
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
         SocketAddress address;
         boolean up;
-        double idleMost;
+        double maxIdleMs;
 
-        Endpoint(double idleMost) {
-            this.idleMost = idleMost;
+        Endpoint(double maxIdleMs) {
+            this.maxIdleMs = maxIdleMs;
         }
 
-        // The one used last, so that those beyond need grow old and are closed.
-        Connection takeIdle(double now) {
-            Connection c = idle.pollLast();
-            while (c != null && (!c.channel.isActive() || c.idleSince < now - idleMost)) {
-                c.channel.close();
-                c = idle.pollLast();
+        // Returns the most recently used one, so that connections beyond the need reach the idle limit and are closed.
+        Connection pollIdle(double nowMs) {
+            Connection connection = idle.pollLast();
+            while (connection != null
+                    && (!connection.channel.isActive() || connection.idleSinceMs < nowMs - maxIdleMs)) {
+                connection.channel.close();
+                connection = idle.pollLast();
             }
-            return c;
+            return connection;
         }
 
         void closeIdle() {
@@ -272,12 +276,12 @@
         }
     }
 
-    /** One request under way to one endpoint. */
+    /** One attempt at one endpoint. */
     private final class Attempt implements Transport.Sending {
         private final FullHttpRequest request;
         private final Transport.Outcomes<HttpAnswer> listener;
         private Connection connection;
-        private boolean over;
+        private boolean ended;
 
         private Attempt(FullHttpRequest request, Transport.Outcomes<HttpAnswer> listener) {
             this.request = request;
@@ -285,19 +289,19 @@
         }
 
         private void end(Contract.Outcome outcome, HttpAnswer answer, Contract.Report report) {
-            if (!over) {
-                over = true;
+            if (!ended) {
+                ended = true;
                 listener.ended(outcome, answer, report);
             }
         }
 
-        // By closing its connection.
+        // Closes the connection of the attempt.
         @Override
         public boolean giveUp() {
-            if (over) {
+            if (ended) {
                 return true;
             }
-            over = true;
+            ended = true;
             if (connection == null) {
                 return false;
             }
@@ -307,34 +311,34 @@
         }
     }
 
-    /** Guards against answers that Netty by itself would make something of, as another reader would not. */
+    /** Rejects responses that Netty accepts but that other HTTP implementations read differently or reject. */
     private static final class Decoder extends HttpResponseDecoder {
-        private boolean begun;
+        private boolean started;
 
-        // It would drop the length and believe the chunks.
+        // Netty would ignore the length and use the chunks.
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
+            throw new IllegalArgumentException("response has both Content-Length and Transfer-Encoding");
         }
 
-        // It would take a line without a colon for a name, and noise in the head for an answer.
+        // Netty would read a line without a colon as a name, and so noise in the head as a response.
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (start + length >= line.length || line[start + length] != ':') {
-                throw new IllegalArgumentException("a header without a colon");
+                throw new IllegalArgumentException("response header without a colon");
             }
             return super.splitHeaderName(line, start, length);
         }
 
         @Override
         protected HttpMessage createMessage(String[] initialLine) {
-            begun = true;
+            started = true;
             return super.createMessage(initialLine);
         }
 
-        // True if the first line of an answer has come, or a part of it.
-        private boolean holdsMore() {
-            return begun || actualReadableBytes() > 0;
+        // True if the first line of a response, or a part of it, has arrived.
+        private boolean hasUnfinishedInput() {
+            return started || actualReadableBytes() > 0;
         }
     }
 
@@ -348,14 +352,14 @@
         private Attempt attempt;
         private boolean written;
         private HttpResponse head;
-        private int interim;
-        private boolean whole;
-        private boolean surplus;
-        private double readAt;
-        private Future<?> stall;
-        private double idleSince;
-        private double restsFrom;
-        private double idleFor;
+        private int interimResponses;
+        private boolean complete;
+        private boolean extraInput;
+        private double lastReadMs;
+        private Future<?> stallTimer;
+        private double idleSinceMs;
+        private double settlingSinceMs;
+        private double idleForMs;
 
         private Connection(Endpoint endpoint) {
             this.endpoint = endpoint;
@@ -363,95 +367,97 @@
         }
 
         private void addTo(ChannelPipeline pipeline) {
-            pipeline.addLast(new Bytes(), decoder, new HttpRequestEncoder(), this);
+            pipeline.addLast(new UnsolicitedInputGuard(), decoder, new HttpRequestEncoder(), this);
         }
 
-        /** Guards against an answer to nobody: a second copy, or noise, must not wait here for the next request. */
-        private final class Bytes extends ChannelInboundHandlerAdapter {
+        /**
+         * Closes the connection on input outside of an attempt, which would be read as the answer to the next request.
+         */
+        private final class UnsolicitedInputGuard extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
-                if (attempt == null || attempt.over) {
+                if (attempt == null || attempt.ended) {
                     ((ByteBuf) message).release();
                     ctx.close();
                 } else {
-                    readAt = clock.now();
+                    lastReadMs = clock.now();
                     ctx.fireChannelRead(message);
                 }
             }
         }
 
-        private void write(Attempt a) {
-            attempt = a;
-            a.connection = this;
+        private void write(Attempt newAttempt) {
+            attempt = newAttempt;
+            newAttempt.connection = this;
             written = false;
             head = null;
-            interim = 0;
-            whole = false;
-            surplus = false;
-            readAt = 0;
-            idleFor = idleSince > 0 ? clock.now() - idleSince : 0;
+            interimResponses = 0;
+            complete = false;
+            extraInput = false;
+            lastReadMs = 0;
+            idleForMs = idleSinceMs > 0 ? clock.now() - idleSinceMs : 0;
             body.reset();
-            channel.writeAndFlush(a.request).addListener(f -> {
-                if (f.isSuccess()) {
+            channel.writeAndFlush(newAttempt.request).addListener(future -> {
+                if (future.isSuccess()) {
                     written = true;
                 } else {
-                    spoilt();
+                    closeAndFail();
                 }
             });
         }
 
-        // Guards against a connection to where the endpoint was: it may have moved while this one was in use.
+        // The endpoint may have moved while the connection was in use; a connection to its old address is closed.
         private void release() {
             if (channel.isActive() && endpoint.up && address.equals(endpoint.address)) {
-                idleSince = clock.now();
+                idleSinceMs = clock.now();
                 endpoint.idle.addLast(this);
             } else {
                 channel.close();
             }
         }
 
-        // A break before the last byte was written proves that nothing ran, a later one proves nothing.
-        private void broken() {
+        // A break before the last byte was written proves that the request did not run; a later break proves nothing.
+        private void failAttempt() {
             if (attempt != null) {
-                Attempt a = attempt;
+                Attempt failed = attempt;
                 attempt = null;
-                // Guards against an endpoint that closes idle connections long before the time that it is
-                // said to.
-                if (!a.over && readAt == 0 && idleFor > MIN_IDLE_MS) {
-                    endpoint.idleMost = Math.max(MIN_IDLE_MS, idleFor * IDLE_CUT);
+                // Guards against an endpoint that closes idle connections long before the configured time.
+                if (!failed.ended && lastReadMs == 0 && idleForMs > MIN_IDLE_MS) {
+                    endpoint.maxIdleMs = Math.max(MIN_IDLE_MS, idleForMs * IDLE_LIMIT_CUT);
                 }
-                a.end(written ? Contract.Outcome.RESET : Contract.Outcome.CONNECT_FAILED, null, null);
+                failed.end(written ? Contract.Outcome.RESET : Contract.Outcome.CONNECT_FAILED, null, null);
             }
         }
 
-        // What comes spoilt has run, perhaps, and the connection is of no further use.
-        private void spoilt() {
+        // The request of an invalid response may have run. The connection cannot be used any more.
+        private void closeAndFail() {
             channel.close();
-            broken();
+            failAttempt();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws IOException {
-            // Behind a whole answer anything may follow in the same pass; the end of the pass settles it.
-            if (attempt == null || whole) {
-                surplus = true;
+            // Extra input may follow a complete response in the same read; handled when the read completes.
+            if (attempt == null || complete) {
+                extraInput = true;
                 return;
             }
-            if (message.decoderResult().isFailure() || message instanceof HttpResponse r && !sound(r)) {
-                spoilt();
+            if (message.decoderResult().isFailure()
+                    || message instanceof HttpResponse response && !acceptHead(response)) {
+                closeAndFail();
                 return;
             }
             if (message instanceof HttpContent part) {
                 ByteBuf bytes = part.content();
                 if (body.size() + bytes.readableBytes() > HttpAsk.MAX_BODY) {
-                    spoilt();
+                    closeAndFail();
                     return;
                 }
                 bytes.readBytes(body, bytes.readableBytes());
                 if (part instanceof LastHttpContent) {
-                    whole = !isInterim(head);
-                    head = whole ? head : null;
-                    decoder.begun = false;
+                    complete = !isInterim(head);
+                    head = complete ? head : null;
+                    decoder.started = false;
                 }
             }
         }
@@ -460,13 +466,13 @@
             return response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
         }
 
-        // Guards against what can't be told from an answer cut short by a dying endpoint, against reading
-        // on what can't be passed on anyway, and against interim answers without end.
-        private boolean sound(HttpResponse response) {
+        // Stores the head and returns whether the response is acceptable. Rejects responses without a length, since a
+        // truncated one would look complete, responses that are too large to pass on, and endless interim responses.
+        private boolean acceptHead(HttpResponse response) {
             head = response;
             if (isInterim(response)) {
-                interim++;
-                return interim <= MAX_INTERIM;
+                interimResponses++;
+                return interimResponses <= MAX_INTERIM_RESPONSES;
             }
             String encoding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
             if (encoding != null) {
@@ -477,49 +483,49 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (attempt == null || attempt.over) {
+            if (attempt == null || attempt.ended) {
                 return;
             }
-            if (whole) {
-                finish();
-            } else if (stall == null && decoder.holdsMore()) {
-                // Guards against an answer that begins and never ends, on a connection that stays open.
-                watchForStall(attempt, STALL_MS);
+            if (complete) {
+                completeAttempt();
+            } else if (stallTimer == null && decoder.hasUnfinishedInput()) {
+                // Guards against a response that begins and never ends on a connection that stays open.
+                watchForStall(attempt, STALL_TIMEOUT_MS);
             }
         }
 
-        private void watchForStall(Attempt a, double wait) {
-            stall = loop.schedule(
+        private void watchForStall(Attempt watched, double waitMs) {
+            stallTimer = loop.schedule(
                     () -> {
-                        stall = null;
-                        double left = readAt + STALL_MS - clock.now();
-                        if (attempt != a || a.over) {
+                        stallTimer = null;
+                        double leftMs = lastReadMs + STALL_TIMEOUT_MS - clock.now();
+                        if (attempt != watched || watched.ended) {
                             return;
                         }
-                        if (left > 0) {
-                            watchForStall(a, left);
+                        if (leftMs > 0) {
+                            watchForStall(watched, leftMs);
                         } else {
-                            spoilt();
+                            closeAndFail();
                         }
                     },
-                    (long) Math.ceil(wait),
+                    (long) Math.ceil(waitMs),
                     TimeUnit.MILLISECONDS);
         }
 
-        private void finish() {
-            Attempt done = attempt;
+        private void completeAttempt() {
+            Attempt finished = attempt;
             HttpResponse response = head;
             attempt = null;
             head = null;
-            if (stall != null) {
-                stall.cancel(false);
-                stall = null;
+            if (stallTimer != null) {
+                stallTimer.cancel(false);
+                stallTimer = null;
             }
-            if (written && HttpUtil.isKeepAlive(response) && !surplus && !decoder.holdsMore()) {
-                // Guards against bytes that follow a little later, which would answer the next request: the
-                // loop reads whatever has come before it runs this, so that a connection rests, however
-                // late the loop.
-                rest(this);
+            if (written && HttpUtil.isKeepAlive(response) && !extraInput && !decoder.hasUnfinishedInput()) {
+                // Guards against extra bytes that arrive a little later and would be read as the answer to the next
+                // request. The loop reads what has arrived before it runs the timer, so this also holds when the
+                // loop is late.
+                settle(this);
             } else {
                 channel.close();
             }
@@ -528,7 +534,7 @@
             HttpAnswer answer = outcome == Contract.Outcome.SERVED
                     ? new HttpAnswer(body.toByteArray(), headers.get(HttpHeaderNames.CONTENT_TYPE))
                     : null;
-            done.end(outcome, answer, LoadReport.parse(headers.getAll(LoadReport.HEADER)));
+            finished.end(outcome, answer, LoadReport.parse(headers.getAll(LoadReport.HEADER)));
         }
 
         private static Contract.Outcome outcome(HttpResponse response) {
@@ -536,16 +542,16 @@
             if (status.equals(HttpResponseStatus.OK)) {
                 return Contract.Outcome.SERVED;
             }
-            boolean turnedAway = (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+            boolean notStarted = (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                             || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
                     && "1".equals(response.headers().get(NOT_STARTED));
-            return turnedAway ? Contract.Outcome.FULL : Contract.Outcome.ERROR;
+            return notStarted ? Contract.Outcome.FULL : Contract.Outcome.ERROR;
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             endpoint.idle.remove(this);
-            broken();
+            failAttempt();
         }
 
         @Override
