--- a/src/main/java/whinlead/capture/CaptureInput.java
+++ b/src/main/java/whinlead/capture/CaptureInput.java
@@ -13,108 +13,114 @@
 import whinlead.engine.RequestListener;
 
 /**
- * Reads a capture one entry at a time, however long it is. A torn last entry is left out and told, one whose time is
- * before the last one's counts as a jump of the clock and gets that one's. For one thread.
+ * Reads a capture one entry at a time, so memory use does not depend on its length. A truncated last entry is skipped
+ * and reported. An entry whose time is before that of the previous entry counts as a backward clock jump and gets the
+ * previous entry's time. Not thread-safe.
  */
 public final class CaptureInput implements Closeable {
-    private static final RequestListener.End[] ENDS = RequestListener.End.values();
+    private static final RequestListener.End[] OUTCOMES = RequestListener.End.values();
 
-    private final DataInputStream in;
-    private final List<String> classes = new ArrayList<>();
-    private final byte[] entry = new byte[CaptureOutput.ENTRY];
-    private long read;
-    private long lost;
-    private long jumps;
-    private long lastAt;
-    private boolean torn;
+    private final DataInputStream input;
+    private final List<String> classNames = new ArrayList<>();
+    private final byte[] entryBytes = new byte[CaptureOutput.ENTRY_BYTES];
+    private long entriesRead;
+    private long lostEntries;
+    private long backwardClockJumps;
+    private long lastArrivalMicros;
+    private boolean truncated;
 
     /**
-     * Reads the head.
+     * Reads the header.
      *
-     * @throws IllegalArgumentException with one line if this is no capture, or one of another version
+     * @throws IllegalArgumentException with a one-line message if this is not a capture or has another version
      */
-    public CaptureInput(InputStream from) throws IOException {
-        in = new DataInputStream(new BufferedInputStream(from));
+    public CaptureInput(InputStream source) throws IOException {
+        input = new DataInputStream(new BufferedInputStream(source));
         try {
-            if (in.readInt() != CaptureOutput.MAGIC) {
-                throw new IllegalArgumentException("not a capture");
+            if (input.readInt() != CaptureOutput.MAGIC) {
+                throw new IllegalArgumentException("not a capture file");
             }
-            int version = in.readInt();
+            int version = input.readInt();
             if (version != CaptureOutput.VERSION) {
                 throw new IllegalArgumentException(
-                        "a capture of version " + version + ", not " + CaptureOutput.VERSION);
+                        "capture version " + version + " is not supported, expected " + CaptureOutput.VERSION);
             }
-            int count = in.readInt();
+            int count = input.readInt();
             if (count < 1 || count > CaptureOutput.MAX_CLASSES) {
-                throw new IllegalArgumentException("a head of " + count + " classes");
+                throw new IllegalArgumentException("invalid capture header: " + count + " classes");
             }
             for (int i = 0; i < count; i++) {
-                classes.add(in.readUTF());
+                classNames.add(input.readUTF());
             }
         } catch (EOFException | UTFDataFormatException e) {
-            throw new IllegalArgumentException("not a capture: its head is cut off or unreadable", e);
+            throw new IllegalArgumentException("not a capture file: the header is truncated or unreadable", e);
         }
     }
 
-    /** The names of its classes. */
-    public List<String> classes() {
-        return List.copyOf(classes);
+    /** The names of the request classes in the header. */
+    public List<String> classNames() {
+        return List.copyOf(classNames);
     }
 
     /**
-     * The next one; null at the end.
+     * Returns the next entry, or null at the end.
      *
-     * @throws IllegalArgumentException with one line that names an entry that makes no sense
+     * @throws IllegalArgumentException with a one-line message that names the position of an invalid entry
      */
     public Entry next() throws IOException {
         while (true) {
-            int got = in.readNBytes(entry, 0, entry.length);
-            if (got < entry.length) {
-                torn = got > 0;
+            int bytesRead = input.readNBytes(entryBytes, 0, entryBytes.length);
+            if (bytesRead < entryBytes.length) {
+                truncated = bytesRead > 0;
                 return null;
             }
-            read++;
-            ByteBuffer b = ByteBuffer.wrap(entry);
-            long at = b.getLong();
-            int kind = Byte.toUnsignedInt(b.get());
-            int flags = b.get();
-            int tenant = b.getShort();
-            int timeout = b.getInt();
-            int size = b.getInt();
-            int end = b.getInt();
-            if (at < lastAt) {
-                jumps++;
-                at = lastAt;
+            entriesRead++;
+            ByteBuffer buffer = ByteBuffer.wrap(entryBytes);
+            long arrivalMicros = buffer.getLong();
+            int classIndex = Byte.toUnsignedInt(buffer.get());
+            int flags = buffer.get();
+            int tenantIndex = buffer.getShort();
+            int timeoutMs = buffer.getInt();
+            int bodyBytes = buffer.getInt();
+            int outcome = buffer.getInt();
+            if (arrivalMicros < lastArrivalMicros) {
+                backwardClockJumps++;
+                arrivalMicros = lastArrivalMicros;
             }
-            lastAt = at;
-            if (kind == CaptureOutput.LOST) {
-                lost += Math.max(0, size);
+            lastArrivalMicros = arrivalMicros;
+            if (classIndex == CaptureOutput.LOST_ENTRIES_MARKER) {
+                lostEntries += Math.max(0, bodyBytes);
                 continue;
             }
-            if (kind >= classes.size() || end < 0 || end >= ENDS.length || timeout < 0 || size < 0) {
-                throw new IllegalArgumentException("entry " + read + " makes no sense");
+            if (classIndex >= classNames.size()
+                    || outcome < 0
+                    || outcome >= OUTCOMES.length
+                    || timeoutMs < 0
+                    || bodyBytes < 0) {
+                throw new IllegalArgumentException("entry " + entriesRead + " is invalid: a field is out of range");
             }
-            return new Entry(at, kind, tenant, timeout, size, (flags & 1) != 0, ENDS[end]);
+            return new Entry(
+                    arrivalMicros, classIndex, tenantIndex, timeoutMs, bodyBytes, (flags & 1) != 0, OUTCOMES[outcome]);
         }
     }
 
-    /** How many entries were lost as it was written, as far as read. */
-    public long lost() {
-        return lost;
+    /** How many entries were lost while the capture was written, in the part read so far. */
+    public long lostEntries() {
+        return lostEntries;
     }
 
-    /** How often its clock went back, as far as read. */
-    public long jumps() {
-        return jumps;
+    /** How often the clock of the capture went back, in the part read so far. */
+    public long backwardClockJumps() {
+        return backwardClockJumps;
     }
 
-    /** Whether its last entry was torn; known at the end. */
-    public boolean torn() {
-        return torn;
+    /** Whether the last entry was truncated; valid once {@link #next} has returned null. */
+    public boolean truncated() {
+        return truncated;
     }
 
     @Override
     public void close() throws IOException {
-        in.close();
+        input.close();
     }
 }
--- a/src/main/java/whinlead/capture/CaptureOutput.java
+++ b/src/main/java/whinlead/capture/CaptureOutput.java
@@ -7,75 +7,83 @@
 import java.util.List;
 
 /**
- * Writes a capture: a head with the names of the classes, then entries of one size, so that a torn last one shows. For
- * one thread.
+ * Writes a capture: a header with the names of the request classes, then entries of a fixed size, so that a reader
+ * detects a truncated last entry. Not thread-safe.
  */
 public final class CaptureOutput implements Closeable {
-    /** "WLCP"; what follows is the version. */
+    /** "WLCP"; followed by the version. */
     static final int MAGIC = 0x574C4350;
 
     static final int VERSION = 1;
-    /** Bytes of an entry. */
-    static final int ENTRY = 24;
-    /** In the place of a class: an entry that tells how many were lost before it. */
-    static final int LOST = 0xFF;
-    /** The most classes, and the longest name in bytes. */
+    /** Size of an entry in bytes. */
+    static final int ENTRY_BYTES = 24;
+    /** Class index of an entry that records how many entries were lost before it. */
+    static final int LOST_ENTRIES_MARKER = 0xFF;
+    /** Maximum number of classes. */
     static final int MAX_CLASSES = 200;
 
-    private final DataOutputStream out;
-    private final int classes;
+    private final DataOutputStream output;
+    private final int classCount;
 
     /**
-     * Writes the head.
+     * Writes the header.
      *
-     * @throws IllegalArgumentException if there is no class, or more than a head can name
+     * @throws IllegalArgumentException if there is no class, or more classes than a header can hold
      */
-    public CaptureOutput(OutputStream to, List<String> classNames) throws IOException {
+    public CaptureOutput(OutputStream target, List<String> classNames) throws IOException {
         if (classNames.isEmpty() || classNames.size() > MAX_CLASSES) {
             throw new IllegalArgumentException("a capture names 1 to " + MAX_CLASSES + " classes");
         }
-        out = new DataOutputStream(to);
-        classes = classNames.size();
-        out.writeInt(MAGIC);
-        out.writeInt(VERSION);
-        out.writeInt(classes);
+        output = new DataOutputStream(target);
+        classCount = classNames.size();
+        output.writeInt(MAGIC);
+        output.writeInt(VERSION);
+        output.writeInt(classCount);
         for (String name : classNames) {
-            out.writeUTF(name);
+            output.writeUTF(name);
         }
     }
 
-    /** Writes one; they come by time. */
-    public void write(Entry e) throws IOException {
-        if (e.kind() < 0 || e.kind() >= classes) {
-            throw new IllegalArgumentException("class " + e.kind() + " is not in the head");
+    /** Writes an entry. Entries have to be written in the order of their arrival times. */
+    public void write(Entry entry) throws IOException {
+        if (entry.kind() < 0 || entry.kind() >= classCount) {
+            throw new IllegalArgumentException("class " + entry.kind() + " is not in the capture header");
         }
-        put(
-                e.at(),
-                e.kind(),
-                e.repeat() ? 1 : 0,
-                e.tenant(),
-                e.timeout(),
-                e.size(),
-                e.end().ordinal());
+        writeFields(
+                entry.at(),
+                entry.kind(),
+                entry.repeat() ? 1 : 0,
+                entry.tenantIndex(),
+                entry.timeoutMs(),
+                entry.bodyBytes(),
+                entry.outcome().ordinal());
     }
 
-    /** Notes that so many were lost since the last one. */
-    public void lost(long at, int count) throws IOException {
-        put(at, LOST, 0, -1, 0, count, 0);
+    /** Records that {@code count} entries were lost since the previous one. */
+    public void writeLost(long arrivalMicros, int count) throws IOException {
+        writeFields(arrivalMicros, LOST_ENTRIES_MARKER, 0, -1, 0, count, 0);
     }
 
-    private void put(long at, int kind, int flags, int tenant, int timeout, int size, int end) throws IOException {
-        out.writeLong(at);
-        out.writeByte(kind);
-        out.writeByte(flags);
-        out.writeShort(tenant);
-        out.writeInt(timeout);
-        out.writeInt(size);
-        out.writeInt(end);
+    private void writeFields(
+            long arrivalMicros,
+            int classIndex,
+            int flags,
+            int tenantIndex,
+            int timeoutMs,
+            int bodyBytes,
+            int outcomeOrdinal)
+            throws IOException {
+        output.writeLong(arrivalMicros);
+        output.writeByte(classIndex);
+        output.writeByte(flags);
+        output.writeShort(tenantIndex);
+        output.writeInt(timeoutMs);
+        output.writeInt(bodyBytes);
+        output.writeInt(outcomeOrdinal);
     }
 
     @Override
     public void close() throws IOException {
-        out.close();
+        output.close();
     }
 }
--- a/src/main/java/whinlead/capture/Entry.java
+++ b/src/main/java/whinlead/capture/Entry.java
@@ -3,14 +3,21 @@
 import whinlead.engine.RequestListener;
 
 /**
- * A request as a capture has it: no body, id or key.
+ * A request as recorded in a capture, without body, id or key.
  *
- * @param at microseconds since the capture began
- * @param kind position of its class in the capture's head
- * @param tenant position of its tenant in the settings, or -1
- * @param timeout how long its client waits, in milliseconds
- * @param size bytes of its body
- * @param repeat whether its client said that it is a repeat
- * @param end what its client was told
+ * @param at arrival time in microseconds since the capture began
+ * @param kind index of the request class in the header of the capture
+ * @param tenantIndex index of the tenant in the settings, or -1
+ * @param timeoutMs how long the client waits
+ * @param bodyBytes size of the body
+ * @param repeat whether the client marked the request as a repeat
+ * @param outcome how the request ended for the client
  */
-public record Entry(long at, int kind, int tenant, int timeout, int size, boolean repeat, RequestListener.End end) {}
+public record Entry(
+        long at,
+        int kind,
+        int tenantIndex,
+        int timeoutMs,
+        int bodyBytes,
+        boolean repeat,
+        RequestListener.End outcome) {}
--- a/src/main/java/whinlead/capture/Recorder.java
+++ b/src/main/java/whinlead/capture/Recorder.java
@@ -14,149 +14,153 @@
 import whinlead.engine.RequestListener;
 
 /**
- * Captures what a sidecar serves. The engine's thread puts an entry into a ring and never waits; where the writer lags,
- * entries are lost and counted. A thread of its own puts them in the order of their arrival, for they come as they end,
- * and writes them to files of which the oldest goes.
+ * Captures the requests that a sidecar serves. The engine's thread puts entries into a ring buffer and never blocks; if
+ * the writer lags, entries are dropped and counted. Entries are enqueued when requests end, so a separate writer thread
+ * sorts them by arrival before it writes them to rotating files.
  */
 public final class Recorder implements RequestListener, AutoCloseable {
-    /** Opens the next file; the writer closes it. */
+    /** Opens the next file of the rotation; the writer closes it. */
     @FunctionalInterface
-    public interface Files {
-        /** The next one, after which the oldest beyond those kept is gone. */
-        OutputStream next() throws IOException;
+    public interface FileRotation {
+        /** Opens the next file and discards the oldest one beyond the retained number. */
+        OutputStream openNext() throws IOException;
     }
 
     /**
-     * What it may use.
+     * Resource limits of a recorder.
      *
-     * @param queue entries between the two threads
-     * @param window milliseconds after its arrival by which a request has ended
-     * @param bytes of a file
+     * @param queueEntries capacity of the ring buffer between the two threads
+     * @param completionWindowMs time after its arrival within which a request has ended
+     * @param fileBytes maximum size of a file
      */
-    public record Bounds(int queue, double window, long bytes) {}
+    public record Bounds(int queueEntries, double completionWindowMs, long fileBytes) {}
 
-    /** An entry that waits for its turn takes some 80 bytes: at most so many times the queue wait. */
-    private static final int MAX_SORTED = 4;
+    /**
+     * Bounds the entries that wait to be written in order, as a multiple of the ring buffer's capacity. Each takes
+     * about 80 bytes.
+     */
+    private static final int MAX_SORTED_QUEUES = 4;
 
     private static final long IDLE_NANOS = 20_000_000;
-    private static final double MICROS = 1000;
+    private static final double MICROS_PER_MS = 1000;
 
-    private final List<String> classes;
+    private final List<String> classNames;
     private final Bounds bounds;
-    private final Files files;
+    private final FileRotation fileRotation;
     private final Consumer<String> log;
     private final AtomicReferenceArray<Entry> ring;
     /** Written by the engine's thread; read by the writer. */
-    private final AtomicLong put = new AtomicLong();
+    private final AtomicLong enqueued = new AtomicLong();
     /** Written by the writer; read by the engine's thread. */
-    private final AtomicLong taken = new AtomicLong();
+    private final AtomicLong dequeued = new AtomicLong();
 
-    private final AtomicLong lost = new AtomicLong();
-    private final PriorityQueue<Entry> sorted = new PriorityQueue<>(Comparator.comparingLong(Entry::at));
-    private final Thread thread;
+    private final AtomicLong lostEntries = new AtomicLong();
+    private final PriorityQueue<Entry> sortedByArrival = new PriorityQueue<>(Comparator.comparingLong(Entry::at));
+    private final Thread writerThread;
     private volatile boolean closing;
-    private double began = Double.NaN;
-    private CaptureOutput out;
-    private long written;
-    private long lostTold;
+    private double captureStartMs = Double.NaN;
+    private CaptureOutput output;
+    private long fileBytesWritten;
+    private long lostEntriesWritten;
 
-    /** One that is ready; its writer runs until it is closed. */
-    public Recorder(List<String> classes, Bounds bounds, Files files, Consumer<String> log) {
-        this.classes = classes;
+    /** Starts the writer thread, which runs until {@link #close}. */
+    public Recorder(List<String> classNames, Bounds bounds, FileRotation fileRotation, Consumer<String> log) {
+        this.classNames = classNames;
         this.bounds = bounds;
-        this.files = files;
+        this.fileRotation = fileRotation;
         this.log = log;
-        this.ring = new AtomicReferenceArray<>(bounds.queue());
-        this.thread = new Thread(this::run, "capture");
-        thread.setDaemon(true);
-        thread.start();
+        this.ring = new AtomicReferenceArray<>(bounds.queueEntries());
+        this.writerThread = new Thread(this::writeEntries, "capture");
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
     @Override
-    public void over(Request ask, double at, End end) {
-        if (Double.isNaN(began)) {
-            began = at;
+    public void over(Request request, double arrivalMs, End outcome) {
+        if (Double.isNaN(captureStartMs)) {
+            captureStartMs = arrivalMs;
         }
-        long next = put.get();
-        if (next - taken.get() >= bounds.queue()) {
-            lost.incrementAndGet();
+        long position = enqueued.get();
+        if (position - dequeued.get() >= bounds.queueEntries()) {
+            lostEntries.incrementAndGet();
             return;
         }
-        // What was taken before the first one that ended came before the capture.
-        long micros = Math.max(0, Math.round((at - began) * MICROS));
+        // A request that arrived before the first one that ended arrived before the capture began: time 0.
+        long arrivalMicros = Math.max(0, Math.round((arrivalMs - captureStartMs) * MICROS_PER_MS));
         ring.set(
-                (int) (next % bounds.queue()),
+                (int) (position % bounds.queueEntries()),
                 new Entry(
-                        micros,
-                        ask.classIndex(),
-                        ask.tenantIndex(),
-                        (int) Math.round(ask.timeout()),
-                        ask.size(),
-                        ask.repeat(),
-                        end));
-        put.set(next + 1);
+                        arrivalMicros,
+                        request.classIndex(),
+                        request.tenantIndex(),
+                        (int) Math.round(request.timeout()),
+                        request.size(),
+                        request.repeat(),
+                        outcome));
+        enqueued.set(position + 1);
     }
 
-    /** How many entries were lost so far. */
-    public long lost() {
-        return lost.get();
+    /** How many entries have been lost so far. */
+    public long lostEntries() {
+        return lostEntries.get();
     }
 
-    private void run() {
+    private void writeEntries() {
         try {
-            while (!closing || taken.get() < put.get()) {
-                if (taken.get() == put.get()) {
+            while (!closing || dequeued.get() < enqueued.get()) {
+                if (dequeued.get() == enqueued.get()) {
                     LockSupport.parkNanos(IDLE_NANOS);
                     continue;
                 }
-                int at = (int) (taken.get() % bounds.queue());
-                Entry e = ring.getAndSet(at, null);
-                taken.incrementAndGet();
-                sorted.add(e);
-                // What has ended now arrived within the window before: earlier ones are all there.
-                long settled = e.at() - Math.round(bounds.window() * MICROS);
-                while (!sorted.isEmpty()
-                        && (sorted.peek().at() < settled || sorted.size() > MAX_SORTED * bounds.queue())) {
-                    write(sorted.poll());
+                int slot = (int) (dequeued.get() % bounds.queueEntries());
+                Entry e = ring.getAndSet(slot, null);
+                dequeued.incrementAndGet();
+                sortedByArrival.add(e);
+                // A request that ends now arrived within the completion window: all earlier entries are present.
+                long settledBeforeMicros = e.at() - Math.round(bounds.completionWindowMs() * MICROS_PER_MS);
+                while (!sortedByArrival.isEmpty()
+                        && (sortedByArrival.peek().at() < settledBeforeMicros
+                                || sortedByArrival.size() > MAX_SORTED_QUEUES * bounds.queueEntries())) {
+                    write(sortedByArrival.poll());
                 }
             }
-            while (!sorted.isEmpty()) {
-                write(sorted.poll());
+            while (!sortedByArrival.isEmpty()) {
+                write(sortedByArrival.poll());
             }
-            if (out != null) {
-                out.close();
+            if (output != null) {
+                output.close();
             }
         } catch (IOException e) {
-            // The queue fills, and what comes is lost and counted; nothing that serves notices.
+            // The ring buffer fills up and further entries are dropped and counted; request serving is not affected.
             log.accept("capture ended: " + e.getMessage());
         }
     }
 
-    private void write(Entry e) throws IOException {
-        if (out == null || written + CaptureOutput.ENTRY > bounds.bytes()) {
-            if (out != null) {
-                out.close();
+    private void write(Entry entry) throws IOException {
+        if (output == null || fileBytesWritten + CaptureOutput.ENTRY_BYTES > bounds.fileBytes()) {
+            if (output != null) {
+                output.close();
             }
-            out = new CaptureOutput(new BufferedOutputStream(files.next()), classes);
-            written = 0;
+            output = new CaptureOutput(new BufferedOutputStream(fileRotation.openNext()), classNames);
+            fileBytesWritten = 0;
         }
-        long now = lost.get();
-        if (now > lostTold) {
-            out.lost(e.at(), (int) Math.min(Integer.MAX_VALUE, now - lostTold));
-            lostTold = now;
-            written += CaptureOutput.ENTRY;
+        long lostSoFar = lostEntries.get();
+        if (lostSoFar > lostEntriesWritten) {
+            output.writeLost(entry.at(), (int) Math.min(Integer.MAX_VALUE, lostSoFar - lostEntriesWritten));
+            lostEntriesWritten = lostSoFar;
+            fileBytesWritten += CaptureOutput.ENTRY_BYTES;
         }
-        out.write(e);
-        written += CaptureOutput.ENTRY;
+        output.write(entry);
+        fileBytesWritten += CaptureOutput.ENTRY_BYTES;
     }
 
-    /** Writes what it has and ends; waits for the writer at most a second. */
+    /** Writes the remaining entries and stops; waits at most 1 s for the writer. */
     @Override
     public void close() {
         closing = true;
-        LockSupport.unpark(thread);
+        LockSupport.unpark(writerThread);
         try {
-            thread.join(1000);
+            writerThread.join(1000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/whinlead/capture/Summary.java
+++ b/src/main/java/whinlead/capture/Summary.java
@@ -6,18 +6,18 @@
 import whinlead.engine.RequestListener;
 
 /**
- * What a capture holds.
+ * Statistics of a capture.
  *
- * @param classes names, as in its head
- * @param counts entries of each class
- * @param requests entries in all
- * @param seconds from its first entry to its last
- * @param peak entries in its fullest second
- * @param repeats entries that were repeats
- * @param ends how many ended in each way, in the order of {@link RequestListener.End}
- * @param lost entries that were lost as it was written
- * @param jumps how often its clock went back
- * @param torn whether its last entry was torn
+ * @param classes names of the request classes, as in the header
+ * @param counts number of requests of each class
+ * @param requests total number of requests
+ * @param seconds time from the first entry to the last
+ * @param peak number of requests in the busiest second
+ * @param repeats number of requests that were repeats
+ * @param ends number of requests by outcome, in the order of the constants of {@link RequestListener.End}
+ * @param lost number of entries lost while the capture was written
+ * @param jumps how often the clock went back
+ * @param torn whether the last entry was truncated
  */
 public record Summary(
         List<String> classes,
@@ -30,41 +30,41 @@
         long lost,
         long jumps,
         boolean torn) {
-    private static final long SECOND = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** Reads a capture to its end. */
-    public static Summary of(CaptureInput in) throws IOException {
-        long[] counts = new long[in.classes().size()];
-        long[] ends = new long[RequestListener.End.values().length];
+    /** Reads a capture to its end and summarises it. */
+    public static Summary of(CaptureInput input) throws IOException {
+        long[] requestsByClass = new long[input.classNames().size()];
+        long[] requestsByOutcome = new long[RequestListener.End.values().length];
         long requests = 0;
         long repeats = 0;
-        long first = 0;
-        long last = 0;
-        long second = -1;
-        long here = 0;
-        long peak = 0;
-        for (Entry e = in.next(); e != null; e = in.next()) {
-            first = requests == 0 ? e.at() : first;
-            last = e.at();
+        long firstArrivalMicros = 0;
+        long lastArrivalMicros = 0;
+        long currentSecond = -1;
+        long requestsInSecond = 0;
+        long peakRequestsPerSecond = 0;
+        for (Entry entry = input.next(); entry != null; entry = input.next()) {
+            firstArrivalMicros = requests == 0 ? entry.at() : firstArrivalMicros;
+            lastArrivalMicros = entry.at();
             requests++;
-            counts[e.kind()]++;
-            ends[e.end().ordinal()]++;
-            repeats += e.repeat() ? 1 : 0;
-            here = e.at() / SECOND == second ? here + 1 : 1;
-            second = e.at() / SECOND;
-            peak = Math.max(peak, here);
+            requestsByClass[entry.kind()]++;
+            requestsByOutcome[entry.outcome().ordinal()]++;
+            repeats += entry.repeat() ? 1 : 0;
+            requestsInSecond = entry.at() / MICROS_PER_SECOND == currentSecond ? requestsInSecond + 1 : 1;
+            currentSecond = entry.at() / MICROS_PER_SECOND;
+            peakRequestsPerSecond = Math.max(peakRequestsPerSecond, requestsInSecond);
         }
         return new Summary(
-                in.classes(),
-                list(counts),
+                input.classNames(),
+                list(requestsByClass),
                 requests,
-                (double) (last - first) / SECOND,
-                peak,
+                (double) (lastArrivalMicros - firstArrivalMicros) / MICROS_PER_SECOND,
+                peakRequestsPerSecond,
                 repeats,
-                list(ends),
-                in.lost(),
-                in.jumps(),
-                in.torn());
+                list(requestsByOutcome),
+                input.lostEntries(),
+                input.backwardClockJumps(),
+                input.truncated());
     }
 
     private static List<Long> list(long[] values) {
--- a/src/main/java/whinlead/capture/package-info.java
+++ b/src/main/java/whinlead/capture/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Captured loads as files: written while a sidecar serves, read by the planner and by replays.
+ * Files of captured load: written while a sidecar serves, read by the planner and by replays.
  *
- * <p>Begin with {@link whinlead.capture.Recorder}, which listens to the engine and writes on a thread of its own.
+ * <p>Start with {@link whinlead.capture.Recorder}, which listens to the engine and writes on a separate thread.
  */
 package whinlead.capture;
--- a/src/main/java/whinlead/run/Config.java
+++ b/src/main/java/whinlead/run/Config.java
@@ -15,29 +15,29 @@
 import whinlead.membership.EndpointList;
 
 /**
- * Everything a sidecar is told at start.
+ * The start configuration of a sidecar.
  *
- * @param known the endpoints as last known, perhaps out of date; null if there is no such list
- * @param connectTimeout milliseconds after which a connection that is not up has failed
- * @param endpointIdle milliseconds after which an endpoint closes an idle connection
- * @param sockets file descriptors that the process may hold
+ * @param lastKnownEndpoints the last known endpoints, possibly out of date; null if there is no such list
+ * @param connectTimeoutMs time after which a connection attempt that has not succeeded has failed
+ * @param endpointIdleMs time after which an endpoint closes an idle connection
+ * @param maxDescriptors number of file descriptors that the process may have open
  */
 record Config(
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        long seed,
+        long parseSeed,
         Contract.Settings settings,
-        EndpointList known,
-        int connectTimeout,
-        double endpointIdle,
-        int sockets) {
+        EndpointList lastKnownEndpoints,
+        int connectTimeoutMs,
+        double endpointIdleMs,
+        int maxDescriptors) {
 
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     /**
      * Reads the configuration from a file.
      *
-     * @throws IllegalArgumentException with one line that says what is missing or malformed
+     * @throws IllegalArgumentException with a one-line message that says what is missing or malformed
      */
     static Config read(String path, ObjectMapper mapper) {
         try {
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Reads the configuration.
+     * Parses the configuration.
      *
-     * @throws IllegalArgumentException with one line that says what is missing or malformed
+     * @throws IllegalArgumentException with a one-line message that says what is missing or malformed
      */
     static Config parse(String text, ObjectMapper mapper) {
         JsonNode json;
@@ -60,29 +60,29 @@
             throw new IllegalArgumentException("not JSON: " + e.getOriginalMessage(), e);
         }
         Map<String, String> pairs = new HashMap<>();
-        flatten("", json.path("settings"), pairs);
+        flattenJson("", json.path("settings"), pairs);
         JsonNode limits = json.path("settings").path("limits");
         JsonNode known = json.path("known");
         return new Config(
                 EndpointList.address(json.path("listen").asText()),
                 EndpointList.address(json.path("discovery").asText()),
-                seed(json.path("seed").asText()),
+                parseSeed(json.path("seed").asText()),
                 new SettingsReader(pairs).settings(),
                 known.isObject() ? EndpointList.parse(known) : null,
-                (int) positive(limits, "connect_timeout"),
-                positive(limits, "conn_idle"),
-                (int) positive(json.path("limits"), "sockets"));
+                (int) positiveNumber(limits, "connect_timeout"),
+                positiveNumber(limits, "conn_idle"),
+                (int) positiveNumber(json.path("limits"), "sockets"));
     }
 
-    private static long seed(String text) {
+    private static long parseSeed(String text) {
         try {
-            return Long.parseUnsignedLong(text, HEX);
+            return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException("seed '" + text + "' is not a hexadecimal number", e);
         }
     }
 
-    private static double positive(JsonNode limits, String field) {
+    private static double positiveNumber(JsonNode limits, String field) {
         double value = limits.path(field).asDouble();
         if (!(value >= 1 && value <= Integer.MAX_VALUE)) {
             throw new IllegalArgumentException("limits." + field + " is missing or out of range");
@@ -90,15 +90,16 @@
         return value;
     }
 
-    /** Nested JSON to the simulator's paths, by its rules: a list of objects has a count and numbered items. */
-    private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
+    /** Converts nested JSON to the simulator's flat keys. A list has a count and numbered items. */
+    private static void flattenJson(String path, JsonNode node, Map<String, String> pairs) {
         if (node.isObject()) {
             node.properties()
-                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), pairs));
+                    .forEach(e ->
+                            flattenJson(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), pairs));
         } else if (node.isArray()) {
             pairs.put(path + ".count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
-                flatten(path + "." + i, node.get(i), pairs);
+                flattenJson(path + "." + i, node.get(i), pairs);
             }
         } else if (!node.isNull() && !node.isMissingNode()) {
             pairs.put(path, node.asText());
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -32,42 +32,46 @@
 import whinlead.transport.EndpointPool;
 
 /**
- * The command line: {@code serve} runs a real sidecar, {@code check} only starts one and stops it again,
- * {@code benchlink} is the simulator's adapter, {@code sidecar} and {@code control} are the mesh's roles; all else is
- * in {@link Tools}.
+ * The command line. {@code serve} runs a standalone sidecar, {@code check} starts one and stops it again,
+ * {@code benchlink} is the adapter for the simulator, {@code sidecar} and {@code control} are the roles of the mesh.
+ * All other commands are in {@link Tools}.
  */
 public final class Main {
     /**
-     * Sixteenths of the descriptors: clients hold a third for requests, and there must be room to turn bad ones away.
+     * Sixteenths of the descriptors for client connections: requests take up to a third of all descriptors, and
+     * connections that are rejected need some, too.
      */
-    private static final int CLIENT_SHARE = 7;
-    /** As many as clients hold requests, and some idle. The rest is for the JVM's files, the listener and discovery. */
-    private static final int ENDPOINT_SHARE = 6;
+    private static final int CLIENT_SIXTEENTHS = 7;
+    /**
+     * Sixteenths of the descriptors for endpoint connections: one for each client request, and some idle ones. The rest
+     * is for the JVM's files, the listener and discovery.
+     */
+    private static final int ENDPOINT_SIXTEENTHS = 6;
 
-    private static final int SHARES = 16;
-    /** Of its first share, what a purpose keeps whatever another needs. */
-    private static final int MIN_PART = 2;
+    private static final int SIXTEENTHS = 16;
+    /** A purpose always retains its initial share divided by this, whatever the demand of the other one. */
+    private static final int MIN_SHARE_DIVISOR = 2;
 
     private static final long BUDGET_TICK_MS = 200;
-    /** The platform lets clients hold one in so many of the descriptors for requests. */
-    private static final int REQUEST_PART = 3;
-    /** Names the file of the external processor; without it there is none. */
-    private static final String PROCESSOR = "PROXY_PROCESSOR";
-    /** Names the file of limits by client; without it there are none. */
-    private static final String ADMISSION = "PROXY_ADMISSION";
+    /** The platform allows client requests the number of descriptors divided by this. */
+    private static final int REQUEST_DIVISOR = 3;
+    /** Environment variable with the path of the external processor's file; unset: no external processor. */
+    private static final String PROCESSOR_VARIABLE = "PROXY_PROCESSOR";
+    /** Environment variable with the path of the file of limits per client; unset: no limits. */
+    private static final String ADMISSION_VARIABLE = "PROXY_ADMISSION";
 
-    /** Names the file of those that it keeps copies with; without it there are none. */
-    private static final String COPIES = "PROXY_COPIES";
+    /** Environment variable with the path of the replication file; unset: no replication. */
+    private static final String COPIES_VARIABLE = "PROXY_COPIES";
 
-    /** Names the file that says where load is captured; without it none is. */
-    private static final String CAPTURE = "PROXY_CAPTURE";
+    /** Environment variable with the path of the capture file; unset: no load is captured. */
+    private static final String CAPTURE_VARIABLE = "PROXY_CAPTURE";
 
     private Main() {}
 
-    /** Runs one of them; exits with 2 on bad usage and 1 on bad configuration. */
+    /** Runs a command; exits with 2 on bad usage and 1 on bad configuration. */
     public static void main(String[] args) {
-        // Guards against what the planner's libraries log by: Netty would find it, and a sidecar load it and
-        // be told on standard error that it logs nowhere.
+        // Netty would otherwise find the logging API of the planner's libraries and load it, and that API would
+        // warn on standard error that it has no backend.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         if (args.length > 0 && MeshCommand.knows(args[0])) {
             MeshCommand.main(args);
@@ -75,52 +79,54 @@
         }
         switch (args.length == 1 ? args[0] : "") {
             case "benchlink" -> whinlead.benchlink.Main.main(args);
-            case "serve" -> start(false);
-            case "check" -> start(true);
-            case "walk" -> walk();
+            case "serve" -> startSidecar(false);
+            case "check" -> startSidecar(true);
+            case "walk" -> runLocalMesh();
             default -> System.exit(Tools.execute(args));
         }
     }
 
-    // The mesh in one process; the build notes by it which classes a start of its roles needs.
-    private static void walk() {
+    // Runs the mesh in one process; from this the build records which classes the start of its roles loads.
+    private static void runLocalMesh() {
         try {
             System.exit(LocalMeshRun.run());
         } catch (Exception e) {
             // What the future throws of a failed bind is a checked exception that it does not declare.
-            quit("walk: " + e);
+            exitWithError("walk: " + e);
         }
     }
 
-    // A check shows that a configuration is good; the build also notes by it which classes a start needs.
-    private static void start(boolean onlyCheck) {
+    // A check validates a configuration; from it the build also records which classes a start loads.
+    private static void startSidecar(boolean onlyCheck) {
         try {
-            // Before the file is read: what a SIGHUP before that tells of is read in any case.
+            // Installed before the file is read: a change that an earlier SIGHUP announces is read anyway.
             Hangup hangup = Hangup.guard(Main::log);
             ObjectMapper mapper = new ObjectMapper();
-            String path = configuration();
+            String path = configurationPath();
             Config config = Config.read(path, mapper);
-            String processorPath = file(PROCESSOR);
-            ProcessorConfig processor = processorPath == null ? null : ProcessorConfig.read(processorPath, mapper);
-            String admissionPath = file(ADMISSION);
-            AdmissionConfig admission =
-                    admissionPath == null ? AdmissionConfig.usual() : AdmissionConfig.read(admissionPath, mapper);
-            String capturePath = file(CAPTURE);
-            CaptureConfig capture = capturePath == null ? null : CaptureConfig.read(capturePath, mapper);
-            ReplicationConfig copies = copies(config, processor, mapper);
+            String processorPath = fileFromEnvironment(PROCESSOR_VARIABLE);
+            ProcessorConfig processorConfig =
+                    processorPath == null ? null : ProcessorConfig.read(processorPath, mapper);
+            String admissionPath = fileFromEnvironment(ADMISSION_VARIABLE);
+            AdmissionConfig admissionConfig =
+                    admissionPath == null ? AdmissionConfig.defaults() : AdmissionConfig.read(admissionPath, mapper);
+            String capturePath = fileFromEnvironment(CAPTURE_VARIABLE);
+            CaptureConfig captureConfig = capturePath == null ? null : CaptureConfig.read(capturePath, mapper);
+            ReplicationConfig replicationConfig = readReplicationConfig(config, processorConfig, mapper);
             EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-            // Guards against a loop that ends for want of a descriptor: a line of its log needs the file of
-            // time zones, which the JVM opens for the first one.
+            // The JVM opens the time zone file for the first log line. Without a free descriptor at that time the
+            // event loop would terminate, so the file is loaded here.
             ZoneId.systemDefault().getRules();
-            Parts parts = wire(config, admission, processor, copies, mapper, loop);
+            Parts parts = wire(config, admissionConfig, processorConfig, replicationConfig, mapper, loop);
             Warmup.run(config.settings());
             Reload reload = new Reload(path, mapper, parts.discovery, Main::log);
-            Recorder recorder = capture == null || onlyCheck ? null : capture.start(config.settings(), Main::log);
+            Recorder recorder =
+                    captureConfig == null || onlyCheck ? null : captureConfig.start(config.settings(), Main::log);
             if (recorder != null) {
                 parts.engine.journal(recorder);
             }
             if (!onlyCheck) {
-                // Before the listener: from then on a SIGTERM must not end what clients have begun.
+                // Installed before the listener: once it accepts, a SIGTERM must not abort requests in progress.
                 Runtime.getRuntime()
                         .addShutdownHook(new Thread(
                                 () -> {
@@ -132,25 +138,25 @@
                                 "drain"));
             }
             parts.server.listen(config.listen()).syncUninterruptibly();
-            if (copies != null) {
-                parts.copies.listen();
+            if (replicationConfig != null) {
+                parts.replication.listen();
             }
             if (!onlyCheck) {
                 loop.submit(parts.start).syncUninterruptibly();
-                if (copies != null) {
-                    loop.execute(parts.copies::start);
+                if (replicationConfig != null) {
+                    loop.execute(parts.replication::start);
                 }
-                // On the loop, which owns the watch and takes several in their order. After the start: a
-                // watch that has not begun can't be moved.
+                // Runs on the loop, which owns the discovery watch and executes several reloads in order. Installed
+                // after the start, because a watch that has not begun can't be moved.
                 hangup.on(() -> loop.execute(() -> {
                     reload.run();
-                    if (processor != null) {
+                    if (processorConfig != null) {
                         parts.processor.reload(processorPath);
                     }
                 }));
             }
-            // After the start, for these accept at once, and a request that meets no list is refused.
-            if (processor != null) {
+            // After the start: these listeners accept at once, and without an endpoint list requests are refused.
+            if (processorConfig != null) {
                 log("processor listens at " + parts.processor.listen());
             }
             if (onlyCheck) {
@@ -158,113 +164,133 @@
             }
             loop.execute(parts.server::ready);
         } catch (IllegalArgumentException e) {
-            quit("configuration: " + e.getMessage());
+            exitWithError("configuration: " + e.getMessage());
         } catch (Exception e) {
             // What the future throws of a failed bind is a checked exception that it does not declare.
-            quit("cannot start: " + e.getMessage());
+            exitWithError("cannot start: " + e.getMessage());
         }
     }
 
-    private static ReplicationConfig copies(Config config, ProcessorConfig processor, ObjectMapper mapper) {
-        String path = file(COPIES);
+    private static ReplicationConfig readReplicationConfig(
+            Config config, ProcessorConfig processor, ObjectMapper mapper) {
+        String path = fileFromEnvironment(COPIES_VARIABLE);
         if (path == null) {
             return null;
         }
         if (!config.settings().limits().peers()) {
-            throw new IllegalArgumentException("copies are off where limits.peers is false");
+            throw new IllegalArgumentException("replication is not allowed: limits.peers is false");
         }
         if (processor == null) {
-            throw new IllegalArgumentException("copies are of what others ask: " + PROCESSOR + " is not set");
+            throw new IllegalArgumentException(
+                    "replication needs the external processor: " + PROCESSOR_VARIABLE + " is not set");
         }
-        // Libraries' notes on their own logging are no lines for operators.
+        // Hides messages of the libraries about their own logging from operators.
         System.setProperty("slf4j.internal.verbosity", "ERROR");
         return ReplicationConfig.read(path, mapper);
     }
 
-    private static String file(String variable) {
+    private static String fileFromEnvironment(String variable) {
         String path = System.getenv(variable);
         return path == null || path.isEmpty() ? null : path;
     }
 
-    private static String configuration() {
-        String path = file("PROXY_CONFIG");
+    private static String configurationPath() {
+        String path = fileFromEnvironment("PROXY_CONFIG");
         if (path == null) {
             throw new IllegalArgumentException("PROXY_CONFIG is not set");
         }
         return path;
     }
 
-    /** The parts, made but idle; {@code start} is run on the loop when the server listens, before it is ready. */
+    /**
+     * The components, created but idle; {@code start} has to run on the loop after the server listens and before it is
+     * ready.
+     */
     record Parts(
             ClientServer server,
             Discovery discovery,
             Processor processor,
-            ReplicationSetup copies,
+            ReplicationSetup replication,
             Engine engine,
             Runnable start) {}
 
-    /** Makes the parts. Nothing is asked of discovery before a failed bind could still end the process. */
+    /** Creates the components. Discovery is not called until start, since a failed bind may still end the process. */
     static Parts wire(
             Config config,
             AdmissionConfig admission,
-            ProcessorConfig consulted,
-            ReplicationConfig kept,
+            ProcessorConfig processorConfig,
+            ReplicationConfig replicationConfig,
             ObjectMapper mapper,
             EventLoop loop)
             throws IOException {
         Clock clock = new Clock();
         Budget budget = new Budget(Map.of(
                 Budget.Purpose.CLIENTS,
-                share(config, CLIENT_SHARE, admission),
+                descriptorShare(config, CLIENT_SIXTEENTHS, admission),
                 Budget.Purpose.ENDPOINTS,
-                share(config, ENDPOINT_SHARE, admission)));
+                descriptorShare(config, ENDPOINT_SIXTEENTHS, admission)));
         loop.scheduleAtFixedRate(budget::tick, BUDGET_TICK_MS, BUDGET_TICK_MS, TimeUnit.MILLISECONDS);
         EndpointPool pool = new EndpointPool(
-                loop, NioSocketChannel.class, clock, config.connectTimeout(), config.endpointIdle(), budget);
+                loop, NioSocketChannel.class, clock, config.connectTimeoutMs(), config.endpointIdleMs(), budget);
         Contract.Settings settings = config.settings();
         Timers timers = new LoopTimers(loop, clock);
-        List<Consumer<EndpointList>> followers = new ArrayList<>();
-        followers.add(pool::update);
+        List<Consumer<EndpointList>> endpointListListeners = new ArrayList<>();
+        endpointListListeners.add(pool::update);
         Engine engine = new Engine(
                 timers,
                 settings,
-                actions -> new Decide(settings, config.seed(), actions),
-                list -> followers.forEach(f -> f.accept(list)),
+                actions -> new Decide(settings, config.parseSeed(), actions),
+                list -> endpointListListeners.forEach(f -> f.accept(list)),
                 Main::log);
         Processor processor = null;
-        ReplicationSetup copies = kept == null ? null : new ReplicationSetup(kept, loop, timers, Main::log);
-        if (consulted != null) {
+        ReplicationSetup replication =
+                replicationConfig == null ? null : new ReplicationSetup(replicationConfig, loop, timers, Main::log);
+        if (processorConfig != null) {
             processor = new Processor(
-                    consulted,
+                    processorConfig,
                     loop,
                     timers,
                     engine,
                     settings,
-                    copies == null ? null : copies.keeper(),
+                    replication == null ? null : replication.keeper(),
                     mapper,
                     Main::log);
-            followers.add(processor.consultations()::update);
+            endpointListListeners.add(processor.consultations()::update);
         }
         Discovery discovery = new Discovery(
-                loop, config.discovery(), mapper, !settings.listMustBeAsked(), config.seed(), config.known(), engine);
+                loop,
+                config.discovery(),
+                mapper,
+                !settings.listMustBeAsked(),
+                config.parseSeed(),
+                config.lastKnownEndpoints(),
+                engine);
         ClientServer server = new ClientServer(
                 loop,
                 clock,
                 engine,
                 pool::transport,
                 settings,
-                admission.clients(),
+                admission.clientLimits(),
                 budget,
-                config.sockets() / REQUEST_PART);
-        return new Parts(server, discovery, processor, copies, engine, () -> engine.start(discovery, config.known()));
+                config.maxDescriptors() / REQUEST_DIVISOR);
+        return new Parts(
+                server,
+                discovery,
+                processor,
+                replication,
+                engine,
+                () -> engine.start(discovery, config.lastKnownEndpoints()));
     }
 
-    private static Budget.Share share(Config config, int sixteenths, AdmissionConfig admission) {
-        int first = Math.max(1, config.sockets() * sixteenths / SHARES);
-        return new Budget.Share(first, admission.moves() ? Math.max(1, first / MIN_PART) : first);
+    private static Budget.Share descriptorShare(Config config, int sixteenths, AdmissionConfig admission) {
+        int initialShare = Math.max(1, config.maxDescriptors() * sixteenths / SIXTEENTHS);
+        return new Budget.Share(
+                initialShare,
+                admission.moveDescriptors() ? Math.max(1, initialShare / MIN_SHARE_DIVISOR) : initialShare);
     }
 
-    /** Runs while the process ends on SIGTERM: it goes on for as long as this has not returned. */
+    /** Runs as a shutdown hook on SIGTERM: the process does not end before this returns. */
     private static void drain(EventLoop loop, ClientServer server) {
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> server.drain(drained::countDown));
@@ -279,8 +305,8 @@
         System.err.println(line);
     }
 
-    private static void quit(String why) {
-        System.err.println("whinlead: " + why);
+    private static void exitWithError(String reason) {
+        System.err.println("whinlead: " + reason);
         System.exit(1);
     }
 }
--- a/src/main/java/whinlead/run/OperatorFile.java
+++ b/src/main/java/whinlead/run/OperatorFile.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 
 /**
- * An object in a file of the operator's: JSON whose unknown fields are errors, for a misspelt bound would be no bound.
- * What is bad is an {@link IllegalArgumentException} of one line that names the field.
+ * Reads JSON objects from operators' files. Unknown fields are errors: a misspelt limit would have no effect. Invalid
+ * input throws an {@link IllegalArgumentException} with a one-line message that names the field.
  */
 final class OperatorFile {
     private OperatorFile() {}
 
-    /** The text of a file. */
-    static String text(String path) {
+    /** Reads a file as text. */
+    static String readText(String path) {
         try {
             return Files.readString(Path.of(path));
         } catch (IOException | InvalidPathException e) {
@@ -25,13 +25,13 @@
         }
     }
 
-    /** The object that a text is, with these fields and no others. */
-    static JsonNode object(String text, ObjectMapper mapper, String name, Set<String> fields) {
-        return only(json(text, mapper, name), name, fields);
+    /** Parses a text as an object that has no fields other than these. */
+    static JsonNode parseObject(String text, ObjectMapper mapper, String name, Set<String> fields) {
+        return requireObject(parseJson(text, mapper, name), name, fields);
     }
 
-    /** What a text is. */
-    static JsonNode json(String text, ObjectMapper mapper, String name) {
+    /** Parses a text as JSON; {@code name} is for error messages. */
+    static JsonNode parseJson(String text, ObjectMapper mapper, String name) {
         try {
             return mapper.readTree(text);
         } catch (JsonProcessingException e) {
@@ -39,28 +39,28 @@
         }
     }
 
-    /** The same of what was read. */
-    static JsonNode only(JsonNode json, String name, Set<String> fields) {
+    /** Checks that a value is an object without fields other than these, and returns it. */
+    static JsonNode requireObject(JsonNode json, String name, Set<String> fields) {
         if (!json.isObject()) {
-            throw new IllegalArgumentException(name + " is missing or no object");
+            throw new IllegalArgumentException(name + " is missing or not an object");
         }
         json.fieldNames().forEachRemaining(field -> {
             if (!fields.contains(field)) {
-                throw new IllegalArgumentException(name + "." + field + " is unknown");
+                throw new IllegalArgumentException(name + "." + field + " is an unknown field");
             }
         });
         return json;
     }
 
-    /** A whole number within bounds; {@code absent} where the field is not there. */
-    static int whole(JsonNode json, String name, String field, int absent, int least, int most) {
+    /** Returns an integer within bounds, or {@code defaultValue} if the field is absent. */
+    static int wholeNumber(JsonNode json, String name, String field, int defaultValue, int min, int max) {
         JsonNode value = json.path(field);
         if (value.isMissingNode()) {
-            return absent;
+            return defaultValue;
         }
-        if (!value.isInt() || value.asInt() < least || value.asInt() > most) {
+        if (!value.isInt() || value.asInt() < min || value.asInt() > max) {
             throw new IllegalArgumentException(
-                    name + "." + field + " is not a whole number from " + least + " to " + most);
+                    name + "." + field + " is not a whole number from " + min + " to " + max);
         }
         return value.asInt();
     }
--- a/src/main/java/whinlead/run/Processor.java
+++ b/src/main/java/whinlead/run/Processor.java
@@ -21,23 +21,23 @@
 import whinlead.front.spop.SpopServer;
 
 /**
- * The external processor beside the sidecar's own front, on the same engine. Nothing of it is loaded unless an
- * operator's file asks for it.
+ * The external processor, which runs next to the sidecar's own HTTP server on the same engine. Its classes are loaded
+ * only if an operator's file configures it.
  */
 final class Processor {
     private final ProcessorConfig config;
     private final Consultations consultations;
     private final EventLoop loop;
     private final Timers timers;
-    private final ConsultRequest.Names names;
+    private final ConsultRequest.Names requestNames;
     private final ObjectMapper mapper;
     private final Consumer<String> log;
 
     /**
-     * Made but idle.
+     * Creates the processor; it is idle until {@link #listen}.
      *
-     * @param keeper of what must outlive this process, or null
-     * @throws IllegalArgumentException if its file names a class that the settings lack
+     * @param keeper stores state that has to outlive this process; may be null
+     * @throws IllegalArgumentException if the file names a request class that is not in the settings
      */
     Processor(
             ProcessorConfig config,
@@ -51,7 +51,7 @@
         this.config = config;
         this.loop = loop;
         this.timers = timers;
-        this.names = new ConsultRequest.Names(settings, config.usualClass());
+        this.requestNames = new ConsultRequest.Names(settings, config.defaultClass());
         this.mapper = mapper;
         this.log = log;
         consultations = new Consultations(engine, timers, settings, config.bounds(), keeper, log);
@@ -62,65 +62,65 @@
     }
 
     /**
-     * Listens where its file says; the addresses by the front's name. Throws what a failed bind throws. Not to be
-     * called on the loop.
+     * Listens at the configured addresses and returns the bound addresses by the name of the front. Throws the
+     * exception of a failed bind. Must not be called on the event loop.
      */
     Map<String, InetSocketAddress> listen() throws IOException {
-        Map<String, InetSocketAddress> at = new LinkedHashMap<>();
+        Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
         if (config.http() != null) {
-            at.put(
+            addresses.put(
                     "http",
-                    bound(new ConsultServer(
+                    boundAddress(new ConsultServer(
                                     loop,
                                     NioServerSocketChannel.class,
                                     consultations,
-                                    names,
-                                    new HeaderNames().with(config.headers()),
+                                    requestNames,
+                                    new HeaderNames().with(config.headerNames()),
                                     mapper,
-                                    config.http().connections())
+                                    config.http().maxConnections())
                             .listen(config.http().address())));
         }
         if (config.spop() != null) {
-            at.put(
+            addresses.put(
                     "spop",
-                    bound(new SpopServer(
+                    boundAddress(new SpopServer(
                                     loop,
                                     NioServerSocketChannel.class,
                                     consultations,
-                                    names,
-                                    config.spop().connections())
+                                    requestNames,
+                                    config.spop().maxConnections())
                             .listen(config.spop().address())));
         }
         if (config.envoy() != null) {
-            at.put(
+            addresses.put(
                     "envoy",
                     new ExtProcServer(
                                     loop,
                                     timers,
                                     consultations,
-                                    names,
-                                    config.headers(),
-                                    config.envoy().connections(),
-                                    config.streams())
+                                    requestNames,
+                                    config.headerNames(),
+                                    config.envoy().maxConnections(),
+                                    config.streamsPerConnection())
                             .listen(config.envoy().address()));
         }
-        return at;
+        return addresses;
     }
 
     /**
-     * Reads its file again, on the loop, and takes the bounds from it; the rest is what the process was started with. A
-     * bad file changes nothing.
+     * Reads the file again and applies its bounds; all other settings stay as they were at start. An invalid file
+     * changes nothing. Has to be called on the event loop.
      */
     void reload(String path) {
         try {
             consultations.bounds(ProcessorConfig.read(path, mapper).bounds());
-            log.accept("processor's file reread: bounds taken over");
+            log.accept("processor file reread: bounds applied");
         } catch (IllegalArgumentException e) {
-            log.accept("processor's file not taken over: " + e.getMessage());
+            log.accept("processor file not applied: " + e.getMessage());
         }
     }
 
-    private static InetSocketAddress bound(ChannelFuture binding) {
+    private static InetSocketAddress boundAddress(ChannelFuture binding) {
         return (InetSocketAddress) binding.syncUninterruptibly().channel().localAddress();
     }
 }
--- a/src/main/java/whinlead/run/ProcessorConfig.java
+++ b/src/main/java/whinlead/run/ProcessorConfig.java
@@ -14,68 +14,68 @@
 import whinlead.membership.EndpointList;
 
 /**
- * What the external processor is told at start ({@code docs/processor.md}). Unknown fields are errors: a misspelt bound
- * would be no bound.
+ * The configuration of the external processor ({@code docs/processor.md}). Unknown fields are errors: a misspelt limit
+ * would have no effect.
  *
- * @param http the consult API, or null
- * @param spop the agent for HAProxy, or null
- * @param envoy Envoy's external processing, or null
- * @param streams requests of one connection of Envoy's at once
- * @param headers what callers' headers are called, where it is not as the fronts have it
- * @param usualClass the class of a request that names none; empty if it has to name one
+ * @param http listener of the consult API, or null
+ * @param spop listener of the agent for HAProxy, or null
+ * @param envoy listener for Envoy's external processing, or null
+ * @param streamsPerConnection maximum number of concurrent requests on a connection from Envoy
+ * @param headerNames names of callers' headers that differ from the defaults of the fronts
+ * @param defaultClass class of a request that names none; empty if each request has to name one
  */
 record ProcessorConfig(
         Listener http,
         Listener spop,
         Listener envoy,
-        int streams,
-        Map<Field, String> headers,
-        String usualClass,
+        int streamsPerConnection,
+        Map<Field, String> headerNames,
+        String defaultClass,
         Bounds bounds) {
-    /** Where a front listens, and its connections from callers at once. */
-    record Listener(InetSocketAddress address, int connections) {}
+    /** The address of a front and its maximum number of concurrent connections from callers. */
+    record Listener(InetSocketAddress address, int maxConnections) {}
 
     private static final Set<String> FIELDS = Set.of("http", "spop", "envoy", "headers", "class", "bounds");
-    private static final int CONNECTIONS = 32;
-    /** Of the 1,024 descriptors that the platform allows 832 are spoken for. */
+    private static final int DEFAULT_CONNECTIONS = 32;
+    /** Of the 1,024 descriptors that the platform allows, 832 have another use. */
     private static final int MAX_CONNECTIONS = 64;
 
-    private static final int STREAMS = 1000;
+    private static final int DEFAULT_STREAMS = 1000;
     private static final int MAX_STREAMS = 20_000;
-    private static final int MAX_NAME = 64;
-    /** What a caller's header may tell; the rest is between the program and the proxy. */
-    private static final Set<Field> MAPPED =
+    private static final int MAX_HEADER_NAME_LENGTH = 64;
+    /** The fields whose header names are configurable; the others are internal to this program and the proxy. */
+    private static final Set<Field> CONFIGURABLE_FIELDS =
             EnumSet.of(Field.ID, Field.CLASS, Field.TENANT, Field.TIMEOUT, Field.REPEAT, Field.NOT_STARTED, Field.LOAD);
 
-    private static final int OPEN = 2000;
+    private static final int DEFAULT_OPEN = 2000;
     private static final int MAX_OPEN = 20_000;
-    private static final int OPEN_PER_CALLER = 1000;
-    private static final int REMEMBERED = 10_000;
+    private static final int DEFAULT_OPEN_PER_CALLER = 1000;
+    private static final int DEFAULT_REMEMBERED = 10_000;
     private static final int MAX_REMEMBERED = 100_000;
-    private static final int REMEMBER_MS = 60_000;
+    private static final int DEFAULT_REMEMBER_MS = 60_000;
     private static final int MAX_REMEMBER_MS = 3_600_000;
-    private static final int PICK_UP_MS = 250;
+    private static final int DEFAULT_PICK_UP_MS = 250;
     private static final int MAX_PICK_UP_MS = 10_000;
 
     /**
-     * Reads the file.
+     * Reads the configuration from a file.
      *
-     * @throws IllegalArgumentException with one line that says what is missing or malformed
+     * @throws IllegalArgumentException with a one-line message that says what is missing or malformed
      */
     static ProcessorConfig read(String path, ObjectMapper mapper) {
-        return parse(OperatorFile.text(path), mapper);
+        return parse(OperatorFile.readText(path), mapper);
     }
 
     /**
-     * Reads its text.
+     * Parses the text of the file.
      *
-     * @throws IllegalArgumentException with one line that says what is missing or malformed
+     * @throws IllegalArgumentException with a one-line message that says what is missing or malformed
      */
     static ProcessorConfig parse(String text, ObjectMapper mapper) {
-        JsonNode json = OperatorFile.object(text, mapper, "processor", FIELDS);
+        JsonNode json = OperatorFile.parseObject(text, mapper, "processor", FIELDS);
         JsonNode bounds = json.path("bounds");
         if (!bounds.isMissingNode()) {
-            OperatorFile.only(
+            OperatorFile.requireObject(
                     bounds, "bounds", Set.of("open", "open_per_caller", "remembered", "remember_ms", "pick_up_ms"));
         }
         Listener http = listener(json, "http", Set.of("listen", "connections"));
@@ -88,36 +88,39 @@
                 http,
                 spop,
                 envoy,
-                OperatorFile.whole(json.path("envoy"), "envoy", "streams", STREAMS, 1, MAX_STREAMS),
-                headers(json.path("headers")),
+                OperatorFile.wholeNumber(json.path("envoy"), "envoy", "streams", DEFAULT_STREAMS, 1, MAX_STREAMS),
+                headerNames(json.path("headers")),
                 json.path("class").asText(),
                 new Bounds(
-                        bound(bounds, "open", OPEN, MAX_OPEN),
-                        bound(bounds, "open_per_caller", OPEN_PER_CALLER, MAX_OPEN),
-                        bound(bounds, "remembered", REMEMBERED, MAX_REMEMBERED),
-                        bound(bounds, "remember_ms", REMEMBER_MS, MAX_REMEMBER_MS),
-                        bound(bounds, "pick_up_ms", PICK_UP_MS, MAX_PICK_UP_MS)));
+                        boundValue(bounds, "open", DEFAULT_OPEN, MAX_OPEN),
+                        boundValue(bounds, "open_per_caller", DEFAULT_OPEN_PER_CALLER, MAX_OPEN),
+                        boundValue(bounds, "remembered", DEFAULT_REMEMBERED, MAX_REMEMBERED),
+                        boundValue(bounds, "remember_ms", DEFAULT_REMEMBER_MS, MAX_REMEMBER_MS),
+                        boundValue(bounds, "pick_up_ms", DEFAULT_PICK_UP_MS, MAX_PICK_UP_MS)));
     }
 
-    private static Map<Field, String> headers(JsonNode json) {
-        Map<Field, String> headers = new EnumMap<>(Field.class);
+    private static Map<Field, String> headerNames(JsonNode json) {
+        Map<Field, String> headerNames = new EnumMap<>(Field.class);
         if (!json.isMissingNode()) {
-            OperatorFile.only(
-                    json, "headers", MAPPED.stream().map(ProcessorConfig::key).collect(Collectors.toSet()));
-            for (Field field : MAPPED) {
-                JsonNode name = json.path(key(field));
+            OperatorFile.requireObject(
+                    json,
+                    "headers",
+                    CONFIGURABLE_FIELDS.stream().map(ProcessorConfig::fieldKey).collect(Collectors.toSet()));
+            for (Field field : CONFIGURABLE_FIELDS) {
+                JsonNode name = json.path(fieldKey(field));
                 if (!name.isMissingNode()) {
-                    if (!name.isTextual() || !name.asText().matches("[A-Za-z0-9-]{1," + MAX_NAME + "}")) {
-                        throw new IllegalArgumentException("headers." + key(field) + " is no name of a header");
+                    if (!name.isTextual() || !name.asText().matches("[A-Za-z0-9-]{1," + MAX_HEADER_NAME_LENGTH + "}")) {
+                        throw new IllegalArgumentException(
+                                "headers." + fieldKey(field) + " is not a valid header name");
                     }
-                    headers.put(field, name.asText());
+                    headerNames.put(field, name.asText());
                 }
             }
         }
-        return headers;
+        return headerNames;
     }
 
-    private static String key(Field field) {
+    private static String fieldKey(Field field) {
         return field.name().toLowerCase(Locale.ROOT);
     }
 
@@ -126,13 +129,13 @@
         if (front.isMissingNode()) {
             return null;
         }
-        OperatorFile.only(front, name, fields);
+        OperatorFile.requireObject(front, name, fields);
         return new Listener(
                 EndpointList.address(front.path("listen").asText()),
-                OperatorFile.whole(front, name, "connections", CONNECTIONS, 1, MAX_CONNECTIONS));
+                OperatorFile.wholeNumber(front, name, "connections", DEFAULT_CONNECTIONS, 1, MAX_CONNECTIONS));
     }
 
-    private static int bound(JsonNode json, String field, int absent, int most) {
-        return OperatorFile.whole(json, "bounds", field, absent, 1, most);
+    private static int boundValue(JsonNode json, String field, int defaultValue, int max) {
+        return OperatorFile.wholeNumber(json, "bounds", field, defaultValue, 1, max);
     }
 }
--- a/src/main/java/whinlead/run/Reload.java
+++ b/src/main/java/whinlead/run/Reload.java
@@ -5,8 +5,8 @@
 import whinlead.membership.Discovery;
 
 /**
- * What SIGHUP asks for: the configuration is read again and discovery's address taken from it. The rest is what the
- * process was started with. A file that is bad changes nothing: a typing error must not end what serves.
+ * Handles SIGHUP: reads the configuration again and applies the address of discovery. All other settings stay as they
+ * were at start. An invalid file changes nothing, so that a typing error does not stop a serving process.
  */
 final class Reload implements Runnable {
     private final String path;
@@ -26,9 +26,9 @@
         try {
             Config config = Config.read(path, mapper);
             discovery.move(config.discovery());
-            log.accept("configuration reread: discovery is at " + config.discovery());
+            log.accept("configuration reread: discovery address is " + config.discovery());
         } catch (IllegalArgumentException e) {
-            log.accept("configuration not taken over: " + e.getMessage());
+            log.accept("configuration not applied: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/whinlead/run/ReplicationCommand.java
+++ b/src/main/java/whinlead/run/ReplicationCommand.java
@@ -31,12 +31,12 @@
 import whinlead.replication.wire.Wire;
 
 /**
- * {@code copies check} and {@code copies status}, for operators ({@code docs/copies.md}). Exit codes: 0 all is well; 1
- * a bad file, or a group that can promise nothing; 2 bad usage; 3 a group that promises, but is a member short.
+ * The {@code copies} commands for operators of replication ({@code docs/copies.md}). Exit codes: 0 success; 1 an
+ * invalid file, or a group without a quorum; 2 bad usage; 3 a group that has a quorum but lacks a member.
  */
 @Command(
         name = "copies",
-        description = "Sidecars that keep copies with each other.",
+        description = "Inspect and manage replication between sidecars.",
         mixinStandardHelpOptions = true,
         subcommands = {
             ReplicationCommand.Check.class,
@@ -45,129 +45,137 @@
             ReplicationCommand.Follow.class
         })
 final class ReplicationCommand {
-    private static final int BAD = 1;
-    private static final int SHORT = 3;
-    /** Of a group, before it is an exit code: worse than one that is a member short. */
-    private static final int BROKEN = 4;
+    private static final int EXIT_FAILURE = 1;
+    private static final int EXIT_MEMBER_MISSING = 3;
+    /** State of a group, mapped to an exit code later: ranks above a missing member. */
+    private static final int NO_QUORUM = 4;
 
     private ReplicationCommand() {}
 
-    /** Whether a file is good. */
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Whether a file is good.")
+    /** Validates a replication file. */
+    @Command(name = "check", mixinStandardHelpOptions = true, description = "Validate a replication file.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "As deploy/copies.json.")
         private String file;
 
         @Override
         public Integer call() {
-            ReplicationConfig c = ReplicationConfig.read(file, new ObjectMapper());
-            c.groups()
-                    .forEach((group, names) -> System.out.println(
-                            (names.contains(c.name()) ? "member " + c.name() + " of " : "no member of ") + group + ", "
-                                    + names.size() + " in all: "
-                                    + (names.size() - 1) / 2 + " may be lost at a time"));
+            ReplicationConfig config = ReplicationConfig.read(file, new ObjectMapper());
+            config.groups()
+                    .forEach((group, names) -> System.out.println((names.contains(config.processName())
+                                    ? "member " + config.processName() + " of "
+                                    : "no member of ")
+                            + group + ", "
+                            + names.size() + " in all: "
+                            + (names.size() - 1) / 2 + " may be lost at a time"));
             return 0;
         }
     }
 
-    /** How its members stand. */
+    /** Prints the state of each member of each group. */
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "How each member of a group stands, by its own word.")
+            description = "Show the state of each member of a group as it reports it.")
     static final class Status implements Callable<Integer> {
-        private static final long MAX_ANSWER_MS = 2000;
+        private static final long REPLY_TIMEOUT_MS = 2000;
 
         @Parameters(paramLabel = "FILE", description = "As deploy/copies.json.")
         private String file;
 
-        @Option(names = "--request", description = "Also what each knows of the request with this id.")
+        @Option(names = "--request", description = "Also show what each member knows of the request with this id.")
         private String request = "";
 
         @Override
         public Integer call() {
-            ReplicationConfig c = ReplicationConfig.read(file, new ObjectMapper());
+            ReplicationConfig config = ReplicationConfig.read(file, new ObjectMapper());
             Map<String, ManagedChannel> channels = new HashMap<>();
             try {
                 int worst = 0;
-                for (Map.Entry<String, SortedSet<String>> group : c.groups().entrySet()) {
-                    worst = Math.max(worst, state(c, group.getKey(), group.getValue(), channels));
+                for (Map.Entry<String, SortedSet<String>> group :
+                        config.groups().entrySet()) {
+                    worst = Math.max(worst, printGroupState(config, group.getKey(), group.getValue(), channels));
                 }
-                return worst == SHORT ? SHORT : worst > 0 ? BAD : 0;
+                return worst == EXIT_MEMBER_MISSING ? EXIT_MEMBER_MISSING : worst > 0 ? EXIT_FAILURE : 0;
             } finally {
                 channels.values().forEach(ManagedChannel::shutdownNow);
             }
         }
 
-        // Its first members by their own word, and guests by the members'. What is worse counts as more.
-        private int state(
-                ReplicationConfig c, String group, SortedSet<String> first, Map<String, ManagedChannel> channels) {
+        // Queries the initial members and, from their member lists, all later ones. A worse state has a higher value.
+        private int printGroupState(
+                ReplicationConfig config,
+                String group,
+                SortedSet<String> initialMembers,
+                Map<String, ManagedChannel> channels) {
             int voting = 0;
             int leaders = 0;
-            SortedSet<String> ask = new TreeSet<>(first);
-            Set<String> asked = new HashSet<>();
-            while (!ask.isEmpty()) {
-                String name = ask.first();
-                ask.remove(name);
-                asked.add(name);
-                Wire.StatusReply r = ask(
+            SortedSet<String> toQuery = new TreeSet<>(initialMembers);
+            Set<String> queried = new HashSet<>();
+            while (!toQuery.isEmpty()) {
+                String name = toQuery.first();
+                toQuery.remove(name);
+                queried.add(name);
+                Wire.StatusReply reply = queryStatus(
                         channels.computeIfAbsent(
                                 name,
                                 n -> NettyChannelBuilder.forAddress(
-                                                c.processes().get(n))
+                                                config.processes().get(n))
                                         .usePlaintext()
                                         .build()),
                         group,
                         request);
-                String who = group + " " + name + "  ";
-                if (r == null) {
-                    System.out.println(who + "no answer");
-                } else if (!r.hasId()) {
-                    System.out.println(who + "has no place");
+                String linePrefix = group + " " + name + "  ";
+                if (reply == null) {
+                    System.out.println(linePrefix + "no answer");
+                } else if (!reply.hasId()) {
+                    System.out.println(linePrefix + "has no place");
                 } else {
-                    voting += r.getVotes() ? 1 : 0;
-                    leaders += r.getLeads() ? 1 : 0;
-                    System.out.println(who + (r.getLeads() ? "leads" : r.getVotes() ? "votes" : "learns") + ", holds "
-                            + r.getRequests() + " requests, life "
-                            + Long.toHexString(r.getId().getLife()) + ", knows " + lives(r)
-                            + (r.hasKnown() ? ", " + request + " is " + known(r.getKnown()) : ""));
-                    r.getMembersList().stream()
+                    voting += reply.getVotes() ? 1 : 0;
+                    leaders += reply.getLeads() ? 1 : 0;
+                    System.out.println(linePrefix + (reply.getLeads() ? "leads" : reply.getVotes() ? "votes" : "learns")
+                            + ", holds "
+                            + reply.getRequests() + " requests, life "
+                            + Long.toHexString(reply.getId().getLife()) + ", knows " + memberIncarnations(reply)
+                            + (reply.hasKnown() ? ", " + request + " is " + describeRequest(reply.getKnown()) : ""));
+                    reply.getMembersList().stream()
                             .map(Wire.Id::getName)
-                            .filter(n -> !asked.contains(n) && c.processes().containsKey(n))
-                            .forEach(ask::add);
+                            .filter(n ->
+                                    !queried.contains(n) && config.processes().containsKey(n))
+                            .forEach(toQuery::add);
                 }
             }
-            if (leaders == 0 || 2 * voting <= first.size()) {
-                System.out.println(
-                        group + " promises nothing: " + voting + " of " + first.size() + " vote, " + leaders + " lead");
-                return BROKEN;
+            if (leaders == 0 || 2 * voting <= initialMembers.size()) {
+                System.out.println(group + " promises nothing: " + voting + " of " + initialMembers.size() + " vote, "
+                        + leaders + " lead");
+                return NO_QUORUM;
             }
-            System.out.println(group + " promises, with " + voting + " of " + first.size() + " that vote");
-            return voting < first.size() ? SHORT : 0;
+            System.out.println(group + " promises, with " + voting + " of " + initialMembers.size() + " that vote");
+            return voting < initialMembers.size() ? EXIT_MEMBER_MISSING : 0;
         }
 
-        private static String known(Wire.Reply known) {
-            return switch (known.getKind()) {
+        private static String describeRequest(Wire.Reply reply) {
+            return switch (reply.getKind()) {
                 case FREE -> "not known";
                 case OUT -> "out, and may have run";
                 default ->
                     "over: "
-                            + whinlead.replication.Command.Ending.values()[known.getNumber()]
+                            + whinlead.replication.Command.Ending.values()[reply.getNumber()]
                                     .name()
                                     .toLowerCase(Locale.ROOT);
             };
         }
 
-        private static Set<String> lives(Wire.StatusReply r) {
-            return r.getMembersList().stream()
-                    .map(i -> i.getName() + "#" + Long.toHexString(i.getLife()))
+        private static Set<String> memberIncarnations(Wire.StatusReply reply) {
+            return reply.getMembersList().stream()
+                    .map(id -> id.getName() + "#" + Long.toHexString(id.getLife()))
                     .collect(Collectors.toCollection(TreeSet::new));
         }
 
-        private static Wire.StatusReply ask(ManagedChannel channel, String group, String request) {
+        private static Wire.StatusReply queryStatus(ManagedChannel channel, String group, String request) {
             try {
                 return CopiesGrpc.newBlockingStub(channel)
-                        .withDeadlineAfter(MAX_ANSWER_MS, TimeUnit.MILLISECONDS)
+                        .withDeadlineAfter(REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS)
                         .status(Wire.StatusRequest.newBuilder()
                                 .setSeatIn(group)
                                 .setRequest(request)
@@ -178,15 +186,15 @@
         }
     }
 
-    /** Has another process take the seat of one that does not come back. */
+    /** Lets another process replace a member that does not return. */
     @Command(
             name = "replace",
             mixinStandardHelpOptions = true,
-            description = "Has another process take a member's seat now.")
+            description = "Let another process replace a member now.")
     static final class Replace implements Callable<Integer> {
-        private static final long MAX_ANSWER_MS = 2000;
-        private static final long LOOK_EVERY_MS = 250;
-        private static final long MAX_DONE_MS = 60_000;
+        private static final long REPLY_TIMEOUT_MS = 2000;
+        private static final long POLL_INTERVAL_MS = 250;
+        private static final long MAX_WAIT_MS = 60_000;
 
         @Parameters(index = "0", paramLabel = "FILE", description = "As deploy/copies.json.")
         private String file;
@@ -194,95 +202,100 @@
         @Parameters(index = "1", paramLabel = "GROUP")
         private String group;
 
-        @Parameters(index = "2", paramLabel = "MEMBER", description = "The one that does not come back.")
-        private String gone;
+        @Parameters(index = "2", paramLabel = "MEMBER", description = "The member to replace.")
+        private String replacedMember;
 
         @Override
         public Integer call() throws InterruptedException {
-            ReplicationConfig c = ReplicationConfig.read(file, new ObjectMapper());
-            if (!c.groups().containsKey(group)) {
+            ReplicationConfig config = ReplicationConfig.read(file, new ObjectMapper());
+            if (!config.groups().containsKey(group)) {
                 throw new IllegalArgumentException("copies has no group " + group);
             }
             Map<String, ManagedChannel> channels = new HashMap<>();
-            c.processes()
-                    .forEach((name, at) -> channels.put(
+            config.processes()
+                    .forEach((name, address) -> channels.put(
                             name,
-                            NettyChannelBuilder.forAddress(at).usePlaintext().build()));
+                            NettyChannelBuilder.forAddress(address)
+                                    .usePlaintext()
+                                    .build()));
             try {
-                String refused = "nobody leads";
+                String refusal = "no member leads the group";
                 for (ManagedChannel channel : channels.values()) {
-                    Wire.StatusReply r = Status.ask(channel, group, "");
-                    if (r != null && r.getLeads()) {
-                        Wire.ReplaceRequest ask = Wire.ReplaceRequest.newBuilder()
+                    Wire.StatusReply reply = Status.queryStatus(channel, group, "");
+                    if (reply != null && reply.getLeads()) {
+                        Wire.ReplaceRequest replaceRequest = Wire.ReplaceRequest.newBuilder()
                                 .setSeatIn(group)
-                                .setName(gone)
+                                .setName(replacedMember)
                                 .build();
-                        refused = CopiesGrpc.newBlockingStub(channel)
-                                .withDeadlineAfter(MAX_ANSWER_MS, TimeUnit.MILLISECONDS)
-                                .replace(ask)
+                        refusal = CopiesGrpc.newBlockingStub(channel)
+                                .withDeadlineAfter(REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+                                .replace(replaceRequest)
                                 .getRefused();
                     }
                 }
-                if (!refused.isEmpty()) {
-                    System.err.println("whinlead: " + refused);
-                    return BAD;
+                if (!refusal.isEmpty()) {
+                    System.err.println("whinlead: " + refusal);
+                    return EXIT_FAILURE;
                 }
-                return done(channels.values(), c.groups().get(group).size()) ? 0 : BAD;
+                return awaitReplacement(
+                                channels.values(), config.groups().get(group).size())
+                        ? 0
+                        : EXIT_FAILURE;
             } finally {
                 channels.values().forEach(ManagedChannel::shutdownNow);
             }
         }
 
-        // All seats are taken, and none by the one that is gone.
-        private boolean done(Collection<ManagedChannel> all, int size) throws InterruptedException {
-            for (long waited = 0; waited < MAX_DONE_MS; waited += LOOK_EVERY_MS) {
-                for (ManagedChannel channel : all) {
-                    Wire.StatusReply r = Status.ask(channel, group, "");
-                    List<String> names = r == null || !r.getLeads()
+        // Waits until the group has all its members and the replaced one is not among them.
+        private boolean awaitReplacement(Collection<ManagedChannel> channels, int groupSize)
+                throws InterruptedException {
+            for (long waitedMs = 0; waitedMs < MAX_WAIT_MS; waitedMs += POLL_INTERVAL_MS) {
+                for (ManagedChannel channel : channels) {
+                    Wire.StatusReply reply = Status.queryStatus(channel, group, "");
+                    List<String> names = reply == null || !reply.getLeads()
                             ? List.of()
-                            : r.getMembersList().stream().map(Wire.Id::getName).toList();
-                    if (names.size() == size && !names.contains(gone)) {
+                            : reply.getMembersList().stream()
+                                    .map(Wire.Id::getName)
+                                    .toList();
+                    if (names.size() == groupSize && !names.contains(replacedMember)) {
                         System.out.println(group + " has " + names);
                         return true;
                     }
                 }
-                TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
             }
-            System.err.println("whinlead: not done within " + MAX_DONE_MS / 1000 + " s; see copies status");
+            System.err.println(
+                    "whinlead: replacement not complete after " + MAX_WAIT_MS / 1000 + " s; see copies status");
             return false;
         }
     }
 
-    /** One request's steps at all processes, by their trace files. */
+    /** Prints the steps of one request at all processes, from their trace files. */
     @Command(
             name = "follow",
             mixinStandardHelpOptions = true,
-            description = "What all processes did with one request, by their trace files.")
+            description = "Show the steps of one request at all processes, from their trace files.")
     static final class Follow implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "REQUEST", description = "Its id.")
-        private String id;
+        @Parameters(index = "0", paramLabel = "REQUEST", description = "Id of the request.")
+        private String requestId;
 
-        @Parameters(
-                index = "1..*",
-                arity = "1..*",
-                paramLabel = "TRACE",
-                description = "Trace files, of any processes.")
-        private List<Path> files;
+        @Parameters(index = "1..*", arity = "1..*", paramLabel = "TRACE", description = "Trace files of any processes.")
+        private List<Path> traceFiles;
 
         @Override
         public Integer call() throws IOException {
             ObjectMapper mapper = new ObjectMapper();
             List<JsonNode> steps = new ArrayList<>();
-            for (Path path : files) {
+            for (Path path : traceFiles) {
                 try (Stream<String> lines = Files.lines(path)) {
-                    lines.filter(line -> line.contains(id)).forEach(line -> {
+                    lines.filter(line -> line.contains(requestId)).forEach(line -> {
                         try {
                             JsonNode step = mapper.readTree(line);
-                            if (step.path("request").asText().equals(id)) {
+                            if (step.path("request").asText().equals(requestId)) {
                                 steps.add(step);
                             }
                         } catch (JsonProcessingException e) {
-                            System.err.println(path + ": not understood: " + line);
+                            System.err.println(path + ": invalid trace line: " + line);
                         }
                     });
                 }
@@ -294,7 +307,7 @@
                     step.path("process").asText(),
                     step.path("step").asText(),
                     step.path("detail").asText())));
-            return steps.isEmpty() ? BAD : 0;
+            return steps.isEmpty() ? EXIT_FAILURE : 0;
         }
     }
 }
--- a/src/main/java/whinlead/run/ReplicationConfig.java
+++ b/src/main/java/whinlead/run/ReplicationConfig.java
@@ -22,94 +22,95 @@
 import whinlead.replication.ReplicatedState;
 
 /**
- * Whom this sidecar keeps copies with ({@code deploy/copies.json}, {@code docs/copies.md}), checked by its schema.
+ * The replication configuration of a sidecar ({@code deploy/copies.json}, {@code docs/copies.md}), validated against
+ * its schema.
  *
- * @param name of this process
- * @param processes all of them with their addresses, on every one the same
- * @param groups by their names, each with its first members; one of all where the file names no more
- * @param replaceAfterMs of silence, until a member is replaced by another process; 0 for never
- * @param disk a folder of this process's own, or null where nothing lasts
- * @param trace a file that each step is written to, or null for none
+ * @param processName name of this process
+ * @param processes addresses of all processes by name, the same in the file of each process
+ * @param groups initial members of each group by group name; one group of all processes if the file names no groups
+ * @param replaceAfterMs time without contact after which another process replaces a member; 0 for never
+ * @param diskFolder folder that only this process uses, or null if state is kept in memory only
+ * @param traceFile file to which each step is written, or null for none
  */
 record ReplicationConfig(
-        String name,
+        String processName,
         SortedMap<String, InetSocketAddress> processes,
         SortedMap<String, SortedSet<String>> groups,
         double replaceAfterMs,
-        Path disk,
-        Path trace,
+        Path diskFolder,
+        Path traceFile,
         ReplicatedState.Limits limits) {
     private static final String SCHEMA = "/whinlead/run/copies.schema.json";
-    /** Some 600 bytes each with what the consensus keeps of them: 12 MB of the heap ({@code docs/copies.md}). */
-    private static final int REQUESTS = 20_000;
+    /** Each takes about 600 bytes including its consensus state: 12 MB of heap in total ({@code docs/copies.md}). */
+    private static final int DEFAULT_REQUESTS = 20_000;
 
-    private static final int OPEN_PER_CALLER = 1000;
-    private static final int REMEMBER_MS = 60_000;
-    private static final int DRAINS = 10_000;
+    private static final int DEFAULT_OPEN_PER_CALLER = 1000;
+    private static final int DEFAULT_REMEMBER_MS = 60_000;
+    private static final int MAX_DRAINS = 10_000;
 
     /**
-     * Reads the file.
+     * Reads the configuration from a file.
      *
-     * @throws IllegalArgumentException with one line that says what is missing or malformed
+     * @throws IllegalArgumentException with a one-line message that says what is missing or malformed
      */
     static ReplicationConfig read(String path, ObjectMapper mapper) {
-        return parse(OperatorFile.text(path), mapper);
+        return parse(OperatorFile.readText(path), mapper);
     }
 
     /**
-     * Reads its text.
+     * Parses the text of the file.
      *
-     * @throws IllegalArgumentException with one line that says what is missing or malformed
+     * @throws IllegalArgumentException with a one-line message that says what is missing or malformed
      */
     static ReplicationConfig parse(String text, ObjectMapper mapper) {
-        JsonNode json = OperatorFile.json(text, mapper, "copies");
-        fault(json).ifPresent(f -> {
-            throw new IllegalArgumentException("copies" + f);
+        JsonNode json = OperatorFile.parseJson(text, mapper, "copies");
+        schemaError(json).ifPresent(error -> {
+            throw new IllegalArgumentException("copies" + error);
         });
-        boolean many = json.has("groups");
-        String all = many ? "processes" : "members";
+        boolean multipleGroups = json.has("groups");
+        String processesField = multipleGroups ? "processes" : "members";
         SortedMap<String, InetSocketAddress> processes = new TreeMap<>();
-        json.get(all)
+        json.get(processesField)
                 .fields()
                 .forEachRemaining(e -> processes.put(
                         e.getKey(), EndpointList.address(e.getValue().asText())));
-        String name = json.get("name").asText();
-        if (!processes.containsKey(name)) {
-            throw new IllegalArgumentException("copies." + all + " lacks " + name);
+        String processName = json.get("name").asText();
+        if (!processes.containsKey(processName)) {
+            throw new IllegalArgumentException("copies." + processesField + " lacks " + processName);
         }
         if (processes.values().stream().distinct().count() < processes.size()) {
-            throw new IllegalArgumentException("copies." + all + " has an address twice");
+            throw new IllegalArgumentException("copies." + processesField + " lists an address twice");
         }
         SortedMap<String, SortedSet<String>> groups = new TreeMap<>();
-        if (many) {
-            json.get("groups").fields().forEachRemaining(e -> groups.put(e.getKey(), members(e, processes)));
+        if (multipleGroups) {
+            json.get("groups").fields().forEachRemaining(e -> groups.put(e.getKey(), groupMembers(e, processes)));
         } else {
             groups.put(json.get("group").asText(), new TreeSet<>(processes.keySet()));
         }
         JsonNode bounds = json.path("bounds");
         return new ReplicationConfig(
-                name,
+                processName,
                 processes,
                 groups,
                 json.path("replace_after_ms").asDouble(0),
-                path(json, "disk"),
-                path(json, "trace"),
+                optionalPath(json, "disk"),
+                optionalPath(json, "trace"),
                 new ReplicatedState.Limits(
-                        bounds.path("requests").asInt(REQUESTS),
-                        bounds.path("open_per_caller").asInt(OPEN_PER_CALLER),
-                        DRAINS,
-                        bounds.path("remember_ms").asInt(REMEMBER_MS)));
+                        bounds.path("requests").asInt(DEFAULT_REQUESTS),
+                        bounds.path("open_per_caller").asInt(DEFAULT_OPEN_PER_CALLER),
+                        MAX_DRAINS,
+                        bounds.path("remember_ms").asInt(DEFAULT_REMEMBER_MS)));
     }
 
-    private static Path path(JsonNode json, String field) {
+    private static Path optionalPath(JsonNode json, String field) {
         try {
             return json.has(field) ? Path.of(json.get(field).asText()) : null;
         } catch (InvalidPathException e) {
-            throw new IllegalArgumentException("copies." + field + " is no path", e);
+            throw new IllegalArgumentException("copies." + field + " is not a valid path", e);
         }
     }
 
-    private static SortedSet<String> members(Map.Entry<String, JsonNode> group, Map<String, ?> processes) {
+    private static SortedSet<String> groupMembers(Map.Entry<String, JsonNode> group, Map<String, ?> processes) {
         SortedSet<String> members = new TreeSet<>();
         for (JsonNode member : group.getValue()) {
             if (!processes.containsKey(member.asText())) {
@@ -121,26 +122,26 @@
         return members;
     }
 
-    /** Those that this process is always to be in touch with: all that it shares a group with. */
-    Set<String> close() {
-        Set<String> close = new TreeSet<>();
-        groups.values().stream().filter(names -> names.contains(name)).forEach(close::addAll);
-        return close;
+    /** The processes to which this process always stays connected: all with which it shares a group. */
+    Set<String> peersInSharedGroups() {
+        Set<String> peers = new TreeSet<>();
+        groups.values().stream().filter(names -> names.contains(processName)).forEach(peers::addAll);
+        return peers;
     }
 
-    /** True where the file tells of many groups: each has a folder of its own then. */
-    boolean many() {
+    /** Whether the file names more than one group: then each group has its own folder. */
+    boolean hasMultipleGroups() {
         return groups.size() > 1;
     }
 
-    private static Optional<String> fault(JsonNode json) {
+    private static Optional<String> schemaError(JsonNode json) {
         try (InputStream in = ReplicationConfig.class.getResourceAsStream(SCHEMA)) {
             return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in).validate(json).stream()
                     .map(ValidationMessage::getMessage)
                     .min(Comparator.naturalOrder())
                     .map(m -> m.replaceFirst("^\\$", ""));
         } catch (IOException e) {
-            throw new IllegalStateException(SCHEMA + " can't be read", e);
+            throw new IllegalStateException(SCHEMA + " cannot be read", e);
         }
     }
 }
--- a/src/main/java/whinlead/run/ReplicationSetup.java
+++ b/src/main/java/whinlead/run/ReplicationSetup.java
@@ -22,67 +22,73 @@
 import whinlead.replication.raft.LogMirror;
 
 /**
- * This sidecar's place among those that keep copies with each other: link, seat, disk and desk. Nothing of it is loaded
- * unless an operator's file asks for it.
+ * Assembles the replication components of a sidecar: connections to other processes, group membership, disk logs and
+ * the client. Its classes are loaded only if an operator's file configures it.
  */
 final class ReplicationSetup {
-    /** How long a group asks for votes: longer than a loop on half a core is held up, most of the time. */
-    private static final long ELECTION_MS = 400;
-    /** The library counts in seconds; a link that goes down has votes asked for much sooner. */
+    /** Longer than most stalls of an event loop on half a core. */
+    private static final long ELECTION_TIMEOUT_MS = 400;
+    /** The library's unit is seconds; a lost connection triggers an election much sooner. */
     private static final long HEARTBEAT_S = 1;
 
-    private static final long SILENT_LEADER_S = 2;
-    /** Entries, each the commands of a turn, after which the book is copied and they are dropped. */
-    private static final int SNAPSHOT_EVERY = 5000;
+    private static final long HEARTBEAT_TIMEOUT_S = 2;
+    /**
+     * Log entries after which a snapshot is taken and they are dropped. An entry holds the commands of one turn of the
+     * event loop.
+     */
+    private static final int SNAPSHOT_EVERY_COMMITS = 5000;
 
-    private static final int BATCH = 200;
+    private static final int APPEND_BATCH_SIZE = 200;
     private static final int REPORT_EVERY_S = 60;
-    /** Two ways and a turn of each loop, most of the time: a question that is lost is asked again. */
-    private static final double ASK_AGAIN_MS = 80;
-    /** Of a request's time, for the answer's way to its client. */
-    private static final double MARGIN_MS = 25;
-    /** In which a group agrees that nothing ran and nothing will: two questions. */
-    private static final double REFUSE_MS = 200;
-    /** In which a report on another member's request is answered. */
-    private static final double REPORT_MS = 1000;
-    /** In which a group that has lost its leader has another, as a rule. */
+    /** Usually enough for a round trip and one turn of each event loop; a lost command is resent after it. */
+    private static final double RESEND_MS = 80;
+    /** Reserved from a request's time for sending the answer to its client. */
+    private static final double REPLY_MARGIN_MS = 25;
+    /** Time in which a group agrees that a request has not run and will not run: two commands. */
+    private static final double REFUSE_TIMEOUT_MS = 200;
+    /** Time in which a report on another member's request is answered. */
+    private static final double REPORT_TIMEOUT_MS = 1000;
+    /** Time in which a group that has lost its leader usually has a new one. */
     private static final double RETRY_AFTER_MS = 2000;
 
-    private static final long DRAIN_MS = 10_000;
-    private static final int ENDED = 1;
+    private static final long DRAIN_TIMEOUT_MS = 10_000;
+    private static final int EXIT_REPLACED = 1;
 
     private final ReplicationConfig config;
     private final EventLoop loop;
     private final Consumer<String> log;
-    private final GroupLink link;
-    private final GroupHost host;
-    private final ReplicationClient desk;
+    private final GroupLink groupLink;
+    private final GroupHost groupHost;
+    private final ReplicationClient client;
     private final Map<String, DiskLog> disks = new HashMap<>();
 
     /**
-     * Made but idle.
+     * Creates the components, which are idle until {@link #start}.
      *
-     * @throws IOException with one line, if its disk can't be used
+     * @throws IOException with a one-line message, if the disk can't be used
      */
     ReplicationSetup(ReplicationConfig config, EventLoop loop, Timers timers, Consumer<String> log) throws IOException {
         this.config = config;
         this.loop = loop;
         this.log = log;
         SecureRandom random = new SecureRandom();
-        link = new GroupLink(loop, timers, config.name(), config.processes(), config.close(), log);
+        groupLink = new GroupLink(
+                loop, timers, config.processName(), config.processes(), config.peersInSharedGroups(), log);
         RaftConfig consensus = RaftConfig.newBuilder()
-                .setLeaderElectionTimeoutMillis(ELECTION_MS)
+                .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MS)
                 .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
-                .setLeaderHeartbeatTimeoutSecs(SILENT_LEADER_S)
-                .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
-                .setAppendEntriesRequestBatchSize(BATCH)
+                .setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_S)
+                .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY_COMMITS)
+                .setAppendEntriesRequestBatchSize(APPEND_BATCH_SIZE)
                 .setRaftNodeReportPublishPeriodSecs(REPORT_EVERY_S)
                 .build();
-        Trace trace = config.trace() == null ? (id, step, detail) -> {} : new TraceFile(config.trace(), config.name());
+        Trace trace = config.traceFile() == null
+                ? (id, step, detail) -> {}
+                : new TraceFile(config.traceFile(), config.processName());
         try {
-            host = new GroupHost(
+            groupHost = new GroupHost(
                     new GroupHost.Setup(
-                            config.name(),
+                            config.processName(),
                             new TreeSet<>(config.processes().keySet()),
                             config.groups(),
                             config.replaceAfterMs(),
@@ -90,52 +96,58 @@
                             config.limits()),
                     timers,
                     random,
-                    new Outside(),
+                    new HostEnvironment(),
                     trace);
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
-        // A process that comes back numbers its attempts anew, so it is another owner.
-        desk = new ReplicationClient(
-                config.name() + "/" + Long.toHexString(random.nextLong()),
+        // A restarted process starts its attempt numbers again, so it gets a new owner id.
+        client = new ReplicationClient(
+                config.processName() + "/" + Long.toHexString(random.nextLong()),
                 timers,
-                new ReplicationClient.Waits(ASK_AGAIN_MS, MARGIN_MS, REFUSE_MS, REPORT_MS, RETRY_AFTER_MS, DRAIN_MS),
-                host,
+                new ReplicationClient.Waits(
+                        RESEND_MS,
+                        REPLY_MARGIN_MS,
+                        REFUSE_TIMEOUT_MS,
+                        REPORT_TIMEOUT_MS,
+                        RETRY_AFTER_MS,
+                        DRAIN_TIMEOUT_MS),
+                groupHost,
                 (id, ending) -> {},
                 trace);
     }
 
-    /** The way out of the groups: links, disks, and the operator's log. */
-    private final class Outside implements GroupHost.Outside {
+    /** Gives the groups access to connections, disks and the operator's log. */
+    private final class HostEnvironment implements GroupHost.Outside {
         @Override
-        public void send(String group, String to, GroupMessage message) {
-            link.send(group, to, message);
+        public void send(String group, String targetMember, GroupMessage message) {
+            groupLink.send(group, targetMember, message);
         }
 
-        private Path folder(String group) {
-            return config.many() ? config.disk().resolve(group) : config.disk();
+        private Path groupFolder(String group) {
+            return config.hasMultipleGroups() ? config.diskFolder().resolve(group) : config.diskFolder();
         }
 
         @Override
         public LogMirror found(String group) {
-            if (config.disk() == null) {
+            if (config.diskFolder() == null) {
                 return new LogMirror();
             }
-            boolean guest = !config.groups().get(group).contains(config.name());
-            return guest && !Files.exists(folder(group))
+            boolean guest = !config.groups().get(group).contains(config.processName());
+            return guest && !Files.exists(groupFolder(group))
                     ? new LogMirror()
-                    : open(group).found();
+                    : openDisk(group).found();
         }
 
-        private DiskLog open(String group) {
+        private DiskLog openDisk(String group) {
             DiskLog disk = disks.get(group);
             if (disk == null) {
                 try {
-                    disk = DiskLog.open(folder(group), group, config.name(), log);
+                    disk = DiskLog.open(groupFolder(group), group, config.processName(), log);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
-                disk.onFailure(why -> loop.execute(() -> host.diskFailed(group, why)));
+                disk.onFailure(reason -> loop.execute(() -> groupHost.diskFailed(group, reason)));
                 disks.put(group, disk);
             }
             return disk;
@@ -143,14 +155,14 @@
 
         @Override
         public LogMirror wiped(String group) {
-            if (config.disk() == null) {
+            if (config.diskFolder() == null) {
                 return new LogMirror();
             }
             try {
-                return open(group).wiped();
+                return openDisk(group).wiped();
             } catch (UncheckedIOException e) {
-                // Without a disk it is a member all the same: one that is lost with its process.
-                log.accept("copies: no disk for a seat in " + group + ": "
+                // Without a disk the process is still a member, but its state is lost when the process ends.
+                log.accept("copies: no disk log for membership in " + group + ": "
                         + e.getCause().getMessage());
                 return new LogMirror();
             }
@@ -176,24 +188,24 @@
 
         @Override
         public void taken() {
-            log.accept("copies: another process is member " + config.name() + "; this one ends");
-            // Not on the loop, which the end waits for.
-            new Thread(() -> System.exit(ENDED), "taken").start();
+            log.accept("copies: another process has become member " + config.processName() + "; this one ends");
+            // Not on the event loop: the shutdown hook waits for it.
+            new Thread(() -> System.exit(EXIT_REPLACED), "taken").start();
         }
     }
 
     Keeper keeper() {
-        return desk;
+        return client;
     }
 
-    /** Listens. Not to be called on the loop. */
+    /** Listens for other processes. Must not be called on the event loop. */
     void listen() throws IOException {
-        link.listen();
+        groupLink.listen();
     }
 
-    /** Takes part from now on. On the loop. */
+    /** Starts to participate in the groups. Has to be called on the event loop. */
     void start() {
-        link.open(host);
-        host.start();
+        groupLink.open(groupHost);
+        groupHost.start();
     }
 }
--- a/src/main/java/whinlead/run/Tools.java
+++ b/src/main/java/whinlead/run/Tools.java
@@ -14,14 +14,14 @@
 import whinlead.testbed.ReplayCommand;
 
 /**
- * Everything but {@code serve}, {@code check} and {@code benchlink}, which start without it, in one tree. Exit codes:
- * 0; 1 for what is bad, a promise that is broken or a goal that is not met, in one line; 2 for bad usage. Some add
- * their own.
+ * The command tree for all commands except {@code serve}, {@code check} and {@code benchlink}, which start without
+ * loading it. Exit codes: 0 success; 1 invalid input, a violated guarantee or a missed goal, with a one-line message; 2
+ * bad usage. Some commands add their own.
  */
 @Command(
         name = "whinlead",
         mixinStandardHelpOptions = true,
-        description = "Beside serve, check and benchlink, which take no options:",
+        description = "Commands besides serve, check and benchlink, which take no options:",
         subcommands = {
             Tools.DemoCommand.class,
             Rehearse.class,
@@ -36,24 +36,24 @@
 
     private Tools() {}
 
-    /** Runs one of them; the exit code. */
+    /** Runs a command and returns its exit code. */
     static int execute(String... args) {
         return PlanCommand.run(new Tools(), args);
     }
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "which one?");
+        throw new ParameterException(spec.commandLine(), "missing command");
     }
 
-    /** A real sidecar among stand-ins. */
-    @Command(name = "demo", description = "A real sidecar among stand-in endpoints and clients for some seconds.")
+    /** Runs a real sidecar with simulated endpoints and clients. */
+    @Command(name = "demo", description = "Run a real sidecar with simulated endpoints and clients for some seconds.")
     static final class DemoCommand implements Callable<Integer> {
         @Option(
                 names = {"-h", "--help"},
                 usageHelp = true,
-                description = "Tells this.")
-        private boolean help;
+                description = "Show this help.")
+        private boolean helpRequested;
 
         @Override
         public Integer call() throws IOException {
--- a/src/main/java/whinlead/run/TraceFile.java
+++ b/src/main/java/whinlead/run/TraceFile.java
@@ -13,28 +13,28 @@
 import whinlead.replication.Trace;
 
 /**
- * Each step with a request as a line of JSON in a file that is bounded: the JDK's {@link FileHandler} begins the next
- * one and drops the oldest. A line has the time by the wall clock, the process, the request and the step, so that
- * {@code copies follow} can put those of several processes together. Written on the engine's thread, by the operator's
- * wish.
+ * Writes each step of a request as a line of JSON to a file of bounded size: the JDK's {@link FileHandler} rotates
+ * files and deletes the oldest. A line has the wall-clock time, the process, the request and the step, so that
+ * {@code copies follow} can merge the files of several processes. Lines are written on the engine's thread, and only if
+ * the operator configures tracing.
  */
 final class TraceFile implements Trace {
-    private static final int BYTES_EACH = 10 << 20;
-    private static final int FILES = 3;
+    private static final int FILE_BYTES = 10 << 20;
+    private static final int FILE_COUNT = 3;
 
-    private final FileHandler file;
-    private final String process;
+    private final FileHandler fileHandler;
+    private final String processName;
     private final ObjectMapper mapper = new ObjectMapper();
 
     /**
-     * Opens it, to be added to.
+     * Opens the file for appending.
      *
-     * @throws IOException with one line, if it can't be written
+     * @throws IOException with a one-line message, if the file can't be written
      */
     TraceFile(Path path, String process) throws IOException {
-        this.process = process;
-        file = new FileHandler(path.toString().replace("%", "%%") + ".%g", BYTES_EACH, FILES, true);
-        file.setFormatter(new Formatter() {
+        this.processName = process;
+        fileHandler = new FileHandler(path.toString().replace("%", "%%") + ".%g", FILE_BYTES, FILE_COUNT, true);
+        fileHandler.setFormatter(new Formatter() {
             @Override
             public String format(LogRecord record) {
                 return record.getMessage() + "\n";
@@ -47,15 +47,15 @@
         LogRecord record = new LogRecord(Level.INFO, "");
         ObjectNode line = mapper.createObjectNode()
                 .put("at", record.getInstant().toString())
-                .put("process", process)
+                .put("process", processName)
                 .put("request", id)
                 .put("step", step.name().toLowerCase(Locale.ROOT))
                 .put("detail", detail);
         try {
             record.setMessage(mapper.writeValueAsString(line));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("strings can be written", e);
+            throw new IllegalStateException("cannot write a trace line as JSON", e);
         }
-        file.publish(record);
+        fileHandler.publish(record);
     }
 }
--- a/src/main/java/whinlead/run/Warmup.java
+++ b/src/main/java/whinlead/run/Warmup.java
@@ -34,32 +34,35 @@
 import whinlead.transport.EndpointPool;
 
 /**
- * Guards against a cold start: on a shared core the first seconds of a JVM that still loads and compiles made requests
- * late. Requests go through all the parts, with a module of their own, over loopback sockets, before the sidecar says
- * that it is ready. Over memory instead, the code of sockets was still cold then, and the loop stood still for up to
- * half a second. It takes two free ports for as long; without them it is left out.
+ * Warms up the JVM before the sidecar reports that it is ready. On a shared core, class loading and compilation made
+ * requests late in the first seconds. The warm-up sends requests over loopback sockets through all components, with a
+ * separate decision module. With in-memory channels instead of sockets, the socket code was still cold at the start and
+ * stalled the event loop for up to half a second. The warm-up uses two free ports; if there are none, it is skipped.
  */
 final class Warmup {
-    /** Enough for the compiler, which takes up a method after 200 calls; a request calls most several times. */
+    /** Enough for the JIT, which compiles a method after 200 calls; a request calls most methods several times. */
     private static final int REQUESTS = 600;
-    /** A restarted sidecar is missed: on a very short core it had better serve cold than late. */
-    private static final long MAX_MS = 1500;
-    /** Ends with a byte that no head ends with. */
+    /** Clients wait for a restarted sidecar: with very little CPU, serving cold is better than starting late. */
+    private static final long TIME_LIMIT_MS = 1500;
+    /** Ends with a byte that no HTTP header block ends with. */
     private static final byte[] BODY = "-".repeat(255).concat("~").getBytes(StandardCharsets.US_ASCII);
-    /** In "HTTP/1.1 200". */
-    private static final int STATUS_AT = 9;
+    /** Offset of the status code in "HTTP/1.1 200". */
+    private static final int STATUS_OFFSET = 9;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final CountDownLatch done = new CountDownLatch(1);
     private final Contract.Settings settings;
-    private int left = REQUESTS;
+    private int requestsLeft = REQUESTS;
     private volatile int served;
 
     private Warmup(Contract.Settings settings) {
         this.settings = settings;
     }
 
-    /** Runs requests of these settings' classes until they are through or their time is up; how many were served. */
+    /**
+     * Runs requests of the classes in these settings until all are done or the time limit is reached; returns how many
+     * were served.
+     */
     static int run(Contract.Settings settings) {
         return new Warmup(settings).run();
     }
@@ -71,8 +74,8 @@
                 loop,
                 NioSocketChannel.class,
                 clock,
-                (int) MAX_MS,
-                MAX_MS,
+                (int) TIME_LIMIT_MS,
+                TIME_LIMIT_MS,
                 Budget.fixed(Budget.Purpose.ENDPOINTS, sockets));
         Engine engine = new Engine(
                 new LoopTimers(loop, clock),
@@ -81,26 +84,26 @@
                 pool::update,
                 line -> {});
         ClientServer server = new ClientServer(loop, clock, engine, pool::transport, settings, sockets);
-        SocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        SocketAddress loopbackAnyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         ChannelFuture endpoint = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(pipeline(true))
-                .bind(any)
+                .bind(loopbackAnyPort)
                 .awaitUninterruptibly();
-        ChannelFuture front = server.listen(any).awaitUninterruptibly();
+        ChannelFuture front = server.listen(loopbackAnyPort).awaitUninterruptibly();
         if (endpoint.isSuccess() && front.isSuccess()) {
-            ask(
+            runRequests(
                     engine,
                     server,
                     endpoint.channel().localAddress(),
                     front.channel().localAddress());
         }
-        loop.parent().shutdownGracefully(0, MAX_MS, TimeUnit.MILLISECONDS);
+        loop.parent().shutdownGracefully(0, TIME_LIMIT_MS, TimeUnit.MILLISECONDS);
         return served;
     }
 
-    private void ask(Engine engine, ClientServer server, SocketAddress endpoint, SocketAddress front) {
+    private void runRequests(Engine engine, ClientServer server, SocketAddress endpoint, SocketAddress front) {
         EndpointList list = new EndpointList(
                 0,
                 true,
@@ -116,61 +119,61 @@
                 .handler(pipeline(false))
                 .connect(front);
         try {
-            if (!done.await(MAX_MS, TimeUnit.MILLISECONDS)) {
-                loop.execute(() -> left = 0);
+            if (!done.await(TIME_LIMIT_MS, TimeUnit.MILLISECONDS)) {
+                loop.execute(() -> requestsLeft = 0);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private ChannelInitializer<Channel> pipeline(boolean serves) {
+    private ChannelInitializer<Channel> pipeline(boolean endpointSide) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(serves ? new Endpoint() : new Application());
+                channel.pipeline().addLast(endpointSide ? new Endpoint() : new Application());
             }
         };
     }
 
     /**
-     * Sees where messages end and no more: codecs here would be interpreted, and compiled, on a core that is short, for
-     * what a sidecar never does. One message is under way at a time.
+     * Detects only where messages end. A codec would cost scarce CPU time for interpreting and compiling code that a
+     * sidecar never uses. Only one message is in flight at a time.
      */
-    private abstract static class Plain extends SimpleChannelInboundHandler<ByteBuf> {
-        private boolean begun;
-        private boolean bodied;
+    private abstract static class MessageHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private boolean messageBegun;
+        private boolean messageHasBody;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
-            if (!begun) {
-                begun = true;
-                bodied = hasBody(in);
+            if (!messageBegun) {
+                messageBegun = true;
+                messageHasBody = hasBody(in);
             }
-            if (in.getByte(in.writerIndex() - 1) == (bodied ? BODY[BODY.length - 1] : '\n')) {
-                begun = false;
-                came(ctx, bodied);
+            if (in.getByte(in.writerIndex() - 1) == (messageHasBody ? BODY[BODY.length - 1] : '\n')) {
+                messageBegun = false;
+                messageReceived(ctx, messageHasBody);
             }
         }
 
-        abstract boolean hasBody(ByteBuf begin);
+        abstract boolean hasBody(ByteBuf head);
 
-        abstract void came(ChannelHandlerContext ctx, boolean bodied);
+        abstract void messageReceived(ChannelHandlerContext ctx, boolean hasBody);
 
-        static void say(ChannelHandlerContext ctx, String head, byte[] body) {
+        static void sendMessage(ChannelHandlerContext ctx, String head, byte[] body) {
             ctx.writeAndFlush(Unpooled.wrappedBuffer(head.getBytes(StandardCharsets.US_ASCII), body));
         }
     }
 
-    private static final class Endpoint extends Plain {
+    private static final class Endpoint extends MessageHandler {
         @Override
-        boolean hasBody(ByteBuf begin) {
-            return begin.getByte(begin.readerIndex()) == 'P';
+        boolean hasBody(ByteBuf head) {
+            return head.getByte(head.readerIndex()) == 'P';
         }
 
         @Override
-        void came(ChannelHandlerContext ctx, boolean bodied) {
-            say(
+        void messageReceived(ChannelHandlerContext ctx, boolean hasBody) {
+            sendMessage(
                     ctx,
                     "HTTP/1.1 200 OK\r\nContent-Length: " + BODY.length + "\r\n" + LoadReport.HEADER
                             + ": util=0.5,qps=10.5,eps=0\r\n\r\n",
@@ -178,38 +181,39 @@
         }
     }
 
-    private final class Application extends Plain {
+    private final class Application extends MessageHandler {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx);
+            sendNext(ctx);
         }
 
-        /** Only an answer of 200 has one. */
+        /** Only a response with status 200 has a body. */
         @Override
-        boolean hasBody(ByteBuf begin) {
-            return begin.readableBytes() > STATUS_AT && begin.getByte(begin.readerIndex() + STATUS_AT) == '2';
+        boolean hasBody(ByteBuf head) {
+            return head.readableBytes() > STATUS_OFFSET && head.getByte(head.readerIndex() + STATUS_OFFSET) == '2';
         }
 
         @Override
-        void came(ChannelHandlerContext ctx, boolean bodied) {
-            if (bodied) {
-                served = REQUESTS - left;
+        void messageReceived(ChannelHandlerContext ctx, boolean hasBody) {
+            if (hasBody) {
+                served = REQUESTS - requestsLeft;
             }
-            ask(ctx);
+            sendNext(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            if (left-- <= 0) {
+        private void sendNext(ChannelHandlerContext ctx) {
+            if (requestsLeft-- <= 0) {
                 done.countDown();
                 return;
             }
-            Contract.RequestClass k =
-                    settings.classes().get(left % settings.classes().size());
-            byte[] body = k.effect() == Contract.Effect.SAFE ? new byte[0] : BODY;
-            say(
+            Contract.RequestClass requestClass =
+                    settings.classes().get(requestsLeft % settings.classes().size());
+            byte[] body = requestClass.effect() == Contract.Effect.SAFE ? new byte[0] : BODY;
+            sendMessage(
                     ctx,
                     (body.length == 0 ? "GET" : "POST") + " /api?obj=warm HTTP/1.1\r\nRequest-Id: warm"
-                            + left + "\r\nRequest-Class: " + k.name() + "\r\nIdempotency-Key: warm\r\n"
+                            + requestsLeft + "\r\nRequest-Class: " + requestClass.name()
+                            + "\r\nIdempotency-Key: warm\r\n"
                             + HttpAsk.TIMEOUT + ": 5.000\r\nContent-Length: " + body.length + "\r\n\r\n",
                     body);
         }
--- a/src/main/java/whinlead/run/package-info.java
+++ b/src/main/java/whinlead/run/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The program's command line and the wiring of the standalone sidecar: configuration, start, SIGHUP, SIGTERM.
+ * The command line of the program and the assembly of the standalone sidecar: configuration, start, SIGHUP, SIGTERM.
  *
- * <p>Begin with {@link whinlead.run.Main}. May use everything.
+ * <p>Start with {@link whinlead.run.Main}. This package may depend on all others.
  */
 package whinlead.run;
--- a/src/test/java/whinlead/capture/CaptureTest.java
+++ b/src/test/java/whinlead/capture/CaptureTest.java
@@ -17,29 +17,29 @@
 import org.junit.jupiter.api.Test;
 import whinlead.engine.RequestListener;
 
-/** Captures, whole and spoilt. */
+/** Writing and reading captures, including truncated and corrupted ones. */
 class CaptureTest {
     private static final List<String> CLASSES = List.of("status", "submit");
 
-    private static List<Entry> entries(int count, long seed) {
-        Random dice = new Random(seed);
+    private static List<Entry> randomEntries(int count, long seed) {
+        Random random = new Random(seed);
         List<Entry> list = new ArrayList<>();
-        long at = 0;
+        long arrivalMicros = 0;
         for (int i = 0; i < count; i++) {
-            at += dice.nextInt(20_000);
+            arrivalMicros += random.nextInt(20_000);
             list.add(new Entry(
-                    at,
-                    dice.nextInt(2),
-                    dice.nextInt(5) - 1,
-                    dice.nextInt(5000),
-                    dice.nextInt(70_000),
-                    dice.nextBoolean(),
-                    RequestListener.End.values()[dice.nextInt(4)]));
+                    arrivalMicros,
+                    random.nextInt(2),
+                    random.nextInt(5) - 1,
+                    random.nextInt(5000),
+                    random.nextInt(70_000),
+                    random.nextBoolean(),
+                    RequestListener.End.values()[random.nextInt(4)]));
         }
         return list;
     }
 
-    private static byte[] written(List<Entry> list) throws IOException {
+    private static byte[] encode(List<Entry> list) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (CaptureOutput out = new CaptureOutput(bytes, CLASSES)) {
             for (Entry e : list) {
@@ -49,11 +49,11 @@
         return bytes.toByteArray();
     }
 
-    private static CaptureInput read(byte[] bytes) throws IOException {
+    private static CaptureInput open(byte[] bytes) throws IOException {
         return new CaptureInput(new ByteArrayInputStream(bytes));
     }
 
-    private static List<Entry> all(CaptureInput in) throws IOException {
+    private static List<Entry> readAll(CaptureInput in) throws IOException {
         List<Entry> list = new ArrayList<>();
         for (Entry e = in.next(); e != null; e = in.next()) {
             list.add(e);
@@ -62,41 +62,41 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws IOException {
-        List<Entry> list = entries(1000, 1);
-        CaptureInput in = read(written(list));
-        assertEquals(CLASSES, in.classes());
-        assertEquals(list, all(in));
-        assertFalse(in.torn());
+    void readsBackWrittenEntries() throws IOException {
+        List<Entry> list = randomEntries(1000, 1);
+        CaptureInput in = open(encode(list));
+        assertEquals(CLASSES, in.classNames());
+        assertEquals(list, readAll(in));
+        assertFalse(in.truncated());
     }
 
     @Test
-    void cutAnywhereItGivesTheEntriesBeforeAndNothingElse() throws IOException {
-        List<Entry> list = entries(20, 2);
-        byte[] whole = written(list);
-        int head = whole.length - list.size() * CaptureOutput.ENTRY;
+    void truncatedCaptureYieldsOnlyCompleteEntries() throws IOException {
+        List<Entry> list = randomEntries(20, 2);
+        byte[] whole = encode(list);
+        int headBytes = whole.length - list.size() * CaptureOutput.ENTRY_BYTES;
         for (int length = 0; length < whole.length; length++) {
-            byte[] cut = Arrays.copyOf(whole, length);
-            if (length < head) {
-                assertThrows(IllegalArgumentException.class, () -> read(cut));
+            byte[] truncated = Arrays.copyOf(whole, length);
+            if (length < headBytes) {
+                assertThrows(IllegalArgumentException.class, () -> open(truncated));
                 continue;
             }
-            CaptureInput in = read(cut);
-            int left = (length - head) / CaptureOutput.ENTRY;
-            assertEquals(list.subList(0, left), all(in));
-            assertEquals((length - head) % CaptureOutput.ENTRY != 0, in.torn());
+            CaptureInput in = open(truncated);
+            int completeEntries = (length - headBytes) / CaptureOutput.ENTRY_BYTES;
+            assertEquals(list.subList(0, completeEntries), readAll(in));
+            assertEquals((length - headBytes) % CaptureOutput.ENTRY_BYTES != 0, in.truncated());
         }
     }
 
     @Test
-    void aSpoiltBitIsReadAsAnotherEntryOrRefusedInOneLineAndNeverMore() throws IOException {
-        byte[] whole = written(entries(20, 3));
-        Random dice = new Random(4);
+    void flippedBitGivesDifferentEntryOrOneLineError() throws IOException {
+        byte[] whole = encode(randomEntries(20, 3));
+        Random random = new Random(4);
         for (int i = 0; i < 2000; i++) {
-            byte[] spoilt = whole.clone();
-            spoilt[dice.nextInt(spoilt.length)] ^= (byte) (1 << dice.nextInt(8));
+            byte[] corrupted = whole.clone();
+            corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 << random.nextInt(8));
             try {
-                assertTrue(all(read(spoilt)).size() <= 20);
+                assertTrue(readAll(open(corrupted)).size() <= 20);
             } catch (IllegalArgumentException e) {
                 assertEquals(1, e.getMessage().lines().count());
             }
@@ -104,58 +104,59 @@
     }
 
     @Test
-    void anotherVersionOrAnotherFileIsRefused() throws IOException {
-        byte[] whole = written(entries(1, 5));
+    void rejectsOtherVersionsAndOtherFiles() throws IOException {
+        byte[] whole = encode(randomEntries(1, 5));
         whole[7] = 2;
         assertEquals(
-                "a capture of version 2, not 1",
-                assertThrows(IllegalArgumentException.class, () -> read(whole)).getMessage());
+                "capture version 2 is not supported, expected 1",
+                assertThrows(IllegalArgumentException.class, () -> open(whole)).getMessage());
         assertEquals(
-                "not a capture",
-                assertThrows(IllegalArgumentException.class, () -> read("{\"a\": 1}".getBytes()))
+                "not a capture file",
+                assertThrows(IllegalArgumentException.class, () -> open("{\"a\": 1}".getBytes()))
                         .getMessage());
     }
 
     @Test
-    void lossesAndAClockThatGoesBackAreTold() throws IOException {
+    void reportsLostEntriesAndBackwardClockJumps() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (CaptureOutput out = new CaptureOutput(bytes, CLASSES)) {
             out.write(new Entry(5_000_000, 0, -1, 10, 0, false, RequestListener.End.SERVED));
-            out.lost(5_100_000, 17);
+            out.writeLost(5_100_000, 17);
             out.write(new Entry(1_000_000, 1, -1, 10, 0, true, RequestListener.End.REFUSED));
             out.write(new Entry(7_500_000, 1, -1, 10, 0, false, RequestListener.End.LEFT));
         }
-        Summary s = Summary.of(read(bytes.toByteArray()));
-        assertEquals(new Summary(CLASSES, List.of(1L, 2L), 3, 2.5, 2, 1, List.of(1L, 1L, 0L, 1L), 17, 1, false), s);
+        Summary summary = Summary.of(open(bytes.toByteArray()));
+        assertEquals(
+                new Summary(CLASSES, List.of(1L, 2L), 3, 2.5, 2, 1, List.of(1L, 1L, 0L, 1L), 17, 1, false), summary);
     }
 
     @Test
-    void anEmptyOneHoldsNothing() throws IOException {
-        CaptureInput in = read(written(List.of()));
+    void emptyCaptureHasNoEntries() throws IOException {
+        CaptureInput in = open(encode(List.of()));
         assertNull(in.next());
-        assertEquals(0, Summary.of(read(written(List.of()))).requests());
+        assertEquals(0, Summary.of(open(encode(List.of()))).requests());
     }
 
     @Test
-    void tenMillionEntriesAreReadWithoutBeingHeld() throws IOException {
-        byte[] head = written(List.of());
-        byte[] whole = written(entries(1, 6));
-        byte[] one = Arrays.copyOfRange(whole, head.length, whole.length);
+    void readsTenMillionEntriesWithoutRetainingThem() throws IOException {
+        byte[] head = encode(List.of());
+        byte[] whole = encode(randomEntries(1, 6));
+        byte[] entryBytes = Arrays.copyOfRange(whole, head.length, whole.length);
         long count = 10_000_000;
-        // A stream of one entry over and over; nothing keeps it.
-        InputStream many = new InputStream() {
+        // Repeats one entry; the stream is never materialised.
+        InputStream repeatedEntries = new InputStream() {
             private long at;
 
             @Override
             public int read() {
-                if (at >= head.length + count * one.length) {
+                if (at >= head.length + count * entryBytes.length) {
                     return -1;
                 }
-                byte b = at < head.length ? head[(int) at] : one[(int) ((at - head.length) % one.length)];
+                byte b = at < head.length ? head[(int) at] : entryBytes[(int) ((at - head.length) % entryBytes.length)];
                 at++;
                 return Byte.toUnsignedInt(b);
             }
         };
-        assertEquals(count, Summary.of(new CaptureInput(many)).requests());
+        assertEquals(count, Summary.of(new CaptureInput(repeatedEntries)).requests());
     }
 }
--- a/src/test/java/whinlead/capture/RecorderTest.java
+++ b/src/test/java/whinlead/capture/RecorderTest.java
@@ -16,98 +16,100 @@
 import whinlead.engine.Request;
 import whinlead.engine.RequestListener;
 
-/** What a sidecar serves, captured: in order, in files that go round, and without ever holding it up. */
+/** The recorder writes requests in order into rotating files and never blocks the engine's thread. */
 class RecorderTest {
     private static final List<String> CLASSES = List.of("status", "submit");
 
     private final List<ByteArrayOutputStream> files = new CopyOnWriteArrayList<>();
     private final List<String> log = new CopyOnWriteArrayList<>();
 
-    private OutputStream next() {
+    private OutputStream openNextFile() {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         files.add(file);
         return file;
     }
 
-    private List<Entry> entries() throws IOException {
+    private List<Entry> writtenEntries() throws IOException {
         List<Entry> all = new ArrayList<>();
-        for (ByteArrayOutputStream f : files) {
-            try (CaptureInput in = new CaptureInput(new ByteArrayInputStream(f.toByteArray()))) {
+        for (ByteArrayOutputStream file : files) {
+            try (CaptureInput in = new CaptureInput(new ByteArrayInputStream(file.toByteArray()))) {
                 for (Entry e = in.next(); e != null; e = in.next()) {
                     all.add(e);
                 }
-                assertEquals(0, in.jumps(), "by time");
+                assertEquals(0, in.backwardClockJumps(), "entries are not ordered by arrival time");
             }
         }
         return all;
     }
 
     @Test
-    void whatEndsInAnyOrderIsWrittenByArrivalInFilesOfTheirSize() throws IOException {
-        Random dice = new Random(1);
+    void writesRequestsByArrivalIntoFilesOfBoundedSize() throws IOException {
+        Random random = new Random(1);
         int count = 5000;
-        try (Recorder r = new Recorder(CLASSES, new Recorder.Bounds(65_536, 1000, 24_000), this::next, log::add)) {
-            r.over(new Request(0, -1, 500, false).at(1, 3), 100, RequestListener.End.SERVED);
+        try (Recorder recorder =
+                new Recorder(CLASSES, new Recorder.Bounds(65_536, 1000, 24_000), this::openNextFile, log::add)) {
+            recorder.over(new Request(0, -1, 500, false).at(1, 3), 100, RequestListener.End.SERVED);
             for (int i = 1; i < count; i++) {
-                // Ended in this order, after up to a second.
-                r.over(
+                // The requests end in this order, up to 1 s after their arrival.
+                recorder.over(
                         new Request(i % 2, 2, 700, true),
-                        2000 + i * 10 - 1000 * dice.nextDouble(),
+                        2000 + i * 10 - 1000 * random.nextDouble(),
                         RequestListener.End.REFUSED);
             }
         }
-        List<Entry> all = entries();
+        List<Entry> all = writtenEntries();
         assertEquals(count, all.size());
         assertEquals(new Entry(0, 0, -1, 500, 3, false, RequestListener.End.SERVED), all.get(0));
-        assertEquals(RequestListener.End.REFUSED, all.get(1).end());
-        assertTrue(files.size() >= count * CaptureOutput.ENTRY / 24_000, "files: " + files.size());
+        assertEquals(RequestListener.End.REFUSED, all.get(1).outcome());
+        assertTrue(files.size() >= count * CaptureOutput.ENTRY_BYTES / 24_000, "files: " + files.size());
         assertTrue(files.stream().allMatch(f -> f.size() <= 24_000 + 100));
         assertTrue(log.isEmpty(), log.toString());
     }
 
     @Test
-    void aDiskThatStallsLosesEntriesThatAreCountedAndHoldsNobodyUp() throws Exception {
+    void stalledDiskDropsAndCountsEntriesWithoutBlocking() throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        Recorder r = new Recorder(
+        CountDownLatch resume = new CountDownLatch(1);
+        Recorder recorder = new Recorder(
                 CLASSES,
                 new Recorder.Bounds(64, 0, 1 << 20),
                 () -> {
                     stalled.countDown();
                     try {
-                        go.await();
+                        resume.await();
                     } catch (InterruptedException e) {
                         throw new IOException(e);
                     }
-                    return next();
+                    return openNextFile();
                 },
                 log::add);
         int count = 10_000;
-        int at = 0;
-        // With a window of nothing the second one has the first written, and the disk stalls.
+        int arrivalMs = 0;
+        // With a completion window of 0 the second entry causes the first to be written, and the disk stalls.
         while (stalled.getCount() > 0) {
-            r.over(new Request(0, -1, 500, false), at++, RequestListener.End.SERVED);
+            recorder.over(new Request(0, -1, 500, false), arrivalMs++, RequestListener.End.SERVED);
             Thread.onSpinWait();
         }
-        while (at < count) {
-            r.over(new Request(0, -1, 500, false), at++, RequestListener.End.SERVED);
+        while (arrivalMs < count) {
+            recorder.over(new Request(0, -1, 500, false), arrivalMs++, RequestListener.End.SERVED);
         }
-        assertTrue(r.lost() > 0, "lost: " + r.lost());
-        go.countDown();
-        r.close();
-        Summary s;
+        assertTrue(recorder.lostEntries() > 0, "lost: " + recorder.lostEntries());
+        resume.countDown();
+        recorder.close();
+        Summary summary;
         try (CaptureInput in =
                 new CaptureInput(new ByteArrayInputStream(files.get(0).toByteArray()))) {
-            s = Summary.of(in);
+            summary = Summary.of(in);
         }
-        assertEquals(at, s.requests() + s.lost(), "all are there or counted: " + s);
-        assertEquals(r.lost(), s.lost());
+        assertEquals(
+                arrivalMs, summary.requests() + summary.lost(), "each entry is written or counted as lost: " + summary);
+        assertEquals(recorder.lostEntries(), summary.lost());
     }
 
     @Test
-    void aDiskThatFailsEndsTheCaptureWithOneLineAndNothingElse() throws Exception {
-        CountDownLatch said = new CountDownLatch(1);
-        try (Recorder r = new Recorder(
+    void failedDiskEndsCaptureWithOneLogLine() throws Exception {
+        CountDownLatch logged = new CountDownLatch(1);
+        try (Recorder recorder = new Recorder(
                 CLASSES,
                 new Recorder.Bounds(16, 0, 1 << 20),
                 () -> {
@@ -115,16 +117,16 @@
                 },
                 line -> {
                     log.add(line);
-                    said.countDown();
+                    logged.countDown();
                 })) {
-            for (int at = 0; said.getCount() > 0; at++) {
-                r.over(new Request(0, -1, 500, false), at, RequestListener.End.SERVED);
+            for (int arrivalMs = 0; logged.getCount() > 0; arrivalMs++) {
+                recorder.over(new Request(0, -1, 500, false), arrivalMs, RequestListener.End.SERVED);
                 Thread.onSpinWait();
             }
             for (int i = 0; i < 1000; i++) {
-                r.over(new Request(0, -1, 500, false), i, RequestListener.End.SERVED);
+                recorder.over(new Request(0, -1, 500, false), i, RequestListener.End.SERVED);
             }
-            assertTrue(r.lost() > 900, "counted: " + r.lost());
+            assertTrue(recorder.lostEntries() > 900, "lost: " + recorder.lostEntries());
         }
         assertEquals(List.of("capture ended: no space"), log);
     }
--- a/src/test/java/whinlead/run/AdmissionConfigTest.java
+++ b/src/test/java/whinlead/run/AdmissionConfigTest.java
@@ -13,25 +13,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The operator's file of limits by client, and that they hold on real connections. */
+/** The operator's file of limits per client, and their enforcement on real connections. */
 class AdmissionConfigTest {
     private final ObjectMapper mapper = new ObjectMapper();
 
     @Test
-    void theFileInTheRepositoryIsGood() {
+    void repositoryFileIsValid() {
         AdmissionConfig config = AdmissionConfig.read("deploy/admission.json", mapper);
-        assertEquals(64, config.clients().perClient());
-        assertEquals(256, config.clients().perKnownClient());
-        assertEquals(128, config.clients().reserve());
-        assertFalse(config.moves());
+        assertEquals(64, config.clientLimits().perClient());
+        assertEquals(256, config.clientLimits().perKnownClient());
+        assertEquals(128, config.clientLimits().reserve());
+        assertFalse(config.moveDescriptors());
     }
 
     @Test
-    void whatIsNotNamedLimitsNothing() {
+    void absentFieldsLimitNothing() {
         AdmissionConfig config = AdmissionConfig.parse("{}", mapper);
-        assertEquals(1024, config.clients().perClient());
-        assertEquals(0, config.clients().reserve());
-        assertTrue(config.clients().perSecond() >= 1e6);
+        assertEquals(1024, config.clientLimits().perClient());
+        assertEquals(0, config.clientLimits().reserve());
+        assertTrue(config.clientLimits().perSecond() >= 1e6);
     }
 
     @ParameterizedTest
@@ -51,34 +51,35 @@
                 "{\"burst\":0}",
                 "{\"remembered\":100000}"
             })
-    void aBadFileIsOneLine(String text) {
+    void invalidFileGivesOneLineError(String text) {
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> AdmissionConfig.parse(text, mapper));
         assertFalse(e.getMessage().contains("\n"), e.getMessage());
     }
 
     @Test
-    void aClientOverItsCapMakesRoomAmongItsOwn() throws Exception {
+    void clientOverItsLimitLosesItsLongestIdleConnection() throws Exception {
         AdmissionConfig config = AdmissionConfig.parse("{\"connections\":2,\"connections_known\":2}", mapper);
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(config, null, 1024, FakeServer.refusing(), "ask", e.address());
-                TestClient first = n.client()) {
-            assertEquals(200, first.ask(TestClient.status("5")).status());
-            try (TestClient second = n.client()) {
-                assertEquals(200, second.ask(TestClient.status("5")).status());
-                // One that came just now goes while the others may be about to ask again.
+        try (FakeServer endpoint = new FakeServer((request, connection) -> connection.ok("done"));
+                TestNode node =
+                        new TestNode(config, null, 1024, FakeServer.refusingAddress(), "ask", endpoint.address());
+                TestClient first = node.newClient()) {
+            assertEquals(200, first.call(TestClient.status("5")).status());
+            try (TestClient second = node.newClient()) {
+                assertEquals(200, second.call(TestClient.status("5")).status());
+                // A new connection may be closed first while the others may still send another request.
                 TestClient.Answer answer = null;
-                long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+                long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_S);
                 while (answer == null) {
-                    assertTrue(System.nanoTime() < end, "the third finds room");
-                    try (TestClient third = n.client()) {
-                        answer = third.ask(TestClient.status("5"));
+                    assertTrue(System.nanoTime() < end, "the third connection was never served");
+                    try (TestClient third = node.newClient()) {
+                        answer = third.call(TestClient.status("5"));
                     } catch (IOException closed) {
                         answer = null;
                     }
                 }
                 assertEquals(200, answer.status());
-                assertNull(first.read(), "the longest idle one went");
+                assertNull(first.read(), "the longest idle connection is still open");
             }
         }
     }
--- a/src/test/java/whinlead/run/AttemptTest.java
+++ b/src/test/java/whinlead/run/AttemptTest.java
@@ -16,128 +16,133 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What becomes of attempts: what has run, what goes out again, and what the client is told. */
+/** Outcomes of attempts: which requests may have run, which are retried, and what the client receives. */
 class AttemptTest {
     private static final FakeServer.Script OK = (r, w) -> w.ok("done");
     private static final FakeServer.Script SILENT = (r, w) -> {};
 
     @Test
-    void aRequestGoesOnUnchangedAndConnectionsAreReused() throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            TestClient.Answer a = c.ask(
+    void forwardsRequestUnchangedAndReusesConnections() throws Exception {
+        try (FakeServer endpoint = new FakeServer(OK);
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            TestClient.Answer answer = client.call(
                     "POST /api?obj=7f%20x HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\n"
                             + "Request-Class: pay\r\nIdempotency-Key: k7\r\nRequest-Timeout: 5\r\nContent-Length: 3\r\n\r\nabc");
-            assertEquals(200, a.status());
-            assertEquals("done", a.body());
-            FakeServer.Request r = e.awaitRequest();
-            assertEquals("POST /api?obj=7f%20x HTTP/1.1", r.line());
-            assertEquals("9b1f", r.headers().get("request-id"));
-            assertEquals("k7", r.headers().get("idempotency-key"));
-            double wait = Double.parseDouble(r.headers().get("request-timeout"));
+            assertEquals(200, answer.status());
+            assertEquals("done", answer.body());
+            FakeServer.Request request = endpoint.awaitRequest();
+            assertEquals("POST /api?obj=7f%20x HTTP/1.1", request.line());
+            assertEquals("9b1f", request.headers().get("request-id"));
+            assertEquals("k7", request.headers().get("idempotency-key"));
+            double wait = Double.parseDouble(request.headers().get("request-timeout"));
             assertTrue(wait > 0 && wait < 5, "waits " + wait);
-            assertArrayEquals("abc".getBytes(StandardCharsets.UTF_8), r.body());
+            assertArrayEquals("abc".getBytes(StandardCharsets.UTF_8), request.body());
 
-            // A connection rests after an answer; then it is used again.
-            for (int i = 0; e.requests.size() <= e.connections() && i < 1000; i++) {
-                assertEquals(200, c.ask(TestClient.status("5")).status());
+            // A connection is not reused immediately after a response, but later it is.
+            for (int i = 0; endpoint.requests.size() <= endpoint.connectionCount() && i < 1000; i++) {
+                assertEquals(200, client.call(TestClient.status("5")).status());
             }
-            assertTrue(e.requests.size() > e.connections());
+            assertTrue(endpoint.requests.size() > endpoint.connectionCount());
         }
     }
 
     @Test
-    void aRefusedConnectionProvesThatNothingRan() throws Exception {
-        try (TestNode n = new TestNode(FakeServer.refusing(), FakeServer.refusing());
-                TestClient c = n.client()) {
-            TestClient.Answer a = c.ask(TestClient.submit("5"));
-            assertEquals(503, a.status());
-            assertTrue(Double.parseDouble(a.headers().get("retry-after")) > 0);
+    void refusedConnectionProvesThatNothingRan() throws Exception {
+        try (TestNode node = new TestNode(FakeServer.refusingAddress(), FakeServer.refusingAddress());
+                TestClient client = node.newClient()) {
+            TestClient.Answer answer = client.call(TestClient.submit("5"));
+            assertEquals(503, answer.status());
+            assertTrue(Double.parseDouble(answer.headers().get("retry-after")) > 0);
         }
     }
 
     @Test
-    void anUnsafeRequestTurnedAwayGoesElsewhere() throws Exception {
+    void rejectedUnsafeRequestIsRetriedAtOtherEndpoint() throws Exception {
         AtomicInteger turn = new AtomicInteger();
-        FakeServer.Script firstIsFull = (r, w) -> {
+        FakeServer.Script firstIsFull = (request, connection) -> {
             if (turn.getAndIncrement() == 0) {
-                w.answer("503 Full", "Not-Started: 1\r\n", "");
+                connection.answer("503 Full", "Not-Started: 1\r\n", "");
             } else {
-                w.ok("done");
+                connection.ok("done");
             }
         };
-        try (FakeServer e = new FakeServer(firstIsFull);
-                FakeServer f = new FakeServer(firstIsFull);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
-                TestClient c = n.client()) {
-            assertEquals("done", c.ask(TestClient.submit("5")).body());
-            assertEquals(2, e.requests.size() + f.requests.size());
+        try (FakeServer endpoint = new FakeServer(firstIsFull);
+                FakeServer otherEndpoint = new FakeServer(firstIsFull);
+                TestNode node =
+                        new TestNode(FakeServer.refusingAddress(), endpoint.address(), otherEndpoint.address());
+                TestClient client = node.newClient()) {
+            assertEquals("done", client.call(TestClient.submit("5")).body());
+            assertEquals(2, endpoint.requests.size() + otherEndpoint.requests.size());
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"503 Busy", "504 Late", "429 Slow down", "500 Error", "404 What"})
-    void anEndpointsOwnWordsNeverBecomeARefusal(String status) throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.answer(status, "Retry-After: 1\r\n", "x"));
-                FakeServer f = new FakeServer((r, w) -> w.answer(status, "", "x"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
-                TestClient c = n.client()) {
-            TestClient.Answer a = c.ask(TestClient.submit("5"));
-            assertEquals(502, a.status());
-            assertNull(a.headers().get("retry-after"));
-            assertEquals(1, e.requests.size() + f.requests.size());
+    void errorStatusOfEndpointIsNeverReportedAsRefusal(String status) throws Exception {
+        try (FakeServer endpoint =
+                        new FakeServer((request, connection) -> connection.answer(status, "Retry-After: 1\r\n", "x"));
+                FakeServer otherEndpoint = new FakeServer((request, connection) -> connection.answer(status, "", "x"));
+                TestNode node =
+                        new TestNode(FakeServer.refusingAddress(), endpoint.address(), otherEndpoint.address());
+                TestClient client = node.newClient()) {
+            TestClient.Answer answer = client.call(TestClient.submit("5"));
+            assertEquals(502, answer.status());
+            assertNull(answer.headers().get("retry-after"));
+            assertEquals(1, endpoint.requests.size() + otherEndpoint.requests.size());
         }
     }
 
     @Test
-    void aResetAfterTheWriteFailsAnUnsafeRequestAfterOneAttempt() throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.reset());
-                FakeServer f = new FakeServer((r, w) -> w.reset());
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
-                TestClient c = n.client()) {
-            assertEquals(502, c.ask(TestClient.submit("5")).status());
-            assertEquals(1, e.requests.size() + f.requests.size());
+    void resetAfterWriteFailsUnsafeRequestAfterOneAttempt() throws Exception {
+        try (FakeServer endpoint = new FakeServer((request, connection) -> connection.reset());
+                FakeServer otherEndpoint = new FakeServer((request, connection) -> connection.reset());
+                TestNode node =
+                        new TestNode(FakeServer.refusingAddress(), endpoint.address(), otherEndpoint.address());
+                TestClient client = node.newClient()) {
+            assertEquals(502, client.call(TestClient.submit("5")).status());
+            assertEquals(1, endpoint.requests.size() + otherEndpoint.requests.size());
         }
     }
 
     @Test
-    void aResetOnAKeptConnectionIsAResetToo() throws Exception {
+    void resetOnReusedConnectionIsNotRetried() throws Exception {
         Set<Socket> served = ConcurrentHashMap.newKeySet();
-        FakeServer.Script onceThenReset = (r, w) -> {
-            if (served.add(w.socket())) {
-                w.ok("done");
+        FakeServer.Script onceThenReset = (request, connection) -> {
+            if (served.add(connection.socket())) {
+                connection.ok("done");
             } else {
-                w.reset();
+                connection.reset();
             }
         };
-        try (FakeServer e = new FakeServer(onceThenReset);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            int status = c.ask(TestClient.submit("5")).status();
+        try (FakeServer endpoint = new FakeServer(onceThenReset);
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            int status = client.call(TestClient.submit("5")).status();
             for (int i = 0; status == 200 && i < 1000; i++) {
-                status = c.ask(TestClient.submit("5")).status();
+                status = client.call(TestClient.submit("5")).status();
             }
             assertEquals(502, status);
-            assertEquals(e.connections() + 1, e.requests.size());
+            assertEquals(endpoint.connectionCount() + 1, endpoint.requests.size());
         }
     }
 
     @Test
-    void aSafeRequestThatWasResetGoesElsewhere() throws Exception {
+    void resetSafeRequestIsRetriedAtOtherEndpoint() throws Exception {
         AtomicInteger turn = new AtomicInteger();
-        FakeServer.Script firstBreaks = (r, w) -> {
+        FakeServer.Script firstBreaks = (request, connection) -> {
             if (turn.getAndIncrement() == 0) {
-                w.reset();
+                connection.reset();
             } else {
-                w.ok("done");
+                connection.ok("done");
             }
         };
-        try (FakeServer e = new FakeServer(firstBreaks);
-                FakeServer f = new FakeServer(firstBreaks);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
-                TestClient c = n.client()) {
-            assertEquals("done", c.ask(TestClient.status("5")).body());
+        try (FakeServer endpoint = new FakeServer(firstBreaks);
+                FakeServer otherEndpoint = new FakeServer(firstBreaks);
+                TestNode node =
+                        new TestNode(FakeServer.refusingAddress(), endpoint.address(), otherEndpoint.address());
+                TestClient client = node.newClient()) {
+            assertEquals("done", client.call(TestClient.status("5")).body());
         }
     }
 
@@ -154,28 +159,28 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\nContent-Length: 0\r\n\r\n",
                 "nonsense\r\n\r\n"
             })
-    void aBodyThatIsNotProvedWholeIsNotServed(String raw) throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> {
-                    w.text(raw.contains("99999") ? raw + "y".repeat(99999) : raw);
-                    w.socket().close();
+    void possiblyIncompleteBodyIsNotServed(String raw) throws Exception {
+        try (FakeServer endpoint = new FakeServer((request, connection) -> {
+                    connection.sendRaw(raw.contains("99999") ? raw + "y".repeat(99999) : raw);
+                    connection.socket().close();
                 });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            TestClient.Answer a = c.ask(TestClient.submit("5"));
-            assertEquals(502, a.status());
-            assertEquals("", a.body());
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            TestClient.Answer answer = client.call(TestClient.submit("5"));
+            assertEquals(502, answer.status());
+            assertEquals("", answer.body());
         }
     }
 
     @Test
-    void aChunkedBodyAndOneAfterAnInterimAnswerAreServed() throws Exception {
-        try (FakeServer e = new FakeServer(
-                        (r, w) -> w.text(
+    void chunkedBodyAfterInterimResponseIsServed() throws Exception {
+        try (FakeServer endpoint = new FakeServer(
+                        (request, connection) -> connection.sendRaw(
                                 "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\n"
                                         + "Transfer-Encoding: chunked\r\nServer-Load: util=oops\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            assertEquals("abc", c.ask(TestClient.submit("5")).body());
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            assertEquals("abc", client.call(TestClient.submit("5")).body());
         }
     }
 
@@ -192,15 +197,15 @@
                 "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\ngood",
                 "INTERIM"
             })
-    void aSpoiltAnswerFailsLongBeforeTheDeadlineThoughItsConnectionStaysOpen(String raw) throws Exception {
+    void malformedResponseFailsBeforeDeadlineWhileConnectionStaysOpen(String raw) throws Exception {
         String text = raw.replace("INTERIM", "HTTP/1.1 100 Continue\r\n\r\n".repeat(50));
-        try (FakeServer e = new FakeServer((r, w) -> w.text(text));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            // Its own deadline is longer than this test has patience, and it may not go out again.
-            assertEquals(502, c.ask(TestClient.submit("50")).status());
-            e.awaitEnd();
-            assertEquals(1, e.requests.size());
+        try (FakeServer endpoint = new FakeServer((request, connection) -> connection.sendRaw(text));
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            // The deadline is longer than the client's read timeout in this test, and the request must not be retried.
+            assertEquals(502, client.call(TestClient.submit("50")).status());
+            endpoint.awaitConnectionClosed();
+            assertEquals(1, endpoint.requests.size());
         }
     }
 
@@ -212,120 +217,121 @@
                 "HTTP/1.1 200 OK\r\n",
                 "noise with\r\nlines\r\n\r\n"
             })
-    void whatFollowsAnAnswerNeverAnswersTheNextRequest(String surplus) throws Exception {
+    void surplusAfterResponseNeverAnswersNextRequest(String surplus) throws Exception {
         String text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood" + surplus;
-        try (FakeServer e = new FakeServer((r, w) -> w.text(text));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
+        try (FakeServer endpoint = new FakeServer((request, connection) -> connection.sendRaw(text));
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
             for (int i = 0; i < 20; i++) {
-                assertEquals("good", c.ask(TestClient.submit("5")).body());
-                e.awaitEnd();
+                assertEquals("good", client.call(TestClient.submit("5")).body());
+                endpoint.awaitConnectionClosed();
             }
-            assertEquals(20, e.connections());
+            assertEquals(20, endpoint.connectionCount());
         }
     }
 
     @Test
-    void aSilentEndpointIsGivenUpInTimeAndItsConnectionClosed() throws Exception {
-        try (FakeServer e = new FakeServer(SILENT);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            assertEquals(502, c.ask(TestClient.submit("0.4")).status());
-            e.awaitEnd();
-            assertEquals(1, e.requests.size());
+    void attemptAtSilentEndpointTimesOutAndClosesConnection() throws Exception {
+        try (FakeServer endpoint = new FakeServer(SILENT);
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            assertEquals(502, client.call(TestClient.submit("0.4")).status());
+            endpoint.awaitConnectionClosed();
+            assertEquals(1, endpoint.requests.size());
         }
     }
 
     @Test
-    void anAnswerAfterTheEndIsDropped() throws Exception {
-        FakeServer.Wire[] late = new FakeServer.Wire[1];
-        try (FakeServer e = new FakeServer((r, w) -> late[0] = w);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            assertEquals(502, c.ask(TestClient.submit("0.3")).status());
-            e.awaitEnd();
-            e.script(OK);
-            assertEquals("done", askUntilServed(c));
+    void responseAfterTimeoutIsDropped() throws Exception {
+        FakeServer.Connection[] late = new FakeServer.Connection[1];
+        try (FakeServer endpoint = new FakeServer((request, connection) -> late[0] = connection);
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            assertEquals(502, client.call(TestClient.submit("0.3")).status());
+            endpoint.awaitConnectionClosed();
+            endpoint.script(OK);
+            assertEquals("done", askUntilServed(client));
         }
     }
 
-    // The endpoint's percentage has risen; the module refuses some before it lets one pass.
-    private static String askUntilServed(TestClient c) throws Exception {
+    // The failure rate of the endpoint has risen, so the module refuses some requests before it sends one again.
+    private static String askUntilServed(TestClient client) throws Exception {
         for (int i = 0; i < 1000; i++) {
-            TestClient.Answer a = c.ask(TestClient.submit("5"));
-            if (a.status() == 200) {
-                return a.body();
+            TestClient.Answer answer = client.call(TestClient.submit("5"));
+            if (answer.status() == 200) {
+                return answer.body();
             }
-            assertEquals(503, a.status());
+            assertEquals(503, answer.status());
             Thread.sleep(10);
         }
         throw new AssertionError("never served");
     }
 
     @Test
-    void aClientThatLeavesCallsItsAttemptOff() throws Exception {
-        try (FakeServer e = new FakeServer(SILENT);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address())) {
-            try (TestClient c = n.client()) {
-                c.send(TestClient.submit("50"));
-                assertNotNull(e.awaitRequest());
+    void clientDisconnectCancelsAttempt() throws Exception {
+        try (FakeServer endpoint = new FakeServer(SILENT);
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address())) {
+            try (TestClient client = node.newClient()) {
+                client.send(TestClient.submit("50"));
+                assertNotNull(endpoint.awaitRequest());
             }
-            e.awaitEnd();
+            endpoint.awaitConnectionClosed();
         }
     }
 
     @Test
-    void aConnectionThatTheEndpointClosedIsNotUsedAgain() throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> {
-                    w.ok("done");
-                    w.socket().shutdownOutput();
+    void connectionClosedByEndpointIsNotReused() throws Exception {
+        try (FakeServer endpoint = new FakeServer((request, connection) -> {
+                    connection.ok("done");
+                    connection.socket().shutdownOutput();
                 });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            assertEquals(200, c.ask(TestClient.submit("5")).status());
-            e.awaitEnd();
-            assertEquals(200, c.ask(TestClient.submit("5")).status());
-            assertEquals(2, e.connections());
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            assertEquals(200, client.call(TestClient.submit("5")).status());
+            endpoint.awaitConnectionClosed();
+            assertEquals(200, client.call(TestClient.submit("5")).status());
+            assertEquals(2, endpoint.connectionCount());
         }
     }
 
     @Test
-    void withFewSocketsIdleConnectionsMakeRoom() throws Exception {
-        // Room for one connection to all endpoints together.
-        try (FakeServer e = new FakeServer(OK);
-                FakeServer f = new FakeServer(OK);
-                TestNode n = new TestNode(4, FakeServer.refusing(), "ask", e.address(), f.address());
-                TestClient c = n.client()) {
+    void idleConnectionsAreClosedWhenSocketsAreScarce() throws Exception {
+        // Four descriptors allow one connection to all endpoints together.
+        try (FakeServer endpoint = new FakeServer(OK);
+                FakeServer otherEndpoint = new FakeServer(OK);
+                TestNode node = new TestNode(
+                        4, FakeServer.refusingAddress(), "ask", endpoint.address(), otherEndpoint.address());
+                TestClient client = node.newClient()) {
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, c.ask(TestClient.status("5")).status());
+                assertEquals(200, client.call(TestClient.status("5")).status());
             }
-            assertTrue(!e.requests.isEmpty() && !f.requests.isEmpty());
+            assertTrue(!endpoint.requests.isEmpty() && !otherEndpoint.requests.isEmpty());
         }
     }
 
     @Test
-    void anEndpointThatClosesIdleConnectionsEarlyIsNotSentOnThem() throws Exception {
-        // It breaks any connection that is used a second time, as if that had been idle for too long.
+    void learnsIdleTimeAfterWhichEndpointBreaksConnections() throws Exception {
+        // The endpoint resets each connection on its second request, as if it had been idle for too long.
         Set<Socket> served = ConcurrentHashMap.newKeySet();
-        try (FakeServer e = new FakeServer((r, w) -> {
-                    if (served.add(w.socket())) {
-                        w.ok("done");
+        try (FakeServer endpoint = new FakeServer((request, connection) -> {
+                    if (served.add(connection.socket())) {
+                        connection.ok("done");
                     } else {
-                        w.reset();
+                        connection.reset();
                     }
                 });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            assertEquals(200, c.ask(TestClient.submit("5")).status());
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            assertEquals(200, client.call(TestClient.submit("5")).status());
             long from = System.nanoTime();
             Thread.sleep(200);
-            assertEquals(502, c.ask(TestClient.submit("5")).status());
+            assertEquals(502, client.call(TestClient.submit("5")).status());
             long idle = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
-            askUntilServed(c);
-            // Idle for as long as that again, it is no longer trusted.
+            askUntilServed(client);
+            // After the same idle time a connection is no longer reused.
             Thread.sleep(idle);
-            assertEquals("done", askUntilServed(c));
-            assertEquals(e.connections() + 1, e.requests.size());
+            assertEquals("done", askUntilServed(client));
+            assertEquals(endpoint.connectionCount() + 1, endpoint.requests.size());
         }
     }
 }
--- a/src/test/java/whinlead/run/BadInputTest.java
+++ b/src/test/java/whinlead/run/BadInputTest.java
@@ -14,7 +14,7 @@
 import whinlead.Contract;
 import whinlead.http.LoadReport;
 
-/** Nothing that is malformed reaches the module or an endpoint, and what is wrong is said plainly. */
+/** Malformed input reaches neither the decision module nor an endpoint and gives a clear error. */
 class BadInputTest {
     @ParameterizedTest
     @CsvSource(
@@ -58,26 +58,26 @@
                 "POST /api HTTP/1.1~Request-Id: 1~Request-Class: submit~Content-Length: x~~ | 400",
                 "GET /api NONSENSE~~ | 400"
             })
-    void aBadRequestIsAnsweredAtOnce(String request, int status) throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client();
-                TestClient next = n.client()) {
-            TestClient.Answer answer = c.ask(request.replace("~", "\r\n"));
+    void badRequestIsAnsweredAtOnce(String request, int status) throws Exception {
+        try (FakeServer endpoint = new FakeServer((r, connection) -> connection.ok("done"));
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient();
+                TestClient nextClient = node.newClient()) {
+            TestClient.Answer answer = client.call(request.replace("~", "\r\n"));
             assertEquals(status, answer.status());
-            // Where the next request would begin is not known, so there is no next one on this connection.
+            // The start of a next request can't be determined, so the connection is closed.
             assertEquals("close", answer.headers().get("connection"));
-            assertNull(c.read());
-            assertEquals(0, e.connections());
-            assertEquals(200, next.ask(TestClient.status("5")).status());
+            assertNull(client.read());
+            assertEquals(0, endpoint.connectionCount());
+            assertEquals(200, nextClient.call(TestClient.status("5")).status());
         }
     }
 
     @Test
-    void readinessIsTold() throws Exception {
-        try (TestNode n = new TestNode(FakeServer.refusing());
-                TestClient c = n.client()) {
-            assertEquals(200, c.ask("GET /health/ready HTTP/1.1\r\n\r\n").status());
+    void reportsReadiness() throws Exception {
+        try (TestNode node = new TestNode(FakeServer.refusingAddress());
+                TestClient client = node.newClient()) {
+            assertEquals(200, client.call("GET /health/ready HTTP/1.1\r\n\r\n").status());
         }
     }
 
@@ -95,8 +95,8 @@
                 "at_most_once | sometimes | classes.1.effect",
                 "{\"name\":\"n0\" | {\"name\" | JSON"
             })
-    void badConfigurationIsNamedInOneLine(String part, String bad, String named) throws Exception {
-        String good = TestNode.config("127.0.0.1:0", "127.0.0.1:1", 1024, "127.0.0.1:2");
+    void invalidConfigurationGivesOneLineError(String part, String bad, String named) throws Exception {
+        String good = TestNode.configJson("127.0.0.1:0", "127.0.0.1:1", 1024, "127.0.0.1:2");
         assertTrue(good.contains(part), part);
         ObjectMapper mapper = new ObjectMapper();
         Config.parse(good, mapper);
@@ -123,12 +123,12 @@
                 "util=0.5,",
                 "util=0.5;qps=3"
             })
-    void aMalformedLoadReportIsNone(String text) {
+    void malformedLoadReportIsIgnored(String text) {
         assertNull(LoadReport.parse(text));
     }
 
     @Test
-    void aLoadReportIsReadAndUnknownFieldsIgnored() {
+    void parsesLoadReportAndIgnoresUnknownFields() {
         Contract.Report r = LoadReport.parse("util=0.61,qps=140,eps=0.5,other=3");
         assertEquals(0.61, r.util());
         assertEquals(140, r.perSecond());
--- a/src/test/java/whinlead/run/CaptureConfigTest.java
+++ b/src/test/java/whinlead/run/CaptureConfigTest.java
@@ -18,7 +18,7 @@
 import whinlead.capture.Recorder;
 import whinlead.engine.RequestListener;
 
-/** Where load is captured, and that what a sidecar serves is. */
+/** The capture configuration, and the capture of requests that a sidecar serves. */
 class CaptureConfigTest {
     @TempDir
     Path dir;
@@ -36,14 +36,14 @@
                 ", \"folders\": 2",
                 ", \"files\": \"4\""
             })
-    void aBadFieldIsNamedInOneLine(String more) {
+    void invalidFieldGivesOneLineError(String more) {
         String message =
                 assertThrows(IllegalArgumentException.class, () -> config(more)).getMessage();
         assertTrue(message.startsWith("capture.") && message.lines().count() == 1, message);
     }
 
     @Test
-    void aFolderThatIsNotThereIsRefused() {
+    void rejectsMissingFolder() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> CaptureConfig.parse("{\"folder\": \"" + dir + "/no\"}", new ObjectMapper()));
@@ -51,24 +51,24 @@
     }
 
     @Test
-    void requestsThatASidecarServesAreCapturedWithTheirEnds() throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            Recorder recorder = config("").start(n.settings, line -> {});
-            n.group.next().submit(() -> n.engine.journal(recorder)).get();
+    void capturesServedRequestsWithTheirOutcomes() throws Exception {
+        try (FakeServer endpoint = new FakeServer((request, connection) -> connection.ok("done"));
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            Recorder recorder = config("").start(node.settings, line -> {});
+            node.group.next().submit(() -> node.engine.journal(recorder)).get();
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, c.ask(TestClient.submit("5")).status());
+                assertEquals(200, client.call(TestClient.submit("5")).status());
             }
-            n.group.next().submit(recorder::close).get();
+            node.group.next().submit(recorder::close).get();
             try (CaptureInput in = new CaptureInput(Files.newInputStream(dir.resolve("load-0.capture")))) {
-                assertEquals(List.of("status", "submit", "pay"), in.classes());
+                assertEquals(List.of("status", "submit", "pay"), in.classNames());
                 for (int i = 0; i < 5; i++) {
                     Entry entry = in.next();
-                    assertEquals(RequestListener.End.SERVED, entry.end());
+                    assertEquals(RequestListener.End.SERVED, entry.outcome());
                     assertEquals(1, entry.kind());
-                    assertEquals(3, entry.size());
-                    assertEquals(5000, entry.timeout());
+                    assertEquals(3, entry.bodyBytes());
+                    assertEquals(5000, entry.timeoutMs());
                 }
                 assertNull(in.next());
             }
--- a/src/test/java/whinlead/run/ClientServerTest.java
+++ b/src/test/java/whinlead/run/ClientServerTest.java
@@ -11,155 +11,157 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Clients that ask for more than they are due: of connections, of time, or of another's requests. */
+/** Clients that use too many connections or too much time, or that interfere with requests of others. */
 class ClientServerTest {
     private static final FakeServer.Script OK = (r, w) -> w.ok("done");
 
     @Test
-    void silentConnectionsDoNotStarveAGoodClient() throws Exception {
-        // Room for 14 connections from clients.
+    void silentConnectionsDoNotStarveActiveClient() throws Exception {
+        // 32 descriptors allow 14 client connections.
         List<TestClient> silent = new ArrayList<>();
-        try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(32, FakeServer.refusing(), "ask", e.address())) {
+        try (FakeServer endpoint = new FakeServer(OK);
+                TestNode node = new TestNode(32, FakeServer.refusingAddress(), "ask", endpoint.address())) {
             for (int i = 0; i < 100; i++) {
-                silent.add(n.client());
+                silent.add(node.newClient());
             }
-            try (TestClient good = n.client()) {
-                assertEquals(200, good.ask(TestClient.status("5")).status());
+            try (TestClient good = node.newClient()) {
+                assertEquals(200, good.call(TestClient.status("5")).status());
             }
-            // All of them end without ever having said a word.
-            for (TestClient c : silent) {
-                assertNull(c.read());
+            // All of them are closed without having sent anything.
+            for (TestClient client : silent) {
+                assertNull(client.read());
             }
         } finally {
-            for (TestClient c : silent) {
-                c.close();
+            for (TestClient client : silent) {
+                client.close();
             }
         }
     }
 
     @Test
-    void connectionsThatAskedOnceAndStayMakeRoom() throws Exception {
-        // Room for 14, of which three idle ones are not many.
+    void oldestIdleConnectionsAreClosedWhenFull() throws Exception {
+        // 32 descriptors allow 14 client connections; up to three idle ones are tolerated.
         List<TestClient> staying = new ArrayList<>();
-        try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(32, FakeServer.refusing(), "ask", e.address())) {
+        try (FakeServer endpoint = new FakeServer(OK);
+                TestNode node = new TestNode(32, FakeServer.refusingAddress(), "ask", endpoint.address())) {
             for (int i = 0; i < 6; i++) {
-                staying.add(n.client());
-                assertEquals(200, staying.get(i).ask(TestClient.status("5")).status());
+                staying.add(node.newClient());
+                assertEquals(200, staying.get(i).call(TestClient.status("5")).status());
             }
             for (int i = 0; i < 3; i++) {
                 assertNull(staying.get(i).read());
             }
-            assertEquals(200, staying.get(5).ask(TestClient.status("5")).status());
+            assertEquals(200, staying.get(5).call(TestClient.status("5")).status());
         } finally {
-            for (TestClient c : staying) {
-                c.close();
+            for (TestClient client : staying) {
+                client.close();
             }
         }
     }
 
     @Test
-    void halfARequestIsAnsweredInTime() throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient head = n.client();
-                TestClient body = n.client()) {
+    void incompleteRequestTimesOut() throws Exception {
+        try (FakeServer endpoint = new FakeServer(OK);
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient head = node.newClient();
+                TestClient body = node.newClient()) {
             head.send("GET /api HTTP/1.1\r\nRequest-Id: 1\r\n");
             body.send("POST /api HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Class: submit\r\n"
                     + "Content-Length: 9\r\n\r\nhalf");
             assertEquals(408, head.read().status());
             assertEquals(408, body.read().status());
             assertNull(head.read());
-            assertEquals(0, e.connections());
+            assertEquals(0, endpoint.connectionCount());
         }
     }
 
     @Test
-    void aHeadWithoutEndIsCutShort() throws Exception {
-        try (TestNode n = new TestNode(FakeServer.refusing());
-                TestClient c = n.client()) {
+    void oversizedHeaderIsRejected() throws Exception {
+        try (TestNode node = new TestNode(FakeServer.refusingAddress());
+                TestClient client = node.newClient()) {
             assertEquals(
-                    400, c.ask("GET /api HTTP/1.1\r\nX: " + "y".repeat(100_000)).status());
-            assertNull(c.read());
+                    400,
+                    client.call("GET /api HTTP/1.1\r\nX: " + "y".repeat(100_000))
+                            .status());
+            assertNull(client.read());
         }
     }
 
     @Test
-    void aRequestThatComesBeforeTheListIsKnownWaitsForIt() throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestNode n = TestNode.listening(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            c.send(TestClient.submit("50"));
-            n.rounds(20);
-            n.start();
-            assertEquals(200, c.read().status());
+    void requestBeforeFirstEndpointListWaitsForIt() throws Exception {
+        try (FakeServer endpoint = new FakeServer(OK);
+                TestNode node = TestNode.listeningOnly(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            client.send(TestClient.submit("50"));
+            node.runLoopTurns(20);
+            node.start();
+            assertEquals(200, client.read().status());
         }
     }
 
     @Test
-    void anIdThatIsOpenIsNotRunAgain() throws Exception {
+    void requestWithOpenIdIsRejected() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (FakeServer e = new FakeServer((r, w) -> {
+        try (FakeServer endpoint = new FakeServer((r, connection) -> {
                     await(release);
-                    w.ok("done");
+                    connection.ok("done");
                 });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client();
-                TestClient other = n.client();
-                TestClient later = n.client()) {
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient();
+                TestClient other = node.newClient();
+                TestClient later = node.newClient()) {
             String request = TestClient.submit("50");
-            c.send(request);
-            e.awaitRequest();
-            assertEquals(400, other.ask(request).status());
+            client.send(request);
+            endpoint.awaitRequest();
+            assertEquals(400, other.call(request).status());
             release.countDown();
-            assertEquals("done", c.read().body());
-            assertEquals(1, e.requests.size());
-            // What is over is forgotten, so that nothing grows.
-            assertEquals(200, later.ask(request).status());
+            assertEquals("done", client.read().body());
+            assertEquals(1, endpoint.requests.size());
+            // Ids of completed requests are not retained, so that memory use does not grow.
+            assertEquals(200, later.call(request).status());
         }
     }
 
     @Test
-    void aSecondRequestBeforeTheAnswerEndsBoth() throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> {});
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            c.send(TestClient.submit("50"));
-            e.awaitRequest();
-            assertEquals(400, c.ask(TestClient.submit("50")).status());
-            assertNull(c.read());
-            e.awaitEnd();
-            assertEquals(1, e.requests.size());
+    void pipelinedRequestEndsBothRequests() throws Exception {
+        try (FakeServer endpoint = new FakeServer((request, connection) -> {});
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            client.send(TestClient.submit("50"));
+            endpoint.awaitRequest();
+            assertEquals(400, client.call(TestClient.submit("50")).status());
+            assertNull(client.read());
+            endpoint.awaitConnectionClosed();
+            assertEquals(1, endpoint.requests.size());
         }
     }
 
     @Test
-    void onlyWhatWasCheckedGoesOn() throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
-                TestClient c = n.client()) {
-            c.ask("POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
+    void forwardsOnlyValidatedHeaders() throws Exception {
+        try (FakeServer endpoint = new FakeServer(OK);
+                TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
+                TestClient client = node.newClient()) {
+            client.call("POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                     + "X-Secret: s\r\nContent-Type: text/plain\r\nServer-Load: util=1\r\nConnection: X-Secret\r\n"
                     + "Content-Length: 0\r\n\r\n");
             assertEquals(
                     Set.of("host", "request-id", "request-class", "request-timeout", "content-type", "content-length"),
-                    e.awaitRequest().headers().keySet());
+                    endpoint.awaitRequest().headers().keySet());
         }
     }
 
     @Test
-    void aDrainDoesNotWaitForWhatWasTurnedAway() throws Exception {
+    void drainDoesNotWaitForRejectedRequest() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
-        try (TestNode n = new TestNode(FakeServer.refusing());
-                TestClient c = n.client()) {
+        try (TestNode node = new TestNode(FakeServer.refusingAddress());
+                TestClient client = node.newClient()) {
             assertEquals(
                     413,
-                    c.ask("POST /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
+                    client.call("POST /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                                     + "Content-Length: 99999999\r\n\r\nbegun")
                             .status());
-            n.group.next().execute(() -> n.server.drain(drained::countDown));
-            assertTrue(drained.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+            node.group.next().execute(() -> node.server.drain(drained::countDown));
+            assertTrue(drained.await(FakeServer.TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 
