--- a/src/main/java/whinlead/benchlink/BootInfo.java
+++ b/src/main/java/whinlead/benchlink/BootInfo.java
@@ -5,15 +5,15 @@
 import whinlead.Contract;
 import whinlead.SettingsReader;
 
-/** Splits the pairs of an instance's first message. */
+/** Parses the key-value pairs of an instance's first message. */
 final class BootInfo {
     private final Map<String, String> pairs = new HashMap<>();
 
     BootInfo(String text) {
         for (String pair : text.split(" ")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                pairs.put(pair.substring(0, eq), pair.substring(eq + 1));
+            int separator = pair.indexOf('=');
+            if (separator > 0) {
+                pairs.put(pair.substring(0, separator), pair.substring(separator + 1));
             } else if (!pair.isEmpty()) {
                 throw new WireException("field boot_info: '" + pair + "' is not path=value");
             }
--- a/src/main/java/whinlead/benchlink/Instance.java
+++ b/src/main/java/whinlead/benchlink/Instance.java
@@ -5,21 +5,21 @@
 import whinlead.Contract;
 import whinlead.decide.Decide;
 
-/** One sidecar: its module, its open requests, and its actions put on the wire. */
+/** One sidecar instance: its decision module and open requests. Writes the module's actions to the wire. */
 final class Instance implements Contract.Actions {
     final int number;
     final Contract.Settings settings;
     final Contract.Events module;
     final byte[][] classNames;
     final byte[][] tenantNames;
-    final LongTable<Tracked> open = new LongTable<>();
+    final LongTable<Tracked> openRequests = new LongTable<>();
     private final WireWriter out;
 
-    /** A request and how many of its attempts still owe an outcome, so that it can be forgotten in time. */
+    /** An open request with the number of its attempts whose outcome is pending. */
     static final class Tracked {
         final Contract.Request request;
-        int owed;
-        boolean over;
+        int pendingOutcomes;
+        boolean finished;
 
         Tracked(Contract.Request request) {
             this.request = request;
@@ -41,91 +41,101 @@
         this.module = new Decide(settings, seed, this);
     }
 
-    /** Forgets a request that is over and owes no outcome. */
-    void tidy(Tracked t) {
-        if (t.over && t.owed == 0) {
-            open.remove(t.request.id);
+    /** Removes a request that is finished and has no pending outcome. */
+    void forgetIfFinished(Tracked tracked) {
+        if (tracked.finished && tracked.pendingOutcomes == 0) {
+            openRequests.remove(tracked.request.id);
         }
     }
 
-    private void over(Contract.Request r) {
-        Tracked t = open.get(r.id);
-        if (t != null) {
-            t.over = true;
-            tidy(t);
+    private void finish(Contract.Request request) {
+        Tracked tracked = openRequests.get(request.id);
+        if (tracked != null) {
+            tracked.finished = true;
+            forgetIfFinished(tracked);
         }
     }
 
-    private WireWriter begin(String name) {
+    private WireWriter startLine(String name) {
         return out.word(name).space().integer(number);
     }
 
     @Override
-    public void send(Contract.Request r, String server, double within) {
-        Tracked t = open.get(r.id);
-        if (t != null) {
-            t.owed++;
+    public void send(Contract.Request request, String server, double withinMs) {
+        Tracked tracked = openRequests.get(request.id);
+        if (tracked != null) {
+            tracked.pendingOutcomes++;
         }
-        begin("forward")
+        startLine("forward")
                 .space()
-                .integer(r.id)
+                .integer(request.id)
                 .space()
                 .word(server)
                 .space()
-                .millis(within)
-                .line();
+                .millis(withinMs)
+                .endLine();
     }
 
     @Override
-    public void cancel(Contract.Request r, int attempt) {
-        begin("undo_send").space().integer(r.id).space().integer(attempt).line();
+    public void cancel(Contract.Request request, int attempt) {
+        startLine("undo_send")
+                .space()
+                .integer(request.id)
+                .space()
+                .integer(attempt)
+                .endLine();
     }
 
     @Override
-    public void refuse(Contract.Request r, double retryAfter) {
-        begin("deny").space().integer(r.id).space().millis(retryAfter).line();
-        over(r);
+    public void refuse(Contract.Request request, double retryAfterMs) {
+        startLine("deny")
+                .space()
+                .integer(request.id)
+                .space()
+                .millis(retryAfterMs)
+                .endLine();
+        finish(request);
     }
 
     @Override
-    public void fail(Contract.Request r) {
-        begin("drop_request").space().integer(r.id).line();
-        over(r);
+    public void fail(Contract.Request request) {
+        startLine("drop_request").space().integer(request.id).endLine();
+        finish(request);
     }
 
     @Override
     public void probe(String server) {
-        begin("sound_out").space().word(server).line();
+        startLine("sound_out").space().word(server).endLine();
     }
 
     @Override
     public void watchServers() {
-        begin("stream_changes").word(" 1").line();
+        startLine("stream_changes").word(" 1").endLine();
     }
 
     @Override
     public void tellPeers(byte[] text) {
-        begin("notify")
+        startLine("notify")
                 .word(" * ")
                 .word(Base64.getEncoder().encodeToString(text))
-                .line();
+                .endLine();
     }
 
     @Override
-    public void wake(double at) {
-        begin("wake_me").word(" period ").millis(at).line();
+    public void wake(double atMs) {
+        startLine("wake_me").word(" period ").millis(atMs).endLine();
     }
 
     @Override
     public void log(String line) {
-        begin("log").space().word(line.replace('\n', ' ')).line();
+        startLine("log").space().word(line.replace('\n', ' ')).endLine();
     }
 
-    void giveIn(Throwable t) {
-        String text = t.getClass().getSimpleName() + ": " + t.getMessage();
-        if (t.getStackTrace().length > 0) {
-            text += " at " + t.getStackTrace()[0];
+    void reportFailure(Throwable failure) {
+        String text = failure.getClass().getSimpleName() + ": " + failure.getMessage();
+        if (failure.getStackTrace().length > 0) {
+            text += " at " + failure.getStackTrace()[0];
         }
-        begin("give_in").space().word(text.replace('\n', ' ')).line();
+        startLine("give_in").space().word(text.replace('\n', ' ')).endLine();
     }
 }
--- a/src/main/java/whinlead/benchlink/Link.java
+++ b/src/main/java/whinlead/benchlink/Link.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import whinlead.Contract;
 
-/** Reads batches of events, hands each to the module of its instance, and writes the replies. Decides nothing. */
+/** Reads batches of events, passes each event to the module of its instance, and writes the replies. */
 final class Link {
-    private static final byte[][] OUTCOMES =
+    private static final byte[][] OUTCOME_WORDS =
             bytes("done", "err", "busy", "etimedout", "econnrefused", "econnreset", "ecanceled", "skipped");
-    private static final Contract.Outcome[] OUTCOME = {
+    private static final Contract.Outcome[] OUTCOME_VALUES = {
         Contract.Outcome.SERVED,
         Contract.Outcome.ERROR,
         Contract.Outcome.FULL,
@@ -23,99 +23,99 @@
         Contract.Outcome.CANCELLED,
         Contract.Outcome.NEVER_SENT
     };
-    private static final byte[][] MODES = bytes("U", "L", "D");
-    private static final Contract.Standing[] STANDING = Contract.Standing.values();
-    private static final byte[][] SCOPES = bytes("D", "F", "C", "X");
-    private static final Contract.ListKind[] KIND = Contract.ListKind.values();
-    private static final byte[][] REPORTED = bytes("inflight", "queue", "util", "latency_ms", "qps", "eps");
-    private static final int LISTS = 16;
+    private static final byte[][] STANDING_WORDS = bytes("U", "L", "D");
+    private static final Contract.Standing[] STANDING_VALUES = Contract.Standing.values();
+    private static final byte[][] LIST_KIND_WORDS = bytes("D", "F", "C", "X");
+    private static final Contract.ListKind[] LIST_KIND_VALUES = Contract.ListKind.values();
+    private static final byte[][] REPORT_FIELDS = bytes("inflight", "queue", "util", "latency_ms", "qps", "eps");
+    private static final int MAX_LISTS = 16;
 
     private final WireReader in;
     private final WireWriter out;
     private final ArrayList<Instance> instances = new ArrayList<>();
-    private final List<List<Contract.Server>> lists = new ArrayList<>();
-    private final double[] values = new double[REPORTED.length];
-    private double now = Double.NEGATIVE_INFINITY;
+    private final List<List<Contract.Server>> listBuffers = new ArrayList<>();
+    private final double[] reportValues = new double[REPORT_FIELDS.length];
+    private double nowMs = Double.NEGATIVE_INFINITY;
     private long batch;
 
     Link(InputStream in, OutputStream out) {
         this.in = new WireReader(in);
         this.out = new WireWriter(out);
-        for (int i = 0; i < LISTS; i++) {
-            lists.add(null);
+        for (int i = 0; i < MAX_LISTS; i++) {
+            listBuffers.add(null);
         }
     }
 
     private static byte[][] bytes(String... words) {
-        byte[][] b = new byte[words.length][];
+        byte[][] encoded = new byte[words.length][];
         for (int i = 0; i < words.length; i++) {
-            b[i] = words[i].getBytes(StandardCharsets.UTF_8);
+            encoded[i] = words[i].getBytes(StandardCharsets.UTF_8);
         }
-        return b;
+        return encoded;
     }
 
-    /** Runs until the input ends. */
+    /** Processes batches until the input ends. */
     void run() throws IOException {
         while (in.nextLine()) {
             if (in.blank()) {
                 continue;
             }
             in.field("message");
-            if (!in.is("tick")) {
-                throw in.fault("message", "'" + in.text() + "' where a tick was due");
+            if (!in.fieldEquals("tick")) {
+                throw in.fault("message", "'" + in.text() + "' where a tick was expected");
             }
-            double at = in.number("clock");
-            if (at < now) {
-                throw in.fault("clock", "runs backwards");
+            double clockMs = in.number("clock");
+            if (clockMs < nowMs) {
+                throw in.fault("clock", "is before the previous tick");
             }
-            now = at;
+            nowMs = clockMs;
             batch = in.integer("batch");
-            events();
-            out.word("next ").integer(batch).line().flush();
+            readBatch();
+            out.word("next ").integer(batch).endLine().flush();
         }
     }
 
-    private void events() throws IOException {
+    private void readBatch() throws IOException {
         while (in.nextLine()) {
             if (in.blank()) {
                 continue;
             }
             in.field("message");
-            if (in.is("eob")) {
+            if (in.fieldEquals("eob")) {
                 return;
             }
-            event();
+            readEvent();
         }
         throw in.fault("message", "the input ends inside a batch");
     }
 
-    private void event() throws IOException {
-        if (in.is("answer")) {
-            answer();
-        } else if (in.is("order")) {
-            order();
-        } else if (in.is("deadline_hit")) {
-            Instance i = instance();
+    private void readEvent() throws IOException {
+        if (in.fieldEquals("answer")) {
+            readAnswer();
+        } else if (in.fieldEquals("order")) {
+            readOrder();
+        } else if (in.fieldEquals("deadline_hit")) {
+            Instance instance = readInstance();
             in.field("tag");
-            guard(i, () -> i.module.wake(now));
-        } else if (in.is("cancelled_by_client")) {
-            gone();
-        } else if (in.is("probed")) {
-            probed();
-        } else if (in.is("flowing")) {
-            flowing();
-        } else if (in.is("memo")) {
-            memo();
-        } else if (in.is("catalog")) {
-            catalog();
-        } else if (in.is("membership")) {
-            membership();
-        } else if (in.is("up")) {
-            up();
-        } else if (in.is("crash_now")) {
-            int n = in.small("sidecar");
-            if (n < instances.size()) {
-                instances.set(n, null);
+            runGuarded(instance, () -> instance.module.wake(nowMs));
+        } else if (in.fieldEquals("cancelled_by_client")) {
+            readClientCancellation();
+        } else if (in.fieldEquals("probed")) {
+            readProbed();
+        } else if (in.fieldEquals("flowing")) {
+            readFlowing();
+        } else if (in.fieldEquals("memo")) {
+            readMemo();
+        } else if (in.fieldEquals("catalog")) {
+            readCatalog();
+        } else if (in.fieldEquals("membership")) {
+            readMembership();
+        } else if (in.fieldEquals("up")) {
+            startInstance();
+        } else if (in.fieldEquals("crash_now")) {
+            int number = in.nonNegativeInt("sidecar");
+            if (number < instances.size()) {
+                instances.set(number, null);
             }
         } else {
             throw in.fault("message", "'" + in.text() + "' is unknown");
@@ -126,27 +126,27 @@
         void run();
     }
 
-    private void guard(Instance i, Call call) throws IOException {
+    private void runGuarded(Instance instance, Call call) throws IOException {
         try {
             call.run();
         } catch (RuntimeException | StackOverflowError e) {
-            i.giveIn(e);
+            instance.reportFailure(e);
         }
     }
 
-    private Instance instance() {
-        int n = in.small("sidecar");
-        Instance i = n < instances.size() ? instances.get(n) : null;
-        if (i == null) {
-            throw in.fault("sidecar", "'" + n + "' is not running");
+    private Instance readInstance() {
+        int number = in.nonNegativeInt("sidecar");
+        Instance instance = number < instances.size() ? instances.get(number) : null;
+        if (instance == null) {
+            throw in.fault("sidecar", "'" + number + "' is not running");
         }
-        return i;
+        return instance;
     }
 
-    private void up() throws IOException {
-        int n = in.small("sidecar");
-        if (n > 1_000_000) {
-            throw in.fault("sidecar", "'" + n + "' is out of range");
+    private void startInstance() throws IOException {
+        int number = in.nonNegativeInt("sidecar");
+        if (number > 1_000_000) {
+            throw in.fault("sidecar", "'" + number + "' is out of range");
         }
         long seed = in.integer("seed");
         Contract.Settings settings;
@@ -155,140 +155,142 @@
         } catch (WireException e) {
             throw in.fault("boot_info", e.getMessage().replace("field boot_info: ", ""));
         }
-        while (instances.size() <= n) {
+        while (instances.size() <= number) {
             instances.add(null);
         }
-        Instance i = new Instance(n, settings, seed, out);
-        instances.set(n, i);
-        guard(i, () -> i.module.start(now));
+        Instance instance = new Instance(number, settings, seed, out);
+        instances.set(number, instance);
+        runGuarded(instance, () -> instance.module.start(nowMs));
     }
 
-    private void order() throws IOException {
-        Instance i = instance();
+    private void readOrder() throws IOException {
+        Instance instance = readInstance();
         long id = in.integer("msg_id");
-        int k = in.choice("grade", i.classNames, false);
-        int tenant = in.choice("project", i.tenantNames, true);
+        int requestClass = in.choice("grade", instance.classNames, false);
+        int tenant = in.choice("project", instance.tenantNames, true);
         in.field("object");
-        double left = in.number("time_left");
+        double remainingMs = in.number("time_left");
         in.number("work", Double.NaN);
         boolean repeat = in.flag("retry", false);
         in.flag("write", false);
-        if (i.open.get(id) != null) {
-            throw in.fault("msg_id", "'" + id + "' is open already");
+        if (instance.openRequests.get(id) != null) {
+            throw in.fault("msg_id", "'" + id + "' is already open");
         }
-        Contract.Request r = new Contract.Request(id, k, tenant, left, repeat);
-        i.open.put(id, new Instance.Tracked(r));
-        guard(i, () -> i.module.request(now, r));
+        Contract.Request request = new Contract.Request(id, requestClass, tenant, remainingMs, repeat);
+        instance.openRequests.put(id, new Instance.Tracked(request));
+        runGuarded(instance, () -> instance.module.request(nowMs, request));
     }
 
-    private void answer() throws IOException {
-        Instance i = instance();
+    private void readAnswer() throws IOException {
+        Instance instance = readInstance();
         long id = in.integer("msg_id");
-        int attempt = in.small("attempt");
+        int attempt = in.nonNegativeInt("attempt");
         in.field("endpoint");
-        Contract.Outcome outcome = OUTCOME[in.choice("disposition", OUTCOMES, false)];
-        double lag = in.number("lag");
+        Contract.Outcome outcome = OUTCOME_VALUES[in.choice("disposition", OUTCOME_WORDS, false)];
+        double lagMs = in.number("lag");
         boolean last = in.flag("last", false);
-        Contract.Report report = report();
-        Instance.Tracked t = i.open.get(id);
-        if (t == null) {
+        Contract.Report report = readReport();
+        Instance.Tracked tracked = instance.openRequests.get(id);
+        if (tracked == null) {
             return;
         }
-        t.owed--;
-        t.over |= last;
-        guard(i, () -> i.module.outcome(now, t.request, attempt, outcome, lag, last, report));
-        i.tidy(t);
+        tracked.pendingOutcomes--;
+        tracked.finished |= last;
+        runGuarded(
+                instance, () -> instance.module.outcome(nowMs, tracked.request, attempt, outcome, lagMs, last, report));
+        instance.forgetIfFinished(tracked);
     }
 
-    private Contract.Report report() {
-        if (!in.report("telemetry", values, REPORTED)) {
+    private Contract.Report readReport() {
+        if (!in.report("telemetry", reportValues, REPORT_FIELDS)) {
             return null;
         }
-        return new Contract.Report(values[0], values[1], values[2], values[3], values[4], values[5]);
+        return new Contract.Report(
+                reportValues[0], reportValues[1], reportValues[2], reportValues[3], reportValues[4], reportValues[5]);
     }
 
-    private void gone() throws IOException {
-        Instance i = instance();
-        Instance.Tracked t = i.open.get(in.integer("msg_id"));
-        if (t != null) {
-            t.over = true;
-            guard(i, () -> i.module.abandoned(now, t.request));
-            i.tidy(t);
+    private void readClientCancellation() throws IOException {
+        Instance instance = readInstance();
+        Instance.Tracked tracked = instance.openRequests.get(in.integer("msg_id"));
+        if (tracked != null) {
+            tracked.finished = true;
+            runGuarded(instance, () -> instance.module.abandoned(nowMs, tracked.request));
+            instance.forgetIfFinished(tracked);
         }
     }
 
-    private void flowing() throws IOException {
-        Instance i = instance();
-        Instance.Tracked t = i.open.get(in.integer("msg_id"));
-        int attempt = in.small("attempt");
+    private void readFlowing() throws IOException {
+        Instance instance = readInstance();
+        Instance.Tracked tracked = instance.openRequests.get(in.integer("msg_id"));
+        int attempt = in.nonNegativeInt("attempt");
         in.field("endpoint");
         in.number("lag");
-        if (t != null) {
-            guard(i, () -> i.module.streaming(now, t.request, attempt));
+        if (tracked != null) {
+            runGuarded(instance, () -> instance.module.streaming(nowMs, tracked.request, attempt));
         }
     }
 
-    private void probed() throws IOException {
-        Instance i = instance();
+    private void readProbed() throws IOException {
+        Instance instance = readInstance();
         String server = in.word("endpoint");
-        Contract.Outcome outcome = OUTCOME[in.choice("disposition", OUTCOMES, false)];
-        double lag = in.number("lag");
-        Contract.Report report = report();
-        guard(i, () -> i.module.probed(now, server, outcome, lag, report));
+        Contract.Outcome outcome = OUTCOME_VALUES[in.choice("disposition", OUTCOME_WORDS, false)];
+        double lagMs = in.number("lag");
+        Contract.Report report = readReport();
+        runGuarded(instance, () -> instance.module.probed(nowMs, server, outcome, lagMs, report));
     }
 
-    private void memo() throws IOException {
-        Instance i = instance();
-        int from = in.small("src");
-        String raw = in.more() ? in.word("raw") : "-";
+    private void readMemo() throws IOException {
+        Instance instance = readInstance();
+        int sender = in.nonNegativeInt("src");
+        String raw = in.hasMore() ? in.word("raw") : "-";
         byte[] text;
         try {
             text = raw.equals("-") ? new byte[0] : Base64.getDecoder().decode(raw);
         } catch (IllegalArgumentException e) {
             throw in.fault("raw", "is not base64");
         }
-        guard(i, () -> i.module.message(now, from, text));
+        runGuarded(instance, () -> instance.module.message(nowMs, sender, text));
     }
 
-    private void catalog() throws IOException {
-        int n = in.small("buffer");
-        if (n >= LISTS) {
-            throw in.fault("buffer", "'" + n + "' is out of range");
+    private void readCatalog() throws IOException {
+        int bufferNumber = in.nonNegativeInt("buffer");
+        if (bufferNumber >= MAX_LISTS) {
+            throw in.fault("buffer", "'" + bufferNumber + "' is out of range");
         }
-        int count = in.small("entries");
+        int count = in.nonNegativeInt("entries");
         ArrayList<Contract.Server> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             if (!in.nextLine()) {
                 throw in.fault("entries", "the input ends inside a list");
             }
             in.field("message");
-            if (!in.is("entry")) {
-                throw in.fault("message", "'" + in.text() + "' where an entry was due");
+            if (!in.fieldEquals("entry")) {
+                throw in.fault("message", "'" + in.text() + "' where an entry was expected");
             }
             double size = in.number("power_hint", 1);
-            Contract.Standing standing = STANDING[in.choice("mode", MODES, false)];
+            Contract.Standing standing = STANDING_VALUES[in.choice("mode", STANDING_WORDS, false)];
             in.field("family_type");
             String zone = in.word("area");
             int cell = (int) in.number("block", -1);
             String id = in.word("endpoint");
             list.add(new Contract.Server(id, standing, size, zone, cell, in.number("born", 0)));
         }
-        lists.set(n, List.copyOf(list));
+        listBuffers.set(bufferNumber, List.copyOf(list));
     }
 
-    private void membership() throws IOException {
-        Instance i = instance();
+    private void readMembership() throws IOException {
+        Instance instance = readInstance();
         in.number("epoch", 0);
-        Contract.ListKind kind = KIND[in.choice("scope", SCOPES, false)];
+        Contract.ListKind kind = LIST_KIND_VALUES[in.choice("scope", LIST_KIND_WORDS, false)];
         List<Contract.Server> entries = List.of();
         if (kind != Contract.ListKind.FAILED) {
-            int n = in.small("buffer");
-            if (n >= LISTS || lists.get(n) == null) {
-                throw in.fault("buffer", "'" + n + "' holds no list");
+            int bufferNumber = in.nonNegativeInt("buffer");
+            if (bufferNumber >= MAX_LISTS || listBuffers.get(bufferNumber) == null) {
+                throw in.fault("buffer", "'" + bufferNumber + "' contains no list");
             }
-            entries = lists.get(n);
+            entries = listBuffers.get(bufferNumber);
         }
         List<Contract.Server> list = entries;
-        guard(i, () -> i.module.servers(now, kind, list));
+        runGuarded(instance, () -> instance.module.servers(nowMs, kind, list));
     }
 }
--- a/src/main/java/whinlead/benchlink/LongTable.java
+++ b/src/main/java/whinlead/benchlink/LongTable.java
@@ -1,6 +1,6 @@
 package whinlead.benchlink;
 
-/** A table from request ids to requests that boxes nothing: open addressing with back-shift on removal. */
+/** A hash table with primitive long keys, which are not boxed: open addressing with backward shift on removal. */
 final class LongTable<V> {
     private long[] keys = new long[1024];
     private Object[] values = new Object[1024];
--- a/src/main/java/whinlead/benchlink/WireReader.java
+++ b/src/main/java/whinlead/benchlink/WireReader.java
@@ -5,59 +5,59 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads lines and splits them into fields, without making an object for each. */
+/** Reads lines and splits them into fields without allocating an object for each. */
 final class WireReader {
     private final InputStream in;
-    private byte[] buf = new byte[1 << 16];
-    private int pos;
-    private int limit;
+    private byte[] buffer = new byte[1 << 16];
+    private int nextLineStart;
+    private int bufferEnd;
     private int lineStart;
     private int lineEnd;
-    private int cursor;
-    private int start;
-    private int end;
+    private int nextField;
+    private int fieldStart;
+    private int fieldEnd;
     private long lineNumber;
 
     WireReader(InputStream in) {
         this.in = in;
     }
 
-    /** Steps to the next line; false at the end of input. */
+    /** Advances to the next line; false at the end of input. */
     boolean nextLine() throws IOException {
-        int scan = pos;
+        int scan = nextLineStart;
         while (true) {
-            for (; scan < limit; scan++) {
-                if (buf[scan] == '\n') {
-                    take(pos, scan);
-                    pos = scan + 1;
+            for (; scan < bufferEnd; scan++) {
+                if (buffer[scan] == '\n') {
+                    startLine(nextLineStart, scan);
+                    nextLineStart = scan + 1;
                     return true;
                 }
             }
-            int held = limit - pos;
-            if (pos > 0) {
-                System.arraycopy(buf, pos, buf, 0, held);
-            } else if (held == buf.length) {
-                buf = Arrays.copyOf(buf, buf.length * 2);
+            int unread = bufferEnd - nextLineStart;
+            if (nextLineStart > 0) {
+                System.arraycopy(buffer, nextLineStart, buffer, 0, unread);
+            } else if (unread == buffer.length) {
+                buffer = Arrays.copyOf(buffer, buffer.length * 2);
             }
-            pos = 0;
-            limit = held;
-            scan = held;
-            int n = in.read(buf, limit, buf.length - limit);
-            if (n < 0) {
-                if (held == 0) {
+            nextLineStart = 0;
+            bufferEnd = unread;
+            scan = unread;
+            int count = in.read(buffer, bufferEnd, buffer.length - bufferEnd);
+            if (count < 0) {
+                if (unread == 0) {
                     return false;
                 }
                 lineNumber++;
-                throw fault("line", "cut short by the end of input");
+                throw fault("line", "truncated by the end of input");
             }
-            limit += n;
+            bufferEnd += count;
         }
     }
 
-    private void take(int from, int to) {
+    private void startLine(int from, int to) {
         lineStart = from;
-        lineEnd = to > from && buf[to - 1] == '\r' ? to - 1 : to;
-        cursor = lineStart;
+        lineEnd = to > from && buffer[to - 1] == '\r' ? to - 1 : to;
+        nextField = lineStart;
         lineNumber++;
     }
 
@@ -65,47 +65,47 @@
         return lineStart == lineEnd;
     }
 
-    /** Steps to the next field, which must be there. */
+    /** Advances to the next field, which must be present. */
     void field(String name) {
-        if (cursor > lineEnd || cursor == lineEnd && lineStart != lineEnd && cursor != lineStart) {
+        if (nextField > lineEnd || nextField == lineEnd && lineStart != lineEnd && nextField != lineStart) {
             throw fault(name, "missing");
         }
-        start = cursor;
-        while (cursor < lineEnd && buf[cursor] != ' ') {
-            cursor++;
+        fieldStart = nextField;
+        while (nextField < lineEnd && buffer[nextField] != ' ') {
+            nextField++;
         }
-        end = cursor;
-        cursor++;
-        if (start == end) {
+        fieldEnd = nextField;
+        nextField++;
+        if (fieldStart == fieldEnd) {
             throw fault(name, "empty");
         }
     }
 
-    /** True if the line holds a further field. */
-    boolean more() {
-        return cursor < lineEnd;
+    /** Whether the line has another field. */
+    boolean hasMore() {
+        return nextField < lineEnd;
     }
 
-    /** Steps to the next field, or to an absent one where the line ends first. */
-    private void optional(String name) {
-        if (more()) {
+    /** Advances to the next field, or to an absent one at the end of the line. */
+    private void optionalField(String name) {
+        if (hasMore()) {
             field(name);
         } else {
-            start = 0;
-            end = 0;
+            fieldStart = 0;
+            fieldEnd = 0;
         }
     }
 
     private boolean absent() {
-        return start == end || end - start == 1 && buf[start] == '-';
+        return fieldStart == fieldEnd || fieldEnd - fieldStart == 1 && buffer[fieldStart] == '-';
     }
 
-    boolean is(String word) {
-        if (end - start != word.length()) {
+    boolean fieldEquals(String word) {
+        if (fieldEnd - fieldStart != word.length()) {
             return false;
         }
         for (int i = 0; i < word.length(); i++) {
-            if (buf[start + i] != word.charAt(i)) {
+            if (buffer[fieldStart + i] != word.charAt(i)) {
                 return false;
             }
         }
@@ -113,7 +113,7 @@
     }
 
     String text() {
-        return new String(buf, start, end - start, StandardCharsets.UTF_8);
+        return new String(buffer, fieldStart, fieldEnd - fieldStart, StandardCharsets.UTF_8);
     }
 
     String word(String name) {
@@ -123,15 +123,19 @@
 
     /** The rest of the line. */
     String rest() {
-        String s = cursor >= lineEnd ? "" : new String(buf, cursor, lineEnd - cursor, StandardCharsets.UTF_8);
-        cursor = lineEnd;
+        String s =
+                nextField >= lineEnd ? "" : new String(buffer, nextField, lineEnd - nextField, StandardCharsets.UTF_8);
+        nextField = lineEnd;
         return s;
     }
 
-    /** Which of these byte strings the next field is; -1 if it is absent, "0" or a fault where none fits. */
+    /**
+     * Returns the index of the next field in the options. If it may be absent, -1 stands for an absent field, and also
+     * for "0" where that is not an option; any other value is a fault.
+     */
     int choice(String name, byte[][] options, boolean mayBeAbsent) {
         if (mayBeAbsent) {
-            optional(name);
+            optionalField(name);
             if (absent()) {
                 return -1;
             }
@@ -139,55 +143,56 @@
             field(name);
         }
         for (int i = 0; i < options.length; i++) {
-            byte[] o = options[i];
-            if (o.length == end - start && Arrays.equals(o, 0, o.length, buf, start, end)) {
+            byte[] option = options[i];
+            if (option.length == fieldEnd - fieldStart
+                    && Arrays.equals(option, 0, option.length, buffer, fieldStart, fieldEnd)) {
                 return i;
             }
         }
-        if (mayBeAbsent && is("0")) {
+        if (mayBeAbsent && fieldEquals("0")) {
             return -1;
         }
-        throw fault(name, "'" + text() + "' is not one of those known");
+        throw fault(name, "'" + text() + "' is not a known value");
     }
 
     long integer(String name) {
         field(name);
-        long v = 0;
-        int i = start;
-        boolean minus = buf[i] == '-';
+        long value = 0;
+        int i = fieldStart;
+        boolean minus = buffer[i] == '-';
         if (minus) {
             i++;
         }
-        if (i == end || end - i > 18) {
+        if (i == fieldEnd || fieldEnd - i > 18) {
             throw fault(name, "'" + text() + "' is not a whole number");
         }
-        for (; i < end; i++) {
-            int d = buf[i] - '0';
+        for (; i < fieldEnd; i++) {
+            int d = buffer[i] - '0';
             if (d < 0 || d > 9) {
                 throw fault(name, "'" + text() + "' is not a whole number");
             }
-            v = v * 10 + d;
+            value = value * 10 + d;
         }
-        return minus ? -v : v;
+        return minus ? -value : value;
     }
 
-    int small(String name) {
-        long v = integer(name);
-        if (v < 0 || v > Integer.MAX_VALUE) {
-            throw fault(name, "'" + v + "' is out of range");
+    int nonNegativeInt(String name) {
+        long value = integer(name);
+        if (value < 0 || value > Integer.MAX_VALUE) {
+            throw fault(name, "'" + value + "' is out of range");
         }
-        return (int) v;
+        return (int) value;
     }
 
     boolean flag(String name, boolean absentValue) {
-        optional(name);
+        optionalField(name);
         if (absent()) {
             return absentValue;
         }
-        if (is("1")) {
+        if (fieldEquals("1")) {
             return true;
         }
-        if (is("0")) {
+        if (fieldEquals("0")) {
             return false;
         }
         throw fault(name, "'" + text() + "' is neither 0 nor 1");
@@ -195,31 +200,31 @@
 
     double number(String name) {
         field(name);
-        return parse(name, start, end);
+        return parse(name, fieldStart, fieldEnd);
     }
 
     double number(String name, double absentValue) {
-        optional(name);
-        return absent() ? absentValue : parse(name, start, end);
+        optionalField(name);
+        return absent() ? absentValue : parse(name, fieldStart, fieldEnd);
     }
 
-    private static final double[] TENTHS = {1, 10, 100, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9};
+    private static final double[] POWERS_OF_TEN = {1, 10, 100, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9};
 
     private double parse(String name, int from, int to) {
-        long v = 0;
+        long mantissa = 0;
         int digits = 0;
         int decimals = -1;
         int i = from;
-        boolean minus = i < to && buf[i] == '-';
+        boolean minus = i < to && buffer[i] == '-';
         if (minus) {
             i++;
         }
         for (; i < to; i++) {
-            byte b = buf[i];
+            byte b = buffer[i];
             if (b == '.' && decimals < 0) {
                 decimals = 0;
             } else if (b >= '0' && b <= '9') {
-                v = v * 10 + (b - '0');
+                mantissa = mantissa * 10 + (b - '0');
                 digits++;
                 if (decimals >= 0) {
                     decimals++;
@@ -231,46 +236,46 @@
         if (digits == 0 || digits > 17 || decimals > 9) {
             return slowParse(name, from, to);
         }
-        double d = decimals > 0 ? v / TENTHS[decimals] : v;
+        double d = decimals > 0 ? mantissa / POWERS_OF_TEN[decimals] : mantissa;
         return minus ? -d : d;
     }
 
     private double slowParse(String name, int from, int to) {
-        String s = new String(buf, from, to - from, StandardCharsets.UTF_8);
+        String s = new String(buffer, from, to - from, StandardCharsets.UTF_8);
         try {
             double d = Double.parseDouble(s);
             if (!Double.isNaN(d) && !Double.isInfinite(d)) {
                 return d;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
         throw fault(name, "'" + s + "' is not a number");
     }
 
-    /** Steps to a load report; false if none is attached. */
-    boolean report(String name, double[] into, byte[][] names) {
-        optional(name);
+    /** Reads a load report; false if the field is absent. */
+    boolean report(String name, double[] values, byte[][] names) {
+        optionalField(name);
         if (absent()) {
             return false;
         }
-        Arrays.fill(into, Double.NaN);
-        int i = start;
-        while (i < end) {
+        Arrays.fill(values, Double.NaN);
+        int i = fieldStart;
+        while (i < fieldEnd) {
             int colon = i;
-            while (colon < end && buf[colon] != ':') {
+            while (colon < fieldEnd && buffer[colon] != ':') {
                 colon++;
             }
             int stop = colon;
-            while (stop < end && buf[stop] != ',') {
+            while (stop < fieldEnd && buffer[stop] != ',') {
                 stop++;
             }
-            if (colon == end) {
-                throw fault(name, "'" + text() + "' is not made of name:value pairs");
+            if (colon == fieldEnd) {
+                throw fault(name, "'" + text() + "' is not a list of name:value pairs");
             }
             for (int k = 0; k < names.length; k++) {
-                if (Arrays.equals(names[k], 0, names[k].length, buf, i, colon)) {
-                    into[k] = parse(name, colon + 1, stop);
+                if (Arrays.equals(names[k], 0, names[k].length, buffer, i, colon)) {
+                    values[k] = parse(name, colon + 1, stop);
                 }
             }
             i = stop + 1;
@@ -278,7 +283,7 @@
         return true;
     }
 
-    WireException fault(String field, String what) {
-        return new WireException("line " + lineNumber + ": field " + field + ": " + what);
+    WireException fault(String field, String problem) {
+        return new WireException("line " + lineNumber + ": field " + field + ": " + problem);
     }
 }
--- a/src/main/java/whinlead/benchlink/WireWriter.java
+++ b/src/main/java/whinlead/benchlink/WireWriter.java
@@ -5,90 +5,90 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects a reply as bytes and writes it at once. */
+/** Buffers a reply and writes it in one call. */
 final class WireWriter {
     private final OutputStream out;
-    private byte[] buf = new byte[1 << 14];
+    private byte[] buffer = new byte[1 << 14];
     private int size;
 
     WireWriter(OutputStream out) {
         this.out = out;
     }
 
-    private void room(int n) {
-        if (size + n > buf.length) {
-            buf = Arrays.copyOf(buf, Math.max(buf.length * 2, size + n));
+    private void ensureCapacity(int count) {
+        if (size + count > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + count));
         }
     }
 
     WireWriter word(String s) {
-        int n = s.length();
-        room(n * 3 + 1);
-        for (int i = 0; i < n; i++) {
+        int length = s.length();
+        ensureCapacity(length * 3 + 1);
+        for (int i = 0; i < length; i++) {
             char c = s.charAt(i);
             if (c > 127) {
                 byte[] rest = s.substring(i).getBytes(StandardCharsets.UTF_8);
-                room(rest.length);
-                System.arraycopy(rest, 0, buf, size, rest.length);
+                ensureCapacity(rest.length);
+                System.arraycopy(rest, 0, buffer, size, rest.length);
                 size += rest.length;
                 return this;
             }
-            buf[size++] = (byte) c;
+            buffer[size++] = (byte) c;
         }
         return this;
     }
 
     WireWriter space() {
-        room(1);
-        buf[size++] = ' ';
+        ensureCapacity(1);
+        buffer[size++] = ' ';
         return this;
     }
 
-    WireWriter line() {
-        room(1);
-        buf[size++] = '\n';
+    WireWriter endLine() {
+        ensureCapacity(1);
+        buffer[size++] = '\n';
         return this;
     }
 
     WireWriter integer(long v) {
-        room(20);
+        ensureCapacity(20);
         if (v < 0) {
-            buf[size++] = '-';
+            buffer[size++] = '-';
             v = -v;
         }
         int from = size;
         do {
-            buf[size++] = (byte) ('0' + v % 10);
+            buffer[size++] = (byte) ('0' + v % 10);
             v /= 10;
         } while (v > 0);
         for (int i = from, j = size - 1; i < j; i++, j--) {
-            byte b = buf[i];
-            buf[i] = buf[j];
-            buf[j] = b;
+            byte b = buffer[i];
+            buffer[i] = buffer[j];
+            buffer[j] = b;
         }
         return this;
     }
 
-    /** Milliseconds with three decimals, the simulator's own resolution. */
+    /** Writes milliseconds with three decimals, the simulator's resolution. */
     WireWriter millis(double v) {
         long micros = Math.round(v * 1000);
         if (micros < 0) {
-            room(1);
-            buf[size++] = '-';
+            ensureCapacity(1);
+            buffer[size++] = '-';
             micros = -micros;
         }
         integer(micros / 1000);
         int rest = (int) (micros % 1000);
-        room(4);
-        buf[size++] = '.';
-        buf[size++] = (byte) ('0' + rest / 100);
-        buf[size++] = (byte) ('0' + rest / 10 % 10);
-        buf[size++] = (byte) ('0' + rest % 10);
+        ensureCapacity(4);
+        buffer[size++] = '.';
+        buffer[size++] = (byte) ('0' + rest / 100);
+        buffer[size++] = (byte) ('0' + rest / 10 % 10);
+        buffer[size++] = (byte) ('0' + rest % 10);
         return this;
     }
 
     void flush() throws IOException {
-        out.write(buf, 0, size);
+        out.write(buffer, 0, size);
         out.flush();
         size = 0;
     }
--- a/src/test/java/whinlead/benchlink/LinkTest.java
+++ b/src/test/java/whinlead/benchlink/LinkTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter: good batches are answered, bad ones name the line and the field. */
+/** Tests the adapter: valid batches are answered, and faults in invalid ones are reported with line and field. */
 class LinkTest {
     private static final String BOOT = "classes.count=1 classes.0.name=get classes.0.effect=idempotent "
             + "classes.0.slo=500.0 classes.0.deadline=2000.0 classes.0.value=1.0 classes.0.late_worth=0.0 "
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aRequestIsForwardedAndItsAnswerEndsIt() throws IOException {
+    void requestIsForwardedAndEndedByItsAnswer() throws IOException {
         String reply = play(UP + "tick 20.0 2\norder 0 5 get - - 900.0 - 0 0\neob\n"
                 + "tick 40.0 3\nanswer 0 5 0 box done 20.0 1 -\ncancelled_by_client 0 5\neob\n");
         assertTrue(reply.contains("forward 0 5 box "), reply);
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void anEmptyFleetIsRefusedAndALateAnswerIgnored() throws IOException {
+    void requestIsDeniedWhenNoServerIsUpAndLateAnswerIsIgnored() throws IOException {
         String reply = play(UP.replace("entry 1 U", "entry 1 D")
                 + "tick 20.0 2\norder 0 5 get - - 900.0 - 0 0\nanswer 0 9 0 box done 1.0 1 -\neob\n");
         assertTrue(reply.contains("deny 0 5 "), reply);
     }
 
     @Test
-    void aRestartForgetsAndAReusedListNumberIsReadInOrder() throws IOException {
+    void restartForgetsRequestsAndReusedListNumberTakesLatestContents() throws IOException {
         String reply = play(UP + "tick 20.0 2\ncrash_now 0\nup 0 78 " + BOOT
                 + "\ncatalog 0 1\nentry 1 U kind hall 0 fresh -\nmembership 0 2 C 0\n"
                 + "catalog 0 0\norder 0 6 get - - 900.0 - 0 0\nanswer 0 5 0 box done 1.0 1 -\neob\n");
@@ -73,7 +73,7 @@
                 "tick 20.0 2~order 0 5 get - - 900.0 - 0 0~ | message",
                 "tick 20.0 2~eo | line"
             })
-    void badInputNamesTheLineAndTheField(String text, String field) {
+    void malformedInputIsReportedWithLineAndField(String text, String field) {
         WireException e =
                 assertThrows(WireException.class, () -> play(UP + text.strip().replace('~', '\n')));
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
@@ -91,18 +91,18 @@
         "obligations.cold=9000.0,obligations.cold=x,obligations.cold",
         "classes.count=1,classes.count=2,classes.1.effect"
     })
-    void badSettingsNameTheKey(String good, String bad, String key) {
+    void invalidSettingIsReportedWithItsKey(String good, String bad, String key) {
         WireException e = assertThrows(WireException.class, () -> play(UP.replace(good, bad)));
         assertTrue(e.getMessage().contains(key), e.getMessage());
     }
 
     @Test
-    void aHugeBatchIsAnsweredInFull() throws IOException {
-        StringBuilder b = new StringBuilder(UP + "tick 20.0 2\n");
+    void everyRequestOfLargeBatchIsAnswered() throws IOException {
+        StringBuilder batch = new StringBuilder(UP + "tick 20.0 2\n");
         for (int i = 0; i < 20000; i++) {
-            b.append("order 0 ").append(i).append(" get - - 900.0 - 0 0\n");
+            batch.append("order 0 ").append(i).append(" get - - 900.0 - 0 0\n");
         }
-        String reply = play(b + "eob\n");
+        String reply = play(batch + "eob\n");
         long answers = reply.lines()
                 .filter(l -> l.startsWith("forward") || l.startsWith("deny"))
                 .count();
@@ -110,17 +110,17 @@
     }
 
     @Test
-    void theTableKeepsWhatWasNotRemoved() {
-        LongTable<String> t = new LongTable<>();
+    void tableRetainsEntriesThatWereNotRemoved() {
+        LongTable<String> table = new LongTable<>();
         for (long i = 0; i < 5000; i++) {
-            t.put(i * 1024, "v" + i);
+            table.put(i * 1024, "v" + i);
         }
         for (long i = 0; i < 5000; i += 2) {
-            t.remove(i * 1024);
+            table.remove(i * 1024);
         }
-        assertEquals(2500, t.size());
+        assertEquals(2500, table.size());
         for (long i = 0; i < 5000; i++) {
-            assertEquals(i % 2 == 0 ? null : "v" + i, t.get(i * 1024));
+            assertEquals(i % 2 == 0 ? null : "v" + i, table.get(i * 1024));
         }
     }
 }
