--- a/src/main/java/whinlead/plan/Arrival.java
+++ b/src/main/java/whinlead/plan/Arrival.java
@@ -1,11 +1,11 @@
 package whinlead.plan;
 
 /**
- * A request as it came to a sidecar.
+ * A request that arrives at a sidecar.
  *
- * @param at milliseconds since the load began
- * @param kind position of its class in the settings
- * @param tenant position of its tenant in the settings, or -1
- * @param repeat whether the client said that it is a repeat
+ * @param at milliseconds since the load started
+ * @param kind index of the request class in the settings
+ * @param tenant index of the tenant in the settings, or -1 if there is none
+ * @param repeat whether the client marked the request as a retry
  */
 public record Arrival(double at, int kind, int tenant, boolean repeat) {}
--- a/src/main/java/whinlead/plan/Arrivals.java
+++ b/src/main/java/whinlead/plan/Arrivals.java
@@ -3,21 +3,21 @@
 import java.util.Iterator;
 import java.util.NoSuchElementException;
 
-/** Arrivals by time, found one ahead. For one thread. */
+/** Arrivals in order of time, computed one ahead. Not thread-safe. */
 public abstract class Arrivals implements Iterator<Arrival> {
-    private Arrival ahead;
-    private boolean begun;
+    private Arrival nextArrival;
+    private boolean started;
 
-    /** The next one; null, from then on too, if there is none. */
-    protected abstract Arrival find();
+    /** Returns the next arrival, or null at the end and on every later call. */
+    protected abstract Arrival findNext();
 
     @Override
     public final boolean hasNext() {
-        if (!begun) {
-            begun = true;
-            ahead = find();
+        if (!started) {
+            started = true;
+            nextArrival = findNext();
         }
-        return ahead != null;
+        return nextArrival != null;
     }
 
     @Override
@@ -25,8 +25,8 @@
         if (!hasNext()) {
             throw new NoSuchElementException();
         }
-        Arrival a = ahead;
-        ahead = find();
-        return a;
+        Arrival arrival = nextArrival;
+        nextArrival = findNext();
+        return arrival;
     }
 }
--- a/src/main/java/whinlead/plan/Bounds.java
+++ b/src/main/java/whinlead/plan/Bounds.java
@@ -5,71 +5,73 @@
 import java.util.TreeSet;
 
 /**
- * What no policy can pass, by utilisation alone: the fronts' cores can't do more work in a span than there is of them,
- * whatever is sent where. A cross-check on the simulation, free of its rules.
+ * Upper bounds on service for any routing policy, from utilisation alone: in a time span the fronts' cores cannot do
+ * more work than their capacity. Independent of the simulation, and used as a cross-check on it.
  */
 public final class Bounds {
     private Bounds() {}
 
-    /** Cores of speed 1 that the fleet amounts to when well and warm, by the mean of each model's speeds. */
-    public static double capacity(Fleet f) {
-        double each = 0;
-        for (Fleet.Model m : f.models()) {
-            each += m.share() * m.cores() * (m.slowest() + m.fastest()) / 2;
+    /** Capacity in cores of speed 1 when all fronts are healthy and warm, using each model's mean speed. */
+    public static double capacity(Fleet fleet) {
+        double meanFrontCapacity = 0;
+        for (Fleet.Model model : fleet.models()) {
+            meanFrontCapacity += model.share() * model.cores() * (model.slowest() + model.fastest()) / 2;
         }
-        return each * f.fronts();
+        return meanFrontCapacity * fleet.fronts();
     }
 
-    /** Share of the capacity that the load asks for outside bursts, without handshakes; 1 is all. */
-    public static double utilisation(Fleet f, Load load) {
-        return load.perSecond() / 1000 * meanWork(f, load) / capacity(f);
+    /** Share of the capacity that the load needs outside bursts, without handshakes; 1 is full utilisation. */
+    public static double utilisation(Fleet fleet, Load load) {
+        return load.perSecond() / 1000 * meanWork(fleet, load) / capacity(fleet);
     }
 
-    private static double meanWork(Fleet f, Load load) {
+    private static double meanWork(Fleet fleet, Load load) {
         double mean = 0;
-        for (int k = 0; k < f.work().size(); k++) {
-            mean += load.mix().get(k) * f.work().get(k).core().mean();
+        for (int k = 0; k < fleet.work().size(); k++) {
+            mean += load.mix().get(k) * fleet.work().get(k).core().mean();
         }
         return mean;
     }
 
     /**
-     * The most of the worth of first tries that could be served: in each span of one rate the classes with the most
-     * worth for their work first, as far as cores go, and what came in it may be worked on for the longest aim after
-     * its end.
+     * Upper bound on the share of the worth of first tries that can be served. Within each span of constant rate, the
+     * classes with the highest worth per unit of work are served first until core time runs out. Work that arrives in a
+     * span may continue for the longest aim of any class after the end of the span.
      */
-    public static double worthMost(Fleet f, Load load) {
-        double aim =
-                f.settings().classes().stream().mapToDouble(c -> c.aim()).max().orElse(0);
-        List<Integer> best = new ArrayList<>();
-        for (int k = 0; k < f.work().size(); k++) {
-            best.add(k);
+    public static double maxWorthShare(Fleet fleet, Load load) {
+        double longestAim = fleet.settings().classes().stream()
+                .mapToDouble(c -> c.aim())
+                .max()
+                .orElse(0);
+        List<Integer> classesByWorthPerWork = new ArrayList<>();
+        for (int k = 0; k < fleet.work().size(); k++) {
+            classesByWorthPerWork.add(k);
         }
-        best.sort((a, b) -> Double.compare(value(f, b), value(f, a)));
+        classesByWorthPerWork.sort((a, b) -> Double.compare(worthPerWork(fleet, b), worthPerWork(fleet, a)));
         TreeSet<Double> edges = new TreeSet<>(List.of(0.0, load.length()));
         for (Load.Burst b : load.bursts()) {
             edges.add(Math.min(load.length(), b.from()));
             edges.add(Math.min(load.length(), b.to()));
         }
-        double asked = 0;
-        double got = 0;
+        double offeredWorth = 0;
+        double servedWorth = 0;
         for (double from : edges.headSet(load.length())) {
             double span = edges.higher(from) - from;
-            double cores = capacity(f) * (span + aim);
-            for (int k : best) {
-                double came = load.rate(from) / 1000 * span * load.mix().get(k);
-                double work = f.work().get(k).core().mean();
-                double done = work == 0 ? came : Math.min(came, cores / work);
-                cores -= done * work;
-                asked += came * f.settings().classes().get(k).worth();
-                got += done * f.settings().classes().get(k).worth();
+            double coreTimeLeft = capacity(fleet) * (span + longestAim);
+            for (int k : classesByWorthPerWork) {
+                double arrived = load.rate(from) / 1000 * span * load.mix().get(k);
+                double work = fleet.work().get(k).core().mean();
+                double served = work == 0 ? arrived : Math.min(arrived, coreTimeLeft / work);
+                coreTimeLeft -= served * work;
+                offeredWorth += arrived * fleet.settings().classes().get(k).worth();
+                servedWorth += served * fleet.settings().classes().get(k).worth();
             }
         }
-        return asked == 0 ? 1 : got / asked;
+        return offeredWorth == 0 ? 1 : servedWorth / offeredWorth;
     }
 
-    private static double value(Fleet f, int k) {
-        return f.settings().classes().get(k).worth()
-                / Math.max(1e-9, f.work().get(k).core().mean());
+    private static double worthPerWork(Fleet fleet, int requestClass) {
+        return fleet.settings().classes().get(requestClass).worth()
+                / Math.max(1e-9, fleet.work().get(requestClass).core().mean());
     }
 }
--- a/src/main/java/whinlead/plan/Calendar.java
+++ b/src/main/java/whinlead/plan/Calendar.java
@@ -5,43 +5,43 @@
 import whinlead.engine.Timers;
 
 /**
- * Simulated time, in milliseconds from 0, and what is to happen: runs what is due, by time and then in the order asked
- * for, so that the same run is played every time. For one thread.
+ * Event calendar of a simulation: the simulated time, in milliseconds from 0, and the scheduled tasks. Tasks run in
+ * order of time and then in the order in which they were scheduled, so runs are reproducible. Not thread-safe.
  */
 public final class Calendar implements Timers {
-    /** Something that is to happen, unless it is called off. */
+    /** A scheduled task, which can be cancelled. */
     public static final class Due implements Timer {
-        private final double at;
-        private final long turn;
+        private final double timeMs;
+        private final long sequence;
         private Runnable task;
 
-        private Due(double at, long turn, Runnable task) {
-            this.at = at;
-            this.turn = turn;
+        private Due(double timeMs, long sequence, Runnable task) {
+            this.timeMs = timeMs;
+            this.sequence = sequence;
             this.task = task;
         }
 
         @Override
         public void cancel() {
-            // Left where it is, without what it would hold on to.
+            // The entry stays in the queue; clearing the task lets it be garbage collected.
             task = null;
         }
     }
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.<Due>comparingDouble(d -> d.at).thenComparingLong(d -> d.turn));
+    private final PriorityQueue<Due> events =
+            new PriorityQueue<>(Comparator.<Due>comparingDouble(d -> d.timeMs).thenComparingLong(d -> d.sequence));
     private double now;
-    private long turn;
+    private long nextSequence;
 
     @Override
     public double now() {
         return now;
     }
 
-    /** Has a task run at a time; at once, but after what is under way, if that has passed. */
-    public Due at(double time, Runnable task) {
-        Due added = new Due(Math.max(now, time), turn++, task);
-        due.add(added);
+    /** Schedules a task for a time. If that time has passed, the task runs next, after those already due now. */
+    public Due at(double timeMs, Runnable task) {
+        Due added = new Due(Math.max(now, timeMs), nextSequence++, task);
+        events.add(added);
         return added;
     }
 
@@ -50,15 +50,15 @@
         return at(now + millis, task);
     }
 
-    /** Runs all that falls due until this time, which then is now. */
-    public void runTo(double end) {
-        while (!due.isEmpty() && due.peek().at <= end) {
-            Due next = due.poll();
-            now = next.at;
+    /** Runs all tasks that are due up to this time, inclusive, and advances the clock to it. */
+    public void runTo(double endMs) {
+        while (!events.isEmpty() && events.peek().timeMs <= endMs) {
+            Due next = events.poll();
+            now = next.timeMs;
             if (next.task != null) {
                 next.task.run();
             }
         }
-        now = end;
+        now = endMs;
     }
 }
--- a/src/main/java/whinlead/plan/ClientTry.java
+++ b/src/main/java/whinlead/plan/ClientTry.java
@@ -3,57 +3,57 @@
 import whinlead.Contract;
 import whinlead.engine.ResponseSink;
 
-/** One try of a client, who may try again after a refusal or a failure. For one thread. */
+/** One try of a client, which may retry after a refusal or a failure. Not thread-safe. */
 final class ClientTry implements ResponseSink<SimulatedFront> {
     private final SimulationContext context;
     private final SimulatedSidecar sidecar;
     private final Arrival arrival;
-    /** 1 for the client's first try, and so on. */
-    private final int number;
+    /** Number of this try, from 1. */
+    private final int tryNumber;
 
     private final Contract.RequestClass requestClass;
-    private final double askedAt;
+    private final double sentAtMs;
 
-    private ClientTry(SimulationContext context, SimulatedSidecar sidecar, Arrival arrival, int number) {
+    private ClientTry(SimulationContext context, SimulatedSidecar sidecar, Arrival arrival, int tryNumber) {
         this.context = context;
         this.sidecar = sidecar;
         this.arrival = arrival;
-        this.number = number;
+        this.tryNumber = tryNumber;
         this.requestClass = context.fleet().settings().classes().get(arrival.kind());
-        this.askedAt = context.calendar().now();
+        this.sentAtMs = context.calendar().now();
     }
 
-    /** A client's first try begins, at this sidecar as all its others will. */
+    /** Starts a client's first try at this sidecar; its retries go to the same sidecar. */
     static void begin(SimulationContext context, SimulatedSidecar sidecar, Arrival arrival) {
         begin(context, sidecar, arrival, 1);
     }
 
-    private static void begin(SimulationContext context, SimulatedSidecar sidecar, Arrival arrival, int number) {
-        ClientTry begun = new ClientTry(context, sidecar, arrival, number);
-        context.tally().asked(begun.askedAt, begun.requestClass.worth(), number == 1);
-        sidecar.receive(begun);
+    private static void begin(SimulationContext context, SimulatedSidecar sidecar, Arrival arrival, int tryNumber) {
+        ClientTry clientTry = new ClientTry(context, sidecar, arrival, tryNumber);
+        context.tally().offered(clientTry.sentAtMs, clientTry.requestClass.worth(), tryNumber == 1);
+        sidecar.receive(clientTry);
     }
 
     Arrival arrival() {
         return arrival;
     }
 
-    /** Whether the request is a repeat, as far as the client says. */
+    /** Whether the client marks the request as a retry. */
     boolean repeat() {
-        return arrival.repeat() || number > 1;
+        return arrival.repeat() || tryNumber > 1;
     }
 
-    /** Milliseconds until its deadline. */
-    double remaining() {
-        return askedAt + requestClass.deadline() - context.calendar().now();
+    /** Milliseconds left until the deadline. */
+    double remainingMs() {
+        return sentAtMs + requestClass.deadline() - context.calendar().now();
     }
 
     @Override
-    public void served(SimulatedFront by) {
+    public void served(SimulatedFront front) {
         sidecar.release();
-        boolean withinAim = context.calendar().now() - askedAt <= requestClass.aim();
+        boolean withinAim = context.calendar().now() - sentAtMs <= requestClass.aim();
         double worth = requestClass.worth() * (withinAim ? 1 : requestClass.lateWorth());
-        context.tally().served(askedAt, withinAim, worth);
+        context.tally().served(sentAtMs, withinAim, worth);
     }
 
     @Override
@@ -72,18 +72,18 @@
 
     private void retry(double retryAfter) {
         Fleet.Clients clients = context.fleet().clients();
-        if (number >= clients.tries()) {
+        if (tryNumber >= clients.tries()) {
             return;
         }
-        boolean honoured = retryAfter > 0 && context.clients().nextDouble() < clients.honour();
-        double wait = honoured ? retryAfter : backOff(clients);
-        context.calendar().after(wait, () -> begin(context, sidecar, arrival, number + 1));
+        boolean retryAfterHonoured = retryAfter > 0 && context.clientRandom().nextDouble() < clients.honourShare();
+        double waitMs = retryAfterHonoured ? retryAfter : backOffMs(clients);
+        context.calendar().after(waitMs, () -> begin(context, sidecar, arrival, tryNumber + 1));
     }
 
-    // Exponential, with jitter.
-    private double backOff(Fleet.Clients clients) {
+    // Exponential back-off with jitter.
+    private double backOffMs(Fleet.Clients clients) {
         return clients.backOff()
-                * (1L << (number - 1))
-                * (0.5 + 0.5 * context.clients().nextDouble());
+                * (1L << (tryNumber - 1))
+                * (0.5 + 0.5 * context.clientRandom().nextDouble());
     }
 }
--- a/src/main/java/whinlead/plan/ConnectionPool.java
+++ b/src/main/java/whinlead/plan/ConnectionPool.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 
 /**
- * The connections of one simulated sidecar: those that are idle are used again, the latest first, and closed when they
- * have been idle for long or another needs their place. For one thread.
+ * The connections of one simulated sidecar. Idle connections are reused, the most recently used first. They are closed
+ * after the idle time-out, or when a new connection needs the space. Not thread-safe.
  */
 final class ConnectionPool {
     private final Fleet.Sidecar limits;
     private final Calendar calendar;
-    /** By front, since when each of its idle connections is idle, the longest first. */
+    /** For each front, the times since which its idle connections are idle, oldest first. */
     private final Map<SimulatedFront, ArrayDeque<Double>> idle = new HashMap<>();
 
     private int open;
 
-    /** One without connections. */
+    /** Creates an empty pool. */
     ConnectionPool(Fleet.Sidecar limits, Calendar calendar) {
         this.limits = limits;
         this.calendar = calendar;
@@ -27,17 +27,17 @@
         ArrayDeque<Double> toFront = idle.get(front);
         while (toFront != null && !toFront.isEmpty() && toFront.peekFirst() < calendar.now() - limits.idle()) {
             toFront.pollFirst();
-            closed(front, front.incarnation());
+            recordClosed(front, front.incarnation());
         }
         return toFront != null && !toFront.isEmpty();
     }
 
-    /** Takes an idle connection to a front; there must be one. */
+    /** Takes an idle connection to a front; the caller has checked that there is one. */
     void takeIdle(SimulatedFront front) {
         idle.get(front).pollLast();
     }
 
-    /** Opens a connection to a front; false if the front or the sidecar has none left. */
+    /** Opens a connection to a front; false if the front or the sidecar is at its connection limit. */
     boolean open(SimulatedFront front) {
         if (!front.acceptsConnection() || !makeRoom()) {
             return false;
@@ -47,27 +47,27 @@
         return true;
     }
 
-    /** Gives back a connection to an incarnation of a front, to be used again or not. */
+    /** Returns a connection to an incarnation of a front, for reuse or to be closed. */
     void release(SimulatedFront front, int incarnation, boolean reusable) {
         if (reusable && front.incarnation() == incarnation) {
             idle.computeIfAbsent(front, k -> new ArrayDeque<>()).addLast(calendar.now());
         } else {
-            closed(front, incarnation);
+            recordClosed(front, incarnation);
         }
     }
 
-    /** Drops the idle connections to a front that is lost. */
+    /** Drops the idle connections to a front that was lost. */
     void drop(SimulatedFront front) {
         ArrayDeque<Double> toFront = idle.remove(front);
         open -= toFront == null ? 0 : toFront.size();
     }
 
-    private void closed(SimulatedFront front, int incarnation) {
+    private void recordClosed(SimulatedFront front, int incarnation) {
         open--;
         front.connectionClosed(incarnation);
     }
 
-    // Closes the connection that has been idle for longest if there is no room for one more.
+    // At the connection limit, closes the connection that has been idle for longest.
     private boolean makeRoom() {
         if (open < limits.connections()) {
             return true;
@@ -82,14 +82,14 @@
             return false;
         }
         idle.get(oldest).pollFirst();
-        closed(oldest, oldest.incarnation());
+        recordClosed(oldest, oldest.incarnation());
         return true;
     }
 
-    // By time, and then by name: the order of a map must not show.
-    private boolean idleForLonger(SimulatedFront front, SimulatedFront than) {
+    // Ties are broken by name: results must not depend on the iteration order of the map.
+    private boolean idleForLonger(SimulatedFront front, SimulatedFront other) {
         double since = idle.get(front).peekFirst();
-        double other = idle.get(than).peekFirst();
-        return since < other || since == other && front.id().compareTo(than.id()) < 0;
+        double otherSince = idle.get(other).peekFirst();
+        return since < otherSince || since == otherSince && front.id().compareTo(other.id()) < 0;
     }
 }
--- a/src/main/java/whinlead/plan/Fleet.java
+++ b/src/main/java/whinlead/plan/Fleet.java
@@ -5,19 +5,19 @@
 import whinlead.Contract;
 
 /**
- * A deployment as it is described: what the planner knows of it, and all that it knows. Times are milliseconds, shares
- * from 0 to 1. The constructors check nothing that a schema can; {@link #check} finds what it can't.
+ * Description of a deployment, the planner's complete input about it. Times are in milliseconds, shares are from 0 to
+ * 1. The constructors do not repeat checks of the JSON schema; {@link #check} does those that a schema cannot express.
  *
- * @param settings what every sidecar is told; their number is that of {@code shares}
- * @param models kinds of fronts
- * @param zones where fronts are
- * @param fronts how many there are
- * @param work what each class of the settings asks of a core of speed 1, and of others
- * @param front what every front is like
- * @param sidecar what every sidecar is like
- * @param shares of the traffic, one a sidecar
- * @param clients what clients do when refused or failed
- * @param changes what befalls the fleet
+ * @param settings settings of every sidecar; the number of sidecars equals the number of {@code shares}
+ * @param models machine models of fronts
+ * @param zones zones that contain fronts
+ * @param fronts number of fronts
+ * @param work work of each class of the settings on a core of speed 1, and time off the core
+ * @param front properties of every front
+ * @param sidecar properties of every sidecar
+ * @param shares share of the traffic of each sidecar
+ * @param clients retry behaviour of clients
+ * @param changes faults and slowdowns during the run
  */
 public record Fleet(
         Contract.Settings settings,
@@ -30,45 +30,45 @@
         List<Double> shares,
         Clients clients,
         List<Change> changes) {
-    /** How far shares may be from a sum of 1. */
+    /** Tolerance for the sum of shares, which must be 1. */
     private static final double SUM_SLACK = 1e-6;
 
     /**
-     * A kind of fronts, with speeds drawn evenly between two.
+     * A machine model, with speeds drawn uniformly between the slowest and the fastest.
      *
-     * @param share of the fronts
+     * @param share share of the fronts
      */
     public record Model(String name, int cores, double slowest, double fastest, double share) {}
 
     /**
-     * A place.
+     * A zone.
      *
-     * @param share of the fronts
-     * @param way one way between a sidecar and a front there
+     * @param share share of the fronts
+     * @param oneWayLatency latency from a sidecar to a front in the zone, one way
      */
-    public record Zone(String name, double share, double way) {}
+    public record Zone(String name, double share, double oneWayLatency) {}
 
     /**
-     * What a class asks of a front.
+     * Work that a request of a class causes at a front.
      *
-     * @param core of one of its cores
-     * @param away of others, while it holds no core
+     * @param core work on one of the front's cores
+     * @param away time spent waiting for other systems, without occupying a core
      */
     public record Work(Law core, Law away) {}
 
     /**
-     * What every front is like.
+     * Properties of every front.
      *
-     * @param sharing all in service at once, in equal parts, or as many as there are cores
-     * @param roomPerCore how many it holds for each core, those in service counted
-     * @param connections that it takes at once
-     * @param handshake work of a core for a new connection
-     * @param coldShare of its speed at a start, rising evenly
-     * @param coldTime until it is as fast as it gets
-     * @param thrashAbove held for each core beyond which it is slower; 0 for never
-     * @param thrashSpeed its speed then
-     * @param thrashUntil held for each core at which that ends
-     * @param cancelStops whether an attempt that was given up is worked on no further
+     * @param sharing true for processor sharing among all requests, false for one request per core in turn
+     * @param roomPerCore requests per core that a front accepts at once, including those in service
+     * @param connections maximum number of open connections
+     * @param handshake core work for a new connection
+     * @param coldShare share of the full speed at start; the speed then rises linearly
+     * @param coldTime time from start to full speed
+     * @param thrashAbove requests per core above which a front thrashes and slows down; 0 for never
+     * @param thrashSpeed speed while thrashing, as a share of the normal one
+     * @param thrashUntil requests per core at which thrashing ends
+     * @param cancelStops whether cancelling an attempt stops the work on it
      */
     public record Front(
             boolean sharing,
@@ -81,8 +81,8 @@
             double thrashSpeed,
             double thrashUntil,
             boolean cancelStops) {
-        /** The same with another room. */
-        public Front room(double perCore) {
+        /** Returns a copy with this capacity per core. */
+        public Front withRoomPerCore(double perCore) {
             return new Front(
                     sharing,
                     perCore,
@@ -96,7 +96,7 @@
                     cancelStops);
         }
 
-        /** The same with so many connections. */
+        /** Returns a copy with this connection limit. */
         public Front connections(int most) {
             return new Front(
                     sharing,
@@ -111,7 +111,7 @@
                     cancelStops);
         }
 
-        /** The same with handshakes of so much work. */
+        /** Returns a copy with this work for each handshake. */
         public Front handshake(double millis) {
             return new Front(
                     sharing,
@@ -128,138 +128,141 @@
     }
 
     /**
-     * What every sidecar is like.
+     * Properties of every sidecar.
      *
-     * @param work of its processor for a request, in all
-     * @param places requests that its clients can have open
-     * @param connections to fronts that it may hold
-     * @param connectTimeout until a connect to a front that says nothing has failed
-     * @param idle until a connection that nobody uses is closed
+     * @param work total processor time for each request
+     * @param places maximum number of open client requests
+     * @param connections maximum number of connections to fronts
+     * @param connectTimeout time after which connecting to a silent front fails
+     * @param idle time after which an unused connection is closed
      */
     public record Sidecar(double work, int places, int connections, double connectTimeout, double idle) {
-        /** The same with so much work. */
+        /** Returns a copy with this processor time for each request. */
         public Sidecar work(double millis) {
             return new Sidecar(millis, places, connections, connectTimeout, idle);
         }
 
-        /** The same with so many places. */
+        /** Returns a copy with this limit of open client requests. */
         public Sidecar places(int most) {
             return new Sidecar(work, most, connections, connectTimeout, idle);
         }
 
-        /** The same with so many connections. */
+        /** Returns a copy with this connection limit. */
         public Sidecar connections(int most) {
             return new Sidecar(work, places, most, connectTimeout, idle);
         }
     }
 
     /**
-     * Clients.
+     * Retry behaviour of clients.
      *
-     * @param tries in all
-     * @param backOff before the second, doubled for each further one and spread over its upper half
-     * @param honour the share that comes back when told to, where it is told
+     * @param tries maximum number of tries, the first included
+     * @param backOff delay before the second try; doubled for each further try, with jitter over its upper half
+     * @param honourShare share of retries that follow the retry-after time, where there is one
      */
-    public record Clients(int tries, double backOff, double honour) {}
+    public record Clients(int tries, double backOff, double honourShare) {}
 
-    /** What can befall a fleet. */
+    /** Kind of a change. */
     public enum Kind {
-        /** A part of the fronts has a part of its speed. */
+        /** A share of the fronts runs at reduced speed. */
         SLOWED,
-        /** A zone says nothing, is off the list after a time, and comes back cold. */
+        /** A zone stops responding, is removed from the endpoint list after a delay, and returns cold. */
         ZONE_LOST,
-        /** A zone's processes end, what they hold is reset, and they come back cold after the same. */
+        /** A zone's processes exit, their connections are reset, and they return cold as for a lost zone. */
         ZONE_DIED
     }
 
     /**
-     * Something that befalls the fleet.
+     * A fault or slowdown during the run.
      *
-     * @param zone where, or null for everywhere
-     * @param share of the fronts there
-     * @param speed that they have left, of their own
-     * @param notice until the list tells
+     * @param zone the affected zone, or null for all zones
+     * @param share share of the fronts affected there
+     * @param speed remaining share of their own speed
+     * @param notice delay until the endpoint list shows the change
      */
     public record Change(Kind kind, String zone, double share, double speed, double from, double to, double notice) {}
 
-    /** The same with so many fronts. */
+    /** Returns a copy with this number of fronts. */
     public Fleet fronts(int count) {
         return new Fleet(settings, models, zones, count, work, front, sidecar, shares, clients, changes);
     }
 
-    /** The same with other models. */
+    /** Returns a copy with other models. */
     public Fleet with(List<Model> others) {
         return new Fleet(settings, others, zones, fronts, work, front, sidecar, shares, clients, changes);
     }
 
-    /** The same with other fronts. */
+    /** Returns a copy with other properties of the fronts. */
     public Fleet with(Front other) {
         return new Fleet(settings, models, zones, fronts, work, other, sidecar, shares, clients, changes);
     }
 
-    /** The same with other sidecars. */
+    /** Returns a copy with other properties of the sidecars. */
     public Fleet with(Sidecar other) {
         return new Fleet(settings, models, zones, fronts, work, front, other, shares, clients, changes);
     }
 
-    /** The same with other clients. */
+    /** Returns a copy with other clients. */
     public Fleet with(Clients other) {
         return new Fleet(settings, models, zones, fronts, work, front, sidecar, shares, other, changes);
     }
 
-    /** The same with these changes. */
-    public Fleet changes(List<Change> befalls) {
-        return new Fleet(settings, models, zones, fronts, work, front, sidecar, shares, clients, befalls);
+    /** Returns a copy with these changes. */
+    public Fleet changes(List<Change> newChanges) {
+        return new Fleet(settings, models, zones, fronts, work, front, sidecar, shares, clients, newChanges);
     }
 
     /**
-     * Looks for what contradicts itself.
+     * Checks the description for contradictions.
      *
-     * @throws IllegalArgumentException that names the field
+     * @throws IllegalArgumentException naming the field at fault
      */
     public void check() {
-        sum("models", models.stream().mapToDouble(Model::share).toArray());
-        sum("zones", zones.stream().mapToDouble(Zone::share).toArray());
-        sum("sidecars.shares", shares.stream().mapToDouble(d -> d).toArray());
-        for (Model m : models) {
-            require(m.fastest() >= m.slowest(), "models: " + m.name() + " has its fastest below its slowest");
+        checkShares("models", models.stream().mapToDouble(Model::share).toArray());
+        checkShares("zones", zones.stream().mapToDouble(Zone::share).toArray());
+        checkShares("sidecars.shares", shares.stream().mapToDouble(d -> d).toArray());
+        for (Model model : models) {
+            require(
+                    model.fastest() >= model.slowest(),
+                    "models: " + model.name() + " has its fastest below its slowest");
         }
-        require(work.size() == settings.classes().size(), "work: one entry for each class is wanted");
-        require(settings.sidecars() == shares.size(), "sidecars.shares: one for each sidecar is wanted");
-        for (Change c : changes) {
+        require(work.size() == settings.classes().size(), "work: one entry for each class is required");
+        require(settings.sidecars() == shares.size(), "sidecars.shares: one share for each sidecar is required");
+        for (Change change : changes) {
             require(
-                    c.zone() == null || zones.stream().anyMatch(z -> z.name().equals(c.zone())),
-                    "changes: no zone " + c.zone());
-            require(c.kind() == Kind.SLOWED || c.zone() != null, "changes: a lost zone wants its name");
-            require(c.to() >= c.from(), "changes: one ends before it begins");
+                    change.zone() == null
+                            || zones.stream().anyMatch(z -> z.name().equals(change.zone())),
+                    "changes: no zone " + change.zone());
+            require(change.kind() == Kind.SLOWED || change.zone() != null, "changes: a lost zone must be named");
+            require(change.to() >= change.from(), "changes: a change ends before it begins");
             require(
-                    c.kind() == Kind.SLOWED
+                    change.kind() == Kind.SLOWED
                             || changes.stream()
-                                            .filter(o -> o.kind() != Kind.SLOWED
-                                                    && Objects.equals(o.zone(), c.zone())
-                                                    && o.from() <= c.to()
-                                                    && o.to() >= c.from())
+                                            .filter(other -> other.kind() != Kind.SLOWED
+                                                    && Objects.equals(other.zone(), change.zone())
+                                                    && other.from() <= change.to()
+                                                    && other.to() >= change.from())
                                             .count()
                                     == 1,
-                    "changes: zone " + c.zone() + " is lost while it is lost");
+                    "changes: zone " + change.zone() + " is lost twice at the same time");
         }
         require(
                 front.thrashAbove() == 0 || front.thrashUntil() <= front.thrashAbove(),
-                "front.thrash: it ends above where it begins");
+                "front.thrash: until must not exceed above");
     }
 
-    private static void sum(String field, double[] shares) {
+    private static void checkShares(String field, double[] shares) {
         double sum = 0;
         for (double s : shares) {
-            require(s >= 0 && s <= 1, field + ": " + s + " is no share");
+            require(s >= 0 && s <= 1, field + ": " + s + " is not a share between 0 and 1");
             sum += s;
         }
         require(Math.abs(sum - 1) <= SUM_SLACK, field + ": shares add up to " + sum + ", not 1");
     }
 
-    private static void require(boolean good, String otherwise) {
-        if (!good) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/src/main/java/whinlead/plan/FrontModel.java
+++ b/src/main/java/whinlead/plan/FrontModel.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 
 /**
- * The queueing core of one front: cores of a speed that may change, first come first served or all at once in equal
- * parts, and a room beyond which it turns away. All in service are served at one rate, so a clock of attained service
- * orders their ends (Kleinrock, Queueing Systems II, 4.4), and an event costs the logarithm of what is in service. For
- * one thread, by its {@link Calendar}.
+ * Queueing model of one front: cores of variable speed, first come first served or processor sharing, and a limited
+ * room; arrivals beyond it are rejected. All visits in service progress at the same rate, so a clock of attained
+ * service orders their completions (Kleinrock, Queueing Systems II, 4.4), and an event costs O(log n) for n visits in
+ * service. Not thread-safe; driven by its {@link Calendar}.
  */
 public final class FrontModel {
-    /** How a visit ended; told once, and at once where it is turned away. */
+    /** How a visit ended. Reported once, and immediately if the visit is rejected. */
     public enum End {
         DONE,
         FULL,
@@ -20,188 +20,189 @@
     }
 
     /**
-     * What slows a front that holds too much, and what ends that: a front that thrashes.
+     * Thrashing: when an overloaded front slows down and when it recovers.
      *
-     * @param above slower once it holds more than this; infinite for never
-     * @param speed its speed then, of the usual one
-     * @param until as fast as usual again once it holds no more than this
+     * @param above slower once it has more visits than this; infinite for never
+     * @param speed speed while thrashing, as a share of the normal one
+     * @param until back to normal speed once it has no more visits than this
      */
     public record Thrash(double above, double speed, double until) {
-        /** None. */
+        /** No thrashing. */
         public static final Thrash NONE = new Thrash(Double.POSITIVE_INFINITY, 1, 0);
     }
 
-    /** One that is at the front. */
+    /** A request at the front, waiting or in service. */
     public static final class Visit {
-        private final Consumer<End> told;
+        private final Consumer<End> onEnd;
         private final double work;
-        private final long turn;
-        private double target = Double.NaN;
-        private boolean over;
+        private final long sequence;
+        private double targetAttainedMs = Double.NaN;
+        private boolean ended;
 
-        private Visit(Consumer<End> told, double work, long turn) {
-            this.told = told;
+        private Visit(Consumer<End> onEnd, double work, long sequence) {
+            this.onEnd = onEnd;
             this.work = work;
-            this.turn = turn;
+            this.sequence = sequence;
         }
     }
 
     private final Calendar calendar;
     private final int cores;
-    private final int served;
+    private final int maxInService;
     private final int room;
     private final Thrash thrash;
-    private final PriorityQueue<Visit> serving =
-            new PriorityQueue<>(Comparator.<Visit>comparingDouble(v -> v.target).thenComparingLong(v -> v.turn));
+    private final PriorityQueue<Visit> inService = new PriorityQueue<>(
+            Comparator.<Visit>comparingDouble(v -> v.targetAttainedMs).thenComparingLong(v -> v.sequence));
     private final ArrayDeque<Visit> waiting = new ArrayDeque<>();
-    private Calendar.Due next;
+    private Calendar.Due nextCompletion;
     private double speed = 1;
     private boolean thrashing;
-    private double attained;
-    private double lastAt;
+    private double attainedMs;
+    private double lastAdvanceMs;
     private double workDone;
     private double coreTime;
-    private long turns;
+    private long nextSequence;
 
     /**
-     * An idle front.
+     * Creates an idle front.
      *
-     * @param sharing whether all are in service at once, in equal parts, or as many as there are cores
-     * @param room how many it holds at most, those in service counted; beyond that one is turned away
+     * @param sharing true for processor sharing among all visits, false for one visit per core in turn
+     * @param room maximum number of visits, including those in service; further arrivals are rejected
      */
     public FrontModel(Calendar calendar, int cores, boolean sharing, int room, Thrash thrash) {
         this.calendar = calendar;
         this.cores = cores;
-        this.served = sharing ? Integer.MAX_VALUE : cores;
+        this.maxInService = sharing ? Integer.MAX_VALUE : cores;
         this.room = room;
         this.thrash = thrash;
     }
 
-    /** One comes with so many milliseconds of work for a core of speed 1. */
-    public Visit arrives(double work, Consumer<End> told) {
-        Visit v = new Visit(told, work, turns++);
-        if (held() >= room) {
-            v.over = true;
-            told.accept(End.FULL);
-            return v;
+    /** Adds a visit with this work, in milliseconds of a core of speed 1. */
+    public Visit arrive(double work, Consumer<End> onEnd) {
+        Visit visit = new Visit(onEnd, work, nextSequence++);
+        if (visitCount() >= room) {
+            visit.ended = true;
+            onEnd.accept(End.FULL);
+            return visit;
         }
         advance();
-        if (serving.size() < served) {
-            serve(v);
+        if (inService.size() < maxInService) {
+            startService(visit);
         } else {
-            waiting.add(v);
+            waiting.add(visit);
         }
         schedule();
-        return v;
+        return visit;
     }
 
-    /** One leaves before it is done: what is left of its work is not done. It is told nothing. */
-    public void leaves(Visit v) {
-        if (v.over) {
+    /** Withdraws a visit before it is done: its remaining work is not done, and no end is reported. */
+    public void withdraw(Visit visit) {
+        if (visit.ended) {
             return;
         }
-        v.over = true;
+        visit.ended = true;
         advance();
-        if (!serving.remove(v)) {
-            waiting.remove(v);
+        if (!inService.remove(visit)) {
+            waiting.remove(visit);
         }
-        fill();
+        startWaiting();
         schedule();
     }
 
-    /** Whether one is still there. */
-    public boolean holds(Visit v) {
-        return !v.over;
+    /** Whether the visit is still at the front. */
+    public boolean isPresent(Visit visit) {
+        return !visit.ended;
     }
 
-    /** The front is lost with all that it holds, and comes back empty. */
-    public void lose() {
+    /** Ends all visits as lost; the front is empty afterwards. */
+    public void loseAll() {
         advance();
-        ArrayDeque<Visit> held = new ArrayDeque<>(serving);
-        held.addAll(waiting);
-        serving.clear();
+        ArrayDeque<Visit> lostVisits = new ArrayDeque<>(inService);
+        lostVisits.addAll(waiting);
+        inService.clear();
         waiting.clear();
         schedule();
-        for (Visit v : held) {
-            v.over = true;
-            v.told.accept(End.LOST);
+        for (Visit visit : lostVisits) {
+            visit.ended = true;
+            visit.onEnd.accept(End.LOST);
         }
     }
 
-    /** From now on its cores are so fast. */
-    public void speed(double now) {
+    /** Changes the speed of the cores from now on. */
+    public void speed(double newSpeed) {
         advance();
-        speed = now;
+        speed = newSpeed;
         schedule();
     }
 
-    /** How many it holds. */
-    public int held() {
-        return serving.size() + waiting.size();
+    /** Number of visits, waiting or in service. */
+    public int visitCount() {
+        return inService.size() + waiting.size();
     }
 
-    /** Work done so far, in milliseconds of a core of speed 1. */
+    /** Total work done, in milliseconds of a core of speed 1. */
     public double workDone() {
         advance();
         return workDone;
     }
 
-    /** Milliseconds for which cores were busy so far, summed over cores. */
+    /** Total busy time in milliseconds, summed over cores. */
     public double coreTime() {
         advance();
         return coreTime;
     }
 
-    private void serve(Visit v) {
-        v.target = attained + v.work;
-        serving.add(v);
+    private void startService(Visit visit) {
+        visit.targetAttainedMs = attainedMs + visit.work;
+        inService.add(visit);
     }
 
-    private void fill() {
-        while (serving.size() < served && !waiting.isEmpty()) {
-            serve(waiting.poll());
+    private void startWaiting() {
+        while (inService.size() < maxInService && !waiting.isEmpty()) {
+            startService(waiting.poll());
         }
     }
 
-    private double pace() {
+    private double currentSpeed() {
         return thrashing ? speed * thrash.speed() : speed;
     }
 
-    private double rate() {
-        return serving.isEmpty() ? 0 : pace() * Math.min(1, (double) cores / serving.size());
+    private double serviceRate() {
+        return inService.isEmpty() ? 0 : currentSpeed() * Math.min(1, (double) cores / inService.size());
     }
 
     private void advance() {
-        double span = calendar.now() - lastAt;
-        lastAt = calendar.now();
-        double each = span * rate();
-        attained += each;
-        workDone += each * serving.size();
-        coreTime += span * Math.min(cores, serving.size());
+        double span = calendar.now() - lastAdvanceMs;
+        lastAdvanceMs = calendar.now();
+        double attainedInSpan = span * serviceRate();
+        attainedMs += attainedInSpan;
+        workDone += attainedInSpan * inService.size();
+        coreTime += span * Math.min(cores, inService.size());
     }
 
-    // After any change: whether it thrashes, and when the next one is done.
+    // Called after every change: updates the thrashing state and schedules the next completion.
     private void schedule() {
-        thrashing = thrashing ? held() > thrash.until() : held() > thrash.above();
-        if (next != null) {
-            next.cancel();
-            next = null;
+        thrashing = thrashing ? visitCount() > thrash.until() : visitCount() > thrash.above();
+        if (nextCompletion != null) {
+            nextCompletion.cancel();
+            nextCompletion = null;
         }
-        double rate = rate();
+        double rate = serviceRate();
         if (rate > 0) {
-            next = calendar.at(calendar.now() + (serving.peek().target - attained) / rate, this::done);
+            nextCompletion = calendar.at(
+                    calendar.now() + (inService.peek().targetAttainedMs - attainedMs) / rate, this::completeNext);
         }
     }
 
-    private void done() {
-        next = null;
+    private void completeNext() {
+        nextCompletion = null;
         advance();
-        Visit v = serving.poll();
-        // What floating point leaves over.
-        attained = Math.max(attained, v.target);
-        v.over = true;
-        fill();
+        Visit visit = inService.poll();
+        // Corrects floating-point rounding.
+        attainedMs = Math.max(attainedMs, visit.targetAttainedMs);
+        visit.ended = true;
+        startWaiting();
         schedule();
-        v.told.accept(End.DONE);
+        visit.onEnd.accept(End.DONE);
     }
 }
--- a/src/main/java/whinlead/plan/Limit.java
+++ b/src/main/java/whinlead/plan/Limit.java
@@ -7,110 +7,118 @@
 import java.util.function.ToDoubleFunction;
 import java.util.function.UnaryOperator;
 
-/** What a deployment can run out of: how it is read off a run, from where on it binds, and a fleet without it. */
+/**
+ * Resources that can limit a deployment: how usage is read from a run, when it binds, and a fleet without the limit.
+ */
 public enum Limit {
-    /** The fronts' cores: at 0.9 a queue is ten times the work (M/M/1), and drops begin. */
+    /** The fronts' cores. At 0.9 the mean time in the system is ten times the work (M/M/1), and drops begin. */
     CORES(
-            o -> o.use().cores(),
+            o -> o.usage().cores(),
             0.9,
             f -> f.with(f.models().stream()
-                    .map(m -> new Fleet.Model(m.name(), m.cores() * Limit.PLENTY, m.slowest(), m.fastest(), m.share()))
+                    .map(m -> new Fleet.Model(
+                            m.name(), m.cores() * Limit.AMPLE_FACTOR, m.slowest(), m.fastest(), m.share()))
                     .toList())),
-    /** The room at the fronts: one attempt in a hundred is turned away. */
-    ROOM(o -> o.use().room(), 0.01, f -> f.with(f.front().room(f.front().roomPerCore() * Limit.PLENTY))),
-    /** Connections that fronts take and sidecars may hold: one attempt in a hundred has none. */
+    /** The room at the fronts: binds when one attempt in a hundred is rejected. */
+    ROOM(
+            o -> o.usage().room(),
+            0.01,
+            f -> f.with(f.front().withRoomPerCore(f.front().roomPerCore() * Limit.AMPLE_FACTOR))),
+    /** Connection limits of fronts and sidecars: binds when one attempt in a hundred gets no connection. */
     CONNECTIONS(
-            o -> o.use().connections(),
+            o -> o.usage().connections(),
             0.01,
             f -> f.with(f.front().connections(Integer.MAX_VALUE))
                     .with(f.sidecar().connections(Integer.MAX_VALUE))),
-    /** Work on handshakes: a quarter of all work. */
-    HANDSHAKES(o -> o.use().handshakes(), 0.25, f -> f.with(f.front().handshake(0))),
+    /** Work on handshakes: binds at a quarter of all work. */
+    HANDSHAKES(o -> o.usage().handshakes(), 0.25, f -> f.with(f.front().handshake(0))),
     /** The processor of the busiest sidecar. */
-    SIDECAR(o -> o.use().sidecar(), 0.95, f -> f.with(f.sidecar().work(0))),
-    /** Places for clients at the sidecars: one try in a hundred finds none. */
-    PLACES(o -> o.use().places(), 0.01, f -> f.with(f.sidecar().places(Integer.MAX_VALUE))),
-    /** Tries that come back as load: a quarter more. */
+    SIDECAR(o -> o.usage().sidecar(), 0.95, f -> f.with(f.sidecar().work(0))),
+    /** Places for clients at the sidecars: binds when one try in a hundred finds none. */
+    PLACES(o -> o.usage().places(), 0.01, f -> f.with(f.sidecar().places(Integer.MAX_VALUE))),
+    /** Retries as additional load: binds at a quarter more tries. */
     RETRIES(
-            o -> o.use().repeats(),
+            o -> o.usage().repeats(),
             0.25,
-            f -> f.with(new Fleet.Clients(1, f.clients().backOff(), f.clients().honour())));
+            f -> f.with(new Fleet.Clients(1, f.clients().backOff(), f.clients().honourShare())));
 
-    /** Times as much is never used up within a ramp. */
-    private static final int PLENTY = 20;
+    /** Multiplier for capacity that is not exhausted within a ramp. */
+    private static final int AMPLE_FACTOR = 20;
 
     private final ToDoubleFunction<Outcome> reading;
-    private final double binds;
-    private final UnaryOperator<Fleet> lifted;
+    private final double bindingReading;
+    private final UnaryOperator<Fleet> removal;
 
-    Limit(ToDoubleFunction<Outcome> reading, double binds, UnaryOperator<Fleet> lifted) {
+    Limit(ToDoubleFunction<Outcome> reading, double bindingReading, UnaryOperator<Fleet> removal) {
         this.reading = reading;
-        this.binds = binds;
-        this.lifted = lifted;
+        this.bindingReading = bindingReading;
+        this.removal = removal;
     }
 
-    /** What a run shows of it; it binds from {@link #binds} on. */
-    public double reading(Outcome o) {
-        return reading.applyAsDouble(o);
+    /** Usage shown by a run; the limit binds from {@link #bindingReading()} on. */
+    public double reading(Outcome outcome) {
+        return reading.applyAsDouble(outcome);
     }
 
-    /** The reading from which it binds. */
-    public double binds() {
-        return binds;
+    /** The usage from which the limit binds. */
+    public double bindingReading() {
+        return bindingReading;
     }
 
-    /** The fleet with so much of it that it does not bind. */
-    public Fleet lift(Fleet f) {
-        return lifted.apply(f);
+    /** Returns a copy of the fleet in which this limit does not bind. */
+    public Fleet withoutLimit(Fleet fleet) {
+        return removal.apply(fleet);
     }
 
-    /** Runs a fleet at so many times its load. */
+    /** Runs a fleet at a multiple of its load. */
     @FunctionalInterface
     public interface Trial {
-        /** What comes of it, one for each seed; the same for the same arguments. */
-        List<Outcome> play(Fleet fleet, double times);
+        /** Returns one outcome for each seed; equal arguments give equal outcomes. */
+        List<Outcome> run(Fleet fleet, double times);
     }
 
     /**
      * A limit that binds.
      *
-     * @param times of the load at which it does, between the last that was tried before and this one
-     * @param behind by how much that is over the one before it, as a part of that; 0 for the first
+     * @param loadFactor multiple of the load at which it binds; the true value lies between the previous factor and
+     *     this
+     * @param relativeGap increase over the load factor of the previous limit, relative to it; 0 for the first
      */
-    public record Bound(Limit limit, double times, double behind) {}
+    public record BindingLimit(Limit limit, double loadFactor, double relativeGap) {}
 
     /**
-     * Which limits bind, in their order: the load is raised until one does, that one is lifted, and so on.
+     * Finds the limits in the order in which they bind: raises the load until one binds, removes that limit, and
+     * continues.
      *
-     * @param step factor between the loads that are tried, over 1
-     * @param most the highest load that is tried; what does not bind up to it is not named
+     * @param step factor between successive loads, over 1
+     * @param most the highest load factor tried; limits that do not bind up to it are not returned
      */
-    public static List<Bound> ramp(Fleet fleet, Trial trial, double from, double step, double most) {
-        List<Bound> found = new ArrayList<>();
-        EnumSet<Limit> left = EnumSet.allOf(Limit.class);
-        Fleet f = fleet;
-        double times = from;
-        while (times <= most && !left.isEmpty()) {
-            List<Outcome> played = trial.play(f, times);
+    public static List<BindingLimit> ramp(Fleet fleet, Trial trial, double from, double step, double most) {
+        List<BindingLimit> found = new ArrayList<>();
+        EnumSet<Limit> remaining = EnumSet.allOf(Limit.class);
+        Fleet currentFleet = fleet;
+        double loadFactor = from;
+        while (loadFactor <= most && !remaining.isEmpty()) {
+            List<Outcome> outcomes = trial.run(currentFleet, loadFactor);
             Limit worst = null;
-            double by = 1;
-            for (Limit l : left) {
+            double worstRatio = 1;
+            for (Limit limit : remaining) {
                 double reading =
-                        played.stream().mapToDouble(l::reading).average().orElse(0) / l.binds;
-                if (reading >= by) {
-                    by = reading;
-                    worst = l;
+                        outcomes.stream().mapToDouble(limit::reading).average().orElse(0) / limit.bindingReading;
+                if (reading >= worstRatio) {
+                    worstRatio = reading;
+                    worst = limit;
                 }
             }
             if (worst == null) {
-                times *= step;
+                loadFactor *= step;
                 continue;
             }
-            double before =
-                    found.isEmpty() ? times : found.get(found.size() - 1).times();
-            found.add(new Bound(worst, times, times / before - 1));
-            left.remove(worst);
-            f = worst.lift(f);
+            double previousFactor =
+                    found.isEmpty() ? loadFactor : found.get(found.size() - 1).loadFactor();
+            found.add(new BindingLimit(worst, loadFactor, loadFactor / previousFactor - 1));
+            remaining.remove(worst);
+            currentFleet = worst.withoutLimit(currentFleet);
         }
         return Collections.unmodifiableList(found);
     }
--- a/src/main/java/whinlead/plan/Load.java
+++ b/src/main/java/whinlead/plan/Load.java
@@ -5,46 +5,46 @@
 import java.util.Random;
 
 /**
- * A load by its description: Poisson arrivals at a rate that bursts change.
+ * A described load: Poisson arrivals at a rate that changes during bursts.
  *
  * @param perSecond mean arrivals a second outside bursts
  * @param mix share of each class of the settings; they add up to 1
- * @param bursts when the rate is another; where several overlap their factors multiply
- * @param length milliseconds
+ * @param bursts periods with a different rate; the factors of overlapping bursts multiply
+ * @param length duration in milliseconds
  */
 public record Load(double perSecond, List<Double> mix, List<Burst> bursts, double length) {
-    /** From one time until another the rate is so many times what it else is. */
+    /** Between two times, in milliseconds, the rate is multiplied by a factor. */
     public record Burst(double from, double to, double times) {}
 
-    /** The same at so many times the rate. */
-    public Load times(double factor) {
+    /** Returns a copy with the rate multiplied by a factor. */
+    public Load scaled(double factor) {
         return new Load(perSecond * factor, mix, bursts, length);
     }
 
-    /** Arrivals a second at a time. */
-    public double rate(double at) {
+    /** Arrivals per second at a time in milliseconds. */
+    public double rate(double atMs) {
         double rate = perSecond;
         for (Burst b : bursts) {
-            rate *= at >= b.from() && at < b.to() ? b.times() : 1;
+            rate *= atMs >= b.from() && atMs < b.to() ? b.times() : 1;
         }
         return rate;
     }
 
-    /** The arrivals that this seed gives, by time. */
+    /** The arrivals for this seed, in order of time. */
     public Iterator<Arrival> arrivals(long seed) {
-        double most = perSecond
+        double maxPerSecond = perSecond
                 * bursts.stream().mapToDouble(b -> Math.max(1, b.times())).reduce(1, (a, b) -> a * b);
-        Random dice = new Random(seed);
+        Random random = new Random(seed);
         return new Arrivals() {
             private double at;
 
-            // Thinning: candidates at the highest rate, of which the share that is due is taken.
+            // Thinning: draws candidates at the highest rate and accepts the share for the current rate.
             @Override
-            protected Arrival find() {
-                while (most > 0 && at < length) {
-                    at += -Math.log(1 - dice.nextDouble()) * 1000 / most;
-                    if (at < length && dice.nextDouble() * most < rate(at)) {
-                        return new Arrival(at, kind(dice), -1, false);
+            protected Arrival findNext() {
+                while (maxPerSecond > 0 && at < length) {
+                    at += -Math.log(1 - random.nextDouble()) * 1000 / maxPerSecond;
+                    if (at < length && random.nextDouble() * maxPerSecond < rate(at)) {
+                        return new Arrival(at, drawClass(random), -1, false);
                     }
                 }
                 return null;
@@ -52,12 +52,12 @@
         };
     }
 
-    private int kind(Random dice) {
-        double left = dice.nextDouble();
-        for (int k = 0; k < mix.size() - 1; k++) {
-            left -= mix.get(k);
-            if (left < 0) {
-                return k;
+    private int drawClass(Random random) {
+        double remainder = random.nextDouble();
+        for (int requestClass = 0; requestClass < mix.size() - 1; requestClass++) {
+            remainder -= mix.get(requestClass);
+            if (remainder < 0) {
+                return requestClass;
             }
         }
         return mix.size() - 1;
--- a/src/main/java/whinlead/plan/Machines.java
+++ b/src/main/java/whinlead/plan/Machines.java
@@ -6,68 +6,71 @@
 import java.util.Random;
 
 /**
- * The fronts that a description comes to with a seed: which model and zone each is of, how fast, and which ones a
- * change meets. One more front changes none of the others.
+ * The fronts drawn from a description with a seed: the model, zone and speed of each, and the fronts that each change
+ * affects. Adding a front leaves the others unchanged.
  *
- * @param all in the order of their names
- * @param met for each change of the fleet, in its order, the positions that it meets
+ * @param all the fronts, ordered by number
+ * @param met for each change of the fleet, in order, the indexes of the affected fronts
  */
 public record Machines(List<Machine> all, List<List<Integer>> met) {
-    /** Its multiples are spread evenly over a turn, however many there are. */
-    private static final double GOLDEN = (Math.sqrt(5) - 1) / 2;
+    /** Multiples of this, modulo 1, are spread evenly for any count. */
+    private static final double GOLDEN_RATIO_CONJUGATE = (Math.sqrt(5) - 1) / 2;
 
-    private static final double TIE = 1e-9;
+    private static final double TIE_TOLERANCE = 1e-9;
 
-    /** A front; its speed is that of each of its cores when well and warm. */
+    /** A front; the speed applies to each core when the front is healthy and warm. */
     public record Machine(String id, Fleet.Model model, Fleet.Zone zone, double speed) {}
 
-    /** Those of a fleet. */
+    /** Draws the fronts of a fleet. */
     public static Machines of(Fleet fleet, long seed) {
-        Random dice = new Random(seed);
+        Random random = new Random(seed);
         List<Machine> all = new ArrayList<>();
-        int[] given = new int[fleet.models().size()];
+        int[] assigned = new int[fleet.models().size()];
         for (int i = 0; i < fleet.fronts(); i++) {
-            int k = owed(fleet.models(), given, i);
-            given[k]++;
-            Fleet.Model m = fleet.models().get(k);
+            int modelIndex = nextModel(fleet.models(), assigned, i);
+            assigned[modelIndex]++;
+            Fleet.Model model = fleet.models().get(modelIndex);
             all.add(new Machine(
-                    "f" + i, m, zone(fleet.zones(), i), m.slowest() + (m.fastest() - m.slowest()) * dice.nextDouble()));
+                    "f" + i,
+                    model,
+                    zone(fleet.zones(), i),
+                    model.slowest() + (model.fastest() - model.slowest()) * random.nextDouble()));
         }
-        List<List<Integer>> met = new ArrayList<>();
+        List<List<Integer>> affected = new ArrayList<>();
         for (int c = 0; c < fleet.changes().size(); c++) {
             Fleet.Change change = fleet.changes().get(c);
-            List<Integer> there = new ArrayList<>();
+            List<Integer> candidates = new ArrayList<>();
             for (int i = 0; i < all.size(); i++) {
                 if (change.zone() == null || all.get(i).zone().name().equals(change.zone())) {
-                    there.add(i);
+                    candidates.add(i);
                 }
             }
-            Collections.shuffle(there, new Random(seed + c + 1));
-            met.add(List.copyOf(there.subList(0, (int) Math.round(there.size() * change.share()))));
+            Collections.shuffle(candidates, new Random(seed + c + 1));
+            affected.add(List.copyOf(candidates.subList(0, (int) Math.round(candidates.size() * change.share()))));
         }
-        return new Machines(List.copyOf(all), List.copyOf(met));
+        return new Machines(List.copyOf(all), List.copyOf(affected));
     }
 
-    // By largest remainder.
-    private static int owed(List<Fleet.Model> models, int[] given, int count) {
+    // The largest-remainder method.
+    private static int nextModel(List<Fleet.Model> models, int[] assigned, int count) {
         int best = 0;
-        double most = Double.NEGATIVE_INFINITY;
-        for (int k = 0; k < given.length; k++) {
-            double owed = models.get(k).share() * (count + 1) - given[k];
-            if (owed > most + TIE) {
-                most = owed;
+        double largestRemainder = Double.NEGATIVE_INFINITY;
+        for (int k = 0; k < assigned.length; k++) {
+            double remainder = models.get(k).share() * (count + 1) - assigned[k];
+            if (remainder > largestRemainder + TIE_TOLERANCE) {
+                largestRemainder = remainder;
                 best = k;
             }
         }
         return best;
     }
 
-    // By a sequence of low discrepancy, lest a zone gets all fronts of a model.
-    private static Fleet.Zone zone(List<Fleet.Zone> zones, int i) {
-        double at = (i + 1) * GOLDEN % 1;
+    // A low-discrepancy sequence, so that no zone gets all fronts of one model.
+    private static Fleet.Zone zone(List<Fleet.Zone> zones, int frontIndex) {
+        double position = (frontIndex + 1) * GOLDEN_RATIO_CONJUGATE % 1;
         for (Fleet.Zone z : zones) {
-            at -= z.share();
-            if (at < 0) {
+            position -= z.share();
+            if (position < 0) {
                 return z;
             }
         }
--- a/src/main/java/whinlead/plan/Outcome.java
+++ b/src/main/java/whinlead/plan/Outcome.java
@@ -1,40 +1,40 @@
 package whinlead.plan;
 
 /**
- * What became of a load, over all tries of its clients, and how far each limit was used.
+ * Result of a load over all tries of its clients, with the usage of each limit.
  *
- * @param asked tries
- * @param good served within the aim of their class
- * @param late served later than that
- * @param refused answered with a refusal
- * @param failed answered with a failure, or given up for want of a place at the sidecar
- * @param worthAsked worth of the tries
- * @param worthGood worth of those served in time, and what the late ones are still worth
- * @param use how far limits were used
- * @param worthBySecond share of the worth that was got, by the second asked in; NaN where nothing was asked
+ * @param offered number of tries
+ * @param inTime tries served within the aim of their class
+ * @param late tries served after the aim
+ * @param refused tries answered with a refusal
+ * @param failed tries answered with a failure, or dropped because the sidecar had no free place
+ * @param worthOffered total worth of the tries
+ * @param worthServed worth of the tries served in time, plus the remaining worth of the late ones
+ * @param usage usage of each limit
+ * @param worthBySecond share of the worth served, by the second of the try; NaN for a second without tries
  */
 public record Outcome(
-        long asked,
-        long good,
+        long offered,
+        long inTime,
         long late,
         long refused,
         long failed,
-        double worthAsked,
-        double worthGood,
-        Use use,
+        double worthOffered,
+        double worthServed,
+        Usage usage,
         double[] worthBySecond) {
     /**
-     * How far limits were used.
+     * Usage of each limit.
      *
-     * @param cores busy share of the cores that the list calls up
-     * @param room share of attempts that found a front's room full
-     * @param connections share of attempts that a front or the sidecar had no connection for
-     * @param handshakes share of the fronts' work that was handshakes
+     * @param cores busy share of all cores
+     * @param room share of attempts rejected because a front's room was full
+     * @param connections share of attempts for which the front or the sidecar had no connection left
+     * @param handshakes share of the fronts' work spent on handshakes
      * @param sidecar busy share of the processor of the busiest sidecar
      * @param places share of tries that found no place at their sidecar
-     * @param repeats tries a request of a client, beyond the first
+     * @param repeats mean number of retries per client request
      */
-    public record Use(
+    public record Usage(
             double cores,
             double room,
             double connections,
@@ -43,18 +43,18 @@
             double places,
             double repeats) {}
 
-    /** Share of the worth that was got; 1 where nothing was asked. */
+    /** Share of the worth that was served; 1 if there were no tries. */
     public double worth() {
-        return worthAsked == 0 ? 1 : worthGood / worthAsked;
+        return worthOffered == 0 ? 1 : worthServed / worthOffered;
     }
 
-    /** Share refused. */
+    /** Share of tries that were refused. */
     public double refusedShare() {
-        return asked == 0 ? 0 : (double) refused / asked;
+        return offered == 0 ? 0 : (double) refused / offered;
     }
 
-    /** Share served late. */
+    /** Share of tries that were served late. */
     public double lateShare() {
-        return asked == 0 ? 0 : (double) late / asked;
+        return offered == 0 ? 0 : (double) late / offered;
     }
 }
--- a/src/main/java/whinlead/plan/OutcomeTally.java
+++ b/src/main/java/whinlead/plan/OutcomeTally.java
@@ -3,27 +3,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Counts what becomes of a simulated load. For one thread. */
+/** Accumulates the outcome of a simulated load. Not thread-safe. */
 final class OutcomeTally {
     private static final double SECOND_MS = 1000;
 
     private static final class WorthInSecond {
-        private double asked;
+        private double offered;
         private double served;
 
         private double share() {
-            return asked == 0 ? Double.NaN : served / asked;
+            return offered == 0 ? Double.NaN : served / offered;
         }
     }
 
     private final List<WorthInSecond> seconds = new ArrayList<>();
     private long firstTries;
-    private long asked;
+    private long offered;
     private long inTime;
     private long late;
     private long refused;
     private long failed;
-    private double worthAsked;
+    private double worthOffered;
     private double worthServed;
     private long attempts;
     private long frontFull;
@@ -32,92 +32,92 @@
     private double handshakeWork;
     private double frontWork;
 
-    /** A client tries; the first time or again. */
-    void asked(double at, double worth, boolean first) {
-        asked++;
+    /** Records a client's try, the first or a retry. */
+    void offered(double sentAtMs, double worth, boolean first) {
+        offered++;
         firstTries += first ? 1 : 0;
-        worthAsked += worth;
-        second(at).asked += worth;
+        worthOffered += worth;
+        second(sentAtMs).offered += worth;
     }
 
-    /** A try that was asked at a time was served, within its aim or later. */
-    void served(double askedAt, boolean withinAim, double worth) {
+    /** Records a served try, within its aim or later. */
+    void served(double sentAtMs, boolean withinAim, double worth) {
         inTime += withinAim ? 1 : 0;
         late += withinAim ? 0 : 1;
         worthServed += worth;
-        second(askedAt).served += worth;
+        second(sentAtMs).served += worth;
     }
 
-    /** A try was refused. */
+    /** Records a refused try. */
     void refused() {
         refused++;
     }
 
-    /** A try failed. */
+    /** Records a failed try. */
     void failed() {
         failed++;
     }
 
-    /** A try found no place at its sidecar. */
+    /** Records a try that found no free place at its sidecar. */
     void sidecarFull() {
         sidecarFull++;
     }
 
-    /** A sidecar sends an attempt. */
-    void attempt() {
+    /** Records an attempt sent by a sidecar. */
+    void attemptSent() {
         attempts++;
     }
 
-    /** An attempt found its front full. */
+    /** Records an attempt rejected by a full front. */
     void frontFull() {
         frontFull++;
     }
 
-    /** An attempt found no connection to be had. */
+    /** Records an attempt that could not get a connection. */
     void connectFailed() {
         connectFailures++;
     }
 
-    /** A front does a handshake of so much work, in milliseconds of a core. */
+    /** Records a handshake with this work, in milliseconds of a core. */
     void handshake(double work) {
         handshakeWork += work;
     }
 
-    /** An attempt of so much work goes to a front, in milliseconds of a core, handshake included. */
+    /** Records the work of an attempt sent to a front, in milliseconds of a core, handshake included. */
     void frontWork(double work) {
         frontWork += work;
     }
 
     /**
-     * How far limits have been used so far.
+     * Usage of each limit so far.
      *
      * @param cores busy share of all cores
      * @param sidecar busy share of the busiest sidecar's processor
      */
-    Outcome.Use use(double cores, double sidecar) {
-        return new Outcome.Use(
+    Outcome.Usage usage(double cores, double sidecar) {
+        return new Outcome.Usage(
                 cores,
                 share(frontFull, attempts),
                 share(connectFailures, attempts),
                 frontWork == 0 ? 0 : handshakeWork / frontWork,
                 sidecar,
-                share(sidecarFull, asked),
-                firstTries == 0 ? 0 : (double) asked / firstTries - 1);
+                share(sidecarFull, offered),
+                firstTries == 0 ? 0 : (double) offered / firstTries - 1);
     }
 
     private static double share(long part, long all) {
         return all == 0 ? 0 : (double) part / all;
     }
 
-    /** What has become of the load so far. */
-    Outcome outcome(Outcome.Use use) {
+    /** The outcome so far. */
+    Outcome outcome(Outcome.Usage usage) {
         double[] worthBySecond =
                 seconds.stream().mapToDouble(WorthInSecond::share).toArray();
-        return new Outcome(asked, inTime, late, refused, failed, worthAsked, worthServed, use, worthBySecond);
+        return new Outcome(offered, inTime, late, refused, failed, worthOffered, worthServed, usage, worthBySecond);
     }
 
-    private WorthInSecond second(double at) {
-        int index = (int) (at / SECOND_MS);
+    private WorthInSecond second(double timeMs) {
+        int index = (int) (timeMs / SECOND_MS);
         while (seconds.size() <= index) {
             seconds.add(new WorthInSecond());
         }
--- a/src/main/java/whinlead/plan/Recovery.java
+++ b/src/main/java/whinlead/plan/Recovery.java
@@ -1,57 +1,57 @@
 package whinlead.plan;
 
 /**
- * Whether service came back after something that befell it, and how long that took.
+ * Whether service recovered after a disturbance, and how long that took.
  *
- * @param before mean share of the worth got before
- * @param worst the least of a second from the beginning on
- * @param seconds from its end until service is back for good; infinite if it is not back when the run ends
+ * @param baseline mean share of the worth served before the disturbance
+ * @param worstShare lowest share of any second from its start on
+ * @param seconds time from its end until service has recovered for good; infinite if it has not when the run ends
  */
-public record Recovery(double before, double worst, double seconds) {
-    /** Of what was got before, from which on service is back. */
-    private static final double BACK = 0.98;
-    /** So many seconds under it in a row are not chance, and as many over it at the end are wanted. */
-    private static final int IN_A_ROW = 3;
+public record Recovery(double baseline, double worstShare, double seconds) {
+    /** Share of the baseline from which service counts as recovered. */
+    private static final double RECOVERED_SHARE = 0.98;
+    /** This many consecutive seconds below it are not chance, and as many above it are required at the end. */
+    private static final int MIN_CONSECUTIVE_SECONDS = 3;
 
-    private static final double SECOND = 1000;
+    private static final double SECOND_MS = 1000;
 
     /**
-     * Looks at a run.
+     * Evaluates a run.
      *
-     * @param worthBySecond as an {@link Outcome} has it
-     * @param from when it befell, in milliseconds, after at least a second
-     * @param to when that ended
+     * @param worthBySecond as in {@link Outcome}
+     * @param fromMs start of the disturbance in milliseconds, at least one second into the run
+     * @param toMs end of the disturbance in milliseconds
      */
-    public static Recovery of(double[] worthBySecond, double from, double to) {
-        int begins = (int) (from / SECOND);
-        int ends = (int) Math.ceil(to / SECOND);
+    public static Recovery of(double[] worthBySecond, double fromMs, double toMs) {
+        int firstSecond = (int) (fromMs / SECOND_MS);
+        int endSecond = (int) Math.ceil(toMs / SECOND_MS);
         double sum = 0;
         int counted = 0;
-        for (int i = 0; i < Math.min(begins, worthBySecond.length); i++) {
+        for (int i = 0; i < Math.min(firstSecond, worthBySecond.length); i++) {
             if (!Double.isNaN(worthBySecond[i])) {
                 sum += worthBySecond[i];
                 counted++;
             }
         }
         if (counted == 0) {
-            throw new IllegalArgumentException("nothing was asked before it befell");
+            throw new IllegalArgumentException("no tries before the disturbance began");
         }
-        double before = sum / counted;
-        double worst = before;
-        int lastBad = ends - 1;
-        int bad = 0;
-        for (int i = begins; i < worthBySecond.length; i++) {
-            double w = worthBySecond[i];
-            if (Double.isNaN(w)) {
+        double baseline = sum / counted;
+        double worstShare = baseline;
+        int lastBad = endSecond - 1;
+        int consecutiveBad = 0;
+        for (int i = firstSecond; i < worthBySecond.length; i++) {
+            double share = worthBySecond[i];
+            if (Double.isNaN(share)) {
                 continue;
             }
-            worst = Math.min(worst, w);
-            bad = w < BACK * before ? bad + 1 : 0;
-            if (bad >= IN_A_ROW) {
+            worstShare = Math.min(worstShare, share);
+            consecutiveBad = share < RECOVERED_SHARE * baseline ? consecutiveBad + 1 : 0;
+            if (consecutiveBad >= MIN_CONSECUTIVE_SECONDS) {
                 lastBad = Math.max(lastBad, i);
             }
         }
-        boolean back = worthBySecond.length - 1 - lastBad >= IN_A_ROW;
-        return new Recovery(before, worst, back ? lastBad + 1 - ends : Double.POSITIVE_INFINITY);
+        boolean recovered = worthBySecond.length - 1 - lastBad >= MIN_CONSECUTIVE_SECONDS;
+        return new Recovery(baseline, worstShare, recovered ? lastBad + 1 - endSecond : Double.POSITIVE_INFINITY);
     }
 }
--- a/src/main/java/whinlead/plan/SimulatedAttempt.java
+++ b/src/main/java/whinlead/plan/SimulatedAttempt.java
@@ -3,21 +3,21 @@
 import whinlead.Contract;
 import whinlead.engine.Transport;
 
-/** One attempt on its way from a sidecar to a front and back, on a connection. For one thread. */
+/** One attempt from a sidecar to a front and back on a connection. Not thread-safe. */
 final class SimulatedAttempt implements Transport.Sending {
     private final SimulationContext context;
     private final ConnectionPool connections;
     private final SimulatedFront front;
     private final Transport.Outcomes<SimulatedFront> listener;
-    /** Of the front, when this attempt set out. */
+    /** Incarnation of the front when this attempt started. */
     private final int incarnation;
 
     private FrontModel.Visit visit;
     private boolean connected;
     private boolean written;
-    private boolean over;
+    private boolean ended;
 
-    /** One that is yet to be sent. */
+    /** Creates an attempt that is not sent yet. */
     SimulatedAttempt(
             SimulationContext context,
             ConnectionPool connections,
@@ -30,53 +30,54 @@
         this.incarnation = front.incarnation();
     }
 
-    /** Sends it on a connection, which is an idle one or is opened for it. */
+    /** Sends the attempt on a reused or newly opened connection. */
     void send(int requestClass, boolean reused) {
         connected = true;
         written = reused;
         Fleet.Work work = context.fleet().work().get(requestClass);
         double handshake = reused ? 0 : context.fleet().front().handshake();
-        double coreWork = work.core().draw(context.work()) + handshake;
-        double awayTime = work.away().draw(context.work());
+        double coreWork = work.core().draw(context.workRandom()) + handshake;
+        double offCoreTime = work.away().draw(context.workRandom());
         context.tally().frontWork(coreWork);
         double latency = front.latency();
-        // A new connection is a way there and back before the request.
+        // A new connection takes one round trip before the request is sent.
         after(reused ? 0 : 2 * latency, () -> {
             written = true;
-            after(latency, () -> arrive(coreWork, awayTime));
+            after(latency, () -> arrive(coreWork, offCoreTime));
         });
     }
 
-    /** It fails to connect, which is known after so many milliseconds. */
+    /** Fails to connect after this many milliseconds. */
     void failToConnect(double millis) {
         after(millis, () -> end(Contract.Outcome.CONNECT_FAILED));
     }
 
-    private void arrive(double coreWork, double awayTime) {
-        if (over || frontGone()) {
+    private void arrive(double coreWork, double offCoreTime) {
+        if (ended || checkFrontGone()) {
             return;
         }
-        FrontModel.Visit arrived = front.cores().arrives(coreWork, end -> leave(end, awayTime));
-        visit = front.cores().holds(arrived) ? arrived : null;
+        FrontModel.Visit arrived = front.cores().arrive(coreWork, end -> visitEnded(end, offCoreTime));
+        visit = front.cores().isPresent(arrived) ? arrived : null;
     }
 
-    private void leave(FrontModel.End end, double awayTime) {
+    private void visitEnded(FrontModel.End end, double offCoreTime) {
         switch (end) {
             case DONE -> {
-                front.answered();
-                after(awayTime, () -> answer(Contract.Outcome.SERVED));
+                front.requestCompleted();
+                after(offCoreTime, () -> answer(Contract.Outcome.SERVED));
             }
             case FULL -> {
                 context.tally().frontFull();
                 answer(Contract.Outcome.FULL);
             }
-            case LOST -> frontGone();
+            case LOST -> checkFrontGone();
             default -> throw new IllegalStateException("no such end: " + end);
         }
     }
 
-    // Whether its front is not the one that it set out for; one that says so resets the connection.
-    private boolean frontGone() {
+    // Whether the front was lost or restarted since the attempt started; unless it was lost silently, its reset ends
+    // the attempt.
+    private boolean checkFrontGone() {
         boolean gone = front.incarnation() != incarnation || front.lost();
         if (gone && !front.silent()) {
             after(front.latency(), () -> end(Contract.Outcome.RESET));
@@ -86,22 +87,22 @@
 
     private void answer(Contract.Outcome outcome) {
         visit = null;
-        if (!frontGone()) {
+        if (!checkFrontGone()) {
             after(front.latency(), () -> end(outcome));
         }
     }
 
     private void end(Contract.Outcome outcome) {
-        if (!over) {
+        if (!ended) {
             boolean served = outcome == Contract.Outcome.SERVED;
             close(served || outcome == Contract.Outcome.FULL);
             listener.ended(outcome, served ? front : null, front.report());
         }
     }
 
-    // A connection is used again after an answer that came whole.
+    // A connection is reusable only after a complete answer.
     private void close(boolean reusable) {
-        over = true;
+        ended = true;
         if (connected) {
             connections.release(front, incarnation, reusable);
         }
@@ -109,10 +110,10 @@
 
     @Override
     public boolean giveUp() {
-        if (!over) {
+        if (!ended) {
             close(false);
             if (visit != null && context.fleet().front().cancelStops()) {
-                front.cores().leaves(visit);
+                front.cores().withdraw(visit);
             }
         }
         return written;
--- a/src/main/java/whinlead/plan/SimulatedFront.java
+++ b/src/main/java/whinlead/plan/SimulatedFront.java
@@ -2,14 +2,11 @@
 
 import whinlead.Contract;
 
-/**
- * A front under simulated time: its cores, the speed of its machine, how many connections it has, and whether it is
- * there. For one thread.
- */
+/** A front under simulated time: its cores, machine speed, number of connections and availability. Not thread-safe. */
 final class SimulatedFront {
-    /** In steps of so many milliseconds a cold front gets faster. */
+    /** Interval in milliseconds at which the speed of a warming front is updated. */
     private static final double COLD_STEP_MS = 200;
-    /** Weight of an answer in the busy share and rate that a front reports. */
+    /** Weight of each answer in the reported moving averages of utilisation and rate. */
     private static final double REPORT_WEIGHT = 0.1;
 
     private static final double SECOND_MS = 1000;
@@ -19,38 +16,40 @@
     private final String id;
     private final Fleet.Model model;
     private final Fleet.Zone zone;
-    private final double ownSpeed;
+    private final double baseSpeed;
     private final FrontModel cores;
-    private double slowdown = 1;
-    private double bornAt;
+    private double speedFactor = 1;
+    private double startedAtMs;
     private int connections;
     private int incarnation;
     private boolean lost;
     private boolean silent;
     private double utilisation;
-    private double answerGap;
-    private double lastAnswerAt;
+    private double meanAnswerGapMs;
+    private double lastAnswerAtMs;
 
-    /** An idle front on this machine. */
+    /** Creates an idle front on a machine. */
     SimulatedFront(SimulationContext context, Machines.Machine machine) {
         this.fleet = context.fleet();
         this.calendar = context.calendar();
         this.id = machine.id();
         this.model = machine.model();
         this.zone = machine.zone();
-        this.ownSpeed = machine.speed();
-        this.cores = coresOf(model);
+        this.baseSpeed = machine.speed();
+        this.cores = createCores(model);
         updateSpeed();
     }
 
-    private FrontModel coresOf(Fleet.Model of) {
+    private FrontModel createCores(Fleet.Model ofModel) {
         Fleet.Front front = fleet.front();
-        int room = (int) Math.min(Integer.MAX_VALUE, Math.round(front.roomPerCore() * of.cores()));
+        int room = (int) Math.min(Integer.MAX_VALUE, Math.round(front.roomPerCore() * ofModel.cores()));
         FrontModel.Thrash thrash = front.thrashAbove() == 0
                 ? FrontModel.Thrash.NONE
                 : new FrontModel.Thrash(
-                        front.thrashAbove() * of.cores(), front.thrashSpeed(), front.thrashUntil() * of.cores());
-        return new FrontModel(calendar, of.cores(), front.sharing(), room, thrash);
+                        front.thrashAbove() * ofModel.cores(),
+                        front.thrashSpeed(),
+                        front.thrashUntil() * ofModel.cores());
+        return new FrontModel(calendar, ofModel.cores(), front.sharing(), room, thrash);
     }
 
     String id() {
@@ -65,93 +64,93 @@
         return model.cores();
     }
 
-    /** Milliseconds from a sidecar to this front, one way. */
+    /** One-way latency from a sidecar to this front, in milliseconds. */
     double latency() {
-        return zone.way();
+        return zone.oneWayLatency();
     }
 
-    /** Whether it is gone for now. */
+    /** Whether the front is lost at present. */
     boolean lost() {
         return lost;
     }
 
-    /** Whether it answered nothing at all when it was last lost, in place of resetting connections. */
+    /** Whether the last loss was silent, without connection resets. */
     boolean silent() {
         return silent;
     }
 
-    /** Counts how often it was lost: connections of an earlier incarnation are gone. */
+    /** Number of losses so far; connections of an earlier incarnation no longer exist. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Its entry in a list of endpoints. */
+    /** The front's entry in the endpoint list. */
     Contract.Server entry() {
         Contract.Standing standing = lost ? Contract.Standing.GONE : Contract.Standing.UP;
-        return new Contract.Server(id, standing, 1, zone.name(), 0, bornAt);
+        return new Contract.Server(id, standing, 1, zone.name(), 0, startedAtMs);
     }
 
-    /** From now on its speed is this many times what it was. */
+    /** Multiplies the speed by a factor from now on. */
     void scaleSpeed(double factor) {
-        slowdown *= factor;
+        speedFactor *= factor;
         updateSpeed();
     }
 
     private void updateSpeed() {
         double coldTime = fleet.front().coldTime();
         double coldShare = fleet.front().coldShare();
-        double age = bornAt == 0 ? coldTime : calendar.now() - bornAt;
+        double age = startedAtMs == 0 ? coldTime : calendar.now() - startedAtMs;
         double warmth = coldTime == 0 ? 1 : Math.min(1, coldShare + (1 - coldShare) * age / coldTime);
-        cores.speed(ownSpeed * slowdown * warmth);
+        cores.speed(baseSpeed * speedFactor * warmth);
         if (warmth < 1) {
             calendar.at(calendar.now() + COLD_STEP_MS, this::updateSpeed);
         }
     }
 
-    /** It is lost, with all that it holds and all connections. */
+    /** Loses the front with all its requests and connections. */
     void lose(boolean silently) {
         lost = true;
         silent = silently;
         incarnation++;
         connections = 0;
-        cores.lose();
+        cores.loseAll();
     }
 
-    /** It is back, and cold. */
+    /** Restarts the front, cold. */
     void restart() {
         lost = false;
-        bornAt = calendar.now();
+        startedAtMs = calendar.now();
         updateSpeed();
     }
 
-    /** Whether it takes one more connection. */
+    /** Whether the front accepts one more connection. */
     boolean acceptsConnection() {
         return connections < fleet.front().connections();
     }
 
-    /** A connection to it is opened. */
+    /** Records that a connection was opened. */
     void connectionOpened() {
         connections++;
     }
 
-    /** A connection to an incarnation of it is closed. */
+    /** Records that a connection to an incarnation of the front was closed. */
     void connectionClosed(int ofIncarnation) {
         connections -= incarnation == ofIncarnation ? 1 : 0;
     }
 
-    /** It has done the work of a request. */
-    void answered() {
-        double busyShare = (double) Math.min(model.cores(), cores.held() + 1) / model.cores();
+    /** Records that the work of a request is done. */
+    void requestCompleted() {
+        double busyShare = (double) Math.min(model.cores(), cores.visitCount() + 1) / model.cores();
         utilisation += (busyShare - utilisation) * REPORT_WEIGHT;
-        answerGap += (calendar.now() - lastAnswerAt - answerGap) * REPORT_WEIGHT;
-        lastAnswerAt = calendar.now();
+        meanAnswerGapMs += (calendar.now() - lastAnswerAtMs - meanAnswerGapMs) * REPORT_WEIGHT;
+        lastAnswerAtMs = calendar.now();
     }
 
-    /** What it reports with an answer; null for nothing. */
+    /** The load report sent with an answer, or null for none. */
     Contract.Report report() {
-        if (fleet.settings().reporting() != Contract.Reporting.WITH_ANSWERS || answerGap <= 0) {
+        if (fleet.settings().reporting() != Contract.Reporting.WITH_ANSWERS || meanAnswerGapMs <= 0) {
             return null;
         }
-        return new Contract.Report(Double.NaN, Double.NaN, utilisation, Double.NaN, SECOND_MS / answerGap, 0);
+        return new Contract.Report(Double.NaN, Double.NaN, utilisation, Double.NaN, SECOND_MS / meanAnswerGapMs, 0);
     }
 }
--- a/src/main/java/whinlead/plan/SimulatedSidecar.java
+++ b/src/main/java/whinlead/plan/SimulatedSidecar.java
@@ -11,8 +11,8 @@
 import whinlead.membership.EndpointList;
 
 /**
- * A sidecar under simulated time: the real engine with the real decisions, its connections, its processor and its
- * places. For one thread.
+ * A sidecar under simulated time: the real engine and decision module with modelled connections, processor and client
+ * places. Not thread-safe.
  */
 final class SimulatedSidecar implements Timers {
     private final SimulationContext context;
@@ -21,18 +21,18 @@
     private final Map<String, SimulatedFront> fronts;
     private final ConnectionPool connections;
     private final Engine engine;
-    /** Tries that are at this sidecar. */
-    private int held;
+    /** Number of open tries at this sidecar. */
+    private int openTries;
 
-    private double busyUntil;
-    private double processorTime;
+    private double busyUntilMs;
+    private double processorTimeMs;
 
     /**
-     * One that is yet to be told of any front.
+     * Creates a sidecar that has not received an endpoint list yet.
      *
-     * @param fronts by id, all that it may be told of
-     * @param ordinal among the sidecars
-     * @param seed of its decisions
+     * @param fronts all fronts, by id
+     * @param ordinal index of this sidecar
+     * @param seed seed of the decision module
      */
     SimulatedSidecar(SimulationContext context, Map<String, SimulatedFront> fronts, int ordinal, long seed) {
         this.context = context;
@@ -54,15 +54,15 @@
         engine = new Engine(this, settings, out -> new Decide(settings, seed, out), list -> {}, line -> {});
     }
 
-    /** It starts, and is told of all fronts. */
+    /** Starts the engine with the full endpoint list. */
     void start() {
-        // What the list tells later is told by the changes.
+        // Later updates of the list arrive through receiveChanges.
         engine.start(() -> {}, null);
         engine.list(Contract.ListKind.FULL, list(fronts.values(), true));
     }
 
-    /** It is told which fronts have changed. */
-    void tellChanges(Collection<SimulatedFront> changed) {
+    /** Passes changed endpoint list entries to the engine. */
+    void receiveChanges(Collection<SimulatedFront> changed) {
         engine.list(Contract.ListKind.CHANGES, list(changed, false));
     }
 
@@ -80,34 +80,34 @@
         return calendar.now();
     }
 
-    // Its own lateness is what its processor still has to do.
+    // Timers are delayed until the processor has finished its queued work.
     @Override
     public Timer after(double millis, Runnable task) {
-        return calendar.at(Math.max(calendar.now() + millis, busyUntil), task);
+        return calendar.at(Math.max(calendar.now() + millis, busyUntilMs), task);
     }
 
-    /** A client's try comes in. */
-    void receive(ClientTry received) {
-        held++;
-        if (held > limits.places()) {
+    /** Receives a client's try. */
+    void receive(ClientTry clientTry) {
+        openTries++;
+        if (openTries > limits.places()) {
             context.tally().sidecarFull();
-            received.failed();
+            clientTry.failed();
             return;
         }
         // Its processor takes requests in turn.
         double work = limits.work();
-        busyUntil = Math.max(busyUntil, calendar.now()) + work;
-        processorTime += work;
-        calendar.at(busyUntil, () -> decide(received));
+        busyUntilMs = Math.max(busyUntilMs, calendar.now()) + work;
+        processorTimeMs += work;
+        calendar.at(busyUntilMs, () -> decide(clientTry));
     }
 
     private void decide(ClientTry received) {
-        double remaining = received.remaining();
+        double remaining = received.remainingMs();
         if (remaining <= 0) {
             received.failed();
             return;
         }
-        double freeShare = 1 - (double) held / limits.places();
+        double freeShare = 1 - (double) openTries / limits.places();
         Arrival arrival = received.arrival();
         engine.take(
                 new Request(arrival.kind(), arrival.tenant(), remaining, received.repeat(), freeShare, 0),
@@ -115,19 +115,19 @@
                 received);
     }
 
-    /** A try has ended, and its place is free. */
+    /** Frees the place of a try that has ended. */
     void release() {
-        held--;
+        openTries--;
     }
 
-    /** A front is lost, and with it the connections to it. */
+    /** Drops the connections to a lost front. */
     void frontLost(SimulatedFront front) {
         connections.drop(front);
     }
 
-    /** For how many milliseconds its processor was busy, or is to be. */
-    double processorTime() {
-        return processorTime;
+    /** Processor time in milliseconds, including work that is queued. */
+    double processorTimeMs() {
+        return processorTimeMs;
     }
 
     /** Sends the attempts of one try. */
@@ -151,7 +151,7 @@
 
     private SimulatedAttempt send(int requestClass, SimulatedFront front, Transport.Outcomes<SimulatedFront> listener) {
         SimulatedAttempt attempt = new SimulatedAttempt(context, connections, front, listener);
-        context.tally().attempt();
+        context.tally().attemptSent();
         if (front.lost()) {
             attempt.failToConnect(front.silent() ? limits.connectTimeout() : 2 * front.latency());
         } else if (connections.hasIdle(front)) {
--- a/src/main/java/whinlead/plan/Simulation.java
+++ b/src/main/java/whinlead/plan/Simulation.java
@@ -10,18 +10,17 @@
 import whinlead.Contract;
 
 /**
- * Sidecars that run the real engine and decisions, before models of the fronts, under a calendar: a load goes in, and
- * what became of it comes out. The same fleet, load and seed give the same outcome to the bit. Each purpose has a
- * random generator of its own, so that two fleets that differ in one thing meet the same load (common random numbers).
- * For one thread.
+ * Discrete-event simulation of sidecars, which run the real engine and decision module, and modelled fronts: takes a
+ * load and returns its outcome. The same fleet, load and seed give a bit-identical outcome. Each purpose has its own
+ * random generator, so that fleets with one difference receive the same load (common random numbers). Not thread-safe.
  */
 public final class Simulation {
-    /** After the last deadline, for what is under way. */
+    /** Additional time after the last deadline for requests in progress. */
     private static final double TAIL_MS = 1000;
 
     private static final double SECOND_MS = 1000;
-    /** Keeps the seeds of different purposes apart: odd, from the golden ratio. */
-    private static final long PURPOSE = 0x9E3779B97F4A7C15L;
+    /** Separates the seeds of different purposes: an odd multiplier derived from the golden ratio. */
+    private static final long PURPOSE_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private final Fleet fleet;
     private final Calendar calendar = new Calendar();
@@ -30,12 +29,12 @@
     private final Random sidecarChoice;
     private final List<SimulatedFront> fronts = new ArrayList<>();
     private final List<SimulatedSidecar> sidecars = new ArrayList<>();
-    /** Of each sidecar, the share of requests that go to it or to one before it. */
+    /** Cumulative shares of requests, by sidecar. */
     private final double[] cumulativeShares;
 
-    private double lastArrival;
+    private double lastArrivalMs;
 
-    /** A fleet that has seen no load; {@code fleet} has passed its check. */
+    /** Creates a simulation; {@code fleet} must have passed {@link Fleet#check}. */
     public Simulation(Fleet fleet, long seed) {
         this.fleet = fleet;
         this.sidecarChoice = random(seed, 1);
@@ -60,7 +59,7 @@
     }
 
     private static Random random(long seed, int purpose) {
-        return new Random(seed * PURPOSE + purpose);
+        return new Random(seed * PURPOSE_MULTIPLIER + purpose);
     }
 
     private static double[] cumulative(List<Double> shares) {
@@ -73,18 +72,18 @@
         return sums;
     }
 
-    private void schedule(Fleet.Change change, List<SimulatedFront> met) {
+    private void schedule(Fleet.Change change, List<SimulatedFront> affected) {
         switch (change.kind()) {
             case SLOWED -> {
-                calendar.at(change.from(), () -> met.forEach(front -> front.scaleSpeed(change.speed())));
-                calendar.at(change.to(), () -> met.forEach(front -> front.scaleSpeed(1 / change.speed())));
+                calendar.at(change.from(), () -> affected.forEach(front -> front.scaleSpeed(change.speed())));
+                calendar.at(change.to(), () -> affected.forEach(front -> front.scaleSpeed(1 / change.speed())));
             }
             case ZONE_LOST, ZONE_DIED -> {
                 boolean silently = change.kind() == Fleet.Kind.ZONE_LOST;
-                calendar.at(change.from(), () -> met.forEach(front -> lose(front, silently)));
-                calendar.at(change.from() + change.notice(), () -> tellChanges(met));
-                calendar.at(change.to(), () -> met.forEach(SimulatedFront::restart));
-                calendar.at(change.to() + change.notice(), () -> tellChanges(met));
+                calendar.at(change.from(), () -> affected.forEach(front -> lose(front, silently)));
+                calendar.at(change.from() + change.notice(), () -> notifySidecars(affected));
+                calendar.at(change.to(), () -> affected.forEach(SimulatedFront::restart));
+                calendar.at(change.to() + change.notice(), () -> notifySidecars(affected));
             }
             default -> throw new IllegalStateException("no such change: " + change.kind());
         }
@@ -95,36 +94,36 @@
         sidecars.forEach(sidecar -> sidecar.frontLost(front));
     }
 
-    private void tellChanges(List<SimulatedFront> changed) {
-        sidecars.forEach(sidecar -> sidecar.tellChanges(changed));
+    private void notifySidecars(List<SimulatedFront> changed) {
+        sidecars.forEach(sidecar -> sidecar.receiveChanges(changed));
     }
 
     /**
-     * Plays a load to its end, and what is still under way then to its own. Once only.
+     * Runs a load to its end and then completes the requests in progress. May be called once only.
      *
-     * @param load by time, not before 0
+     * @param load arrivals in order of time, from 0
      */
     public Outcome play(Iterator<Arrival> load) {
         scheduleNext(load);
-        // Each arrival schedules the next: the calendar is never longer than what is under way.
+        // Each arrival schedules the next, so the calendar holds only work in progress.
         while (load.hasNext()) {
             calendar.runTo(calendar.now() + SECOND_MS);
         }
-        calendar.runTo(Math.max(calendar.now(), lastArrival));
-        double end = calendar.now();
-        Outcome.Use use = use(end);
+        calendar.runTo(Math.max(calendar.now(), lastArrivalMs));
+        double endMs = calendar.now();
+        Outcome.Usage usage = usage(endMs);
         double longestDeadline = fleet.settings().classes().stream()
                 .mapToDouble(Contract.RequestClass::deadline)
                 .max()
                 .orElse(0);
-        calendar.runTo(end + fleet.clients().tries() * (longestDeadline + TAIL_MS));
-        return tally.outcome(use);
+        calendar.runTo(endMs + fleet.clients().tries() * (longestDeadline + TAIL_MS));
+        return tally.outcome(usage);
     }
 
     private void scheduleNext(Iterator<Arrival> load) {
         if (load.hasNext()) {
             Arrival arrival = load.next();
-            lastArrival = Math.max(lastArrival, arrival.at());
+            lastArrivalMs = Math.max(lastArrivalMs, arrival.at());
             calendar.at(arrival.at(), () -> {
                 ClientTry.begin(context, randomSidecar(), arrival);
                 scheduleNext(load);
@@ -138,17 +137,17 @@
         return sidecars.get(Math.min(sidecars.size() - 1, index));
     }
 
-    private Outcome.Use use(double span) {
+    private Outcome.Usage usage(double spanMs) {
         double busy = 0;
         double available = 0;
         for (SimulatedFront front : fronts) {
             busy += front.cores().coreTime();
-            available += front.coreCount() * span;
+            available += front.coreCount() * spanMs;
         }
         double processorTime = sidecars.stream()
-                .mapToDouble(SimulatedSidecar::processorTime)
+                .mapToDouble(SimulatedSidecar::processorTimeMs)
                 .max()
                 .orElse(0);
-        return tally.use(span == 0 ? 0 : busy / available, span == 0 ? 0 : processorTime / span);
+        return tally.usage(spanMs == 0 ? 0 : busy / available, spanMs == 0 ? 0 : processorTime / spanMs);
     }
 }
--- a/src/main/java/whinlead/plan/SimulationContext.java
+++ b/src/main/java/whinlead/plan/SimulationContext.java
@@ -3,9 +3,9 @@
 import java.util.Random;
 
 /**
- * What the parts of one simulation share.
+ * Shared state of one simulation.
  *
- * @param work draws what requests cost, and how long their answers take
- * @param clients draws how clients retry
+ * @param workRandom random generator for the work and answer time of requests
+ * @param clientRandom random generator for client retries
  */
-record SimulationContext(Fleet fleet, Calendar calendar, OutcomeTally tally, Random work, Random clients) {}
+record SimulationContext(Fleet fleet, Calendar calendar, OutcomeTally tally, Random workRandom, Random clientRandom) {}
--- a/src/main/java/whinlead/plan/Solver.java
+++ b/src/main/java/whinlead/plan/Solver.java
@@ -6,150 +6,154 @@
 import java.util.TreeMap;
 
 /**
- * The least number of fronts that meets a goal under noise. Every number is tried with the same seeds, so that what
- * differs is the number (common random numbers), and with more of them only while its interval holds the goal. Service
- * need not rise with fronts (more handshakes, thinner evidence), so an answer counts only if the next numbers meet the
- * goal too. Pure; who runs the trials is the caller's.
+ * Searches for the least number of fronts that meets a goal under noise. Every count is tried with the same seeds, so
+ * that only the count differs (common random numbers); more seeds are used while the interval contains the goal.
+ * Service need not increase with the number of fronts (more handshakes, fewer observations of each front), so a count
+ * is accepted only if the next counts meet the goal too. No side effects; the caller runs the trials.
  */
 public final class Solver {
-    /** Runs a number of fronts with each of these seeds. */
+    /** Runs a number of fronts with each given seed. */
     @FunctionalInterface
     public interface Trial {
-        /** The service that each seed gives, from 0 to 1; the same for the same arguments. */
+        /** Returns the service for each seed, from 0 to 1; equal arguments give equal results. */
         double[] service(int fronts, long[] seeds);
     }
 
-    /** What is known of one number of fronts. */
+    /** Result for one number of fronts. */
     public enum Verdict {
-        /** The whole interval is at the goal or over it. */
+        /** The whole interval is at or above the goal. */
         MET,
-        /** The whole interval is under the goal. */
+        /** The whole interval is below the goal. */
         MISSED,
-        /** The goal is within the interval, with as many seeds as are allowed. */
+        /** The interval contains the goal after all permitted seeds or runs. */
         UNSURE
     }
 
-    /** A number that was tried. */
+    /** Result for a front count that was tried. */
     public record Point(Verdict verdict, Interval service) {}
 
     /**
-     * An answer.
+     * Result of the search.
      *
-     * @param fronts the least number that was found to meet the goal, with the next ones; 0 if none up to the most does
-     * @param certain whether the number below is known to miss it, or was not tried for being the least possible
-     * @param outOfRuns whether the runs that were allowed ended the search; then {@code fronts} may not be the least
-     * @param points all numbers that were tried
+     * @param fronts the least count found that meets the goal together with the next counts; 0 if there is none
+     * @param certain whether the next lower count is known to miss the goal, or lies below the search range
+     * @param outOfRuns whether the limit on runs was reached; {@code fronts} may then not be the least
+     * @param points all counts that were tried
      */
     public record Answer(int fronts, boolean certain, boolean outOfRuns, Map<Integer, Point> points) {}
 
     /**
-     * Bounds of a search.
+     * Limits of a search.
      *
-     * @param least the fewest fronts to try
-     * @param most the most
-     * @param seeds at first, at least 2, and at most for each number
-     * @param runs at most in all
-     * @param further how many of the next numbers have to meet the goal too
+     * @param minFronts the fewest fronts to try
+     * @param maxFronts the most fronts to try
+     * @param seeds initial seeds for each count, at least 2
+     * @param maxSeeds maximum number of seeds for each count
+     * @param maxRuns number of runs after which the search stops
+     * @param confirmations how many of the next counts must also meet the goal
      */
-    public record Bounds(int least, int most, int seeds, int seedsMost, int runs, int further) {}
+    public record Bounds(int minFronts, int maxFronts, int seeds, int maxSeeds, int maxRuns, int confirmations) {}
 
     private final Trial trial;
     private final double goal;
     private final Bounds bounds;
-    private final Map<Integer, List<Double>> values = new TreeMap<>();
+    private final Map<Integer, List<Double>> samplesByFronts = new TreeMap<>();
     private int runs;
 
-    /** A search that has not begun. */
+    /** Creates a search. */
     public Solver(Trial trial, double goal, Bounds bounds) {
-        if (bounds.seeds() < 2 || bounds.least() < 1 || bounds.most() < bounds.least()) {
-            throw new IllegalArgumentException("two seeds and a range of fronts are wanted");
+        if (bounds.seeds() < 2 || bounds.minFronts() < 1 || bounds.maxFronts() < bounds.minFronts()) {
+            throw new IllegalArgumentException(
+                    "at least two seeds and a non-empty range of 1 or more fronts are required");
         }
         this.trial = trial;
         this.goal = goal;
         this.bounds = bounds;
     }
 
-    /** Searches; once only. */
+    /** Runs the search; may be called once only. */
     public Answer solve() {
-        int missed = bounds.least() - 1;
+        int missed = bounds.minFronts() - 1;
         int met = 0;
-        // Doubles until one meets it.
-        for (int n = bounds.least(), step = 1; met == 0; step *= 2) {
-            if (holds(n)) {
-                met = n;
+        // Doubles the step until a count meets the goal.
+        for (int fronts = bounds.minFronts(), step = 1; met == 0; step *= 2) {
+            if (isMetFrom(fronts)) {
+                met = fronts;
             } else {
-                missed = n;
-                if (n == bounds.most()) {
-                    return answer(0);
+                missed = fronts;
+                if (fronts == bounds.maxFronts()) {
+                    return result(0);
                 }
-                n = (int) Math.min(bounds.most(), (long) n + step);
+                fronts = (int) Math.min(bounds.maxFronts(), (long) fronts + step);
             }
-            if (spent()) {
-                return answer(met);
+            if (runsExhausted()) {
+                return result(met);
             }
         }
-        while (met - missed > 1 && !spent()) {
-            int n = missed + (met - missed) / 2;
-            if (holds(n)) {
-                met = n;
+        while (met - missed > 1 && !runsExhausted()) {
+            int fronts = missed + (met - missed) / 2;
+            if (isMetFrom(fronts)) {
+                met = fronts;
             } else {
-                missed = n;
+                missed = fronts;
             }
         }
-        return answer(met);
+        return result(met);
     }
 
-    // This number and the next ones.
-    private boolean holds(int n) {
-        for (int k = n; k <= Math.min(bounds.most(), n + bounds.further()); k++) {
-            if (verdict(k) != Verdict.MET) {
+    // Whether this count and the next ones meet the goal.
+    private boolean isMetFrom(int fronts) {
+        for (int count = fronts; count <= Math.min(bounds.maxFronts(), fronts + bounds.confirmations()); count++) {
+            if (verdict(count) != Verdict.MET) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean spent() {
-        return runs >= bounds.runs();
+    private boolean runsExhausted() {
+        return runs >= bounds.maxRuns();
     }
 
-    private Verdict verdict(int n) {
-        List<Double> known = values.computeIfAbsent(n, k -> new ArrayList<>());
+    private Verdict verdict(int fronts) {
+        List<Double> samples = samplesByFronts.computeIfAbsent(fronts, k -> new ArrayList<>());
         while (true) {
-            Verdict v = of(known);
-            int more = known.isEmpty() ? bounds.seeds() : Math.min(bounds.seedsMost() - known.size(), known.size());
-            if (!known.isEmpty() && (v != Verdict.UNSURE || more <= 0 || spent())) {
-                return v;
+            Verdict verdict = verdictOf(samples);
+            int more =
+                    samples.isEmpty() ? bounds.seeds() : Math.min(bounds.maxSeeds() - samples.size(), samples.size());
+            if (!samples.isEmpty() && (verdict != Verdict.UNSURE || more <= 0 || runsExhausted())) {
+                return verdict;
             }
             long[] seeds = new long[more];
             for (int i = 0; i < more; i++) {
-                seeds[i] = known.size() + i + 1L;
+                seeds[i] = samples.size() + i + 1L;
             }
-            for (double d : trial.service(n, seeds)) {
-                known.add(d);
+            for (double sample : trial.service(fronts, seeds)) {
+                samples.add(sample);
             }
             runs += more;
         }
     }
 
-    private Verdict of(List<Double> known) {
-        if (known.size() < 2) {
+    private Verdict verdictOf(List<Double> samples) {
+        if (samples.size() < 2) {
             return Verdict.UNSURE;
         }
-        Interval i = interval(known);
-        return i.over(goal) ? Verdict.MET : i.under(goal) ? Verdict.MISSED : Verdict.UNSURE;
+        Interval interval = interval(samples);
+        return interval.isAtLeast(goal) ? Verdict.MET : interval.isBelow(goal) ? Verdict.MISSED : Verdict.UNSURE;
     }
 
-    private static Interval interval(List<Double> known) {
-        return Interval.of(known.stream().mapToDouble(d -> d).toArray());
+    private static Interval interval(List<Double> samples) {
+        return Interval.of(samples.stream().mapToDouble(d -> d).toArray());
     }
 
-    private Answer answer(int fronts) {
+    private Answer result(int fronts) {
         Map<Integer, Point> points = new TreeMap<>();
-        values.forEach((n, known) -> points.put(n, new Point(of(known), interval(known))));
+        samplesByFronts.forEach(
+                (count, samples) -> points.put(count, new Point(verdictOf(samples), interval(samples))));
         Point below = points.get(fronts - 1);
         boolean certain =
-                fronts > 0 && (fronts == bounds.least() || below != null && below.verdict() == Verdict.MISSED);
-        return new Answer(fronts, certain, spent(), points);
+                fronts > 0 && (fronts == bounds.minFronts() || below != null && below.verdict() == Verdict.MISSED);
+        return new Answer(fronts, certain, runsExhausted(), points);
     }
 }
--- a/src/main/java/whinlead/plan/package-info.java
+++ b/src/main/java/whinlead/plan/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What a deployment would do, answered ahead of time: queues of the proxies in front, and a simulation that runs the
- * real engine and decision module.
+ * Capacity planning: predicts how a deployment behaves, with queueing models of the fronts and a simulation that runs
+ * the real engine and decision module.
  *
- * <p>Begin with {@link whinlead.plan.Simulation}. Pure; {@code docs/planner.md}.
+ * <p>Start with {@link whinlead.plan.Simulation}. No input or output; see {@code docs/planner.md}.
  */
 package whinlead.plan;
--- a/src/main/java/whinlead/plan/tool/CaptureCommand.java
+++ b/src/main/java/whinlead/plan/tool/CaptureCommand.java
@@ -20,93 +20,95 @@
 import whinlead.engine.RequestListener;
 import whinlead.plan.Arrival;
 
-/** {@code capture make} and {@code capture inspect}: captured loads; see {@code docs/planner.md}. */
+/**
+ * {@code capture make} and {@code capture inspect}: create and summarise captured loads; see {@code docs/planner.md}.
+ */
 @Command(
         name = "capture",
-        description = "Makes and inspects captured loads.",
+        description = "Creates and inspects captured loads.",
         mixinStandardHelpOptions = true,
         subcommands = {CaptureCommand.Make.class, CaptureCommand.Inspect.class})
 public final class CaptureCommand {
     private CaptureCommand() {}
 
-    /** Runs it; the exit code as the planner's. */
+    /** Runs the command and returns the planner's exit code. */
     public static int run(String... args) {
         return PlanCommand.run(new CaptureCommand(), args);
     }
 
-    /** Makes one. */
+    /** Creates a capture. */
     @Command(
             name = "make",
             mixinStandardHelpOptions = true,
-            description = "Makes a capture from the load that a description draws with a seed.")
+            description = "Creates a capture from the load of a description and a seed.")
     static final class Make implements Callable<Integer> {
-        private static final double MICROS = 1000;
+        private static final double MICROS_PER_MS = 1000;
 
-        @Parameters(index = "0", paramLabel = "FLEET", description = "The description, as deploy/fleet.json.")
+        @Parameters(index = "0", paramLabel = "FLEET", description = "The description; see deploy/fleet.json.")
         private Path file;
 
-        @Parameters(index = "1", paramLabel = "CAPTURE", description = "The capture that is written.")
-        private Path to;
+        @Parameters(index = "1", paramLabel = "CAPTURE", description = "The capture file to write.")
+        private Path target;
 
-        @Option(names = "--seed", description = "Seed of all that is drawn.")
+        @Option(names = "--seed", description = "Seed of the random load.")
         private long seed = 1;
 
         @Override
         public Integer call() throws IOException {
-            Description d = Description.read(file);
-            List<Contract.RequestClass> classes = d.fleet().settings().classes();
-            Path half = Files.createTempFile(to.toAbsolutePath().getParent(), "capture", ".tmp");
+            Description description = Description.read(file);
+            List<Contract.RequestClass> classes = description.fleet().settings().classes();
+            Path temporary = Files.createTempFile(target.toAbsolutePath().getParent(), "capture", ".tmp");
             try {
                 try (CaptureOutput out = new CaptureOutput(
-                        new BufferedOutputStream(Files.newOutputStream(half)),
+                        new BufferedOutputStream(Files.newOutputStream(temporary)),
                         classes.stream().map(Contract.RequestClass::name).toList())) {
-                    for (Iterator<Arrival> load = d.load().arrivals(seed); load.hasNext(); ) {
-                        Arrival a = load.next();
+                    for (Iterator<Arrival> load = description.load().arrivals(seed); load.hasNext(); ) {
+                        Arrival arrival = load.next();
                         out.write(new Entry(
-                                Math.round(a.at() * MICROS),
-                                a.kind(),
-                                a.tenant(),
-                                (int) classes.get(a.kind()).deadline(),
+                                Math.round(arrival.at() * MICROS_PER_MS),
+                                arrival.kind(),
+                                arrival.tenant(),
+                                (int) classes.get(arrival.kind()).deadline(),
                                 0,
-                                a.repeat(),
+                                arrival.repeat(),
                                 RequestListener.End.SERVED));
                     }
                 }
-                Files.move(half, to, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+                Files.move(temporary, target, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
             } finally {
-                Files.deleteIfExists(half);
+                Files.deleteIfExists(temporary);
             }
             return 0;
         }
     }
 
-    /** Summarises one. */
-    @Command(name = "inspect", mixinStandardHelpOptions = true, description = "Tells what a capture holds.")
+    /** Summarises a capture. */
+    @Command(name = "inspect", mixinStandardHelpOptions = true, description = "Summarises a capture.")
     static final class Inspect implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "CAPTURE", description = "The capture.")
+        @Parameters(index = "0", paramLabel = "CAPTURE", description = "The capture file.")
         private Path file;
 
         @Override
         public Integer call() throws IOException {
-            Summary s;
+            Summary summary;
             try (CaptureInput in = new CaptureInput(Files.newInputStream(file))) {
-                s = Summary.of(in);
+                summary = Summary.of(in);
             }
-            System.out.println("requests: " + s.requests());
-            System.out.printf(Locale.ROOT, "seconds: %.3f%n", s.seconds());
-            System.out.println("fullest second: " + s.peak());
-            for (int k = 0; k < s.classes().size(); k++) {
-                System.out.println(
-                        "of class " + s.classes().get(k) + ": " + s.counts().get(k));
+            System.out.println("requests: " + summary.requests());
+            System.out.printf(Locale.ROOT, "seconds: %.3f%n", summary.seconds());
+            System.out.println("fullest second: " + summary.peak());
+            for (int requestClass = 0; requestClass < summary.classes().size(); requestClass++) {
+                System.out.println("of class " + summary.classes().get(requestClass) + ": "
+                        + summary.counts().get(requestClass));
             }
             for (RequestListener.End e : RequestListener.End.values()) {
-                System.out.println(
-                        e.name().toLowerCase(Locale.ROOT) + ": " + s.ends().get(e.ordinal()));
+                System.out.println(e.name().toLowerCase(Locale.ROOT) + ": "
+                        + summary.ends().get(e.ordinal()));
             }
-            System.out.println("repeats: " + s.repeats());
-            System.out.println("lost: " + s.lost());
-            System.out.println("clock went back: " + s.jumps());
-            System.out.println("torn at the end: " + s.torn());
+            System.out.println("repeats: " + summary.repeats());
+            System.out.println("lost: " + summary.lost());
+            System.out.println("clock went back: " + summary.jumps());
+            System.out.println("torn at the end: " + summary.torn());
             return 0;
         }
     }
--- a/src/main/java/whinlead/plan/tool/CaptureLoad.java
+++ b/src/main/java/whinlead/plan/tool/CaptureLoad.java
@@ -16,28 +16,28 @@
 import whinlead.plan.Fleet;
 
 /**
- * A captured load, played by the planner. Read anew for each run, so its length costs no memory. At so many times the
- * load its time runs so much faster: bursts keep their order and get shorter.
+ * A captured load for the planner. It is read again for each run, so memory use does not depend on its length. A load
+ * factor speeds up its time: bursts keep their order and get shorter.
  */
 public final class CaptureLoad {
-    private static final double MICROS = 1000;
-    /** Asked about more than so many times the fullest second of the capture, the answer is far from what was seen. */
-    private static final double FAR = 1.5;
+    private static final double MICROS_PER_MS = 1000;
+    /** Above this multiple of the busiest second of the capture, results are extrapolated. */
+    private static final double EXTRAPOLATION_FACTOR = 1.5;
 
     private final Path file;
     private final Summary summary;
-    private final int[] kinds;
+    private final int[] fleetClasses;
 
     /**
-     * Reads it through once.
+     * Reads the whole capture once.
      *
-     * @throws IllegalArgumentException with one line if it is no capture, is empty or names a class that the fleet
-     *     lacks
+     * @throws IllegalArgumentException with a one-line message if the file is not a capture, is empty or names a class
+     *     that the fleet does not have
      */
     public CaptureLoad(Path file, Fleet fleet) throws IOException {
         this.file = file;
         if (!Files.isReadable(file)) {
-            throw new IllegalArgumentException(file + ": can't be read");
+            throw new IllegalArgumentException(file + ": file can't be read");
         }
         try (CaptureInput in = new CaptureInput(Files.newInputStream(file))) {
             summary = Summary.of(in);
@@ -45,33 +45,33 @@
             throw new IllegalArgumentException(file + ": " + e.getMessage(), e);
         }
         if (summary.requests() == 0) {
-            throw new IllegalArgumentException(file + ": holds no request");
+            throw new IllegalArgumentException(file + ": capture contains no requests");
         }
         List<String> known = fleet.settings().classes().stream()
                 .map(Contract.RequestClass::name)
                 .toList();
-        kinds = new int[summary.classes().size()];
-        for (int k = 0; k < kinds.length; k++) {
-            kinds[k] = known.indexOf(summary.classes().get(k));
-            if (kinds[k] < 0 && summary.counts().get(k) > 0) {
+        fleetClasses = new int[summary.classes().size()];
+        for (int k = 0; k < fleetClasses.length; k++) {
+            fleetClasses[k] = known.indexOf(summary.classes().get(k));
+            if (fleetClasses[k] < 0 && summary.counts().get(k) > 0) {
                 throw new IllegalArgumentException(file + ": the description has no class "
                         + summary.classes().get(k));
             }
         }
     }
 
-    /** What it holds. */
+    /** Summary of the capture. */
     public Summary summary() {
         return summary;
     }
 
-    /** Milliseconds from its first request to its last, at so many times the load. */
-    public double length(double times) {
-        return summary.seconds() * 1000 / times;
+    /** Milliseconds from the first request to the last at a load factor. */
+    public double length(double loadFactor) {
+        return summary.seconds() * 1000 / loadFactor;
     }
 
-    /** What is to be said of an answer from it, besides the figures. */
-    public List<String> caveats(double times) {
+    /** Caveats for results from this capture at a load factor. */
+    public List<String> caveats(double loadFactor) {
         List<String> lines = new ArrayList<>();
         if (summary.lost() > 0) {
             lines.add(summary.lost() + " of " + (summary.lost() + summary.requests())
@@ -84,16 +84,16 @@
             lines.add("Its last entry was torn and is left out.");
         }
         double mean = summary.requests() / Math.max(1e-3, summary.seconds());
-        if (mean * times > FAR * summary.peak()) {
-            lines.add("The load asked about is over " + FAR
+        if (mean * loadFactor > EXTRAPOLATION_FACTOR * summary.peak()) {
+            lines.add("The load asked about is over " + EXTRAPOLATION_FACTOR
                     + " times the fullest second that was captured: this is"
                     + " extrapolated.");
         }
         return lines;
     }
 
-    /** Its arrivals at so many times the load; whoever reads it to the end has closed it. */
-    public Iterator<Arrival> arrivals(double times) {
+    /** The arrivals at a load factor. The file is closed when the iterator is read to the end. */
+    public Iterator<Arrival> arrivals(double loadFactor) {
         CaptureInput in;
         try {
             in = new CaptureInput(Files.newInputStream(file));
@@ -104,7 +104,7 @@
             private long first = -1;
 
             @Override
-            protected Arrival find() {
+            protected Arrival findNext() {
                 try {
                     Entry e = in.next();
                     if (e == null) {
@@ -112,7 +112,8 @@
                         return null;
                     }
                     first = first < 0 ? e.at() : first;
-                    return new Arrival((e.at() - first) / MICROS / times, kinds[e.kind()], -1, e.repeat());
+                    return new Arrival(
+                            (e.at() - first) / MICROS_PER_MS / loadFactor, fleetClasses[e.kind()], -1, e.repeat());
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
--- a/src/main/java/whinlead/plan/tool/Description.java
+++ b/src/main/java/whinlead/plan/tool/Description.java
@@ -20,20 +20,20 @@
 import whinlead.plan.Load;
 
 /**
- * A deployment and its load as an operator describes them: {@code deploy/fleet.json}, checked by its schema and then
- * for what a schema can't see.
+ * A deployment and its load as described by an operator, for example {@code deploy/fleet.json}; checked against the
+ * JSON schema and for rules that a schema cannot express.
  */
 public record Description(Fleet fleet, Load load) {
     private static final String SCHEMA = "/whinlead/plan/fleet.schema.json";
-    /** How far shares may be from a sum of 1. */
+    /** Tolerance for the sum of shares, which must be 1. */
     private static final double SUM_SLACK = 1e-6;
 
-    private static final double SECOND = 1000;
+    private static final double SECOND_MS = 1000;
 
     /**
-     * Reads one.
+     * Reads a description.
      *
-     * @throws IllegalArgumentException with one line that names the file or the field
+     * @throws IllegalArgumentException with a one-line message that names the file and, if known, the field
      */
     public static Description read(Path file) {
         ObjectMapper mapper = new ObjectMapper();
@@ -52,7 +52,7 @@
         }
     }
 
-    /** One that is in the jar. */
+    /** Reads a description from a resource in the jar. */
     public static Description of(String resource) {
         try (InputStream in = Description.class.getResourceAsStream(resource)) {
             return parse(new ObjectMapper().readTree(in));
@@ -61,7 +61,7 @@
         }
     }
 
-    /** The same from what was read. */
+    /** Parses and checks a description. */
     public static Description parse(JsonNode root) {
         check(root);
         JsonNode classes = root.get("classes");
@@ -78,7 +78,8 @@
                     group(c.path("group").asText("all")),
                     number(c, "window", 0),
                     false));
-            work.add(new Fleet.Work(law(c.get("work")), c.has("away") ? law(c.get("away")) : new Law(0, 0)));
+            work.add(new Fleet.Work(
+                    distribution(c.get("work")), c.has("away") ? distribution(c.get("away")) : new Law(0, 0)));
         }
         JsonNode rules = root.get("rules");
         JsonNode sidecars = root.get("sidecars");
@@ -97,7 +98,7 @@
                         rules.get("fall_time").doubleValue(),
                         rules.get("cold_share").doubleValue(),
                         rules.get("cold_time").doubleValue(),
-                        10 * SECOND),
+                        10 * SECOND_MS),
                 root.get("reports").booleanValue() ? Contract.Reporting.WITH_ANSWERS : Contract.Reporting.NONE,
                 false,
                 shares.size(),
@@ -143,7 +144,7 @@
                         sidecars.get("places").intValue(),
                         sidecars.get("connections").intValue(),
                         sidecars.get("connect_timeout").doubleValue(),
-                        number(sidecars, "idle", 60 * SECOND)),
+                        number(sidecars, "idle", 60 * SECOND_MS)),
                 shares,
                 new Fleet.Clients(
                         clients.get("tries").intValue(),
@@ -156,19 +157,19 @@
 
     private static void check(JsonNode root) {
         try (InputStream in = Description.class.getResourceAsStream(SCHEMA)) {
-            Set<ValidationMessage> wrong = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+            Set<ValidationMessage> violations = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
                     .getSchema(in)
                     .validate(root);
-            if (!wrong.isEmpty()) {
-                // The first by its place, so that the same file gets the same line.
-                throw new IllegalArgumentException(wrong.stream()
+            if (!violations.isEmpty()) {
+                // The first in sorted order, so that the same file always gives the same message.
+                throw new IllegalArgumentException(violations.stream()
                         .map(ValidationMessage::getMessage)
                         .sorted()
                         .findFirst()
                         .orElseThrow());
             }
         } catch (IOException e) {
-            throw new IllegalStateException("the schema can't be read", e);
+            throw new IllegalStateException("schema can't be read: " + SCHEMA, e);
         }
     }
 
@@ -187,15 +188,15 @@
         return changes;
     }
 
-    private static Load load(JsonNode l, List<Contract.RequestClass> types) {
+    private static Load load(JsonNode node, List<Contract.RequestClass> types) {
         List<Double> mix = new ArrayList<>();
         double sum = 0;
-        for (Contract.RequestClass t : types) {
-            mix.add(number(l.get("mix"), t.name(), 0));
+        for (Contract.RequestClass type : types) {
+            mix.add(number(node.get("mix"), type.name(), 0));
             sum += mix.get(mix.size() - 1);
         }
-        l.get("mix").fieldNames().forEachRemaining(name -> {
-            if (types.stream().noneMatch(t -> t.name().equals(name))) {
+        node.get("mix").fieldNames().forEachRemaining(name -> {
+            if (types.stream().noneMatch(type -> type.name().equals(name))) {
                 throw new IllegalArgumentException("load.mix: no class " + name);
             }
         });
@@ -203,22 +204,25 @@
             throw new IllegalArgumentException("load.mix: shares add up to " + sum + ", not 1");
         }
         List<Load.Burst> bursts = new ArrayList<>();
-        for (JsonNode b : l.path("bursts")) {
+        for (JsonNode burst : node.path("bursts")) {
             bursts.add(new Load.Burst(
-                    b.get("from").doubleValue(),
-                    b.get("to").doubleValue(),
-                    b.get("times").doubleValue()));
+                    burst.get("from").doubleValue(),
+                    burst.get("to").doubleValue(),
+                    burst.get("times").doubleValue()));
         }
         return new Load(
-                l.get("per_second").doubleValue(), mix, bursts, l.get("seconds").doubleValue() * SECOND);
+                node.get("per_second").doubleValue(),
+                mix,
+                bursts,
+                node.get("seconds").doubleValue() * SECOND_MS);
     }
 
-    private static Law law(JsonNode n) {
-        return new Law(n.get("mean").doubleValue(), n.get("cv").doubleValue());
+    private static Law distribution(JsonNode node) {
+        return new Law(node.get("mean").doubleValue(), node.get("cv").doubleValue());
     }
 
-    private static double number(JsonNode n, String field, double otherwise) {
-        return n.has(field) ? n.get(field).doubleValue() : otherwise;
+    private static double number(JsonNode node, String field, double defaultValue) {
+        return node.has(field) ? node.get(field).doubleValue() : defaultValue;
     }
 
     private static Contract.Effect effect(String name) {
--- a/src/main/java/whinlead/plan/tool/PlanCommand.java
+++ b/src/main/java/whinlead/plan/tool/PlanCommand.java
@@ -25,22 +25,22 @@
 /** The planner's command line; see {@code docs/planner.md}. */
 @Command(
         name = "plan",
-        description = "Answers before a release what a deployment would do.",
+        description = "Predicts the behaviour of a deployment before a release.",
         mixinStandardHelpOptions = true,
         subcommands = {PlanCommand.Ask.class, PlanCommand.Solve.class, PlanCommand.Compare.class})
 public final class PlanCommand {
-    private static final int BAD = 1;
+    private static final int EXIT_FAILURE = 1;
 
     private PlanCommand() {}
 
-    /** Runs it; the exit code: 0 for an answer, 1 for a bad description or a goal that is not met, 2 for bad usage. */
+    /** Runs the command. Exit code: 0 for a result, 1 for bad input or a goal that is not met, 2 for bad usage. */
     public static int run(String... args) {
         return run(new PlanCommand(), args);
     }
 
-    /** Runs a command with the planner's exit codes and its one line for what is bad. */
+    /** Runs a command with the planner's exit codes; bad input is reported in one line. */
     public static int run(Object command, String... args) {
-        // A library's notes on itself are no part of an answer.
+        // Suppresses SLF4J's messages about itself in the output.
         System.setProperty("slf4j.internal.verbosity", "ERROR");
         return new CommandLine(command)
                 .setExecutionExceptionHandler((e, line, parsed) -> {
@@ -50,39 +50,39 @@
                     line.getErr()
                             .println(line.getCommandName() + ": "
                                     + (e instanceof NoSuchFileException
-                                            ? e.getMessage() + " is not there"
+                                            ? e.getMessage() + ": no such file"
                                             : e.getMessage()));
-                    return BAD;
+                    return EXIT_FAILURE;
                 })
                 .execute(args);
     }
 
-    /** What all of them take. */
+    /** Options common to all subcommands. */
     static final class Common {
-        @Parameters(index = "0", paramLabel = "FLEET", description = "The description, as deploy/fleet.json.")
+        @Parameters(index = "0", paramLabel = "FLEET", description = "The description; see deploy/fleet.json.")
         private Path file;
 
         @Option(names = "--seeds", description = "Runs for each figure (${DEFAULT-VALUE}).")
         private int seeds = 8;
 
-        @Option(names = "--threads", description = "Threads; the answer does not depend on them.")
+        @Option(names = "--threads", description = "Number of threads; results do not depend on it.")
         private int threads = Runtime.getRuntime().availableProcessors();
 
-        @Option(names = "--times", description = "Of the described load.")
+        @Option(names = "--times", description = "Multiple of the described load.")
         private double times = 1;
 
-        @Option(names = "--json", paramLabel = "FILE", description = "Writes the answer for machines.")
+        @Option(names = "--json", paramLabel = "FILE", description = "Writes the report as JSON.")
         private Path json;
 
-        @Option(names = "--html", paramLabel = "FILE", description = "Writes the answer as one page with plots.")
+        @Option(names = "--html", paramLabel = "FILE", description = "Writes the report as an HTML page with plots.")
         private Path html;
 
         private Description description() {
             if (seeds < 2 || seeds > 1000 || threads < 1 || !(times > 0)) {
-                throw new IllegalArgumentException("two seeds or more, a thread and a load over 0 are" + " wanted");
+                throw new IllegalArgumentException("--seeds must be 2 to 1000, --threads and --times" + " over 0");
             }
             Description d = Description.read(file);
-            return new Description(d.fleet(), d.load().times(times));
+            return new Description(d.fleet(), d.load().scaled(times));
         }
 
         private long[] seeds() {
@@ -93,7 +93,7 @@
             return all;
         }
 
-        private void write(Answer answer) throws IOException {
+        private void write(Report answer) throws IOException {
             answer.print(System.out);
             if (json != null) {
                 answer.json(json);
@@ -104,142 +104,142 @@
         }
     }
 
-    private static Interval of(List<Outcome> outcomes, ToDoubleFunction<Outcome> figure) {
+    private static Interval ci(List<Outcome> outcomes, ToDoubleFunction<Outcome> figure) {
         return Interval.of(outcomes.stream().mapToDouble(figure).toArray());
     }
 
-    private static double[] seconds(List<Outcome> outcomes, double length) {
-        double[] mean = new double[(int) Math.ceil(length / 1000)];
+    private static double[] meanBySecond(List<Outcome> outcomes, double lengthMs) {
+        double[] mean = new double[(int) Math.ceil(lengthMs / 1000)];
         for (int i = 0; i < mean.length; i++) {
             double sum = 0;
-            int n = 0;
+            int count = 0;
             for (Outcome o : outcomes) {
                 if (i < o.worthBySecond().length && !Double.isNaN(o.worthBySecond()[i])) {
                     sum += o.worthBySecond()[i];
-                    n++;
+                    count++;
                 }
             }
-            mean[i] = n == 0 ? Double.NaN : sum / n;
+            mean[i] = count == 0 ? Double.NaN : sum / count;
         }
         return mean;
     }
 
-    private static void service(Answer a, String of, List<Outcome> outcomes) {
-        a.figure(of + "worth served", of(outcomes, Outcome::worth));
-        a.figure(of + "refused share", of(outcomes, Outcome::refusedShare));
-        a.figure(of + "late share", of(outcomes, Outcome::lateShare));
-        a.figure(of + "failed share", of(outcomes, o -> o.asked() == 0 ? 0 : (double) o.failed() / o.asked()));
-        a.figure(of + "tries a request", of(outcomes, o -> 1 + o.use().repeats()));
+    private static void addService(Report report, String prefix, List<Outcome> runs) {
+        report.figure(prefix + "worth served", ci(runs, Outcome::worth));
+        report.figure(prefix + "refused share", ci(runs, Outcome::refusedShare));
+        report.figure(prefix + "late share", ci(runs, Outcome::lateShare));
+        report.figure(prefix + "failed share", ci(runs, o -> o.offered() == 0 ? 0 : (double) o.failed() / o.offered()));
+        report.figure(prefix + "tries a request", ci(runs, o -> 1 + o.usage().repeats()));
         for (Limit l : Limit.values()) {
-            a.figure(of + "use of " + l.name().toLowerCase(Locale.ROOT), of(outcomes, l::reading));
+            report.figure(prefix + "use of " + l.name().toLowerCase(Locale.ROOT), ci(runs, l::reading));
         }
     }
 
-    /** What a load comes to, and which limit fails first. */
+    /** Predicts the service of a load and which limit binds first. */
     @Command(
             name = "ask",
             mixinStandardHelpOptions = true,
-            description = "What comes of the load, which limit fails first, and whether service comes back.")
+            description = "Service under the load, which limit binds first, and whether service recovers.")
     static final class Ask implements Callable<Integer> {
-        /** By so much the simulation may pass the bound, for its load is drawn and not a mean. */
-        private static final double SLACK = 0.02;
-        /** Further under it than this, what costs service is not the cores alone. */
-        private static final double APART = 0.1;
-        /** Seeds at each load of the ramp. */
-        private static final long[] FEW = {1, 2, 3};
+        /** Tolerance for exceeding the bound: the simulated load is drawn at random, the bound uses means. */
+        private static final double BOUND_TOLERANCE = 0.02;
+        /** Below the bound by more than this, service is limited by more than the cores. */
+        private static final double NOTABLE_GAP = 0.1;
+
+        private static final long[] RAMP_SEEDS = {1, 2, 3};
 
         @CommandLine.Mixin
         private Common common;
 
-        @Option(names = "--load", paramLabel = "CAPTURE", description = "A captured load in place of the described.")
+        @Option(names = "--load", paramLabel = "CAPTURE", description = "Captured load, replaces the described one.")
         private Path capture;
 
-        @Option(names = "--ramp-most", description = "The highest load of the ramp, by the described one.")
+        @Option(names = "--ramp-most", description = "Highest load of the ramp, as a multiple.")
         private double most = 3;
 
-        @Option(names = "--ramp-step", description = "Factor between the loads of the ramp.")
+        @Option(names = "--ramp-step", description = "Factor between successive loads of the ramp.")
         private double step = 1.1;
 
         @Override
         public Integer call() throws IOException {
-            Description d = common.description();
+            Description plan = common.description();
             if (!(step > 1) || !(most > 0)) {
                 throw new IllegalArgumentException("--ramp-step has to be over 1 and --ramp-most over 0");
             }
-            Answer a = new Answer("What the load comes to", common.file, common.seeds());
+            Report report = new Report("What the load comes to", common.file, common.seeds());
             try (Runner runner = new Runner(common.threads)) {
                 if (capture != null) {
-                    captured(a, d.fleet(), runner);
-                    common.write(a);
+                    answerCapture(report, plan.fleet(), runner);
+                    common.write(report);
                     return 0;
                 }
-                List<Outcome> all = runner.play(d.fleet(), d.load()::arrivals, common.seeds());
-                service(a, "", all);
-                bound(a, d, of(all, Outcome::worth));
-                a.plot(
+                List<Outcome> outcomes = runner.run(plan.fleet(), plan.load()::arrivals, common.seeds());
+                addService(report, "", outcomes);
+                addBound(report, plan, ci(outcomes, Outcome::worth));
+                report.plot(
                         "Worth served by the second asked in",
-                        seconds(all, d.load().length()));
-                for (Fleet.Change c : d.fleet().changes()) {
-                    recovery(
-                            a,
+                        meanBySecond(outcomes, plan.load().length()));
+                for (Fleet.Change c : plan.fleet().changes()) {
+                    addRecovery(
+                            report,
                             c.kind() == Fleet.Kind.SLOWED ? "slowed fronts" : "zone " + c.zone(),
-                            all,
+                            outcomes,
                             c.from(),
                             c.to());
                 }
-                for (Load.Burst b : d.load().bursts()) {
-                    recovery(a, "a burst", all, b.from(), b.to());
+                for (Load.Burst b : plan.load().bursts()) {
+                    addRecovery(report, "a burst", outcomes, b.from(), b.to());
                 }
-                // Changes and bursts are other questions: the ramp is of the steady load.
+                // The ramp uses the steady load, without changes and bursts.
                 Load steady = new Load(
-                        d.load().perSecond(),
-                        d.load().mix(),
+                        plan.load().perSecond(),
+                        plan.load().mix(),
                         List.of(),
-                        d.load().length());
-                ramp(a, d.fleet(), (f, t) -> runner.play(f, steady.times(t)::arrivals, FEW));
+                        plan.load().length());
+                addRamp(report, plan.fleet(), (f, t) -> runner.run(f, steady.scaled(t)::arrivals, RAMP_SEEDS));
             }
-            common.write(a);
+            common.write(report);
             return 0;
         }
 
-        // What a capture comes to; and the limits, its time running faster instead of its rate rising.
-        private void captured(Answer a, Fleet fleet, Runner runner) throws IOException {
+        // Service of a captured load, and its limits; the ramp speeds up its time instead of raising a rate.
+        private void answerCapture(Report report, Fleet fleet, Runner runner) throws IOException {
             CaptureLoad load = new CaptureLoad(capture, fleet);
-            List<Outcome> all = runner.play(fleet, seed -> load.arrivals(common.times), common.seeds());
-            a.figure("requests in the capture", load.summary().requests());
-            service(a, "", all);
-            a.plot("Worth served by the second asked in", seconds(all, load.length(common.times)));
-            load.caveats(common.times).forEach(a::note);
-            ramp(a, fleet, (f, t) -> runner.play(f, seed -> load.arrivals(common.times * t), FEW));
+            List<Outcome> outcomes = runner.run(fleet, seed -> load.arrivals(common.times), common.seeds());
+            report.figure("requests in the capture", load.summary().requests());
+            addService(report, "", outcomes);
+            report.plot("Worth served by the second asked in", meanBySecond(outcomes, load.length(common.times)));
+            load.caveats(common.times).forEach(report::note);
+            addRamp(report, fleet, (f, t) -> runner.run(f, seed -> load.arrivals(common.times * t), RAMP_SEEDS));
         }
 
-        private static void bound(Answer a, Description d, Interval worth) {
-            double most = Bounds.worthMost(d.fleet(), d.load());
-            a.figure("utilisation outside bursts, in closed form", Bounds.utilisation(d.fleet(), d.load()));
-            a.figure("worth served at most, in closed form", most);
-            if (worth.mean() > most + SLACK) {
-                a.note("The simulation passes the closed form: one of the two is wrong.");
-            } else if (worth.mean() < most - APART) {
-                a.note("The simulation lies far under the closed form: more than the cores costs service.");
+        private static void addBound(Report report, Description plan, Interval worth) {
+            double maxWorthShare = Bounds.maxWorthShare(plan.fleet(), plan.load());
+            report.figure("utilisation outside bursts, in closed form", Bounds.utilisation(plan.fleet(), plan.load()));
+            report.figure("worth served at most, in closed form", maxWorthShare);
+            if (worth.mean() > maxWorthShare + BOUND_TOLERANCE) {
+                report.note("The simulation passes the closed form: one of the two is wrong.");
+            } else if (worth.mean() < maxWorthShare - NOTABLE_GAP) {
+                report.note("The simulation lies far under the closed form: more than the cores costs service.");
             }
         }
 
-        private static void recovery(Answer a, String from, List<Outcome> all, double begin, double end) {
-            if (begin < 1000) {
+        private static void addRecovery(Report report, String cause, List<Outcome> runs, double beginMs, double endMs) {
+            if (beginMs < 1000) {
                 return;
             }
-            List<Recovery> each = all.stream()
-                    .map(o -> Recovery.of(o.worthBySecond(), begin, end))
+            List<Recovery> each = runs.stream()
+                    .map(o -> Recovery.of(o.worthBySecond(), beginMs, endMs))
                     .toList();
             long stuck =
                     each.stream().filter(r -> Double.isInfinite(r.seconds())).count();
-            a.figure(
-                    "worst second after " + from,
-                    Interval.of(each.stream().mapToDouble(Recovery::worst).toArray()));
-            a.figure("runs that do not come back from " + from, stuck);
+            report.figure(
+                    "worst second after " + cause,
+                    Interval.of(each.stream().mapToDouble(Recovery::worstShare).toArray()));
+            report.figure("runs that do not come back from " + cause, stuck);
             if (stuck < each.size()) {
-                a.figure(
-                        "seconds until back from " + from + ", of those that do",
+                report.figure(
+                        "seconds until back from " + cause + ", of those that do",
                         Interval.of(each.stream()
                                 .mapToDouble(Recovery::seconds)
                                 .filter(Double::isFinite)
@@ -247,37 +247,37 @@
             }
         }
 
-        private void ramp(Answer a, Fleet fleet, Limit.Trial trial) {
-            List<Limit.Bound> found = Limit.ramp(fleet.changes(List.of()), trial, Math.min(0.3, most), step, most);
-            if (found.isEmpty()) {
-                a.note(String.format(Locale.ROOT, "No limit binds up to %.2f times the load.", most));
+        private void addRamp(Report report, Fleet fleet, Limit.Trial trial) {
+            List<Limit.BindingLimit> all = Limit.ramp(fleet.changes(List.of()), trial, Math.min(0.3, most), step, most);
+            if (all.isEmpty()) {
+                report.note(String.format(Locale.ROOT, "No limit binds up to %.2f times the load.", most));
             }
-            for (int i = 0; i < found.size(); i++) {
-                Limit.Bound b = found.get(i);
-                a.note(String.format(
+            for (int i = 0; i < all.size(); i++) {
+                Limit.BindingLimit limit = all.get(i);
+                report.note(String.format(
                         Locale.ROOT,
                         "Limit %d: %s, at %.2f times the load%s",
                         i + 1,
-                        b.limit().name().toLowerCase(Locale.ROOT),
-                        b.times(),
-                        i == 0 ? "" : String.format(Locale.ROOT, ", %.0f%% behind", 100 * b.behind())));
+                        limit.limit().name().toLowerCase(Locale.ROOT),
+                        limit.loadFactor(),
+                        i == 0 ? "" : String.format(Locale.ROOT, ", %.0f%% behind", 100 * limit.relativeGap())));
             }
         }
     }
 
-    /** How many fronts a goal needs. */
+    /** Finds how many fronts a goal needs. */
     @Command(
             name = "solve",
             mixinStandardHelpOptions = true,
             description = "The least number of fronts that meets a goal.")
     static final class Solve implements Callable<Integer> {
-        /** Of the load: from far below, for of several that bind at once the first is the cause. */
-        private static final double LOWEST = 0.05;
+        /** First factor of the ramp: far below 1, because where several limits bind, the first is the cause. */
+        private static final double LOWEST_LOAD_FACTOR = 0.05;
 
         @CommandLine.Mixin
         private Common common;
 
-        @Option(names = "--goal", required = true, description = "Share of the worth that is to be served.")
+        @Option(names = "--goal", required = true, description = "Share of the worth that has to be served.")
         private double goal;
 
         @Option(names = "--least", description = "The fewest fronts to try.")
@@ -286,83 +286,83 @@
         @Option(names = "--most", description = "The most fronts to try.")
         private int most = 200;
 
-        @Option(names = "--runs", description = "Runs at most in all.")
+        @Option(names = "--runs", description = "Limit on the total number of runs.")
         private int runs = 2000;
 
-        @Option(names = "--lost-zone", description = "With this zone lost from a quarter of the load on.")
+        @Option(names = "--lost-zone", description = "Loses this zone after a quarter of the load's duration.")
         private String zone;
 
         @Override
         public Integer call() throws IOException {
-            Description d = common.description();
+            Description plan = common.description();
             if (!(goal > 0 && goal <= 1)) {
-                throw new IllegalArgumentException("--goal: " + goal + " is no share");
+                throw new IllegalArgumentException("--goal: " + goal + " is not a share over 0 and up to 1");
             }
-            Fleet fleet = zone == null ? d.fleet() : lost(d);
+            Fleet fleet = zone == null ? plan.fleet() : withLostZone(plan);
             fleet.check();
-            Answer a = new Answer("How many fronts serve " + goal + " of the worth", common.file, common.seeds());
+            Report report = new Report("How many fronts serve " + goal + " of the worth", common.file, common.seeds());
             Solver.Answer found;
             try (Runner runner = new Runner(common.threads)) {
                 found = new Solver(
-                                (n, seeds) -> runner.play(fleet.fronts(n), d.load()::arrivals, seeds).stream()
+                                (n, seeds) -> runner.run(fleet.fronts(n), plan.load()::arrivals, seeds).stream()
                                         .mapToDouble(Outcome::worth)
                                         .toArray(),
                                 goal,
                                 new Solver.Bounds(least, most, common.seeds, 4 * common.seeds, runs, 1))
                         .solve();
-                for (Map.Entry<Integer, Solver.Point> p : found.points().entrySet()) {
-                    a.figure(
-                            p.getKey() + " fronts, "
-                                    + p.getValue().verdict().name().toLowerCase(Locale.ROOT),
-                            p.getValue().service());
+                for (Map.Entry<Integer, Solver.Point> point : found.points().entrySet()) {
+                    report.figure(
+                            point.getKey() + " fronts, "
+                                    + point.getValue().verdict().name().toLowerCase(Locale.ROOT),
+                            point.getValue().service());
                 }
-                tell(a, found, fleet, d.load(), runner);
+                addConclusion(report, found, fleet, plan.load(), runner);
             }
-            common.write(a);
-            return found.fronts() > 0 ? 0 : BAD;
+            common.write(report);
+            return found.fronts() > 0 ? 0 : EXIT_FAILURE;
         }
 
-        private Fleet lost(Description d) {
-            List<Fleet.Change> more = new ArrayList<>(d.fleet().changes());
-            more.add(new Fleet.Change(
+        private Fleet withLostZone(Description plan) {
+            List<Fleet.Change> changes = new ArrayList<>(plan.fleet().changes());
+            changes.add(new Fleet.Change(
                     Fleet.Kind.ZONE_LOST,
                     zone,
                     1,
                     1,
-                    d.load().length() / 4,
-                    d.load().length() * 2,
+                    plan.load().length() / 4,
+                    plan.load().length() * 2,
                     2000));
-            return d.fleet().changes(more);
+            return plan.fleet().changes(changes);
         }
 
-        private void tell(Answer a, Solver.Answer found, Fleet fleet, Load load, Runner runner) {
+        private void addConclusion(Report report, Solver.Answer found, Fleet fleet, Load load, Runner runner) {
             if (found.fronts() == 0) {
-                List<Limit.Bound> way = Limit.ramp(
+                List<Limit.BindingLimit> limits = Limit.ramp(
                         fleet.fronts(most),
-                        (f, t) -> runner.play(f, load.times(t)::arrivals, new long[] {1, 2}),
-                        LOWEST,
+                        (f, t) -> runner.run(f, load.scaled(t)::arrivals, new long[] {1, 2}),
+                        LOWEST_LOAD_FACTOR,
                         1.1,
                         1);
-                a.note(
+                report.note(
                         found.outOfRuns()
                                 ? "The runs were spent before an answer was found."
                                 : "No number up to " + most + " meets it; in the way: "
-                                        + (way.isEmpty()
+                                        + (limits.isEmpty()
                                                 ? "none of the limits by itself"
-                                                : way.get(0).limit().name().toLowerCase(Locale.ROOT))
+                                                : limits.get(0).limit().name().toLowerCase(Locale.ROOT))
                                         + ".");
             } else {
-                a.note(found.fronts() + " fronts meet it"
+                report.note(found.fronts() + " fronts meet it"
                         + (found.certain() ? "." : "; whether one fewer does, these runs can't tell."));
             }
         }
     }
 
-    /** What differs between two descriptions. */
+    /** Compares two descriptions. */
     @Command(
             name = "compare",
             mixinStandardHelpOptions = true,
-            description = "What a second description changes, met by the same drawn load where they agree.")
+            description = "The effect of a second description, with the same random load where the two agree.")
     static final class Compare implements Callable<Integer> {
         @CommandLine.Mixin
         private Common common;
@@ -372,26 +372,26 @@
 
         @Override
         public Integer call() throws IOException {
-            Description one = common.description();
-            Description read = Description.read(other);
-            Load load = read.load().times(common.times);
-            Answer a = new Answer("What " + other.getFileName() + " changes", common.file, common.seeds());
+            Description base = common.description();
+            Description changed = Description.read(other);
+            Load secondLoad = changed.load().scaled(common.times);
+            Report report = new Report("What " + other.getFileName() + " changes", common.file, common.seeds());
             try (Runner runner = new Runner(common.threads)) {
-                List<Outcome> first = runner.play(one.fleet(), one.load()::arrivals, common.seeds());
-                List<Outcome> second = runner.play(read.fleet(), load::arrivals, common.seeds());
-                service(a, "first, ", first);
-                service(a, "second, ", second);
-                double[] apart = new double[first.size()];
-                for (int i = 0; i < apart.length; i++) {
-                    apart[i] = second.get(i).worth() - first.get(i).worth();
+                List<Outcome> first = runner.run(base.fleet(), base.load()::arrivals, common.seeds());
+                List<Outcome> second = runner.run(changed.fleet(), secondLoad::arrivals, common.seeds());
+                addService(report, "first, ", first);
+                addService(report, "second, ", second);
+                double[] differences = new double[first.size()];
+                for (int i = 0; i < differences.length; i++) {
+                    differences[i] = second.get(i).worth() - first.get(i).worth();
                 }
-                a.figure("worth served, second less first, by pairs", Interval.of(apart));
-                a.plot(
+                report.figure("worth served, second less first, by pairs", Interval.of(differences));
+                report.plot(
                         "First: worth served by second",
-                        seconds(first, one.load().length()));
-                a.plot("Second: worth served by second", seconds(second, load.length()));
+                        meanBySecond(first, base.load().length()));
+                report.plot("Second: worth served by second", meanBySecond(second, secondLoad.length()));
             }
-            common.write(a);
+            common.write(report);
             return 0;
         }
     }
--- a/src/main/java/whinlead/plan/tool/Answer.java
+++ b/src/main/java/whinlead/plan/tool/Report.java
@@ -20,9 +20,9 @@
 import java.util.stream.Collectors;
 import whinlead.plan.Interval;
 
-/** An answer of the planner: figures with their intervals, notes and plots; the same for the same question. */
-final class Answer {
-    private static final String PLOTS = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
+/** A report of the planner: figures with confidence intervals, notes and plots. Equal inputs give equal reports. */
+final class Report {
+    private static final String PLOT_LIBRARY = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
 
     private record Plot(String name, double[] seconds) {}
 
@@ -33,18 +33,18 @@
     private final List<String> notes = new ArrayList<>();
     private final List<Plot> plots = new ArrayList<>();
 
-    Answer(String title, Path file, long[] seeds) {
+    Report(String title, Path file, long[] seeds) {
         this.title = title;
         this.file = file;
         this.seeds = seeds;
     }
 
-    /** A figure with its interval. */
+    /** Adds a figure with its interval. */
     void figure(String name, Interval value) {
         figures.put(name, value);
     }
 
-    /** A figure that is exact. */
+    /** Adds an exact figure. */
     void figure(String name, double value) {
         figures.put(name, new Interval(value, 0, 1));
     }
@@ -53,18 +53,18 @@
         notes.add(line);
     }
 
-    /** A value by second, from the first; NaN where there is none. */
+    /** Adds a plot of one value per second, from the first second on; NaN for a missing value. */
     void plot(String name, double[] seconds) {
         plots.add(new Plot(name, seconds));
     }
 
     void print(PrintStream out) {
         out.println(title + " (" + file.getFileName() + ", seeds " + Arrays.toString(seeds) + ")");
-        figures.forEach((name, i) -> out.println(name + ": " + text(i)));
+        figures.forEach((name, i) -> out.println(name + ": " + formatted(i)));
         notes.forEach(out::println);
     }
 
-    private static String text(Interval i) {
+    private static String formatted(Interval i) {
         if (Double.isInfinite(i.half())) {
             return String.format(Locale.ROOT, "%.4f (one run)", i.mean());
         }
@@ -73,8 +73,8 @@
                 : String.format(Locale.ROOT, "%.4f +- %.4f", i.mean(), i.half());
     }
 
-    /** Writes it for machines. */
-    void json(Path to) throws IOException {
+    /** Writes the report as JSON. */
+    void json(Path target) throws IOException {
         ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
         ObjectNode root = mapper.createObjectNode()
                 .put("title", title)
@@ -82,19 +82,19 @@
         ArrayNode list = root.putArray("seeds");
         Arrays.stream(seeds).forEach(list::add);
         ObjectNode all = root.putObject("figures");
-        // One run tells nothing of its spread, and JSON has no infinity.
+        // The half width is infinite for a single run, which JSON cannot represent.
         figures.forEach((name, i) -> all.putObject(name)
                 .put("mean", i.mean())
                 .put("half", Double.isInfinite(i.half()) ? null : (Double) i.half())
                 .put("runs", i.runs()));
         ArrayNode lines = root.putArray("notes");
         notes.forEach(lines::add);
-        write(to, mapper.writeValueAsString(root) + "\n");
+        write(target, mapper.writeValueAsString(root) + "\n");
     }
 
-    /** Writes it as one page that needs nothing else. */
-    void html(Path to) throws IOException {
-        StringBuilder b = new StringBuilder(
+    /** Writes the report as a self-contained HTML page. */
+    void html(Path target) throws IOException {
+        StringBuilder page = new StringBuilder(
                         "<!doctype html>\n<html lang=\"en\"><head>" + "<meta charset=\"utf-8\"><title>")
                 .append(escaped(title))
                 .append("</title>\n<style>")
@@ -109,42 +109,42 @@
                 .append(", seeds ")
                 .append(Arrays.toString(seeds))
                 .append(". Intervals are Student's, 95%; a figure without one is exact.</p>\n<ul>\n");
-        notes.forEach(n -> b.append("<li>").append(escaped(n)).append("</li>\n"));
-        b.append("</ul>\n<table>\n");
-        figures.forEach((name, i) -> b.append("<tr><td>")
+        notes.forEach(n -> page.append("<li>").append(escaped(n)).append("</li>\n"));
+        page.append("</ul>\n<table>\n");
+        figures.forEach((name, i) -> page.append("<tr><td>")
                 .append(escaped(name))
                 .append("</td><td>")
-                .append(text(i))
+                .append(formatted(i))
                 .append("</td></tr>\n"));
-        b.append("</table>\n");
-        for (int p = 0; p < plots.size(); p++) {
-            Plot plot = plots.get(p);
-            b.append("<h2>")
+        page.append("</table>\n");
+        for (int plotIndex = 0; plotIndex < plots.size(); plotIndex++) {
+            Plot plot = plots.get(plotIndex);
+            page.append("<h2>")
                     .append(escaped(plot.name()))
                     .append("</h2>\n<div id=\"p")
-                    .append(p)
+                    .append(plotIndex)
                     .append("\"></div>\n<script>new uPlot({width:800,height:300,scales:{x:{time:false}},")
                     .append("series:[{label:\"s\"},{label:\"share\",stroke:\"#1565c0\"}]},[")
                     .append(numbers(plot.seconds(), true))
                     .append(',')
                     .append(numbers(plot.seconds(), false))
                     .append("],document.getElementById(\"p")
-                    .append(p)
+                    .append(plotIndex)
                     .append("\"));</script>\n");
         }
-        write(to, b.append("</body></html>\n").toString());
+        write(target, page.append("</body></html>\n").toString());
     }
 
-    private static String numbers(double[] values, boolean places) {
-        StringBuilder b = new StringBuilder("[");
+    private static String numbers(double[] values, boolean indexes) {
+        StringBuilder text = new StringBuilder("[");
         for (int i = 0; i < values.length; i++) {
-            b.append(i == 0 ? "" : ",")
+            text.append(i == 0 ? "" : ",")
                     .append(
-                            places
+                            indexes
                                     ? Integer.toString(i)
                                     : Double.isNaN(values[i]) ? "null" : String.format(Locale.ROOT, "%.4f", values[i]));
         }
-        return b.append(']').toString();
+        return text.append(']').toString();
     }
 
     private static String escaped(String text) {
@@ -152,9 +152,9 @@
     }
 
     private static String resource(String name) throws IOException {
-        try (InputStream in = Answer.class.getResourceAsStream(PLOTS + name)) {
+        try (InputStream in = Report.class.getResourceAsStream(PLOT_LIBRARY + name)) {
             if (in == null) {
-                throw new IOException("the plots' library is not in the jar");
+                throw new IOException("plot library is not in the jar: " + PLOT_LIBRARY + name);
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
@@ -163,15 +163,15 @@
         }
     }
 
-    // Whole or not at all: an interrupted run leaves no half of a report.
-    private static void write(Path to, String text) throws IOException {
-        Path folder = to.toAbsolutePath().getParent();
-        Path half = Files.createTempFile(folder, "plan", ".tmp");
+    // Written to a temporary file and moved: an interrupted run leaves no partial report.
+    private static void write(Path target, String text) throws IOException {
+        Path folder = target.toAbsolutePath().getParent();
+        Path temporary = Files.createTempFile(folder, "plan", ".tmp");
         try {
-            Files.writeString(half, text);
-            Files.move(half, to, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+            Files.writeString(temporary, text);
+            Files.move(temporary, target, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         } finally {
-            Files.deleteIfExists(half);
+            Files.deleteIfExists(temporary);
         }
     }
 }
--- a/src/main/java/whinlead/plan/tool/Runner.java
+++ b/src/main/java/whinlead/plan/tool/Runner.java
@@ -13,7 +13,7 @@
 import whinlead.plan.Outcome;
 import whinlead.plan.Simulation;
 
-/** Plays simulations on several threads; what comes of them, and in which order, does not depend on how many. */
+/** Runs simulations on several threads. Results and their order do not depend on the number of threads. */
 final class Runner implements AutoCloseable {
     private final ExecutorService threads;
 
@@ -21,19 +21,19 @@
         threads = Executors.newFixedThreadPool(count);
     }
 
-    /** What comes of a load with each of these seeds, in their order. */
-    List<Outcome> play(Fleet fleet, LongFunction<Iterator<Arrival>> load, long[] seeds) {
+    /** Runs a load with each seed and returns the outcomes in the order of the seeds. */
+    List<Outcome> run(Fleet fleet, LongFunction<Iterator<Arrival>> load, long[] seeds) {
         List<Future<Outcome>> running = new ArrayList<>();
         for (long seed : seeds) {
             running.add(threads.submit(() -> new Simulation(fleet, seed).play(load.apply(seed))));
         }
         List<Outcome> outcomes = new ArrayList<>();
-        for (Future<Outcome> f : running) {
+        for (Future<Outcome> future : running) {
             try {
-                outcomes.add(f.get());
+                outcomes.add(future.get());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new IllegalStateException("interrupted", e);
+                throw new IllegalStateException("interrupted while waiting for a simulation", e);
             } catch (ExecutionException e) {
                 throw new IllegalStateException(e.getCause());
             }
--- a/src/main/java/whinlead/plan/tool/package-info.java
+++ b/src/main/java/whinlead/plan/tool/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The planner's command line: reads and checks a description, runs seeds on threads, writes text, JSON and a page.
+ * The planner's command line: reads and checks a description, runs simulations on several threads, and writes text,
+ * JSON and HTML.
  *
- * <p>Begin with {@link whinlead.plan.tool.PlanCommand}.
+ * <p>Start with {@link whinlead.plan.tool.PlanCommand}.
  */
 package whinlead.plan.tool;
--- a/src/test/java/whinlead/plan/Fleets.java
+++ b/src/test/java/whinlead/plan/Fleets.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import whinlead.Contract;
 
-/** Descriptions for tests: 12 fronts of two cores in three zones before three sidecars. */
+/** Fleets for tests: 12 fronts with two cores each in three zones, and a given number of sidecars. */
 final class Fleets {
     static final double CORE_MS = 20;
     static final int FRONTS = 12;
@@ -12,13 +12,15 @@
 
     private Fleets() {}
 
-    static Contract.RequestClass type(String name, double worth, Contract.Effect effect) {
+    static Contract.RequestClass requestClass(String name, double worth, Contract.Effect effect) {
         return new Contract.RequestClass(name, worth, 0, 500, 2000, effect, Contract.Group.ALL, 0, false);
     }
 
     static Fleet fleet(int sidecars, Contract.Reporting reporting) {
         Contract.Settings settings = new Contract.Settings(
-                List.of(type("status", 5, Contract.Effect.SAFE), type("submit", 2, Contract.Effect.UNSAFE)),
+                List.of(
+                        requestClass("status", 5, Contract.Effect.SAFE),
+                        requestClass("submit", 2, Contract.Effect.UNSAFE)),
                 List.of(),
                 1,
                 new Contract.Limits(4, true, true, false, false, true, 1000, 0),
@@ -28,7 +30,7 @@
                 sidecars,
                 0);
         Law core = new Law(CORE_MS, 1);
-        Fleet f = new Fleet(
+        Fleet fleet = new Fleet(
                 settings,
                 List.of(new Fleet.Model("m", CORES, 1, 1, 1)),
                 List.of(new Fleet.Zone("a", 0.4, 0.2), new Fleet.Zone("b", 0.3, 0.2), new Fleet.Zone("c", 0.3, 0.2)),
@@ -39,16 +41,16 @@
                 Collections.nCopies(sidecars, 1.0 / sidecars),
                 new Fleet.Clients(1, 100, 1),
                 List.of());
-        f.check();
-        return f;
+        fleet.check();
+        return fleet;
     }
 
-    /** What this fleet's cores can do, in requests a second. */
-    static double capacity(Fleet f) {
-        return f.fronts() * CORES * 1000 / CORE_MS;
+    /** Capacity of the fleet's cores in requests per second. */
+    static double capacity(Fleet fleet) {
+        return fleet.fronts() * CORES * 1000 / CORE_MS;
     }
 
-    static Load load(Fleet f, double part, double length) {
-        return new Load(capacity(f) * part, List.of(0.8, 0.2), List.of(), length);
+    static Load load(Fleet fleet, double utilisation, double lengthMs) {
+        return new Load(capacity(fleet) * utilisation, List.of(0.8, 0.2), List.of(), lengthMs);
     }
 }
--- a/src/test/java/whinlead/plan/FrontModelTest.java
+++ b/src/test/java/whinlead/plan/FrontModelTest.java
@@ -12,57 +12,63 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The queueing core against closed forms, and what holds whatever happens. */
+/** Compares the queueing model with closed forms and checks its invariants under random events. */
 class FrontModelTest {
-    private static final double MEAN = 10;
-    /** Batches of a run for its interval; Student's quantile at 0.999 for 19 degrees of freedom, two-sided. */
+    private static final double MEAN_WORK_MS = 10;
+    /**
+     * Number of batches per run for the interval; the quantile is Student's at 0.999, two-sided, for 19 degrees of
+     * freedom.
+     */
     private static final int BATCHES = 20;
 
     private static final double QUANTILE = 3.883;
 
     private static final class Job implements Consumer<FrontModel.End> {
         private final Calendar calendar;
-        private final double at;
-        private int ended;
+        private final double arrivedAtMs;
+        private int endCount;
         private FrontModel.End end;
-        private double time;
+        private double timeMs;
 
         private Job(Calendar calendar) {
             this.calendar = calendar;
-            this.at = calendar.now();
+            this.arrivedAtMs = calendar.now();
         }
 
         @Override
         public void accept(FrontModel.End how) {
-            ended++;
+            endCount++;
             end = how;
-            time = calendar.now() - at;
+            timeMs = calendar.now() - arrivedAtMs;
         }
     }
 
-    private static List<Job> poisson(FrontModel front, Calendar calendar, Law law, double perMs, int count, long seed) {
-        Random dice = new Random(seed);
+    private static List<Job> playPoisson(
+            FrontModel front, Calendar calendar, Law law, double perMs, int count, long seed) {
+        Random random = new Random(seed);
         List<Job> jobs = new ArrayList<>();
-        double at = 0;
+        double atMs = 0;
         for (int i = 0; i < count; i++) {
-            at += -Math.log(1 - dice.nextDouble()) / perMs;
-            double work = law.draw(dice);
-            calendar.at(at, () -> {
-                Job j = new Job(calendar);
-                jobs.add(j);
-                front.arrives(work, j);
+            atMs += -Math.log(1 - random.nextDouble()) / perMs;
+            double work = law.draw(random);
+            calendar.at(atMs, () -> {
+                Job job = new Job(calendar);
+                jobs.add(job);
+                front.arrive(work, job);
             });
         }
-        calendar.runTo(at + 1e7);
+        calendar.runTo(atMs + 1e7);
         return jobs;
     }
 
-    /** The closed form lies within the batch means' interval (Law and Kelton, Simulation Modeling, 9.5.3). */
-    private static void within(double wanted, List<Double> all) {
+    /**
+     * Checks that the closed form lies in the interval of the batch means (Law and Kelton, Simulation Modeling, 9.5.3).
+     */
+    private static void assertWithinInterval(double expected, List<Double> samples) {
         List<Double> means = new ArrayList<>();
-        int size = all.size() / BATCHES;
+        int size = samples.size() / BATCHES;
         for (int b = 0; b < BATCHES; b++) {
-            means.add(all.subList(b * size, (b + 1) * size).stream()
+            means.add(samples.subList(b * size, (b + 1) * size).stream()
                     .mapToDouble(d -> d)
                     .average()
                     .orElseThrow());
@@ -70,46 +76,50 @@
         double mean = means.stream().mapToDouble(d -> d).average().orElseThrow();
         double variance =
                 means.stream().mapToDouble(d -> (d - mean) * (d - mean)).sum() / (BATCHES - 1);
-        double half = QUANTILE * Math.sqrt(variance / BATCHES);
-        assertTrue(Math.abs(mean - wanted) <= half, "mean " + mean + " +- " + half + ", in closed form " + wanted);
-        assertTrue(half < 0.2 * wanted, "an interval that could tell: " + half);
+        double halfWidth = QUANTILE * Math.sqrt(variance / BATCHES);
+        assertTrue(
+                Math.abs(mean - expected) <= halfWidth,
+                "mean " + mean + " +- " + halfWidth + ", in closed form " + expected);
+        assertTrue(halfWidth < 0.2 * expected, "interval is too wide for a useful comparison: " + halfWidth);
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0.5", "1, 0.8", "4, 0.8", "16, 0.9"})
-    void exponentialWorkInTurnAgreesWithErlang(int cores, double load) {
+    void firstComeFirstServedTimesAgreeWithErlangC(int cores, double load) {
         Calendar calendar = new Calendar();
         FrontModel front = new FrontModel(calendar, cores, false, Integer.MAX_VALUE, FrontModel.Thrash.NONE);
-        double perMs = load * cores / MEAN;
-        List<Job> jobs = poisson(front, calendar, new Law(MEAN, 1), perMs, 200_000, 7);
+        double perMs = load * cores / MEAN_WORK_MS;
+        List<Job> jobs = playPoisson(front, calendar, new Law(MEAN_WORK_MS, 1), perMs, 200_000, 7);
         List<Job> settled = jobs.subList(20_000, jobs.size());
-        within(
-                Formulas.meanTime(perMs, MEAN, cores),
-                settled.stream().map(j -> j.time).toList());
-        within(
-                Formulas.timeOver(2 * MEAN, perMs, MEAN, cores),
-                settled.stream().map(j -> j.time > 2 * MEAN ? 1.0 : 0.0).toList());
+        assertWithinInterval(
+                Formulas.meanTime(perMs, MEAN_WORK_MS, cores),
+                settled.stream().map(j -> j.timeMs).toList());
+        assertWithinInterval(
+                Formulas.probabilityOfTimeOver(2 * MEAN_WORK_MS, perMs, MEAN_WORK_MS, cores),
+                settled.stream()
+                        .map(j -> j.timeMs > 2 * MEAN_WORK_MS ? 1.0 : 0.0)
+                        .toList());
     }
 
     @ParameterizedTest
     @CsvSource({"0, 0.7", "0.5, 0.7", "1, 0.7", "2, 0.5"})
-    void sharedWorkTakesAsLongWhateverItsLaw(double cv, double load) {
+    void meanTimeUnderProcessorSharingDependsOnMeanWorkOnly(double cv, double load) {
         Calendar calendar = new Calendar();
         FrontModel front = new FrontModel(calendar, 1, true, Integer.MAX_VALUE, FrontModel.Thrash.NONE);
-        double perMs = load / MEAN;
-        List<Job> jobs = poisson(front, calendar, new Law(MEAN, cv), perMs, 200_000, 11);
-        within(
-                Formulas.meanSharedTime(perMs, MEAN),
-                jobs.subList(20_000, jobs.size()).stream().map(j -> j.time).toList());
+        double perMs = load / MEAN_WORK_MS;
+        List<Job> jobs = playPoisson(front, calendar, new Law(MEAN_WORK_MS, cv), perMs, 200_000, 11);
+        assertWithinInterval(
+                Formulas.meanSharedTime(perMs, MEAN_WORK_MS),
+                jobs.subList(20_000, jobs.size()).stream().map(j -> j.timeMs).toList());
     }
 
     @Test
-    void whatCantBeCarriedIsTurnedAwayAndTheCoresAreFull() {
+    void rejectedShareUnderOverloadAgreesWithFiniteQueueFormula() {
         Calendar calendar = new Calendar();
         FrontModel front = new FrontModel(calendar, 2, false, 8, FrontModel.Thrash.NONE);
-        List<Job> jobs = poisson(front, calendar, new Law(MEAN, 1), 2 * 2 / MEAN, 100_000, 3);
+        List<Job> jobs = playPoisson(front, calendar, new Law(MEAN_WORK_MS, 1), 2 * 2 / MEAN_WORK_MS, 100_000, 3);
         double full = jobs.stream().filter(j -> j.end == FrontModel.End.FULL).count() / (double) jobs.size();
-        // M/M/2/8 at twice the capacity: of the chances that n are there, r^n with r = 2 from two on, the
+        // M/M/2/8 at twice the capacity: the probability of n visits grows as r^n with r = 2 from two on; takes the
         // last.
         double sum = 1 + 4;
         double last = 4;
@@ -121,84 +131,86 @@
     }
 
     @Test
-    void aFrontThatThrashesStaysSlowUntilItIsNearlyEmpty() {
-        for (FrontModel.Thrash t : List.of(FrontModel.Thrash.NONE, new FrontModel.Thrash(20, 0.5, 5))) {
+    void thrashingFrontStaysSlowUntilNearlyEmpty() {
+        for (FrontModel.Thrash thrash : List.of(FrontModel.Thrash.NONE, new FrontModel.Thrash(20, 0.5, 5))) {
             Calendar calendar = new Calendar();
-            FrontModel front = new FrontModel(calendar, 1, false, 100, t);
-            Random dice = new Random(1);
+            FrontModel front = new FrontModel(calendar, 1, false, 100, thrash);
+            Random random = new Random(1);
             List<Job> late = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                front.arrives(MEAN, new Job(calendar));
+                front.arrive(MEAN_WORK_MS, new Job(calendar));
             }
-            // At 0.7 of the capacity: more than half of it.
-            for (double at = 0; at < 20_000; at += -Math.log(1 - dice.nextDouble()) * MEAN / 0.7) {
-                calendar.at(at, () -> {
+            // Load of 0.7 of the normal capacity, above the 0.5 that is left while thrashing.
+            for (double atMs = 0; atMs < 20_000; atMs += -Math.log(1 - random.nextDouble()) * MEAN_WORK_MS / 0.7) {
+                calendar.at(atMs, () -> {
                     Job j = new Job(calendar);
                     late.add(j);
-                    front.arrives(MEAN, j);
+                    front.arrive(MEAN_WORK_MS, j);
                 });
             }
             calendar.runTo(20_000);
-            boolean back = front.held() < 20;
+            boolean recovered = front.visitCount() < 20;
             assertEquals(
-                    t == FrontModel.Thrash.NONE, back, "it comes back only where nothing slows it: " + front.held());
+                    thrash == FrontModel.Thrash.NONE,
+                    recovered,
+                    "front recovers only without thrashing; visits: " + front.visitCount());
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void allThatComesEndsOnceAndNoMoreWorkIsDoneThanThereIsCapacity(long seed) {
-        Random dice = new Random(seed);
+    void eachVisitEndsOnceAndWorkDoneStaysWithinCapacity(long seed) {
+        Random random = new Random(seed);
         Calendar calendar = new Calendar();
-        int cores = 1 + dice.nextInt(4);
-        boolean sharing = dice.nextBoolean();
-        int room = 1 + dice.nextInt(20);
+        int cores = 1 + random.nextInt(4);
+        boolean sharing = random.nextBoolean();
+        int room = 1 + random.nextInt(20);
         FrontModel front = new FrontModel(
-                calendar, cores, sharing, room, new FrontModel.Thrash(dice.nextInt(20), 0.5, dice.nextInt(5)));
+                calendar, cores, sharing, room, new FrontModel.Thrash(random.nextInt(20), 0.5, random.nextInt(5)));
         List<Job> jobs = new ArrayList<>();
         List<FrontModel.Visit> visits = new ArrayList<>();
-        List<Job> left = new ArrayList<>();
+        List<Job> withdrawn = new ArrayList<>();
         double capacity = 0;
         double speed = 1;
         for (int i = 0; i < 5000; i++) {
             double before = calendar.now();
-            calendar.runTo(before + dice.nextDouble() * 4);
+            calendar.runTo(before + random.nextDouble() * 4);
             capacity += (calendar.now() - before) * cores * speed;
             assertTrue(front.workDone() <= capacity + 1e-6, "work done, at most " + capacity);
             assertTrue(front.coreTime() <= calendar.now() * cores + 1e-6);
-            assertTrue(front.held() <= room);
-            switch (dice.nextInt(12)) {
+            assertTrue(front.visitCount() <= room);
+            switch (random.nextInt(12)) {
                 case 0 -> {
-                    int k = dice.nextInt(Math.max(1, visits.size()));
+                    int k = random.nextInt(Math.max(1, visits.size()));
                     if (!visits.isEmpty()) {
-                        boolean gone = jobs.get(k).ended > 0 || left.contains(jobs.get(k));
-                        front.leaves(visits.get(k));
+                        boolean gone = jobs.get(k).endCount > 0 || withdrawn.contains(jobs.get(k));
+                        front.withdraw(visits.get(k));
                         if (!gone) {
-                            left.add(jobs.get(k));
+                            withdrawn.add(jobs.get(k));
                         }
                     }
                 }
                 case 1 -> {
-                    speed = dice.nextInt(4) == 0 ? 0 : 2 * dice.nextDouble();
+                    speed = random.nextInt(4) == 0 ? 0 : 2 * random.nextDouble();
                     front.speed(speed);
                 }
                 case 2 -> {
-                    if (dice.nextInt(20) == 0) {
-                        front.lose();
+                    if (random.nextInt(20) == 0) {
+                        front.loseAll();
                     }
                 }
                 default -> {
                     Job j = new Job(calendar);
                     jobs.add(j);
-                    visits.add(front.arrives(dice.nextDouble() * 20, j));
+                    visits.add(front.arrive(random.nextDouble() * 20, j));
                 }
             }
         }
         front.speed(1);
         calendar.runTo(calendar.now() + 1e6);
-        assertEquals(0, front.held());
+        assertEquals(0, front.visitCount());
         for (Job j : jobs) {
-            assertEquals(left.contains(j) ? 0 : 1, j.ended, "ends once, or left");
+            assertEquals(withdrawn.contains(j) ? 0 : 1, j.endCount, "each visit ends once, or not at all if withdrawn");
         }
     }
 }
--- a/src/test/java/whinlead/plan/MachinesTest.java
+++ b/src/test/java/whinlead/plan/MachinesTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 
-/** What a description comes to. */
+/** Tests how fronts are drawn from a description. */
 class MachinesTest {
-    private static Fleet mixed(int fronts) {
+    private static Fleet mixedFleet(int fronts) {
         Fleet f = Fleets.fleet(3, Contract.Reporting.NONE)
                 .with(List.of(new Fleet.Model("small", 2, 0.5, 1, 0.75), new Fleet.Model("large", 4, 1, 2, 0.25)));
         return f.fronts(fronts)
@@ -19,27 +19,27 @@
     }
 
     @Test
-    void oneMoreFrontChangesNoneOfTheOthers() {
+    void addingFrontLeavesOtherFrontsUnchanged() {
         for (int n = 1; n < 40; n++) {
             assertEquals(
-                    Machines.of(mixed(n), 5).all(),
-                    Machines.of(mixed(n + 1), 5).all().subList(0, n));
+                    Machines.of(mixedFleet(n), 5).all(),
+                    Machines.of(mixedFleet(n + 1), 5).all().subList(0, n));
         }
     }
 
     @Test
-    void sharesOfModelsAndZonesAreKeptAndNoZoneIsAllOfOneModel() {
-        Machines m = Machines.of(mixed(80), 5);
+    void modelAndZoneSharesAreMetAndZonesMixModels() {
+        Machines m = Machines.of(mixedFleet(80), 5);
         assertEquals(
                 20,
                 m.all().stream().filter(x -> x.model().name().equals("large")).count());
-        for (Fleet.Zone z : mixed(80).zones()) {
-            List<Machines.Machine> there =
+        for (Fleet.Zone z : mixedFleet(80).zones()) {
+            List<Machines.Machine> inZone =
                     m.all().stream().filter(x -> x.zone().equals(z)).toList();
-            assertEquals(80 * z.share(), there.size(), 2, z.name());
+            assertEquals(80 * z.share(), inZone.size(), 2, z.name());
             assertEquals(
                     0.25,
-                    there.stream().filter(x -> x.model().cores() == 4).count() / (double) there.size(),
+                    inZone.stream().filter(x -> x.model().cores() == 4).count() / (double) inZone.size(),
                     0.1,
                     z.name());
         }
@@ -49,8 +49,8 @@
     }
 
     @Test
-    void aChangeMeetsItsShareOrAllOfItsZone() {
-        Machines m = Machines.of(mixed(80), 5);
+    void changeAffectsItsShareOfFrontsOrItsWholeZone() {
+        Machines m = Machines.of(mixedFleet(80), 5);
         assertEquals(20, m.met().get(0).size());
         assertTrue(m.met().get(1).stream()
                 .allMatch(i -> m.all().get(i).zone().name().equals("a")));
