--- a/src/test/java/whinlead/plan/SolverTest.java
+++ b/src/test/java/whinlead/plan/SolverTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import whinlead.Contract;
 
-/** The least number of fronts, under noise and where service does not rise with them. */
+/** Tests the search for the least number of fronts under noise and where service does not increase with fronts. */
 class SolverTest {
     private static final Solver.Bounds BOUNDS = new Solver.Bounds(1, 64, 4, 32, 2000, 2);
 
@@ -28,14 +28,14 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 7, 8, 16, 31, 60})
-    void theLeastNumberIsFoundUnderNoise(int wanted) {
+    void leastFrontCountIsFoundUnderNoise(int wanted) {
         Solver.Answer a = new Solver(noisy(n -> n >= wanted ? 0.97 : 0.93, 0.01), 0.95, BOUNDS).solve();
         assertEquals(wanted, a.fronts());
         assertTrue(a.certain());
     }
 
     @Test
-    void whereNoneMeetsItThatIsSaid() {
+    void resultIsZeroWhenNoCountMeetsGoal() {
         Solver.Answer a = new Solver(noisy(n -> 0.9, 0.01), 0.95, BOUNDS).solve();
         assertEquals(0, a.fronts());
         assertFalse(a.certain());
@@ -43,23 +43,23 @@
     }
 
     @Test
-    void anIslandThatMeetsItIsNotTheAnswer() {
-        // As where a few fronts happen to be of the fast model: three and eight meet it, four and nine do
-        // not.
+    void isolatedCountThatMeetsGoalIsRejected() {
+        // For example where a few fronts happen to be of the fast model: three and eight meet the goal, four and
+        // nine do not.
         Solver.Answer a =
                 new Solver(noisy(n -> n == 3 || n == 8 || n >= 21 ? 0.97 : 0.93, 0.002), 0.95, BOUNDS).solve();
         assertEquals(21, a.fronts());
     }
 
     @Test
-    void serviceThatFallsAgainWithMoreIsFoundWhereItHolds() {
-        // Handshakes and thin evidence: past 24 it is missed again.
+    void leastCountIsFoundWhenServiceFallsAgainWithMoreFronts() {
+        // Handshakes and few observations of each front: above 24 fronts the goal is missed again.
         Solver.Answer a = new Solver(noisy(n -> n >= 12 && n <= 24 ? 0.97 : 0.9, 0.002), 0.95, BOUNDS).solve();
         assertTrue(a.fronts() == 12, "found " + a.fronts() + " of " + a.points().keySet());
     }
 
     @Test
-    void aGoalWithinTheNoiseIsNotDecidedAndCostsNoMoreThanAllowed() {
+    void goalWithinNoiseStaysUndecidedWithinRunLimit() {
         int[] runs = new int[1];
         Solver.Trial exact = noisy(n -> 0.95, 0.05);
         Solver.Answer a = new Solver(
@@ -75,10 +75,10 @@
     }
 
     @Test
-    void theSameSeedsAreTriedForEachNumber() {
+    void sameSeedsAreUsedForEachCount() {
         new Solver(
                         (n, seeds) -> {
-                            assertEquals(1, seeds[0] % 4, "seeds go on where they stopped");
+                            assertEquals(1, seeds[0] % 4, "each batch of seeds continues after the previous one");
                             double[] v = new double[seeds.length];
                             java.util.Arrays.fill(v, n >= 5 ? 1 : 0);
                             return v;
@@ -89,14 +89,14 @@
     }
 
     @Test
-    void badBoundsAreRefused() {
+    void invalidBoundsAreRejected() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new Solver((n, s) -> s == null ? null : new double[0], 1, new Solver.Bounds(1, 4, 1, 4, 10, 1)));
     }
 
     @Test
-    void aFleetIsSolvedNearWhatItsCapacitySays() {
+    void solvedFrontCountIsNearCapacityEstimate() {
         Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS);
         Load load = Fleets.load(f, 0.5, 8000);
         Solver.Answer a = new Solver(
@@ -112,7 +112,7 @@
                         0.97,
                         new Solver.Bounds(1, 24, 3, 6, 300, 1))
                 .solve();
-        // Six fronts are the capacity for it: fewer can't, and double is enough.
+        // The load needs the capacity of six fronts; fewer cannot serve it, and twice as many suffice.
         assertTrue(a.fronts() >= 6 && a.fronts() <= 12, "fronts: " + a.fronts() + " " + a.points());
     }
 }
--- a/src/test/java/whinlead/plan/tool/PlanCommandTest.java
+++ b/src/test/java/whinlead/plan/tool/PlanCommandTest.java
@@ -18,22 +18,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import whinlead.plan.Bounds;
 
-/** The planner as an operator calls it: the shipped description, bad ones, and pages that can be made again. */
+/** Tests the planner's command line: the shipped description, invalid ones, captures and reproducible reports. */
 class PlanCommandTest {
     private static final Path SHIPPED = Path.of("deploy/fleet.json");
 
     @TempDir
     Path dir;
 
-    private Path described(String from, String to) throws Exception {
+    private Path writeDescription(String from, String to) throws Exception {
         String text = Files.readString(SHIPPED);
         assertTrue(text.contains(from), from);
         return Files.writeString(dir.resolve("fleet.json"), text.replace(from, to));
     }
 
     @Test
-    void theShippedDescriptionIsAnsweredAndTheSameAgainOnOtherThreads() throws Exception {
-        Path quick = described("\"seconds\": 20", "\"seconds\": 3");
+    void askGivesSameReportOnAnyNumberOfThreads() throws Exception {
+        Path quick = writeDescription("\"seconds\": 20", "\"seconds\": 3");
         for (String threads : List.of("1", "8")) {
             assertEquals(
                     0,
@@ -58,13 +58,15 @@
         JsonNode answer = new ObjectMapper().readTree(dir.resolve("a1.json").toFile());
         assertTrue(answer.at("/figures/worth served/mean").doubleValue() > 0.9, answer.toString());
         String page = Files.readString(dir.resolve("a1.html"));
-        assertTrue(page.contains("new uPlot(") && page.contains("var uPlot="), "plots and their library");
-        assertFalse(page.matches("(?s).*(src|href)=\"http.*"), "and nothing from elsewhere");
+        assertTrue(
+                page.contains("new uPlot(") && page.contains("var uPlot="),
+                "page contains the plots and their library");
+        assertFalse(page.matches("(?s).*(src|href)=\"http.*"), "page loads nothing from other hosts");
     }
 
     @Test
-    void aGoalIsSolvedOrSaidToBeOutOfReach() throws Exception {
-        Path quick = described("\"seconds\": 20", "\"seconds\": 3");
+    void solveFindsFrontCountOrReportsGoalOutOfReach() throws Exception {
+        Path quick = writeDescription("\"seconds\": 20", "\"seconds\": 3");
         Path json = dir.resolve("a.json");
         assertEquals(
                 0,
@@ -99,8 +101,8 @@
     }
 
     @Test
-    void pairsOfOneDescriptionDoNotDiffer() throws Exception {
-        Path quick = described("\"seconds\": 20", "\"seconds\": 2");
+    void compareOfIdenticalDescriptionsShowsNoDifference() throws Exception {
+        Path quick = writeDescription("\"seconds\": 20", "\"seconds\": 2");
         Path json = dir.resolve("a.json");
         assertEquals(
                 0,
@@ -128,20 +130,20 @@
                 "\"speed\": [0.8, 1.0] | \"speed\": [2, 1.0] | small has its fastest below its slowest",
                 "[0.5, 0.25, 0.25] | [0.5, 0.25] | sidecars.shares"
             })
-    void aBadDescriptionIsOneLineThatNamesTheField(String from, String to, String named) throws Exception {
-        Path bad = described(from, to);
+    void invalidDescriptionIsReportedInOneLineWithField(String from, String to, String named) throws Exception {
+        Path bad = writeDescription(from, to);
         String message = assertThrows(IllegalArgumentException.class, () -> Description.read(bad))
                 .getMessage();
         assertTrue(message.contains(named), message);
         assertEquals(1, message.lines().count());
         Path json = dir.resolve("a.json");
         assertEquals(1, PlanCommand.run("ask", bad.toString(), "--json", json.toString()));
-        assertFalse(Files.exists(json), "no half of a report");
+        assertFalse(Files.exists(json), "no partial report");
     }
 
     @Test
-    void aCaptureIsMadeInspectedAndAnswered() throws Exception {
-        Path quick = described("\"seconds\": 20", "\"seconds\": 3");
+    void captureCanBeMadeInspectedAndAsked() throws Exception {
+        Path quick = writeDescription("\"seconds\": 20", "\"seconds\": 3");
         Path capture = dir.resolve("load.capture");
         Path json = dir.resolve("a.json");
         assertEquals(0, CaptureCommand.run("make", quick.toString(), capture.toString()));
@@ -177,7 +179,9 @@
                         "0.3",
                         "--json",
                         json.toString()));
-        assertTrue(Files.readString(json).contains("this is extrapolated"), "far beyond what was captured");
+        assertTrue(
+                Files.readString(json).contains("this is extrapolated"),
+                "load far beyond the capture is marked as extrapolated");
 
         byte[] whole = Files.readAllBytes(capture);
         Files.write(capture, Arrays.copyOf(whole, whole.length - 5));
@@ -202,21 +206,21 @@
     }
 
     @Test
-    void badUsageIsToldApart() {
+    void badUsageAndBadInputHaveDifferentExitCodes() {
         assertEquals(2, PlanCommand.run("solve", SHIPPED.toString()));
         assertEquals(1, PlanCommand.run("ask", "absent.json"));
         assertEquals(1, PlanCommand.run("ask", SHIPPED.toString(), "--seeds", "1"));
     }
 
     @Test
-    void theClosedFormIsWhatAnOperatorWouldReckon() {
+    void closedFormBoundsAgreeWithManualCalculation() {
         Description d = Description.read(SHIPPED);
-        // Twelve fronts, half of two cores at 0.9 and half of four at 1.0; 22 ms of work a request.
+        // Twelve fronts, half with two cores at 0.9 and half with four at 1.0; 22 ms of work per request.
         assertEquals(12 * (0.5 * 2 * 0.9 + 0.5 * 4 * 1.0), Bounds.capacity(d.fleet()), 1e-9);
         assertEquals(0.9 * 22 / 34.8, Bounds.utilisation(d.fleet(), d.load()), 1e-9);
-        assertEquals(1, Bounds.worthMost(d.fleet(), d.load()), 1e-9);
-        // Three times the load: what is worth most for its work is served, and is all that fits.
-        double share = Bounds.worthMost(d.fleet(), d.load().times(3));
+        assertEquals(1, Bounds.maxWorthShare(d.fleet(), d.load()), 1e-9);
+        // At three times the load only classes with the highest worth per unit of work fit.
+        double share = Bounds.maxWorthShare(d.fleet(), d.load().scaled(3));
         assertTrue(share > 0.7 && share < 0.9, "at most " + share);
     }
 }
