--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerBug.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerBug.java
@@ -1,17 +1,17 @@
 package whinlead.testbed.mesh.hardening;
 
-/** A fault that is planted in {@link AnswerPlay}, to see that it is found. */
+/** A fault planted in {@link AnswerPlay} to verify that its checks detect it. */
 public enum AnswerBug {
     /** None. */
     NONE,
-    /** MIXED: the failure that stands for a spoilt answer has that answer's headers, its seal among them. */
+    /** MIXED: the failure sent in place of a damaged answer carries that answer's headers, including its seal. */
     PASSES_HEADERS_OF_SPOILT_ANSWERS,
-    /** MIXED: a reset is told as an orderly close, so that what it cut off passes for whole. */
+    /** MIXED: a reset is reported as an orderly close, so that a truncated answer passes for a complete one. */
     TAKES_RESET_FOR_END,
-    /** LOST: an endpoint that says nothing for a while is given up before the deadline. */
+    /** LOST: an endpoint that is silent for a while is abandoned before the deadline. */
     GIVES_UP_ON_SILENCE,
-    /** LOST: a configuration has the ways to other sidecars made anew. */
+    /** LOST: a new configuration reconnects to the other sidecars. */
     RECONNECTS_ON_CONFIGURATION,
-    /** LOST: on SIGTERM the process ends at once. */
+    /** LOST: the process exits immediately on SIGTERM. */
     ENDS_ON_SIGTERM
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerClient.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerClient.java
@@ -9,19 +9,19 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** A client that sends one request over a connection of its own and hears its answer. One thread. */
+/** A client that sends one request over its own connection and receives the answer. Single-threaded. */
 final class AnswerClient {
-    private static final String END = "\r\n\r\n";
-    private static final String LENGTH = "content-length: ";
-    private static final String SEAL = "server-seal: ";
+    private static final String HEAD_END = "\r\n\r\n";
+    private static final String LENGTH_HEADER = "content-length: ";
+    private static final String SEAL_HEADER = "server-seal: ";
 
-    /** A whole answer; the seal is null where it has none. */
+    /** A complete answer; the seal is null if there is none. */
     record Answer(int status, String seal, String body) {}
 
     private final EmbeddedChannel channel;
-    private final StringBuilder heard = new StringBuilder();
+    private final StringBuilder received = new StringBuilder();
 
-    /** Connects to what takes connections. */
+    /** Connects to the given server. */
     AnswerClient(Consumer<Channel> server) {
         channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
@@ -34,27 +34,27 @@
     /** Sends a request. */
     void send(String path, String id, int deadlineMs) {
         String request = "POST " + path + " HTTP/1.1\r\nHost: h\r\nAttempt-Id: " + id + "\r\nDeadline-Ms: " + deadlineMs
-                + "\r\nContent-Length: 2" + END + "hi";
+                + "\r\nContent-Length: 2" + HEAD_END + "hi";
         channel.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.ISO_8859_1));
     }
 
-    /** Hears what has come since; the answer once it is whole, else null. */
-    Answer hear() {
+    /** Reads what has arrived; returns the answer once it is complete, else null. */
+    Answer receive() {
         channel.runPendingTasks();
         for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-            heard.append(b.toString(StandardCharsets.ISO_8859_1));
+            received.append(b.toString(StandardCharsets.ISO_8859_1));
             b.release();
         }
-        int end = heard.indexOf(END);
+        int end = received.indexOf(HEAD_END);
         if (end < 0) {
             return null;
         }
-        String head = heard.substring(0, end);
-        String length = header(head, LENGTH);
-        String body = heard.substring(end + END.length());
+        String head = received.substring(0, end);
+        String length = header(head, LENGTH_HEADER);
+        String body = received.substring(end + HEAD_END.length());
         return body.length() < Integer.parseInt(length)
                 ? null
-                : new Answer(Integer.parseInt(head.split(" ")[1]), header(head, SEAL), body);
+                : new Answer(Integer.parseInt(head.split(" ")[1]), header(head, SEAL_HEADER), body);
     }
 
     private static String header(String head, String name) {
@@ -66,13 +66,13 @@
         return null;
     }
 
-    /** Whether the connection stands. */
+    /** Whether the connection is open. */
     boolean isOpen() {
         return channel.isActive();
     }
 
-    /** The process at its other end has ended. */
-    void cut() {
+    /** Closes the connection, as when the process at the other end exits. */
+    void close() {
         channel.close();
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerEndpoint.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerEndpoint.java
@@ -13,27 +13,27 @@
 import whinlead.plan.Calendar;
 
 /**
- * An endpoint that answers in every way that the users' pages name, at the other end of the real connections to it:
- * whole with a length, in chunks or up to the end of its connection; with failures of its own; cut off, reset, garbled,
- * unsealed, coded, or not at all. One thread; driven time.
+ * An endpoint behind the real connections to it that answers in every way that the user documentation names: complete
+ * with a length, in chunks or up to the end of the connection; with its own failures; truncated, reset, garbled,
+ * unsealed, content-encoded, or not at all. Single-threaded, with driven time.
  */
 final class AnswerEndpoint {
-    private static final String END = "\r\n\r\n";
-    private static final int HOW = 16;
+    private static final String HEAD_END = "\r\n\r\n";
+    private static final int BEHAVIOURS = 16;
 
-    /** Hears of an endpoint's work. */
+    /** Observes an endpoint's work. */
     interface Observer {
-        /** It begins to work on a request. */
-        void ran(String id);
+        /** The endpoint begins to work on a request. */
+        void started(String id);
 
-        /** It has given this status with its seal, and its connection is sound so far. */
-        void said(String id, int status);
+        /** The endpoint has sent this status with its seal; the connection is intact so far. */
+        void answeredWithStatus(String id, int status);
 
-        /** It works on it no more: it has answered, or has broken off. */
-        void ended(String id);
+        /** The endpoint no longer works on the request: it has answered or stopped early. */
+        void stopped(String id);
 
-        /** It has given a success whole. */
-        void whole(String id);
+        /** The endpoint has sent a complete success. */
+        void answeredWhole(String id);
     }
 
     private final Calendar calendar;
@@ -43,9 +43,9 @@
     private final List<Connection> connections = new ArrayList<>();
 
     /**
-     * An endpoint.
+     * Creates an endpoint.
      *
-     * @param hidesResets whether a reset is told as an orderly close
+     * @param hidesResets whether a reset is reported as an orderly close
      */
     AnswerEndpoint(Calendar calendar, SplittableRandom random, Observer observer, boolean hidesResets) {
         this.calendar = calendar;
@@ -54,7 +54,7 @@
         this.hidesResets = hidesResets;
     }
 
-    /** The seal under an answer: whose it is, and the status that it was given with. */
+    /** The seal of an answer: the request's id and the status of the answer. */
     static String seal(String id, int status) {
         return id + "/" + status;
     }
@@ -64,46 +64,46 @@
         return "the bytes of " + id;
     }
 
-    /** A connection to it, which is made at once. */
+    /** Connects to the endpoint; the connection is established immediately. */
     ChannelFuture connect(ChannelHandler handlers) {
-        Connection made = new Connection(new EmbeddedChannel(handlers));
-        connections.add(made);
-        return made.channel.newSucceededFuture();
+        Connection connection = new Connection(new EmbeddedChannel(handlers));
+        connections.add(connection);
+        return connection.channel.newSucceededFuture();
     }
 
-    /** Time passes: hears what was written since. */
-    void hear() {
+    /** Reads what was written to the connections since the last call. */
+    void receive() {
         connections.removeIf(c -> !c.channel.isActive());
-        List.copyOf(connections).forEach(Connection::hear);
+        List.copyOf(connections).forEach(Connection::receive);
     }
 
     private final class Connection {
         private final EmbeddedChannel channel;
-        private final StringBuilder in = new StringBuilder();
+        private final StringBuilder received = new StringBuilder();
 
         private Connection(EmbeddedChannel channel) {
             this.channel = channel;
         }
 
-        private void hear() {
+        private void receive() {
             for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-                in.append(b.toString(StandardCharsets.ISO_8859_1));
+                received.append(b.toString(StandardCharsets.ISO_8859_1));
                 b.release();
             }
-            int end = in.indexOf(END);
+            int end = received.indexOf(HEAD_END);
             if (end >= 0) {
-                String head = in.substring(0, end);
-                in.delete(0, end + END.length());
+                String head = received.substring(0, end);
+                received.delete(0, end + HEAD_END.length());
                 serve(head.replaceFirst("(?s).*Attempt-Id: ([^\r]*).*", "$1"));
             }
         }
 
         private void serve(String id) {
-            int how = random.nextInt(HOW);
-            double took = 1 + random.nextInt(how % 3 == 0 ? 2500 : 200);
-            if (how == 0) {
+            int behaviour = random.nextInt(BEHAVIOURS);
+            double delayMs = 1 + random.nextInt(behaviour % 3 == 0 ? 2500 : 200);
+            if (behaviour == 0) {
                 write(
-                        took,
+                        delayMs,
                         id,
                         head(
                                 "503 Full",
@@ -111,33 +111,33 @@
                                 "Not-Executed: 1\r\nServer-Seal: " + seal(id, 503) + "\r\nContent-Length: 0\r\n"));
                 return;
             }
-            observer.ran(id);
+            observer.started(id);
             String sealed = "Server-Seal: " + seal(id, 200) + "\r\n";
             String body = body(id);
             String length = "Content-Length: " + body.length() + "\r\n";
-            switch (how) {
-                case 1 -> failure(took, id, 500, "Error");
-                case 2 -> failure(took, id, 404, "Not Found");
-                case 3 -> failure(took, id, 503, "Busy");
-                case 4 -> write(took, id, head("200 OK", id, length) + body);
-                case 5 -> write(took, id, head("200 OK", id, sealed + "Content-Encoding: gzip\r\n" + length) + body);
-                case 6 -> cut(took, id, head("200 OK", id, sealed + length) + body);
-                case 7, 8 -> withoutLength(took, id, head("200 OK", id, sealed), body, how == 7);
+            switch (behaviour) {
+                case 1 -> failure(delayMs, id, 500, "Error");
+                case 2 -> failure(delayMs, id, 404, "Not Found");
+                case 3 -> failure(delayMs, id, 503, "Busy");
+                case 4 -> write(delayMs, id, head("200 OK", id, length) + body);
+                case 5 -> write(delayMs, id, head("200 OK", id, sealed + "Content-Encoding: gzip\r\n" + length) + body);
+                case 6 -> writeTruncated(delayMs, id, head("200 OK", id, sealed + length) + body);
+                case 7, 8 -> withoutLength(delayMs, id, head("200 OK", id, sealed), body, behaviour == 7);
                 case 9 ->
                     success(
-                            took,
+                            delayMs,
                             id,
                             head("200 OK", id, sealed + "Transfer-Encoding: chunked\r\n")
-                                    + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0" + END);
+                                    + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0" + HEAD_END);
                 case 10 ->
                     write(
-                            took,
+                            delayMs,
                             id,
                             head("200 OK", id, sealed + "Transfer-Encoding: gzip, chunked\r\n")
-                                    + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0" + END);
-                case 11 -> write(took, id, "ice cream" + END);
+                                    + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0" + HEAD_END);
+                case 11 -> write(delayMs, id, "ice cream" + HEAD_END);
                 case 12 -> {}
-                default -> success(took, id, head("200 OK", id, sealed + length) + body);
+                default -> success(delayMs, id, head("200 OK", id, sealed + length) + body);
             }
         }
 
@@ -145,31 +145,31 @@
             return "HTTP/1.1 " + status + "\r\nAttempt-Id: " + id + "\r\n" + headers + "\r\n";
         }
 
-        private void failure(double took, String id, int status, String reason) {
-            calendar.after(took, () -> observer.said(id, status));
+        private void failure(double delayMs, String id, int status, String reason) {
+            calendar.after(delayMs, () -> observer.answeredWithStatus(id, status));
             write(
-                    took,
+                    delayMs,
                     id,
                     head(status + " " + reason, id, "Server-Seal: " + seal(id, status) + "\r\nContent-Length: 2\r\n")
                             + "no");
         }
 
-        private void success(double took, String id, String bytes) {
-            calendar.after(took, () -> observer.whole(id));
-            write(took, id, bytes);
+        private void success(double delayMs, String id, String bytes) {
+            calendar.after(delayMs, () -> observer.answeredWhole(id));
+            write(delayMs, id, bytes);
         }
 
-        private void cut(double took, String id, String bytes) {
-            write(took, id, bytes.substring(0, random.nextInt(bytes.length())));
-            calendar.after(took + 1, this::reset);
+        private void writeTruncated(double delayMs, String id, String bytes) {
+            write(delayMs, id, bytes.substring(0, random.nextInt(bytes.length())));
+            calendar.after(delayMs + 1, this::reset);
         }
 
-        private void withoutLength(double took, String id, String head, String body, boolean whole) {
+        private void withoutLength(double delayMs, String id, String head, String body, boolean whole) {
             if (whole) {
-                calendar.after(took, () -> observer.whole(id));
+                calendar.after(delayMs, () -> observer.answeredWhole(id));
             }
-            write(took, id, head + (whole ? body : body.substring(0, random.nextInt(body.length()))));
-            calendar.after(took + 1, whole ? channel::close : this::reset);
+            write(delayMs, id, head + (whole ? body : body.substring(0, random.nextInt(body.length()))));
+            calendar.after(delayMs + 1, whole ? channel::close : this::reset);
         }
 
         private void reset() {
@@ -179,9 +179,9 @@
             channel.close();
         }
 
-        private void write(double took, String id, String bytes) {
-            calendar.after(took, () -> {
-                observer.ended(id);
+        private void write(double delayMs, String id, String bytes) {
+            calendar.after(delayMs, () -> {
+                observer.stopped(id);
                 if (channel.isActive()) {
                     channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1));
                 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -15,53 +15,58 @@
 import whinlead.plan.Calendar;
 
 /**
- * A way to another sidecar that is sound, with the real line to the endpoint beside that one. One thread; driven time.
+ * A fault-free path to another sidecar, with the real connections to that sidecar's endpoint. Single-threaded, with
+ * driven time.
  */
 final class AnswerPath implements PeerPath {
     private static final double DIAL_MS = 1;
     private static final double REDIAL_MS = 250;
     private static final double SILENCE_MS = 400;
-    private static final int FULL_ONE_OF = 20;
+    private static final int FULL_PERIOD = 20;
 
     private final Calendar calendar;
     private final SplittableRandom random;
-    private final PeerPath.Listener ear;
+    private final PeerPath.Listener listener;
     private final AnswerBug bug;
-    private final EndpointConnections line;
+    private final EndpointConnections endpointConnections;
     private final Map<Long, EndpointConnections.Sent> sent = new HashMap<>();
     private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
     private int connection;
-    private double thereAt;
-    private double backAt;
+    private double nextArrivalMs;
+    private double nextReturnMs;
 
     AnswerPath(
-            Calendar calendar, SplittableRandom random, PeerPath.Listener ear, AnswerEndpoint endpoint, AnswerBug bug) {
+            Calendar calendar,
+            SplittableRandom random,
+            PeerPath.Listener listener,
+            AnswerEndpoint endpoint,
+            AnswerBug bug) {
         this.calendar = calendar;
         this.random = random;
-        this.ear = ear;
+        this.listener = listener;
         this.bug = bug;
-        this.line = new EndpointConnections(calendar, endpoint::connect);
+        this.endpointConnections = new EndpointConnections(calendar, endpoint::connect);
     }
 
-    private void to(ReconnectingConnection.State next) {
+    private void setState(ReconnectingConnection.State next) {
         ReconnectingConnection.State before = state;
         state = next;
-        ear.changed(next, before);
+        listener.changed(next, before);
     }
 
-    /** Ends the connection and makes another: a planted fault. */
+    /** Closes the connection and makes another one: a planted fault. */
     void reconnect() {
         if (state == ReconnectingConnection.State.UP) {
             connection++;
-            to(ReconnectingConnection.State.DOWN);
+            setState(ReconnectingConnection.State.DOWN);
             calendar.after(REDIAL_MS, this::dial);
         }
     }
 
     @Override
     public void dial() {
-        to(ReconnectingConnection.State.DIALLING);
-        calendar.after(DIAL_MS, () -> to(ReconnectingConnection.State.UP));
+        setState(ReconnectingConnection.State.DIALLING);
+        calendar.after(DIAL_MS, () -> setState(ReconnectingConnection.State.UP));
     }
 
     @Override
@@ -72,18 +77,18 @@
     @Override
     public void close() {
         connection++;
-        to(ReconnectingConnection.State.CLOSED);
+        setState(ReconnectingConnection.State.CLOSED);
     }
 
     @Override
     public boolean send(PeerMessage message) {
         byte[] written = PeerMessageCodec.write(message);
-        int mine = connection;
-        thereAt = Math.max(thereAt, calendar.now() + random.nextInt(3));
-        calendar.at(thereAt, () -> {
+        int sentOn = connection;
+        nextArrivalMs = Math.max(nextArrivalMs, calendar.now() + random.nextInt(3));
+        calendar.at(nextArrivalMs, () -> {
             PeerMessage read = read(written);
             if (read instanceof PeerMessage.ForwardRequest request) {
-                take(request, answer -> answer(mine, answer));
+                forward(request, answer -> answer(sentOn, answer));
             } else if (read instanceof PeerMessage.Cancel cancel && sent.containsKey(cancel.stream())) {
                 sent.get(cancel.stream()).cancel(cancel.whileRunning());
             }
@@ -91,12 +96,12 @@
         return true;
     }
 
-    private void answer(int mine, PeerMessage message) {
+    private void answer(int receivedOn, PeerMessage message) {
         byte[] written = PeerMessageCodec.write(message);
-        backAt = Math.max(backAt, calendar.now() + random.nextInt(3));
-        calendar.at(backAt, () -> {
-            if (mine == connection) {
-                ear.message(read(written));
+        nextReturnMs = Math.max(nextReturnMs, calendar.now() + random.nextInt(3));
+        calendar.at(nextReturnMs, () -> {
+            if (receivedOn == connection) {
+                listener.message(read(written));
             }
         });
     }
@@ -109,23 +114,23 @@
         }
     }
 
-    private void take(PeerMessage.ForwardRequest request, Consumer<PeerMessage> answer) {
-        if (random.nextInt(FULL_ONE_OF) == 0) {
+    private void forward(PeerMessage.ForwardRequest request, Consumer<PeerMessage> answer) {
+        if (random.nextInt(FULL_PERIOD) == 0) {
             answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.FULL, 0, 0));
             return;
         }
-        boolean[] told = {false};
-        sent.put(request.stream(), line.send(request, request.endpoint(), message -> {
+        boolean[] answered = {false};
+        sent.put(request.stream(), endpointConnections.send(request, request.endpoint(), message -> {
             sent.remove(request.stream());
-            if (!told[0]) {
-                told[0] = true;
-                answer.accept(passedOn(request, message));
+            if (!answered[0]) {
+                answered[0] = true;
+                answer.accept(withPlantedFault(request, message));
             }
         }));
         if (bug == AnswerBug.GIVES_UP_ON_SILENCE) {
             calendar.after(SILENCE_MS, () -> {
-                if (!told[0]) {
-                    told[0] = true;
+                if (!answered[0]) {
+                    answered[0] = true;
                     answer.accept(
                             new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.BROKEN, 0, 0));
                 }
@@ -133,7 +138,7 @@
         }
     }
 
-    private PeerMessage passedOn(PeerMessage.ForwardRequest request, PeerMessage message) {
+    private PeerMessage withPlantedFault(PeerMessage.ForwardRequest request, PeerMessage message) {
         boolean spoilt = message instanceof PeerMessage.ForwardFailure r && r.why() == PeerMessage.FailureReason.BROKEN;
         if (bug != AnswerBug.PASSES_HEADERS_OF_SPOILT_ANSWERS || !spoilt) {
             return message;
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -16,25 +16,25 @@
 import whinlead.plan.Calendar;
 
 /**
- * Requests from clients' connections through a sidecar's real client side (window, egress, service balancer, engine,
- * module, round) and real lines to three endpoints that answer in every way they may, under a driven clock, with
- * configurations and a SIGTERM on the way. Checks the users' rules MIXED and LOST: whose seal, status and body an
- * answer has; that every request that was read has a whole answer; that none is broken off at whose endpoint work goes
- * on; and that nothing is begun in the second half of the grace. The same seed plays the same. One thread.
+ * Sends requests from client connections through a sidecar's real client side (window, egress, service balancer,
+ * engine, module, forwarder) and real connections to three endpoints that answer in every allowed way, under a driven
+ * clock, with configuration changes and a SIGTERM. Checks the rules MIXED and LOST: an answer's seal, status and body
+ * belong together; every request that was read gets a complete answer; no request is aborted while its endpoint works
+ * on it; and no request is started in the second half of the grace period. Deterministic for a seed. Single-threaded.
  */
 public final class AnswerPlay {
-    private static final double LENGTH = 9000;
-    private static final double CALM = 6000;
+    private static final double LENGTH_MS = 9000;
+    private static final double CALM_MS = 6000;
     private static final int REQUESTS = 50;
     private static final int CONFIGURATIONS = 3;
-    private static final int FARS = 3;
+    private static final int ENDPOINTS = 3;
     private static final int CAPACITY = 50;
     private static final double GRACE_S = 6;
-    private static final double MS = 1000;
-    /** An answer of the system's own may come so much before the time is up, in milliseconds. */
-    private static final double MARGIN = 60;
+    private static final double MS_PER_S = 1000;
+    /** How long before the deadline the system may send an answer of its own, in milliseconds. */
+    private static final double MARGIN_MS = 60;
 
-    private static final double TICK = 100;
+    private static final double TICK_MS = 100;
     private static final String SERVICE = "svc";
     private static final List<String> PREFIXES = List.of("/read/", "/sign/", "/load/");
     private static final List<String> KINDS = List.of(MeshConfig.IDEMPOTENT, MeshConfig.MUTATING, MeshConfig.INGEST);
@@ -45,12 +45,12 @@
     private final List<AnswerPath> paths = new ArrayList<>();
     private final List<AnswerEndpoint> endpoints = new ArrayList<>();
     private final Map<String, Request> requests = new LinkedHashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, Long> figures = new TreeMap<>();
-    private final double[] deadlines = {2, 2, 3};
+    private final double[] deadlinesS = {2, 2, 3};
     private final ClientSide sidecar;
     private RoutingTable routing;
-    private double termAt = Double.POSITIVE_INFINITY;
+    private double terminatedAtMs = Double.POSITIVE_INFINITY;
     private boolean ended;
 
     private AnswerPlay(long seed, AnswerBug bug) {
@@ -62,22 +62,22 @@
                 new NodeSettings.Substrate(1),
                 new NodeSettings.Clauses(new NodeSettings.Bounds(2.5, GRACE_S, 3, 2.5, 0.2, 10, 60, 5, 0.1, 20)));
         List<EndpointRecord> records = new ArrayList<>();
-        for (int i = 0; i < FARS; i++) {
+        for (int i = 0; i < ENDPOINTS; i++) {
             endpoints.add(
                     new AnswerEndpoint(calendar, random.split(), new Work(), bug == AnswerBug.TAKES_RESET_FOR_END));
             records.add(new EndpointRecord(
                     Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, EndpointRecord.Phase.SERVING, CAPACITY, 0));
         }
-        RequestForwarder round = new RequestForwarder(
+        RequestForwarder forwarder = new RequestForwarder(
                 calendar, task -> calendar.after(0, task), "near", (request, done) -> {}, this::path, () -> {});
         routing = routing(1, PREFIXES, SERVICE);
-        sidecar = new ClientSide(calendar, nodeSettings, round, () -> routing, seed);
+        sidecar = new ClientSide(calendar, nodeSettings, forwarder, () -> routing, seed);
         sidecar.endpoints(SERVICE, records);
     }
 
-    private AnswerPath path(String node, PeerPath.Listener ear) {
+    private AnswerPath path(String node, PeerPath.Listener listener) {
         AnswerEndpoint endpoint = endpoints.get(Integer.parseInt(node));
-        AnswerPath path = new AnswerPath(calendar, random.split(), ear, endpoint, bug);
+        AnswerPath path = new AnswerPath(calendar, random.split(), listener, endpoint, bug);
         paths.add(path);
         return path;
     }
@@ -88,7 +88,7 @@
             routes.put(
                     "r-" + i,
                     new MeshConfig.Route(
-                            "h", prefixes.get(i), KINDS.get(i), deadlines[i], 0.5, 1, null, service, 2, true));
+                            "h", prefixes.get(i), KINDS.get(i), deadlinesS[i], 0.5, 1, null, service, 2, true));
         }
         return new RoutingTable(
                 slot,
@@ -100,7 +100,7 @@
                         null));
     }
 
-    /** Plays the schedule of this seed. */
+    /** Plays the schedule of a seed. */
     public static RelayPlay.Outcome play(long seed, AnswerBug bug) {
         return new AnswerPlay(seed, bug).play();
     }
@@ -108,32 +108,34 @@
     private RelayPlay.Outcome play() {
         for (int i = 0; i < REQUESTS; i++) {
             String id = "a-" + i;
-            calendar.at(random.nextDouble() * LENGTH, () -> begin(id));
+            calendar.at(random.nextDouble() * LENGTH_MS, () -> begin(id));
         }
         for (int i = 0; i < CONFIGURATIONS; i++) {
             int slot = i + 2;
-            calendar.at(random.nextDouble() * LENGTH, () -> configure(slot));
+            calendar.at(random.nextDouble() * LENGTH_MS, () -> configure(slot));
         }
         if (random.nextBoolean()) {
-            calendar.at(LENGTH / 2 * random.nextDouble(), this::terminate);
+            calendar.at(LENGTH_MS / 2 * random.nextDouble(), this::terminate);
         }
-        for (double at = 0; at < LENGTH + CALM; at++) {
-            calendar.runTo(at);
-            endpoints.forEach(AnswerEndpoint::hear);
-            if (at % TICK == 0) {
+        for (double nowMs = 0; nowMs < LENGTH_MS + CALM_MS; nowMs++) {
+            calendar.runTo(nowMs);
+            endpoints.forEach(AnswerEndpoint::receive);
+            if (nowMs % TICK_MS == 0) {
                 sidecar.tick();
             }
-            requests.values().forEach(Request::look);
-            if (!ended && (sidecar.hasEnded() || at > termAt + GRACE_S * MS)) {
+            requests.values().forEach(Request::checkForAnswer);
+            if (!ended && (sidecar.hasEnded() || nowMs > terminatedAtMs + GRACE_S * MS_PER_S)) {
                 end();
             }
         }
-        requests.values().stream().filter(r -> r.answer == null).forEach(r -> broke(r.id + " was never answered"));
-        return new RelayPlay.Outcome(List.copyOf(broken), Map.copyOf(figures), Map.of());
+        requests.values().stream()
+                .filter(r -> r.answer == null)
+                .forEach(r -> recordViolation(r.id + " was never answered"));
+        return new RelayPlay.Outcome(List.copyOf(violations), Map.copyOf(figures), Map.of());
     }
 
-    private void broke(String what) {
-        broken.add("at " + calendar.now() + ": " + what);
+    private void recordViolation(String what) {
+        violations.add("at " + calendar.now() + ": " + what);
     }
 
     private void count(String what) {
@@ -148,12 +150,12 @@
 
     private void configure(long slot) {
         count("configurations");
-        for (int i = 0; i < deadlines.length; i++) {
-            deadlines[i] = 0.5 + 3 * random.nextDouble();
+        for (int i = 0; i < deadlinesS.length; i++) {
+            deadlinesS[i] = 0.5 + 3 * random.nextDouble();
         }
-        int how = random.nextInt(3);
-        List<String> prefixes = how == 0 ? PREFIXES.subList(0, 1 + random.nextInt(2)) : PREFIXES;
-        routing = routing(slot, prefixes, how == 1 ? "moved" : SERVICE);
+        int variant = random.nextInt(3);
+        List<String> prefixes = variant == 0 ? PREFIXES.subList(0, 1 + random.nextInt(2)) : PREFIXES;
+        routing = routing(slot, prefixes, variant == 1 ? "moved" : SERVICE);
         if (bug == AnswerBug.RECONNECTS_ON_CONFIGURATION) {
             List.copyOf(paths).forEach(AnswerPath::reconnect);
         }
@@ -161,7 +163,7 @@
 
     private void terminate() {
         count("SIGTERMs");
-        termAt = calendar.now();
+        terminatedAtMs = calendar.now();
         sidecar.terminate();
         if (bug == AnswerBug.ENDS_ON_SIGTERM) {
             end();
@@ -170,110 +172,112 @@
 
     private void end() {
         ended = true;
-        requests.values().forEach(Request::cut);
+        requests.values().forEach(Request::closeConnection);
     }
 
-    // Whether the rules let an endpoint's work be broken off now: in the second half of the grace.
+    // Whether the rules allow an endpoint's work to be aborted now: in the second half of the grace period.
     private boolean inSecondHalf() {
-        return calendar.now() >= termAt + GRACE_S * MS / 2;
+        return calendar.now() >= terminatedAtMs + GRACE_S * MS_PER_S / 2;
     }
 
-    /** What endpoints do. */
+    /** Records what endpoints do. */
     private final class Work implements AnswerEndpoint.Observer {
         @Override
-        public void ran(String id) {
+        public void started(String id) {
             Request r = requests.get(id);
             count("runs");
             r.runs++;
-            r.atWork++;
-            if (r.promised) {
-                broke(id + " ran after it was said that it never would");
+            r.running++;
+            if (r.refused) {
+                recordViolation(id + " ran after it was refused as never to run");
             }
-            if (r.sentAt > termAt + GRACE_S * MS / 2) {
-                broke(id + " was begun in the second half of the grace");
+            if (r.sentAtMs > terminatedAtMs + GRACE_S * MS_PER_S / 2) {
+                recordViolation(id + " was started in the second half of the grace period");
             }
         }
 
         @Override
-        public void said(String id, int status) {
-            requests.get(id).said.add(status);
+        public void answeredWithStatus(String id, int status) {
+            requests.get(id).statuses.add(status);
         }
 
         @Override
-        public void ended(String id) {
+        public void stopped(String id) {
             Request r = requests.get(id);
-            r.atWork = Math.max(0, r.atWork - 1);
+            r.running = Math.max(0, r.running - 1);
         }
 
         @Override
-        public void whole(String id) {
-            requests.get(id).whole = true;
+        public void answeredWhole(String id) {
+            requests.get(id).answeredWhole = true;
         }
     }
 
-    /** One request of a client's, and what endpoints and the client saw of it. */
+    /** One client request, and what the endpoints and the client saw of it. */
     private final class Request {
         private final String id;
         private final boolean repeatable;
-        private final double sentAt = calendar.now();
-        private final double endAt;
+        private final double sentAtMs = calendar.now();
+        private final double deadlineMs;
         private final AnswerClient client = new AnswerClient(sidecar::accept);
-        private final List<Integer> said = new ArrayList<>();
+        private final List<Integer> statuses = new ArrayList<>();
         private AnswerClient.Answer answer;
         private int runs;
-        private int atWork;
-        private boolean whole;
-        private boolean promised;
+        private int running;
+        private boolean answeredWhole;
+        private boolean refused;
 
         private Request(String id, int route) {
             this.id = id;
             this.repeatable = KINDS.get(route).equals(MeshConfig.IDEMPOTENT);
             int deadline = 300 + random.nextInt(4000);
-            this.endAt = sentAt + Math.min(deadline, deadlines[route] * MS);
+            this.deadlineMs = sentAtMs + Math.min(deadline, deadlinesS[route] * MS_PER_S);
             requests.put(id, this);
             client.send(PREFIXES.get(route) + "x", id, deadline);
         }
 
-        private void cut() {
-            look();
-            client.cut();
-            look();
+        private void closeConnection() {
+            checkForAnswer();
+            client.close();
+            checkForAnswer();
         }
 
-        private void look() {
+        private void checkForAnswer() {
             if (answer != null) {
                 return;
             }
-            answer = client.hear();
+            answer = client.receive();
             if (answer != null) {
                 count((answer.seal() == null ? "own " : "endpoint's ") + answer.status());
-                judge();
+                checkAnswer();
             } else if (!client.isOpen()) {
-                broke(id + " was read, and its connection ended without a whole answer");
+                recordViolation(id + " was read, but its connection ended without a complete answer");
                 answer = new AnswerClient.Answer(0, null, "");
             }
         }
 
-        private void judge() {
+        private void checkAnswer() {
             int status = answer.status();
             boolean success = status / 100 == 2;
             if (answer.seal() != null && !answer.seal().equals(AnswerEndpoint.seal(id, status))) {
-                broke(id + " was answered " + status + " under the seal " + answer.seal());
+                recordViolation(id + " was answered " + status + " under the seal " + answer.seal());
             }
-            boolean sound = answer.seal() != null && whole && answer.body().equals(AnswerEndpoint.body(id));
+            boolean sound =
+                    answer.seal() != null && answeredWhole && answer.body().equals(AnswerEndpoint.body(id));
             if (success && !sound) {
-                broke(id + " was answered with a success that is not its endpoint's whole one: " + answer);
+                recordViolation(
+                        id + " was answered with a success that is not its endpoint's complete answer: " + answer);
             }
-            if (!success && answer.seal() != null && !said.contains(status)) {
-                broke(id + " was answered " + status + ", which no endpoint has said");
+            if (!success && answer.seal() != null && !statuses.contains(status)) {
+                recordViolation(id + " was answered " + status + ", which no endpoint has sent");
             }
-            promised = !repeatable && status == 503;
-            if (promised && runs > 0) {
-                broke(id + " has run and was refused");
+            refused = !repeatable && status == 503;
+            if (refused && runs > 0) {
+                recordViolation(id + " has run but was refused");
             }
             boolean own = !success && answer.seal() == null && status != 503 && status != 404;
-            if (own && atWork > 0 && calendar.now() < endAt - MARGIN && !inSecondHalf()) {
-                broke(id + " was answered " + status + " while its endpoint was at work");
+            if (own && running > 0 && calendar.now() < deadlineMs - MARGIN_MS && !inSecondHalf()) {
+                recordViolation(id + " was answered " + status + " while its endpoint was working on it");
             }
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
@@ -6,9 +6,9 @@
 import whinlead.testbed.mesh.hardening.Operation.Change;
 
 /**
- * Point 4: three hundred changes and more while one member is down, cut off, frozen, at a stalled disk, or restarted
- * again and again; then it is back, and has to catch up, in bytes and milliseconds; what is ordered of it while it is
- * behind must not stand; and all power goes. One schedule, one thread.
+ * Point 4: at least 300 changes while one member is down, isolated, frozen, on a stalled disk, or restarted repeatedly.
+ * The member then returns and has to catch up, which is measured in bytes and milliseconds. A stale order sent to it
+ * while it is behind must not take effect. Finally all machines lose power. One schedule; single-threaded.
  */
 final class CatchUpPlay {
     private enum Kind {
@@ -20,21 +20,21 @@
         STALLED_DISK("hanging disk"),
         RESTARTED("restarted again and again");
 
-        private final String after;
+        private final String condition;
 
         Kind(String after) {
-            this.after = after;
+            this.condition = after;
         }
     }
 
-    private static final int LEAST = 300;
-    private static final int SPREAD = 60;
-    private static final int FIRST = 8;
-    private static final double LOOK = 5;
-    private static final double PATIENCE = 8000;
-    private static final double MOST = 120_000;
+    private static final int MIN_CHANGES = 300;
+    private static final int CHANGES_SPREAD = 60;
+    private static final int CHANGES_BEFORE_FAULT = 8;
+    private static final double POLL_MS = 5;
+    private static final double ORDER_TIMEOUT_MS = 8000;
+    private static final double MAX_LENGTH_MS = 120_000;
     private static final int ROUTES = 350;
-    private static final byte[] LARGE = ConfigCodec.deflate(routes().getBytes(StandardCharsets.UTF_8));
+    private static final byte[] LARGE_BODY = ConfigCodec.deflate(routes().getBytes(StandardCharsets.UTF_8));
 
     private final Core core;
     private final Operators operators;
@@ -43,23 +43,23 @@
     private final boolean large;
     private final int changes;
     private Machine member;
-    private int made;
-    private long base;
-    private boolean back;
-    private boolean ready;
-    private double backAt;
-    private int closed;
+    private int acknowledgedChanges;
+    private long baseVersion;
+    private boolean returned;
+    private boolean caughtUp;
+    private double returnedAtMs;
+    private int finalReads;
 
     private CatchUpPlay(long seed, Bug bug, Trace trace) {
         core = new Core(seed, bug, trace, 3);
         large = seed % 2 == 0;
-        operators = new Operators(core, 0, large ? LARGE : new byte[0]);
-        faults = new Faults(core, 1, Core.SYNC);
+        operators = new Operators(core, 0, large ? LARGE_BODY : new byte[0]);
+        faults = new Faults(core, 1, Core.SYNC_MS);
         kind = Kind.values()[core.random().nextInt(Kind.values().length)];
-        changes = LEAST + core.random().nextInt(SPREAD);
+        changes = MIN_CHANGES + core.random().nextInt(CHANGES_SPREAD);
     }
 
-    // As an operator writes them: alike, but for names and a few figures.
+    // Routes as an operator writes them: alike except for names and a few numbers.
     private static String routes() {
         StringBuilder s = new StringBuilder("{\"Routes\":[");
         for (int i = 0; i < ROUTES; i++) {
@@ -81,167 +81,174 @@
         return s.append("]}").toString();
     }
 
-    /** Plays one. */
+    /** Plays one schedule. */
     static Outcome play(long seed, Bug bug, Trace trace) {
         return new CatchUpPlay(seed, bug, trace).play();
     }
 
     private Outcome play() {
-        member = core.any();
-        operators.stay();
-        core.agenda().in(core.between(0, 300), this::change);
-        core.agenda().in(core.between(0, 300), this::read);
-        core.agenda().run(MOST, () -> ready || core.checker().anyBroken());
-        if (!core.checker().anyBroken() && !ready) {
-            core.checker().broke("only " + made + " of " + changes + " changes in two minutes");
+        member = core.randomMachine();
+        operators.preferLast();
+        core.scheduler().schedule(core.randomBetween(0, 300), this::change);
+        core.scheduler().schedule(core.randomBetween(0, 300), this::read);
+        core.scheduler()
+                .runUntil(MAX_LENGTH_MS, () -> caughtUp || core.checker().hasViolations());
+        if (!core.checker().hasViolations() && !caughtUp) {
+            core.checker()
+                    .recordViolation(
+                            "only " + acknowledgedChanges + " of " + changes + " changes acknowledged in 120 s");
         }
-        // Those under way come to their end, and the member has had its SyncS.
-        core.agenda().run(core.now() + PATIENCE, core.checker()::anyBroken);
-        for (int i = 0; i < 2 && !core.checker().anyBroken(); i++) {
-            lose(i);
+        // Outstanding orders end, and the member has had its SyncS.
+        core.scheduler().runUntil(core.nowMs() + ORDER_TIMEOUT_MS, core.checker()::hasViolations);
+        for (int i = 0; i < 2 && !core.checker().hasViolations(); i++) {
+            checkPowerLoss(i);
         }
-        if (!core.checker().anyBroken()) {
-            close();
+        if (!core.checker().hasViolations()) {
+            checkFinalReads();
         }
-        core.checker().judgeHistory();
+        core.checker().checkHistory();
         return core.checker().outcome();
     }
 
-    // After one more change the power goes, of all, and of one the disk.
-    private void lose(int disks) {
+    // After one more change all machines lose power, and the given number of disks is lost.
+    private void checkPowerLoss(int disks) {
         boolean[] taken = {false};
         core.machines()
-                .forEach(m -> operators.read(m.address(), d -> base = d == null ? base : Math.max(base, d.version())));
-        core.agenda().run(core.now() + Core.CONTACT, core.checker()::anyBroken);
-        operators.order(operators.change(base), PATIENCE, o -> {
+                .forEach(m -> operators.read(
+                        m.address(), d -> baseVersion = d == null ? baseVersion : Math.max(baseVersion, d.version())));
+        core.scheduler().runUntil(core.nowMs() + Core.CONTACT_MS, core.checker()::hasViolations);
+        operators.order(operators.change(baseVersion), ORDER_TIMEOUT_MS, o -> {
             taken[0] = o.taken();
             if (o.taken()) {
-                base = o.change().version();
-                faults.blackout(disks);
+                baseVersion = o.change().version();
+                faults.losePower(disks);
             }
         });
-        core.agenda().run(core.now() + PATIENCE + Core.ACK, core.checker()::anyBroken);
-        if (!taken[0] && !core.checker().anyBroken()) {
-            core.checker().broke("a change was not taken after the member was back");
+        core.scheduler().runUntil(core.nowMs() + ORDER_TIMEOUT_MS + Core.ACK_MS, core.checker()::hasViolations);
+        if (!taken[0] && !core.checker().hasViolations()) {
+            core.checker().recordViolation("a change was not taken after the member was back");
         }
     }
 
-    private void close() {
-        core.machines().forEach(m -> operators.read(m.address(), d -> closed += d == null ? 0 : 1));
-        core.agenda().run(core.now() + Core.ACK, core.checker()::anyBroken);
-        if (closed < core.machines().size() && !core.checker().anyBroken()) {
-            core.checker().broke("only " + closed + " control nodes could read at the end");
+    private void checkFinalReads() {
+        core.machines().forEach(m -> operators.read(m.address(), d -> finalReads += d == null ? 0 : 1));
+        core.scheduler().runUntil(core.nowMs() + Core.ACK_MS, core.checker()::hasViolations);
+        if (finalReads < core.machines().size() && !core.checker().hasViolations()) {
+            core.checker().recordViolation("only " + finalReads + " control nodes could read at the end");
         }
     }
 
     private void change() {
-        if (ready) {
+        if (caughtUp) {
             return;
         }
-        Change c = operators.change(base);
-        operators.order(c, PATIENCE, o -> {
+        Change c = operators.change(baseVersion);
+        operators.order(c, ORDER_TIMEOUT_MS, o -> {
             if (o.taken()) {
-                base = Math.max(base, c.version());
-                made++;
+                baseVersion = Math.max(baseVersion, c.version());
+                acknowledgedChanges++;
                 core.checker().count("orders acknowledged");
-                if (made == FIRST) {
-                    trouble();
+                if (acknowledgedChanges == CHANGES_BEFORE_FAULT) {
+                    beginFault();
                 }
-                if (made >= changes && !back) {
-                    back = true;
-                    ease();
+                if (acknowledgedChanges >= changes && !returned) {
+                    returned = true;
+                    endFault();
                 }
             }
-            if (!ready) {
-                core.agenda().in(core.between(0, 15), this::change);
+            if (!caughtUp) {
+                core.scheduler().schedule(core.randomBetween(0, 15), this::change);
             }
         });
     }
 
-    private void trouble() {
-        core.tell(member.address() + " has its trouble: " + kind);
+    private void beginFault() {
+        core.log(member.address() + " gets the fault " + kind);
         core.checker().count("schedules past a member, " + kind);
-        core.troubled(member.address());
+        core.faultBegan(member.address());
         switch (kind) {
             case DOWN -> member.down();
             case WIPED -> member.wipe();
-            case CUT -> ways(Network.Way.CUT);
-            case HELD -> ways(Network.Way.HELD);
+            case CUT -> setLinks(Network.Link.CUT);
+            case HELD -> setLinks(Network.Link.HELD);
             case FROZEN -> member.freeze();
-            case STALLED_DISK -> member.disk().stall(MOST);
+            case STALLED_DISK -> member.disk().stallUntil(MAX_LENGTH_MS);
             default -> restart();
         }
     }
 
     private void restart() {
-        if (back) {
+        if (returned) {
             return;
         }
         member.down();
-        core.agenda().in(core.between(100, 600), () -> {
+        core.scheduler().schedule(core.randomBetween(100, 600), () -> {
             member.boot();
-            core.agenda().in(core.between(100, 1200), this::restart);
+            core.scheduler().schedule(core.randomBetween(100, 1200), this::restart);
         });
     }
 
-    private void ways(Network.Way way) {
+    private void setLinks(Network.Link way) {
         core.machines().stream().filter(m -> m != member).forEach(m -> {
             core.network().set(m.address(), member.address(), way);
             core.network().set(member.address(), m.address(), way);
         });
     }
 
-    private void ease() {
-        core.tell(member.address() + " is back, at version " + member.version() + " of " + base);
+    private void endFault() {
+        core.log(member.address() + " is back, at version " + member.version() + " of " + baseVersion);
         long behind = Math.max(0, member.version());
-        member.meter();
+        member.startMetering();
         switch (kind) {
-            case CUT, HELD -> ways(Network.Way.OPEN);
+            case CUT, HELD -> setLinks(Network.Link.OPEN);
             case FROZEN -> member.thaw();
-            case STALLED_DISK -> member.disk().stall(0);
+            case STALLED_DISK -> member.disk().stallUntil(0);
             default -> member.boot();
         }
-        backAt = core.now();
-        core.eased(member.address());
-        long newest = base;
+        returnedAtMs = core.nowMs();
+        core.faultEnded(member.address());
+        long newest = baseVersion;
         if (core.random().nextBoolean()) {
-            stale(behind);
+            sendStaleOrder(behind);
         }
-        await(newest);
+        awaitCatchUp(newest);
     }
 
-    // An order on what it knows, before it has caught up.
-    private void stale(long behind) {
+    // Sends the member an order built on its stale version, before it has caught up.
+    private void sendStaleOrder(long behind) {
         Change c = operators.change(behind);
         core.checker().count("orders put to a member at its return");
-        member.loop(() -> member.replace(c, operators.body(c), verdict -> {
+        member.runOnLoop(() -> member.replace(c, operators.body(c), verdict -> {
             if (verdict == ConsensusNode.CallResult.TAKEN) {
-                // It was not behind.
-                base = Math.max(base, c.version());
+                // The member was not behind.
+                baseVersion = Math.max(baseVersion, c.version());
             }
         }));
     }
 
-    private void await(long newest) {
-        if (core.checker().anyBroken()) {
+    private void awaitCatchUp(long newest) {
+        if (core.checker().hasViolations()) {
             return;
         }
         if (member.up() && member.version() >= newest && member.onDiskVersion() >= newest) {
-            String size = " (" + kind.after + (large ? ", 350 routes)" : ", small)");
-            core.checker().sample("a member that is back, ms to the newest on its disk" + size, core.now() - backAt);
-            core.checker().sample("a member that is back, bytes of messages until then" + size, member.metered());
-            ready = true;
-        } else if (core.now() - backAt > Core.SYNC) {
-            core.checker().broke("a member (" + kind + ") is behind 4 s after its return");
+            String size = " (" + kind.condition + (large ? ", 350 routes)" : ", small)");
+            core.checker()
+                    .sample("a member that is back, ms to the newest on its disk" + size, core.nowMs() - returnedAtMs);
+            core.checker().sample("a member that is back, bytes of messages until then" + size, member.meteredBytes());
+            caughtUp = true;
+        } else if (core.nowMs() - returnedAtMs > Core.SYNC_MS) {
+            core.checker().recordViolation("a member (" + kind + ") is behind 4 s after its return");
         } else {
-            core.agenda().in(LOOK, () -> await(newest));
+            core.scheduler().schedule(POLL_MS, () -> awaitCatchUp(newest));
         }
     }
 
     private void read() {
-        if (!ready) {
-            operators.read(core.any().address(), d -> base = d == null ? base : Math.max(base, d.version()));
-            core.agenda().in(core.between(100, 600), this::read);
+        if (!caughtUp) {
+            operators.read(
+                    core.randomMachine().address(),
+                    d -> baseVersion = d == null ? baseVersion : Math.max(baseVersion, d.version()));
+            core.scheduler().schedule(core.randomBetween(100, 600), this::read);
         }
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
@@ -12,58 +12,58 @@
 import whinlead.testbed.mesh.hardening.Operation.Value;
 
 /**
- * What is held against the promises: the value of each slot, the operators' history, what was acknowledged and when.
- * Collects figures as well. One thread.
+ * Checks the guarantees: the value of each slot, the operators' history, and what was acknowledged and when. Also
+ * collects counts and measurements. Single-threaded.
  */
 final class Checker {
-    private record Acknowledged(long version, double at) {}
+    private record Acknowledged(long version, double atMs) {}
 
-    private final Agenda agenda;
+    private final Scheduler scheduler;
     private final Trace trace;
-    /** Where the fault that is planted touches what was taken, it is left to the history to find it. */
-    private final boolean looksAtTaken;
+    /** False if the planted fault changes the list of accepted changes: then only the history check may detect it. */
+    private final boolean comparesTaken;
 
     private final Map<Long, Decision> chosen = new HashMap<>();
     private final List<Operation> history = new ArrayList<>();
     private final List<Acknowledged> acknowledged = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, Integer> counts = new TreeMap<>();
     private final Map<String, List<Double>> samples = new TreeMap<>();
     private Decision newest;
     private long votersSlot;
 
-    Checker(Agenda agenda, Bug bug, Trace trace) {
-        this.agenda = agenda;
+    Checker(Scheduler scheduler, Bug bug, Trace trace) {
+        this.scheduler = scheduler;
         this.trace = trace;
-        this.looksAtTaken = bug != Bug.FORGETS_TAKEN;
+        this.comparesTaken = bug != Bug.FORGETS_TAKEN;
     }
 
-    /** A promise was broken. */
-    void broke(String what) {
-        trace.tell(agenda.now(), "BROKEN " + what);
-        broken.add(what);
+    /** Records a violated guarantee. */
+    void recordViolation(String what) {
+        trace.write(scheduler.nowMs(), "BROKEN " + what);
+        violations.add(what);
     }
 
-    /** Whether one was. */
-    boolean anyBroken() {
-        return !broken.isEmpty();
+    /** Whether a guarantee was violated. */
+    boolean hasViolations() {
+        return !violations.isEmpty();
     }
 
-    /** Something came up. */
+    /** Counts an occurrence. */
     void count(String what) {
         counts.merge(what, 1, Integer::sum);
     }
 
-    /** Something was measured. */
+    /** Records a measurement. */
     void sample(String what, double value) {
         samples.computeIfAbsent(what, k -> new ArrayList<>()).add(value);
     }
 
-    /** A control node learned this. */
+    /** A control node learned a decision. */
     void decided(Decision decision) {
         Decision other = chosen.putIfAbsent(decision.slot(), decision);
         if (other != null && !same(other, decision)) {
-            broke("slot " + decision.slot() + " has two values");
+            recordViolation("slot " + decision.slot() + " has two values");
         }
         if (newest == null || decision.slot() > newest.slot()) {
             if (newest == null || !newest.voters().equals(decision.voters())) {
@@ -77,38 +77,38 @@
         return a.version() == b.version()
                 && a.voters().equals(b.voters())
                 && Arrays.equals(a.body(), b.body())
-                && (!looksAtTaken || a.taken().equals(b.taken()));
+                && (!comparesTaken || a.taken().equals(b.taken()));
     }
 
-    /** The newest decision that any control node ever learned; null before the first. */
+    /** The newest decision that any control node has learned; null before the first. */
     Decision newest() {
         return newest;
     }
 
-    /** The slot of the newest decision as of which its voters are those that they are. */
+    /** The slot of the decision that introduced the current voters. */
     long votersSlot() {
         return votersSlot;
     }
 
-    /** A control node got a call; null for a read. The call's number. */
+    /** A control node received a call; the change is null for a read. Returns the call's number. */
     int invoked(Change change) {
-        history.add(new Operation(change, agenda.now(), Double.POSITIVE_INFINITY, Operation.End.UNCLEAR, null));
+        history.add(new Operation(change, scheduler.nowMs(), Double.POSITIVE_INFINITY, Operation.End.UNCLEAR, null));
         return history.size() - 1;
     }
 
-    /** The control node ended it. */
+    /** The control node ended a call. */
     void ended(int call, Operation.End end, Decision seen) {
         Operation o = history.get(call);
         Value value = seen == null ? null : value(seen);
-        history.set(call, new Operation(o.change(), o.from(), agenda.now(), end, value));
+        history.set(call, new Operation(o.change(), o.fromMs(), scheduler.nowMs(), end, value));
         if (end == Operation.End.TAKEN) {
-            acknowledged.add(new Acknowledged(o.change().version(), agenda.now()));
+            acknowledged.add(new Acknowledged(o.change().version(), scheduler.nowMs()));
         }
     }
 
-    /** When a call came. */
+    /** When a call arrived. */
     double invokedAt(int call) {
-        return history.get(call).from();
+        return history.get(call).fromMs();
     }
 
     private Value value(Decision d) {
@@ -118,16 +118,16 @@
         String digest = d.taken().get(d.taken().size() - 1).digest();
         byte[] begin = digest.getBytes(StandardCharsets.UTF_8);
         if (d.body().length < begin.length || !Arrays.equals(begin, Arrays.copyOf(d.body(), begin.length))) {
-            broke("the body of version " + d.version() + " is not what was sent under it");
+            recordViolation("the body of version " + d.version() + " is not the one sent for it");
         }
         return new Value(d.version(), digest);
     }
 
     /** The newest version acknowledged up to a time. */
-    long acknowledgedBy(double time) {
+    long acknowledgedBy(double timeMs) {
         long newest = 0;
-        for (Acknowledged a : acknowledged) {
-            newest = a.at() <= time ? Math.max(newest, a.version()) : newest;
+        for (Acknowledged acknowledgement : acknowledged) {
+            newest = acknowledgement.atMs() <= timeMs ? Math.max(newest, acknowledgement.version()) : newest;
         }
         return newest;
     }
@@ -136,24 +136,24 @@
     double acknowledgedAt(long version) {
         return acknowledged.stream()
                 .filter(a -> a.version() == version)
-                .mapToDouble(Acknowledged::at)
+                .mapToDouble(Acknowledged::atMs)
                 .min()
                 .orElse(Double.NaN);
     }
 
-    /** Holds the operators' calls against a register, at the end. */
-    void judgeHistory() {
-        if (anyBroken()) {
+    /** Checks at the end that the operators' calls are linearizable as one register. */
+    void checkHistory() {
+        if (hasViolations()) {
             return;
         }
         Operation o = Linearizability.unexplained(history);
         if (o != null) {
-            broke("not linearizable: " + o);
+            recordViolation("not linearizable: " + o);
         }
     }
 
-    /** What it all came to. */
+    /** The outcome of the schedule. */
     Outcome outcome() {
-        return new Outcome(List.copyOf(broken), counts, samples);
+        return new Outcome(List.copyOf(violations), counts, samples);
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Core.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Core.java
@@ -12,24 +12,24 @@
 import whinlead.mesh.consensus.Decision;
 
 /**
- * The core machines of one schedule with all around them. All that is drawn comes from one seed, so the same seed plays
- * the same. One thread.
+ * The core machines of one schedule with their network, clock and checks. All random choices come from one seed, so a
+ * schedule is reproducible. Single-threaded.
  */
 final class Core {
-    /** Bounds of a deployment, in milliseconds, as its settings name them with an S at the end. */
-    static final double CONTACT = 3000;
+    /** Bounds of a deployment in milliseconds; the settings name them with an S at the end. */
+    static final double CONTACT_MS = 3000;
 
-    static final double ACK = 5000;
-    static final double SYNC = 4000;
-    static final double CONVERGE = 2500;
-    private static final double LOSS = 0.02;
-    /** {@code SeedLagS}, in milliseconds, and how many seeds there are. */
-    private static final double SEED_LAG = 3000;
+    static final double ACK_MS = 5000;
+    static final double SYNC_MS = 4000;
+    static final double CONVERGE_MS = 2500;
+    private static final double LOSS_SHARE = 0.02;
+    /** {@code SeedLagS} in milliseconds. */
+    private static final double SEED_LAG_MS = 3000;
 
     private static final int SEEDS = 3;
-    private static final double TWICE = 0.02;
+    private static final double DUPLICATE_SHARE = 0.02;
 
-    private final Agenda agenda = new Agenda();
+    private final Scheduler scheduler = new Scheduler();
     private final SplittableRandom random;
     private final Network network;
     private final Checker checker;
@@ -37,22 +37,22 @@
     private final Trace trace;
     private final List<String> founders = new ArrayList<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final List<String> listed = new ArrayList<>();
-    /** By address: troubles that last, and when the last one began or ended. */
-    private final Map<String, Integer> troubles = new HashMap<>();
+    private final List<String> seedList = new ArrayList<>();
+    /** By address: the number of active faults, and when a fault last began or ended. */
+    private final Map<String, Integer> activeFaults = new HashMap<>();
 
-    private final Map<String, Double> troubledAt = new HashMap<>();
-    private double eventAt;
-    private boolean judgesContact;
+    private final Map<String, Double> lastFaultChangeMs = new HashMap<>();
+    private double lastEventMs;
+    private boolean checksContact;
 
-    /** A core of so many machines that is founded now. */
+    /** Founds a core of the given number of machines. */
     Core(long seed, Bug bug, Trace trace, int size) {
         this.random = new SplittableRandom(seed);
         this.bug = bug;
         this.trace = trace;
-        this.network = new Network(agenda, random);
-        this.checker = new Checker(agenda, bug, trace);
-        network.spoil(LOSS, TWICE);
+        this.network = new Network(scheduler, random);
+        this.checker = new Checker(scheduler, bug, trace);
+        network.setFaultShares(LOSS_SHARE, DUPLICATE_SHARE);
         for (int i = 0; i < size; i++) {
             founders.add((char) ('a' + i) + "#0");
         }
@@ -61,8 +61,8 @@
                 new Disk.Entry(id, new Acceptor.State(Decision.founding(founders), Ballot.NONE, null))));
     }
 
-    Agenda agenda() {
-        return agenda;
+    Scheduler scheduler() {
+        return scheduler;
     }
 
     SplittableRandom random() {
@@ -85,114 +85,115 @@
         return founders;
     }
 
-    /** The time. */
-    double now() {
-        return agenda.now();
+    /** The current time in milliseconds. */
+    double nowMs() {
+        return scheduler.nowMs();
     }
 
-    /** Drawn between the two. */
-    double between(double least, double most) {
+    /** A random number between the two bounds. */
+    double randomBetween(double least, double most) {
         return least + random.nextDouble() * (most - least);
     }
 
-    /** Tells it, if anyone listens. */
-    void tell(String what) {
-        trace.tell(now(), what);
+    /** Writes a line to the trace, if tracing is on. */
+    void log(String what) {
+        trace.write(nowMs(), what);
     }
 
-    /** Whether anyone listens. */
-    boolean traced() {
-        return trace.on();
+    /** Whether tracing is on. */
+    boolean isTraced() {
+        return trace.isEnabled();
     }
 
-    /** Starts a machine with this on its disk, or nothing. */
+    /** Starts a machine with the given entry on its disk, or an empty disk if null. */
     Machine add(String address, Disk.Entry entry) {
         Machine m = new Machine(this, address, entry);
         machines.put(address, m);
-        agenda.in(now() == 0 ? 0 : SEED_LAG, () -> listed.add(address));
+        scheduler.schedule(nowMs() == 0 ? 0 : SEED_LAG_MS, () -> seedList.add(address));
         m.boot();
         return m;
     }
 
-    /** Takes a machine away for good. */
+    /** Removes a machine permanently. */
     void remove(Machine m) {
         m.down();
         machines.remove(m.address());
-        agenda.in(SEED_LAG, () -> listed.remove(m.address()));
+        scheduler.schedule(SEED_LAG_MS, () -> seedList.remove(m.address()));
     }
 
     /**
-     * The machines that a process on this one is told of as it starts: three, from a list that lags. One of them at
-     * least is there: a machine that is told of none can't be found by any other either.
+     * The seeds that a process on this machine gets at its start: three, from a list that lags. At least one of them
+     * exists, since a machine without an existing seed can't be found by any other machine either.
      */
     List<String> seeds(String self) {
-        if (now() == 0) {
+        if (nowMs() == 0) {
             return founders.stream().map(ConsensusNode::address).limit(SEEDS).toList();
         }
-        List<String> left = new ArrayList<>(listed);
+        List<String> remaining = new ArrayList<>(seedList);
         List<String> seeds = new ArrayList<>();
-        List<String> there = left.stream()
+        List<String> present = remaining.stream()
                 .filter(a -> machines.containsKey(a) && !a.equals(self))
                 .toList();
-        if (!there.isEmpty()) {
-            seeds.add(there.get(random.nextInt(there.size())));
-            left.removeAll(seeds);
+        if (!present.isEmpty()) {
+            seeds.add(present.get(random.nextInt(present.size())));
+            remaining.removeAll(seeds);
         }
-        while (seeds.size() < SEEDS && !left.isEmpty()) {
-            seeds.add(left.remove(random.nextInt(left.size())));
+        while (seeds.size() < SEEDS && !remaining.isEmpty()) {
+            seeds.add(remaining.remove(random.nextInt(remaining.size())));
         }
         return seeds;
     }
 
-    /** The machine at an address, or null. */
-    Machine at(String address) {
+    /** The machine at an address; null if there is none. */
+    Machine machineAt(String address) {
         return machines.get(address);
     }
 
-    /** All machines that there are, up or not. */
+    /** All machines, up or not. */
     List<Machine> machines() {
         return List.copyOf(machines.values());
     }
 
-    /** One of them. */
-    Machine any() {
+    /** A random machine. */
+    Machine randomMachine() {
         List<Machine> all = machines();
         return all.get(random.nextInt(all.size()));
     }
 
-    /** A trouble of a machine begins. */
-    void troubled(String address) {
-        troubles.merge(address, 1, Integer::sum);
-        touched(address);
+    /** A fault of a machine begins. */
+    void faultBegan(String address) {
+        activeFaults.merge(address, 1, Integer::sum);
+        faultChanged(address);
     }
 
-    /** It ends. */
-    void eased(String address) {
-        troubles.merge(address, -1, Integer::sum);
-        touched(address);
+    /** A fault of a machine ends. */
+    void faultEnded(String address) {
+        activeFaults.merge(address, -1, Integer::sum);
+        faultChanged(address);
     }
 
-    private void touched(String address) {
-        troubledAt.put(address, now());
-        eventAt = now();
+    private void faultChanged(String address) {
+        lastFaultChangeMs.put(address, nowMs());
+        lastEventMs = nowMs();
     }
 
-    /** Whether a machine has been without trouble for {@link #CONTACT}. */
-    boolean calm(String address) {
-        return troubles.getOrDefault(address, 0) == 0 && now() - troubledAt.getOrDefault(address, 0.0) >= CONTACT;
+    /** Whether a machine has been without a fault for {@link #CONTACT}. */
+    boolean isUndisturbed(String address) {
+        return activeFaults.getOrDefault(address, 0) == 0
+                && nowMs() - lastFaultChangeMs.getOrDefault(address, 0.0) >= CONTACT_MS;
     }
 
-    /** When something last happened to any of them. */
-    double eventAt() {
-        return eventAt;
+    /** When a fault of any machine last began or ended. */
+    double lastEventMs() {
+        return lastEventMs;
     }
 
-    /** From now on each claim of contact is held against what was exchanged. */
-    void judgeContact() {
-        judgesContact = true;
+    /** From now on each claim of contact is checked against the messages that were exchanged. */
+    void checkContact() {
+        checksContact = true;
     }
 
-    boolean judgesContact() {
-        return judgesContact;
+    boolean checksContact() {
+        return checksContact;
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
@@ -16,13 +16,13 @@
 import whinlead.mesh.storage.Syncer;
 
 /**
- * What a loss of power may leave of a state store's folder. Of SQLite it assumes: a commit writes the log's header, if
- * that is new, syncs log and folder, writes the frames, syncs the log; a checkpoint then writes pages of the file and
- * syncs it; a founding makes file and rollback journal, syncs journal and folder, writes the first page, syncs the
- * file, removes the journal and syncs the folder; a close checkpoints and removes the log, with no sync of the folder.
- * Of the disk: what a sync has covered stays; of the bytes written after it any sector is old, new or torn, and where
- * the file was shorter, zeroes; each name made or removed after the folder's last sync is kept or lost by itself. One
- * thread.
+ * Models what a loss of power may leave of a state store's folder. Assumptions about SQLite: a commit writes the log's
+ * header if that is new, syncs log and folder, writes the frames and syncs the log; a checkpoint then writes pages of
+ * the file and syncs it; founding creates the file and the rollback journal, syncs journal and folder, writes the first
+ * page, syncs the file, removes the journal and syncs the folder; closing checkpoints and removes the log without a
+ * sync of the folder. Assumptions about the disk: synced bytes last; of bytes written later each sector is old, new or
+ * torn, or zeroes where the file was shorter; each name created or removed after the folder's last sync is retained or
+ * lost independently. Single-threaded.
  */
 final class CutDisk implements Syncer {
     private static final String MAIN = "office.db";
@@ -33,18 +33,18 @@
 
     private final SplittableRandom random;
     private final LedgerPlay.Bug bug;
-    /** As a process sees the files. */
+    /** The files as a process sees them. */
     private Map<String, byte[]> files = new TreeMap<>();
-    /** What a sync has covered of a file, where that is less: what a killed process left. */
+    /** The synced content of files that a killed process left partly unsynced. */
     private final Map<String, byte[]> synced = new TreeMap<>();
-    /** Names that were removed and may come back. */
-    private final Map<String, byte[]> ghosts = new TreeMap<>();
-    /** Names that were made and may be lost. */
-    private final Set<String> made = new TreeSet<>();
-
-    private Map<String, byte[]> start = Map.of();
-    private Map<String, byte[]> from = Map.of();
-    private Map<String, byte[]> to = Map.of();
+    /** Names whose removal is not synced, so that they may come back. */
+    private final Map<String, byte[]> removedNames = new TreeMap<>();
+    /** Names whose creation is not synced, so that they may be lost. */
+    private final Set<String> createdNames = new TreeSet<>();
+
+    private Map<String, byte[]> atOpen = Map.of();
+    private Map<String, byte[]> beforeStep = Map.of();
+    private Map<String, byte[]> afterStep = Map.of();
     private boolean founding;
     private String phase = "";
     private boolean mustBeNew;
@@ -68,8 +68,8 @@
 
     private void folderSynced() {
         if (bug != LedgerPlay.Bug.FOLDER_SYNCS_IGNORED) {
-            ghosts.clear();
-            made.clear();
+            removedNames.clear();
+            createdNames.clear();
         }
     }
 
@@ -81,7 +81,7 @@
         return phase;
     }
 
-    /** Whether the state that was made last holds the whole of the step's log. */
+    /** Whether the last generated state contains the complete log of the step. */
     boolean mustBeNew() {
         return mustBeNew;
     }
@@ -117,40 +117,40 @@
     // --- steps
 
     /** A process is about to open these files. */
-    void begin() {
-        start = files;
+    void opening() {
+        atOpen = files;
         mustBeNew = false;
     }
 
-    /** It has. */
+    /** The process has opened the files. */
     void opened(Path folder) throws IOException {
-        from = files;
-        to = image(folder);
-        founding = of(from, MAIN).length == 0 || of(from, JOURNAL).length > 0;
+        beforeStep = files;
+        afterStep = image(folder);
+        founding = bytesOf(beforeStep, MAIN).length == 0 || bytesOf(beforeStep, JOURNAL).length > 0;
         if (founding && bug == LedgerPlay.Bug.FOLDER_SYNCS_IGNORED) {
-            ghosts.put(JOURNAL, journal());
+            removedNames.put(JOURNAL, journal());
         }
-        to.keySet().stream().filter(n -> !from.containsKey(n)).forEach(made::add);
+        afterStep.keySet().stream().filter(n -> !beforeStep.containsKey(n)).forEach(createdNames::add);
         if (founding) {
             // The first sync of the log is followed by one of the folder.
             folderSynced();
         }
-        files = to;
+        files = afterStep;
     }
 
     /** A write is about to begin. */
-    void before(Path folder) throws IOException {
-        from = image(folder);
-        files = from;
-        if (!Arrays.equals(header(start), header(from))) {
-            // The log was begun anew: a checkpoint has synced the file.
+    void stepBegan(Path folder) throws IOException {
+        beforeStep = image(folder);
+        files = beforeStep;
+        if (!Arrays.equals(header(atOpen), header(beforeStep))) {
+            // The log was restarted: a checkpoint has synced the file.
             synced.remove(MAIN);
         }
     }
 
-    /** The step that began there has returned, as far as a process sees. */
-    void after(Path folder) throws IOException {
-        to = image(folder);
+    /** The step has returned, as far as a process sees. */
+    void stepReturned(Path folder) throws IOException {
+        afterStep = image(folder);
     }
 
     /** A write has returned. */
@@ -163,26 +163,26 @@
 
     /** The state store was closed. */
     void closed() {
-        files = to;
+        files = afterStep;
         synced.clear();
-        ghosts.put(LOG, of(from, LOG));
+        removedNames.put(LOG, bytesOf(beforeStep, LOG));
     }
 
-    /** The power is back, and this is what there is. */
-    void settle(Map<String, byte[]> state) {
+    /** The power is back, and the files have this state. */
+    void restart(Map<String, byte[]> state) {
         files = state;
         synced.clear();
-        ghosts.clear();
-        made.clear();
+        removedNames.clear();
+        createdNames.clear();
     }
 
-    /** The process is killed in the step; the files stay as they were then, synced or not. */
+    /** The process is killed in the step; the files stay as they were, synced or not. */
     void killWriting() {
-        byte[] begun = join(header(to), of(from, LOG));
+        byte[] begun = withHeader(header(afterStep), bytesOf(beforeStep, LOG));
         folderSynced();
-        files = new TreeMap<>(from);
+        files = new TreeMap<>(beforeStep);
         if (random.nextBoolean()) {
-            byte[] log = of(to, LOG);
+            byte[] log = bytesOf(afterStep, LOG);
             int reached = random.nextBoolean() ? log.length : random.nextInt(LOG_HEADER, log.length);
             byte[] seen = Arrays.copyOf(log, Math.max(reached, begun.length));
             System.arraycopy(
@@ -194,187 +194,192 @@
             files.put(LOG, seen);
             synced.put(LOG, begun);
         } else {
-            files.put(LOG, of(to, LOG));
-            files.put(MAIN, mix(of(from, MAIN), of(to, MAIN)));
+            files.put(LOG, bytesOf(afterStep, LOG));
+            files.put(MAIN, torn(bytesOf(beforeStep, MAIN), bytesOf(afterStep, MAIN)));
             synced.remove(LOG);
-            synced.putIfAbsent(MAIN, of(from, MAIN));
+            synced.putIfAbsent(MAIN, bytesOf(beforeStep, MAIN));
         }
     }
 
-    // --- cuts
+    // --- losses of power
 
-    /** What a loss of power in this step may leave; each call another. */
-    Map<String, byte[]> cut(String how) {
+    /** A random state that a loss of power in this step may leave; each call draws another one. */
+    Map<String, byte[]> powerLoss(String how) {
         mustBeNew = false;
         return switch (how) {
-            case "power while opening" -> founding ? foundingCut() : openingCut();
-            case "power after opening" -> lasting(to, "opened");
-            case "power while writing" -> writingCut();
-            default -> closingCut();
+            case "power while opening" -> founding ? foundingPowerLoss() : openingPowerLoss();
+            case "power after opening" -> afterSync(afterStep, "opened");
+            case "power while writing" -> writingPowerLoss();
+            default -> closingPowerLoss();
         };
     }
 
-    // The files as they are seen, but for what was not synced.
-    private Map<String, byte[]> lasting(Map<String, byte[]> seen, String where) {
+    // The files as a process sees them, except for what was not synced.
+    private Map<String, byte[]> afterSync(Map<String, byte[]> seen, String where) {
         phase = where;
         Map<String, byte[]> state = new TreeMap<>(seen);
         if (bug == LedgerPlay.Bug.SYNCS_IGNORED) {
-            state.replaceAll((n, b) -> mix(of(start, n), b));
+            state.replaceAll((n, b) -> torn(bytesOf(atOpen, n), b));
         }
-        synced.forEach((n, b) -> state.computeIfPresent(n, (k, v) -> mix(b, v)));
-        names(state);
+        synced.forEach((n, b) -> state.computeIfPresent(n, (k, v) -> torn(b, v)));
+        loseNames(state);
         return state;
     }
 
-    // Each name for itself.
-    private void names(Map<String, byte[]> state) {
-        made.forEach(n -> {
+    // Each unsynced creation or removal of a name may be lost independently.
+    private void loseNames(Map<String, byte[]> state) {
+        createdNames.forEach(n -> {
             if (random.nextBoolean()) {
                 state.remove(n);
             }
         });
-        ghosts.forEach((n, b) -> {
+        removedNames.forEach((n, b) -> {
             if (random.nextBoolean()) {
                 state.put(n, b);
             }
         });
     }
 
-    private Map<String, byte[]> openingCut() {
-        return lasting(random.nextBoolean() ? from : to, "opening");
+    private Map<String, byte[]> openingPowerLoss() {
+        return afterSync(random.nextBoolean() ? beforeStep : afterStep, "opening");
     }
 
-    private Map<String, byte[]> foundingCut() {
+    private Map<String, byte[]> foundingPowerLoss() {
         byte[] journal = journal();
         Map<String, byte[]> state = new TreeMap<>();
         int stage = random.nextInt(5);
         phase = "founding " + stage;
         switch (stage) {
             case 0 -> {
-                // Nothing is synced; what an earlier founding left may be there.
-                state.putAll(from);
-                maybe(state, MAIN, of(from, MAIN));
-                maybe(state, JOURNAL, mix(of(from, JOURNAL), journal));
+                // Nothing is synced; files of an earlier founding may be present.
+                state.putAll(beforeStep);
+                putOrNot(state, MAIN, bytesOf(beforeStep, MAIN));
+                putOrNot(state, JOURNAL, torn(bytesOf(beforeStep, JOURNAL), journal));
             }
             case 1 -> {
-                state.put(MAIN, mix(of(from, MAIN), of(to, MAIN)));
+                state.put(MAIN, torn(bytesOf(beforeStep, MAIN), bytesOf(afterStep, MAIN)));
                 state.put(JOURNAL, journal);
             }
             case 2 -> {
-                state.put(MAIN, of(to, MAIN));
-                maybe(state, JOURNAL, journal);
+                state.put(MAIN, bytesOf(afterStep, MAIN));
+                putOrNot(state, JOURNAL, journal);
             }
             case 3 -> {
-                state.put(MAIN, of(to, MAIN));
-                maybe(state, LOG, mix(NONE, header(to)));
-                maybe(state, JOURNAL, journal);
+                state.put(MAIN, bytesOf(afterStep, MAIN));
+                putOrNot(state, LOG, torn(NONE, header(afterStep)));
+                putOrNot(state, JOURNAL, journal);
             }
             default -> {
-                state.put(MAIN, of(to, MAIN));
-                state.put(LOG, mix(header(to), of(to, LOG)));
+                state.put(MAIN, bytesOf(afterStep, MAIN));
+                state.put(LOG, torn(header(afterStep), bytesOf(afterStep, LOG)));
             }
         }
         return state;
     }
 
-    private void maybe(Map<String, byte[]> state, String name, byte[] bytes) {
+    private void putOrNot(Map<String, byte[]> state, String name, byte[] bytes) {
         if (random.nextBoolean()) {
             state.put(name, bytes);
         }
     }
 
-    private Map<String, byte[]> writingCut() {
-        Map<String, byte[]> state = new TreeMap<>(from);
-        byte[] old = synced.containsKey(LOG) ? mix(synced.get(LOG), of(from, LOG)) : of(from, LOG);
-        boolean header = !Arrays.equals(header(from), header(to));
-        boolean checkpoint = !Arrays.equals(of(from, MAIN), of(to, MAIN));
+    private Map<String, byte[]> writingPowerLoss() {
+        Map<String, byte[]> state = new TreeMap<>(beforeStep);
+        byte[] old =
+                synced.containsKey(LOG) ? torn(synced.get(LOG), bytesOf(beforeStep, LOG)) : bytesOf(beforeStep, LOG);
+        boolean header = !Arrays.equals(header(beforeStep), header(afterStep));
+        boolean checkpoint = !Arrays.equals(bytesOf(beforeStep, MAIN), bytesOf(afterStep, MAIN));
         if (!header && synced.containsKey(MAIN)) {
-            state.put(MAIN, mix(synced.get(MAIN), of(from, MAIN)));
+            state.put(MAIN, torn(synced.get(MAIN), bytesOf(beforeStep, MAIN)));
         }
         if (bug == LedgerPlay.Bug.SYNCS_IGNORED) {
             mustBeNew = random.nextBoolean();
-            return lasting(to, mustBeNew ? "written" : "frames");
+            return afterSync(afterStep, mustBeNew ? "written" : "frames");
         }
-        int at = random.nextInt(header ? 0 : 1, checkpoint ? 4 : 3);
-        if (at == 0) {
+        int stage = random.nextInt(header ? 0 : 1, checkpoint ? 4 : 3);
+        if (stage == 0) {
             phase = "header";
-            state.put(LOG, join(mix(header(from), header(to)), old));
-            if (of(from, LOG).length == 0) {
-                made.add(LOG);
+            state.put(LOG, withHeader(torn(header(beforeStep), header(afterStep)), old));
+            if (bytesOf(beforeStep, LOG).length == 0) {
+                createdNames.add(LOG);
             }
-            names(state);
+            loseNames(state);
             return state;
         }
         folderSynced();
-        if (at == 1) {
+        if (stage == 1) {
             phase = "frames";
-            state.put(LOG, mix(join(header(to), old), of(to, LOG)));
+            state.put(LOG, torn(withHeader(header(afterStep), old), bytesOf(afterStep, LOG)));
         } else {
             mustBeNew = true;
-            phase = at == 2 ? "written" : "checkpoint";
-            state.put(LOG, of(to, LOG));
-            // With the log whole, any mixture of the file's pages will do.
-            state.put(MAIN, at == 2 && !checkpoint ? of(state, MAIN) : mix(of(state, MAIN), of(to, MAIN)));
+            phase = stage == 2 ? "written" : "checkpoint";
+            state.put(LOG, bytesOf(afterStep, LOG));
+            // The log is complete, so any mixture of old and new pages of the file is recoverable.
+            state.put(
+                    MAIN,
+                    stage == 2 && !checkpoint
+                            ? bytesOf(state, MAIN)
+                            : torn(bytesOf(state, MAIN), bytesOf(afterStep, MAIN)));
         }
         if (bug == LedgerPlay.Bug.FOLDER_SYNCS_IGNORED) {
-            names(state);
+            loseNames(state);
         }
         return state;
     }
 
-    private Map<String, byte[]> closingCut() {
-        Map<String, byte[]> state = new TreeMap<>(from);
+    private Map<String, byte[]> closingPowerLoss() {
+        Map<String, byte[]> state = new TreeMap<>(beforeStep);
         if (random.nextBoolean()) {
             phase = "closing";
-            state.put(MAIN, mix(of(from, MAIN), of(to, MAIN)));
+            state.put(MAIN, torn(bytesOf(beforeStep, MAIN), bytesOf(afterStep, MAIN)));
         } else {
             phase = "closed";
-            state.put(MAIN, of(to, MAIN));
+            state.put(MAIN, bytesOf(afterStep, MAIN));
             if (random.nextBoolean()) {
                 state.remove(LOG);
             }
         }
         if (bug == LedgerPlay.Bug.FOLDER_SYNCS_IGNORED) {
-            names(state);
+            loseNames(state);
         }
         return state;
     }
 
-    /** The closed file with a byte or a sector gone bad. */
-    Map<String, byte[]> rotten() {
-        byte[] b = of(files, MAIN).clone();
-        int at = random.nextInt(b.length);
+    /** The closed file with one flipped bit or one zeroed sector. */
+    Map<String, byte[]> corrupted() {
+        byte[] bytes = bytesOf(files, MAIN).clone();
+        int offset = random.nextInt(bytes.length);
         if (random.nextInt(4) == 0) {
-            int sector = at / 512 * 512;
-            Arrays.fill(b, sector, Math.min(b.length, sector + 512), (byte) 0);
+            int sector = offset / 512 * 512;
+            Arrays.fill(bytes, sector, Math.min(bytes.length, sector + 512), (byte) 0);
         } else {
-            b[at] ^= (byte) (1 << random.nextInt(8));
+            bytes[offset] ^= (byte) (1 << random.nextInt(8));
         }
         Map<String, byte[]> state = new TreeMap<>();
-        state.put(MAIN, b);
+        state.put(MAIN, bytes);
         return state;
     }
 
     // --- bytes
 
-    private static byte[] of(Map<String, byte[]> state, String name) {
+    private static byte[] bytesOf(Map<String, byte[]> state, String name) {
         return state.getOrDefault(name, NONE);
     }
 
     private static byte[] header(Map<String, byte[]> state) {
-        byte[] log = of(state, LOG);
+        byte[] log = bytesOf(state, LOG);
         return Arrays.copyOf(log, Math.min(log.length, LOG_HEADER));
     }
 
-    // This header, and behind it what stands there in the log.
-    private static byte[] join(byte[] header, byte[] log) {
+    // The log with its header replaced by this one.
+    private static byte[] withHeader(byte[] header, byte[] log) {
         byte[] all = Arrays.copyOf(log, Math.max(log.length, header.length));
         System.arraycopy(header, 0, all, 0, header.length);
         return all;
     }
 
-    // Any sector old, new or torn; beyond the old end, zeroes for old.
-    private byte[] mix(byte[] old, byte[] next) {
+    // Each sector is old, new or torn; beyond the old end, old bytes are zeroes.
+    private byte[] torn(byte[] old, byte[] next) {
         int sector = random.nextBoolean() ? 512 : 4096;
         int low = Math.min(old.length, next.length);
         int high = Math.max(old.length, next.length);
@@ -406,7 +411,7 @@
         return all;
     }
 
-    // The rollback journal of a founding: no page was there before.
+    // The rollback journal of a founding, which has no earlier pages.
     private byte[] journal() {
         return ByteBuffer.allocate(512)
                 .putLong(0xd9d505f920a163d7L)
--- a/src/main/java/whinlead/testbed/mesh/hardening/Disk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Disk.java
@@ -8,81 +8,81 @@
 import whinlead.mesh.wire.AcceptorRecord;
 
 /**
- * A machine's disk and the one who writes to it, as {@code control.StateWriter} does: one write at a time, and what
- * waits meanwhile is written once, as it is last. It is slow, stalls, or refuses; what is under way as the power goes
- * is there or not. What is read back has gone through the bytes of the state store's entry. One thread.
+ * A machine's disk and its writer, which works as {@code control.StateWriter} does: one write at a time, and writes
+ * that wait meanwhile are merged into the last one. The disk can be slow, stall or refuse writes; a write interrupted
+ * by a loss of power is stored or not. Entries are read back through their serialized form. Single-threaded.
  */
 final class Disk {
-    /** What lies on it: a control node's id, and its memory. */
+    /** The stored entry: a control node's id and its acceptor state. */
     record Entry(String id, Acceptor.State memory) {}
 
-    private static final double QUICK = 1;
-    private static final double SPREAD = 3;
-    /** One sync in so many takes this long, in milliseconds. */
-    private static final int RARE = 50;
+    private static final double MIN_WRITE_MS = 1;
+    private static final double WRITE_SPREAD_MS = 3;
+    /** One write in this many takes {@link #LONG_WRITE_MS}. */
+    private static final int LONG_WRITE_PERIOD = 50;
 
-    private static final double LONG = 400;
-    /** A memory that was refused is tried again after so long where none follows, in milliseconds. */
-    private static final double PAUSE = 250;
-    /** Of a write's work, what counts as none, in milliseconds. */
-    private static final double LEAST = 1e-3;
-    /** A hanging write looks again whether the disk goes on, in milliseconds. */
-    private static final double LOOK = 10;
+    private static final double LONG_WRITE_MS = 400;
+    /** A refused entry is retried after this time if no other follows, in milliseconds. */
+    private static final double RETRY_PAUSE_MS = 250;
+    /** Remaining work of a write that counts as none, in milliseconds. */
+    private static final double NEGLIGIBLE_MS = 1e-3;
+    /** The interval at which a stalled write checks whether the disk has resumed, in milliseconds. */
+    private static final double POLL_MS = 10;
 
-    private final Agenda agenda;
+    private final Scheduler scheduler;
     private final SplittableRandom random;
-    private Entry image;
-    private Entry before;
+    private Entry stored;
+    private Entry storedBefore;
     private Entry underWay;
     private Entry next;
     private List<Runnable> waiting = new ArrayList<>();
-    private double times = 1;
-    private double stalledUntil;
-    private boolean refuses;
+    private double slowdown = 1;
+    private double stalledUntilMs;
+    private boolean isFull;
     private boolean pausing;
-    private int life;
+    private int incarnation;
 
-    Disk(Agenda agenda, SplittableRandom random) {
-        this.agenda = agenda;
+    Disk(Scheduler scheduler, SplittableRandom random) {
+        this.scheduler = scheduler;
         this.random = random;
     }
 
-    /** Puts an entry there at once: at a start, before anything is said. */
-    void found(Entry entry) {
-        image = entry;
+    /** Stores an entry immediately: at a start, before any message is sent. */
+    void store(Entry entry) {
+        stored = entry;
     }
 
-    /** What lies there, read from its bytes; null on an empty disk. */
+    /** The stored entry, read from its bytes; null on an empty disk. */
     Entry read() {
-        return image == null ? null : reread(image);
+        return stored == null ? null : reread(stored);
     }
 
-    /** What lay there one write earlier, for a planted fault. */
+    /** The entry stored one write earlier, for a planted fault. */
     Entry readBefore() {
-        return before == null ? read() : reread(before);
+        return storedBefore == null ? read() : reread(storedBefore);
     }
 
     private static Entry reread(Entry entry) {
         try {
             return new Entry(entry.id(), AcceptorRecord.read(AcceptorRecord.write(entry.memory())));
         } catch (IOException e) {
-            throw new IllegalStateException("a memory that was written can't be read", e);
+            throw new IllegalStateException("an acceptor state that was written can't be read", e);
         }
     }
 
-    /** Whether all that it was given is there. */
-    boolean settled() {
+    /** Whether all entries passed to it are stored. */
+    boolean isIdle() {
         return underWay == null && next == null && !pausing;
     }
 
-    /** Writes this, or what is asked for later, and runs it then; never if the disk refuses. */
+    /** Writes this entry or a later one, then runs the callback; never runs it if the disk refuses the write. */
     void write(Entry entry, Runnable then) {
         next = entry;
         waiting.add(then);
-        begin();
+        startWrite();
     }
 
-    private void begin() {
+    private void startWrite() {
         if (underWay != null || next == null) {
             return;
         }
@@ -90,92 +90,98 @@
         List<Runnable> then = waiting;
         next = null;
         waiting = new ArrayList<>();
-        if (refuses) {
-            refused(life);
+        if (isFull) {
+            retryLater(incarnation);
             return;
         }
-        work(QUICK + (random.nextInt(RARE) == 0 ? LONG : random.nextDouble() * SPREAD), life, then);
+        advance(
+                MIN_WRITE_MS
+                        + (random.nextInt(LONG_WRITE_PERIOD) == 0
+                                ? LONG_WRITE_MS
+                                : random.nextDouble() * WRITE_SPREAD_MS),
+                incarnation,
+                then);
     }
 
-    // What was to be told then never is; the memory is tried again.
-    private void refused(int mine) {
-        agenda.in(QUICK, () -> {
-            if (mine != life) {
+    // The callbacks of the refused write never run; the entry is retried.
+    private void retryLater(int ownIncarnation) {
+        scheduler.schedule(MIN_WRITE_MS, () -> {
+            if (ownIncarnation != incarnation) {
                 return;
             }
             Entry again = underWay;
             underWay = null;
             if (next != null) {
-                begin();
+                startWrite();
                 return;
             }
             pausing = true;
-            agenda.in(PAUSE, () -> {
-                if (mine != life) {
+            scheduler.schedule(RETRY_PAUSE_MS, () -> {
+                if (ownIncarnation != incarnation) {
                     return;
                 }
                 pausing = false;
                 if (next == null && underWay == null) {
                     next = again;
-                    begin();
+                    startWrite();
                 }
             });
         });
     }
 
-    // In steps, for it may become slow, hang and be quick again in the midst of a write.
-    private void work(double left, int mine, List<Runnable> then) {
-        boolean hangs = agenda.now() < stalledUntil;
-        double step = hangs ? LOOK : times > 1 ? Math.min(LOOK, left * times) : left;
-        double done = hangs ? 0 : step / times;
-        agenda.in(step, () -> {
-            if (mine != life) {
+    // In steps, since the disk may become slow, stall and become fast again during a write.
+    private void advance(double leftMs, int ownIncarnation, List<Runnable> then) {
+        boolean hangs = scheduler.nowMs() < stalledUntilMs;
+        double stepMs = hangs ? POLL_MS : slowdown > 1 ? Math.min(POLL_MS, leftMs * slowdown) : leftMs;
+        double doneMs = hangs ? 0 : stepMs / slowdown;
+        scheduler.schedule(stepMs, () -> {
+            if (ownIncarnation != incarnation) {
                 return;
             }
-            if (left - done > LEAST || agenda.now() < stalledUntil) {
-                work(Math.max(LEAST, left - done), mine, then);
+            if (leftMs - doneMs > NEGLIGIBLE_MS || scheduler.nowMs() < stalledUntilMs) {
+                advance(Math.max(NEGLIGIBLE_MS, leftMs - doneMs), ownIncarnation, then);
                 return;
             }
-            before = image;
-            image = underWay;
+            storedBefore = stored;
+            stored = underWay;
             underWay = null;
             then.forEach(Runnable::run);
-            begin();
+            startWrite();
         });
     }
 
-    /** The process ends, or the power goes: what is under way may have been written. */
-    void cut() {
-        if (underWay != null && !refuses && random.nextBoolean()) {
-            before = image;
-            image = underWay;
+    /** The process ends or the power fails: the current write may have been stored. */
+    void powerLost() {
+        if (underWay != null && !isFull && random.nextBoolean()) {
+            storedBefore = stored;
+            stored = underWay;
         }
         underWay = null;
         next = null;
         pausing = false;
         waiting = new ArrayList<>();
-        life++;
+        incarnation++;
     }
 
-    /** All of it is gone. */
+    /** Erases the disk. */
     void wipe() {
-        cut();
-        image = null;
-        before = null;
+        powerLost();
+        stored = null;
+        storedBefore = null;
     }
 
-    /** From now on a write takes so many times as long. */
-    void slow(double factor) {
-        times = factor;
+    /** From now on writes take this many times as long. */
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    /** Nothing ends before then. */
-    void stall(double until) {
-        stalledUntil = until;
+    /** No write ends before the given time. */
+    void stallUntil(double untilMs) {
+        stalledUntilMs = untilMs;
     }
 
-    /** From now on it is full, or no longer. */
-    void refuse(boolean full) {
-        refuses = full;
+    /** Sets whether the disk is full and refuses writes. */
+    void setFull(boolean full) {
+        isFull = full;
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Faults.java
@@ -7,123 +7,124 @@
 import whinlead.mesh.consensus.Decision;
 
 /**
- * Losses within a budget. A machine counts as lost from the trouble's begin until a distance after its return; one that
- * is replaced, until a distance after its successor's start. One thread.
+ * Injects losses within a budget. A machine counts as lost from the start of the fault until a fixed time after its
+ * return; a replaced machine, until that time after its successor's start. Single-threaded.
  */
 final class Faults {
-    /** What befalls a machine. */
+    /** A kind of fault. */
     enum Kind {
-        /** The process ends and is started again. */
+        /** The process is killed and restarted. */
         KILLED,
-        /** The disk goes with it. */
+        /** The process is killed and restarted, and the disk is lost. */
         WIPED,
-        /** It stands still and goes on. */
+        /** The process is suspended and resumed. */
         FROZEN,
-        /** Nothing reaches it or leaves it. */
+        /** No message reaches it or leaves it. */
         CUT,
-        /** Nothing reaches it. */
+        /** No message reaches it. */
         DEAF,
-        /** Nothing that it says arrives. */
+        /** None of its messages arrives. */
         MUTE,
-        /** What reaches it and leaves it is held back and comes all at once. */
+        /** Messages to it and from it are delayed and then delivered all at once. */
         HELD,
         /** Its disk takes 30 times as long. */
         SLOW_DISK,
-        /** Its disk hangs. */
+        /** Its disk stalls. */
         STALLED_DISK,
         /** Its disk refuses writes. */
         FULL_DISK,
-        /** It goes for good without a word; another comes later. */
+        /** It is removed without notice; a successor starts later. */
         REPLACED,
-        /** Another comes first, then it is told to leave. */
+        /** A successor starts first, then this machine gets SIGTERM. */
         REPLACED_AS_PLANNED
     }
 
-    private static final double LEAST = 300;
-    private static final double MOST = 6000;
-    private static final double MAX_RESTART = 2000;
-    private static final double SLOW = 30;
-    /** One machine in so many that come back finds its disk full for a while. */
-    private static final int FULL_TOO = 4;
-    /** One that was told to leave ends by itself after so long: {@code GraceS}, less what it keeps. */
-    private static final double GRACE = 5200;
+    private static final double MIN_FAULT_MS = 300;
+    private static final double MAX_FAULT_MS = 6000;
+    private static final double MAX_RESTART_MS = 2000;
+    private static final double SLOW_DISK_FACTOR = 30;
+    /** One returning machine in this many has a full disk for a while. */
+    private static final int FULL_DISK_PERIOD = 4;
+    /** A machine that got SIGTERM exits by itself after this time: {@code GraceS} less its reserve, in milliseconds. */
+    private static final double GRACE_MS = 5200;
     /** Between a new machine's start and the old one's SIGTERM, at most, in milliseconds. */
-    private static final double MAX_HANDOVER = 2000;
-    /** Between two looks, in milliseconds. */
-    private static final double LOOK = 25;
-    /** A successor without a vote for so long is not waited for, in milliseconds. */
-    private static final double UNSEATED = 20_000;
-    /** Every process of the core may end at once and is back within this, in milliseconds. */
-    private static final double POWER_BACK = 1000;
+    private static final double MAX_HANDOVER_MS = 2000;
+    /** Polling interval in milliseconds. */
+    private static final double POLL_MS = 25;
+    /** How long to wait for a successor's vote, in milliseconds. */
+    private static final double MAX_SEAT_WAIT_MS = 20_000;
+    /** After a loss of all power every process is back within this time, in milliseconds. */
+    private static final double POWER_BACK_MS = 1000;
 
-    /** A planned replacement that is measured until the next loss. */
-    private record Replacement(Machine old, double startedAt, double toldAt, int struck) {}
+    /** A planned replacement, measured until the next loss. */
+    private record Replacement(Machine old, double startedAtMs, double terminatedAtMs, int faultsBefore) {}
 
     private final Core core;
     private final int budget;
-    private final double distance;
-    private final Map<String, Double> lostUntil = new HashMap<>();
-    private final Map<String, Double> young = new HashMap<>();
+    private final double distanceMs;
+    private final Map<String, Double> lostUntilMs = new HashMap<>();
+    private final Map<String, Double> newcomerUntilMs = new HashMap<>();
     private int newcomers;
-    private int strikes;
-    private int occupied;
+    private int injectedFaults;
+    private int occupiedLosses;
 
     /**
-     * Losses.
+     * Creates an injector.
      *
-     * @param budget machines that may be lost at once
-     * @param distance after a machine's return it counts as lost for so long, in milliseconds
+     * @param budget machines that may be lost at the same time
+     * @param distance how long a machine still counts as lost after its return, in milliseconds
      */
     Faults(Core core, int budget, double distance) {
         this.core = core;
         this.budget = budget;
-        this.distance = distance;
+        this.distanceMs = distance;
     }
 
-    /** Whether one more may be lost now. */
-    boolean may() {
+    /** Whether one more machine may be lost now. */
+    boolean hasBudget() {
         return losses() < budget;
     }
 
-    /** So many losses of the budget are taken by trouble that is no machine's own, as a cut pair's is. */
+    /** Reserves losses of the budget for a fault that belongs to no single machine, such as a cut pair. */
     void occupy(int losses) {
-        occupied = losses;
+        occupiedLosses = losses;
     }
 
     /** How many machines count as lost now. */
     int losses() {
-        return (int) lostUntil.values().stream().filter(t -> t > core.now()).count();
+        return (int) lostUntilMs.values().stream().filter(t -> t > core.nowMs()).count();
     }
 
-    /** Whether nothing is lost. */
-    boolean whole() {
-        return lostUntil.values().stream().noneMatch(t -> t > core.now());
+    /** Whether no machine counts as lost. */
+    boolean nothingLost() {
+        return lostUntilMs.values().stream().noneMatch(t -> t > core.nowMs());
     }
 
-    /** Whether this machine's trouble lasts. */
-    boolean out(String address) {
-        return lostUntil.getOrDefault(address, 0.0) == Double.POSITIVE_INFINITY;
+    /** Whether this machine's fault is still active. */
+    boolean isFaulty(String address) {
+        return lostUntilMs.getOrDefault(address, 0.0) == Double.POSITIVE_INFINITY;
     }
 
     /** Whether this machine counts as lost. */
-    boolean lost(String address) {
-        return lostUntil.getOrDefault(address, 0.0) > core.now() || young.getOrDefault(address, 0.0) > core.now();
+    boolean countsAsLost(String address) {
+        return lostUntilMs.getOrDefault(address, 0.0) > core.nowMs()
+                || newcomerUntilMs.getOrDefault(address, 0.0) > core.nowMs();
     }
 
-    /** Brings it upon a machine, for a drawn time. */
-    void strike(Machine m, Kind kind) {
-        strike(m, kind, core.between(LEAST, MOST));
+    /** Injects a fault for a random time. */
+    void inject(Machine m, Kind kind) {
+        inject(m, kind, core.randomBetween(MIN_FAULT_MS, MAX_FAULT_MS));
     }
 
-    /** Brings it upon a machine, for so long where it passes by itself. */
-    void strike(Machine m, Kind kind, double lasts) {
-        if (core.traced()) {
-            core.tell(m.address() + " strikes: " + kind);
+    /** Injects a fault; the length applies to faults that end by themselves. */
+    void inject(Machine m, Kind kind, double lengthMs) {
+        if (core.isTraced()) {
+            core.log(m.address() + " gets the fault " + kind);
         }
         core.checker().count("losses");
         core.checker().count("losses, " + kind);
-        strikes++;
-        lose(m.address());
+        injectedFaults++;
+        faultBegan(m.address());
         switch (kind) {
             case KILLED, WIPED -> {
                 if (kind == Kind.WIPED) {
@@ -131,45 +132,45 @@
                 } else {
                     m.down();
                 }
-                core.agenda().in(Math.min(lasts, MAX_RESTART), () -> {
+                core.scheduler().schedule(Math.min(lengthMs, MAX_RESTART_MS), () -> {
                     m.boot();
-                    if (core.random().nextInt(FULL_TOO) == 0) {
-                        m.disk().refuse(true);
-                        passes(
+                    if (core.random().nextInt(FULL_DISK_PERIOD) == 0) {
+                        m.disk().setFull(true);
+                        endAfter(
                                 m,
-                                core.between(LEAST, MAX_RESTART),
-                                () -> m.disk().refuse(false));
+                                core.randomBetween(MIN_FAULT_MS, MAX_RESTART_MS),
+                                () -> m.disk().setFull(false));
                     } else {
-                        back(m.address());
+                        faultEnded(m.address());
                     }
                 });
             }
             case FROZEN -> {
                 m.freeze();
-                passes(m, lasts, m::thaw);
+                endAfter(m, lengthMs, m::thaw);
             }
-            case CUT -> ways(m, lasts, Network.Way.CUT, Network.Way.CUT);
-            case DEAF -> ways(m, lasts, Network.Way.CUT, Network.Way.OPEN);
-            case MUTE -> ways(m, lasts, Network.Way.OPEN, Network.Way.CUT);
-            case HELD -> ways(m, lasts, Network.Way.HELD, Network.Way.HELD);
+            case CUT -> setLinks(m, lengthMs, Network.Link.CUT, Network.Link.CUT);
+            case DEAF -> setLinks(m, lengthMs, Network.Link.CUT, Network.Link.OPEN);
+            case MUTE -> setLinks(m, lengthMs, Network.Link.OPEN, Network.Link.CUT);
+            case HELD -> setLinks(m, lengthMs, Network.Link.HELD, Network.Link.HELD);
             case SLOW_DISK -> {
-                m.disk().slow(SLOW);
-                passes(m, lasts, () -> m.disk().slow(1));
+                m.disk().setSlowdown(SLOW_DISK_FACTOR);
+                endAfter(m, lengthMs, () -> m.disk().setSlowdown(1));
             }
             case STALLED_DISK -> {
-                m.disk().stall(core.now() + lasts);
-                passes(m, lasts, () -> {});
+                m.disk().stallUntil(core.nowMs() + lengthMs);
+                endAfter(m, lengthMs, () -> {});
             }
             case FULL_DISK -> {
-                m.disk().refuse(true);
-                passes(m, lasts, () -> m.disk().refuse(false));
+                m.disk().setFull(true);
+                endAfter(m, lengthMs, () -> m.disk().setFull(false));
             }
             case REPLACED -> {
                 core.remove(m);
-                double removedAt = core.now();
-                core.agenda().in(Math.min(lasts, MAX_RESTART), () -> {
-                    measureSeat(newcomer(), m, removedAt, core.now());
-                    back(m.address());
+                double removedAtMs = core.nowMs();
+                core.scheduler().schedule(Math.min(lengthMs, MAX_RESTART_MS), () -> {
+                    measureSeat(addMachine(), m, removedAtMs, core.nowMs());
+                    faultEnded(m.address());
                 });
             }
             case REPLACED_AS_PLANNED -> replaceAsPlanned(m);
@@ -177,25 +178,25 @@
         }
     }
 
-    private void lose(String address) {
-        lostUntil.put(address, Double.POSITIVE_INFINITY);
-        core.troubled(address);
+    private void faultBegan(String address) {
+        lostUntilMs.put(address, Double.POSITIVE_INFINITY);
+        core.faultBegan(address);
     }
 
-    private void back(String address) {
-        lostUntil.put(address, core.now() + distance);
-        core.eased(address);
-        core.tell(address + " has its trouble behind it");
+    private void faultEnded(String address) {
+        lostUntilMs.put(address, core.nowMs() + distanceMs);
+        core.faultEnded(address);
+        core.log(address + " has recovered from its fault");
     }
 
-    private void passes(Machine m, double lasts, Runnable over) {
-        core.agenda().in(lasts, () -> {
-            over.run();
-            back(m.address());
+    private void endAfter(Machine m, double lengthMs, Runnable end) {
+        core.scheduler().schedule(lengthMs, () -> {
+            end.run();
+            faultEnded(m.address());
         });
     }
 
-    private void ways(Machine m, double lasts, Network.Way in, Network.Way out) {
+    private void setLinks(Machine m, double lengthMs, Network.Link in, Network.Link out) {
         List<String> others = core.machines().stream()
                 .map(Machine::address)
                 .filter(a -> !a.equals(m.address()))
@@ -204,85 +205,88 @@
             core.network().set(a, m.address(), in);
             core.network().set(m.address(), a, out);
         });
-        passes(
+        endAfter(
                 m,
-                lasts,
+                lengthMs,
                 () -> others.forEach(a -> {
-                    core.network().set(a, m.address(), Network.Way.OPEN);
-                    core.network().set(m.address(), a, Network.Way.OPEN);
+                    core.network().set(a, m.address(), Network.Link.OPEN);
+                    core.network().set(m.address(), a, Network.Link.OPEN);
                 }));
     }
 
-    // It counts as lost for a while as well, with the one whose place it takes: no trouble of its own.
-    private Machine newcomer() {
+    // The successor also counts as lost for a while, but as part of the loss of the machine it replaces.
+    private Machine addMachine() {
         Machine m = core.add("n" + ++newcomers, null);
-        core.troubled(m.address());
-        core.eased(m.address());
-        young.put(m.address(), core.now() + distance);
+        core.faultBegan(m.address());
+        core.faultEnded(m.address());
+        newcomerUntilMs.put(m.address(), core.nowMs() + distanceMs);
         return m;
     }
 
     private void replaceAsPlanned(Machine old) {
-        double startedAt = core.now();
-        newcomer();
-        core.agenda().in(core.between(0, MAX_HANDOVER), () -> {
-            lostUntil.put(old.address(), Math.max(startedAt + distance, core.now()));
-            core.eased(old.address());
-            core.tell(old.address() + " is told to leave");
-            double toldAt = core.now();
+        double startedAtMs = core.nowMs();
+        addMachine();
+        core.scheduler().schedule(core.randomBetween(0, MAX_HANDOVER_MS), () -> {
+            lostUntilMs.put(old.address(), Math.max(startedAtMs + distanceMs, core.nowMs()));
+            core.faultEnded(old.address());
+            core.log(old.address() + " gets SIGTERM");
+            double terminatedAtMs = core.nowMs();
             old.leave();
-            await(old, toldAt, toldAt + GRACE);
-            Replacement replacement = new Replacement(old, startedAt, toldAt, strikes);
-            measure(replacement, "a core that bears the next loss", this::bears);
+            awaitExit(old, terminatedAtMs, terminatedAtMs + GRACE_MS);
+            Replacement replacement = new Replacement(old, startedAtMs, terminatedAtMs, injectedFaults);
+            measure(replacement, "a core that bears the next loss", this::toleratesNextLoss);
             measure(
                     replacement,
                     "voters of whom any quorum left after the next loss has the newest",
-                    this::anyRestKnows);
+                    this::anyQuorumHasNewest);
         });
     }
 
-    private void await(Machine old, double toldAt, double until) {
-        if (core.at(old.address()) != old) {
+    private void awaitExit(Machine old, double terminatedAtMs, double untilMs) {
+        if (core.machineAt(old.address()) != old) {
             return;
         }
-        if (old.left() || core.now() >= until) {
+        if (old.mayExit() || core.nowMs() >= untilMs) {
             core.checker()
-                    .count(old.left() ? "members that left by agreement" : "members that left when their time was up");
-            core.checker().sample("a member that was told to leave, ms to its end", core.now() - toldAt);
+                    .count(
+                            old.mayExit()
+                                    ? "members that left by agreement"
+                                    : "members that left when their time was up");
+            core.checker().sample("a member that was told to leave, ms to its end", core.nowMs() - terminatedAtMs);
             core.remove(old);
         } else {
-            core.agenda().in(LOOK, () -> await(old, toldAt, until));
+            core.scheduler().schedule(POLL_MS, () -> awaitExit(old, terminatedAtMs, untilMs));
         }
     }
 
-    // An unplanned replacement: until the successor has a vote and the one that is gone has none.
-    private void measureSeat(Machine young, Machine old, double removedAt, double startedAt) {
+    // Measures an unplanned replacement until the successor has a vote and the removed machine has none.
+    private void measureSeat(Machine successor, Machine old, double removedAtMs, double startedAtMs) {
         Decision newest = core.checker().newest();
         boolean done = newest != null
-                && newest.voters().contains(young.id())
+                && newest.voters().contains(successor.id())
                 && !newest.voters().contains(old.id());
         if (done) {
             core.checker()
-                    .sample("an unplanned replacement, ms from the loss to the new voters", core.now() - removedAt);
+                    .sample("an unplanned replacement, ms from the loss to the new voters", core.nowMs() - removedAtMs);
             core.checker()
                     .sample(
                             "an unplanned replacement, ms from the new one's start to the new voters",
-                            core.now() - startedAt);
-        } else if (core.at(young.address()) != young || core.now() - startedAt > UNSEATED) {
+                            core.nowMs() - startedAtMs);
+        } else if (core.machineAt(successor.address()) != successor || core.nowMs() - startedAtMs > MAX_SEAT_WAIT_MS) {
             core.checker().count("unplanned replacements that were overtaken");
         } else {
-            core.agenda().in(LOOK, () -> measureSeat(young, old, removedAt, startedAt));
+            core.scheduler().schedule(POLL_MS, () -> measureSeat(successor, old, removedAtMs, startedAtMs));
         }
     }
 
     private void measure(Replacement r, String state, BooleanSupplier reached) {
-        if (strikes != r.struck() || lostUntil.containsValue(Double.POSITIVE_INFINITY)) {
+        if (injectedFaults != r.faultsBefore() || lostUntilMs.containsValue(Double.POSITIVE_INFINITY)) {
             core.checker().count("planned replacements that another loss overtook before " + state);
             return;
         }
-        if (core.now() - r.startedAt() > Core.SYNC + GRACE) {
+        if (core.nowMs() - r.startedAtMs() > Core.SYNC_MS + GRACE_MS) {
             core.checker()
-                    .broke(state + ": not long after a planned replacement, of "
+                    .recordViolation(state + ": not reached in time after a planned replacement of "
                             + r.old().address());
             return;
         }
@@ -290,62 +294,63 @@
             core.checker()
                     .sample(
                             "a planned replacement, ms from the new one's start to " + state,
-                            core.now() - r.startedAt());
-            core.checker().sample("a planned replacement, ms from SIGTERM to " + state, core.now() - r.toldAt());
+                            core.nowMs() - r.startedAtMs());
+            core.checker()
+                    .sample("a planned replacement, ms from SIGTERM to " + state, core.nowMs() - r.terminatedAtMs());
             return;
         }
-        core.agenda().in(LOOK, () -> measure(r, state, reached));
+        core.scheduler().schedule(POLL_MS, () -> measure(r, state, reached));
     }
 
-    // Any of the voters may go, as many as the budget still has room for, and the rest decides and knows
-    // all.
-    private boolean bears() {
+    // Any voters may be lost, up to the remaining budget, and the rest is a quorum that has the newest slot on disk.
+    private boolean toleratesNextLoss() {
         List<String> voters = core.checker().newest().voters();
         long slot = core.checker().newest().slot();
-        long able = voters.stream().filter(e -> holds(e, slot)).count();
-        return able - (budget - occupied) >= voters.size() / 2 + 1;
+        long able = voters.stream().filter(e -> hasOnDisk(e, slot)).count();
+        return able - (budget - occupiedLosses) >= voters.size() / 2 + 1;
     }
 
-    // Any of the voters may go, as many as the budget has room for: a quorum is left that knows who votes,
-    // and one of it has the newest on disk. Where decisions follow each other fast, all disks hardly ever hold
-    // the newest at the same moment, and nobody needs them to.
-    private boolean anyRestKnows() {
+    // Any voters may be lost, up to the remaining budget: a quorum is left that knows the voters, and one of it has the
+    // newest slot on disk. With decisions in quick succession, all disks hardly ever have the newest at the same
+    // moment,
+    // and the protocol does not require it.
+    private boolean anyQuorumHasNewest() {
         List<String> voters = core.checker().newest().voters();
         long informed = voters.stream()
-                .filter(e -> holds(e, core.checker().votersSlot()))
+                .filter(e -> hasOnDisk(e, core.checker().votersSlot()))
                 .count();
         long current = voters.stream()
-                .filter(e -> holds(e, core.checker().newest().slot()))
+                .filter(e -> hasOnDisk(e, core.checker().newest().slot()))
                 .count();
-        int losses = budget - occupied;
+        int losses = budget - occupiedLosses;
         return informed - losses >= voters.size() / 2 + 1 && current > losses;
     }
 
-    private boolean holds(String voter, long slot) {
+    private boolean hasOnDisk(String voter, long slot) {
         return core.machines().stream().anyMatch(m -> m.up() && m.id().equals(voter) && m.onDisk() >= slot);
     }
 
-    /** All power goes, and with it some disks; all are back within a second. */
-    void blackout(int disks) {
-        core.tell("all power goes");
+    /** All machines lose power and some lose their disks; all are back within a second. */
+    void losePower(int disks) {
+        core.log("all machines lose power");
         core.checker().count("losses of all power");
-        strikes++;
+        injectedFaults++;
         List<Machine> all = core.machines();
         int first = core.random().nextInt(all.size());
         for (int i = 0; i < all.size(); i++) {
             Machine m = all.get((first + i) % all.size());
-            lose(m.address());
+            faultBegan(m.address());
             if (i < disks) {
                 m.wipe();
             } else {
                 m.down();
             }
-            core.agenda().in(core.between(LEAST, POWER_BACK), () -> {
-                // One that was about to leave has gone.
-                if (core.at(m.address()) == m) {
+            core.scheduler().schedule(core.randomBetween(MIN_FAULT_MS, POWER_BACK_MS), () -> {
+                // A machine that was leaving may have been removed.
+                if (core.machineAt(m.address()) == m) {
                     m.boot();
                 }
-                back(m.address());
+                faultEnded(m.address());
             });
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
@@ -8,18 +8,18 @@
 import whinlead.testbed.mesh.hardening.Operation.Change;
 
 /**
- * Point 2: operators race, up to eight orders under way, under one number at times; answers are lost, and calls are
- * repeated at every other control node: at once, after a loss, after hundreds of other changes. Their history has to be
- * one of a register with compare-and-set. One schedule, one thread.
+ * Point 2: operators compete with up to eight concurrent orders, some with the same version number. Answers are lost,
+ * and calls are repeated at every other control node: immediately, after a loss, or after hundreds of other changes.
+ * The history must be linearizable as a register with compare-and-set. One schedule; single-threaded.
  */
 final class HistoryPlay {
-    private static final double CALM = 20_000;
-    private static final double LENGTH = 34_000;
-    private static final double PATIENCE = 6000;
+    private static final double CALM_AT_MS = 20_000;
+    private static final double LENGTH_MS = 34_000;
+    private static final double ORDER_TIMEOUT_MS = 6000;
     private static final int MAX_UNDER_WAY = 8;
-    private static final int LARGE = 5;
-    /** In one of so many schedules there are hundreds of changes. */
-    private static final int MANY = 20;
+    private static final int LARGE_CORE = 5;
+    /** One schedule in this many has a burst of hundreds of changes. */
+    private static final int BURST_PERIOD = 20;
 
     private static final List<Faults.Kind> KINDS = List.of(
             Faults.Kind.KILLED,
@@ -35,75 +35,76 @@
     private final Core core;
     private final Operators operators;
     private final Faults faults;
-    private final boolean many;
-    private final List<Operators.Order> taken = new ArrayList<>();
+    private final boolean hasBurst;
+    private final List<Operators.Order> repeatable = new ArrayList<>();
     private final Set<String> numbers = new HashSet<>();
-    private long base;
+    private long baseVersion;
     private int underWay;
     private int burst;
 
     private HistoryPlay(long seed, Bug bug, Trace trace) {
-        int size = seed % 4 == 0 ? LARGE : 3;
+        int size = seed % 4 == 0 ? LARGE_CORE : 3;
         core = new Core(seed, bug, trace, size);
         operators = new Operators(core, 0.2, new byte[0]);
-        faults = new Faults(core, size / 2, Core.SYNC);
-        many = seed % MANY == 1;
+        faults = new Faults(core, size / 2, Core.SYNC_MS);
+        hasBurst = seed % BURST_PERIOD == 1;
     }
 
-    /** Plays one. */
+    /** Plays one schedule. */
     static Outcome play(long seed, Bug bug, Trace trace) {
         return new HistoryPlay(seed, bug, trace).play();
     }
 
     private Outcome play() {
-        // The first configuration, by two operators, sent until it is taken.
-        core.agenda().in(core.between(0, 300), () -> send(0));
-        core.agenda().in(core.between(0, 300), () -> send(0));
-        core.agenda().in(500, this::wave);
-        core.agenda().in(700, this::read);
-        core.agenda().in(1000, this::harm);
-        if (many) {
-            core.agenda().in(4000, () -> {
+        // Two operators send the first configuration until one is taken.
+        core.scheduler().schedule(core.randomBetween(0, 300), () -> send(0));
+        core.scheduler().schedule(core.randomBetween(0, 300), () -> send(0));
+        core.scheduler().schedule(500, this::sendWave);
+        core.scheduler().schedule(700, this::read);
+        core.scheduler().schedule(1000, this::injectFaults);
+        if (hasBurst) {
+            core.scheduler().schedule(4000, () -> {
                 burst = 150 + core.random().nextInt(150);
                 burst();
             });
         }
-        core.agenda().run(CALM, core.checker()::anyBroken);
-        core.agenda().run(LENGTH - 2 * Core.ACK, core.checker()::anyBroken);
-        if (!core.checker().anyBroken()) {
-            // All that was taken is asked for again, everywhere.
-            taken.forEach(o ->
-                    core.machines().forEach(m -> core.agenda().in(core.between(0, 2000), () -> again(o, m.address()))));
-            core.agenda().run(LENGTH - Core.ACK, core.checker()::anyBroken);
-            close();
+        core.scheduler().runUntil(CALM_AT_MS, core.checker()::hasViolations);
+        core.scheduler().runUntil(LENGTH_MS - 2 * Core.ACK_MS, core.checker()::hasViolations);
+        if (!core.checker().hasViolations()) {
+            // Repeats the selected taken orders at every control node.
+            repeatable.forEach(o -> core.machines()
+                    .forEach(m ->
+                            core.scheduler().schedule(core.randomBetween(0, 2000), () -> repeat(o, m.address()))));
+            core.scheduler().runUntil(LENGTH_MS - Core.ACK_MS, core.checker()::hasViolations);
+            checkFinalReads();
         }
-        core.checker().judgeHistory();
+        core.checker().checkHistory();
         return core.checker().outcome();
     }
 
-    private void close() {
+    private void checkFinalReads() {
         int[] readers = {0};
         core.machines().forEach(m -> operators.read(m.address(), d -> readers[0] += d == null ? 0 : 1));
-        core.agenda().run(LENGTH, core.checker()::anyBroken);
-        if (readers[0] < core.machines().size() && !core.checker().anyBroken()) {
+        core.scheduler().runUntil(LENGTH_MS, core.checker()::hasViolations);
+        if (readers[0] < core.machines().size() && !core.checker().hasViolations()) {
             core.checker()
-                    .broke("only " + readers[0] + " of " + core.machines().size()
-                            + " control nodes could read after the calm");
+                    .recordViolation("only " + readers[0] + " of "
+                            + core.machines().size() + " control nodes could read after the calm");
         }
     }
 
-    private void wave() {
-        if (core.now() > CALM) {
+    private void sendWave() {
+        if (core.nowMs() > CALM_AT_MS) {
             return;
         }
         if (burst == 0) {
             int most = core.random().nextInt(3) == 0 ? MAX_UNDER_WAY : 2;
             for (int i = 1 + core.random().nextInt(most); i > 0 && underWay < MAX_UNDER_WAY; i--) {
-                // Some build on what is not the newest.
-                send(core.random().nextInt(8) == 0 ? Math.max(0, base - 1) : base);
+                // Some orders build on a version that is not the newest.
+                send(core.random().nextInt(8) == 0 ? Math.max(0, baseVersion - 1) : baseVersion);
             }
         }
-        core.agenda().in(core.between(300, 1500), this::wave);
+        core.scheduler().schedule(core.randomBetween(300, 1500), this::sendWave);
     }
 
     private void send(long builtOn) {
@@ -112,38 +113,40 @@
         if (!numbers.add(c.builtOn() + ">" + c.version())) {
             core.checker().count("changes that carry the number of another on the same version");
         }
-        operators.order(c, PATIENCE, o -> {
+        operators.order(c, ORDER_TIMEOUT_MS, o -> {
             underWay--;
             if (o.taken()) {
-                took(o);
-            } else if (builtOn == 0 && base == 0 && core.now() < CALM) {
+                acknowledged(o);
+            } else if (builtOn == 0 && baseVersion == 0 && core.nowMs() < CALM_AT_MS) {
                 send(0);
             }
         });
     }
 
-    private void took(Operators.Order o) {
+    private void acknowledged(Operators.Order o) {
         core.checker().count("orders acknowledged");
-        base = Math.max(base, o.change().version());
-        if (core.random().nextInt(3) == 0 && taken.size() < MAX_UNDER_WAY) {
-            taken.add(o);
-            core.machines().forEach(m -> core.agenda().in(core.between(0, 1500), () -> again(o, m.address())));
+        baseVersion = Math.max(baseVersion, o.change().version());
+        if (core.random().nextInt(3) == 0 && repeatable.size() < MAX_UNDER_WAY) {
+            repeatable.add(o);
+            core.machines()
+                    .forEach(m -> core.scheduler().schedule(core.randomBetween(0, 1500), () -> repeat(o, m.address())));
         }
-        if (core.now() < CALM - Core.SYNC && core.random().nextInt(8) == 0 && faults.may()) {
-            if (faults.whole() && core.random().nextBoolean()) {
-                faults.blackout(core.random().nextInt(2));
+        if (core.nowMs() < CALM_AT_MS - Core.SYNC_MS && core.random().nextInt(8) == 0 && faults.hasBudget()) {
+            if (faults.nothingLost() && core.random().nextBoolean()) {
+                faults.losePower(core.random().nextInt(2));
             } else {
-                strike();
+                injectFault();
             }
         }
     }
 
-    private void again(Operators.Order o, String at) {
-        operators.repeat(o, at, verdict -> {
+    private void repeat(Operators.Order o, String address) {
+        operators.repeat(o, address, verdict -> {
             core.checker().count("calls of a change that was taken, again: " + verdict);
             if (verdict != ConsensusNode.CallResult.TAKEN && verdict != ConsensusNode.CallResult.UNCLEAR) {
                 core.checker()
-                        .broke("a change that was taken was sent again to " + at + " and was refused: " + o.change());
+                        .recordViolation("a change that was taken was sent again to " + address + " and was refused: "
+                                + o.change());
             }
         });
     }
@@ -153,41 +156,42 @@
             return;
         }
         burst--;
-        Change c = operators.change(base);
-        operators.order(c, PATIENCE, o -> {
+        Change c = operators.change(baseVersion);
+        operators.order(c, ORDER_TIMEOUT_MS, o -> {
             if (o.taken()) {
                 core.checker().count("orders acknowledged");
-                base = Math.max(base, c.version());
+                baseVersion = Math.max(baseVersion, c.version());
             }
             burst();
         });
     }
 
     private void read() {
-        if (core.now() < CALM) {
-            operators.read(core.any().address(), d -> {
+        if (core.nowMs() < CALM_AT_MS) {
+            operators.read(core.randomMachine().address(), d -> {
                 if (d != null) {
-                    base = Math.max(base, d.version());
+                    baseVersion = Math.max(baseVersion, d.version());
                 }
             });
-            core.agenda().in(core.between(300, 1200), this::read);
+            core.scheduler().schedule(core.randomBetween(300, 1200), this::read);
         }
     }
 
-    private void harm() {
-        if (core.now() < CALM - Core.SYNC) {
-            if (faults.may() && core.random().nextInt(3) == 0) {
-                strike();
+    private void injectFaults() {
+        if (core.nowMs() < CALM_AT_MS - Core.SYNC_MS) {
+            if (faults.hasBudget() && core.random().nextInt(3) == 0) {
+                injectFault();
             }
-            core.agenda().in(500, this::harm);
+            core.scheduler().schedule(500, this::injectFaults);
         }
     }
 
-    private void strike() {
-        List<Machine> free =
-                core.machines().stream().filter(m -> !faults.lost(m.address())).toList();
+    private void injectFault() {
+        List<Machine> free = core.machines().stream()
+                .filter(m -> !faults.countsAsLost(m.address()))
+                .toList();
         if (!free.isEmpty()) {
-            faults.strike(
+            faults.inject(
                     free.get(core.random().nextInt(free.size())),
                     KINDS.get(core.random().nextInt(KINDS.size())));
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Hunt.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Hunt.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongFunction;
 
-/** Plays many schedules and sums up what they came to. For one thread; it starts and ends others. */
+/** Plays many schedules and aggregates their outcomes. Used by one thread; starts and joins worker threads. */
 public final class Hunt {
-    /** What was measured, all schedules together. */
+    /** The measurements of all schedules. */
     public static final class Samples {
         private double[] values = new double[16];
         private int size;
@@ -30,7 +30,7 @@
             sorted = false;
         }
 
-        /** The value that such a share lies under; 1 is the greatest. */
+        /** The quantile for a share; 1 gives the maximum. */
         public double part(double share) {
             if (!sorted) {
                 Arrays.sort(values, 0, size);
@@ -39,12 +39,12 @@
             return values[(int) Math.min(size - 1L, (long) (share * size))];
         }
 
-        /** A schedule that gave the greatest. */
+        /** The seed of a schedule that gave the maximum. */
         public long worstSeed() {
             return worstSeed;
         }
 
-        /** How many there are. */
+        /** The number of measurements. */
         public int size() {
             return size;
         }
@@ -55,17 +55,17 @@
     private final Map<String, Samples> samples = new TreeMap<>();
 
     /**
-     * Plays these seeds.
+     * Plays consecutive seeds.
      *
-     * @param threads so many at a time
-     * @param play one schedule
+     * @param threads the number of worker threads
+     * @param play plays one schedule
      * @throws InterruptedException if interrupted
      */
     public static Hunt of(long first, long schedules, int threads, LongFunction<Outcome> play)
             throws InterruptedException {
         Hunt hunt = new Hunt();
         AtomicLong next = new AtomicLong(first);
-        List<Thread> hunters = new ArrayList<>();
+        List<Thread> workers = new ArrayList<>();
         List<Throwable> failed = new ArrayList<>();
         for (int i = 0; i < threads; i++) {
             Thread t = new Thread(
@@ -83,9 +83,9 @@
                 }
             });
             t.start();
-            hunters.add(t);
+            workers.add(t);
         }
-        for (Thread t : hunters) {
+        for (Thread t : workers) {
             t.join();
         }
         if (!failed.isEmpty()) {
@@ -104,17 +104,17 @@
                         x -> samples.computeIfAbsent(k, n -> new Samples()).add(x, seed)));
     }
 
-    /** By seed, what was broken. */
+    /** Violated guarantees by seed. */
     public Map<Long, List<String>> broken() {
         return broken;
     }
 
-    /** What came up, and how often. */
+    /** Counted occurrences. */
     public Map<String, Integer> counts() {
         return counts;
     }
 
-    /** What was measured. */
+    /** Measurements by name. */
     public Map<String, Samples> samples() {
         return samples;
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
@@ -13,15 +13,14 @@
 import whinlead.mesh.storage.StateStoreException;
 
 /**
- * The real state store on a modelled disk. It writes to a real folder; images of the files before and after each step
- * are made into what a loss of power in that step may leave, and the real state store is opened on that. The order of
- * SQLite's writes and syncs within a step is assumed, as {@link CutDisk} has it. Checks that it gives the memory whose
- * write had returned, or the one that was being written; that what it gave once it gives again; and that what is
- * damaged is refused. The same seed plays the same, but for the salts that SQLite draws. One thread; it waits for the
- * real disk.
+ * Tests the real state store on a modelled disk. The store writes to a real folder; from images of the files before and
+ * after each step a state that a loss of power may leave is derived, and the real store is opened on it. The order of
+ * SQLite's writes and syncs within a step is assumed, see {@link CutDisk}. Checks that the store returns the state
+ * whose write had returned or the one being written, that it returns it again later, and that damaged files are
+ * refused. Deterministic for a seed, except for the salts that SQLite draws. Single-threaded; waits for the real disk.
  */
 public final class LedgerPlay {
-    /** A fault that is planted, to see that it is found. */
+    /** A fault planted to verify that it is detected. */
     public enum Bug {
         /** None. */
         NONE,
@@ -29,45 +28,45 @@
         SYNCS_IGNORED,
         /** No sync of a folder has an effect. */
         FOLDER_SYNCS_IGNORED,
-        /** A memory counts as said when its write begins. */
+        /** A state counts as acknowledged when its write begins. */
         SAID_BEFORE_SYNC,
-        /** The log that a killed process left is read without a sync. */
+        /** The log of a killed process is read without a sync. */
         KILLED_LOG_NOT_SYNCED
     }
 
-    /** What a schedule broke, and what it counted. */
+    /** The violations and counts of a schedule. */
     public record Outcome(List<String> broken, Map<String, Long> figures) {}
 
     private static final String ID = "10.0.0.1#0";
-    private static final int LIVES = 3;
+    private static final int INCARNATIONS = 3;
     private static final int WRITES = 9;
     private static final int VARIANTS = 2;
-    private static final int LARGE = 300_000;
-    private static final int SMALL = 3000;
+    private static final int LARGE_BYTES = 300_000;
+    private static final int SMALL_BYTES = 3000;
 
     private final SplittableRandom random;
     private final Bug bug;
     private final CutDisk disk;
-    private final Path base;
-    private final List<String> broken = new ArrayList<>();
+    private final Path baseFolder;
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, Long> figures = new TreeMap<>();
-    /** What the last write that returned held, or what was read since; null in a new state store. */
-    private byte[] said;
+    /** The content of the last write that returned, or what was read since; null in a new state store. */
+    private byte[] acknowledged;
     /** What is being written, or null. */
     private byte[] writing;
 
     private boolean killed;
     private int folders;
-    private int most;
+    private int maxBytes;
 
     private LedgerPlay(long seed, Bug bug, Path base) {
         random = new SplittableRandom(seed);
         this.bug = bug;
-        this.base = base;
+        this.baseFolder = base;
         disk = new CutDisk(random, bug);
     }
 
-    /** Plays the schedule of this seed. */
+    /** Plays the schedule of a seed. */
     public static Outcome play(long seed, Bug bug) {
         try {
             Path base = Files.createTempDirectory("state store");
@@ -82,57 +81,57 @@
     }
 
     private Outcome run() throws IOException {
-        most = random.nextInt(4) == 0 ? LARGE : SMALL;
-        for (int life = 0; life < LIVES && broken.isEmpty(); life++) {
+        maxBytes = random.nextInt(4) == 0 ? LARGE_BYTES : SMALL_BYTES;
+        for (int life = 0; life < INCARNATIONS && violations.isEmpty(); life++) {
             try {
-                live();
+                runIncarnation();
             } catch (StateStoreException e) {
-                broken.add("life " + life + ": " + e.getMessage());
+                violations.add("life " + life + ": " + e.getMessage());
             }
         }
-        return new Outcome(List.copyOf(broken), Map.copyOf(figures));
+        return new Outcome(List.copyOf(violations), Map.copyOf(figures));
     }
 
     private void count(String what) {
         figures.merge(what, 1L, Long::sum);
     }
 
-    private byte[] memory() {
-        byte[] m = new byte[8 + random.nextInt(most)];
+    private byte[] randomMemory() {
+        byte[] m = new byte[8 + random.nextInt(maxBytes)];
         random.nextBytes(m);
         return m;
     }
 
-    // From an opening of what the last life left to its own end.
-    private void live() throws IOException, StateStoreException {
-        Path folder = Files.createDirectory(base.resolve("life-" + ++folders));
+    // Opens the files of the last process and runs until this process ends.
+    private void runIncarnation() throws IOException, StateStoreException {
+        Path folder = Files.createDirectory(baseFolder.resolve("life-" + ++folders));
         disk.store(folder);
-        disk.begin();
+        disk.opening();
         try (StateStore stateStore = StateStore.open(folder, disk)) {
             check(stateStore.read(), "opened");
             disk.opened(folder);
             count("lives");
-            // A killed process left what no sync has covered: that the power goes soon is played more often.
+            // A killed process leaves unsynced files, so a loss of power soon after is played more often.
             int end = killed && random.nextBoolean() ? -2 : random.nextInt(WRITES) - 2;
             killed = false;
             if (end < 0) {
-                end(end == -1 ? "power while opening" : "power after opening");
+                checkPowerLoss(end == -1 ? "power while opening" : "power after opening");
                 return;
             }
             for (int i = 0; i <= end; i++) {
                 boolean last = i == end;
-                writing = memory();
+                writing = randomMemory();
                 if (last) {
-                    disk.before(folder);
+                    disk.stepBegan(folder);
                 }
                 stateStore.write(ID, writing);
                 count("writes");
                 if (last) {
-                    disk.after(folder);
+                    disk.stepReturned(folder);
                     endOfWriting(folder, stateStore);
                     return;
                 }
-                said = writing;
+                acknowledged = writing;
                 writing = null;
                 disk.written();
             }
@@ -144,76 +143,76 @@
     private void endOfWriting(Path folder, StateStore stateStore) throws IOException, StateStoreException {
         int how = random.nextInt(10);
         if (bug == Bug.SAID_BEFORE_SYNC) {
-            said = writing;
+            acknowledged = writing;
         }
         if (how < 6) {
-            end("power while writing");
+            checkPowerLoss("power while writing");
         } else if (how < 8) {
             disk.killWriting();
             count("kills");
             killed = true;
-            // What the killed process had reached is what the next one reads: either.
-            said = peek();
+            // The next process may read the old or the new state.
+            acknowledged = readCopy();
             writing = null;
         } else {
-            said = writing;
+            acknowledged = writing;
             writing = null;
             disk.written();
-            disk.before(folder);
+            disk.stepBegan(folder);
             stateStore.close();
-            disk.after(folder);
+            disk.stepReturned(folder);
             if (how == 8) {
-                end("power while closing");
+                checkPowerLoss("power while closing");
             } else {
                 disk.closed();
                 count("closed");
-                rot();
+                checkCorruption();
             }
         }
     }
 
-    // States that a loss of power here may leave: some are looked at, and the next life begins with the last.
-    private void end(String how) throws IOException, StateStoreException {
+    // Checks some states that a loss of power may leave here; the next process starts with the last one.
+    private void checkPowerLoss(String how) throws IOException, StateStoreException {
         count(how);
         for (int i = 0; i < VARIANTS; i++) {
-            Map<String, byte[]> state = disk.cut(how);
+            Map<String, byte[]> state = disk.powerLoss(how);
             count("phase " + disk.phase());
-            Path folder = Files.createDirectory(base.resolve("state-" + ++folders));
+            Path folder = Files.createDirectory(baseFolder.resolve("state-" + ++folders));
             CutDisk.store(state, folder);
             byte[] found;
             try (StateStore stateStore = StateStore.open(folder)) {
                 found = check(stateStore.read(), how + ", " + disk.phase());
-                writable(stateStore, how);
+                checkWritable(stateStore, how);
             } finally {
                 CutDisk.remove(folder);
             }
             count("states");
             if (i == VARIANTS - 1) {
-                disk.settle(state);
-                said = found;
+                disk.restart(state);
+                acknowledged = found;
                 writing = null;
             }
         }
     }
 
-    // At times: each write waits for the real disk.
-    private void writable(StateStore stateStore, String how) throws StateStoreException {
+    // Only sometimes, since each write waits for the real disk.
+    private void checkWritable(StateStore stateStore, String how) throws StateStoreException {
         if (random.nextInt(4) == 0) {
-            byte[] next = memory();
+            byte[] next = randomMemory();
             stateStore.write(ID, next);
             if (!Arrays.equals(stateStore.read().memory(), next)) {
-                broken.add(how + ", " + disk.phase() + ": what is written isn't read");
+                violations.add(how + ", " + disk.phase() + ": a written state is not read back");
             }
         }
     }
 
     private byte[] check(StateStore.Entry entry, String when) {
         byte[] found = entry == null ? null : entry.memory();
-        boolean old = Arrays.equals(found, said);
+        boolean old = Arrays.equals(found, acknowledged);
         boolean fresh = writing != null && Arrays.equals(found, writing);
         if (!old && !fresh || old && disk.mustBeNew() && writing != null) {
             String what = found == null ? "nothing" : old ? "the memory before" : "another memory";
-            broken.add(when + ": " + what + " was read");
+            violations.add(when + ": " + what + " was read");
         }
         if (writing != null && fresh) {
             count("read the new");
@@ -221,9 +220,9 @@
         return found;
     }
 
-    // What a new process reads of the files as they are, looked at in a copy.
-    private byte[] peek() throws IOException, StateStoreException {
-        Path folder = Files.createDirectory(base.resolve("peek-" + ++folders));
+    // What a new process reads from a copy of the files.
+    private byte[] readCopy() throws IOException, StateStoreException {
+        Path folder = Files.createDirectory(baseFolder.resolve("peek-" + ++folders));
         CutDisk.store(disk.files(), folder);
         try (StateStore stateStore = StateStore.open(folder)) {
             return check(stateStore.read(), "killed");
@@ -232,15 +231,15 @@
         }
     }
 
-    // A byte or a sector of the closed file goes bad: refused, or read right.
-    private void rot() throws IOException {
-        Path folder = Files.createDirectory(base.resolve("rot-" + ++folders));
-        CutDisk.store(disk.rotten(), folder);
+    // The closed file is corrupted: it must be refused or read correctly.
+    private void checkCorruption() throws IOException {
+        Path folder = Files.createDirectory(baseFolder.resolve("rot-" + ++folders));
+        CutDisk.store(disk.corrupted(), folder);
         count("rot");
         try (StateStore stateStore = StateStore.open(folder)) {
             StateStore.Entry entry = stateStore.read();
-            if (entry == null || !Arrays.equals(entry.memory(), said)) {
-                broken.add("damaged: " + (entry == null ? "nothing" : "another memory") + " was read");
+            if (entry == null || !Arrays.equals(entry.memory(), acknowledged)) {
+                violations.add("damaged: " + (entry == null ? "nothing" : "another memory") + " was read");
             }
         } catch (StateStoreException e) {
             count("rot refused");
--- a/src/main/java/whinlead/testbed/mesh/hardening/Linearizability.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Linearizability.java
@@ -12,13 +12,13 @@
 import whinlead.testbed.mesh.hardening.Operation.Value;
 
 /**
- * Whether a history of calls could have come from one register with compare-and-set, each call at one moment between
- * its begin and its end. Just in time, after Lowe: all states that the register may be in are carried along, and a
- * change takes effect no sooner than a call's end asks for it. A change takes effect once, for versions only rise; so a
- * call without a clear end needs no further mark. Pure.
+ * Checks whether a history of calls is linearizable as one register with compare-and-set. Uses Lowe's just-in-time
+ * linearization: all possible states of the register are tracked, and a change takes effect only when the end of a call
+ * requires it. Versions only rise, so a change takes effect at most once, and a call without a clear end needs no
+ * further mark. Pure.
  */
 final class Linearizability {
-    /** A state with all before it. Equal ones are the same object. */
+    /** A state with all its predecessors. Equal states are the same object. */
     private static final class Node {
         private final Value value;
         private final Node parent;
@@ -29,11 +29,11 @@
             this.parent = parent;
         }
 
-        private Node to(Value v) {
+        private Node child(Value v) {
             return next.computeIfAbsent(v, x -> new Node(x, this));
         }
 
-        private boolean has(Value v) {
+        private boolean contains(Value v) {
             Node n = this;
             while (n.value.version() > v.version()) {
                 n = n.parent;
@@ -42,13 +42,13 @@
         }
     }
 
-    /** A state, and the calls under way whose answer was right at some moment so far. */
+    /** A state, and the outstanding calls whose answer was correct at some moment so far. */
     private record Possible(Node node, Set<Integer> right) {}
 
-    private record Event(double at, boolean end, int of) {}
+    private record Event(double atMs, boolean end, int call) {}
 
     private final List<Operation> history;
-    /** By the version built on: changes that were begun. */
+    /** Changes that were begun, by the version that they build on. */
     private final Map<Long, Set<Change>> begun = new HashMap<>();
 
     private final Set<Integer> underWay = new LinkedHashSet<>();
@@ -67,19 +67,19 @@
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < history.size(); i++) {
             Operation o = history.get(i);
-            events.add(new Event(o.from(), false, i));
+            events.add(new Event(o.fromMs(), false, i));
             if (o.end() != Operation.End.UNCLEAR) {
-                events.add(new Event(o.to(), true, i));
+                events.add(new Event(o.toMs(), true, i));
             }
         }
-        // Of one moment, begins come first: the two may have been the other way round.
-        events.sort(Comparator.comparingDouble(Event::at).thenComparing(Event::end));
+        // At the same time begins come first, since the calls may have overlapped.
+        events.sort(Comparator.comparingDouble(Event::atMs).thenComparing(Event::end));
         possible.add(new Possible(new Node(Value.NONE, null), Set.of()));
         for (Event e : events) {
-            Operation o = history.get(e.of());
+            Operation o = history.get(e.call());
             if (!e.end()) {
-                begin(e.of(), o);
-            } else if (!end(e.of(), o)) {
+                begin(e.call(), o);
+            } else if (!end(e.call(), o)) {
                 return o;
             }
         }
@@ -100,12 +100,12 @@
     }
 
     private boolean end(int i, Operation o) {
-        Set<Possible> kept = new LinkedHashSet<>();
+        Set<Possible> remaining = new LinkedHashSet<>();
         Set<Possible> tried = new HashSet<>();
-        possible.forEach(p -> seek(p, i, o, kept, tried));
+        possible.forEach(p -> search(p, i, o, remaining, tried));
         underWay.remove(i);
         possible = new LinkedHashSet<>();
-        for (Possible p : kept) {
+        for (Possible p : remaining) {
             Set<Integer> right = new HashSet<>(p.right());
             right.remove(i);
             possible.add(new Possible(p.node(), right));
@@ -113,24 +113,24 @@
         return !possible.isEmpty();
     }
 
-    private void seek(Possible p, int i, Operation o, Set<Possible> kept, Set<Possible> tried) {
+    private void search(Possible p, int i, Operation o, Set<Possible> remaining, Set<Possible> tried) {
         if (!tried.add(p)) {
             return;
         }
         boolean taken = o.end() == Operation.End.TAKEN;
-        if (taken ? p.node().has(o.change().value()) : p.right().contains(i)) {
-            kept.add(p);
+        if (taken ? p.node().contains(o.change().value()) : p.right().contains(i)) {
+            remaining.add(p);
             return;
         }
         long version = p.node().value.version();
         for (Change c : begun.getOrDefault(version, Set.of())) {
             if (c.version() > version) {
-                seek(mark(p.node().to(c.value()), p.right()), i, o, kept, tried);
+                search(mark(p.node().child(c.value()), p.right()), i, o, remaining, tried);
             }
         }
     }
 
-    // An answer that is right here needs no later moment: it changes nothing.
+    // An answer that is correct here needs no later moment, since it changes nothing.
     private Possible mark(Node node, Set<Integer> right) {
         Set<Integer> all = new HashSet<>(right);
         for (int i : underWay) {
@@ -142,12 +142,13 @@
     }
 
     private static boolean fits(Operation o, Node node) {
-        Value now = node.value;
+        Value current = node.value;
         return switch (o.end()) {
-            case READ -> o.seen().equals(now);
+            case READ -> o.seen().equals(current);
             case MISMATCH ->
-                now.version() != o.change().builtOn() && !node.has(o.change().value());
-            case OLD -> now.version() == o.change().builtOn() && o.change().version() <= now.version();
+                current.version() != o.change().builtOn()
+                        && !node.contains(o.change().value());
+            case OLD -> current.version() == o.change().builtOn() && o.change().version() <= current.version();
             default -> false;
         };
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -18,52 +18,55 @@
 import whinlead.testbed.mesh.hardening.Operation.Change;
 
 /**
- * One core machine: a real consensus node, driven as {@code control.ControlNode} drives it, with a disk and a clock of
- * its own. It is up, down, or frozen: then what arrives waits, and comes all at once as it thaws. Keeps, beside the
- * consensus node, the truth of whom it has exchanged question and answer with. One thread.
+ * One core machine: a real consensus node, driven as {@code control.ControlNode} drives it, with its own disk and
+ * clock. It is up, down or frozen; what arrives while it is frozen is delivered all at once when it thaws. Records
+ * independently of the consensus node with whom it has completed a round trip. Single-threaded.
  */
 final class Machine implements ConsensusNode.Actions {
-    /** A control node that was in touch so lately says that it is, in milliseconds; as the control node has it. */
-    static final double IN_TOUCH = 1000;
-
-    private static final double TICK = 25;
-    private static final double PING = 300;
-    /** Own clocks begin anywhere. */
-    private static final double MAX_OFFSET = 1e7;
-    /** Two clocks' rounding. */
-    private static final double ROUNDING = 0.01;
-
-    /** The newest message of one life of another machine that was taken in here, by when it left there. */
-    private record Sight(String key, double sentAt) {}
+    /**
+     * A control node claims contact for this time after it last had contact, in milliseconds; same as in the control
+     * node.
+     */
+    static final double IN_TOUCH_MS = 1000;
+
+    private static final double TICK_MS = 25;
+    private static final double PING_MS = 300;
+    /** Local clocks start at a random offset up to this. */
+    private static final double MAX_OFFSET_MS = 1e7;
+    /** Tolerance for the rounding of two clocks, in milliseconds. */
+    private static final double ROUNDING_MS = 0.01;
+
+    /** The newest message received from one incarnation of another machine, by sending time. */
+    private record Receipt(String key, double sentAtMs) {}
 
     private final Core core;
     private final String address;
     private final Disk disk;
     private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
     private final Set<String> known = new LinkedHashSet<>();
-    private final Map<String, Sight> seen = new HashMap<>();
-    private final Map<String, Double> contact = new HashMap<>();
+    private final Map<String, Receipt> newestReceived = new HashMap<>();
+    private final Map<String, Double> lastContactMs = new HashMap<>();
     private final Map<Long, Consumer<ConsensusNode.CallResult>> replaces = new HashMap<>();
     private final Map<Long, Consumer<Decision>> reads = new HashMap<>();
     private String id;
     private ConsensusNode consensusNode;
-    private int life;
+    private int incarnation;
     private boolean up;
     private boolean frozen;
     private boolean leaving;
     private int lateTicks;
-    private double thawedAt = Double.NEGATIVE_INFINITY;
-    private double offset;
+    private double thawedAtMs = Double.NEGATIVE_INFINITY;
+    private double clockOffsetMs;
     private long calls;
     private long onDisk = -1;
-    private long diskVersion = -1;
-    private long metered = -1;
+    private long versionOnDisk = -1;
+    private long meteredBytes = -1;
 
     Machine(Core core, String address, Disk.Entry entry) {
         this.core = core;
         this.address = address;
-        this.disk = new Disk(core.agenda(), core.random());
-        disk.found(entry);
+        this.disk = new Disk(core.scheduler(), core.random());
+        disk.store(entry);
     }
 
     String address() {
@@ -78,22 +81,22 @@
         return disk;
     }
 
-    /** Whether it runs. */
+    /** Whether the process runs and is not frozen. */
     boolean up() {
         return up && !frozen;
     }
 
-    /** Whether it is frozen: what is sent there waits. */
-    boolean waits() {
+    /** Whether the process is frozen: messages to it wait. */
+    boolean isFrozen() {
         return up && frozen;
     }
 
-    /** The consensus node of its present life. */
+    /** The current consensus node. */
     ConsensusNode consensus() {
         return consensusNode;
     }
 
-    /** The version that it has learned, or -1. */
+    /** The version that the node has learned, or -1. */
     long version() {
         return version(consensusNode.decided());
     }
@@ -105,50 +108,50 @@
 
     /** The version that is on its disk, or -1. */
     long onDiskVersion() {
-        return diskVersion;
+        return versionOnDisk;
     }
 
-    /** Starts the process, from what is on the disk. */
+    /** Starts the process from the entry on the disk. */
     void boot() {
         if (up) {
             return;
         }
         up = true;
         frozen = false;
-        life++;
-        offset = core.random().nextDouble() * MAX_OFFSET;
+        incarnation++;
+        clockOffsetMs = core.random().nextDouble() * MAX_OFFSET_MS;
         Disk.Entry entry = core.bug() == Bug.RESTARTS_OLDER ? disk.readBefore() : disk.read();
         if (entry == null) {
-            // A new disk is a new voter: what the old one may have promised, this one can't know.
+            // A new disk makes a new voter, since promises made with the old disk are unknown.
             entry = new Disk.Entry(
                     address + "#" + Long.toHexString(core.random().nextLong() | 1),
                     new Acceptor.State(null, Ballot.NONE, null));
-            disk.found(entry);
+            disk.store(entry);
         }
         id = entry.id();
         onDisk = slot(entry.memory().decided());
-        diskVersion = version(entry.memory().decided());
+        versionOnDisk = version(entry.memory().decided());
         consensusNode = new ConsensusNode(id, entry.memory(), core.random().nextLong(), this);
-        core.tell(address + " starts as " + id + ", slot " + onDisk);
-        core.seeds(address).forEach(this::know);
-        knowVoters();
-        int mine = life;
-        core.agenda().in(core.random().nextDouble() * TICK, () -> tick(mine));
-        core.agenda().in(core.random().nextDouble() * PING, () -> ping(mine));
+        core.log(address + " starts as " + id + ", slot " + onDisk);
+        core.seeds(address).forEach(this::addKnown);
+        addKnownVoters();
+        int ownIncarnation = incarnation;
+        core.scheduler().schedule(core.random().nextDouble() * TICK_MS, () -> tick(ownIncarnation));
+        core.scheduler().schedule(core.random().nextDouble() * PING_MS, () -> ping(ownIncarnation));
     }
 
-    /** SIGTERM: it is to leave. */
+    /** Sends SIGTERM: the node starts to leave. */
     void leave() {
         leaving = true;
-        loop(() -> consensusNode.leave(local()));
+        runOnLoop(() -> consensusNode.leave(localNowMs()));
     }
 
-    /** Whether it may end: its consensus node is out, and no call is under way. */
-    boolean left() {
-        return up() && consensusNode.mayEnd(local()) && replaces.isEmpty() && reads.isEmpty();
+    /** Whether the process may exit: its consensus node has left, and no call is outstanding. */
+    boolean mayExit() {
+        return up() && consensusNode.mayEnd(localNowMs()) && replaces.isEmpty() && reads.isEmpty();
     }
 
-    /** Whether it was told to. */
+    /** Whether it got SIGTERM. */
     boolean leaving() {
         return leaving;
     }
@@ -161,79 +164,79 @@
         return decision == null ? -1 : decision.version();
     }
 
-    /** The process ends without a word; what was being written may be on the disk. */
+    /** Kills the process; the current write may be on the disk. */
     void down() {
-        core.tell(address + " ends");
+        core.log(address + " ends");
         up = false;
         frozen = false;
-        life++;
-        disk.cut();
+        incarnation++;
+        disk.powerLost();
         inbox.clear();
         known.clear();
-        seen.clear();
-        contact.clear();
+        newestReceived.clear();
+        lastContactMs.clear();
         replaces.clear();
         reads.clear();
         lateTicks = 0;
     }
 
-    /** The process ends and its disk is lost. */
+    /** Kills the process and erases its disk. */
     void wipe() {
         down();
         disk.wipe();
-        core.tell(address + " has lost its disk");
+        core.log(address + " has lost its disk");
         if (core.bug() == Bug.VOTES_AFTER_WIPE) {
-            disk.found(new Disk.Entry(id, new Acceptor.State(Decision.founding(core.founders()), Ballot.NONE, null)));
+            disk.store(new Disk.Entry(id, new Acceptor.State(Decision.founding(core.founders()), Ballot.NONE, null)));
         }
     }
 
-    /** From now on it does nothing, and what arrives waits. */
+    /** Suspends the process; what arrives waits. */
     void freeze() {
-        core.tell(address + " freezes");
+        core.log(address + " freezes");
         frozen = true;
     }
 
-    /** It goes on: ticks that were missed and messages that wait come at once, in either order. */
+    /** Resumes the process: missed ticks and waiting messages are processed at once, either kind first. */
     void thaw() {
         if (!up || !frozen) {
             return;
         }
-        core.tell(address + " thaws");
+        core.log(address + " thaws");
         frozen = false;
-        thawedAt = core.now();
+        thawedAtMs = core.nowMs();
         boolean ticksFirst = core.random().nextBoolean();
-        int mine = life;
+        int ownIncarnation = incarnation;
         if (ticksFirst) {
-            late(mine);
+            runLateTicks(ownIncarnation);
         }
-        while (!inbox.isEmpty() && life == mine) {
-            loop(mine, inbox.poll());
+        while (!inbox.isEmpty() && incarnation == ownIncarnation) {
+            runOnLoop(ownIncarnation, inbox.poll());
         }
         if (!ticksFirst) {
-            late(mine);
+            runLateTicks(ownIncarnation);
         }
     }
 
-    private void late(int mine) {
+    private void runLateTicks(int ownIncarnation) {
         for (; lateTicks > 0; lateTicks--) {
-            loop(mine, this::tick);
+            runOnLoop(ownIncarnation, this::tick);
         }
     }
 
     private void tick() {
-        if (disk.settled()) {
-            consensusNode.decisionStored(local(), slot(consensusNode.decided()));
+        if (disk.isIdle()) {
+            consensusNode.decisionStored(localNowMs(), slot(consensusNode.decided()));
         }
-        consensusNode.tick(local());
+        consensusNode.tick(localNowMs());
     }
 
-    /** Its own clock. */
-    double local() {
-        return core.now() + offset;
+    /** The local clock in milliseconds. */
+    double localNowMs() {
+        return core.nowMs() + clockOffsetMs;
     }
 
-    private void tick(int mine) {
-        if (life != mine) {
+    private void tick(int ownIncarnation) {
+        if (incarnation != ownIncarnation) {
             return;
         }
         if (frozen) {
@@ -243,50 +246,50 @@
                 consensusNode
                         .decided()
                         .voters()
-                        .forEach(e -> consensusNode.pongReceived(local(), e, consensusNode.storedSlot()));
+                        .forEach(e -> consensusNode.pongReceived(localNowMs(), e, consensusNode.storedSlot()));
             }
-            loop(mine, this::tick);
+            runOnLoop(ownIncarnation, this::tick);
         }
-        core.agenda().in(TICK, () -> tick(mine));
+        core.scheduler().schedule(TICK_MS, () -> tick(ownIncarnation));
     }
 
-    private void ping(int mine) {
-        if (life != mine) {
+    private void ping(int ownIncarnation) {
+        if (incarnation != ownIncarnation) {
             return;
         }
         if (!frozen) {
-            double sentAt = local();
+            double sentAtMs = localNowMs();
             String asker = id;
             for (String to : known) {
-                post(to, m -> m.pinged(address, asker, mine, sentAt));
+                sendTo(to, m -> m.pinged(address, asker, ownIncarnation, sentAtMs));
             }
         }
-        core.agenda().in(PING, () -> ping(mine));
+        core.scheduler().schedule(PING_MS, () -> ping(ownIncarnation));
     }
 
-    private void pinged(String from, String asker, int askersLife, double sentAt) {
+    private void pinged(String from, String asker, int askerIncarnation, double sentAtMs) {
         if (core.bug() == Bug.CONTACT_FROM_ARRIVAL) {
-            consensusNode.pongReceived(local(), asker, -1);
+            consensusNode.pongReceived(localNowMs(), asker, -1);
         }
         String answerer = id;
-        long has = consensusNode.storedSlot();
-        post(from, m -> m.ponged(askersLife, answerer, sentAt, has));
+        long storedSlot = consensusNode.storedSlot();
+        sendTo(from, m -> m.ponged(askerIncarnation, answerer, sentAtMs, storedSlot));
     }
 
-    private void ponged(int askersLife, String from, double sentAt, long slot) {
-        // An answer to an earlier life's question came on a connection that is gone.
-        if (askersLife == life) {
-            consensusNode.pongReceived(core.bug() == Bug.CONTACT_FROM_ARRIVAL ? local() : sentAt, from, slot);
+    private void ponged(int askerIncarnation, String from, double sentAtMs, long slot) {
+        // A pong for an earlier incarnation's ping belongs to a closed connection.
+        if (askerIncarnation == incarnation) {
+            consensusNode.pongReceived(core.bug() == Bug.CONTACT_FROM_ARRIVAL ? localNowMs() : sentAtMs, from, slot);
         }
     }
 
-    /** Runs something on the control node's loop: now, as it thaws, or never. */
-    void loop(Runnable task) {
-        loop(life, task);
+    /** Runs a task on the control node's loop: now, when it thaws, or never. */
+    void runOnLoop(Runnable task) {
+        runOnLoop(incarnation, task);
     }
 
-    private void loop(int mine, Runnable task) {
-        if (life != mine || !up) {
+    private void runOnLoop(int ownIncarnation, Runnable task) {
+        if (incarnation != ownIncarnation || !up) {
             return;
         }
         if (frozen) {
@@ -294,125 +297,129 @@
             return;
         }
         task.run();
-        if (core.judgesContact() && life == mine && claimsContact() && !hasContact()) {
-            core.checker().broke(address + " says that it is in touch with a majority, and is not");
+        if (core.checksContact() && incarnation == ownIncarnation && claimsContact() && !hasContact()) {
+            core.checker().recordViolation(address + " claims contact with a majority but has none");
         }
     }
 
-    /** What it says of its contact with a majority. */
+    /** Whether the node claims contact with a majority. */
     boolean claimsContact() {
-        return consensusNode.isInContactWithQuorum(local(), IN_TOUCH);
+        return consensusNode.isInContactWithQuorum(localNowMs(), IN_TOUCH_MS);
     }
 
-    /** Whether a majority of the voters that it knows has answered what left here so lately. */
+    /** Whether a majority of the known voters has answered a message sent within {@link #IN_TOUCH_MS}. */
     boolean hasContact() {
-        return contactWithin(IN_TOUCH + ROUNDING);
+        return contactWithin(IN_TOUCH_MS + ROUNDING_MS);
     }
 
-    /** The same for another time. */
-    boolean contactWithin(double millis) {
+    /** Whether a majority of the known voters has answered a message sent within the given time. */
+    boolean contactWithin(double durationMs) {
         Decision d = consensusNode.decided();
         if (d == null) {
             return false;
         }
         int reached = 0;
         for (String e : d.voters()) {
-            if (e.equals(id) || core.now() - contact.getOrDefault(e, Double.NEGATIVE_INFINITY) < millis) {
+            if (e.equals(id) || core.nowMs() - lastContactMs.getOrDefault(e, Double.NEGATIVE_INFINITY) < durationMs) {
                 reached++;
             }
         }
         return reached >= d.quorum();
     }
 
-    private String key() {
-        return id + "/" + life;
+    private String incarnationKey() {
+        return id + "/" + incarnation;
     }
 
-    private void know(String other) {
+    private void addKnown(String other) {
         if (!other.equals(address)) {
             known.add(other);
         }
     }
 
-    private void knowVoters() {
+    private void addKnownVoters() {
         if (consensusNode.decided() != null) {
-            consensusNode.decided().voters().forEach(e -> know(ConsensusNode.address(e)));
+            consensusNode.decided().voters().forEach(e -> addKnown(ConsensusNode.address(e)));
         }
     }
 
-    private void post(String to, Consumer<Machine> what) {
-        String key = key();
+    private void sendTo(String to, Consumer<Machine> what) {
+        String key = incarnationKey();
         String sender = id;
-        double sentAt = core.now();
-        Sight sight = seen.get(to);
+        double sentAtMs = core.nowMs();
+        Receipt sight = newestReceived.get(to);
         core.network().send(address, to, () -> {
-            Machine m = core.at(to);
+            Machine m = core.machineAt(to);
             if (m != null) {
-                m.loop(() -> m.arrived(address, sender, key, sentAt, sight, what));
+                m.runOnLoop(() -> m.arrived(address, sender, key, sentAtMs, sight, what));
             }
         });
     }
 
-    private void arrived(String from, String sender, String key, double sentAt, Sight sight, Consumer<Machine> what) {
-        know(from);
-        Sight last = seen.get(from);
-        if (last == null || !last.key().equals(key) || last.sentAt() < sentAt) {
-            seen.put(from, new Sight(key, sentAt));
+    private void arrived(
+            String from, String sender, String key, double sentAtMs, Receipt sight, Consumer<Machine> what) {
+        addKnown(from);
+        Receipt last = newestReceived.get(from);
+        if (last == null || !last.key().equals(key) || last.sentAtMs() < sentAtMs) {
+            newestReceived.put(from, new Receipt(key, sentAtMs));
         }
-        if (sight != null && sight.key().equals(key())) {
-            contact.merge(sender, sight.sentAt(), Math::max);
+        if (sight != null && sight.key().equals(incarnationKey())) {
+            lastContactMs.merge(sender, sight.sentAtMs(), Math::max);
         }
         what.accept(this);
     }
 
-    /** Begins to count the bytes of the messages that come. */
-    void meter() {
-        metered = 0;
+    /** Starts to count the bytes of received messages. */
+    void startMetering() {
+        meteredBytes = 0;
     }
 
-    /** The bytes counted since. */
-    long metered() {
-        return metered;
+    /** The bytes received since metering started. */
+    long meteredBytes() {
+        return meteredBytes;
     }
 
-    // --- what the consensus node has done
+    // --- actions of the consensus node
 
     @Override
     public void send(String to, Message message) {
         if (to == null) {
-            known.forEach(a -> message(a, message));
+            known.forEach(a -> sendMessage(a, message));
         } else if (to.equals(id)) {
-            int mine = life;
-            core.agenda().in(0, () -> loop(mine, () -> consensusNode.received(local(), id, message)));
+            int ownIncarnation = incarnation;
+            core.scheduler()
+                    .schedule(
+                            0,
+                            () -> runOnLoop(ownIncarnation, () -> consensusNode.received(localNowMs(), id, message)));
         } else {
-            know(ConsensusNode.address(to));
-            message(ConsensusNode.address(to), message);
+            addKnown(ConsensusNode.address(to));
+            sendMessage(ConsensusNode.address(to), message);
         }
         if (core.bug() == Bug.ACKNOWLEDGES_ON_PROMISE && message instanceof Message.Accept p) {
-            int mine = life;
-            core.agenda()
-                    .in(
+            int ownIncarnation = incarnation;
+            core.scheduler()
+                    .schedule(
                             0,
-                            () -> loop(
-                                    mine,
+                            () -> runOnLoop(
+                                    ownIncarnation,
                                     () -> consensusNode.received(
-                                            local(),
+                                            localNowMs(),
                                             to,
                                             new Message.Accepted(p.value().slot(), p.ballot()))));
         }
     }
 
-    private void message(String to, Message message) {
+    private void sendMessage(String to, Message message) {
         String sender = id;
-        post(to, m -> m.received(sender, message));
+        sendTo(to, m -> m.received(sender, message));
     }
 
     private void received(String from, Message message) {
-        if (core.traced()) {
-            core.tell(address + " gets from " + from + " " + shortly(message));
+        if (core.isTraced()) {
+            core.log(address + " receives from " + from + " " + summary(message));
         }
-        if (metered >= 0) {
-            metered += PeerMessageCodec.write(new PeerMessage.Consensus(message)).length;
+        if (meteredBytes >= 0) {
+            meteredBytes += PeerMessageCodec.write(new PeerMessage.Consensus(message)).length;
         }
         if (message instanceof Message.Decided d
                 && core.bug() == Bug.LEARNS_OLDER
@@ -425,15 +432,15 @@
                     this);
         }
         if (message instanceof Message.Decided d && core.bug() == Bug.FORGETS_TAKEN) {
-            consensusNode.received(local(), from, new Message.Decided(forgetful(d.decision())));
+            consensusNode.received(localNowMs(), from, new Message.Decided(withNewestTakenOnly(d.decision())));
         } else if (message instanceof Message.State s && core.bug() == Bug.REMOVES_BY_ONE_WORD) {
-            consensusNode.received(local(), from, agreeing(s));
+            consensusNode.received(localNowMs(), from, withAllSilent(s));
         } else {
-            consensusNode.received(local(), from, message);
+            consensusNode.received(localNowMs(), from, message);
         }
     }
 
-    private static String shortly(Message message) {
+    private static String summary(Message message) {
         return message instanceof Message.Decided d
                 ? "Decided " + d.decision().slot()
                 : message instanceof Message.Accept p
@@ -446,7 +453,7 @@
                                 : message.toString();
     }
 
-    private static Message.State agreeing(Message.State state) {
+    private static Message.State withAllSilent(Message.State state) {
         return new Message.State(
                 state.nonce(),
                 state.slot(),
@@ -456,7 +463,7 @@
                         .toList());
     }
 
-    private static Decision forgetful(Decision d) {
+    private static Decision withNewestTakenOnly(Decision d) {
         List<Decision.Taken> taken = d.taken();
         return new Decision(
                 d.slot(),
@@ -481,37 +488,37 @@
 
     @Override
     public void decided(Decision decision) {
-        if (core.traced()) {
-            core.tell(address + " learns slot " + decision.slot() + " version " + decision.version() + " voters "
+        if (core.isTraced()) {
+            core.log(address + " learns slot " + decision.slot() + " version " + decision.version() + " voters "
                     + decision.voters());
         }
         core.checker().decided(decision);
         write(
                 new Acceptor.State(decision, Ballot.NONE, null),
-                () -> consensusNode.decisionStored(local(), decision.slot()));
-        decision.voters().forEach(e -> know(ConsensusNode.address(e)));
+                () -> consensusNode.decisionStored(localNowMs(), decision.slot()));
+        decision.voters().forEach(e -> addKnown(ConsensusNode.address(e)));
     }
 
     private void write(Acceptor.State memory, Runnable then) {
-        int mine = life;
+        int ownIncarnation = incarnation;
         disk.write(
                 new Disk.Entry(id, memory),
-                () -> loop(mine, () -> {
+                () -> runOnLoop(ownIncarnation, () -> {
                     onDisk = Math.max(onDisk, slot(memory.decided()));
-                    diskVersion = Math.max(diskVersion, version(memory.decided()));
+                    versionOnDisk = Math.max(versionOnDisk, version(memory.decided()));
                     then.run();
                 }));
     }
 
-    // --- what operators order
+    // --- operator calls
 
-    /** Puts a change to the consensus node; its end is told once, or never if the process ends. */
+    /** Passes a change to the consensus node; the callback gets the result once, or never if the process ends. */
     void replace(Change change, byte[] body, Consumer<ConsensusNode.CallResult> then) {
         int call = core.checker().invoked(change);
-        // One that knows no voters yet has no majority to be out of contact with.
-        boolean alone = consensusNode.decided() != null && !contactWithin(Core.CONTACT);
+        // A node that knows no voters yet can't be out of contact with a majority.
+        boolean noMajority = consensusNode.decided() != null && !contactWithin(Core.CONTACT_MS);
         BiConsumer<Integer, ConsensusNode.CallResult> end = (c, verdict) -> {
-            ended(c, verdict, alone);
+            ended(c, verdict, noMajority);
             then.accept(verdict);
         };
         Decision d = consensusNode.decided();
@@ -522,12 +529,12 @@
             end.accept(call, ConsensusNode.CallResult.MISMATCH);
             return;
         }
-        long mine = ++calls;
-        replaces.put(mine, verdict -> end.accept(call, verdict));
-        consensusNode.replace(local(), mine, change.version(), change.builtOn(), change.digest(), body);
+        long callNumber = ++calls;
+        replaces.put(callNumber, verdict -> end.accept(call, verdict));
+        consensusNode.replace(localNowMs(), callNumber, change.version(), change.builtOn(), change.digest(), body);
     }
 
-    private void ended(int call, ConsensusNode.CallResult verdict, boolean alone) {
+    private void ended(int call, ConsensusNode.CallResult verdict, boolean noMajority) {
         core.checker()
                 .ended(
                         call,
@@ -538,27 +545,27 @@
                             case UNCLEAR -> Operation.End.UNCLEAR;
                         },
                         null);
-        double took = core.now() - core.checker().invokedAt(call);
-        if (thawedAt > core.checker().invokedAt(call)) {
-            // It stood still meanwhile.
+        double elapsedMs = core.nowMs() - core.checker().invokedAt(call);
+        if (thawedAtMs > core.checker().invokedAt(call)) {
+            // The node was frozen during the call, so its time says nothing.
             return;
         }
-        if (alone && !contactWithin(Core.CONTACT) && verdict == ConsensusNode.CallResult.UNCLEAR) {
-            core.checker().sample("a call where there was no majority for 3 s, ms to unclear", took);
+        if (noMajority && !contactWithin(Core.CONTACT_MS) && verdict == ConsensusNode.CallResult.UNCLEAR) {
+            core.checker().sample("a call where there was no majority for 3 s, ms to unclear", elapsedMs);
         } else {
-            core.checker().sample("a call, ms to " + verdict, took);
+            core.checker().sample("a call, ms to " + verdict, elapsedMs);
         }
     }
 
     /** Asks the consensus node for the newest configuration. */
     void read(Consumer<Decision> then) {
         int call = core.checker().invoked(null);
-        long mine = ++calls;
-        reads.put(mine, newest -> {
+        long callNumber = ++calls;
+        reads.put(callNumber, newest -> {
             core.checker().ended(call, newest == null ? Operation.End.UNCLEAR : Operation.End.READ, newest);
             then.accept(newest);
         });
-        consensusNode.read(local(), mine);
+        consensusNode.read(localNowMs(), callNumber);
     }
 
     @Override
--- a/src/main/java/whinlead/testbed/mesh/hardening/MembershipPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/MembershipPlay.java
@@ -5,25 +5,25 @@
 import java.util.function.Predicate;
 
 /**
- * How long a change of voters takes under orders without a pause: a learner that asks for a vote, then a voter that is
- * told to leave, then one that falls silent. Each is measured from its cause to the first decision with the new voters,
- * in milliseconds and in slots decided meanwhile. One schedule, one thread.
+ * Measures how long a change of voters takes under continuous orders: a learner that requests a vote, then a voter that
+ * gets SIGTERM, then a voter that is killed. Each is measured from its cause to the first decision with the new voters,
+ * in milliseconds and in slots decided meanwhile. One schedule; single-threaded.
  */
 public final class MembershipPlay {
-    private static final double FIRST = 2000;
-    private static final double LOOK = 1;
-    private static final double PATIENCE = 8000;
-    private static final double PAUSE = 1000;
-    /** The time after which a voter that answers nothing is silent, in milliseconds. */
-    private static final double SILENCE = 2500;
-
-    private static final double END = 40_000;
+    private static final double FIRST_CHANGE_MS = 2000;
+    private static final double POLL_MS = 1;
+    private static final double ORDER_TIMEOUT_MS = 8000;
+    private static final double MAX_PAUSE_MS = 1000;
+    /** The time after which a voter that does not answer counts as silent, in milliseconds. */
+    private static final double SILENCE_MS = 2500;
+
+    private static final double END_MS = 40_000;
     private static final int VOTERS = 3;
 
     private final Core core;
     private final Operators operators;
     private final int underWay;
-    private long base;
+    private long baseVersion;
     private boolean done;
 
     private MembershipPlay(long seed, Bug bug, Trace trace, int underWay) {
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Plays one schedule; the same seed plays the same.
+     * Plays one schedule; deterministic for a seed.
      *
-     * @param underWay orders under way at any time
+     * @param underWay the number of concurrent orders
      */
     public static Outcome play(long seed, Bug bug, Trace trace, int underWay) {
         return new MembershipPlay(seed, bug, trace, underWay).play();
@@ -43,69 +43,73 @@
 
     private Outcome play() {
         for (int i = 0; i < underWay; i++) {
-            core.agenda().in(core.between(0, 100), this::order);
+            core.scheduler().schedule(core.randomBetween(0, 100), this::order);
         }
-        core.agenda().in(FIRST + core.between(0, PAUSE), this::newcomer);
-        core.agenda().run(END, () -> done || core.checker().anyBroken());
+        core.scheduler().schedule(FIRST_CHANGE_MS + core.randomBetween(0, MAX_PAUSE_MS), this::measureJoin);
+        core.scheduler().runUntil(END_MS, () -> done || core.checker().hasViolations());
         if (!done) {
-            core.checker().broke("a change of voters is not done after " + END + " ms");
+            core.checker().recordViolation("a change of voters is not done after " + END_MS + " ms");
         }
         return core.checker().outcome();
     }
 
     private void order() {
-        operators.order(operators.change(base), PATIENCE, order -> {
+        operators.order(operators.change(baseVersion), ORDER_TIMEOUT_MS, order -> {
             if (order.taken()) {
-                base = Math.max(base, order.change().version());
+                baseVersion = Math.max(baseVersion, order.change().version());
             }
-            core.agenda().in(0, this::order);
+            core.scheduler().schedule(0, this::order);
         });
     }
 
-    private void newcomer() {
+    private void measureJoin() {
         Machine added = core.add("n1", null);
         await(
                 () -> added.onDisk() >= 0,
                 () -> measure(
-                        "newcomer's request", slot(), core.now(), voters -> voters.contains(added.id()), this::leaver));
+                        "newcomer's request",
+                        slot(),
+                        core.nowMs(),
+                        voters -> voters.contains(added.id()),
+                        this::measureLeave));
     }
 
-    private void leaver() {
-        Machine leaver = draw();
+    private void measureLeave() {
+        Machine leaver = randomVoter();
         leaver.leave();
-        double toldAt = core.now();
+        double terminatedAtMs = core.nowMs();
         measure(
                 "SIGTERM",
                 slot(),
-                toldAt,
+                terminatedAtMs,
                 voters -> !voters.contains(leaver.id()),
-                () -> await(() -> leaver.left(), () -> {
-                    core.checker().sample(title("SIGTERM to the process's end, ms"), core.now() - toldAt);
+                () -> await(() -> leaver.mayExit(), () -> {
+                    core.checker().sample(title("SIGTERM to the process's end, ms"), core.nowMs() - terminatedAtMs);
                     core.remove(leaver);
-                    fourth();
+                    addFourth();
                 }));
     }
 
-    private void fourth() {
+    private void addFourth() {
         Machine added = core.add("n2", null);
-        await(() -> core.checker().newest().voters().contains(added.id()), this::silence);
+        await(() -> core.checker().newest().voters().contains(added.id()), this::measureSilence);
     }
 
-    private void silence() {
-        Machine silent = draw();
+    private void measureSilence() {
+        Machine silent = randomVoter();
         silent.down();
-        core.agenda()
-                .in(
-                        SILENCE,
+        core.scheduler()
+                .schedule(
+                        SILENCE_MS,
                         () -> measure(
                                 "silence of 2.5 s",
                                 slot(),
-                                core.now(),
+                                core.nowMs(),
                                 voters -> !voters.contains(silent.id()),
                                 () -> done = true));
     }
 
-    private Machine draw() {
+    private Machine randomVoter() {
         List<Machine> voters = core.machines().stream()
                 .filter(machine -> core.checker().newest().voters().contains(machine.id()))
                 .toList();
@@ -120,14 +124,14 @@
         return underWay + " under way, " + what;
     }
 
-    private void measure(String cause, long fromSlot, double from, Predicate<List<String>> reached, Runnable then) {
+    private void measure(String cause, long fromSlot, double fromMs, Predicate<List<String>> reached, Runnable then) {
         await(() -> reached.test(core.checker().newest().voters()), () -> {
-            core.checker().sample(title(cause + " to the new voters, ms"), core.now() - from);
+            core.checker().sample(title(cause + " to the new voters, ms"), core.nowMs() - fromMs);
             core.checker()
                     .sample(
                             title(cause + " to the new voters, changes decided meanwhile"),
                             Math.max(0, slot() - fromSlot - 1));
-            core.agenda().in(core.between(0, PAUSE), then);
+            core.scheduler().schedule(core.randomBetween(0, MAX_PAUSE_MS), then);
         });
     }
 
@@ -135,7 +139,7 @@
         if (condition.getAsBoolean()) {
             then.run();
         } else {
-            core.agenda().in(LOOK, () -> await(condition, then));
+            core.scheduler().schedule(POLL_MS, () -> await(condition, then));
         }
     }
 }
