--- a/src/main/java/whinlead/testbed/mesh/hardening/Network.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Network.java
@@ -7,79 +7,80 @@
 import java.util.SplittableRandom;
 
 /**
- * The ways between machines, each direction by itself: open, cut, or holding back what is sent until it is open again,
- * when all of it arrives at once. On an open way messages take a drawn time, are lost, and come twice. One thread.
+ * The links between machines, each direction separately: open, cut, or holding messages until the link is open again,
+ * when all of them arrive at once. Messages on an open link have a random delay and may be lost or duplicated.
+ * Single-threaded.
  */
 final class Network {
-    /** How a way stands. */
-    enum Way {
+    /** The state of one direction of a link. */
+    enum Link {
         OPEN,
         CUT,
         HELD
     }
 
-    private static final double NEAREST = 0.5;
-    private static final double SPREAD = 2;
-    /** The second of two comes so much later at most, in milliseconds. */
-    private static final double TWIN_LATE = 400;
+    private static final double MIN_DELAY_MS = 0.5;
+    private static final double DELAY_SPREAD_MS = 2;
+    /** The maximum additional delay of a duplicate, in milliseconds. */
+    private static final double DUPLICATE_DELAY_MS = 400;
 
-    private final Agenda agenda;
+    private final Scheduler scheduler;
     private final SplittableRandom random;
-    private final Map<String, Way> ways = new HashMap<>();
+    private final Map<String, Link> links = new HashMap<>();
     private final Map<String, List<Runnable>> held = new HashMap<>();
-    private double loss;
-    private double twice;
+    private double lossShare;
+    private double duplicateShare;
 
-    Network(Agenda agenda, SplittableRandom random) {
-        this.agenda = agenda;
+    Network(Scheduler scheduler, SplittableRandom random) {
+        this.scheduler = scheduler;
         this.random = random;
     }
 
-    /** From now on such a share of all messages is lost, and such a share comes twice. */
-    void spoil(double lost, double doubled) {
-        loss = lost;
-        twice = doubled;
+    /** Sets the shares of messages that are lost and duplicated from now on. */
+    void setFaultShares(double lost, double doubled) {
+        lossShare = lost;
+        duplicateShare = doubled;
     }
 
-    /** Sets one direction. */
-    void set(String from, String to, Way way) {
+    /** Sets the state of one direction. */
+    void set(String from, String to, Link way) {
         String key = from + ">" + to;
-        ways.put(key, way);
-        if (way == Way.OPEN) {
+        links.put(key, way);
+        if (way == Link.OPEN) {
             List<Runnable> late = held.remove(key);
             if (late != null) {
-                agenda.in(NEAREST, () -> late.forEach(Runnable::run));
+                scheduler.schedule(MIN_DELAY_MS, () -> late.forEach(Runnable::run));
             }
-        } else if (way == Way.CUT) {
+        } else if (way == Link.CUT) {
             held.remove(key);
         }
     }
 
-    /** Whether messages arrive in this direction. */
-    boolean open(String from, String to) {
-        return ways.getOrDefault(from + ">" + to, Way.OPEN) == Way.OPEN;
+    /** Whether this direction is open. */
+    boolean isOpen(String from, String to) {
+        return links.getOrDefault(from + ">" + to, Link.OPEN) == Link.OPEN;
     }
 
-    /** Sends as over a connection that is open: only cuts and what is held back stand against it. */
-    void sendSurely(String from, String to, Runnable arrive) {
-        double share = loss;
-        double doubled = twice;
-        spoil(0, 0);
+    /** Sends as over an open connection: neither lost nor duplicated, but affected by cut and held links. */
+    void sendReliably(String from, String to, Runnable arrive) {
+        double savedLoss = lossShare;
+        double savedDuplicate = duplicateShare;
+        setFaultShares(0, 0);
         send(from, to, arrive);
-        spoil(share, doubled);
+        setFaultShares(savedLoss, savedDuplicate);
     }
 
-    /** Sends, now or never. */
+    /** Sends a message, which may be lost, delayed or duplicated. */
     void send(String from, String to, Runnable arrive) {
-        switch (ways.getOrDefault(from + ">" + to, Way.OPEN)) {
+        switch (links.getOrDefault(from + ">" + to, Link.OPEN)) {
             case CUT -> {}
             case HELD ->
                 held.computeIfAbsent(from + ">" + to, k -> new ArrayList<>()).add(arrive);
             default -> {
-                if (random.nextDouble() >= loss) {
-                    agenda.in(NEAREST + random.nextDouble() * SPREAD, arrive);
-                    if (random.nextDouble() < twice) {
-                        agenda.in(NEAREST + random.nextDouble() * TWIN_LATE, arrive);
+                if (random.nextDouble() >= lossShare) {
+                    scheduler.schedule(MIN_DELAY_MS + random.nextDouble() * DELAY_SPREAD_MS, arrive);
+                    if (random.nextDouble() < duplicateShare) {
+                        scheduler.schedule(MIN_DELAY_MS + random.nextDouble() * DUPLICATE_DELAY_MS, arrive);
                     }
                 }
             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Operation.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operation.java
@@ -1,15 +1,15 @@
 package whinlead.testbed.mesh.hardening;
 
 /**
- * An operator's call at one control node: invoked, and answered or not.
+ * An operator's call at one control node, answered or not.
  *
- * @param change what is to be put in place, or null for a read
- * @param from when the control node got it, in milliseconds
- * @param to when the control node ended it; infinite if it never did
- * @param end how
- * @param seen what a read found; null if it found out nothing
+ * @param change the change to apply, or null for a read
+ * @param fromMs when the control node received it, in milliseconds
+ * @param toMs when the control node ended it, in milliseconds; infinite if it never did
+ * @param end how it ended
+ * @param seen the value that a read returned; null if it returned none
  */
-record Operation(Change change, double from, double to, End end, Value seen) {
+record Operation(Change change, double fromMs, double toMs, End end, Value seen) {
     /** A configuration built on another. */
     record Change(long version, long builtOn, String digest) {
         Value value() {
@@ -17,23 +17,23 @@
         }
     }
 
-    /** What the register holds. */
+    /** The value of the register. */
     record Value(long version, String digest) {
-        /** Before the first configuration. */
+        /** The value before the first configuration. */
         static final Value NONE = new Value(0, "");
     }
 
     /** How a call ended. */
     enum End {
-        /** In place, by this call or by the same one sent before. */
+        /** Applied, by this call or by the same call sent earlier. */
         TAKEN,
-        /** Refused: another version than the one built on is in place. */
+        /** Refused: the current version is not the one that the change builds on. */
         MISMATCH,
-        /** Refused: its number does not exceed the one in place. */
+        /** Refused: its version does not exceed the current one. */
         OLD,
         /** It may take effect now, later or never. */
         UNCLEAR,
-        /** A read that found a value. */
+        /** A read that returned a value. */
         READ
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
@@ -8,34 +8,34 @@
 import whinlead.testbed.mesh.hardening.Operation.Change;
 
 /**
- * Operators, as the pages describe them: an order goes to any control node, to the next one after a second of silence
- * or an unclear end, with a pause that grows, and its answer may be lost on the way. One thread.
+ * Operators as the documentation describes them: an order goes to any control node, and after a second of silence or an
+ * unclear result to another one, with a growing pause. Answers may be lost. Single-threaded.
  */
 final class Operators {
-    private static final double SILENCE = 1000;
-    private static final double PAUSE = 50;
-    private static final double MAX_PAUSE = 800;
-    private static final double MAX_WAY = 4;
-    /** One order in so many goes anywhere all the same. */
-    private static final int STAYS = 12;
-
-    /** An order on its way. */
+    private static final double SILENCE_MS = 1000;
+    private static final double MIN_PAUSE_MS = 50;
+    private static final double MAX_PAUSE_MS = 800;
+    private static final double MAX_DELAY_MS = 4;
+    /** One order in this many goes to a random control node all the same. */
+    private static final int OTHER_NODE_PERIOD = 12;
+
+    /** An outstanding order. */
     static final class Order {
         private final Change change;
         private final byte[] body;
-        private final double begunAt;
-        private final double until;
+        private final double begunAtMs;
+        private final double untilMs;
         private final Consumer<Order> then;
         private ConsensusNode.CallResult end;
         private int tries;
-        private double pause = PAUSE;
-        private double reachedAt = Double.NaN;
+        private double pauseMs = MIN_PAUSE_MS;
+        private double reachedAtMs = Double.NaN;
 
         private Order(Change change, byte[] body, double begunAt, double until, Consumer<Order> then) {
             this.change = change;
             this.body = body;
-            this.begunAt = begunAt;
-            this.until = until;
+            this.begunAtMs = begunAt;
+            this.untilMs = until;
             this.then = then;
         }
 
@@ -47,18 +47,18 @@
             return body;
         }
 
-        double begunAt() {
-            return begunAt;
+        double begunAtMs() {
+            return begunAtMs;
         }
 
-        /** How it ended; null if no clear answer came in all its time. */
+        /** How it ended; null if no clear answer arrived within its timeout. */
         ConsensusNode.CallResult end() {
             return end;
         }
 
-        /** When it first came to a control node that is in touch with a majority; NaN if it never did. */
-        double reachedAt() {
-            return reachedAt;
+        /** When it first reached a control node in contact with a majority; NaN if it never did. */
+        double reachedAtMs() {
+            return reachedAtMs;
         }
 
         boolean taken() {
@@ -67,37 +67,37 @@
     }
 
     private final Core core;
-    private final double lost;
+    private final double lostShare;
     private final byte[] filler;
     private long digests;
-    private boolean stays;
-    private String last;
+    private boolean prefersLast;
+    private String lastAnswered;
 
     /**
-     * Operators.
+     * Creates operators.
      *
-     * @param lost share of answers that don't come
-     * @param filler follows the digest in each body
+     * @param lost share of answers that are lost
+     * @param filler bytes that follow the digest in each body
      */
     Operators(Core core, double lost, byte[] filler) {
         this.core = core;
-        this.lost = lost;
+        this.lostShare = lost;
         this.filler = filler;
     }
 
-    /** A change of its own on top of a version. */
+    /** A new change that builds on a version. */
     Change change(long builtOn) {
         return new Change(builtOn + 1 + core.random().nextInt(3), builtOn, String.format("%016x", ++digests));
     }
 
-    /** Sends an order until it has a clear end or its time is up, and tells it then. */
-    Order order(Change change, double patience, Consumer<Order> then) {
-        Order o = new Order(change, body(change), core.now(), core.now() + patience, then);
-        attempt(o, first());
-        return o;
+    /** Sends an order until it has a clear result or times out, then runs the callback. */
+    Order order(Change change, double timeoutMs, Consumer<Order> then) {
+        Order order = new Order(change, body(change), core.nowMs(), core.nowMs() + timeoutMs, then);
+        attempt(order, firstAddress());
+        return order;
     }
 
-    /** A configuration of this digest. */
+    /** The body of a change: its digest and the filler. */
     byte[] body(Change change) {
         byte[] digest = change.digest().getBytes(StandardCharsets.UTF_8);
         byte[] body = Arrays.copyOf(digest, digest.length + filler.length);
@@ -106,46 +106,49 @@
     }
 
     /** From now on most orders go first to the control node that answered last. */
-    void stay() {
-        stays = true;
+    void preferLast() {
+        prefersLast = true;
     }
 
-    private String first() {
-        return stays && last != null && core.at(last) != null && core.random().nextInt(STAYS) > 0
-                ? last
-                : core.any().address();
+    private String firstAddress() {
+        return prefersLast
+                        && lastAnswered != null
+                        && core.machineAt(lastAnswered) != null
+                        && core.random().nextInt(OTHER_NODE_PERIOD) > 0
+                ? lastAnswered
+                : core.randomMachine().address();
     }
 
-    /** Sends it once more, to one control node, and tells how that ended; never, if no answer comes. */
-    void repeat(Order order, String at, Consumer<ConsensusNode.CallResult> then) {
-        ask(at, order, then, () -> {});
+    /** Repeats an order at one control node; the callback gets the result, or never runs if no answer arrives. */
+    void repeat(Order order, String address, Consumer<ConsensusNode.CallResult> then) {
+        call(address, order, then, () -> {});
     }
 
-    private void attempt(Order o, String at) {
-        if (core.now() >= o.until) {
+    private void attempt(Order o, String address) {
+        if (core.nowMs() >= o.untilMs) {
             o.then.accept(o);
             return;
         }
-        int mine = ++o.tries;
+        int attempt = ++o.tries;
         Runnable next = () -> {
-            if (o.tries == mine && o.end == null) {
+            if (o.tries == attempt && o.end == null) {
                 o.tries++;
-                core.agenda().in(o.pause, () -> attempt(o, another(at)));
-                o.pause = Math.min(MAX_PAUSE, o.pause * 2);
+                core.scheduler().schedule(o.pauseMs, () -> attempt(o, otherAddress(address)));
+                o.pauseMs = Math.min(MAX_PAUSE_MS, o.pauseMs * 2);
             }
         };
-        core.agenda().in(SILENCE, next);
-        ask(
-                at,
+        core.scheduler().schedule(SILENCE_MS, next);
+        call(
+                address,
                 o,
                 verdict -> {
                     if (verdict == ConsensusNode.CallResult.UNCLEAR) {
                         next.run();
-                    } else if (o.end == null && o.tries == mine) {
+                    } else if (o.end == null && o.tries == attempt) {
                         o.end = verdict;
-                        last = at;
-                        if (core.traced()) {
-                            core.tell(o.change + " ends " + verdict + " from " + at);
+                        lastAnswered = address;
+                        if (core.isTraced()) {
+                            core.log(o.change + " ends " + verdict + " from " + address);
                         }
                         o.then.accept(o);
                     }
@@ -153,50 +156,51 @@
                 next);
     }
 
-    private String another(String than) {
-        String at = than;
-        for (int i = 0; i < 4 && at.equals(than); i++) {
-            at = core.any().address();
+    private String otherAddress(String previous) {
+        String address = previous;
+        for (int i = 0; i < 4 && address.equals(previous); i++) {
+            address = core.randomMachine().address();
         }
-        return at;
+        return address;
     }
 
-    private void ask(String at, Order o, Consumer<ConsensusNode.CallResult> then, Runnable closed) {
-        core.agenda().in(way(), () -> {
-            Machine m = core.at(at);
-            if (m == null || !m.up() && !m.waits()) {
-                core.agenda().in(way(), closed);
+    private void call(String address, Order o, Consumer<ConsensusNode.CallResult> then, Runnable closed) {
+        core.scheduler().schedule(delayMs(), () -> {
+            Machine m = core.machineAt(address);
+            if (m == null || !m.up() && !m.isFrozen()) {
+                core.scheduler().schedule(delayMs(), closed);
                 return;
             }
-            m.loop(() -> {
-                if (Double.isNaN(o.reachedAt) && m.hasContact()) {
-                    o.reachedAt = core.now();
+            m.runOnLoop(() -> {
+                if (Double.isNaN(o.reachedAtMs) && m.hasContact()) {
+                    o.reachedAtMs = core.nowMs();
                 }
-                m.replace(o.change, o.body, verdict -> ended(at, o, verdict, then));
+                m.replace(o.change, o.body, verdict -> ended(address, o, verdict, then));
             });
         });
     }
 
-    private void ended(String at, Order o, ConsensusNode.CallResult verdict, Consumer<ConsensusNode.CallResult> then) {
-        if (core.traced()) {
-            core.tell(at + " ends a call of " + o.change + " " + verdict);
+    private void ended(
+            String address, Order o, ConsensusNode.CallResult verdict, Consumer<ConsensusNode.CallResult> then) {
+        if (core.isTraced()) {
+            core.log(address + " ends a call of " + o.change + " " + verdict);
         }
-        if (core.random().nextDouble() >= lost) {
-            core.agenda().in(way(), () -> then.accept(verdict));
+        if (core.random().nextDouble() >= lostShare) {
+            core.scheduler().schedule(delayMs(), () -> then.accept(verdict));
         }
     }
 
-    /** Reads at one control node; null where it could not say, and nothing where it is down. */
-    void read(String at, Consumer<Decision> then) {
-        core.agenda().in(way(), () -> {
-            Machine m = core.at(at);
+    /** Reads at one control node; the callback gets null if the node could not answer, and never runs if it is down. */
+    void read(String address, Consumer<Decision> then) {
+        core.scheduler().schedule(delayMs(), () -> {
+            Machine m = core.machineAt(address);
             if (m != null) {
-                m.loop(() -> m.read(d -> core.agenda().in(way(), () -> then.accept(d))));
+                m.runOnLoop(() -> m.read(d -> core.scheduler().schedule(delayMs(), () -> then.accept(d))));
             }
         });
     }
 
-    private double way() {
-        return core.between(PAUSE / 100, MAX_WAY);
+    private double delayMs() {
+        return core.randomBetween(MIN_PAUSE_MS / 100, MAX_DELAY_MS);
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Outcome.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Outcome.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * What a schedule came to.
+ * The outcome of a schedule.
  *
- * @param broken promises that were broken; the schedule ends at the first
- * @param counts how often something came up
- * @param samples times in milliseconds, or bytes, by what was measured
+ * @param broken violated guarantees; the schedule ends at the first one
+ * @param counts counted occurrences
+ * @param samples measurements by name, in milliseconds or bytes
  */
 public record Outcome(List<String> broken, Map<String, Integer> counts, Map<String, List<Double>> samples) {}
--- a/src/main/java/whinlead/testbed/mesh/hardening/Point.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Point.java
@@ -2,17 +2,17 @@
 
 import java.util.Arrays;
 
-/** What schedules bring about. */
+/** The kinds of schedules. */
 public enum Point {
-    /** Machines cut off for some twenty seconds. */
+    /** Machines isolated for about 20 s. */
     CUT(1, CutPlay::play),
-    /** Operators' histories. */
+    /** Histories of concurrent operators. */
     HISTORY(2, HistoryPlay::play),
-    /** Losses one after the other, and members that come and go. */
-    SEATS(3, (seed, bug, trace) -> SeatsPlay.play(seed, bug, trace, Core.SYNC)),
-    /** Hundreds of changes past a member. */
+    /** Successive losses, and members that join and leave. */
+    SEATS(3, (seed, bug, trace) -> SeatsPlay.play(seed, bug, trace, Core.SYNC_MS)),
+    /** A member that missed hundreds of changes. */
     CATCH_UP(4, CatchUpPlay::play),
-    /** Pairs of voters that can't reach each other while both reach the rest. */
+    /** Pairs of voters that can't reach each other while both reach the others. */
     PAIR_CUT(6, PairCutPlay::play);
 
     /** Plays a schedule. */
@@ -28,13 +28,13 @@
         this.play = play;
     }
 
-    /** The number by which it is asked for. */
+    /** The number that selects it. */
     public int number() {
         return number;
     }
 
     /**
-     * The one of a number.
+     * Returns the constant with a number.
      *
      * @throws IllegalArgumentException if there is none
      */
@@ -45,15 +45,15 @@
                 .orElseThrow(() -> new IllegalArgumentException("no point has the number " + number));
     }
 
-    /** Plays one schedule; the same seed plays the same. For any thread. */
+    /** Plays one schedule; deterministic for a seed. Thread-safe. */
     public Outcome play(long seed, Bug bug, Trace trace) {
         return play.play(seed, bug, trace);
     }
 
     /**
-     * Plays one schedule of {@link #SEATS} at a distance of one's own.
+     * Plays one schedule of {@link #SEATS} with a given distance.
      *
-     * @param distance between a machine's return and the next loss, in milliseconds
+     * @param distance minimum time between a machine's return and the next loss, in milliseconds
      */
     public static Outcome playSeats(long seed, Bug bug, Trace trace, double distance) {
         return SeatsPlay.play(seed, bug, trace, distance);
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
@@ -26,39 +26,42 @@
 import whinlead.mesh.rpc.RpcServer;
 import whinlead.plan.Calendar;
 
-/** Pipelined calls through the real server of calls, answered in any order. One thread; driven time. */
+/** Pipelined calls through the real RPC server, completed in any order. Single-threaded, with driven time. */
 final class RelayCalls {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String END = "\r\n\r\n";
+    private static final String HEAD_END = "\r\n\r\n";
 
     private final Calendar calendar;
     private final SplittableRandom random;
-    private final Consumer<String> broken;
-    private final List<String> wanted = new ArrayList<>();
-    private final StringBuilder in = new StringBuilder();
+    private final Consumer<String> violations;
+    private final List<String> expected = new ArrayList<>();
+    private final StringBuilder received = new StringBuilder();
     private EmbeddedChannel channel;
-    private int heard;
+    private int answered;
 
-    RelayCalls(Calendar calendar, SplittableRandom random, Consumer<String> broken) {
+    RelayCalls(Calendar calendar, SplittableRandom random, Consumer<String> violations) {
         this.calendar = calendar;
         this.random = random;
-        this.broken = broken;
+        this.violations = violations;
     }
 
-    /** Makes the connection. */
-    void start(boolean asTheyCome) {
+    /** Connects to the server. */
+    void start(boolean unordered) {
         channel = new EmbeddedChannel();
         channel.pipeline()
-                .addLast(asTheyCome ? naive() : new RpcServer(channel.eventLoop(), MAPPER, this::run).handlers());
+                .addLast(
+                        unordered
+                                ? unorderedServer()
+                                : new RpcServer(channel.eventLoop(), MAPPER, this::run).handlers());
     }
 
-    /** Says a call, of a number or of no name, in two pieces. */
+    /** Writes a call in two pieces: a numbered one, or one with an unknown name. */
     void call() {
         boolean named = random.nextInt(5) > 0;
-        String n = Integer.toString(wanted.size());
-        wanted.add(named ? n : "names nothing: none" + n);
-        String call = "POST /whinlead/rpc?call=" + (named ? "members.depart&of=" : "none") + n
-                + " HTTP/1.1\r\nContent-Length: 0" + END;
+        String number = Integer.toString(expected.size());
+        expected.add(named ? number : "names nothing: none" + number);
+        String call = "POST /whinlead/rpc?call=" + (named ? "members.depart&of=" : "none") + number
+                + " HTTP/1.1\r\nContent-Length: 0" + HEAD_END;
         int cut = random.nextInt(call.length());
         write(call.substring(0, cut));
         write(call.substring(cut));
@@ -66,52 +69,53 @@
 
     private void write(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
-        hear();
+        receive();
     }
 
     private void run(RpcCall order, Consumer<RpcResponse> answer) {
-        String n = ((RpcCall.Depart) order).endpoint();
+        String number = ((RpcCall.Depart) order).endpoint();
         calendar.after(random.nextInt(40), () -> {
-            answer.accept(new RpcResponse(200, n.getBytes(StandardCharsets.US_ASCII)));
+            answer.accept(new RpcResponse(200, number.getBytes(StandardCharsets.US_ASCII)));
             channel.runPendingTasks();
-            hear();
+            receive();
         });
     }
 
-    private void hear() {
+    private void receive() {
         for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-            in.append(b.toString(StandardCharsets.ISO_8859_1));
+            received.append(b.toString(StandardCharsets.ISO_8859_1));
             b.release();
         }
-        for (int end = in.indexOf(END); end >= 0; end = in.indexOf(END)) {
-            int length = Integer.parseInt(in.substring(0, end).replaceFirst("(?is).*content-length: (\\d+).*", "$1"));
-            if (in.length() < end + END.length() + length) {
+        for (int end = received.indexOf(HEAD_END); end >= 0; end = received.indexOf(HEAD_END)) {
+            int length =
+                    Integer.parseInt(received.substring(0, end).replaceFirst("(?is).*content-length: (\\d+).*", "$1"));
+            if (received.length() < end + HEAD_END.length() + length) {
                 return;
             }
-            String body = in.substring(end + END.length(), end + END.length() + length);
-            in.delete(0, end + END.length() + length);
-            String due = wanted.get(heard++);
-            if (!body.equals(due) && !body.contains(due + "\"")) {
-                broken.accept("call " + due + " was answered " + body);
+            String body = received.substring(end + HEAD_END.length(), end + HEAD_END.length() + length);
+            received.delete(0, end + HEAD_END.length() + length);
+            String expectedBody = expected.get(answered++);
+            if (!body.equals(expectedBody) && !body.contains(expectedBody + "\"")) {
+                violations.accept("call " + expectedBody + " was answered " + body);
             }
         }
     }
 
-    /** All that was asked has been answered by now. */
-    void end() {
-        if (heard != wanted.size()) {
-            broken.accept((wanted.size() - heard) + " calls were not answered");
+    /** Checks that all calls have been answered. */
+    void checkAllAnswered() {
+        if (answered != expected.size()) {
+            violations.accept((expected.size() - answered) + " calls were not answered");
         }
     }
 
-    /** Calls that were answered. */
-    int heard() {
-        return heard;
+    /** The number of answered calls. */
+    int answered() {
+        return answered;
     }
 
-    // The server of before: an answer goes out when it comes.
-    private ChannelInitializer<Channel> naive() {
-        BiConsumer<ChannelHandlerContext, RpcResponse> say = (ctx, a) -> {
+    // A server with the planted fault: it writes an answer as soon as it completes, out of order.
+    private ChannelInitializer<Channel> unorderedServer() {
+        BiConsumer<ChannelHandlerContext, RpcResponse> respond = (ctx, a) -> {
             DefaultFullHttpResponse r = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(a.status()), Unpooled.wrappedBuffer(a.body()));
             r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, a.body().length);
@@ -129,7 +133,7 @@
                                     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
                                         int of = request.uri().indexOf("&of=");
                                         if (of < 0) {
-                                            say.accept(
+                                            respond.accept(
                                                     ctx,
                                                     RpcResponse.error(
                                                             HttpResponseStatus.NOT_FOUND,
@@ -140,7 +144,7 @@
                                             run(
                                                     new RpcCall.Depart(
                                                             request.uri().substring(of + 4)),
-                                                    a -> say.accept(ctx, a));
+                                                    a -> respond.accept(ctx, a));
                                         }
                                     }
                                 });
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayEndpoint.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayEndpoint.java
@@ -16,48 +16,48 @@
 import whinlead.plan.Calendar;
 
 /**
- * An endpoint in trouble, at the other end of the real connections to it: it answers, turns away, resets, is silent,
- * cuts off, spoils, and says once more what it has said before. One thread; driven time.
+ * A faulty endpoint behind the real connections to it: it answers, rejects, resets, stays silent, truncates, garbles
+ * and repeats earlier answers. Single-threaded, with driven time.
  */
 final class RelayEndpoint {
-    private static final String SEAL = "Server-Seal: s\r\n";
-    private static final String END = "\r\n\r\n";
+    private static final String SEAL_LINE = "Server-Seal: s\r\n";
+    private static final String HEAD_END = "\r\n\r\n";
 
     private final Calendar calendar;
     private final Executor io;
     private final SplittableRandom random;
-    private final Consumer<String> ran;
+    private final Consumer<String> started;
     private final Consumer<String> count;
     private final boolean ignoresIds;
     private final List<Connection> connections = new ArrayList<>();
 
     /**
-     * An endpoint.
+     * Creates an endpoint.
      *
-     * @param io runs what reaches the process beside it, once that runs
-     * @param ran is told the id of each request that it begins to work on
-     * @param ignoresIds whether the process beside it is to take all for the answer to its last request
+     * @param io runs tasks of the sidecar's process once that is not frozen
+     * @param started gets the id of each request that the endpoint starts to work on
+     * @param ignoresIds whether the sidecar takes each answer as the one to its last request: a planted fault
      */
     RelayEndpoint(
             Calendar calendar,
             Executor io,
             SplittableRandom random,
-            Consumer<String> ran,
+            Consumer<String> started,
             Consumer<String> count,
             boolean ignoresIds) {
         this.ignoresIds = ignoresIds;
         this.calendar = calendar;
         this.io = io;
         this.random = random;
-        this.ran = ran;
+        this.started = started;
         this.count = count;
     }
 
-    /** A connection to it, once that is made. */
+    /** Connects to the endpoint; the future completes once the connection is established or refused. */
     ChannelFuture connect(ChannelHandler handlers) {
-        Connection made = new Connection(new EmbeddedChannel(handlers));
-        connections.add(made);
-        ChannelPromise dial = made.channel.newPromise();
+        Connection connection = new Connection(new EmbeddedChannel(handlers));
+        connections.add(connection);
+        ChannelPromise dial = connection.channel.newPromise();
         boolean refused = random.nextInt(30) == 0;
         double wait = random.nextInt(12) == 0 ? 200 + random.nextInt(600) : random.nextInt(3);
         calendar.after(
@@ -65,20 +65,20 @@
                 () -> io.execute(() -> {
                     if (refused) {
                         count.accept("refused connects");
-                        made.channel.close();
+                        connection.channel.close();
                         dial.setFailure(new ConnectException("refused"));
                     } else {
                         dial.setSuccess();
-                        made.hear();
+                        connection.receive();
                     }
                 }));
         return dial;
     }
 
-    /** Time passes: hears what was written since. */
-    void hear() {
+    /** Reads what was written to the connections since the last call. */
+    void receive() {
         connections.removeIf(Connection::ended);
-        List.copyOf(connections).forEach(Connection::hear);
+        List.copyOf(connections).forEach(Connection::receive);
     }
 
     /** Resets all connections. */
@@ -89,18 +89,18 @@
 
     private final class Connection {
         private final EmbeddedChannel channel;
-        private final StringBuilder in = new StringBuilder();
+        private final StringBuilder received = new StringBuilder();
         private boolean busy;
-        private boolean midway;
-        private String asked = "";
-        /** What it said last, whole. */
-        private String said = "";
+        private boolean partlyWritten;
+        private String currentId = "";
+        /** The bytes of its last complete answer. */
+        private String lastAnswer = "";
 
         private Connection(EmbeddedChannel channel) {
             this.channel = channel;
         }
 
-        // What was written to one that was closed before it was heard is dropped.
+        // Drops what was written to a connection that was closed before it was read.
         private boolean ended() {
             boolean ended = !channel.isActive();
             if (ended) {
@@ -109,101 +109,105 @@
             return ended;
         }
 
-        private void hear() {
+        private void receive() {
             for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-                in.append(b.toString(StandardCharsets.ISO_8859_1));
+                received.append(b.toString(StandardCharsets.ISO_8859_1));
                 b.release();
             }
-            int end = in.indexOf(END);
+            int end = received.indexOf(HEAD_END);
             if (!busy && end >= 0) {
-                String head = in.substring(0, end);
-                in.delete(0, end + END.length());
+                String head = received.substring(0, end);
+                received.delete(0, end + HEAD_END.length());
                 busy = true;
                 serve(head.replaceFirst("(?s).*Attempt-Id: ([^\r]*).*", "$1"));
             }
         }
 
         private void serve(String id) {
-            asked = id;
-            int how = random.nextInt(40);
-            double took = 1 + random.nextInt(how % 7 == 0 ? 1500 : 60);
-            if (how < 4) {
-                after(took, answer("503 Full", id, "", "Not-Executed: 1\r\n"), "turned away");
+            currentId = id;
+            int behaviour = random.nextInt(40);
+            double delayMs = 1 + random.nextInt(behaviour % 7 == 0 ? 1500 : 60);
+            if (behaviour < 4) {
+                writeAfter(delayMs, answer("503 Full", id, "", "Not-Executed: 1\r\n"), "turned away");
                 return;
             }
-            if (how == 4) {
-                after(took, answer("421 Misdirected", id, "", ""), "misdirected");
+            if (behaviour == 4) {
+                writeAfter(delayMs, answer("421 Misdirected", id, "", ""), "misdirected");
                 return;
             }
-            if (how == 5) {
+            if (behaviour == 5) {
                 count.accept("resets before the run");
-                calendar.after(took, this::close);
+                calendar.after(delayMs, this::close);
                 return;
             }
-            ran.accept(id);
-            String whole = answer("200 OK", id, "of " + id, SEAL);
-            switch (how) {
-                case 6 -> reset(took);
+            started.accept(id);
+            String whole = answer("200 OK", id, "of " + id, SEAL_LINE);
+            switch (behaviour) {
+                case 6 -> reset(delayMs);
                 case 7 -> count.accept("silences");
                 case 8 -> {
                     String part = whole.substring(0, random.nextInt(whole.length()));
-                    calendar.after(took, () -> {
-                        // Nothing else comes before its end: no framing could tell that from its own bytes.
-                        midway = true;
+                    calendar.after(delayMs, () -> {
+                        // Nothing else may be written before the end: no framing could tell it from the answer's own
+                        // bytes.
+                        partlyWritten = true;
                         write(part);
                     });
                     count.accept("cut answers");
-                    calendar.after(took + random.nextInt(400), this::close);
+                    calendar.after(delayMs + random.nextInt(400), this::close);
                 }
-                case 9 -> after(took, "ice cream" + END, "no answers");
-                case 10 -> after(took, answer("200 OK", id, "of " + id, ""), "unsealed answers");
-                case 11 -> after(took, answer("503 Full", id, "", ""), "503 that may have run");
-                case 12 -> after(took, answer("500 Error", id, "of " + id, ""), "errors");
-                case 13 -> after(took, "HTTP/1.1 100 Continue" + END + whole, "interim answers");
-                case 14 -> after(took, answer("200 OK", "", "whose", SEAL) + whole, "unnamed ones");
+                case 9 -> writeAfter(delayMs, "ice cream" + HEAD_END, "no answers");
+                case 10 -> writeAfter(delayMs, answer("200 OK", id, "of " + id, ""), "unsealed answers");
+                case 11 -> writeAfter(delayMs, answer("503 Full", id, "", ""), "503 that may have run");
+                case 12 -> writeAfter(delayMs, answer("500 Error", id, "of " + id, ""), "errors");
+                case 13 -> writeAfter(delayMs, "HTTP/1.1 100 Continue" + HEAD_END + whole, "interim answers");
+                case 14 -> writeAfter(delayMs, answer("200 OK", "", "whose", SEAL_LINE) + whole, "unnamed ones");
                 case 15 ->
-                    after(took, answer("200 OK", id, "of " + id, SEAL + "Connection: close\r\n"), "closing answers");
+                    writeAfter(
+                            delayMs,
+                            answer("200 OK", id, "of " + id, SEAL_LINE + "Connection: close\r\n"),
+                            "closing answers");
                 default ->
-                    after(
-                            took,
-                            (random.nextInt(6) == 0 ? said : "") + whole + (random.nextInt(6) == 0 ? whole : ""),
+                    writeAfter(
+                            delayMs,
+                            (random.nextInt(6) == 0 ? lastAnswer : "") + whole + (random.nextInt(6) == 0 ? whole : ""),
                             "answers");
             }
         }
 
-        private void reset(double took) {
+        private void reset(double delayMs) {
             count.accept("resets after the run");
-            calendar.after(took, this::close);
+            calendar.after(delayMs, this::close);
         }
 
         private void close() {
             io.execute(channel::close);
         }
 
-        private void after(double took, String bytes, String what) {
+        private void writeAfter(double delayMs, String bytes, String what) {
             count.accept(what);
             int cut = random.nextInt(bytes.length() + 1);
-            calendar.after(took, () -> {
-                midway = cut > 0;
+            calendar.after(delayMs, () -> {
+                partlyWritten = cut > 0;
                 write(bytes.substring(0, cut));
             });
-            calendar.after(took + random.nextInt(20), () -> {
-                // Some of it may come in the place of the next.
-                if (random.nextInt(10) == 0 && !said.isEmpty()) {
-                    String late = said;
+            calendar.after(delayMs + random.nextInt(20), () -> {
+                // An earlier answer may arrive in place of the next one.
+                if (random.nextInt(10) == 0 && !lastAnswer.isEmpty()) {
+                    String late = lastAnswer;
                     count.accept("late surplus answers");
-                    calendar.after(random.nextInt(40), () -> write(midway ? "" : late));
+                    calendar.after(random.nextInt(40), () -> write(partlyWritten ? "" : late));
                 }
-                said = bytes;
+                lastAnswer = bytes;
                 busy = false;
-                midway = false;
+                partlyWritten = false;
                 write(bytes.substring(cut));
-                hear();
+                receive();
             });
         }
 
         private void write(String text) {
-            String bytes = ignoresIds ? text.replaceAll("Attempt-Id: [^\r]*", "Attempt-Id: " + asked) : text;
+            String bytes = ignoresIds ? text.replaceAll("Attempt-Id: [^\r]*", "Attempt-Id: " + currentId) : text;
             io.execute(() -> {
                 if (channel.isActive()) {
                     channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1));
@@ -214,6 +218,6 @@
 
     private static String answer(String status, String id, String body, String more) {
         return "HTTP/1.1 " + status + "\r\n" + (id.isEmpty() ? "" : "Attempt-Id: " + id + "\r\n") + more
-                + "Content-Length: " + body.length() + END + body;
+                + "Content-Length: " + body.length() + HEAD_END + body;
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -14,36 +14,36 @@
 import whinlead.plan.Calendar;
 
 /**
- * A modelled connection between two processes: connections in order, which break, are held back, and outlive at the far
- * end what the near one has closed. One thread; driven time.
+ * A modelled path between two processes: successive ordered connections, which break, are delayed, and may stay open at
+ * the far end after the near end has closed them. Single-threaded, with driven time.
  */
 final class RelayPath implements PeerPath {
-    private static final double SUSPECT = 700;
-    private static final double DEAD = 5000;
-    private static final double REDIAL = 250;
-    private static final double PING = 250;
-    private static final int IDLE_TIMES = 6;
+    private static final double SUSPECT_MS = 700;
+    private static final double DEAD_MS = 5000;
+    private static final double REDIAL_MS = 250;
+    private static final double PING_MS = 250;
+    private static final int IDLE_PING_PERIODS = 6;
 
     /** The process at the far end. */
     interface FarEnd {
         /**
-         * Takes a message, and answers it if it is a request.
+         * Receives a message, and answers it if it is a request.
          *
-         * @param firstWaited how long the connection's first message waited on its way, in milliseconds
+         * @param firstWaited how long the connection's first message was in transit, in milliseconds
          */
-        void take(TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer);
+        void receive(TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer);
     }
 
     private final Calendar calendar;
     private final SplittableRandom random;
     private final RelayProcess near;
     private final RelayProcess far;
-    private final PeerPath.Listener ear;
+    private final PeerPath.Listener listener;
     private final FarEnd farEnd;
-    /** Hears of what was written. */
-    private final Consumer<PeerMessage> wrote;
-    /** Whether what was sent is sent once more on the next connection: a planted fault. */
-    private final boolean again;
+    /** Observes written messages. */
+    private final Consumer<PeerMessage> written;
+    /** Whether sent messages are sent again on the next connection: a planted fault. */
+    private final boolean resends;
 
     private final List<PeerMessage> sent = new ArrayList<>();
     private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
@@ -54,59 +54,59 @@
             SplittableRandom random,
             RelayProcess near,
             RelayProcess far,
-            PeerPath.Listener ear,
+            PeerPath.Listener listener,
             FarEnd farEnd,
-            Consumer<PeerMessage> wrote,
-            boolean again) {
+            Consumer<PeerMessage> written,
+            boolean resends) {
         this.calendar = calendar;
         this.random = random;
         this.near = near;
         this.far = far;
-        this.ear = ear;
+        this.listener = listener;
         this.farEnd = farEnd;
-        this.wrote = wrote;
-        this.again = again;
+        this.written = written;
+        this.resends = resends;
     }
 
     private final class Connection {
         private final TransitClock transit = new TransitClock();
-        private double firstWaited = Double.NaN;
-        private double farAt;
-        private double nearAt;
-        private double heldUntil;
+        private double firstDelayMs = Double.NaN;
+        private double farArrivalMs;
+        private double nearArrivalMs;
+        private double heldUntilMs;
         private boolean nearOpen = true;
         private boolean farOpen = true;
-        /** One for all that comes by this connection, so that the far end can tell it from others. */
+        /** One object for all messages of this connection, so that the far end can tell connections apart. */
         private final Consumer<PeerMessage> answers = this::answer;
 
         private void toFar(Runnable task) {
-            farAt = Math.max(Math.max(farAt, heldUntil), calendar.now() + 0.2 + random.nextInt(3));
-            calendar.at(farAt, () -> far.execute(task));
+            farArrivalMs = Math.max(Math.max(farArrivalMs, heldUntilMs), calendar.now() + 0.2 + random.nextInt(3));
+            calendar.at(farArrivalMs, () -> far.execute(task));
         }
 
         private void toNear(Runnable task) {
-            nearAt = Math.max(Math.max(nearAt, heldUntil), calendar.now() + 0.2 + random.nextInt(3));
-            calendar.at(nearAt, () -> near.execute(task));
+            nearArrivalMs = Math.max(Math.max(nearArrivalMs, heldUntilMs), calendar.now() + 0.2 + random.nextInt(3));
+            calendar.at(nearArrivalMs, () -> near.execute(task));
         }
 
         private void send(byte[] written) {
             double sentAt = calendar.now();
             toFar(() -> {
                 if (farOpen) {
-                    firstWaited = Double.isNaN(firstWaited) ? calendar.now() - sentAt : firstWaited;
-                    farEnd.take(transit, firstWaited, read(written), answers);
+                    firstDelayMs = Double.isNaN(firstDelayMs) ? calendar.now() - sentAt : firstDelayMs;
+                    farEnd.receive(transit, firstDelayMs, read(written), answers);
                 }
             });
         }
 
-        // Signs of life are asked for more often while something is waited for.
+        // Pings more often while requests are pending.
         private void ping(int periods) {
             if (nearOpen) {
-                boolean due = ear.hasPendingRequests() || periods >= IDLE_TIMES;
+                boolean due = listener.hasPendingRequests() || periods >= IDLE_PING_PERIODS;
                 if (due) {
-                    send(PeerMessageCodec.write(new PeerMessage.Ping(1, ear.stamp())));
+                    send(PeerMessageCodec.write(new PeerMessage.Ping(1, listener.stamp())));
                 }
-                near.after(PING, () -> ping(due ? 1 : periods + 1));
+                near.after(PING_MS, () -> ping(due ? 1 : periods + 1));
             }
         }
 
@@ -115,13 +115,13 @@
                 byte[] written = PeerMessageCodec.write(message);
                 toNear(() -> {
                     if (nearOpen) {
-                        ear.message(read(written));
+                        listener.message(read(written));
                     }
                 });
             }
         }
 
-        // What was written before still arrives.
+        // Messages written before still arrive.
         private void close() {
             nearOpen = false;
             toFar(() -> farOpen = false);
@@ -141,21 +141,21 @@
         if (state != ReconnectingConnection.State.DOWN) {
             return;
         }
-        to(ReconnectingConnection.State.DIALLING);
+        setState(ReconnectingConnection.State.DIALLING);
         boolean fails = random.nextInt(8) == 0;
         double wait = random.nextInt(5) == 0 ? 100 + random.nextInt(700) : 1 + random.nextInt(4);
         calendar.after(
                 wait,
                 () -> near.execute(() -> {
                     if (fails) {
-                        lost();
+                        connectionLost();
                     } else if (state == ReconnectingConnection.State.DIALLING) {
                         connection = new Connection();
-                        connection.ping(IDLE_TIMES);
-                        if (again) {
+                        connection.ping(IDLE_PING_PERIODS);
+                        if (resends) {
                             sent.forEach(l -> connection.send(PeerMessageCodec.write(l)));
                         }
-                        to(ReconnectingConnection.State.UP);
+                        setState(ReconnectingConnection.State.UP);
                     }
                 }));
     }
@@ -167,20 +167,20 @@
 
     @Override
     public boolean send(PeerMessage message) {
-        boolean can = connection != null && connection.nearOpen;
-        if (can) {
-            if (again) {
+        boolean connected = connection != null && connection.nearOpen;
+        if (connected) {
+            if (resends) {
                 sent.add(message);
             }
             connection.send(PeerMessageCodec.write(message));
-            wrote.accept(message);
+            written.accept(message);
         }
-        return can;
+        return connected;
     }
 
     @Override
     public void close() {
-        to(ReconnectingConnection.State.CLOSED);
+        setState(ReconnectingConnection.State.CLOSED);
         drop();
     }
 
@@ -191,73 +191,73 @@
         }
     }
 
-    private void to(ReconnectingConnection.State next) {
+    private void setState(ReconnectingConnection.State next) {
         if (state != next && state != ReconnectingConnection.State.CLOSED) {
             ReconnectingConnection.State before = state;
             state = next;
-            ear.changed(next, before);
+            listener.changed(next, before);
         }
     }
 
-    private void lost() {
+    private void connectionLost() {
         drop();
-        to(ReconnectingConnection.State.DOWN);
-        near.after(REDIAL + random.nextInt((int) REDIAL), this::dial);
+        setState(ReconnectingConnection.State.DOWN);
+        near.after(REDIAL_MS + random.nextInt((int) REDIAL_MS), this::dial);
     }
 
-    /** The connection is reset; what is on its way is lost at either end, or arrives. */
+    /** Resets the connection; messages in transit are lost at either end, or arrive. */
     void reset() {
         Connection broken = connection;
         if (broken != null) {
             broken.farOpen &= random.nextBoolean();
             near.execute(() -> {
                 if (connection == broken) {
-                    lost();
+                    connectionLost();
                 }
             });
         }
     }
 
-    /** The far end has ended: nothing of what is on its way arrives. */
+    /** The far process has exited: no message in transit arrives. */
     void farEnded() {
         Connection broken = connection;
         if (broken != null) {
             broken.farOpen = false;
             near.execute(() -> {
                 if (connection == broken) {
-                    lost();
+                    connectionLost();
                 }
             });
         }
     }
 
-    /** Nothing arrives for so long. */
-    void hold(double millis) {
+    /** Delays all messages for the given time. */
+    void hold(double durationMs) {
         Connection held = connection;
         if (held == null) {
             return;
         }
-        held.heldUntil = Math.max(held.heldUntil, calendar.now() + millis);
-        silence(millis);
+        held.heldUntilMs = Math.max(held.heldUntilMs, calendar.now() + durationMs);
+        silence(durationMs);
     }
 
-    /** The near end hears nothing for so long, whatever the reason. */
-    void silence(double millis) {
+    /** The near end receives nothing for the given time, for any reason. */
+    void silence(double durationMs) {
         Connection silent = connection;
-        if (silent == null || millis < SUSPECT) {
+        if (silent == null || durationMs < SUSPECT_MS) {
             return;
         }
-        near.after(SUSPECT, () -> {
+        near.after(SUSPECT_MS, () -> {
             if (connection == silent && state == ReconnectingConnection.State.UP) {
-                to(ReconnectingConnection.State.SUSPECT);
+                setState(ReconnectingConnection.State.SUSPECT);
             }
         });
-        near.after(Math.min(millis, DEAD), () -> {
+        near.after(Math.min(durationMs, DEAD_MS), () -> {
             if (connection == silent && state == ReconnectingConnection.State.SUSPECT) {
-                if (millis > DEAD) {
-                    lost();
+                if (durationMs > DEAD_MS) {
+                    connectionLost();
                 } else {
-                    to(ReconnectingConnection.State.UP);
+                    setState(ReconnectingConnection.State.UP);
                 }
             }
         });
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -29,73 +29,73 @@
 import whinlead.plan.Calendar;
 
 /**
- * Requests from one sidecar through the real engine, module, ways and lines to three endpoints in trouble, under a
- * driven clock: connections are reset and held back, connections are lost and made anew, either sidecar is frozen or
- * restarted, endpoints reset, cut off, spoil, and answer late or twice, and clients leave. Beside it, pipelined calls
- * through the real server of calls.
+ * Sends requests from one sidecar through the real engine, module, paths and connections to three faulty endpoints,
+ * under a driven clock: connections are reset, delayed, lost and re-established, either sidecar is frozen or restarted,
+ * endpoints reset, truncate, garble, and answer late or twice, and clients leave. Also sends pipelined calls through
+ * the real RPC server.
  *
- * <p>Checks that each answer is its own, that what may not be repeated runs once at most and nothing on more endpoints
- * than its route allows, that "has not run" is not said of what has run and that nothing runs after it, that a time
- * left is never overstated, and that nothing is written after the caller was answered or has left. The same seed plays
- * the same. One thread.
+ * <p>Checks that each answer belongs to its request, that a non-repeatable request runs at most once and no request on
+ * more endpoints than its route allows, that "has not run" is never reported for a request that has run or runs later,
+ * that the remaining time is never overstated, and that nothing is written after the caller was answered or has left.
+ * Deterministic for a seed. Single-threaded.
  */
 public final class RelayPlay {
-    /** A fault that is planted, to see that it is found. */
+    /** A fault planted to verify that it is detected. */
     public enum Bug {
         /** None. */
         NONE,
-        /** Answers to pipelined calls go out when they come. */
+        /** Answers to pipelined calls are written as they complete, out of order. */
         ANSWERS_AS_THEY_COME,
-        /** What waited when its caller was answered still goes out. */
+        /** A request that was waiting when its caller was answered is still written. */
         WRITES_AFTER_ANSWER,
-        /** A connection that is made anew sends again what was sent on the last. */
+        /** A new connection sends again what was sent on the previous one. */
         WRITES_AGAIN_AFTER_REDIAL,
-        /** A connection that broke after the request was written is told as one that was never made. */
+        /** A connection that broke after the request was written is reported as never established. */
         RESET_NEVER_RAN,
-        /** Whatever an endpoint says next is taken for the answer to the request that it was sent last. */
+        /** Whatever an endpoint sends next is taken as the answer to the request last sent to it. */
         IGNORES_IDS,
-        /** An attempt counts against the route's bound only if an answer came of it. */
+        /** An attempt counts against the route's bound only if it was answered. */
         COUNTS_ANSWERED_ONLY,
-        /** The sidecar beside an endpoint that resets a repeatable request passes it on to another one. */
+        /** The sidecar of an endpoint that resets a repeatable request forwards it to another endpoint. */
         PASSES_ON_AFTER_RESET,
-        /** Each attempt is handed the time of the whole request. */
+        /** Each attempt gets the full time of the request instead of the remaining time. */
         HANDS_OUT_WHOLE_TIME,
-        /** A client that leaves is only forgotten: what waits for its path goes out all the same. */
+        /** After a client leaves, its request that waits for a path is still sent. */
         FORGETS_WHO_LEFT,
-        /** The far sidecar counts a request's time from its arrival, however long it waited on its way. */
+        /** The far sidecar counts a request's time from its arrival, ignoring the time in transit. */
         COUNTS_FROM_ARRIVAL
     }
 
     /**
-     * What a schedule came to.
+     * The outcome of a schedule.
      *
-     * @param broken what it broke
-     * @param figures what it counted
-     * @param longest the longest of what it timed, in milliseconds
+     * @param broken violated guarantees
+     * @param figures counted occurrences
+     * @param longest maxima of measured times, in milliseconds
      */
     public record Outcome(List<String> broken, Map<String, Long> figures, Map<String, Double> longest) {}
 
-    private static final double LENGTH = 6000;
-    private static final double CALM = 10_000;
-    /** From so long after the last request on, time goes in larger steps. */
-    private static final double QUIET = 3000;
+    private static final double LENGTH_MS = 6000;
+    private static final double CALM_MS = 10_000;
+    /** This long after the last request, time starts to advance in larger steps, in milliseconds. */
+    private static final double QUIET_MS = 3000;
 
     private static final int REQUESTS = 40;
     private static final int CALLS = 30;
     private static final int FAULTS = 10;
-    private static final int FARS = 3;
-    /** Routes allow one endpoint, and so on up to this many, by turns. */
+    private static final int FAR_SIDECARS = 3;
+    /** Routes allow from one up to this many endpoints, in turn. */
     private static final int MAX_TRIES = 2;
-    /** The client of one request in so many leaves before its time is up. */
-    private static final int LEAVES = 7;
+    /** The client of one request in this many leaves before the deadline. */
+    private static final int LEAVE_PERIOD = 7;
 
-    private static final double TICK = 100;
-    /** A request that begins so long after its time was up breaks the promise. */
-    private static final double MAX_LATE = 650;
+    private static final double TICK_MS = 100;
+    /** A request that starts this long after its deadline violates the guarantee, in milliseconds. */
+    private static final double MAX_LATE_MS = 650;
 
-    private static final String BODY = "of ";
-    /** A failure in the last moments of a request's time is told as 504, before that as 502. */
-    private static final double TIMED_OUT = 50;
+    private static final String BODY_PREFIX = "of ";
+    /** A failure this close to the deadline is reported as 504, an earlier one as 502, in milliseconds. */
+    private static final double TIMED_OUT_MS = 50;
 
     private static final RequestClasses CLASSES = new RequestClasses();
 
@@ -106,61 +106,61 @@
     private final List<Far> fars = new ArrayList<>();
     private final Map<String, ClientRequest> requests = new HashMap<>();
     private final Map<String, RelayPath> paths = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, Long> figures = new TreeMap<>();
     private final Map<String, Double> longest = new TreeMap<>();
-    /** Where the processes' clocks begin. */
-    private final SplittableRandom clocks;
+    /** Draws the offsets of the processes' clocks. */
+    private final SplittableRandom clockRandom;
 
     private Engine engine;
-    private RequestForwarder round;
-    private int life;
+    private RequestForwarder forwarder;
+    private int incarnation;
 
     private RelayPlay(long seed, Bug bug) {
         this.random = new SplittableRandom(seed);
         this.bug = bug;
-        this.clocks = new SplittableRandom(~seed);
-        this.near = new RelayProcess(calendar, random.split(), clockBegan());
+        this.clockRandom = new SplittableRandom(~seed);
+        this.near = new RelayProcess(calendar, random.split(), randomClockOffset());
     }
 
-    private double clockBegan() {
-        return clocks.nextInt();
+    private double randomClockOffset() {
+        return clockRandom.nextInt();
     }
 
-    /** Plays the schedule of this seed. */
+    /** Plays the schedule of a seed. */
     public static Outcome play(long seed, Bug bug) {
         return new RelayPlay(seed, bug).play();
     }
 
     private Outcome play() {
-        for (int i = 0; i < FARS; i++) {
+        for (int i = 0; i < FAR_SIDECARS; i++) {
             fars.add(new Far());
         }
         begin();
-        RelayCalls calls = new RelayCalls(calendar, random.split(), this::broke);
+        RelayCalls calls = new RelayCalls(calendar, random.split(), this::recordViolation);
         calls.start(bug == Bug.ANSWERS_AS_THEY_COME);
         for (int i = 0; i < REQUESTS; i++) {
             String id = "a-" + i;
-            calendar.at(random.nextDouble() * LENGTH, () -> near.execute(() -> new ClientRequest(id).go()));
+            calendar.at(random.nextDouble() * LENGTH_MS, () -> near.execute(() -> new ClientRequest(id).start()));
         }
         for (int i = 0; i < CALLS; i++) {
-            calendar.at(random.nextDouble() * LENGTH / 4, calls::call);
+            calendar.at(random.nextDouble() * LENGTH_MS / 4, calls::call);
         }
         for (int i = 0; i < FAULTS; i++) {
-            calendar.at(random.nextDouble() * LENGTH, this::fault);
+            calendar.at(random.nextDouble() * LENGTH_MS, this::fault);
         }
-        for (double at = 0; at < LENGTH + CALM; at += at < LENGTH + QUIET ? 1 : 20) {
-            calendar.runTo(at);
-            fars.forEach(f -> f.endpoint.hear());
+        for (double nowMs = 0; nowMs < LENGTH_MS + CALM_MS; nowMs += nowMs < LENGTH_MS + QUIET_MS ? 1 : 20) {
+            calendar.runTo(nowMs);
+            fars.forEach(f -> f.endpoint.receive());
         }
-        requests.values().forEach(ClientRequest::end);
-        calls.end();
-        figures.merge("calls answered", (long) calls.heard(), Long::sum);
-        return new Outcome(List.copyOf(broken), Map.copyOf(figures), Map.copyOf(longest));
+        requests.values().forEach(ClientRequest::checkAnswered);
+        calls.checkAllAnswered();
+        figures.merge("calls answered", (long) calls.answered(), Long::sum);
+        return new Outcome(List.copyOf(violations), Map.copyOf(figures), Map.copyOf(longest));
     }
 
-    private void broke(String what) {
-        broken.add("at " + calendar.now() + ": " + what);
+    private void recordViolation(String what) {
+        violations.add("at " + calendar.now() + ": " + what);
     }
 
     private void count(String what) {
@@ -168,16 +168,16 @@
     }
 
     private void begin() {
-        life++;
+        incarnation++;
         paths.clear();
         Contract.Settings settings = ServiceBalancer.settings(CLASSES, 2.5, 1);
         engine = new Engine(near, settings, out -> new Decide(settings, random.nextLong(), out), list -> {}, line -> {
             if (line.startsWith("decision failed")) {
-                broke(line);
+                recordViolation(line);
             }
         });
         engine.start(() -> {}, null);
-        round = new RequestForwarder(
+        forwarder = new RequestForwarder(
                 near,
                 task -> calendar.after(0, () -> near.execute(task)),
                 "near",
@@ -190,69 +190,69 @@
                             near,
                             far.process,
                             ear,
-                            far::take,
-                            this::wrote,
+                            far::receive,
+                            this::written,
                             bug == Bug.WRITES_AGAIN_AFTER_REDIAL);
                     paths.put(node, path);
                     return path;
                 },
                 () -> {});
         List<EndpointList.Entry> entries = new ArrayList<>();
-        for (int i = 0; i < FARS; i++) {
+        for (int i = 0; i < FAR_SIDECARS; i++) {
             entries.add(new EndpointList.Entry(
                     new Contract.Server(Integer.toString(i), Contract.Standing.UP, 1, "z", -1, 0), null));
         }
-        engine.list(Contract.ListKind.FULL, new EndpointList(life, true, entries));
+        engine.list(Contract.ListKind.FULL, new EndpointList(incarnation, true, entries));
     }
 
     private void fault() {
-        Far far = fars.get(random.nextInt(FARS));
+        Far far = fars.get(random.nextInt(FAR_SIDECARS));
         RelayPath path = paths.get(Integer.toString(fars.indexOf(far)));
-        int how = random.nextInt(8);
-        double length = Math.exp(random.nextDouble() * Math.log(8000));
-        if (how == 0) {
+        int variant = random.nextInt(8);
+        double lengthMs = Math.exp(random.nextDouble() * Math.log(8000));
+        if (variant == 0) {
             count("sidecars restarted at the near end");
             near.restart();
             List.copyOf(paths.values()).forEach(RelayPath::close);
             begin();
-        } else if (how == 1) {
+        } else if (variant == 1) {
             count("sidecars restarted at the far end");
             far.restart();
             if (path != null) {
                 path.farEnded();
             }
-        } else if (how == 2) {
+        } else if (variant == 2) {
             count("freezes of the near end");
-            near.freeze(Math.min(length, 2500));
-        } else if (how == 3) {
+            near.freeze(Math.min(lengthMs, 2500));
+        } else if (variant == 3) {
             count("freezes of the far end");
-            far.process.freeze(length);
+            far.process.freeze(lengthMs);
             if (path != null) {
-                path.silence(length);
+                path.silence(lengthMs);
             }
-        } else if (path != null && how < 6) {
+        } else if (path != null && variant < 6) {
             count("connections reset");
             path.reset();
         } else if (path != null) {
             count("connections held back");
-            path.hold(length);
+            path.hold(lengthMs);
         }
     }
 
     // --- the near sidecar
 
-    private void wrote(PeerMessage message) {
+    private void written(PeerMessage message) {
         if (!(message instanceof PeerMessage.ForwardRequest request)) {
             count("cancellations");
             return;
         }
         ClientRequest r = requests.get(id(request));
-        if (r.answered && r.life == life) {
-            broke(r.id + " was written after its caller had been answered");
+        if (r.answered && r.incarnation == incarnation) {
+            recordViolation(r.id + " was written after its caller had been answered");
         }
-        if (request.leftMs() > r.endAt - calendar.now() + 1) {
-            broke(r.id + " was written with " + request.leftMs() + " ms, of which it had "
-                    + (r.endAt - calendar.now()));
+        if (request.leftMs() > r.deadlineMs - calendar.now() + 1) {
+            recordViolation(r.id + " was written with " + request.leftMs() + " ms, of which it had "
+                    + (r.deadlineMs - calendar.now()));
         }
     }
 
@@ -260,42 +260,43 @@
         return request.headers().get(1);
     }
 
-    private void ran(String id, Far far) {
-        ClientRequest r = requests.get(id);
-        r.runs++;
-        r.endpoints.add(far);
-        if (r.endpoints.size() > r.tries) {
-            broke(id + " ran on " + r.endpoints.size() + " endpoints, " + r.tries + " at most are allowed");
+    private void started(String id, Far far) {
+        ClientRequest request = requests.get(id);
+        request.runs++;
+        request.endpoints.add(far);
+        if (request.endpoints.size() > request.maxEndpoints) {
+            recordViolation(id + " ran on " + request.endpoints.size() + " endpoints, " + request.maxEndpoints
+                    + " at most are allowed");
         }
         count("runs");
-        if (r.mutating && r.runs > 1) {
-            broke(id + " ran " + r.runs + " times");
+        if (request.mutating && request.runs > 1) {
+            recordViolation(id + " ran " + request.runs + " times");
         }
-        if (r.promised) {
-            broke(id + " ran after it was said that it had not and never would");
+        if (request.refused) {
+            recordViolation(id + " ran after it was refused as never to run");
         }
-        if (r.answered) {
+        if (request.answered) {
             count("runs after a 502 or 504 or for a client that was cut off");
         }
-        began(r);
+        checkStart(request);
     }
 
-    private void began(ClientRequest r) {
-        double now = calendar.now();
-        time(
+    private void checkStart(ClientRequest r) {
+        double nowMs = calendar.now();
+        recordTime(
                 "a start after its request's time was up"
-                        + (r.comparable ? "" : ", by a connection whose first message had waited"),
-                now - r.endAt);
-        if (r.comparable && now - r.endAt > MAX_LATE) {
-            broke(r.id + " began " + (now - r.endAt) + " ms after its time was up");
+                        + (r.connectionPrompt ? "" : ", by a connection whose first message had waited"),
+                nowMs - r.deadlineMs);
+        if (r.connectionPrompt && nowMs - r.deadlineMs > MAX_LATE_MS) {
+            recordViolation(r.id + " began " + (nowMs - r.deadlineMs) + " ms after its time was up");
         }
         if (r.failed) {
-            boolean timedOut = r.answeredAt >= r.endAt - TIMED_OUT;
-            time("a start after its caller had a " + (timedOut ? "504" : "502"), now - r.answeredAt);
+            boolean timedOut = r.answeredAtMs >= r.deadlineMs - TIMED_OUT_MS;
+            recordTime("a start after its caller had a " + (timedOut ? "504" : "502"), nowMs - r.answeredAtMs);
         }
     }
 
-    private void time(String what, double millis) {
+    private void recordTime(String what, double millis) {
         if (millis > 0) {
             count(what);
             longest.merge(what, millis, Math::max);
@@ -305,22 +306,22 @@
     private final class ClientRequest
             implements ResponseSink<PeerMessage.ForwardResponse>, Transport<PeerMessage.ForwardResponse> {
         private final String id;
-        private final int life = RelayPlay.this.life;
+        private final int incarnation = RelayPlay.this.incarnation;
         private final boolean mutating = random.nextInt(3) > 0;
-        private final double timeout = 300 + random.nextInt(2500);
-        private final double endAt = calendar.now() + timeout;
-        private final int tries = 1 + requests.size() % MAX_TRIES;
-        private final EndpointAttempts attempts = new EndpointAttempts(tries);
+        private final double timeoutMs = 300 + random.nextInt(2500);
+        private final double deadlineMs = calendar.now() + timeoutMs;
+        private final int maxEndpoints = 1 + requests.size() % MAX_TRIES;
+        private final EndpointAttempts attempts = new EndpointAttempts(maxEndpoints);
         private final Set<Far> endpoints = new HashSet<>();
         private int runs;
         private boolean answered;
-        private double answeredAt;
+        private double answeredAtMs;
         private boolean failed;
-        /** Whether its connection's first message had come at once, so that waiting shows. */
-        private boolean comparable = true;
+        /** Whether its connection's first message arrived promptly, so that later time in transit can be measured. */
+        private boolean connectionPrompt = true;
 
-        private boolean promised;
-        /** The attempt that was sent last, and who hears of its end. */
+        private boolean refused;
+        /** The last attempt, and the receiver of its outcome. */
         private RequestForwarder.Sent sent;
 
         private Outcomes<PeerMessage.ForwardResponse> outcomes;
@@ -330,11 +331,11 @@
             requests.put(id, this);
         }
 
-        private void go() {
+        private void start() {
             Engine.Held<PeerMessage.ForwardResponse> held =
-                    engine.take(new Request(CLASSES.of(!mutating, 1, 500), -1, timeout, false, 1, 0), this, this);
-            if (requests.size() % LEAVES == 0) {
-                near.after(random.nextDouble() * timeout, () -> leave(held));
+                    engine.take(new Request(CLASSES.of(!mutating, 1, 500), -1, timeoutMs, false, 1, 0), this, this);
+            if (requests.size() % LEAVE_PERIOD == 0) {
+                near.after(random.nextDouble() * timeoutMs, () -> leave(held));
             }
         }
 
@@ -357,7 +358,7 @@
                 return () -> false;
             }
             attempts.sent();
-            double left = bug == Bug.HANDS_OUT_WHOLE_TIME ? timeout : endAt - calendar.now();
+            double left = bug == Bug.HANDS_OUT_WHOLE_TIME ? timeoutMs : deadlineMs - calendar.now();
             PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(
                     0,
                     "POST",
@@ -369,7 +370,8 @@
                     endpoint,
                     1);
             outcomes = told;
-            RequestForwarder.Sent attempted = round.send(endpoint, draft, !mutating, message -> came(message, told));
+            RequestForwarder.Sent attempted =
+                    forwarder.send(endpoint, draft, !mutating, message -> attemptEnded(message, told));
             sent = attempted;
             return () -> {
                 boolean written = attempted.giveUp();
@@ -377,13 +379,13 @@
                     attempts.neverWritten();
                 }
                 if (!written && bug == Bug.WRITES_AFTER_ANSWER) {
-                    near.after(1, () -> round.send(endpoint, draft, false, message -> {}));
+                    near.after(1, () -> forwarder.send(endpoint, draft, false, message -> {}));
                 }
                 return written;
             };
         }
 
-        private void came(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> told) {
+        private void attemptEnded(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> told) {
             if (message instanceof PeerMessage.ForwardFailure r) {
                 attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.FailureReason.UNREACHED : r.why());
             }
@@ -396,10 +398,10 @@
         private void answered(String how) {
             count(how);
             if (answered) {
-                broke(id + " was answered twice");
+                recordViolation(id + " was answered twice");
             }
             answered = true;
-            answeredAt = calendar.now();
+            answeredAtMs = calendar.now();
         }
 
         @Override
@@ -407,19 +409,19 @@
             answered("served");
             String body = new String(answer.body(), StandardCharsets.US_ASCII);
             int at = answer.headers().indexOf("Attempt-Id");
-            if (!body.equals(BODY + id)
+            if (!body.equals(BODY_PREFIX + id)
                     || at < 0
                     || !answer.headers().get(at + 1).equals(id)) {
-                broke(id + " was answered " + body + " " + answer.headers());
+                recordViolation(id + " was answered " + body + " " + answer.headers());
             }
         }
 
         @Override
         public void refused(double retryAfter) {
             answered("refused");
-            promised = mutating;
+            refused = mutating;
             if (mutating && runs > 0) {
-                broke(id + " has run and was refused");
+                recordViolation(id + " has run but was refused");
             }
         }
 
@@ -429,9 +431,9 @@
             failed = true;
         }
 
-        private void end() {
-            if (!answered && life == RelayPlay.this.life) {
-                broke(id + " was never answered");
+        private void checkAnswered() {
+            if (!answered && incarnation == RelayPlay.this.incarnation) {
+                recordViolation(id + " was never answered");
             }
         }
     }
@@ -439,31 +441,37 @@
     // --- a far sidecar and its endpoint
 
     private final class Far {
-        private final RelayProcess process = new RelayProcess(calendar, random.split(), clockBegan());
+        private final RelayProcess process = new RelayProcess(calendar, random.split(), randomClockOffset());
         private final RelayEndpoint endpoint = new RelayEndpoint(
-                calendar, process, random.split(), id -> ran(id, this), RelayPlay.this::count, bug == Bug.IGNORES_IDS);
-        private EndpointConnections line = new EndpointConnections(process, endpoint::connect);
+                calendar,
+                process,
+                random.split(),
+                id -> started(id, this),
+                RelayPlay.this::count,
+                bug == Bug.IGNORES_IDS);
+        private EndpointConnections endpointConnections = new EndpointConnections(process, endpoint::connect);
         private EndpointRequests underWay = new EndpointRequests();
-        private ForwardedTime time = new ForwardedTime();
+        private ForwardedTime forwardedTime = new ForwardedTime();
 
         private Far() {
             tick();
         }
 
         private void tick() {
-            time.running(process.now());
-            process.after(TICK, this::tick);
+            forwardedTime.running(process.now());
+            process.after(TICK_MS, this::tick);
         }
 
-        private void take(TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer) {
+        private void receive(
+                TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer) {
             if (message instanceof PeerMessage.Ping ping) {
-                time.running(process.now());
+                forwardedTime.running(process.now());
                 transit.waited(process.now(), ping.sentAt());
             } else if (message instanceof PeerMessage.Cancel cancel) {
                 underWay.cancel(answer, cancel);
             } else if (message instanceof PeerMessage.ForwardRequest request) {
-                int left = time.left(process.now(), transit, request);
-                requests.get(request.headers().get(1)).comparable = firstWaited < MAX_LATE;
+                int left = forwardedTime.left(process.now(), transit, request);
+                requests.get(request.headers().get(1)).connectionPrompt = firstWaited < MAX_LATE_MS;
                 if (bug == Bug.COUNTS_FROM_ARRIVAL) {
                     run(request, answer);
                 } else if (left > 0) {
@@ -482,7 +490,7 @@
                 return;
             }
             underWay.begin(answer, request.stream());
-            EndpointConnections.Sent atEndpoint = line.send(request, request.endpoint(), l -> {
+            EndpointConnections.Sent atEndpoint = endpointConnections.send(request, request.endpoint(), l -> {
                 underWay.ended(answer, request.stream());
                 boolean reset =
                         l instanceof PeerMessage.ForwardFailure r && r.why() == PeerMessage.FailureReason.BROKEN;
@@ -490,8 +498,8 @@
                     answer.accept(new PeerMessage.ForwardFailure(
                             request.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
                 } else if (reset && bug == Bug.PASSES_ON_AFTER_RESET && !requests.get(id(request)).mutating) {
-                    Far next = fars.get((fars.indexOf(this) + 1) % FARS);
-                    next.line.send(request, request.endpoint(), answer);
+                    Far next = fars.get((fars.indexOf(this) + 1) % FAR_SIDECARS);
+                    next.endpointConnections.send(request, request.endpoint(), answer);
                 } else {
                     answer.accept(l);
                 }
@@ -501,10 +509,10 @@
 
         private void restart() {
             process.restart();
-            time = new ForwardedTime();
+            forwardedTime = new ForwardedTime();
             tick();
             endpoint.reset();
-            line = new EndpointConnections(process, endpoint::connect);
+            endpointConnections = new EndpointConnections(process, endpoint::connect);
             underWay = new EndpointRequests();
         }
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayProcess.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayProcess.java
@@ -7,58 +7,58 @@
 import whinlead.plan.Calendar;
 
 /**
- * A process's turn on its processor: while it is frozen, what arrives and what falls due waits; once it runs again,
- * either may come first. What was left for one that has ended is dropped. One thread; driven time.
+ * Schedules the tasks of a process: while it is frozen, arrivals and due timers wait; when it resumes, either kind may
+ * run first. Tasks of an earlier incarnation are dropped. Single-threaded, with driven time.
  */
 final class RelayProcess implements Timers, Executor {
     private final Calendar calendar;
     private final SplittableRandom random;
-    private final double clockBegan;
-    private final ArrayDeque<Runnable> arrived = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> due = new ArrayDeque<>();
-    private double frozenUntil;
-    private int life;
+    private final double clockOffsetMs;
+    private final ArrayDeque<Runnable> arrivals = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> dueTimers = new ArrayDeque<>();
+    private double frozenUntilMs;
+    private int incarnation;
 
     /**
-     * A process.
+     * Creates a process.
      *
-     * @param clockBegan what its own steady clock showed when the schedule began
+     * @param clockOffsetMs its monotonic clock at the start of the schedule, in milliseconds
      */
-    RelayProcess(Calendar calendar, SplittableRandom random, double clockBegan) {
+    RelayProcess(Calendar calendar, SplittableRandom random, double clockOffsetMs) {
         this.calendar = calendar;
         this.random = random;
-        this.clockBegan = clockBegan;
+        this.clockOffsetMs = clockOffsetMs;
     }
 
     @Override
     public double now() {
-        return calendar.now() + clockBegan;
+        return calendar.now() + clockOffsetMs;
     }
 
     @Override
     public Timer after(double millis, Runnable task) {
-        boolean[] off = {false};
-        calendar.after(Math.max(0, millis), turn(due, () -> {
-            if (!off[0]) {
+        boolean[] cancelled = {false};
+        calendar.after(Math.max(0, millis), whenRunning(dueTimers, () -> {
+            if (!cancelled[0]) {
                 task.run();
             }
         }));
-        return () -> off[0] = true;
+        return () -> cancelled[0] = true;
     }
 
-    /** Something arrives. */
+    /** Runs an arrival. */
     @Override
     public void execute(Runnable task) {
-        turn(arrived, task).run();
+        whenRunning(arrivals, task).run();
     }
 
-    private Runnable turn(ArrayDeque<Runnable> queue, Runnable task) {
-        int mine = life;
+    private Runnable whenRunning(ArrayDeque<Runnable> queue, Runnable task) {
+        int ownIncarnation = incarnation;
         return () -> {
-            if (mine != life) {
+            if (ownIncarnation != incarnation) {
                 return;
             }
-            if (frozen()) {
+            if (isFrozen()) {
                 queue.add(task);
             } else {
                 task.run();
@@ -66,20 +66,20 @@
         };
     }
 
-    /** Whether it stands still. */
-    boolean frozen() {
-        return calendar.now() < frozenUntil;
+    /** Whether the process is frozen. */
+    boolean isFrozen() {
+        return calendar.now() < frozenUntilMs;
     }
 
-    /** Stands still for so long. */
+    /** Freezes the process for the given time. */
     void freeze(double millis) {
-        frozenUntil = calendar.now() + millis;
-        int mine = life;
+        frozenUntilMs = calendar.now() + millis;
+        int ownIncarnation = incarnation;
         calendar.after(millis, () -> {
-            if (mine == life && !frozen()) {
+            if (ownIncarnation == incarnation && !isFrozen()) {
                 boolean timersFirst = random.nextBoolean();
-                drain(timersFirst ? due : arrived);
-                drain(timersFirst ? arrived : due);
+                drain(timersFirst ? dueTimers : arrivals);
+                drain(timersFirst ? arrivals : dueTimers);
             }
         });
     }
@@ -90,11 +90,11 @@
         }
     }
 
-    /** Ends; another life begins at once. */
+    /** Ends this incarnation of the process and starts the next one. */
     void restart() {
-        life++;
-        frozenUntil = 0;
-        arrived.clear();
-        due.clear();
+        incarnation++;
+        frozenUntilMs = 0;
+        arrivals.clear();
+        dueTimers.clear();
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Sidecar.java
@@ -7,106 +7,114 @@
 import whinlead.mesh.consensus.Decision;
 
 /**
- * A sidecar that starts with nothing, as {@code sidecar.ControlClient} goes about it: asks the control nodes that it
- * knows of, begins with what one has that says it is in touch with a majority, asks other sidecars for more control
- * nodes, and after a while without any in touch begins with the newest that it was told. One thread.
+ * A sidecar that starts without a configuration, as {@code sidecar.ControlClient} does: it asks the known control
+ * nodes, starts with the configuration of one that claims contact with a majority, asks other sidecars for more control
+ * nodes, and if none claims contact for a while, starts with the newest configuration received. Single-threaded.
  */
 final class Sidecar {
-    private static final double ASK = 200;
-    /** Without a control node that confirms, others are asked for more of them after so long, in milliseconds. */
-    private static final double SEEK = 1000;
-    /** From the first answer so long it waits for a control node in touch, in milliseconds. */
-    private static final double WAIT = 2000;
+    private static final double ASK_MS = 200;
+    /**
+     * Without a confirming control node, other sidecars are asked for more control nodes after this, in milliseconds.
+     */
+    private static final double SEEK_MS = 1000;
+    /** How long after the first answer it waits for a control node in contact, in milliseconds. */
+    private static final double WAIT_MS = 2000;
 
     private final Core core;
     private final String name;
     private final Set<String> controlNodes;
-    private final double blockedUntil;
+    private final double blockedUntilMs;
     private Decision candidate;
-    private double startedAt;
-    private double answeredAt = Double.NaN;
-    private boolean began;
+    private double startedAtMs;
+    private double answeredAtMs = Double.NaN;
+    private boolean started;
 
     /**
-     * A sidecar that has not started.
+     * Creates a sidecar that has not started.
      *
-     * @param blockedUntil from then on its ways to all control nodes and other sidecars are open
+     * @param blockedUntil when its links to all control nodes and other sidecars are open, in milliseconds
      */
     Sidecar(Core core, String name, List<String> seeds, double blockedUntil) {
         this.core = core;
         this.name = name;
         this.controlNodes = new LinkedHashSet<>(seeds);
-        this.blockedUntil = blockedUntil;
+        this.blockedUntilMs = blockedUntil;
     }
 
-    /** Begins to ask. */
+    /** Starts to ask the control nodes. */
     void start() {
-        startedAt = core.now();
-        core.tell(name + " starts with seeds " + controlNodes);
-        core.agenda().in(SEEK, this::seek);
+        startedAtMs = core.nowMs();
+        core.log(name + " starts with seeds " + controlNodes);
+        core.scheduler().schedule(SEEK_MS, this::findControlNodes);
         ask();
     }
 
-    private void seek() {
-        if (core.now() >= blockedUntil) {
+    private void findControlNodes() {
+        if (core.nowMs() >= blockedUntilMs) {
             core.machines().forEach(m -> controlNodes.add(m.address()));
-        } else if (!began) {
-            core.agenda().in(SEEK, this::seek);
+        } else if (!started) {
+            core.scheduler().schedule(SEEK_MS, this::findControlNodes);
         }
     }
 
     private void ask() {
-        if (began) {
+        if (started) {
             return;
         }
-        if (core.now() - answeredAt > WAIT) {
-            beginUnconfirmed();
+        if (core.nowMs() - answeredAtMs > WAIT_MS) {
+            startUnconfirmed();
             return;
         }
         for (String controlNode : controlNodes) {
-            core.network().sendSurely(name, controlNode, () -> {
-                Machine m = core.at(controlNode);
+            core.network().sendReliably(name, controlNode, () -> {
+                Machine m = core.machineAt(controlNode);
                 if (m != null) {
-                    m.loop(() -> answer(m));
+                    m.runOnLoop(() -> answer(m));
                 }
             });
         }
-        core.agenda().in(ASK, this::ask);
+        core.scheduler().schedule(ASK_MS, this::ask);
     }
 
-    // On the control node's loop.
+    // Runs on the control node's loop.
     private void answer(Machine m) {
         Decision d = m.consensus().decided();
         if (d == null || d.version() == 0) {
             return;
         }
         boolean claims = m.claimsContact();
-        boolean has = m.hasContact();
-        boolean calm = core.calm(m.address());
-        long owed = core.checker().acknowledgedBy(core.now() - Core.CONVERGE);
-        core.network().sendSurely(m.address(), name, () -> take(m.address(), d, claims, has, calm, owed));
+        boolean hasContact = m.hasContact();
+        boolean calm = core.isUndisturbed(m.address());
+        long acknowledgedVersion = core.checker().acknowledgedBy(core.nowMs() - Core.CONVERGE_MS);
+        core.network()
+                .sendReliably(
+                        m.address(),
+                        name,
+                        () -> answered(m.address(), d, claims, hasContact, calm, acknowledgedVersion));
     }
 
-    private void take(String from, Decision d, boolean claims, boolean has, boolean calm, long owed) {
-        if (began) {
+    private void answered(
+            String from, Decision d, boolean claims, boolean hasContact, boolean calm, long acknowledgedVersion) {
+        if (started) {
             return;
         }
         d.voters().forEach(e -> controlNodes.add(ConsensusNode.address(e)));
-        answeredAt = Double.isNaN(answeredAt) ? core.now() : answeredAt;
+        answeredAtMs = Double.isNaN(answeredAtMs) ? core.nowMs() : answeredAtMs;
         if (candidate == null || d.slot() > candidate.slot()) {
             candidate = d;
         }
         if (!claims && core.bug() != Bug.BEGINS_UNCONFIRMED) {
             return;
         }
-        began = true;
-        core.tell(name + " begins with version " + candidate.version() + ", confirmed by " + from);
-        core.checker().sample("a sidecar, ms to its beginning with a confirmed version", core.now() - startedAt);
-        if (candidate.version() < owed) {
-            if (!has || calm) {
+        started = true;
+        core.log(name + " starts with version " + candidate.version() + ", confirmed by " + from);
+        core.checker().sample("a sidecar, ms to its beginning with a confirmed version", core.nowMs() - startedAtMs);
+        if (candidate.version() < acknowledgedVersion) {
+            if (!hasContact || calm) {
                 core.checker()
-                        .broke(name + " begins with version " + candidate.version() + " from " + from
-                                + (has ? " which is in touch" : " which is not in touch") + ", though " + owed
+                        .recordViolation(name + " starts with version " + candidate.version() + " from " + from
+                                + (hasContact ? " which is in contact" : " which is not in contact") + ", though "
+                                + acknowledgedVersion
                                 + " was acknowledged 2.5 s before");
             } else {
                 core.checker().count("sidecars that began behind at a control node just back in touch");
@@ -114,11 +122,12 @@
         }
     }
 
-    private void beginUnconfirmed() {
-        began = true;
+    private void startUnconfirmed() {
+        started = true;
         core.checker().count("sidecars that began unconfirmed");
-        if (blockedUntil < startedAt && core.machines().stream().anyMatch(m -> m.up() && core.calm(m.address()))) {
-            core.checker().broke(name + " begins unconfirmed though it reaches a calm control node");
+        if (blockedUntilMs < startedAtMs
+                && core.machines().stream().anyMatch(m -> m.up() && core.isUndisturbed(m.address()))) {
+            core.checker().recordViolation(name + " starts unconfirmed though it reaches an undisturbed control node");
         }
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/Trace.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Trace.java
@@ -3,27 +3,27 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** Tells what a schedule does, line by line, or nothing. One thread. */
+/** Writes what a schedule does line by line, or nothing. Single-threaded. */
 public final class Trace {
-    /** Tells nothing. */
+    /** Writes nothing. */
     public static final Trace NONE = new Trace(null);
 
     private final PrintStream out;
 
-    /** Tells it there. */
+    /** Writes to the given stream. */
     public Trace(PrintStream out) {
         this.out = out;
     }
 
-    /** Whether anyone listens. */
-    boolean on() {
+    /** Whether tracing is on. */
+    boolean isEnabled() {
         return out != null;
     }
 
-    /** Tells it. */
-    void tell(double now, String what) {
+    /** Writes a line. */
+    void write(double nowMs, String what) {
         if (out != null) {
-            out.printf(Locale.ROOT, "%10.1f %s%n", now, what);
+            out.printf(Locale.ROOT, "%10.1f %s%n", nowMs, what);
         }
     }
 }
--- a/src/main/java/whinlead/testbed/mesh/hardening/package-info.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The real consensus, connections and client side of the mesh under seeded schedules of faults, by a driven clock.
+ * Runs the real consensus, connections and client side of the mesh under seeded schedules of faults, with a driven
+ * clock.
  *
- * <p>Begin with {@link whinlead.testbed.mesh.hardening.Point}, what schedules bring about, and
+ * <p>Start with {@link whinlead.testbed.mesh.hardening.Point}, the kinds of schedules, and
  * {@link whinlead.testbed.mesh.hardening.Hunt}, which plays many of them.
  */
 package whinlead.testbed.mesh.hardening;
--- a/src/test/java/whinlead/testbed/mesh/hardening/AnswerPlayTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/AnswerPlayTest.java
@@ -8,27 +8,27 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Schedules of spoilt answers, configurations and SIGTERMs; and that they find what is planted. */
+/** Plays schedules of damaged answers, configurations and SIGTERMs, and checks that they detect planted faults. */
 public class AnswerPlayTest {
     private static final int SCHEDULES = 150;
-    private static final int WITHIN = 20;
+    private static final int MAX_SCHEDULES = 20;
 
     @Test
-    public void nothingIsBrokenInSomeHundredSchedules() {
+    public void schedulesWithoutPlantedFaultsFindNoViolation() {
         for (long seed = 1; seed <= SCHEDULES; seed++) {
             assertEquals(AnswerPlay.play(seed, AnswerBug.NONE).broken(), List.of(), "seed " + seed);
         }
     }
 
     @Test
-    public void whatComesAsTheProcessEndsIsRefusedAndNotCutOff() {
+    public void requestsArrivingAtProcessEndAreRefusedNotCutOff() {
         for (long seed : new long[] {2900, 3411, 102_746}) {
             assertEquals(AnswerPlay.play(seed, AnswerBug.NONE).broken(), List.of(), "seed " + seed);
         }
     }
 
     @Test
-    public void theSameSeedPlaysTheSame() {
+    public void sameSeedGivesSameOutcome() {
         assertEquals(AnswerPlay.play(7, AnswerBug.NONE), AnswerPlay.play(7, AnswerBug.NONE));
     }
 
@@ -41,11 +41,11 @@
     }
 
     @Test(dataProvider = "planted")
-    public void whatIsPlantedIsFound(AnswerBug bug) {
+    public void plantedFaultIsFound(AnswerBug bug) {
         long seed = 1;
-        while (seed <= WITHIN && AnswerPlay.play(seed, bug).broken().isEmpty()) {
+        while (seed <= MAX_SCHEDULES && AnswerPlay.play(seed, bug).broken().isEmpty()) {
             seed++;
         }
-        assertTrue(seed <= WITHIN, bug + " is not found in " + WITHIN + " schedules");
+        assertTrue(seed <= MAX_SCHEDULES, bug + " is not detected in " + MAX_SCHEDULES + " schedules");
     }
 }
--- a/src/test/java/whinlead/testbed/mesh/hardening/DiskTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/DiskTest.java
@@ -16,17 +16,17 @@
 import whinlead.mesh.consensus.Ballot;
 import whinlead.mesh.consensus.Decision;
 
-/** The rig's disk: what lasts, when it is told, and what its troubles do. */
+/** Tests the modelled disk: what it stores, when it reports writes, and how its faults behave. */
 public class DiskTest {
-    private Agenda agenda;
+    private Scheduler scheduler;
     private Disk disk;
-    private List<Long> told;
+    private List<Long> completedWrites;
 
     @BeforeMethod
-    public void begin() {
-        agenda = new Agenda();
-        disk = new Disk(agenda, new SplittableRandom(1));
-        told = new ArrayList<>();
+    public void createDisk() {
+        scheduler = new Scheduler();
+        disk = new Disk(scheduler, new SplittableRandom(1));
+        completedWrites = new ArrayList<>();
     }
 
     private static Disk.Entry entry(long round) {
@@ -35,97 +35,97 @@
     }
 
     private void write(long round) {
-        disk.write(entry(round), () -> told.add(round));
+        disk.write(entry(round), () -> completedWrites.add(round));
     }
 
-    private void pass(double millis) {
-        agenda.run(agenda.now() + millis, () -> false);
+    private void advance(double millis) {
+        scheduler.runUntil(scheduler.nowMs() + millis, () -> false);
     }
 
-    private long round() {
+    private long storedRound() {
         return disk.read().memory().promised().round();
     }
 
     @Test
-    public void whatWaitsIsWrittenOnceAsItIsLast() {
+    public void waitingWritesAreMergedIntoTheLast() {
         write(1);
         write(2);
         write(3);
-        while (told.isEmpty()) {
-            pass(1);
+        while (completedWrites.isEmpty()) {
+            advance(1);
         }
-        assertEquals(told, List.of(1L));
-        pass(1000);
-        assertEquals(told, List.of(1L, 2L, 3L));
-        assertEquals(round(), 3);
-        assertTrue(disk.settled());
-        assertEquals(disk.readBefore().memory().promised().round(), 1, "2 was never written by itself");
+        assertEquals(completedWrites, List.of(1L));
+        advance(1000);
+        assertEquals(completedWrites, List.of(1L, 2L, 3L));
+        assertEquals(storedRound(), 3);
+        assertTrue(disk.isIdle());
+        assertEquals(disk.readBefore().memory().promised().round(), 1, "2 was merged into 3");
     }
 
     @Test
-    public void nothingIsToldOfWhatWasUnderWayAsThePowerWentAndItIsThereOrNot() {
+    public void writeInterruptedByPowerLossIsNotReportedAndMayBeStored() {
         Set<Long> found = new HashSet<>();
         for (long seed = 0; seed < 50; seed++) {
-            disk = new Disk(agenda, new SplittableRandom(seed));
-            disk.found(entry(0));
+            disk = new Disk(scheduler, new SplittableRandom(seed));
+            disk.store(entry(0));
             write(1);
             write(2);
-            disk.cut();
-            pass(1000);
-            found.add(round());
+            disk.powerLost();
+            advance(1000);
+            found.add(storedRound());
         }
-        assertEquals(told, List.of());
-        assertEquals(found, Set.of(0L, 1L), "2 had not begun");
+        assertEquals(completedWrites, List.of());
+        assertEquals(found, Set.of(0L, 1L), "the write of 2 had not begun");
     }
 
     @Test
-    public void aDiskThatHangsGoesOnWhenItNoLongerDoes() {
+    public void stalledDiskResumes() {
         write(1);
-        disk.stall(agenda.now() + 60_000);
-        pass(5000);
-        assertEquals(told, List.of());
-        assertFalse(disk.settled());
-        disk.stall(0);
-        pass(500);
-        assertEquals(told, List.of(1L));
+        disk.stallUntil(scheduler.nowMs() + 60_000);
+        advance(5000);
+        assertEquals(completedWrites, List.of());
+        assertFalse(disk.isIdle());
+        disk.stallUntil(0);
+        advance(500);
+        assertEquals(completedWrites, List.of(1L));
     }
 
     @Test
-    public void aSlowDiskIsQuickAgainInTheMidstOfAWrite() {
+    public void slowDiskCanBecomeFastDuringAWrite() {
         int slow = 0;
         for (long seed = 0; seed < 200; seed++) {
-            told.clear();
-            disk = new Disk(agenda, new SplittableRandom(seed));
-            disk.slow(30);
+            completedWrites.clear();
+            disk = new Disk(scheduler, new SplittableRandom(seed));
+            disk.setSlowdown(30);
             write(1);
-            pass(10);
-            slow += told.size();
-            disk.slow(1);
-            pass(450);
-            assertEquals(told, List.of(1L), "seed " + seed);
+            advance(10);
+            slow += completedWrites.size();
+            disk.setSlowdown(1);
+            advance(450);
+            assertEquals(completedWrites, List.of(1L), "seed " + seed);
         }
         assertEquals(slow, 0, "none takes 10 ms");
     }
 
     @Test
-    public void aFullDiskTellsNothingAndIsTriedAgain() {
-        disk.found(entry(0));
-        disk.refuse(true);
+    public void refusedWriteIsNotReportedAndIsRetried() {
+        disk.store(entry(0));
+        disk.setFull(true);
         write(1);
-        pass(2000);
-        assertEquals(round(), 0);
-        assertFalse(disk.settled());
-        disk.refuse(false);
-        pass(1000);
-        assertEquals(round(), 1);
-        assertEquals(told, List.of(), "what waited for the refused write never hears of it");
-        assertTrue(disk.settled());
+        advance(2000);
+        assertEquals(storedRound(), 0);
+        assertFalse(disk.isIdle());
+        disk.setFull(false);
+        advance(1000);
+        assertEquals(storedRound(), 1);
+        assertEquals(completedWrites, List.of(), "callbacks of the refused write never run");
+        assertTrue(disk.isIdle());
     }
 
     @Test
-    public void aWipedDiskIsEmpty() {
+    public void wipedDiskIsEmpty() {
         write(1);
-        pass(1000);
+        advance(1000);
         disk.wipe();
         assertNull(disk.read());
     }
--- a/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
@@ -9,9 +9,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Some hundred schedules of each of the worst days on the real consensus nodes, and the faults that they find. */
+/**
+ * Plays 60 to 150 fault schedules of each kind on the real consensus nodes, and checks that planted faults are
+ * detected.
+ */
 public class HardeningTest {
-    private static final int FOUND_WITHIN = 1000;
+    private static final int MAX_SCHEDULES = 1000;
     private static final int THREADS = 3;
 
     private static Hunt hunt(Point point, int schedules) throws InterruptedException {
@@ -21,9 +24,9 @@
     }
 
     @Test
-    public void aMachineThatIsCutOffClaimsAndRefusesNothing() throws InterruptedException {
+    public void isolatedMachineNeitherClaimsContactNorRefuses() throws InterruptedException {
         Hunt hunt = hunt(Point.CUT, 150);
-        // Schedules in which hardly anything is taken, or nobody starts, would show nothing.
+        // Schedules in which hardly any order is taken, or no sidecar starts, would prove nothing.
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 150 * 15,
                 hunt.counts().toString());
@@ -34,7 +37,7 @@
     }
 
     @Test
-    public void operatorsHistoriesAreThoseOfOneRegister() throws InterruptedException {
+    public void operatorHistoriesAreLinearizable() throws InterruptedException {
         Hunt hunt = hunt(Point.HISTORY, 150);
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 150 * 10,
@@ -43,14 +46,14 @@
     }
 
     @Test
-    public void theNextLossFindsAMajority() throws InterruptedException {
+    public void majoritySurvivesNextLoss() throws InterruptedException {
         Hunt hunt = hunt(Point.SEATS, 150);
         assertTrue(hunt.counts().get("losses") > 150 * 3, hunt.counts().toString());
         assertTrue(hunt.counts().get("members that left by agreement") > 10);
     }
 
     @Test
-    public void aMemberThatMissedHundredsOfChangesCatchesUp() throws InterruptedException {
+    public void memberThatMissedHundredsOfChangesCatchesUp() throws InterruptedException {
         Hunt hunt = hunt(Point.CATCH_UP, 60);
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 60 * 300,
@@ -60,17 +63,17 @@
     @DataProvider
     public Object[][] seedsOfChangesUnderOrders() {
         return new Object[][] {
-            // One told to leave kept its vote to its end: its removal waited for a moment without orders.
+            // A leaving machine kept its vote until it exited: its removal waited for a moment without orders.
             {942640L},
-            // One that was removed after 1 s ended 4.3 s after SIGTERM: it waited for the newest slot.
+            // A machine that was removed after 1 s exited 4.3 s after SIGTERM: it waited for the newest slot.
             {303800L},
-            // A planned replacement took 4,095 ms: the removal waited for 2.8 s, as in the first.
+            // A planned replacement took 4,095 ms: the removal waited for 2.8 s, as in the first case.
             {926450L},
         };
     }
 
     @Test(dataProvider = "seedsOfChangesUnderOrders")
-    public void votersChangeWhileOrdersComeWithoutAPause(long seed) {
+    public void votersChangeUnderContinuousOrders(long seed) {
         Outcome outcome = Point.SEATS.play(seed, Bug.NONE, Trace.NONE);
         assertEquals(outcome.broken(), List.of());
         assertEquals(outcome.counts().get("members that left when their time was up"), null);
@@ -84,7 +87,7 @@
     }
 
     @Test
-    public void aChangeOfVotersTakesItsTurnAmongTheOrders() throws InterruptedException {
+    public void voterChangeIsNotDelayedByOrders() throws InterruptedException {
         for (int underWay : new int[] {1, 4, 8}) {
             Hunt hunt = Hunt.of(1, 60, THREADS, seed -> MembershipPlay.play(seed, Bug.NONE, Trace.NONE, underWay));
             assertEquals(hunt.broken(), Map.of(), "by seed");
@@ -99,7 +102,7 @@
     }
 
     @Test
-    public void aVoterThatReachesAQuorumKeepsItsSeatWhoeverCantReachIt() throws InterruptedException {
+    public void voterThatReachesQuorumKeepsItsVote() throws InterruptedException {
         Hunt hunt = hunt(Point.PAIR_CUT, 100);
         assertTrue(hunt.counts().get("losses") > 100 * 3, hunt.counts().toString());
         assertTrue(hunt.counts().get("cuts, BOTH") > 100 * 2, hunt.counts().toString());
@@ -110,7 +113,7 @@
     }
 
     @Test
-    public void theSameSeedPlaysTheSame() {
+    public void sameSeedGivesSameOutcome() {
         for (Point p : Point.values()) {
             assertEquals(p.play(7, Bug.NONE, Trace.NONE), p.play(7, Bug.NONE, Trace.NONE));
         }
@@ -125,13 +128,13 @@
     }
 
     @Test(dataProvider = "bugs")
-    public void aPlantedFaultIsFound(Bug bug) {
+    public void plantedFaultIsFound(Bug bug) {
         Point point = Point.of(bug.point());
-        for (long seed = 1; seed <= FOUND_WITHIN; seed++) {
+        for (long seed = 1; seed <= MAX_SCHEDULES; seed++) {
             if (!point.play(seed, bug, Trace.NONE).broken().isEmpty()) {
                 return;
             }
         }
-        throw new AssertionError(bug + " is not found in " + FOUND_WITHIN + " schedules");
+        throw new AssertionError(bug + " is not detected in " + MAX_SCHEDULES + " schedules");
     }
 }
--- a/src/test/java/whinlead/testbed/mesh/hardening/LinearizabilityTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/LinearizabilityTest.java
@@ -11,12 +11,12 @@
 import whinlead.testbed.mesh.hardening.Operation.End;
 import whinlead.testbed.mesh.hardening.Operation.Value;
 
-/** Which histories one register with compare-and-set could have given, and which it could not. */
+/** Tests which histories are linearizable as one register with compare-and-set. */
 public class LinearizabilityTest {
     private List<Operation> history;
 
     @BeforeMethod
-    public void begin() {
+    public void createHistory() {
         history = new ArrayList<>();
     }
 
@@ -32,147 +32,147 @@
         return o;
     }
 
-    private void good() {
+    private void assertLinearizable() {
         assertNull(Linearizability.unexplained(history));
     }
 
-    private void bad(Operation o) {
+    private void assertUnexplained(Operation o) {
         assertEquals(Linearizability.unexplained(history), o);
     }
 
     @Test
-    public void oneAfterTheOther() {
+    public void sequentialCallsAreExplained() {
         read(0, 1, 0, "");
         call(1, 2, 1, 0, "x", End.TAKEN);
         call(3, 4, 2, 1, "y", End.TAKEN);
         read(5, 6, 2, "y");
-        good();
+        assertLinearizable();
     }
 
     @Test
-    public void twoOnOneBaseAreNeverBothTaken() {
+    public void twoChangesOnOneBaseAreNeverBothTaken() {
         call(1, 5, 1, 0, "x", End.TAKEN);
-        bad(call(2, 6, 2, 0, "y", End.TAKEN));
+        assertUnexplained(call(2, 6, 2, 0, "y", End.TAKEN));
     }
 
     @Test
-    public void twoUnderOneNumberAreNeverBothTaken() {
+    public void twoChangesWithOneNumberAreNeverBothTaken() {
         call(1, 5, 3, 0, "x", End.TAKEN);
-        bad(call(2, 6, 3, 0, "y", End.TAKEN));
+        assertUnexplained(call(2, 6, 3, 0, "y", End.TAKEN));
     }
 
     @Test
-    public void ofTwoAtOnceOneIsRefused() {
+    public void oneOfTwoConcurrentChangesIsRefused() {
         call(1, 5, 1, 0, "x", End.TAKEN);
         call(2, 3, 1, 0, "y", End.MISMATCH);
-        good();
+        assertLinearizable();
     }
 
     @Test
-    public void aRefusalBeforeTheOtherBeganIsWrong() {
+    public void refusalBeforeTheOtherChangeBeganIsUnexplained() {
         Operation o = call(1, 2, 1, 0, "y", End.MISMATCH);
         call(3, 5, 1, 0, "x", End.TAKEN);
-        bad(o);
+        assertUnexplained(o);
     }
 
     @Test
-    public void aReadMayNotGoBack() {
+    public void readMayNotReturnOlderValue() {
         call(1, 2, 1, 0, "x", End.TAKEN);
-        bad(read(3, 4, 0, ""));
+        assertUnexplained(read(3, 4, 0, ""));
     }
 
     @Test
-    public void aReadAtTheSameTimeMayFindEither() {
+    public void concurrentReadMayReturnEitherValue() {
         call(1, 10, 1, 0, "x", End.TAKEN);
         read(2, 3, 0, "");
         read(4, 5, 1, "x");
-        good();
+        assertLinearizable();
     }
 
     @Test
-    public void twoReadsAtTheSameTimeMayNotGoBack() {
+    public void sequentialReadsDuringAChangeMayNotGoBack() {
         call(1, 10, 1, 0, "x", End.TAKEN);
         read(2, 3, 1, "x");
-        bad(read(4, 5, 0, ""));
+        assertUnexplained(read(4, 5, 0, ""));
     }
 
     @Test
-    public void anUnclearCallMayTakeEffectMuchLater() {
+    public void unclearCallMayTakeEffectMuchLater() {
         call(1, Double.POSITIVE_INFINITY, 1, 0, "x", End.UNCLEAR);
         read(5, 6, 0, "");
         read(100, 101, 1, "x");
         read(102, 103, 1, "x");
-        good();
+        assertLinearizable();
     }
 
     @Test
-    public void anUnclearCallMayNotTakeEffectBeforeItBegan() {
+    public void unclearCallMayNotTakeEffectBeforeItBegan() {
         Operation o = read(1, 2, 1, "x");
         call(3, Double.POSITIVE_INFINITY, 1, 0, "x", End.UNCLEAR);
-        bad(o);
+        assertUnexplained(o);
     }
 
     @Test
-    public void anUnclearCallTakesNoEffectOnceAnotherStandsOnItsBase() {
+    public void unclearCallHasNoEffectAfterAnotherChangeOnItsBase() {
         call(1, Double.POSITIVE_INFINITY, 1, 0, "x", End.UNCLEAR);
         call(2, 3, 2, 0, "y", End.TAKEN);
-        bad(read(4, 5, 1, "x"));
+        assertUnexplained(read(4, 5, 1, "x"));
     }
 
     @Test
-    public void aChainOfUnclearCallsIsFollowed() {
+    public void chainOfUnclearCallsIsFollowed() {
         call(1, Double.POSITIVE_INFINITY, 1, 0, "x", End.UNCLEAR);
         call(2, Double.POSITIVE_INFINITY, 2, 1, "y", End.UNCLEAR);
         call(3, Double.POSITIVE_INFINITY, 2, 1, "z", End.UNCLEAR);
         call(4, 5, 3, 2, "w", End.TAKEN);
         read(6, 7, 3, "w");
-        good();
+        assertLinearizable();
     }
 
     @Test
-    public void theSameCallAgainIsTakenAgain() {
+    public void repeatedCallIsTakenAgain() {
         call(1, 2, 1, 0, "x", End.TAKEN);
         call(3, 4, 2, 1, "y", End.TAKEN);
         call(5, 6, 1, 0, "x", End.TAKEN);
         call(7, 8, 1, 0, "x", End.UNCLEAR);
         read(9, 10, 2, "y");
-        good();
+        assertLinearizable();
     }
 
     @Test
-    public void theSameCallAgainIsNeverRefused() {
+    public void repeatedCallIsNeverRefused() {
         call(1, 2, 1, 0, "x", End.TAKEN);
         call(3, 4, 2, 1, "y", End.TAKEN);
-        bad(call(5, 6, 1, 0, "x", End.MISMATCH));
+        assertUnexplained(call(5, 6, 1, 0, "x", End.MISMATCH));
     }
 
     @Test
-    public void theSameCallAgainAfterAnUnclearOneMayBeRefusedIfItHadNoEffect() {
+    public void repeatOfUnclearCallWithoutEffectMayBeRefused() {
         call(1, Double.POSITIVE_INFINITY, 1, 0, "x", End.UNCLEAR);
         call(3, 4, 2, 0, "y", End.TAKEN);
         call(5, 6, 1, 0, "x", End.MISMATCH);
-        good();
+        assertLinearizable();
     }
 
     @Test
-    public void aNumberThatDoesNotRiseIsOldOnlyOnTheBaseInPlace() {
+    public void lowerNumberIsOldOnlyOnTheCurrentBase() {
         call(1, 2, 4, 0, "x", End.TAKEN);
         call(3, 4, 4, 4, "y", End.OLD);
-        good();
-        bad(call(5, 6, 3, 2, "y", End.OLD));
+        assertLinearizable();
+        assertUnexplained(call(5, 6, 3, 2, "y", End.OLD));
     }
 
     @Test
-    public void anAcknowledgementMayNotBeForgotten() {
+    public void acknowledgedChangeMayNotBeLost() {
         call(1, 2, 1, 0, "x", End.TAKEN);
-        bad(call(3, 4, 2, 0, "y", End.TAKEN));
+        assertUnexplained(call(3, 4, 2, 0, "y", End.TAKEN));
     }
 
     @Test
-    public void answersThatNeedDifferentPastsDoNotGoTogether() {
+    public void answersThatNeedDifferentHistoriesAreUnexplained() {
         call(1, Double.POSITIVE_INFINITY, 1, 0, "x", End.UNCLEAR);
         call(1, Double.POSITIVE_INFINITY, 1, 0, "y", End.UNCLEAR);
         read(2, 3, 1, "x");
-        bad(read(4, 5, 1, "y"));
+        assertUnexplained(read(4, 5, 1, "y"));
     }
 }
--- a/src/test/java/whinlead/testbed/mesh/hardening/NetworkTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/NetworkTest.java
@@ -9,65 +9,65 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The rig's ways between machines. */
+/** Tests the modelled links between machines. */
 public class NetworkTest {
-    private Agenda agenda;
+    private Scheduler scheduler;
     private Network network;
-    private List<Integer> came;
+    private List<Integer> received;
 
     @BeforeMethod
-    public void begin() {
-        agenda = new Agenda();
-        network = new Network(agenda, new SplittableRandom(1));
-        came = new ArrayList<>();
+    public void createNetwork() {
+        scheduler = new Scheduler();
+        network = new Network(scheduler, new SplittableRandom(1));
+        received = new ArrayList<>();
     }
 
     private void send(String from, String to, int what) {
-        network.send(from, to, () -> came.add(what));
-        agenda.run(agenda.now() + 1000, () -> false);
+        network.send(from, to, () -> received.add(what));
+        scheduler.runUntil(scheduler.nowMs() + 1000, () -> false);
     }
 
     @Test
-    public void aCutInOneDirectionLeavesTheOther() {
-        network.set("a", "b", Network.Way.CUT);
+    public void cutInOneDirectionLeavesTheOtherOpen() {
+        network.set("a", "b", Network.Link.CUT);
         send("a", "b", 1);
         send("b", "a", 2);
-        assertEquals(came, List.of(2));
-        network.set("a", "b", Network.Way.OPEN);
+        assertEquals(received, List.of(2));
+        network.set("a", "b", Network.Link.OPEN);
         send("a", "b", 3);
-        assertEquals(came, List.of(2, 3), "what was cut off is gone");
+        assertEquals(received, List.of(2, 3), "messages sent while the link is cut are lost");
     }
 
     @Test
-    public void whatIsHeldBackComesAllAtOnceInItsOrder() {
-        network.set("a", "b", Network.Way.HELD);
+    public void heldMessagesArriveTogetherInOrder() {
+        network.set("a", "b", Network.Link.HELD);
         for (int i = 0; i < 5; i++) {
             send("a", "b", i);
         }
-        assertEquals(came, List.of());
-        network.set("a", "b", Network.Way.OPEN);
-        agenda.run(agenda.now() + 1, () -> false);
-        assertEquals(came, List.of(0, 1, 2, 3, 4));
+        assertEquals(received, List.of());
+        network.set("a", "b", Network.Link.OPEN);
+        scheduler.runUntil(scheduler.nowMs() + 1, () -> false);
+        assertEquals(received, List.of(0, 1, 2, 3, 4));
     }
 
     @Test
-    public void someAreLostAndSomeComeTwice() {
-        network.spoil(0.3, 0);
+    public void messagesAreLostAndDuplicatedAtTheSetShares() {
+        network.setFaultShares(0.3, 0);
         for (int i = 0; i < 1000; i++) {
             send("a", "b", i);
         }
-        assertTrue(Math.abs(came.size() - 700) < 60, came.size() + " came");
-        came.clear();
-        network.spoil(0, 0.3);
+        assertTrue(Math.abs(received.size() - 700) < 60, received.size() + " came");
+        received.clear();
+        network.setFaultShares(0, 0.3);
         for (int i = 0; i < 1000; i++) {
             send("a", "b", i);
         }
-        assertTrue(Math.abs(came.size() - 1300) < 60, came.size() + " came");
-        came.clear();
+        assertTrue(Math.abs(received.size() - 1300) < 60, received.size() + " came");
+        received.clear();
         for (int i = 0; i < 1000; i++) {
-            network.sendSurely("a", "b", () -> came.add(0));
+            network.sendReliably("a", "b", () -> received.add(0));
         }
-        agenda.run(agenda.now() + 1000, () -> false);
-        assertEquals(came.size(), 1000);
+        scheduler.runUntil(scheduler.nowMs() + 1000, () -> false);
+        assertEquals(received.size(), 1000);
     }
 }
--- a/src/test/java/whinlead/testbed/mesh/hardening/RelayPlayTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/RelayPlayTest.java
@@ -8,20 +8,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Schedules of resets, silences and surplus answers; and that they find what is planted. */
+/** Plays schedules of resets, silences and surplus answers, and checks that they detect planted faults. */
 public class RelayPlayTest {
     private static final int SCHEDULES = 200;
-    private static final int WITHIN = 1000;
+    private static final int MAX_SCHEDULES = 1000;
 
     @Test
-    public void nothingIsBrokenInSomeHundredSchedules() {
+    public void schedulesWithoutPlantedFaultsFindNoViolation() {
         for (long seed = 1; seed <= SCHEDULES; seed++) {
             assertEquals(RelayPlay.play(seed, RelayPlay.Bug.NONE).broken(), List.of(), "seed " + seed);
         }
     }
 
     @Test
-    public void theSameSeedPlaysTheSame() {
+    public void sameSeedGivesSameOutcome() {
         assertEquals(RelayPlay.play(7, RelayPlay.Bug.NONE), RelayPlay.play(7, RelayPlay.Bug.NONE));
     }
 
@@ -34,11 +34,11 @@
     }
 
     @Test(dataProvider = "planted")
-    public void whatIsPlantedIsFound(RelayPlay.Bug bug) {
+    public void plantedFaultIsFound(RelayPlay.Bug bug) {
         long seed = 1;
-        while (seed <= WITHIN && RelayPlay.play(seed, bug).broken().isEmpty()) {
+        while (seed <= MAX_SCHEDULES && RelayPlay.play(seed, bug).broken().isEmpty()) {
             seed++;
         }
-        assertTrue(seed <= WITHIN, bug + " is not found in " + WITHIN + " schedules");
+        assertTrue(seed <= MAX_SCHEDULES, bug + " is not detected in " + MAX_SCHEDULES + " schedules");
     }
 }
