--- a/src/main/java/whinlead/admit/Admission.java
+++ b/src/main/java/whinlead/admit/Admission.java
@@ -6,41 +6,43 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses the connection that makes room, by what each does and for how long. It knows no socket, clock or thread: it
- * is told what connections come to do, and asked for one to close. Those that never carried a request are unknown; an
- * idle one has carried a good request and is known. What holds a taken request is never chosen.
+ * Selects the connection to close when a place is needed, by what each connection does and for how long. It uses no
+ * socket, clock or thread: the caller reports each change of phase and asks for a connection to close. A connection
+ * that has never carried a request is unknown; an idle one has carried a good request and is known. A connection with
+ * an accepted request is never selected.
  *
- * @param <C> a connection, told apart by identity or as its class has it
+ * @param <C> a connection, compared with equals
  */
 public final class Admission<C> {
-    /** What a connection does. */
+    /** The state of a connection. */
     public enum Phase {
-        /** It has sent nothing yet. */
+        /** Nothing has been received yet. */
         SILENT,
-        /** A request has begun to come. */
+        /** Part of a request has been received. */
         RECEIVING,
-        /** A request is taken, or an answer on its way. */
-        HELD,
-        /** It has had an answer and has sent nothing since. */
+        /** A request is accepted and not answered, or its answer is being written. */
+        BUSY,
+        /** An answer was sent and nothing has been received since. */
         IDLE
     }
 
     /**
-     * Who goes first. Times are milliseconds.
+     * The order of selection. Times are milliseconds.
      *
-     * @param unknownPart of the places, as a share, those that silent connections may have while known ones are closed
-     *     for them; a new one has so many arrivals of time to say something
-     * @param idleLong an idle connection goes before all others from then on
-     * @param idleLeast one that has been idle for less is not closed: its next request may be on its way
-     * @param slowLeast a good request has come whole long before
+     * @param maxSilentShare the share of all places up to which silent connections are kept and idle ones are closed
+     *     for them; a new connection thus has time for that number of arrivals to send something
+     * @param longIdleMs after this time an idle connection is closed before all others
+     * @param minIdleMs a connection idle for less is not closed: its next request may be in transit
+     * @param slowRequestMs a connection receiving a request for longer may be closed; a good request is complete long
+     *     before
      */
-    public record Limits(double unknownPart, double idleLong, double idleLeast, double slowLeast) {
+    public record Limits(double maxSilentShare, double longIdleMs, double minIdleMs, double slowRequestMs) {
         /** Checks the ranges. */
         public Limits {
-            if (!(unknownPart >= 0 && unknownPart <= 1)
-                    || !(idleLeast >= 0)
-                    || !(idleLong >= idleLeast)
-                    || !(slowLeast >= 0)) {
+            if (!(maxSilentShare >= 0 && maxSilentShare <= 1)
+                    || !(minIdleMs >= 0)
+                    || !(longIdleMs >= minIdleMs)
+                    || !(slowRequestMs >= 0)) {
                 throw new IllegalArgumentException("limits out of range");
             }
         }
@@ -50,7 +52,7 @@
     private final Map<Phase, Map<C, Double>> phases = new EnumMap<>(Phase.class);
     private final Map<C, Phase> connections = new LinkedHashMap<>();
 
-    /** Nothing is open. */
+    /** Creates an instance without connections. */
     public Admission(Limits limits) {
         this.limits = limits;
         for (Phase phase : Phase.values()) {
@@ -58,58 +60,63 @@
         }
     }
 
-    /** A connection has come, or come to do something else; {@code since} is when that counts from. */
-    public void entered(C connection, Phase phase, double since) {
-        left(connection);
+    /** Records a new connection or the new phase of one; {@code sinceMs} is the start of the phase. */
+    public void phaseChanged(C connection, Phase phase, double sinceMs) {
+        connectionClosed(connection);
         connections.put(connection, phase);
-        phases.get(phase).put(connection, since);
+        phases.get(phase).put(connection, sinceMs);
     }
 
-    /** It is closed. */
-    public void left(C connection) {
+    /** Removes a closed connection. */
+    public void connectionClosed(C connection) {
         Phase phase = connections.remove(connection);
         if (phase != null) {
             phases.get(phase).remove(connection);
         }
     }
 
-    /** Connections open. */
+    /** Number of open connections. */
     public int open() {
         return connections.size();
     }
 
-    /** The one to close now of these, which have so many places; null if none of them may be closed. */
-    public C choose(double now, Predicate<C> of, int places) {
-        C idle = oldest(Phase.IDLE, now, limits.idleLeast(), of);
-        C silent = oldest(Phase.SILENT, now, 0, of);
-        if (idle != null && now - phases.get(Phase.IDLE).get(idle) > limits.idleLong()) {
+    /**
+     * Selects one of the eligible connections, which share {@code places} places, to close now; null if none of them
+     * may be closed.
+     */
+    public C selectToClose(double nowMs, Predicate<C> eligible, int places) {
+        C idle = oldest(Phase.IDLE, nowMs, limits.minIdleMs(), eligible);
+        C silent = oldest(Phase.SILENT, nowMs, 0, eligible);
+        if (idle != null && nowMs - phases.get(Phase.IDLE).get(idle) > limits.longIdleMs()) {
             return idle;
         }
-        long silents = phases.get(Phase.SILENT).keySet().stream().filter(of).count();
-        if (silents > (int) (limits.unknownPart() * places)) {
+        long silentCount =
+                phases.get(Phase.SILENT).keySet().stream().filter(eligible).count();
+        if (silentCount > (int) (limits.maxSilentShare() * places)) {
             return silent;
         }
         if (idle != null) {
             return idle;
         }
-        C slow = oldest(Phase.RECEIVING, now, limits.slowLeast(), of);
-        // The only silent one is the newest, which has had no time to say anything.
-        boolean newcomerOnly = silents == 1;
-        return silent == null || newcomerOnly && slow != null ? slow : silent;
+        C slow = oldest(Phase.RECEIVING, nowMs, limits.slowRequestMs(), eligible);
+        // The only silent connection is the newest one, which has had no time to send anything.
+        boolean onlyNewestSilent = silentCount == 1;
+        return silent == null || onlyNewestSilent && slow != null ? slow : silent;
     }
 
-    /** The one that has idled for longest, if that is longer than told; or null. */
-    public C idleFor(double now, double millis) {
-        return oldest(Phase.IDLE, now, millis, c -> true);
+    /** The connection idle for longest, if it has been idle for at least {@code minIdleMs}; else null. */
+    public C longestIdle(double nowMs, double minIdleMs) {
+        return oldest(Phase.IDLE, nowMs, minIdleMs, c -> true);
     }
 
-    private C oldest(Phase phase, double now, double least, Predicate<C> of) {
+    private C oldest(Phase phase, double nowMs, double minAgeMs, Predicate<C> eligible) {
         C oldest = null;
-        double since = now - least;
-        for (Map.Entry<C, Double> c : phases.get(phase).entrySet()) {
-            if ((c.getValue() < since || oldest == null && c.getValue() <= since) && of.test(c.getKey())) {
-                oldest = c.getKey();
-                since = c.getValue();
+        double oldestSinceMs = nowMs - minAgeMs;
+        for (Map.Entry<C, Double> entry : phases.get(phase).entrySet()) {
+            if ((entry.getValue() < oldestSinceMs || oldest == null && entry.getValue() <= oldestSinceMs)
+                    && eligible.test(entry.getKey())) {
+                oldest = entry.getKey();
+                oldestSinceMs = entry.getValue();
             }
         }
         return oldest;
--- a/src/main/java/whinlead/admit/Budget.java
+++ b/src/main/java/whinlead/admit/Budget.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * Shares out the process's file descriptors by purpose, and moves them from one that does not need its share to one
- * that was refused some, with hysteresis. All purposes together never hold more than their first shares were: what a
- * purpose is given, another has given up and no longer uses. No socket, clock or thread: it is told what is used and
- * refused, and asked what may be opened.
+ * Divides the process's file descriptors by purpose, and moves them with hysteresis from a purpose that does not need
+ * its share to one that was refused descriptors. The total never exceeds the sum of the initial shares: a purpose gains
+ * only what another has given up and no longer uses. It uses no socket, clock or thread: the caller reports use and
+ * refusals and asks for limits.
  */
 public final class Budget {
-    /** What descriptors are for. */
+    /** What a descriptor is used for. */
     public enum Purpose {
         /** Connections from clients. */
         CLIENTS,
@@ -21,136 +21,138 @@
     /**
      * A purpose's share.
      *
-     * @param first descriptors at the start; at least 1
-     * @param least it gives up none below this; from 1 to {@code first}
+     * @param initial descriptors at the start; at least 1
+     * @param minimum the share is never lowered below this; from 1 to the initial share
      */
-    public record Share(int first, int least) {
+    public record Share(int initial, int minimum) {
         /** Checks the ranges. */
         public Share {
-            if (least < 1 || first < least) {
+            if (minimum < 1 || initial < minimum) {
                 throw new IllegalArgumentException("share out of range");
             }
         }
     }
 
-    /** Of its first share, what a purpose that gives keeps beyond the most that it lately used. */
-    private static final int MARGIN_PART = 8;
-    /** Of the first share of one that gives, what it gives at a time. */
-    private static final int STEP_PART = 16;
-    /** What stays, from tick to tick, of the most that was used: half after 35 of them. */
-    private static final double PEAK_KEEP = 0.98;
-    /** Ticks in a row in which a purpose was refused some before it is given more. */
-    private static final int REFUSED_FOR = 2;
-    /** Ticks without a refusal after which a step goes back. */
-    private static final int CALM = 150;
+    /** A lender keeps its recent peak use plus its initial share divided by this. */
+    private static final int MARGIN_DIVISOR = 8;
+    /** A lender gives its initial share divided by this in one step. */
+    private static final int STEP_DIVISOR = 16;
+    /** Factor by which the recorded peak use decays per tick: half remains after 35 ticks. */
+    private static final double PEAK_DECAY = 0.98;
+    /** Consecutive ticks with a refusal before a purpose borrows. */
+    private static final int MIN_REFUSED_TICKS = 2;
+    /** Ticks without a refusal after which one step is returned. */
+    private static final int CALM_TICKS = 150;
 
     private static final class State {
         private final Share share;
-        private int cap;
+        private int limit;
         private int used;
         private double peak;
         private boolean refused;
-        private int refusedFor;
-        private int calm;
+        private int refusedTicks;
+        private int ticksSinceRefusal;
 
         private State(Share share) {
             this.share = share;
-            this.cap = share.first();
+            this.limit = share.initial();
         }
 
         private int spare() {
-            int keep = (int) Math.ceil(peak) + share.first() / MARGIN_PART;
-            return cap - Math.max(share.least(), keep);
+            int needed = (int) Math.ceil(peak) + share.initial() / MARGIN_DIVISOR;
+            return limit - Math.max(share.minimum(), needed);
         }
     }
 
     private final Map<Purpose, State> states = new EnumMap<>(Purpose.class);
 
-    /** Each purpose has its first share. */
+    /** Creates a budget in which each purpose has its initial share. */
     public Budget(Map<Purpose, Share> shares) {
         shares.forEach((purpose, share) -> states.put(purpose, new State(share)));
     }
 
-    /** One purpose, which may always hold so many. */
-    public static Budget fixed(Purpose purpose, int most) {
-        return new Budget(Map.of(purpose, new Share(most, most)));
+    /** A budget of one purpose with a constant limit. */
+    public static Budget fixed(Purpose purpose, int limit) {
+        return new Budget(Map.of(purpose, new Share(limit, limit)));
     }
 
-    /** A purpose now holds so many. */
+    /** Sets the number of descriptors that a purpose uses now. */
     public void used(Purpose purpose, int count) {
-        State s = states.get(purpose);
-        s.used = count;
-        s.peak = Math.max(s.peak, count);
+        State state = states.get(purpose);
+        state.used = count;
+        state.peak = Math.max(state.peak, count);
     }
 
-    /** A purpose could not have one more, or had to close one for it. */
+    /** Records that a purpose could not open a descriptor, or had to close another first. */
     public void refused(Purpose purpose) {
         states.get(purpose).refused = true;
     }
 
-    /** How many a purpose may hold now: its share, less what others hold beyond theirs. */
+    /** The descriptors that a purpose may use now: its share, less what others use beyond theirs. */
     public int may(Purpose purpose) {
-        int beyond = 0;
-        for (Map.Entry<Purpose, State> s : states.entrySet()) {
-            beyond += s.getKey() == purpose ? 0 : Math.max(0, s.getValue().used - s.getValue().cap);
+        int excess = 0;
+        for (Map.Entry<Purpose, State> entry : states.entrySet()) {
+            excess += entry.getKey() == purpose ? 0 : Math.max(0, entry.getValue().used - entry.getValue().limit);
         }
-        return Math.max(1, states.get(purpose).cap - beyond);
+        return Math.max(1, states.get(purpose).limit - excess);
     }
 
-    /** The time between two ticks is over: shares may move. */
+    /** Moves shares according to the refusals since the last tick. */
     public void tick() {
-        for (State s : states.values()) {
-            s.refusedFor = s.refused ? s.refusedFor + 1 : 0;
-            s.calm = s.refused ? 0 : s.calm + 1;
+        for (State state : states.values()) {
+            state.refusedTicks = state.refused ? state.refusedTicks + 1 : 0;
+            state.ticksSinceRefusal = state.refused ? 0 : state.ticksSinceRefusal + 1;
         }
-        for (State s : states.values()) {
-            if (s.cap < s.share.first() && s.refused) {
-                // What it has lent comes back at once: the lender has the first right to it.
-                takeBack(s);
-            } else if (s.refusedFor >= REFUSED_FOR) {
-                borrow(s);
-            } else if (s.cap > s.share.first() && s.calm >= CALM) {
-                giveBack(s, s.share.first() / STEP_PART);
-                s.calm = 0;
+        for (State state : states.values()) {
+            if (state.limit < state.share.initial() && state.refused) {
+                // A refused lender regains what it has lent at once: it has priority over the borrower.
+                takeBack(state);
+            } else if (state.refusedTicks >= MIN_REFUSED_TICKS) {
+                borrow(state);
+            } else if (state.limit > state.share.initial() && state.ticksSinceRefusal >= CALM_TICKS) {
+                giveBack(state, state.share.initial() / STEP_DIVISOR);
+                state.ticksSinceRefusal = 0;
             }
         }
-        for (State s : states.values()) {
-            s.refused = false;
-            s.peak = Math.max(s.used, s.peak * PEAK_KEEP);
+        for (State state : states.values()) {
+            state.refused = false;
+            state.peak = Math.max(state.used, state.peak * PEAK_DECAY);
         }
     }
 
-    private void borrow(State s) {
+    private void borrow(State borrower) {
         State lender = null;
-        for (State o : states.values()) {
-            boolean lends = o != s && o.refusedFor == 0 && o.spare() > 0;
-            if (lends && (lender == null || o.spare() > lender.spare())) {
-                lender = o;
+        for (State other : states.values()) {
+            boolean lends = other != borrower && other.refusedTicks == 0 && other.spare() > 0;
+            if (lends && (lender == null || other.spare() > lender.spare())) {
+                lender = other;
             }
         }
         if (lender != null) {
-            int step = Math.min(lender.spare(), Math.max(1, lender.share.first() / STEP_PART));
-            lender.cap -= step;
-            s.cap += step;
+            int step = Math.min(lender.spare(), Math.max(1, lender.share.initial() / STEP_DIVISOR));
+            lender.limit -= step;
+            borrower.limit += step;
         }
     }
 
-    private void takeBack(State s) {
-        for (State o : states.values()) {
-            int lent = Math.min(o.cap - o.share.first(), s.share.first() - s.cap);
-            if (o != s && lent > 0) {
-                o.cap -= lent;
-                s.cap += lent;
+    private void takeBack(State owner) {
+        for (State borrower : states.values()) {
+            int lent = Math.min(borrower.limit - borrower.share.initial(), owner.share.initial() - owner.limit);
+            if (borrower != owner && lent > 0) {
+                borrower.limit -= lent;
+                owner.limit += lent;
             }
         }
     }
 
-    private void giveBack(State s, int most) {
-        for (State o : states.values()) {
-            int step = Math.min(Math.max(1, most), Math.min(s.cap - s.share.first(), o.share.first() - o.cap));
-            if (o != s && step > 0) {
-                s.cap -= step;
-                o.cap += step;
+    private void giveBack(State borrower, int maxStep) {
+        for (State lender : states.values()) {
+            int step = Math.min(
+                    Math.max(1, maxStep),
+                    Math.min(borrower.limit - borrower.share.initial(), lender.share.initial() - lender.limit));
+            if (lender != borrower && step > 0) {
+                borrower.limit -= step;
+                lender.limit += step;
             }
         }
     }
--- a/src/main/java/whinlead/admit/Clients.java
+++ b/src/main/java/whinlead/admit/Clients.java
@@ -7,66 +7,67 @@
 import java.util.Map;
 
 /**
- * What is known of each client: what it has open, how fast it comes, and whether it lately asked good requests.
- * Bounded: those with nothing open are kept in a segmented LRU (Karedla, Love and Wherry, 1994), in which a flood of
- * strangers pushes out strangers first. It knows no clock: every time is milliseconds from one fixed instant, and they
- * never fall.
+ * The state of each client: its open connections, its connection rate and its recent good requests. Bounded: clients
+ * without a connection are kept in a segmented LRU (Karedla, Love and Wherry, 1994), in which a flood of unknown
+ * clients evicts unknown clients first. It has no clock: all times are milliseconds from one fixed instant and never
+ * decrease.
  */
 final class Clients {
-    /** Of those kept without a connection, the part that may be known ones. */
-    private static final double KNOWN_PART = 0.8;
-    /** Good requests after which a client is known, as they add up with decay. */
-    private static final double KNOWN_FROM = 3;
-    /** No more are saved up, so that one that turns bad is a stranger soon. */
-    private static final double MAX_GOOD = 20;
-    /** What a bad request leaves. */
-    private static final double BAD_KEEP = 0.5;
-    /** A known client may open connections so many times as fast. */
-    private static final double KNOWN_FASTER = 4;
-
-    private static final double SECOND = 1000;
-
-    /** One client. */
+    /** The share of retained clients without a connection that may be known ones. */
+    private static final double KNOWN_SHARE = 0.8;
+    /** Decayed number of good requests from which a client is known. */
+    private static final double KNOWN_THRESHOLD = 3;
+    /** Upper bound of the decayed number, so that a client whose requests turn bad soon becomes unknown. */
+    private static final double MAX_GOOD_COUNT = 20;
+    /** Factor applied to the number of good requests for each bad one. */
+    private static final double BAD_REQUEST_FACTOR = 0.5;
+    /** Factor by which the connection rate and burst of a known client are higher. */
+    private static final double KNOWN_RATE_FACTOR = 4;
+
+    private static final double MS_PER_SECOND = 1000;
+
+    /** The state of one client. */
     final class Entry {
         private final Client client;
         private int open;
         private double tokens = gateLimits.burst();
-        private double tokensAt;
-        private double good;
-        private double goodAt;
+        private double tokensAtMs;
+        private double goodCount;
+        private double goodAtMs;
 
-        private Entry(Client client, double now) {
+        private Entry(Client client, double nowMs) {
             this.client = client;
-            this.tokensAt = now;
-            this.goodAt = now;
+            this.tokensAtMs = nowMs;
+            this.goodAtMs = nowMs;
         }
 
-        /** Connections that it has open. */
+        /** Number of open connections. */
         int open() {
             return open;
         }
 
-        /** True if it lately asked enough good requests. */
-        boolean known(double now) {
-            return good(now) >= KNOWN_FROM;
+        /** True if the client has sent enough good requests recently. */
+        boolean known(double nowMs) {
+            return goodCount(nowMs) >= KNOWN_THRESHOLD;
         }
 
-        private double good(double now) {
-            return good * Math.pow(2, (goodAt - now) / gateLimits.knownHalfLife());
+        private double goodCount(double nowMs) {
+            return goodCount * Math.pow(2, (goodAtMs - nowMs) / gateLimits.knownHalfLifeMs());
         }
 
-        /** It has asked a request, which was good or bad. */
-        void asked(boolean well, double now) {
-            good = well ? Math.min(MAX_GOOD, good(now) + 1) : good(now) * BAD_KEEP;
-            goodAt = now;
+        /** Records a good or bad request. */
+        void requestReceived(boolean good, double nowMs) {
+            goodCount = good ? Math.min(MAX_GOOD_COUNT, goodCount(nowMs) + 1) : goodCount(nowMs) * BAD_REQUEST_FACTOR;
+            goodAtMs = nowMs;
         }
 
-        // A token bucket: one for each new connection.
-        private boolean pays(double now) {
-            double faster = known(now) ? KNOWN_FASTER : 1;
+        // Takes one token of a token bucket for a new connection.
+        private boolean takeToken(double nowMs) {
+            double factor = known(nowMs) ? KNOWN_RATE_FACTOR : 1;
             tokens = Math.min(
-                    gateLimits.burst() * faster, tokens + (now - tokensAt) / SECOND * gateLimits.perSecond() * faster);
-            tokensAt = now;
+                    gateLimits.burst() * factor,
+                    tokens + (nowMs - tokensAtMs) / MS_PER_SECOND * gateLimits.perSecond() * factor);
+            tokensAtMs = nowMs;
             if (tokens < 1) {
                 return false;
             }
@@ -77,29 +78,29 @@
 
     private final Gate.Limits gateLimits;
     private final Map<Client, Entry> active = new HashMap<>();
-    // With nothing open, the longest so first.
-    private final Map<Client, Entry> strangers = new LinkedHashMap<>();
-    private final Map<Client, Entry> known = new LinkedHashMap<>();
+    // Clients without connections, in the order in which they closed their last one.
+    private final Map<Client, Entry> unknownClients = new LinkedHashMap<>();
+    private final Map<Client, Entry> knownClients = new LinkedHashMap<>();
 
     Clients(Gate.Limits limits) {
         this.gateLimits = limits;
     }
 
-    /** A connection of this client has come; null if it comes faster than it may, and then it counts not. */
-    Entry arrived(Client client, double now) {
+    /** Records a new connection; returns null if it exceeds the client's rate, and then does not count it. */
+    Entry connectionOpened(Client client, double nowMs) {
         Entry entry = active.get(client);
         if (entry == null) {
-            entry = known.remove(client);
+            entry = knownClients.remove(client);
         }
         if (entry == null) {
-            entry = strangers.remove(client);
+            entry = unknownClients.remove(client);
         }
         if (entry == null) {
-            entry = new Entry(client, now);
+            entry = new Entry(client, nowMs);
         }
-        if (!entry.pays(now)) {
+        if (!entry.takeToken(nowMs)) {
             if (entry.open == 0) {
-                keep(entry, now);
+                retain(entry, nowMs);
             }
             return null;
         }
@@ -108,43 +109,43 @@
         return entry;
     }
 
-    /** A connection that had come is gone. */
-    void left(Entry entry, double now) {
+    /** Records the end of a counted connection. */
+    void connectionClosed(Entry entry, double nowMs) {
         if (--entry.open == 0) {
             active.remove(entry.client);
-            keep(entry, now);
+            retain(entry, nowMs);
         }
     }
 
-    private void keep(Entry entry, double now) {
-        if (entry.known(now)) {
-            known.put(entry.client, entry);
-            if (known.size() > KNOWN_PART * gateLimits.remembered()) {
-                Entry oldest = takeOldest(known);
-                strangers.put(oldest.client, oldest);
+    private void retain(Entry entry, double nowMs) {
+        if (entry.known(nowMs)) {
+            knownClients.put(entry.client, entry);
+            if (knownClients.size() > KNOWN_SHARE * gateLimits.maxRemembered()) {
+                Entry oldest = removeOldest(knownClients);
+                unknownClients.put(oldest.client, oldest);
             }
         } else {
-            strangers.put(entry.client, entry);
+            unknownClients.put(entry.client, entry);
         }
-        while (known.size() + strangers.size() > gateLimits.remembered()) {
-            takeOldest(strangers.isEmpty() ? known : strangers);
+        while (knownClients.size() + unknownClients.size() > gateLimits.maxRemembered()) {
+            removeOldest(unknownClients.isEmpty() ? knownClients : unknownClients);
         }
     }
 
-    private static Entry takeOldest(Map<Client, Entry> from) {
-        Iterator<Entry> all = from.values().iterator();
-        Entry oldest = all.next();
-        all.remove();
+    private static Entry removeOldest(Map<Client, Entry> entries) {
+        Iterator<Entry> iterator = entries.values().iterator();
+        Entry oldest = iterator.next();
+        iterator.remove();
         return oldest;
     }
 
-    /** Those that have connections open. */
+    /** Clients with open connections. */
     Collection<Entry> active() {
         return active.values();
     }
 
-    /** All that is kept. */
+    /** Number of clients, with or without connections. */
     int size() {
-        return active.size() + strangers.size() + known.size();
+        return active.size() + unknownClients.size() + knownClients.size();
     }
 }
--- a/src/main/java/whinlead/admit/Gate.java
+++ b/src/main/java/whinlead/admit/Gate.java
@@ -5,39 +5,39 @@
 import java.util.Map;
 
 /**
- * Admits the connections of one listener, or of several that share their places: caps and rates by client, a reserve
- * for known clients, who makes room, and what to do when the process has no descriptor left. It is told what happens,
- * with the time, and answers with the connection to close; no socket, clock or thread. What holds a taken request is
- * never chosen.
+ * Admits the connections of one listener, or of several that share their places: limits and rates per client, a reserve
+ * for known clients, the selection of connections to close, and the reaction to a shortage of descriptors. The caller
+ * reports events with their time and gets the connection to close; no socket, clock or thread is used. A connection
+ * with an accepted request is never selected.
  *
- * @param <C> a connection, told apart by identity or as its class has it
+ * @param <C> a connection, compared with equals
  */
 public final class Gate<C> {
     /** Why a connection was closed. */
-    public enum Why {
+    public enum CloseReason {
         /** All places are taken. */
         FULL,
-        /** Its client has as many as it may have. */
+        /** The client has reached its number of connections. */
         CLIENT_CAP,
-        /** Its client opens them faster than it may. */
+        /** The client exceeds its rate of new connections. */
         CLIENT_RATE,
-        /** The places left are kept for known clients. */
+        /** The remaining places are reserved for known clients. */
         RESERVE,
         /** The process has no descriptor left. */
         NO_DESCRIPTOR
     }
 
     /**
-     * What clients may do; {@link #none()} limits nothing.
+     * Limits per client; {@link #none()} sets none.
      *
-     * @param prefixes which addresses are one client
-     * @param perClient connections of a client at once; at least 1
-     * @param perKnownClient the same of a known one; no less
-     * @param perSecond new connections of a client, a second; known ones may have four times that
-     * @param burst new connections of a client that may come at once; at least 1
-     * @param reserve places that only known clients may take, as far as they lately needed them
-     * @param remembered clients remembered that have nothing open; at least 1
-     * @param knownHalfLife milliseconds in which good requests come to count half
+     * @param prefixes which addresses count as one client
+     * @param perClient concurrent connections of a client; at least 1
+     * @param perKnownClient concurrent connections of a known client; not lower
+     * @param perSecond new connections of a client per second; four times that for known clients
+     * @param burst new connections of a client allowed at once; at least 1
+     * @param reserve places reserved for known clients, up to their recent peak
+     * @param maxRemembered clients without connections that are remembered; at least 1
+     * @param knownHalfLifeMs half-life in milliseconds of the number of good requests
      */
     public record Limits(
             Client.Prefixes prefixes,
@@ -46,8 +46,8 @@
             double perSecond,
             double burst,
             int reserve,
-            int remembered,
-            double knownHalfLife) {
+            int maxRemembered,
+            double knownHalfLifeMs) {
         private static final double UNLIMITED = 1e9;
 
         /** Checks the ranges. */
@@ -57,26 +57,26 @@
                     || !(perSecond > 0)
                     || !(burst >= 1)
                     || reserve < 0
-                    || remembered < 1
-                    || !(knownHalfLife > 0)) {
-                throw new IllegalArgumentException("limits of clients out of range");
+                    || maxRemembered < 1
+                    || !(knownHalfLifeMs > 0)) {
+                throw new IllegalArgumentException("client limits out of range");
             }
         }
 
-        /** No limit on any client, and none remembered: all that counts is what each connection does. */
+        /** No limit per client and no remembered clients: only the phase of each connection matters. */
         public static Limits none() {
             return new Limits(
                     new Client.Prefixes(0, 0), Integer.MAX_VALUE, Integer.MAX_VALUE, UNLIMITED, UNLIMITED, 0, 1, 1);
         }
     }
 
-    /** The need of known clients is the most that they had open, of which so much stays after this time. */
-    private static final double NEED_HALF_LIFE_MS = 60_000;
+    /** Half-life of the recorded peak of connections of known clients, which sizes the reserve. */
+    private static final double KNOWN_PEAK_HALF_LIFE_MS = 60_000;
 
     private static final double MIN_PAUSE_MS = 10;
     private static final double MAX_PAUSE_MS = 500;
-    /** One place more a second after a shortage: whoever took the descriptors may want more still. */
-    private static final double REGAIN_MS = 1000;
+    /** One place is regained per second after a shortage: whatever took the descriptors may need more. */
+    private static final double PLACE_REGAIN_MS = 1000;
 
     private static final int MIN_PLACES = 4;
 
@@ -84,18 +84,18 @@
     private final Admission<C> admission;
     private final Clients clients;
     private final Map<C, Clients.Entry> owners = new HashMap<>();
-    private final Map<Why, Long> closed = new EnumMap<>(Why.class);
+    private final Map<CloseReason, Long> closed = new EnumMap<>(CloseReason.class);
     private int places;
-    private double need;
-    private double needAt;
-    private int lowered = Integer.MAX_VALUE;
-    private double loweredAt = Double.NEGATIVE_INFINITY;
-    private double pause;
+    private double knownPeak;
+    private double knownPeakAtMs;
+    private int loweredPlaces = Integer.MAX_VALUE;
+    private double loweredAtMs = Double.NEGATIVE_INFINITY;
+    private double pauseMs;
 
     /**
-     * Nothing is open.
+     * Creates a gate without connections.
      *
-     * @param places connections at once, in all; beyond them room is made
+     * @param places concurrent connections in total; beyond them one is closed for each new one
      */
     public Gate(Limits limits, Admission.Limits phases, int places) {
         this.limits = limits;
@@ -104,131 +104,133 @@
         this.places = places;
     }
 
-    /** So many places from now on. Those open beyond them go as new ones come. */
-    public void places(int changed) {
-        places = changed;
+    /** Changes the number of places. Connections beyond it are closed as new ones arrive. */
+    public void places(int count) {
+        places = count;
     }
 
     /**
-     * A connection has come.
+     * Records a new connection.
      *
-     * @param address its far end's, 4 or 16 bytes
-     * @return the one to close now, perhaps itself; or null
+     * @param address address of the remote end, 4 or 16 bytes
+     * @return the connection to close now, possibly this one; or null
      */
-    public C arrived(C connection, byte[] address, double now) {
-        Clients.Entry owner = clients.arrived(Client.of(address, limits.prefixes()), now);
+    public C connectionOpened(C connection, byte[] address, double nowMs) {
+        Clients.Entry owner = clients.connectionOpened(Client.of(address, limits.prefixes()), nowMs);
         if (owner == null) {
-            return note(Why.CLIENT_RATE, connection);
+            return countClosed(CloseReason.CLIENT_RATE, connection);
         }
         owners.put(connection, owner);
-        admission.entered(connection, Admission.Phase.SILENT, now);
-        boolean known = owner.known(now);
+        admission.phaseChanged(connection, Admission.Phase.SILENT, nowMs);
+        boolean known = owner.known(nowMs);
         int cap = known ? limits.perKnownClient() : limits.perClient();
         if (owner.open() > cap) {
-            return note(Why.CLIENT_CAP, admission.choose(now, c -> owners.get(c) == owner, cap));
+            return countClosed(
+                    CloseReason.CLIENT_CAP, admission.selectToClose(nowMs, c -> owners.get(c) == owner, cap));
         }
-        int most = placesNow(now);
-        int shared = limits.reserve() > 0 ? (int) (most - reserved(now)) : most;
-        if (!known && shared < most && strangersOpen(now) > shared) {
-            return note(Why.RESERVE, stranger(now, shared));
+        int limit = currentPlaces(nowMs);
+        int shared = limits.reserve() > 0 ? (int) (limit - reservedPlaces(nowMs)) : limit;
+        if (!known && shared < limit && openByUnknown(nowMs) > shared) {
+            return countClosed(CloseReason.RESERVE, selectUnknown(nowMs, shared));
         }
-        if (admission.open() <= most) {
+        if (admission.open() <= limit) {
             return null;
         }
-        C close = known && limits.reserve() > 0 ? stranger(now, most) : null;
-        return note(Why.FULL, close != null ? close : admission.choose(now, c -> true, most));
+        C close = known && limits.reserve() > 0 ? selectUnknown(nowMs, limit) : null;
+        return countClosed(CloseReason.FULL, close != null ? close : admission.selectToClose(nowMs, c -> true, limit));
     }
 
-    private C stranger(double now, int ofPlaces) {
-        return admission.choose(now, c -> !owners.get(c).known(now), ofPlaces);
+    private C selectUnknown(double nowMs, int placeCount) {
+        return admission.selectToClose(nowMs, c -> !owners.get(c).known(nowMs), placeCount);
     }
 
-    private C note(Why why, C close) {
+    private C countClosed(CloseReason reason, C close) {
         if (close != null) {
-            closed.merge(why, 1L, Long::sum);
+            closed.merge(reason, 1L, Long::sum);
         }
         return close;
     }
 
-    private int strangersOpen(double now) {
+    private int openByUnknown(double nowMs) {
         return clients.active().stream()
-                .filter(e -> !e.known(now))
+                .filter(e -> !e.known(nowMs))
                 .mapToInt(Clients.Entry::open)
                 .sum();
     }
 
-    // Never more than what known clients lately had: places kept for nobody would be lost to all.
-    private double reserved(double now) {
-        int open = admission.open() - strangersOpen(now);
-        need = Math.max(open, need * Math.pow(2, (needAt - now) / NEED_HALF_LIFE_MS));
-        needAt = now;
-        return Math.min(limits.reserve(), need);
+    // Never more than the recent peak of known clients: places reserved beyond it would stay unused.
+    private double reservedPlaces(double nowMs) {
+        int open = admission.open() - openByUnknown(nowMs);
+        knownPeak = Math.max(open, knownPeak * Math.pow(2, (knownPeakAtMs - nowMs) / KNOWN_PEAK_HALF_LIFE_MS));
+        knownPeakAtMs = nowMs;
+        return Math.min(limits.reserve(), knownPeak);
     }
 
-    private int placesNow(double now) {
-        double regained = lowered + (now - loweredAt) / REGAIN_MS;
+    private int currentPlaces(double nowMs) {
+        double regained = loweredPlaces + (nowMs - loweredAtMs) / PLACE_REGAIN_MS;
         return regained >= places ? places : (int) regained;
     }
 
-    /** A connection that was kept has come to do something else; {@code since} is when that counts from. */
-    public void entered(C connection, Admission.Phase phase, double since) {
+    /** Records the new phase of an admitted connection; {@code sinceMs} is the start of the phase. */
+    public void phaseChanged(C connection, Admission.Phase phase, double sinceMs) {
         if (owners.containsKey(connection)) {
-            admission.entered(connection, phase, since);
+            admission.phaseChanged(connection, phase, sinceMs);
         }
     }
 
-    /** It has asked a request: a good one, whatever became of it, or one that had to be turned away. */
-    public void asked(C connection, boolean well, double now) {
+    /** Records a request: a good one, whatever its outcome, or one that had to be rejected. */
+    public void requestReceived(C connection, boolean good, double nowMs) {
         Clients.Entry owner = owners.get(connection);
         if (owner != null) {
-            owner.asked(well, now);
+            owner.requestReceived(good, nowMs);
         }
     }
 
-    /** It is closed. May be told more than once. */
-    public void left(C connection, double now) {
+    /** Removes a closed connection. May be called more than once. */
+    public void connectionClosed(C connection, double nowMs) {
         Clients.Entry owner = owners.remove(connection);
         if (owner != null) {
-            admission.left(connection);
-            clients.left(owner, now);
+            admission.connectionClosed(connection);
+            clients.connectionClosed(owner, nowMs);
         }
     }
 
     /**
-     * One could not be accepted, for the process or the system has no descriptor left (EMFILE, ENFILE). Nothing is to
-     * be accepted for {@link #pause()}: a loop that only fails serves nobody.
+     * Records that a connection could not be accepted because the process or the system has no descriptor left (EMFILE,
+     * ENFILE). The caller must accept nothing for the time given by the gate's pause: a loop of failing accepts would
+     * serve no client.
      *
-     * @return the one to close now, or null
+     * @return the connection to close now, or null
      */
-    public C noDescriptor(double now) {
-        boolean again = now - loweredAt < pause + REGAIN_MS;
-        pause = again ? Math.min(MAX_PAUSE_MS, pause * 2) : MIN_PAUSE_MS;
-        lowered = Math.max(MIN_PLACES, admission.open() - 1);
-        loweredAt = now;
-        return note(Why.NO_DESCRIPTOR, admission.choose(now, c -> true, lowered));
+    public C descriptorsExhausted(double nowMs) {
+        boolean repeated = nowMs - loweredAtMs < pauseMs + PLACE_REGAIN_MS;
+        pauseMs = repeated ? Math.min(MAX_PAUSE_MS, pauseMs * 2) : MIN_PAUSE_MS;
+        loweredPlaces = Math.max(MIN_PLACES, admission.open() - 1);
+        loweredAtMs = nowMs;
+        return countClosed(CloseReason.NO_DESCRIPTOR, admission.selectToClose(nowMs, c -> true, loweredPlaces));
     }
 
-    /** Milliseconds for which to accept nothing after the last shortage. */
-    public double pause() {
-        return pause;
+    /** Milliseconds after the last shortage in which to accept nothing. */
+    public double pauseMs() {
+        return pauseMs;
     }
 
-    /** The one that has idled for longest, if that is longer than told; or null. */
-    public C idleFor(double now, double millis) {
-        return admission.idleFor(now, millis);
+    /** The connection idle for longest, if it has been idle for at least {@code minIdleMs}; else null. */
+    public C longestIdle(double nowMs, double minIdleMs) {
+        return admission.longestIdle(nowMs, minIdleMs);
     }
 
-    /** Connections open. */
+    /** Number of open connections. */
     public int open() {
         return admission.open();
     }
 
-    /** Connections closed for this reason, since the start. */
-    public long closed(Why why) {
-        return closed.getOrDefault(why, 0L);
+    /** Number of connections selected for this reason since the start. */
+    public long closed(CloseReason reason) {
+        return closed.getOrDefault(reason, 0L);
     }
 
-    /** Clients of which anything is known. */
+    /** Number of clients with any state. */
     public int clients() {
         return clients.size();
     }
--- a/src/main/java/whinlead/admit/package-info.java
+++ b/src/main/java/whinlead/admit/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Who may connect and send, and who makes room when there is none left: connections, rates by client, descriptors.
+ * Admission of connections, and selection of the ones to close under shortage: connection limits, rates per client,
+ * file descriptors.
  *
- * <p>Begin with {@link whinlead.admit.Gate}. Pure: knows no socket, clock or thread; {@code docs/admission.md}.
+ * <p>Start with {@link whinlead.admit.Gate}. Pure: uses no socket, clock or thread; {@code docs/admission.md}.
  */
 package whinlead.admit;
--- a/src/main/java/whinlead/consult/Bounds.java
+++ b/src/main/java/whinlead/consult/Bounds.java
@@ -1,19 +1,19 @@
 package whinlead.consult;
 
 /**
- * How much callers may have the program hold.
+ * Limits on the consultations of callers and on the ends that are remembered.
  *
- * @param open consultations of all callers together; at least 1
- * @param openPerCaller consultations of one caller; at least 1
- * @param remembered ends of requests that are no longer open but must not run again; at least 1
- * @param remember milliseconds for which such an end is kept
- * @param pickUp milliseconds for which a retry waits for a caller that is to ask again
+ * @param maxOpen open consultations of all callers together; at least 1
+ * @param maxOpenPerCaller open consultations of one caller; at least 1
+ * @param maxRemembered remembered ends of requests that are closed but must not run again; at least 1
+ * @param rememberMs milliseconds for which such an end is remembered
+ * @param pickUpMs milliseconds for which a retry waits for a caller to ask again
  */
-public record Bounds(int open, int openPerCaller, int remembered, double remember, double pickUp) {
+public record Bounds(int maxOpen, int maxOpenPerCaller, int maxRemembered, double rememberMs, double pickUpMs) {
     /** Checks the ranges. */
     public Bounds {
-        if (open < 1 || openPerCaller < 1 || remembered < 1 || !(remember >= 0) || !(pickUp >= 0)) {
-            throw new IllegalArgumentException("bounds out of range");
+        if (maxOpen < 1 || maxOpenPerCaller < 1 || maxRemembered < 1 || !(rememberMs >= 0) || !(pickUpMs >= 0)) {
+            throw new IllegalArgumentException("consultation bounds out of range");
         }
     }
 }
--- a/src/main/java/whinlead/consult/Consultation.java
+++ b/src/main/java/whinlead/consult/Consultation.java
@@ -9,47 +9,49 @@
 import whinlead.engine.Transport;
 
 /**
- * One request that a caller asks about, sends itself and reports on: its {@link ResponseSink} and its {@link Transport}
- * at once. At most one attempt of it is out. Its states:
+ * One request that a caller asks about, sends itself and reports on. Implements both the {@link ResponseSink} and the
+ * {@link Transport} of the engine's request. At most one attempt is out at a time. The states:
  *
  * <pre>
- * asked ---> told to send ---> reported ---> told to send again, or waiting for the caller to come for it
+ * asked ---> told to send ---> reported ---> told to send again, or waiting for the caller to ask again
  *   |             |               |             |
  *   +-------------+---------------+-------------+--> ended, with or without an attempt still out
  * </pre>
  */
 final class Consultation implements ResponseSink<Void>, Transport<Void> {
-    /** Of the time that an attempt has: one that nobody came for ends before its time does. */
+    /** Share of an attempt's time for which it waits to be picked up, so that it is withdrawn before its timeout. */
     private static final double PICK_UP_SHARE = 0.9;
 
     private final Consultations owner;
     private final String id;
     private Peer peer;
     private final Contract.Effect effect;
-    private final double endBy;
-    private Engine.Held<Void> held;
-    /** Who waits for what is to be done next; null if nobody does. */
+    private final double endByMs;
+    private Engine.Held<Void> engineRequest;
+    /** The call that waits for the next directive; null if none does. */
     private Consultations.Reply waiting;
-    /** The attempt that is out or waits to be picked up. */
-    private Directive.Send current;
+    /** The attempt that is out, waits for approval or waits to be picked up. */
+    private Directive.Send currentAttempt;
 
-    private Outcomes<Void> told;
-    /** The engine's number of it; its caller may know it by another, for other members count too. */
+    private Outcomes<Void> outcomeListener;
+    /**
+     * The engine's number of the attempt. The caller may have been given another, since other group members count too.
+     */
     private int engineAttempt;
-    /** Runs while {@link #current} waits for its caller; null once it was told. */
-    private Timers.Timer pickUp;
+    /** Runs while {@link #currentAttempt} waits for its caller; null once the attempt was delivered. */
+    private Timers.Timer pickUpTimer;
 
-    private boolean everTold;
+    private boolean everSent;
     private Directive end;
-    private boolean unheard;
-    /** What others know of it; null where nothing is kept with others. */
-    private final Keeper.Kept kept;
-    /** Who is to be told of {@link #current} once others know it; null while nobody is. */
-    private Consultations.Reply copying;
-    /** Who is to be told of the end once others know it; null while it has not ended or all know. */
-    private List<Consultations.Reply> closing;
+    private boolean endUndelivered;
+    /** The request as shared with other members; null if it is not shared. */
+    private final Keeper.Kept sharedRequest;
+    /** The call that gets {@link #currentAttempt} once other members have approved it; null if none waits. */
+    private Consultations.Reply awaitingApproval;
+    /** The calls that get the end once other members have agreed; null before the end and after the agreement. */
+    private List<Consultations.Reply> awaitingEnd;
 
-    private boolean foreign;
+    private boolean heldElsewhere;
 
     Consultation(
             Consultations owner,
@@ -58,14 +60,14 @@
             Contract.Effect effect,
             double endBy,
             Keeper.Kept kept,
-            Consultations.Reply first) {
-        this.kept = kept;
+            Consultations.Reply firstReply) {
+        this.sharedRequest = kept;
         this.owner = owner;
         this.id = id;
         this.peer = peer;
         this.effect = effect;
-        this.endBy = endBy;
-        this.waiting = first;
+        this.endByMs = endBy;
+        this.waiting = firstReply;
     }
 
     String id() {
@@ -76,320 +78,322 @@
         return peer;
     }
 
-    /** True if it must not run again once it may have run. */
-    boolean fragile() {
+    /** True if the request must not run again once it may have run. */
+    boolean mustNotRunTwice() {
         return effect != Contract.Effect.SAFE;
     }
 
-    /** Until when its client waits. */
-    double endBy() {
-        return endBy;
+    /** The time until which the client waits. */
+    double endByMs() {
+        return endByMs;
     }
 
-    /** True if it ended while nobody waited for its end. */
-    boolean unheard() {
-        return unheard;
+    /** True if the request ended while no call waited for the end. */
+    boolean endUndelivered() {
+        return endUndelivered;
     }
 
     Directive end() {
         return end;
     }
 
-    /** True if another member of the group holds it, or nobody can. */
-    boolean foreign() {
-        return foreign;
+    /** True if another member of the group holds the request, or its holder is unknown. */
+    boolean heldElsewhere() {
+        return heldElsewhere;
     }
 
-    /** True while an attempt is out that was told to a caller. */
-    boolean out() {
-        return current != null && pickUp == null && copying == null;
+    /** True while an attempt that was delivered to a caller is out. */
+    boolean attemptOut() {
+        return currentAttempt != null && pickUpTimer == null && awaitingApproval == null;
     }
 
-    private boolean ending() {
-        return end != null || closing != null;
+    private boolean isEnding() {
+        return end != null || awaitingEnd != null;
     }
 
-    /** Nothing is owed and nothing out any more. */
+    /** True if the request has ended and no attempt is out. */
     boolean done() {
-        return end != null && current == null;
+        return end != null && currentAttempt == null;
     }
 
-    void held(Engine.Held<Void> taken) {
-        held = taken;
-        // It may have ended before the engine returned.
-        owner.tidy(this);
+    void engineRequest(Engine.Held<Void> taken) {
+        engineRequest = taken;
+        // The request may have ended before the engine returned.
+        owner.removeIfDone(this);
     }
 
-    /** Another call for the same request, perhaps by another connection of the same proxy. */
-    void join(Peer by, double left, Consultations.Reply reply) {
+    /** Handles another ask for the same request, possibly on another connection of the same proxy. */
+    void join(Peer caller, double remainingMs, Consultations.Reply reply) {
         if (end != null) {
-            reply.told(end);
-        } else if (closing != null) {
-            await(left, reply);
-        } else if (current != null && pickUp != null) {
+            reply.onDirective(end);
+        } else if (awaitingEnd != null) {
+            awaitEnd(remainingMs, reply);
+        } else if (currentAttempt != null && pickUpTimer != null) {
             peer.remove(this);
-            peer = by;
+            peer = caller;
             peer.add(this);
-            tell(reply);
+            deliver(reply);
         } else {
-            reply.told(new Directive.AlreadyOut());
+            reply.onDirective(new Directive.AlreadyOut());
         }
     }
 
-    // Its call came late or has less time than the first: it hears of the end by its own time, or that one is
-    // out.
-    private void await(double left, Consultations.Reply reply) {
-        Consultations.Reply[] once = new Consultations.Reply[1];
-        Timers.Timer late = owner.timers().after(left, () -> {
-            // The list may be another by now, or gone: it is told all the same.
-            if (closing != null) {
-                closing.remove(once[0]);
+    // The call arrived later or has less time than the first: it gets the end within its own time, or that an attempt
+    // is already out.
+    private void awaitEnd(double remainingMs, Consultations.Reply reply) {
+        Consultations.Reply[] replyCell = new Consultations.Reply[1];
+        Timers.Timer timeout = owner.timers().after(remainingMs, () -> {
+            // The list may have been replaced or removed by now; the call is answered in any case.
+            if (awaitingEnd != null) {
+                awaitingEnd.remove(replyCell[0]);
             }
-            reply.told(new Directive.AlreadyOut());
+            reply.onDirective(new Directive.AlreadyOut());
         });
-        once[0] = directive -> {
-            late.cancel();
-            reply.told(directive);
+        replyCell[0] = directive -> {
+            timeout.cancel();
+            reply.onDirective(directive);
         };
-        closing.add(once[0]);
+        awaitingEnd.add(replyCell[0]);
     }
 
-    private void tell(Consultations.Reply reply) {
-        if (pickUp != null) {
-            pickUp.cancel();
-            pickUp = null;
+    private void deliver(Consultations.Reply reply) {
+        if (pickUpTimer != null) {
+            pickUpTimer.cancel();
+            pickUpTimer = null;
         }
-        if (kept == null) {
-            everTold = true;
-            reply.told(current);
+        if (sharedRequest == null) {
+            everSent = true;
+            reply.onDirective(currentAttempt);
             return;
         }
-        copying = reply;
-        double asked = owner.timers().now();
-        kept.allow(current.endpoint(), current.valid(), verdict -> decided(verdict, asked));
+        awaitingApproval = reply;
+        double askedMs = owner.timers().now();
+        sharedRequest.allow(
+                currentAttempt.endpoint(), currentAttempt.validMs(), verdict -> approvalDecided(verdict, askedMs));
     }
 
-    // What others say to the attempt that is to be told.
-    private void decided(Keeper.Verdict verdict, double asked) {
-        Consultations.Reply reply = copying;
-        copying = null;
+    // Handles the verdict of the other members on the attempt to be delivered.
+    private void approvalDecided(Keeper.Verdict verdict, double askedMs) {
+        Consultations.Reply reply = awaitingApproval;
+        awaitingApproval = null;
         if (verdict instanceof Keeper.Verdict.Granted granted) {
-            double took = owner.timers().now() - asked;
-            current = new Directive.Send(
-                    current.endpoint(),
-                    current.address(),
+            double elapsedMs = owner.timers().now() - askedMs;
+            currentAttempt = new Directive.Send(
+                    currentAttempt.endpoint(),
+                    currentAttempt.address(),
                     granted.attempt(),
-                    Math.max(0, current.within() - took),
-                    Math.max(0, current.valid() - took));
-            everTold = true;
-            reply.told(current);
+                    Math.max(0, currentAttempt.withinMs() - elapsedMs),
+                    Math.max(0, currentAttempt.validMs() - elapsedMs));
+            everSent = true;
+            reply.onDirective(currentAttempt);
         } else if (verdict instanceof Keeper.Verdict.Draining) {
             waiting = reply;
-            ends(Contract.Outcome.NEVER_SENT, null);
+            attemptEnded(Contract.Outcome.NEVER_SENT, null);
         } else {
-            foreign = true;
-            // It was told to nobody, whatever the module makes of that.
-            copying = reply;
-            held.abandon();
+            heldElsewhere = true;
+            // The attempt was delivered to no caller, whatever the module does on the abandonment.
+            awaitingApproval = reply;
+            engineRequest.abandon();
             end = verdict instanceof Keeper.Verdict.Over over
                     ? over.end()
                     : verdict instanceof Keeper.Verdict.Unknown ? new Directive.Failed() : new Directive.AlreadyOut();
-            if (current != null) {
-                ends(Contract.Outcome.NEVER_SENT, null);
+            if (currentAttempt != null) {
+                attemptEnded(Contract.Outcome.NEVER_SENT, null);
             }
-            copying = null;
+            awaitingApproval = null;
             waiting = null;
-            reply.told(end);
-            owner.tidy(this);
+            reply.onDirective(end);
+            owner.removeIfDone(this);
         }
     }
 
     @Override
     public Sending send(String endpoint, int attempt, double within, Outcomes<Void> outcomes) {
         String address = owner.address(endpoint);
-        if (address == null || current != null || ending() || attempt > 0 && !peer.retries()) {
-            // A second copy beside the first can't be told to one caller, and a retry not to every one.
+        if (address == null || currentAttempt != null || isEnding() || attempt > 0 && !peer.retries()) {
+            // One caller can't be given a second concurrent attempt, and not every caller can be given a retry.
             outcomes.ended(Contract.Outcome.NEVER_SENT, null, null);
             return () -> false;
         }
-        current = new Directive.Send(endpoint, address, attempt, within, Math.min(within, owner.valid()));
+        currentAttempt = new Directive.Send(endpoint, address, attempt, within, Math.min(within, owner.validMs()));
         engineAttempt = attempt;
-        told = outcomes;
+        outcomeListener = outcomes;
         Consultations.Reply reply = waiting;
         waiting = null;
         if (reply != null) {
-            tell(reply);
+            deliver(reply);
         } else {
-            pickUp = owner.timers().after(Math.min(owner.bounds().pickUp(), PICK_UP_SHARE * within), () -> {
-                owner.note(Tally.Kind.NOT_PICKED_UP, id);
-                takeBack();
+            pickUpTimer = owner.timers().after(Math.min(owner.bounds().pickUpMs(), PICK_UP_SHARE * within), () -> {
+                owner.countEvent(Tally.Kind.NOT_PICKED_UP, id);
+                withdrawAttempt();
             });
         }
-        return () -> giveUp(outcomes);
+        return () -> attemptGivenUp(outcomes);
     }
 
-    // Nobody was told of it, so it can't run; and the endpoint is not to blame.
-    private void takeBack() {
-        ends(Contract.Outcome.NEVER_SENT, null);
+    // The attempt was delivered to no caller, so it can't run; the outcome says nothing about the endpoint.
+    private void withdrawAttempt() {
+        attemptEnded(Contract.Outcome.NEVER_SENT, null);
     }
 
-    /** Takes back an attempt that still waits for its caller, if its endpoint takes nothing new any more. */
+    /** Withdraws an attempt that waits for its caller if its endpoint no longer accepts new requests. */
     void listChanged() {
-        if (current != null && pickUp != null && owner.address(current.endpoint()) == null) {
-            takeBack();
+        if (currentAttempt != null && pickUpTimer != null && owner.address(currentAttempt.endpoint()) == null) {
+            withdrawAttempt();
         }
     }
 
-    private boolean giveUp(Outcomes<Void> which) {
-        if (which != told) {
+    private boolean attemptGivenUp(Outcomes<Void> listener) {
+        if (listener != outcomeListener) {
             return true;
         }
-        boolean wasTold = out();
-        if (wasTold) {
-            owner.note(Tally.Kind.NOT_REPORTED, id);
+        boolean wasOut = attemptOut();
+        if (wasOut) {
+            owner.countEvent(Tally.Kind.NOT_REPORTED, id);
         }
         clear();
-        owner.later(this);
-        return wasTold;
+        owner.removeLater(this);
+        return wasOut;
     }
 
     private Outcomes<Void> clear() {
-        Outcomes<Void> listener = told;
-        if (copying != null) {
-            kept.cancel();
-            waiting = copying;
-            copying = null;
+        Outcomes<Void> listener = outcomeListener;
+        if (awaitingApproval != null) {
+            sharedRequest.cancel();
+            waiting = awaitingApproval;
+            awaitingApproval = null;
         }
-        current = null;
-        told = null;
-        if (pickUp != null) {
-            pickUp.cancel();
-            pickUp = null;
+        currentAttempt = null;
+        outcomeListener = null;
+        if (pickUpTimer != null) {
+            pickUpTimer.cancel();
+            pickUpTimer = null;
         }
         return listener;
     }
 
-    /** The current attempt's end. */
-    private void ends(Contract.Outcome outcome, Contract.Report report) {
+    /** Ends the current attempt. */
+    private void attemptEnded(Contract.Outcome outcome, Contract.Report report) {
         Outcomes<Void> listener = clear();
         listener.ended(outcome, null, report);
-        owner.tidy(this);
+        owner.removeIfDone(this);
     }
 
-    /** A caller tells how an attempt ended; {@code reply} may be null. */
+    /** Handles a caller's report on how an attempt ended; {@code reply} may be null. */
     void reported(
             int attempt, String endpoint, Contract.Outcome outcome, Contract.Report report, Consultations.Reply reply) {
-        if (!out() || attempt != current.attempt()) {
-            owner.note(Tally.Kind.STRAY, id);
-            if (end == null && closing != null && reply != null) {
-                closing.add(reply);
+        if (!attemptOut() || attempt != currentAttempt.attempt()) {
+            owner.countEvent(Tally.Kind.STRAY, id);
+            if (end == null && awaitingEnd != null && reply != null) {
+                awaitingEnd.add(reply);
             } else {
                 answer(reply, end != null ? end : new Directive.Unknown());
             }
-        } else if (endpoint != null && !endpoint.equals(current.endpoint())) {
-            // What ran elsewhere tells nothing of this endpoint, and the caller has had an answer of its own.
-            owner.note(Tally.Kind.MISDIRECTED, id);
-            gone();
+        } else if (endpoint != null && !endpoint.equals(currentAttempt.endpoint())) {
+            // An outcome on another endpoint says nothing about this one, and the caller already has an answer of its
+            // own.
+            owner.countEvent(Tally.Kind.MISDIRECTED, id);
+            abandoned();
             answer(reply, new Directive.Unknown());
         } else if (end != null) {
             Directive known = end;
-            ends(outcome, report);
+            attemptEnded(outcome, report);
             answer(reply, known);
-        } else if (closing != null) {
+        } else if (awaitingEnd != null) {
             if (reply != null) {
-                closing.add(reply);
+                awaitingEnd.add(reply);
             }
-            ends(outcome, report);
+            attemptEnded(outcome, report);
         } else {
-            if (kept != null && outcome.neverRan) {
-                kept.neverRan();
+            if (sharedRequest != null && outcome.neverRan) {
+                sharedRequest.neverRan();
             }
             waiting = reply;
-            ends(outcome, report);
+            attemptEnded(outcome, report);
         }
     }
 
     private static void answer(Consultations.Reply reply, Directive directive) {
         if (reply != null) {
-            reply.told(directive);
+            reply.onDirective(directive);
         }
     }
 
-    /** The caller has begun to pass the answer on. */
+    /** The caller has started to pass the answer on to its client. */
     void streaming(int attempt) {
-        if (out() && attempt == current.attempt() && !ending()) {
-            if (kept == null) {
+        if (attemptOut() && attempt == currentAttempt.attempt() && !isEnding()) {
+            if (sharedRequest == null) {
                 end = new Directive.Served();
             }
-            held.streaming(engineAttempt);
-            if (kept != null) {
-                over(new Directive.Served());
+            engineRequest.streaming(engineAttempt);
+            if (sharedRequest != null) {
+                finish(new Directive.Served());
             }
         } else {
-            owner.note(Tally.Kind.STRAY, id);
+            owner.countEvent(Tally.Kind.STRAY, id);
         }
     }
 
-    /** The caller is gone with the request, or wants nothing of it any more. */
-    void gone() {
-        boolean wasTold = out();
-        if (!ending()) {
-            // To one that comes back it has failed, unless nothing can have run.
-            Directive how = everTold ? new Directive.Failed() : new Directive.Refused(0);
-            if (kept == null) {
-                end = how;
+    /** The caller is lost or has abandoned the request. */
+    void abandoned() {
+        boolean wasOut = attemptOut();
+        if (!isEnding()) {
+            // A caller that asks again gets a failure, unless nothing can have run.
+            Directive directive = everSent ? new Directive.Failed() : new Directive.Refused(0);
+            if (sharedRequest == null) {
+                end = directive;
             }
-            held.abandon();
-            if (kept != null) {
+            engineRequest.abandon();
+            if (sharedRequest != null) {
                 waiting = null;
-                over(how);
+                finish(directive);
             }
         }
-        if (current != null) {
-            ends(wasTold ? Contract.Outcome.CANCELLED : Contract.Outcome.NEVER_SENT, null);
+        if (currentAttempt != null) {
+            attemptEnded(wasOut ? Contract.Outcome.CANCELLED : Contract.Outcome.NEVER_SENT, null);
         }
         waiting = null;
-        owner.tidy(this);
+        owner.removeIfDone(this);
     }
 
-    private void over(Directive how) {
+    private void finish(Directive directive) {
         Consultations.Reply reply = waiting;
         waiting = null;
-        if (kept == null) {
-            end = how;
-            unheard = reply == null;
-            answer(reply, how);
-            owner.tidy(this);
+        if (sharedRequest == null) {
+            end = directive;
+            endUndelivered = reply == null;
+            answer(reply, directive);
+            owner.removeIfDone(this);
             return;
         }
-        closing = new ArrayList<>(1);
+        awaitingEnd = new ArrayList<>(1);
         if (reply != null) {
-            closing.add(reply);
+            awaitingEnd.add(reply);
         }
-        kept.end(how, agreed -> {
-            List<Consultations.Reply> replies = closing;
-            closing = null;
+        sharedRequest.end(directive, agreed -> {
+            List<Consultations.Reply> replies = awaitingEnd;
+            awaitingEnd = null;
             end = agreed;
-            // Nobody here knows how it will end.
-            foreign |= agreed instanceof Directive.AlreadyOut;
-            unheard = replies.isEmpty();
-            replies.forEach(r -> r.told(agreed));
-            owner.tidy(this);
+            // The end is not known to this member.
+            heldElsewhere |= agreed instanceof Directive.AlreadyOut;
+            endUndelivered = replies.isEmpty();
+            replies.forEach(r -> r.onDirective(agreed));
+            owner.removeIfDone(this);
         });
     }
 
     @Override
     public void served(Void answer) {
-        over(new Directive.Served());
+        finish(new Directive.Served());
     }
 
     @Override
     public void refused(double retryAfter) {
-        over(new Directive.Refused(retryAfter));
+        finish(new Directive.Refused(retryAfter));
     }
 
     @Override
     public void failed() {
-        over(new Directive.Failed());
+        finish(new Directive.Failed());
     }
 }
--- a/src/main/java/whinlead/consult/Consultations.java
+++ b/src/main/java/whinlead/consult/Consultations.java
@@ -11,26 +11,26 @@
 import whinlead.membership.EndpointList;
 
 /**
- * Requests that other proxies ask about and send themselves. Each is one request of the engine's, known by its id
- * across calls and connections: a second ask for one that is open joins it, and one that must not run again is known
- * for a while after its end. It decides nothing: who sends where, whether again, and what is refused comes from the
- * module. On the engine's thread.
+ * Requests that other proxies ask about and send themselves. Each is one request of the engine, identified by its id
+ * across calls and connections: a second ask for an open request joins it, and the end of one that must not run again
+ * is remembered for a while. The module makes all decisions on endpoints, retries and refusals. Runs on the engine's
+ * thread.
  */
 public final class Consultations {
-    /** Hears, at most once, what a caller is to do. */
+    /** Receives, at most once, the directive for a caller. */
     @FunctionalInterface
     public interface Reply {
-        /** Called on the engine's thread, at once or later, but before the request's time is up. */
-        void told(Directive directive);
+        /** Called on the engine's thread, immediately or later, but before the request's timeout. */
+        void onDirective(Directive directive);
     }
 
     /**
-     * Of the grace after which nothing new may reach a draining endpoint: the rest is for the list's way here and for
-     * the clocks of callers.
+     * Share of the drain grace for which a directive is valid. After the grace no new request may reach a draining
+     * endpoint; the rest covers the propagation of the list and the clock error of callers.
      */
     private static final double VALID_SHARE = 0.25;
-    /** What a caller over its bound is told to wait: some ends of what it holds, most likely. */
-    private static final double TOO_MANY_RETRY = 1000;
+    /** Retry-After for a caller over its bound: by then some of its open requests have probably ended. */
+    private static final double TOO_MANY_RETRY_MS = 1000;
 
     private final Engine engine;
     private final Timers timers;
@@ -39,45 +39,48 @@
     private final Consumer<String> log;
     private final Map<String, Consultation> open = new HashMap<>();
     private final Map<String, String> addresses = new HashMap<>();
-    private final Ends ends;
-    private final Keeper keeper;
+    private final EndedRequests ends;
+    private final Keeper sharedStore;
     private final Tally tally = new Tally();
 
-    /** None open. {@link #update} is to hear of every list. */
+    /** Creates an instance without open requests. {@link #update} must be called for every list. */
     public Consultations(
             Engine engine, Timers timers, Contract.Settings settings, Bounds bounds, Consumer<String> log) {
         this(engine, timers, settings, bounds, null, log);
     }
 
-    /** The same with a keeper of what must outlive this process, or null for none. */
+    /** Creates an instance with a store for the state that must outlive this process; null for none. */
     public Consultations(
             Engine engine,
             Timers timers,
             Contract.Settings settings,
             Bounds bounds,
-            Keeper keeper,
+            Keeper sharedStore,
             Consumer<String> log) {
-        this.keeper = keeper;
+        this.sharedStore = sharedStore;
         this.engine = engine;
         this.timers = timers;
         this.settings = settings;
         this.bounds = bounds;
         this.log = log;
-        this.ends = new Ends(bounds.remembered());
+        this.ends = new EndedRequests(bounds.maxRemembered());
     }
 
-    /** Takes in the list: what drains or is gone is told to nobody any more, a retry that waits included. */
+    /**
+     * Applies an endpoint list: no directive names a draining or removed endpoint any more, and retries waiting for one
+     * are withdrawn.
+     */
     public void update(EndpointList list) {
         if (list.whole()) {
             addresses.clear();
         }
         for (EndpointList.Entry e : list.entries()) {
-            if (e.server().standing() == Contract.Standing.UP && e.dial() != null) {
-                addresses.put(e.server().id(), e.dial());
+            if (e.server().standing() == Contract.Standing.UP && e.dialAddress() != null) {
+                addresses.put(e.server().id(), e.dialAddress());
             } else {
                 String known = addresses.remove(e.server().id());
-                if (known != null && keeper != null) {
-                    keeper.drains(e.server().id());
+                if (known != null && sharedStore != null) {
+                    sharedStore.drains(e.server().id());
                 }
             }
         }
@@ -85,60 +88,61 @@
     }
 
     /**
-     * A caller asks what to do with a request.
+     * Handles a caller's ask for what to do with a request.
      *
-     * @param id by which the request is known to all callers; fronts bound its length
+     * @param id identifies the request for all callers; fronts limit its length
      */
-    public void ask(Peer peer, String id, Request ask, Reply reply) {
-        Directive ended = ends.of(id, timers.now());
+    public void ask(Peer peer, String id, Request request, Reply reply) {
+        Directive ended = ends.find(id, timers.now());
         Consultation known = open.get(id);
         if (known != null) {
-            note(Tally.Kind.JOINED, id);
-            known.join(peer, ask.timeout(), reply);
-        } else if (ended != null && !(ask.repeat() && ended instanceof Directive.Refused)) {
-            note(Tally.Kind.JOINED, id);
-            reply.told(ended);
-        } else if (open.size() >= bounds.open() || peer.open() >= bounds.openPerCaller()) {
-            note(Tally.Kind.TOO_MANY, id);
-            reply.told(new Directive.TooMany(TOO_MANY_RETRY));
+            countEvent(Tally.Kind.JOINED, id);
+            known.join(peer, request.timeout(), reply);
+        } else if (ended != null && !(request.repeat() && ended instanceof Directive.Refused)) {
+            countEvent(Tally.Kind.JOINED, id);
+            reply.onDirective(ended);
+        } else if (open.size() >= bounds.maxOpen() || peer.open() >= bounds.maxOpenPerCaller()) {
+            countEvent(Tally.Kind.TOO_MANY, id);
+            reply.onDirective(new Directive.TooMany(TOO_MANY_RETRY_MS));
         } else {
-            Contract.Effect effect = settings.classes().get(ask.classIndex()).effect();
-            double endBy = timers.now() + ask.timeout();
-            Keeper.Kept kept = keeper == null || effect == Contract.Effect.SAFE
+            Contract.Effect effect =
+                    settings.classes().get(request.classIndex()).effect();
+            double endByMs = timers.now() + request.timeout();
+            Keeper.Kept sharedRequest = sharedStore == null || effect == Contract.Effect.SAFE
                     ? null
-                    : keeper.open(id, peer.name(), effect == Contract.Effect.KEYED, ask.repeat(), endBy);
-            Consultation c = new Consultation(this, id, peer, effect, endBy, kept, reply);
-            open.put(id, c);
-            peer.add(c);
-            c.held(engine.take(ask, c, c));
+                    : sharedStore.open(id, peer.name(), effect == Contract.Effect.KEYED, request.repeat(), endByMs);
+            Consultation consultation = new Consultation(this, id, peer, effect, endByMs, sharedRequest, reply);
+            open.put(id, consultation);
+            peer.add(consultation);
+            consultation.engineRequest(engine.take(request, consultation, consultation));
         }
     }
 
     /**
-     * A caller reports how an attempt ended, and hears what to do next.
+     * Handles a caller's report on how an attempt ended; the reply gets the next directive.
      *
-     * @param endpoint where it was sent, or null if the caller does not tell
-     * @param report of the endpoint's load, or null
-     * @param reply null if the caller asks again for what is next
+     * @param endpoint where the attempt was sent, or null if not reported
+     * @param report load report of the endpoint, or null
+     * @param reply null if the caller asks for the next directive in a separate call
      */
     public void outcome(
             String id, int attempt, String endpoint, Contract.Outcome outcome, Contract.Report report, Reply reply) {
-        Consultation c = open.get(id);
-        if (c != null) {
-            c.reported(attempt, endpoint, outcome, report, reply);
+        Consultation consultation = open.get(id);
+        if (consultation != null) {
+            consultation.reported(attempt, endpoint, outcome, report, reply);
             return;
         }
-        note(Tally.Kind.LATE, id);
-        Directive ended = ends.of(id, timers.now());
-        // A refusal that is known here says nothing of an attempt that another member has let out since.
-        if ((ended == null || ended instanceof Directive.Refused) && keeper != null) {
-            keeper.report(id, attempt, how(outcome), end -> answer(reply, end));
+        countEvent(Tally.Kind.LATE, id);
+        Directive ended = ends.find(id, timers.now());
+        // A refusal known here says nothing about an attempt that another member has approved since.
+        if ((ended == null || ended instanceof Directive.Refused) && sharedStore != null) {
+            sharedStore.report(id, attempt, runResult(outcome), end -> answer(reply, end));
         } else {
             answer(reply, ended);
         }
     }
 
-    private static Keeper.How how(Contract.Outcome outcome) {
+    private static Keeper.How runResult(Contract.Outcome outcome) {
         return outcome == Contract.Outcome.SERVED
                 ? Keeper.How.SERVED
                 : outcome.neverRan ? Keeper.How.NEVER_RAN : Keeper.How.MAY_HAVE_RAN;
@@ -146,58 +150,58 @@
 
     private static void answer(Reply reply, Directive end) {
         if (reply != null) {
-            reply.told(end != null ? end : new Directive.Unknown());
+            reply.onDirective(end != null ? end : new Directive.Unknown());
         }
     }
 
-    /** A caller has begun to pass an attempt's answer on to its client; its outcome is still to come. */
+    /** A caller has started to pass an attempt's answer on to its client; the outcome is reported later. */
     public void streaming(String id, int attempt) {
-        Consultation c = open.get(id);
-        if (c == null) {
-            note(Tally.Kind.LATE, id);
+        Consultation consultation = open.get(id);
+        if (consultation == null) {
+            countEvent(Tally.Kind.LATE, id);
         } else {
-            c.streaming(attempt);
+            consultation.streaming(attempt);
         }
     }
 
-    /** The client of this request is gone, or its caller gives it up. */
-    public void gone(String id) {
-        Consultation c = open.get(id);
-        if (c != null) {
-            c.gone();
+    /** The client of this request has disconnected, or its caller abandons it. */
+    public void abandoned(String id) {
+        Consultation consultation = open.get(id);
+        if (consultation != null) {
+            consultation.abandoned();
         }
     }
 
-    /** A caller is gone with all that it had open. */
-    public void gone(Peer peer) {
-        peer.all().forEach(Consultation::gone);
+    /** A caller is lost: all its open requests are abandoned. */
+    public void abandoned(Peer peer) {
+        peer.all().forEach(Consultation::abandoned);
     }
 
-    /** How a request ended, for as long as that is kept; null while it is open or if nothing is known. */
+    /** How a request ended, while that is remembered; null while it is open or if it is unknown. */
     public Directive ended(String id) {
-        Consultation c = open.get(id);
-        return c != null ? c.end() : ends.of(id, timers.now());
+        Consultation consultation = open.get(id);
+        return consultation != null ? consultation.end() : ends.find(id, timers.now());
     }
 
-    /** Requests open, or with an attempt out. */
+    /** Number of requests that are open or have an attempt out. */
     public int open() {
         return open.size();
     }
 
-    /** Ends remembered. */
+    /** Number of remembered ends. */
     public int remembered() {
         return ends.size();
     }
 
-    /** What went wrong between callers and this. */
+    /** Counts of irregular calls. */
     public Tally tally() {
         return tally;
     }
 
-    /** Other bounds from now on. What is open beyond them stays; ends beyond them are forgotten. */
+    /** Changes the bounds. Open requests beyond them stay; ends beyond them are forgotten. */
     public void bounds(Bounds changed) {
         bounds = changed;
-        ends.bound(changed.remembered());
+        ends.setCapacity(changed.maxRemembered());
     }
 
     Bounds bounds() {
@@ -208,49 +212,51 @@
         return timers;
     }
 
-    /** Where this endpoint is; null if it takes nothing new. */
+    /** The address of this endpoint; null if it accepts no new requests. */
     String address(String endpoint) {
         return addresses.get(endpoint);
     }
 
-    /** Milliseconds for which a caller may act on what it is told. */
-    double valid() {
+    /** Milliseconds for which a caller may act on a directive. */
+    double validMs() {
         return settings.obligations().drainGrace() * VALID_SHARE;
     }
 
-    void note(Tally.Kind kind, String id) {
+    void countEvent(Tally.Kind kind, String id) {
         if (tally.add(kind)) {
             log.accept("consult: " + kind + " " + tally.count(kind) + ", last of request " + id);
         }
     }
 
-    /** Forgets it once it is done. */
-    void tidy(Consultation c) {
-        if (c.done() && open.remove(c.id(), c)) {
-            c.peer().remove(c);
-            double keep = keep(c);
-            if (keep > 0 && !ends.add(c.id(), c.end(), timers.now(), keep)) {
-                note(Tally.Kind.FORGOTTEN, c.id());
+    /** Removes a consultation once it is done. */
+    void removeIfDone(Consultation consultation) {
+        if (consultation.done() && open.remove(consultation.id(), consultation)) {
+            consultation.peer().remove(consultation);
+            double retentionMs = retentionMs(consultation);
+            if (retentionMs > 0 && !ends.add(consultation.id(), consultation.end(), timers.now(), retentionMs)) {
+                countEvent(Tally.Kind.FORGOTTEN, consultation.id());
             }
         }
     }
 
-    // Milliseconds for which its end is kept. What was refused has not run: a proxy's own next try comes
-    // while the client still waits, and the client's later, or says that it is one.
-    private double keep(Consultation c) {
-        double unheard = c.unheard() ? bounds.pickUp() : 0;
-        if (c.foreign()) {
-            // Whoever holds it knows of its end.
+    // Milliseconds for which the end is remembered. A refused request has not run: the proxy's own retry comes while
+    // the client still waits, and the client's retry comes later or is marked as a repeat.
+    private double retentionMs(Consultation consultation) {
+        double undeliveredMs = consultation.endUndelivered() ? bounds.pickUpMs() : 0;
+        if (consultation.heldElsewhere()) {
+            // The member that holds the request remembers its end.
             return 0;
         }
-        if (!c.fragile()) {
-            return unheard;
+        if (!consultation.mustNotRunTwice()) {
+            return undeliveredMs;
         }
-        return c.end() instanceof Directive.Refused ? Math.max(unheard, c.endBy() - timers.now()) : bounds.remember();
+        return consultation.end() instanceof Directive.Refused
+                ? Math.max(undeliveredMs, consultation.endByMs() - timers.now())
+                : bounds.rememberMs();
     }
 
-    /** The same, once the engine has heard what it is being told. */
-    void later(Consultation c) {
-        timers.after(0, () -> tidy(c));
+    /** Removes a consultation once it is done, after the engine's current event. */
+    void removeLater(Consultation consultation) {
+        timers.after(0, () -> removeIfDone(consultation));
     }
 }
--- a/src/main/java/whinlead/consult/Directive.java
+++ b/src/main/java/whinlead/consult/Directive.java
@@ -1,27 +1,27 @@
 package whinlead.consult;
 
-/** What a caller is told to do with its request. */
+/** What a caller has to do with its request. */
 public sealed interface Directive {
-    /** Its name in every protocol. */
+    /** The name of the directive in every protocol. */
     String word();
 
     /**
-     * Send it to this endpoint, once, and report what became of it.
+     * Send the request to this endpoint once, and report the outcome.
      *
      * @param address ADDRESS:PORT
-     * @param attempt to be named in the report; 0 for the first
-     * @param within milliseconds after which the attempt is given up, and then may have run
-     * @param valid milliseconds in which it has to be sent; after that it is to be reported as not sent, since the
-     *     endpoint may have been told to drain
+     * @param attempt number to be given in the report; 0 for the first
+     * @param withinMs timeout of the attempt in milliseconds; after it the attempt may have run
+     * @param validMs milliseconds within which the attempt has to be sent; later it has to be reported as not sent,
+     *     since the endpoint may have started to drain
      */
-    record Send(String endpoint, String address, int attempt, double within, double valid) implements Directive {
+    record Send(String endpoint, String address, int attempt, double withinMs, double validMs) implements Directive {
         @Override
         public String word() {
             return "send";
         }
     }
 
-    /** It is over: an endpoint served it, and the caller has the answer. */
+    /** The request has ended: an endpoint served it, and the caller has the answer. */
     record Served() implements Directive {
         @Override
         public String word() {
@@ -30,18 +30,18 @@
     }
 
     /**
-     * It is over: answer that it was turned away; another try does no harm.
+     * The request has ended: answer that it was refused; a retry is safe.
      *
-     * @param retryAfter milliseconds to tell the client, or 0 for nothing
+     * @param retryAfterMs Retry-After for the client in milliseconds, or 0 for none
      */
-    record Refused(double retryAfter) implements Directive {
+    record Refused(double retryAfterMs) implements Directive {
         @Override
         public String word() {
             return "refuse";
         }
     }
 
-    /** It is over: answer that it failed. It may have run. */
+    /** The request has ended: answer that it failed. It may have run. */
     record Failed() implements Directive {
         @Override
         public String word() {
@@ -49,7 +49,9 @@
         }
     }
 
-    /** It is out already, by another call with its id: not to be sent again, and nothing is known yet. */
+    /**
+     * An attempt is already out by another call with the same id: do not send it again; the outcome is not known yet.
+     */
     record AlreadyOut() implements Directive {
         @Override
         public String word() {
@@ -57,7 +59,7 @@
         }
     }
 
-    /** Nothing is known of it: it was never asked, or is long over. */
+    /** Nothing is known of the request: it was never asked about, or ended long ago. */
     record Unknown() implements Directive {
         @Override
         public String word() {
@@ -66,11 +68,11 @@
     }
 
     /**
-     * It was not taken, for this caller, or all callers together, hold as many as they may.
+     * The request was not accepted: this caller, or all callers together, have reached their bound.
      *
-     * @param retryAfter milliseconds to tell the client
+     * @param retryAfterMs Retry-After for the client in milliseconds
      */
-    record TooMany(double retryAfter) implements Directive {
+    record TooMany(double retryAfterMs) implements Directive {
         @Override
         public String word() {
             return "too_many";
--- a/src/main/java/whinlead/consult/Keeper.java
+++ b/src/main/java/whinlead/consult/Keeper.java
@@ -3,79 +3,81 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps with others what must outlive this process: which attempts at requests that must not run twice were let out,
- * and how those requests ended. An answer that lets one out is given only once enough others know it. On the engine's
- * thread; without one, a process that is lost takes what it knew with it.
+ * Shares with other group members the state that must outlive this process: which attempts at requests that must not
+ * run twice were approved, and how those requests ended. An approval is given only once enough members know it. Runs on
+ * the engine's thread. Without such a store, the state of a lost process is lost with it.
  */
 public interface Keeper {
-    /** Whether an attempt may be told to its caller. */
+    /** Whether an attempt may be delivered to its caller. */
     sealed interface Verdict {
-        /** Others know it: it may go out, named by this number. */
+        /** Enough members know the attempt: it may be sent, under this number. */
         record Granted(int attempt) implements Verdict {}
 
-        /** Another attempt stands against it, by another member perhaps. */
+        /** Another attempt is out, possibly by another member. */
         record Out() implements Verdict {}
 
-        /** The request has ended, for good or as far as anybody here can tell. */
+        /** The request has ended, finally or as far as is known here. */
         record Over(Directive end) implements Verdict {}
 
-        /** Its endpoint takes nothing new: another may be tried. */
+        /** The endpoint accepts no new requests: another may be tried. */
         record Draining() implements Verdict {}
 
-        /** Nobody answers: it was not let out and will not be, and whether another was isn't known. */
+        /** Too few members answer: the attempt was not approved and will not be, and whether another was is unknown. */
         record Unknown() implements Verdict {}
     }
 
-    /** What became of an attempt. */
+    /** Whether an attempt ran. */
     enum How {
         NEVER_RAN,
         MAY_HAVE_RAN,
         SERVED
     }
 
-    /** One request of this process's. */
+    /** One request held by this process. */
     interface Kept {
         /**
-         * Asks whether its next attempt may go out; one at a time. The answer never comes before this returns.
+         * Asks whether the next attempt may be sent; one at a time. The verdict never arrives before this method
+         * returns.
          *
-         * @param valid milliseconds in which it has to be told, or must not be any more
-         * @param told hears it once, unless it is cancelled before
+         * @param valid milliseconds within which the attempt has to be delivered; later it must not be
+         * @param told receives the verdict once, unless cancelled before
          */
         void allow(String endpoint, double valid, Consumer<Verdict> told);
 
-        /** The attempt asked about is wanted no more; it has not been told. */
+        /** Cancels the pending question; the attempt has not been delivered. */
         void cancel();
 
-        /** The last attempt granted is known not to have run. */
+        /** Records that the last granted attempt did not run. */
         void neverRan();
 
         /**
-         * Ends it.
+         * Ends the request.
          *
-         * @param told hears how it has ended for all, which may be otherwise if it had already, by its time in any
-         *     case. A refusal is only told where others say that nothing can have run
+         * @param told receives the end agreed by all members, which may differ if the request had already ended; at the
+         *     latest at the request's end time. A refusal is only reported where other members confirm that nothing can
+         *     have run
          */
         void end(Directive how, Consumer<Directive> told);
     }
 
     /**
-     * A request that must not run twice.
+     * Opens a request that must not run twice.
      *
-     * @param caller who holds it
-     * @param keyed whether its endpoints know a repeated one for a while
-     * @param repeat whether its client says that it asks again after it was refused
-     * @param endBy when its time is up, by the engine's time
+     * @param caller the caller that holds it
+     * @param keyed whether endpoints recognize a repetition by its key for a while
+     * @param repeat whether the client marks it as a repeat after a refusal
+     * @param endBy end of the request's time, by the engine's clock
      */
     Kept open(String id, String caller, boolean keyed, boolean repeat, double endBy);
 
     /**
-     * A caller tells of an attempt at a request that this process does not hold.
+     * Handles a caller's report on an attempt at a request that this process does not hold.
      *
-     * @param attempt as it was told
-     * @param told hears how the request has ended, or null if nothing is known of it or can be promised
+     * @param attempt the attempt's number as delivered
+     * @param told receives how the request ended, or null if it is unknown or can't be guaranteed
      */
     void report(String id, int attempt, How how, Consumer<Directive> told);
 
-    /** An endpoint takes nothing new. */
+    /** An endpoint accepts no new requests. */
     void drains(String endpoint);
 }
--- a/src/main/java/whinlead/consult/Peer.java
+++ b/src/main/java/whinlead/consult/Peer.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.Set;
 
-/** One caller, as a front tells them apart: a connection, or whatever outlives one. */
+/** One caller as identified by a front: a connection, or an identity that outlives connections. */
 public final class Peer {
     private final Set<Consultation> open = new LinkedHashSet<>();
     private final boolean retries;
     private final String name;
 
-    /** A caller that can be told to try again. */
+    /** Creates a caller that can be told to retry. */
     public Peer() {
         this(true, "");
     }
 
     /**
-     * A caller.
+     * Creates a caller.
      *
-     * @param retries whether it can be told to try again
-     * @param name what tells it apart from others, for members of a group that share a bound
+     * @param retries whether it can be told to retry
+     * @param name identifies it for the members of a group that share a bound
      */
     public Peer(boolean retries, String name) {
         this.retries = retries;
@@ -34,7 +34,7 @@
         return retries;
     }
 
-    /** Consultations that it has open. */
+    /** Number of open consultations. */
     public int open() {
         return open.size();
     }
--- a/src/main/java/whinlead/consult/Peers.java
+++ b/src/main/java/whinlead/consult/Peers.java
@@ -5,29 +5,29 @@
 import java.util.function.Function;
 
 /**
- * The callers of one front, by what tells them apart, an address say. One that left with requests open keeps its place
- * until it has none, or it could open as many again by coming back.
+ * The callers of one front by a key, such as an address. A caller that disconnects with open requests is retained until
+ * none is open; otherwise it could exceed its bound by reconnecting.
  *
- * @param <K> what tells them apart
+ * @param <K> the key that identifies a caller
  */
 public final class Peers<K> {
     private final Map<K, Peer> peers = new HashMap<>();
     private final Map<K, Integer> connections = new HashMap<>();
-    private final Function<String, Peer> make;
+    private final Function<String, Peer> factory;
 
-    /** No callers yet; {@code make} makes a new one by its name. */
-    public Peers(Function<String, Peer> make) {
-        this.make = make;
+    /** Creates an instance without callers; {@code factory} creates a caller by its name. */
+    public Peers(Function<String, Peer> factory) {
+        this.factory = factory;
     }
 
-    /** A connection of this caller has come. */
-    public Peer joined(K key) {
+    /** Records a new connection of this caller. */
+    public Peer connected(K key) {
         connections.merge(key, 1, Integer::sum);
-        return peers.computeIfAbsent(key, k -> make.apply(k.toString()));
+        return peers.computeIfAbsent(key, k -> factory.apply(k.toString()));
     }
 
-    /** One has gone. */
-    public void left(K key) {
+    /** Records the end of a connection of this caller. */
+    public void disconnected(K key) {
         if (connections.merge(key, -1, Integer::sum) == 0) {
             connections.remove(key);
             peers.entrySet()
--- a/src/main/java/whinlead/consult/package-info.java
+++ b/src/main/java/whinlead/consult/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests that other proxies ask about and send themselves: the module's choice for each, and what they report.
+ * Requests that other proxies ask about and send themselves: the module's decision for each, and the reports on them.
  *
- * <p>Begin with {@link whinlead.consult.Consultations}; {@code docs/processor.md}. On the engine's thread.
+ * <p>Start with {@link whinlead.consult.Consultations}; {@code docs/processor.md}. Runs on the engine's thread.
  */
 package whinlead.consult;
--- a/src/main/java/whinlead/front/consult/ConsultConnection.java
+++ b/src/main/java/whinlead/front/consult/ConsultConnection.java
@@ -97,7 +97,7 @@
                 write(ctx, response(HttpResponseStatus.NO_CONTENT, null), keep);
             }
             case CANCEL -> {
-                consultations.gone(call.id());
+                consultations.abandoned(call.id());
                 write(ctx, response(HttpResponseStatus.NO_CONTENT, null), keep);
             }
             default -> write(ctx, response(HttpResponseStatus.NOT_FOUND, null), keep);
@@ -151,15 +151,15 @@
                     .put("endpoint", send.endpoint())
                     .put("address", send.address())
                     .put("attempt", send.attempt())
-                    .put("within_ms", Math.floor(send.within()))
-                    .put("valid_ms", Math.floor(send.valid()));
+                    .put("within_ms", Math.floor(send.withinMs()))
+                    .put("valid_ms", Math.floor(send.validMs()));
             status = HttpResponseStatus.OK;
         } else if (directive instanceof Directive.Served) {
             body.put("do", directive.word());
             status = HttpResponseStatus.OK;
         } else if (directive instanceof Directive.Refused refused) {
             body.put("do", directive.word());
-            retryAfter = refused.retryAfter();
+            retryAfter = refused.retryAfterMs();
             status = HttpResponseStatus.SERVICE_UNAVAILABLE;
         } else if (directive instanceof Directive.Failed) {
             body.put("do", directive.word());
@@ -169,7 +169,7 @@
             status = HttpResponseStatus.CONFLICT;
         } else if (directive instanceof Directive.TooMany tooMany) {
             body.put("do", directive.word());
-            retryAfter = tooMany.retryAfter();
+            retryAfter = tooMany.retryAfterMs();
             status = HttpResponseStatus.TOO_MANY_REQUESTS;
         } else {
             body.put("do", directive.word());
@@ -186,8 +186,8 @@
                     .set("Consult-Endpoint", send.endpoint())
                     .set("Consult-Address", send.address())
                     .set("Consult-Attempt", send.attempt())
-                    .set("Consult-Within", Decimals.seconds(send.within()))
-                    .set("Consult-Valid", Decimals.seconds(send.valid()));
+                    .set("Consult-Within", Decimals.seconds(send.withinMs()))
+                    .set("Consult-Valid", Decimals.seconds(send.validMs()));
         }
         if (retryAfter > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, Decimals.seconds(retryAfter));
--- a/src/main/java/whinlead/front/consult/ConsultServer.java
+++ b/src/main/java/whinlead/front/consult/ConsultServer.java
@@ -86,8 +86,8 @@
         }
         connections.add(channel);
         InetAddress from = ((InetSocketAddress) channel.remoteAddress()).getAddress();
-        Peer peer = peers.joined(from);
-        channel.closeFuture().addListener(f -> peers.left(from));
+        Peer peer = peers.connected(from);
+        channel.closeFuture().addListener(f -> peers.disconnected(from));
         channel.pipeline()
                 .addLast(
                         new IdleStateHandler(0, 0, MAX_IDLE_S, TimeUnit.SECONDS),
--- a/src/main/java/whinlead/front/extproc/ExtProcAnswers.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcAnswers.java
@@ -42,8 +42,8 @@
                 .putFields("destination", text(send.address()))
                 .putFields("endpoint", text(send.endpoint()))
                 .putFields("attempt", number(send.attempt()))
-                .putFields("within_ms", number(Math.floor(send.within())))
-                .putFields("valid_ms", number(Math.floor(send.valid())))
+                .putFields("within_ms", number(Math.floor(send.withinMs())))
+                .putFields("valid_ms", number(Math.floor(send.validMs())))
                 .build();
         Struct subset =
                 Struct.newBuilder().putFields("endpoint", text(send.endpoint())).build();
@@ -90,9 +90,9 @@
     /** It is over: the client is answered at once. */
     static ProcessingResponse over(Directive directive) {
         if (directive instanceof Directive.Refused refused) {
-            return immediate(StatusCode.ServiceUnavailable, directive, refused.retryAfter());
+            return immediate(StatusCode.ServiceUnavailable, directive, refused.retryAfterMs());
         } else if (directive instanceof Directive.TooMany tooMany) {
-            return immediate(StatusCode.TooManyRequests, directive, tooMany.retryAfter());
+            return immediate(StatusCode.TooManyRequests, directive, tooMany.retryAfterMs());
         } else if (directive instanceof Directive.Failed) {
             return immediate(StatusCode.BadGateway, directive, 0);
         }
--- a/src/main/java/whinlead/front/extproc/ExtProcServer.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcServer.java
@@ -142,8 +142,8 @@
                     timers,
                     names,
                     headers,
-                    peers.joined(from),
-                    () -> peers.left(from),
+                    peers.connected(from),
+                    () -> peers.disconnected(from),
                     (ServerCallStreamObserver<ProcessingResponse>) answers);
         }
     }
--- a/src/main/java/whinlead/front/extproc/ExtProcStream.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcStream.java
@@ -114,7 +114,7 @@
         if (directive instanceof Directive.Send send) {
             sent = send;
             state = State.SENT;
-            silence = timers.after(send.within() + LINGER_MS, this::finish);
+            silence = timers.after(send.withinMs() + LINGER_MS, this::finish);
             answers.onNext(ExtProcAnswers.send(send));
         } else {
             end(ExtProcAnswers.over(directive));
--- a/src/main/java/whinlead/front/http1/ClientServer.java
+++ b/src/main/java/whinlead/front/http1/ClientServer.java
@@ -188,13 +188,13 @@
 
     /** A connection has come, or come into a phase. */
     void entered(ClientConnection connection, ClientConnection.Phase phase, double since) {
-        gate.entered(
+        gate.phaseChanged(
                 connection,
                 switch (phase) {
                     case SILENT -> Admission.Phase.SILENT;
                     case IDLE -> Admission.Phase.IDLE;
                     case RECEIVING -> Admission.Phase.RECEIVING;
-                    case OPEN, ANSWERING, ENDING -> Admission.Phase.HELD;
+                    case OPEN, ANSWERING, ENDING -> Admission.Phase.BUSY;
                 },
                 since);
     }
@@ -206,10 +206,10 @@
     void opened(ClientConnection connection, SocketAddress from) {
         connections.add(connection);
         gate.places(budget.may(Budget.Purpose.CLIENTS));
-        long before = gate.closed(Gate.Why.FULL);
+        long before = gate.closed(Gate.CloseReason.FULL);
         byte[] address = ((InetSocketAddress) from).getAddress().getAddress();
-        ClientConnection close = gate.arrived(connection, address, clock.now());
-        if (gate.closed(Gate.Why.FULL) > before) {
+        ClientConnection close = gate.connectionOpened(connection, address, clock.now());
+        if (gate.closed(Gate.CloseReason.FULL) > before) {
             budget.refused(Budget.Purpose.CLIENTS);
         }
         budget.used(Budget.Purpose.CLIENTS, gate.open());
@@ -220,12 +220,12 @@
 
     /** A request has come that is taken, or had to be turned away. */
     void asked(ClientConnection connection, boolean well) {
-        gate.asked(connection, well, clock.now());
+        gate.requestReceived(connection, well, clock.now());
     }
 
     void closed(ClientConnection connection) {
         connections.remove(connection);
-        gate.left(connection, clock.now());
+        gate.connectionClosed(connection, clock.now());
         budget.used(Budget.Purpose.CLIENTS, gate.open());
         finishDrain();
     }
@@ -249,10 +249,10 @@
         }
         // Guards against clients that ask once and stay: the room they take is wanted by those that ask
         // again.
-        ClientConnection idle = gate.idleFor(now, IDLE_LONG_MS);
+        ClientConnection idle = gate.longestIdle(now, IDLE_LONG_MS);
         while (connections.size() > most / MANY_SHARE && idle != null) {
             idle.close();
-            idle = gate.idleFor(now, IDLE_LONG_MS);
+            idle = gate.longestIdle(now, IDLE_LONG_MS);
         }
     }
 
--- a/src/main/java/whinlead/front/http1/NoDescriptor.java
+++ b/src/main/java/whinlead/front/http1/NoDescriptor.java
@@ -30,11 +30,11 @@
             super.exceptionCaught(ctx, cause);
             return;
         }
-        C close = gate.noDescriptor(clock.now());
+        C close = gate.descriptorsExhausted(clock.now());
         ctx.channel().config().setAutoRead(false);
         ctx.channel()
                 .eventLoop()
-                .schedule(() -> ctx.channel().config().setAutoRead(true), (long) gate.pause(), TimeUnit.MILLISECONDS);
+                .schedule(() -> ctx.channel().config().setAutoRead(true), (long) gate.pauseMs(), TimeUnit.MILLISECONDS);
         if (close != null) {
             closer.accept(close);
         }
--- a/src/main/java/whinlead/front/spop/SpopConnection.java
+++ b/src/main/java/whinlead/front/spop/SpopConnection.java
@@ -150,11 +150,11 @@
             }
             case "streaming" -> {
                 consultations.streaming(call.id(), call.attempt());
-                reply.told(new Directive.Served());
+                reply.onDirective(new Directive.Served());
             }
             case "cancel" -> {
-                consultations.gone(call.id());
-                reply.told(new Directive.Unknown());
+                consultations.abandoned(call.id());
+                reply.onDirective(new Directive.Unknown());
             }
             default -> throw new ConsultRequest.Bad("message '" + name + "' is unknown");
         }
@@ -173,10 +173,10 @@
             SpopFrame.setVariable(out, "ip", NetUtil.createByteArrayFromIpAddressString(host));
             SpopFrame.setVariable(out, "port", Integer.parseInt(send.address().substring(colon + 1)));
             SpopFrame.setVariable(out, "attempt", Integer.toString(send.attempt()));
-        } else if (directive instanceof Directive.Refused refused && refused.retryAfter() > 0) {
-            SpopFrame.setVariable(out, "retry_after", Decimals.seconds(refused.retryAfter()));
+        } else if (directive instanceof Directive.Refused refused && refused.retryAfterMs() > 0) {
+            SpopFrame.setVariable(out, "retry_after", Decimals.seconds(refused.retryAfterMs()));
         } else if (directive instanceof Directive.TooMany tooMany) {
-            SpopFrame.setVariable(out, "retry_after", Decimals.seconds(tooMany.retryAfter()));
+            SpopFrame.setVariable(out, "retry_after", Decimals.seconds(tooMany.retryAfterMs()));
         }
         ctx.writeAndFlush(SpopFrame.end(out));
     }
--- a/src/main/java/whinlead/front/spop/SpopServer.java
+++ b/src/main/java/whinlead/front/spop/SpopServer.java
@@ -67,10 +67,10 @@
     private void accept(Channel channel) {
         InetAddress from = ((InetSocketAddress) channel.remoteAddress()).getAddress();
         open++;
-        Peer peer = peers.joined(from);
+        Peer peer = peers.connected(from);
         channel.closeFuture().addListener(f -> {
             open--;
-            peers.left(from);
+            peers.disconnected(from);
         });
         channel.pipeline()
                 .addLast(
--- a/src/main/java/whinlead/http/Decimals.java
+++ b/src/main/java/whinlead/http/Decimals.java
@@ -1,8 +1,8 @@
 package whinlead.http;
 
 /**
- * Numbers as peers write them and as they are written to peers: plain decimals only, for Java alone would also take
- * {@code 1d} or {@code 0x1p3}. By hand, for patterns and formats took a quarter of what a request allocates.
+ * Parses and formats the plain decimals exchanged with peers; Java's own parser would also accept {@code 1d} or
+ * {@code 0x1p3}. Written by hand, since patterns and formats took a quarter of what a request allocates.
  */
 public final class Decimals {
     /** Digits before the point, and after it; a long holds each. */
@@ -12,8 +12,8 @@
 
     private Decimals() {}
 
-    /** The number, or NaN if it is malformed or over {@code most}. */
-    public static double parse(String text, double most) {
+    /** The number, or NaN if it is malformed or greater than {@code max}. */
+    public static double parse(String text, double max) {
         int point = text.indexOf('.');
         int whole = point < 0 ? text.length() : point;
         long before = digits(text, 0, whole);
@@ -22,10 +22,10 @@
             return Double.NaN;
         }
         double value = before + after / Math.pow(10, Math.max(0, text.length() - whole - 1));
-        return value <= most ? value : Double.NaN;
+        return value <= max ? value : Double.NaN;
     }
 
-    // The number that these characters are; negative if they are not so many digits.
+    // The value of these digits; negative if there are none, too many or other characters.
     private static long digits(String text, int from, int to) {
         if (to <= from || to - from > MAX_DIGITS) {
             return -1;
@@ -41,7 +41,7 @@
         return value;
     }
 
-    /** This time in seconds with three decimals. */
+    /** Formats a time in milliseconds as seconds with three decimals. */
     public static String seconds(double millis) {
         long rounded = Math.round(millis);
         return rounded / THOUSAND + "."
--- a/src/main/java/whinlead/http/HttpAnswer.java
+++ b/src/main/java/whinlead/http/HttpAnswer.java
@@ -1,8 +1,8 @@
 package whinlead.http;
 
 /**
- * An endpoint's answer to an attempt that was served.
+ * An endpoint's response to a served attempt.
  *
- * @param contentType its header of that name, or null
+ * @param contentType the Content-Type header, or null
  */
 public record HttpAnswer(byte[] body, String contentType) {}
--- a/src/main/java/whinlead/http/HttpAsk.java
+++ b/src/main/java/whinlead/http/HttpAsk.java
@@ -11,30 +11,36 @@
 import io.netty.util.AsciiString;
 
 /**
- * A request as endpoints get it, but for the time that an attempt has.
+ * A request as sent to endpoints, without the timeout of the attempt.
  *
- * @param headers what an endpoint is told, but for the time and the length
+ * @param headers headers for the endpoint, without the timeout and the length
  */
 public record HttpAsk(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
-    /** The time that the sender waits, in seconds. */
+    /** The time for which the sender waits, in seconds. */
     public static final AsciiString TIMEOUT = AsciiString.cached("Request-Timeout");
-    /** Bytes of a body, of a request or an answer; the platform's are far smaller. */
+    /** Maximum size of a request or response body; the bodies of the platform are far smaller. */
     public static final int MAX_BODY = 64 * 1024;
 
     /**
      * The request for one attempt.
      *
-     * @param attempt 0 for the first, and so on
-     * @param within milliseconds that it has
+     * @param attempt number of the attempt, 0 for the first
+     * @param withinMs timeout of the attempt in milliseconds
      */
-    public FullHttpRequest attempt(int attempt, double within) {
-        // A first attempt may have what was made for it; a later one must not change that under way.
-        HttpHeaders own = attempt == 0 ? headers : headers.copy();
-        own.set(TIMEOUT, Decimals.seconds(within));
+    public FullHttpRequest attempt(int attempt, double withinMs) {
+        // The first attempt may use the original headers; a later one must not change headers that are still being
+        // sent.
+        HttpHeaders attemptHeaders = attempt == 0 ? headers : headers.copy();
+        attemptHeaders.set(TIMEOUT, Decimals.seconds(withinMs));
         if (body.length > 0 || method.equals(HttpMethod.POST)) {
-            own.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+            attemptHeaders.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
         return new DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body), own, EmptyHttpHeaders.INSTANCE);
+                HttpVersion.HTTP_1_1,
+                method,
+                uri,
+                Unpooled.wrappedBuffer(body),
+                attemptHeaders,
+                EmptyHttpHeaders.INSTANCE);
     }
 }
--- a/src/main/java/whinlead/http/LoadReport.java
+++ b/src/main/java/whinlead/http/LoadReport.java
@@ -3,21 +3,24 @@
 import java.util.List;
 import whinlead.Contract;
 
-/** Reads the load report that an endpoint's answer may carry, such as {@code util=0.61,qps=44}. */
+/** Parses the load report that an endpoint's response may carry, such as {@code util=0.61,qps=44}. */
 public final class LoadReport {
     /** The header that carries it. */
     public static final String HEADER = "Server-Load";
-    /** A peer's word: no endpoint holds or serves more, and a larger figure would spoil the means it goes into. */
-    private static final double MOST = 1e6;
+    /**
+     * Upper bound of reported values: no endpoint reaches it, and a larger value would distort the averages computed
+     * from it.
+     */
+    private static final double MAX_VALUE = 1e6;
 
     private LoadReport() {}
 
-    /** The report in these headers; null if there is not just one, or one that can't be read. */
+    /** The report in these headers; null if there is not exactly one, or if it is malformed. */
     public static Contract.Report parse(List<String> headers) {
         return headers.size() == 1 ? parse(headers.get(0)) : null;
     }
 
-    /** The report, or null if any part of it is malformed: half a report would mislead. */
+    /** The report, or null if any part of it is malformed: a partial report would mislead. */
     public static Contract.Report parse(String text) {
         double inflight = Double.NaN;
         double queue = Double.NaN;
@@ -28,7 +31,7 @@
         for (String part : text.split(",", -1)) {
             int eq = part.indexOf('=');
             double value =
-                    eq < 0 ? Double.NaN : Decimals.parse(part.substring(eq + 1).trim(), MOST);
+                    eq < 0 ? Double.NaN : Decimals.parse(part.substring(eq + 1).trim(), MAX_VALUE);
             if (Double.isNaN(value)) {
                 return null;
             }
--- a/src/main/java/whinlead/http/package-info.java
+++ b/src/main/java/whinlead/http/package-info.java
@@ -1,2 +1,2 @@
-/** What both sides of the platform's HTTP/1.1 share: requests, answers and load reports as values. */
+/** Shared by both sides of the platform's HTTP/1.1: requests, responses and load reports as values. */
 package whinlead.http;
--- a/src/main/java/whinlead/loop/BoundedListener.java
+++ b/src/main/java/whinlead/loop/BoundedListener.java
@@ -4,14 +4,14 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.util.List;
 
-/** Takes so many connections at once and closes ones beyond, which gRPC has no setting for. For one loop. */
+/** Limits the number of concurrent connections and closes further ones, for which gRPC has no setting. For one loop. */
 public final class BoundedListener extends NioServerSocketChannel {
-    private final int most;
+    private final int maxConnections;
     private int open;
 
-    /** One that takes no more than these at once. */
-    public BoundedListener(int most) {
-        this.most = most;
+    /** Creates a listener with this maximum of concurrent connections. */
+    public BoundedListener(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
     @Override
@@ -22,13 +22,13 @@
             return count;
         }
         Channel last = (Channel) accepted.get(accepted.size() - 1);
-        if (open == most) {
+        if (open == maxConnections) {
             accepted.remove(accepted.size() - 1);
             last.unsafe().closeForcibly();
             return count;
         }
         open++;
-        // On the loop that accepted it: this server has one for both.
+        // Runs on the loop that accepted the connection: this server uses one loop for both.
         last.closeFuture().addListener(f -> open--);
         return count;
     }
--- a/src/main/java/whinlead/loop/LoopTimers.java
+++ b/src/main/java/whinlead/loop/LoopTimers.java
@@ -6,14 +6,14 @@
 import whinlead.engine.Clock;
 import whinlead.engine.Timers;
 
-/** The timers of an event loop, on whose thread they run. */
+/** Timers that run on the thread of an event loop. */
 public final class LoopTimers implements Timers {
     private static final double NANOS_IN_MILLI = 1e6;
 
     private final EventLoop loop;
     private final Clock clock;
 
-    /** Timers of this loop by this clock. */
+    /** Creates timers of this loop with this clock. */
     public LoopTimers(EventLoop loop, Clock clock) {
         this.loop = loop;
         this.clock = clock;
--- a/src/main/java/whinlead/membership/Discovery.java
+++ b/src/main/java/whinlead/membership/Discovery.java
@@ -33,18 +33,18 @@
 import whinlead.Contract;
 
 /**
- * The watch on the list of endpoints. Where discovery is asked, the module decides when to ask again after a failure;
- * where lists are pushed it does not ask at all, and the watch on the local agent is renewed here.
+ * Watches the list of endpoints. With a discovery service, the module decides when to retry after a failure; where the
+ * local agent pushes lists the module does not ask, and the watch is renewed here.
  */
 public final class Discovery implements Source {
     private static final String PATH = "/registry/instances";
     private static final int CONNECT_TIMEOUT_MS = 1000;
     /** An empty line is due every 2 s; a watch silent for longer than two of them is broken. */
-    private static final long SILENT_MS = 5000;
-    /** A whole list of some thousand endpoints is still one line. */
-    private static final int MAX_LINE = 1 << 20;
+    private static final long SILENCE_TIMEOUT_MS = 5000;
+    /** A full list of several thousand endpoints is one line. */
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
-    private static final double BACKOFF_FIRST_MS = 100;
+    private static final double FIRST_BACKOFF_MS = 100;
     private static final double MAX_BACKOFF_MS = 4000;
 
     private final EventLoop loop;
@@ -55,12 +55,12 @@
     private final Roster roster;
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
-    /** The watch under way; others that have not ended yet are no longer heeded. */
+    /** The current watch; events of others that have not ended yet are ignored. */
     private Call current;
 
-    private double backoff = BACKOFF_FIRST_MS;
+    private double backoffMs = FIRST_BACKOFF_MS;
 
-    /** A watch that has not begun. {@code known} is the list to hear changes of, or null. */
+    /** Creates a watch that is not started. {@code known} is the list to receive changes of, or null. */
     public Discovery(
             EventLoop loop,
             InetSocketAddress address,
@@ -96,10 +96,10 @@
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new ReadTimeoutHandler(SILENT_MS, TimeUnit.MILLISECONDS),
+                                        new ReadTimeoutHandler(SILENCE_TIMEOUT_MS, TimeUnit.MILLISECONDS),
                                         new HttpClientCodec(),
                                         call,
-                                        new LineBasedFrameDecoder(MAX_LINE),
+                                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
                                         new Lines(call));
                     }
                 })
@@ -113,17 +113,17 @@
     }
 
     /**
-     * Moves the watch to another address at once; the old list stands until the new one has come. The whole list is
-     * asked for, since another service's versions may be counted otherwise, and no change must be missed.
+     * Moves the watch to another address immediately; the old list stays in use until a new one arrives. The full list
+     * is requested, since another service may count versions differently and no change must be missed.
      */
     public void move(InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
         address = next;
-        roster.moved();
+        roster.sourceChanged();
         Call old = current;
-        // The end of the old watch is meant and no failure, and what it still has to say is out of date.
+        // The old watch is ended on purpose, which is no failure, and its further lists are out of date.
         current = null;
         if (old != null) {
             old.channel.close();
@@ -137,21 +137,21 @@
         }
         current = null;
         if (pushed) {
-            double wait = backoff * (0.5 + random.nextDouble());
-            backoff = Math.min(MAX_BACKOFF_MS, backoff * 2);
-            loop.schedule(this::watch, (long) wait, TimeUnit.MILLISECONDS);
+            double waitMs = backoffMs * (0.5 + random.nextDouble());
+            backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
+            loop.schedule(this::watch, (long) waitMs, TimeUnit.MILLISECONDS);
         } else {
             membership.outOfReach();
         }
     }
 
-    /** The call itself: asks once connected, and passes on the bytes of the answer's body. */
+    /** The HTTP call: sends the request once connected, and passes on the bytes of the response body. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private Channel channel;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            Long after = roster.after();
+            Long after = roster.acceptedVersion();
             String uri = PATH + "?watch=1" + (after == null ? "" : "&after=" + after);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
             request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address));
@@ -184,7 +184,7 @@
         }
     }
 
-    /** The lines of the answer, one list or change each. */
+    /** The lines of the response, one list or change each. */
     private final class Lines extends SimpleChannelInboundHandler<ByteBuf> {
         private final Call call;
 
@@ -202,16 +202,16 @@
             try {
                 list = EndpointList.parse(mapper.readTree(text));
             } catch (JsonProcessingException | IllegalArgumentException e) {
-                // Guards against nonsense: the old list stands, and the next call asks from the last good
-                // version.
+                // Guards against malformed lists: the old list stays in use, and the next call starts from the last
+                // good version.
                 ctx.close();
                 return;
             }
-            if (roster.take(list) != null) {
+            if (roster.accept(list) != null) {
                 ctx.close();
                 return;
             }
-            backoff = BACKOFF_FIRST_MS;
+            backoffMs = FIRST_BACKOFF_MS;
             membership.list(list.whole() ? Contract.ListKind.FULL : Contract.ListKind.CHANGES, list);
         }
 
--- a/src/main/java/whinlead/membership/EndpointList.java
+++ b/src/main/java/whinlead/membership/EndpointList.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import whinlead.Contract;
 
-/** What discovery tells: all endpoints if {@code whole}, else those that changed, as of version {@code seq}. */
+/** A list from discovery: all endpoints if {@code whole}, else the changed ones, as of version {@code seq}. */
 public record EndpointList(long seq, boolean whole, List<Entry> entries) {
 
-    /** An endpoint for the module, and where to connect to it; null for one that is gone. */
+    /** An endpoint as the module sees it, and its address; the address is null for one that is gone. */
     public record Entry(Contract.Server server, SocketAddress address) {
         /** The address as ADDRESS:PORT; null if there is none. */
-        public String dial() {
+        public String dialAddress() {
             return address instanceof InetSocketAddress inet ? NetUtil.toSocketAddressString(inet) : null;
         }
     }
@@ -24,9 +24,10 @@
     private static final int MAX_PORT = 65535;
 
     /**
-     * Reads discovery's form. One bad entry makes the whole list bad: half a list would lose a drain unseen.
+     * Parses the JSON of discovery. One malformed entry makes the whole list invalid: a partial list could silently
+     * lose a drain.
      *
-     * @throws IllegalArgumentException naming what is wrong
+     * @throws IllegalArgumentException naming the malformed field
      */
     public static EndpointList parse(JsonNode json) {
         JsonNode hosts = json.path("hosts");
@@ -57,7 +58,7 @@
                     case "gone" -> Contract.Standing.GONE;
                     default -> throw new IllegalArgumentException("health of " + id + " is unknown");
                 };
-        double born = number(host, "born_ms", 0);
+        double bornMs = number(host, "born_ms", 0);
         double share = number(host, "share", 1);
         Contract.Server server = new Contract.Server(
                 id,
@@ -65,17 +66,16 @@
                 share,
                 host.path("site").asText(),
                 host.path("block").asInt(-1),
-                born);
-        // Where nothing will be sent again no address is needed, and a list must not be lost for the lack
-        // of one.
+                bornMs);
+        // A removed endpoint gets no requests and needs no address; a list must not be rejected for the lack of one.
         boolean gone = standing == Contract.Standing.GONE;
         return new Entry(server, gone ? null : address(host.path("dial").asText()));
     }
 
-    private static double number(JsonNode host, String field, double absent) {
+    private static double number(JsonNode host, String field, double defaultValue) {
         JsonNode value = host.path(field);
         if (value.isMissingNode() || value.isNull()) {
-            return absent;
+            return defaultValue;
         }
         if (!value.isNumber() || value.asDouble() < 0) {
             throw new IllegalArgumentException(field + " is malformed");
@@ -83,7 +83,7 @@
         return value.asDouble();
     }
 
-    /** An address and port such as {@code 127.0.0.1:9000}; names are not looked up, for there is no DNS. */
+    /** An address and port such as {@code 127.0.0.1:9000}; names are not resolved, since there is no DNS. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/src/main/java/whinlead/membership/Membership.java
+++ b/src/main/java/whinlead/membership/Membership.java
@@ -2,11 +2,11 @@
 
 import whinlead.Contract;
 
-/** What a source of the list feeds; called on the loop that owns the engine. */
+/** Receives the lists of a source; called on the loop that owns the engine. */
 public interface Membership {
-    /** A list has come, or changes of it. */
+    /** A full list or changes were received. */
     void list(Contract.ListKind kind, EndpointList list);
 
-    /** The source can't be asked, or told nonsense: the list as last known stands. */
+    /** The source is unreachable or sent a malformed list: the last known list stays in use. */
     void outOfReach();
 }
--- a/src/main/java/whinlead/membership/Roster.java
+++ b/src/main/java/whinlead/membership/Roster.java
@@ -5,69 +5,70 @@
 import whinlead.Contract;
 
 /**
- * Which lists of a source are believed, and from which version on the next is asked for. Free of I/O and clocks; for
- * one thread. A list that is not believed changes nothing: the last good one stands whole, so that an entry told as
- * draining stays so.
+ * Decides which lists of a source are accepted, and from which version the next is requested. No I/O and no clock; for
+ * one thread. A rejected list changes nothing: the last accepted one stays in use as a whole, so that a draining
+ * endpoint stays draining.
  */
 public final class Roster {
-    /** The most endpoints known at once; more is a source gone wrong, and each costs memory. */
+    /** Maximum number of endpoints; a larger list indicates a faulty source, and each endpoint costs memory. */
     public static final int MAX_ENDPOINTS = 10_000;
     /**
-     * So many lists in a row of a version before the last one: the source counts anew, as after a restart with nothing
-     * kept. One alone may be late, or of a replica that lags, and would bring back what is gone.
+     * Consecutive lists with an older version after which the source is taken to have restarted its count, as after a
+     * restart without stored state. A single one may be late or from a lagging replica, and would restore removed
+     * endpoints.
      */
-    private static final int ANEW = 2;
+    private static final int RESTART_THRESHOLD = 2;
 
     private final Set<String> ids = new HashSet<>();
     private Long seq;
-    private int backwards;
+    private int staleLists;
 
-    /** One that knows this list, or nothing if it is null. */
+    /** Creates an instance with this accepted list, or with none if it is null. */
     public Roster(EndpointList known) {
-        if (known != null && take(known) != null) {
+        if (known != null && accept(known) != null) {
             throw new IllegalArgumentException("the known list names an endpoint twice, or too many");
         }
     }
 
-    /** The version to hear changes of; null for the whole list. */
-    public Long after() {
+    /** The version to request changes from; null for the whole list. */
+    public Long acceptedVersion() {
         return seq;
     }
 
-    /** Another source from now on, whose versions may be counted otherwise: its whole list is wanted. */
-    public void moved() {
+    /** Records a change of the source, which may count versions differently: its whole list is needed. */
+    public void sourceChanged() {
         seq = null;
-        backwards = 0;
+        staleLists = 0;
     }
 
     /**
-     * Takes in a list.
+     * Checks a list and accepts it if it is valid.
      *
-     * @return null if it is believed, else why not, in a few words; then it must not be heeded
+     * @return null if it is accepted, else a short reason; then it must be ignored
      */
-    public String take(EndpointList list) {
+    public String accept(EndpointList list) {
         if (seq != null && list.seq() < seq) {
-            backwards++;
-            if (backwards >= ANEW) {
-                moved();
+            staleLists++;
+            if (staleLists >= RESTART_THRESHOLD) {
+                sourceChanged();
             }
             return "version goes backwards";
         }
-        // Nothing is changed before all is checked, and a change of one entry costs one.
+        // No state changes before all is checked, and the cost is proportional to the entries of the list.
         Set<String> named = new HashSet<>();
-        Set<String> here = new HashSet<>();
-        int known = list.whole() ? 0 : ids.size();
-        for (EndpointList.Entry e : list.entries()) {
-            String id = e.server().id();
+        Set<String> present = new HashSet<>();
+        int count = list.whole() ? 0 : ids.size();
+        for (EndpointList.Entry entry : list.entries()) {
+            String id = entry.server().id();
             if (!named.add(id)) {
                 return "an endpoint is named twice";
             }
-            if (e.server().standing() != Contract.Standing.GONE) {
-                here.add(id);
+            if (entry.server().standing() != Contract.Standing.GONE) {
+                present.add(id);
             }
-            known += (here.contains(id) ? 1 : 0) - (!list.whole() && ids.contains(id) ? 1 : 0);
+            count += (present.contains(id) ? 1 : 0) - (!list.whole() && ids.contains(id) ? 1 : 0);
         }
-        if (known > MAX_ENDPOINTS) {
+        if (count > MAX_ENDPOINTS) {
             return "more than " + MAX_ENDPOINTS + " endpoints";
         }
         if (list.whole()) {
@@ -75,9 +76,9 @@
         } else {
             ids.removeAll(named);
         }
-        ids.addAll(here);
+        ids.addAll(present);
         seq = list.seq();
-        backwards = 0;
+        staleLists = 0;
         return null;
     }
 }
--- a/src/main/java/whinlead/membership/package-info.java
+++ b/src/main/java/whinlead/membership/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The platform's list of endpoints: watched, believed or not, and handed to whoever follows it.
+ * The platform's list of endpoints: watched, checked and passed on.
  *
- * <p>Begin with {@link whinlead.membership.Discovery}; {@link whinlead.membership.Roster} decides, purely, which lists
- * are believed ({@code docs/large-fleet.md}).
+ * <p>Start with {@link whinlead.membership.Discovery}; {@link whinlead.membership.Roster} decides, without I/O, which
+ * lists are accepted ({@code docs/large-fleet.md}).
  */
 package whinlead.membership;
--- a/src/main/java/whinlead/signals/Hangup.java
+++ b/src/main/java/whinlead/signals/Hangup.java
@@ -6,30 +6,30 @@
 import java.util.function.Consumer;
 
 /**
- * Guards against the JVM's own answer to SIGHUP, which is to end. It stands from the first line of the program, long
- * before there is anything to reload; what comes until then is made up for by one reload.
+ * Replaces the JVM's default reaction to SIGHUP, which is to exit. Installed by the first line of the program, long
+ * before anything can be reloaded; signals received until then are handled by one reload.
  *
- * <p>Before that line nothing of the program can help: a shell's {@code trap '' HUP} before {@code exec} has the signal
- * ignored, and the JVM respects that for good. {@link IgnoredHangup} ends it.
+ * <p>A signal ignored before that line can't be handled there: after a shell's {@code trap '' HUP} before {@code exec}
+ * the signal is ignored, and the JVM never changes that. {@link IgnoredHangup} does.
  *
- * <p>Java has no public interface to signals; the one in the module jdk.unsupported is reached by its name, since javac
- * warns of any other use. For any thread: the JVM calls from one of its own.
+ * <p>Java has no public interface to signals; the one in the module jdk.unsupported is accessed by reflection, since
+ * javac warns of any direct use. Thread-safe: the JVM calls the handler on one of its own threads.
  */
 public final class Hangup {
-    private final AtomicBoolean came = new AtomicBoolean();
+    private final AtomicBoolean pending = new AtomicBoolean();
     private volatile Runnable task;
 
     private Hangup() {}
 
     /**
-     * From now on SIGHUP ends nothing.
+     * Installs the handler: from now on SIGHUP does not end the process.
      *
-     * @param log told, in a line, where the signal stays ignored for the want of a means
+     * @param log receives one line if the signal stays ignored because that can't be changed
      */
     public static Hangup guard(Consumer<String> log) throws ReflectiveOperationException {
         Hangup hangup = new Hangup();
         if (hangup.install()) {
-            String why = IgnoredHangup.lift();
+            String why = IgnoredHangup.stopIgnoring();
             if (why != null) {
                 log.accept("SIGHUP stays ignored, as this process was started: " + why);
             } else if (hangup.install()) {
@@ -39,16 +39,17 @@
         return hangup;
     }
 
-    /** Has this run for every SIGHUP from now on, and once now if any has come. */
+    /** Runs this task for every SIGHUP from now on, and once now if one was received before. */
     public void on(Runnable reload) {
         task = reload;
-        // In this order, and the other way round where one comes: none falls between the two.
-        make();
+        // The task is set before the flag is read, and the handler sets the flag before it reads the task: no signal is
+        // lost between the two.
+        runPending();
     }
 
-    private void make() {
+    private void runPending() {
         Runnable reload = task;
-        if (reload != null && came.getAndSet(false)) {
+        if (reload != null && pending.getAndSet(false)) {
             reload.run();
         }
     }
@@ -58,8 +59,8 @@
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
         InvocationHandler calls = (proxy, method, arguments) -> {
-            came.set(true);
-            make();
+            pending.set(true);
+            runPending();
             return null;
         };
         Object before = signal.getMethod("handle", signal, handler)
--- a/src/main/java/whinlead/signals/IgnoredHangup.java
+++ b/src/main/java/whinlead/signals/IgnoredHangup.java
@@ -7,10 +7,9 @@
 import com.kenai.jffi.Type;
 
 /**
- * Ends that SIGHUP is ignored, which a process inherits from what started it and which HotSpot keeps
- * ({@code JVM_RegisterSignal} leaves the signals that end a process alone where they are ignored). Java can't change
- * that, so signal(2) of the C library is called. Nothing of the library for that is loaded unless the signal is
- * ignored.
+ * Stops SIGHUP from being ignored. A process inherits that setting from its parent, and HotSpot preserves it
+ * ({@code JVM_RegisterSignal} does not change termination signals that are ignored). Java can't change that, so
+ * signal(2) of the C library is called. The library for native calls is loaded only if the signal is ignored.
  */
 final class IgnoredHangup {
     /** SIGHUP's number in POSIX. */
@@ -18,14 +17,14 @@
 
     private IgnoredHangup() {}
 
-    /** Ends it; null if that was done, else why not, in a few words. */
-    static String lift() {
+    /** Stops the signal from being ignored; returns null on success, else a short reason. */
+    static String stopIgnoring() {
         try {
-            Library c = Library.getDefault();
-            long signal = c.getSymbolAddress("signal");
-            // Not the default, which is to end: between this and the JVM's handler one may come. This
-            // function takes a number and changes nothing.
-            long harmless = c.getSymbolAddress("abs");
+            Library libc = Library.getDefault();
+            long signal = libc.getSymbolAddress("signal");
+            // Not the default action, which ends the process: a signal may arrive before the JVM's handler is
+            // installed. This function takes a number and has no effect.
+            long harmless = libc.getSymbolAddress("abs");
             if (signal == 0 || harmless == 0) {
                 return "the C library has no signal(2)";
             }
@@ -33,7 +32,7 @@
                     Type.SLONG, new Type[] {Type.SLONG, Type.SLONG}, CallingConvention.DEFAULT, false);
             return Invoker.getInstance().invokeN2(call, signal, HANGUP, harmless) == -1 ? "signal(2) refused it" : null;
         } catch (LinkageError | RuntimeException e) {
-            // No room for its native part, or none for this machine: serving matters more.
+            // The native part can't be stored or does not exist for this machine: the process must serve nevertheless.
             return "its library can't be loaded: " + e.getMessage();
         }
     }
--- a/src/main/java/whinlead/signals/package-info.java
+++ b/src/main/java/whinlead/signals/package-info.java
@@ -1,2 +1,2 @@
-/** SIGHUP, also where a process was started with the signal ignored. */
+/** Handling of SIGHUP, also in a process that was started with the signal ignored. */
 package whinlead.signals;
--- a/src/test/java/whinlead/admit/BudgetTest.java
+++ b/src/test/java/whinlead/admit/BudgetTest.java
@@ -14,7 +14,7 @@
 import whinlead.admit.Budget.Purpose;
 import whinlead.admit.Budget.Share;
 
-/** Descriptors by purpose, and how they move. */
+/** Descriptors by purpose, and their transfer between purposes. */
 class BudgetTest {
     private static final Share HALF = new Share(160, 80);
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void oneRefusalMovesNothing() {
+    void singleRefusalMovesNothing() {
         refuse(CLIENTS, 1);
         budget.tick();
         refuse(CLIENTS, 1);
@@ -36,34 +36,34 @@
     }
 
     @Test
-    void whatAnotherDoesNotUseGoesToTheOneThatIsRefused() {
+    void unusedDescriptorsGoToTheRefusedPurpose() {
         budget.used(ENDPOINTS, 40);
         refuse(CLIENTS, 100);
-        // The lender keeps half, and what it uses with a margin.
+        // The lender keeps its minimum of half, and its use plus a margin.
         assertEquals(240, budget.may(CLIENTS));
         assertEquals(80, budget.may(ENDPOINTS));
     }
 
     @Test
-    void oneThatUsesItsShareLendsNothing() {
+    void purposeThatUsesItsShareLendsNothing() {
         budget.used(ENDPOINTS, 150);
         refuse(CLIENTS, 100);
         assertEquals(160, budget.may(CLIENTS));
     }
 
     @Test
-    void theLenderHasItBackAtOnceAsFarAsItIsFree() {
+    void lenderRegainsFreeDescriptorsAtOnce() {
         refuse(CLIENTS, 100);
         budget.used(CLIENTS, 230);
         refuse(ENDPOINTS, 1);
         assertEquals(160, budget.may(CLIENTS));
-        assertEquals(90, budget.may(ENDPOINTS), "70 are still held by clients");
+        assertEquals(90, budget.may(ENDPOINTS), "70 are still in use by clients");
         budget.used(CLIENTS, 160);
         assertEquals(160, budget.may(ENDPOINTS));
     }
 
     @Test
-    void aCalmTimeGivesItBackByAndBy() {
+    void borrowedDescriptorsReturnGraduallyWithoutRefusals() {
         refuse(CLIENTS, 100);
         int lent = budget.may(CLIENTS);
         for (int i = 0; i < 149; i++) {
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aFixedOneNeverMoves() {
+    void fixedBudgetNeverChanges() {
         Budget fixed = Budget.fixed(CLIENTS, 7);
         for (int i = 0; i < 50; i++) {
             fixed.refused(CLIENTS);
@@ -87,36 +87,36 @@
         assertEquals(7, fixed.may(CLIENTS));
     }
 
-    // Whatever comes, no more is ever open than the first shares together.
+    // The descriptors in use never exceed the sum of the initial shares.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void randomEventsNeverExceedTheWhole(long seed) {
-        Random dice = new Random(seed);
+    void randomEventsNeverExceedTheTotal(long seed) {
+        Random random = new Random(seed);
         Map<Purpose, Integer> used = new EnumMap<>(Map.of(CLIENTS, 0, ENDPOINTS, 0));
         Map<Purpose, Integer> highest = new EnumMap<>(Map.of(CLIENTS, 0, ENDPOINTS, 0));
-        double bias = dice.nextDouble();
+        double bias = random.nextDouble();
         for (int i = 0; i < 100_000; i++) {
-            if (dice.nextInt(2000) == 0) {
-                bias = dice.nextDouble();
+            if (random.nextInt(2000) == 0) {
+                bias = random.nextDouble();
             }
-            Purpose p = dice.nextDouble() < bias ? CLIENTS : ENDPOINTS;
-            if (dice.nextInt(5) < 3) {
-                if (used.get(p) < budget.may(p)) {
-                    used.merge(p, 1, Integer::sum);
+            Purpose purpose = random.nextDouble() < bias ? CLIENTS : ENDPOINTS;
+            if (random.nextInt(5) < 3) {
+                if (used.get(purpose) < budget.may(purpose)) {
+                    used.merge(purpose, 1, Integer::sum);
                 } else {
-                    budget.refused(p);
+                    budget.refused(purpose);
                 }
-            } else if (used.get(p) > 0) {
-                used.merge(p, -1, Integer::sum);
+            } else if (used.get(purpose) > 0) {
+                used.merge(purpose, -1, Integer::sum);
             }
-            budget.used(p, used.get(p));
-            if (dice.nextInt(20) == 0) {
+            budget.used(purpose, used.get(purpose));
+            if (random.nextInt(20) == 0) {
                 budget.tick();
             }
-            highest.merge(p, used.get(p), Math::max);
+            highest.merge(purpose, used.get(purpose), Math::max);
             assertTrue(used.get(CLIENTS) + used.get(ENDPOINTS) <= 320, used::toString);
             assertTrue(budget.may(CLIENTS) >= 1 && budget.may(ENDPOINTS) >= 1);
         }
-        assertTrue(highest.values().stream().anyMatch(h -> h > 160), "it moved: " + highest);
+        assertTrue(highest.values().stream().anyMatch(h -> h > 160), "no descriptors were moved: " + highest);
     }
 }
--- a/src/test/java/whinlead/admit/GateTest.java
+++ b/src/test/java/whinlead/admit/GateTest.java
@@ -17,282 +17,286 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import whinlead.admit.Admission.Phase;
+import whinlead.admit.Gate.CloseReason;
 import whinlead.admit.Gate.Limits;
-import whinlead.admit.Gate.Why;
 
-/** Caps, rates, the reserve and shortages, without a socket or a clock. */
+/** Limits, rates, the reserve and shortages, without a socket or a clock. */
 class GateTest {
-    private static final Client.Prefixes WHOLE = new Client.Prefixes(32, 64);
+    private static final Client.Prefixes PREFIXES = new Client.Prefixes(32, 64);
     private static final Admission.Limits PHASES = new Admission.Limits(0.25, 2000, 20, 1000);
     private static final int PLACES = 8;
-    private static final int GOOD = 1;
-    private static final int STRANGER = 9;
+    private static final int KNOWN_CLIENT = 1;
+    private static final int UNKNOWN_CLIENT = 9;
 
     private final Gate<String> gate = gate(3, 6, 1000, 4);
 
     private static Gate<String> gate(int perClient, int perKnown, double perSecond, int reserve) {
         return new Gate<>(
-                new Limits(WHOLE, perClient, perKnown, perSecond, perSecond, reserve, 100, 60_000), PHASES, PLACES);
+                new Limits(PREFIXES, perClient, perKnown, perSecond, perSecond, reserve, 100, 60_000), PHASES, PLACES);
     }
 
-    private static byte[] from(int client) {
+    private static byte[] address(int client) {
         return ByteBuffer.allocate(4).putInt(0x0a000000 + client).array();
     }
 
-    /** Comes to be known, and leaves no connection. */
-    private static void makeKnown(Gate<String> gate, int client, double now) {
-        gate.arrived("known", from(client), now);
+    /** Makes a client known, and leaves no connection open. */
+    private static void makeKnown(Gate<String> gate, int client, double nowMs) {
+        gate.connectionOpened("known", address(client), nowMs);
         for (int i = 0; i < 5; i++) {
-            gate.asked("known", true, now);
+            gate.requestReceived("known", true, nowMs);
         }
-        gate.left("known", now);
+        gate.connectionClosed("known", nowMs);
     }
 
-    private void idle(String connection, int client, double now) {
-        assertNull(gate.arrived(connection, from(client), now));
-        gate.entered(connection, Phase.HELD, now);
-        gate.entered(connection, Phase.IDLE, now);
+    private void openIdle(String connection, int client, double nowMs) {
+        assertNull(gate.connectionOpened(connection, address(client), nowMs));
+        gate.phaseChanged(connection, Phase.BUSY, nowMs);
+        gate.phaseChanged(connection, Phase.IDLE, nowMs);
     }
 
     @Test
-    void oneAtItsCapMakesRoomAmongItsOwn() {
-        idle("other", 2, 0);
+    void clientAtItsCapLosesOneOfItsOwnConnections() {
+        openIdle("other", 2, 0);
         for (String c : List.of("a", "b", "c")) {
-            assertNull(gate.arrived(c, from(STRANGER), 100));
-            gate.entered(c, c.equals("b") ? Phase.SILENT : Phase.HELD, 100);
+            assertNull(gate.connectionOpened(c, address(UNKNOWN_CLIENT), 100));
+            gate.phaseChanged(c, c.equals("b") ? Phase.SILENT : Phase.BUSY, 100);
         }
-        assertEquals("b", gate.arrived("d", from(STRANGER), 200));
-        gate.left("b", 200);
-        gate.entered("d", Phase.HELD, 200);
-        assertEquals("e", gate.arrived("e", from(STRANGER), 300), "the rest hold requests");
-        assertEquals(2, gate.closed(Why.CLIENT_CAP));
+        assertEquals("b", gate.connectionOpened("d", address(UNKNOWN_CLIENT), 200));
+        gate.connectionClosed("b", 200);
+        gate.phaseChanged("d", Phase.BUSY, 200);
+        assertEquals(
+                "e",
+                gate.connectionOpened("e", address(UNKNOWN_CLIENT), 300),
+                "the client's other connections are busy");
+        assertEquals(2, gate.closed(CloseReason.CLIENT_CAP));
     }
 
     @Test
-    void aKnownOneMayHaveMore() {
-        makeKnown(gate, GOOD, 0);
+    void knownClientHasAHigherCap() {
+        makeKnown(gate, KNOWN_CLIENT, 0);
         for (int i = 0; i < 6; i++) {
-            assertNull(gate.arrived("k" + i, from(GOOD), 10));
+            assertNull(gate.connectionOpened("k" + i, address(KNOWN_CLIENT), 10));
         }
-        assertNotNull(gate.arrived("k6", from(GOOD), 10));
+        assertNotNull(gate.connectionOpened("k6", address(KNOWN_CLIENT), 10));
     }
 
     @Test
-    void oneThatComesTooFastIsTurnedAwayAndCountsNot() {
+    void connectionBeyondTheRateIsRejectedAndNotCounted() {
         Gate<String> slow = gate(8, 8, 2, 0);
-        assertNull(slow.arrived("a", from(STRANGER), 0));
-        assertNull(slow.arrived("b", from(STRANGER), 0));
-        assertEquals("c", slow.arrived("c", from(STRANGER), 0));
+        assertNull(slow.connectionOpened("a", address(UNKNOWN_CLIENT), 0));
+        assertNull(slow.connectionOpened("b", address(UNKNOWN_CLIENT), 0));
+        assertEquals("c", slow.connectionOpened("c", address(UNKNOWN_CLIENT), 0));
         assertEquals(2, slow.open());
-        assertNull(slow.arrived("x", from(2), 0), "another client is not held to it");
-        assertNull(slow.arrived("d", from(STRANGER), 500));
-        assertEquals("e", slow.arrived("e", from(STRANGER), 501));
-        assertEquals(2, slow.closed(Why.CLIENT_RATE));
+        assertNull(slow.connectionOpened("x", address(2), 0), "the rate of another client is separate");
+        assertNull(slow.connectionOpened("d", address(UNKNOWN_CLIENT), 500));
+        assertEquals("e", slow.connectionOpened("e", address(UNKNOWN_CLIENT), 501));
+        assertEquals(2, slow.closed(CloseReason.CLIENT_RATE));
     }
 
     @Test
-    void strangersDoNotGetTheReserve() {
-        makeKnown(gate, GOOD, 0);
+    void reserveIsNotGivenToUnknownClients() {
+        makeKnown(gate, KNOWN_CLIENT, 0);
         for (int i = 0; i < 4; i++) {
-            assertNull(gate.arrived("k" + i, from(GOOD), 10));
-            gate.entered("k" + i, Phase.HELD, 10);
+            assertNull(gate.connectionOpened("k" + i, address(KNOWN_CLIENT), 10));
+            gate.phaseChanged("k" + i, Phase.BUSY, 10);
         }
-        // Their need of four is remembered while they have but one.
+        // Their peak of four is remembered while only one is open.
         for (int i = 1; i < 4; i++) {
-            gate.left("k" + i, 20);
+            gate.connectionClosed("k" + i, 20);
         }
         for (int i = 0; i < 4; i++) {
-            assertNull(gate.arrived("s" + i, from(10 + i), 30));
-            gate.entered("s" + i, Phase.HELD, 30);
+            assertNull(gate.connectionOpened("s" + i, address(10 + i), 30));
+            gate.phaseChanged("s" + i, Phase.BUSY, 30);
         }
-        assertEquals("s4", gate.arrived("s4", from(14), 40));
-        assertEquals(1, gate.closed(Why.RESERVE));
-        gate.left("s4", 40);
+        assertEquals("s4", gate.connectionOpened("s4", address(14), 40));
+        assertEquals(1, gate.closed(CloseReason.RESERVE));
+        gate.connectionClosed("s4", 40);
         for (int i = 1; i < 4; i++) {
-            assertNull(gate.arrived("n" + i, from(GOOD), 50), "known ones find their places");
+            assertNull(
+                    gate.connectionOpened("n" + i, address(KNOWN_CLIENT), 50), "known clients get the reserved places");
         }
     }
 
     @Test
-    void aReserveThatNobodyNeedsIsForAll() {
+    void unneededReserveIsOpenToAll() {
         for (int i = 0; i < PLACES; i++) {
-            assertNull(gate.arrived("s" + i, from(10 + i), 0));
+            assertNull(gate.connectionOpened("s" + i, address(10 + i), 0));
         }
-        assertNotNull(gate.arrived("more", from(30), 1));
-        assertEquals(1, gate.closed(Why.FULL));
+        assertNotNull(gate.connectionOpened("more", address(30), 1));
+        assertEquals(1, gate.closed(CloseReason.FULL));
     }
 
     @Test
-    void aKnownOneAtAFullTableDisplacesAStranger() {
-        makeKnown(gate, GOOD, 0);
+    void knownClientDisplacesAnUnknownOneWhenFull() {
+        makeKnown(gate, KNOWN_CLIENT, 0);
         makeKnown(gate, 2, 0);
-        // Known ones have been idle for longer than any stranger.
+        // Connections of known clients have been idle for longer than those of unknown ones.
         for (int i = 0; i < 4; i++) {
-            idle("k" + i, GOOD, 0);
+            openIdle("k" + i, KNOWN_CLIENT, 0);
         }
         for (int i = 0; i < 4; i++) {
-            idle("s" + i, 10 + i, 3000);
+            openIdle("s" + i, 10 + i, 3000);
         }
-        assertEquals("s0", gate.arrived("new", from(2), 3100));
+        assertEquals("s0", gate.connectionOpened("new", address(2), 3100));
     }
 
     @Test
-    void withNothingButRequestsHeldTheNewcomerGoes() {
-        makeKnown(gate, GOOD, 0);
+    void newConnectionIsClosedWhenAllOthersAreBusy() {
+        makeKnown(gate, KNOWN_CLIENT, 0);
         for (int i = 0; i < PLACES; i++) {
-            assertNull(gate.arrived("s" + i, from(10 + i), 0));
-            gate.entered("s" + i, Phase.HELD, 0);
+            assertNull(gate.connectionOpened("s" + i, address(10 + i), 0));
+            gate.phaseChanged("s" + i, Phase.BUSY, 0);
         }
-        assertEquals("k", gate.arrived("k", from(GOOD), 1));
+        assertEquals("k", gate.connectionOpened("k", address(KNOWN_CLIENT), 1));
     }
 
     @Test
-    void goodRequestsAreForgottenAndBadOnesCount() {
-        makeKnown(gate, GOOD, 0);
-        // After ten half-lives the same client has a stranger's cap.
+    void knownStatusDecaysAndBadRequestsReduceIt() {
+        makeKnown(gate, KNOWN_CLIENT, 0);
+        // After ten half-lives the client has the cap of an unknown one.
         for (int i = 0; i < 3; i++) {
-            assertNull(gate.arrived("k" + i, from(GOOD), 600_000));
+            assertNull(gate.connectionOpened("k" + i, address(KNOWN_CLIENT), 600_000));
         }
-        assertNotNull(gate.arrived("k3", from(GOOD), 600_000));
+        assertNotNull(gate.connectionOpened("k3", address(KNOWN_CLIENT), 600_000));
         makeKnown(gate, 2, 600_000);
-        gate.arrived("bad", from(2), 600_000);
-        gate.asked("bad", false, 600_000);
-        gate.asked("bad", false, 600_000);
-        gate.arrived("b1", from(2), 600_000);
-        gate.arrived("b2", from(2), 600_000);
-        assertNotNull(gate.arrived("b3", from(2), 600_000));
+        gate.connectionOpened("bad", address(2), 600_000);
+        gate.requestReceived("bad", false, 600_000);
+        gate.requestReceived("bad", false, 600_000);
+        gate.connectionOpened("b1", address(2), 600_000);
+        gate.connectionOpened("b2", address(2), 600_000);
+        assertNotNull(gate.connectionOpened("b3", address(2), 600_000));
     }
 
     @Test
-    void aShortageClosesOneLowersThePlacesAndPausesLongerEachTime() {
+    void descriptorShortageClosesOneLowersPlacesAndDoublesThePause() {
         for (int i = 0; i < 6; i++) {
-            assertNull(gate.arrived("s" + i, from(10 + i), 0));
+            assertNull(gate.connectionOpened("s" + i, address(10 + i), 0));
         }
-        assertEquals("s0", gate.noDescriptor(100));
-        double pause = gate.pause();
-        gate.left("s0", 100);
-        gate.left(gate.noDescriptor(120), 120);
-        assertEquals(2 * pause, gate.pause());
+        assertEquals("s0", gate.descriptorsExhausted(100));
+        double pause = gate.pauseMs();
+        gate.connectionClosed("s0", 100);
+        gate.connectionClosed(gate.descriptorsExhausted(120), 120);
+        assertEquals(2 * pause, gate.pauseMs());
         assertEquals(4, gate.open());
-        // Four places now, and one more for each second.
-        assertNotNull(gate.arrived("more", from(20), 200));
-        gate.left("more", 200);
-        assertNull(gate.arrived("later", from(20), 1200));
-        assertNotNull(gate.arrived("again", from(21), 1300));
-        gate.left("again", 1300);
-        assertNull(gate.arrived("all", from(21), 60_000));
-        gate.noDescriptor(120_000);
-        assertEquals(pause, gate.pause(), "a new one begins anew");
+        // Four places now, and one more per second.
+        assertNotNull(gate.connectionOpened("more", address(20), 200));
+        gate.connectionClosed("more", 200);
+        assertNull(gate.connectionOpened("later", address(20), 1200));
+        assertNotNull(gate.connectionOpened("again", address(21), 1300));
+        gate.connectionClosed("again", 1300);
+        assertNull(gate.connectionOpened("all", address(21), 60_000));
+        gate.descriptorsExhausted(120_000);
+        assertEquals(pause, gate.pauseMs(), "a later shortage starts with the shortest pause");
     }
 
     @Test
-    void withoutLimitsOnlyThePlacesCount() {
+    void withoutLimitsOnlyPlacesAreBounded() {
         Gate<Integer> open = new Gate<>(Limits.none(), PHASES, 500);
         for (int i = 0; i < 500; i++) {
-            assertNull(open.arrived(i, from(i), i * 0.001));
+            assertNull(open.connectionOpened(i, address(i), i * 0.001));
         }
-        assertNotNull(open.arrived(500, from(0), 1));
-        assertEquals(1, open.closed(Why.FULL));
+        assertNotNull(open.connectionOpened(500, address(0), 1));
+        assertEquals(1, open.closed(CloseReason.FULL));
     }
 
     @Test
-    void aMillionAddressesCostNoMoreThanWhatIsRemembered() {
-        makeKnown(gate, GOOD, 0);
+    void millionAddressesKeepRememberedClientsBounded() {
+        makeKnown(gate, KNOWN_CLIENT, 0);
         for (int i = 0; i < 1_000_000; i++) {
-            double now = i * 0.01;
+            double nowMs = i * 0.01;
             String connection = "c" + i;
-            if (gate.arrived(connection, from(100 + i), now) == null) {
-                gate.left(connection, now);
+            if (gate.connectionOpened(connection, address(100 + i), nowMs) == null) {
+                gate.connectionClosed(connection, nowMs);
             }
             if (i % 100_000 == 0) {
-                assertTrue(gate.clients() <= 100, "kept " + gate.clients());
+                assertTrue(gate.clients() <= 100, "remembered: " + gate.clients());
             }
         }
-        // The known one is still known: strangers pushed out strangers.
+        // The known client is still known: unknown clients evicted only unknown ones.
         for (int i = 0; i < 6; i++) {
-            assertNull(gate.arrived("k" + i, from(GOOD), 10_000));
+            assertNull(gate.connectionOpened("k" + i, address(KNOWN_CLIENT), 10_000));
         }
     }
 
     @Test
-    void limitsAreChecked() {
-        assertThrows(IllegalArgumentException.class, () -> new Limits(WHOLE, 0, 1, 1, 1, 0, 1, 1));
-        assertThrows(IllegalArgumentException.class, () -> new Limits(WHOLE, 2, 1, 1, 1, 0, 1, 1));
-        assertThrows(IllegalArgumentException.class, () -> new Limits(WHOLE, 1, 1, 0, 1, 0, 1, 1));
-        assertThrows(IllegalArgumentException.class, () -> new Limits(WHOLE, 1, 1, 1, 1, -1, 1, 1));
-        assertThrows(IllegalArgumentException.class, () -> new Limits(WHOLE, 1, 1, 1, 1, 0, 0, 1));
+    void limitsOutOfRangeAreRejected() {
+        assertThrows(IllegalArgumentException.class, () -> new Limits(PREFIXES, 0, 1, 1, 1, 0, 1, 1));
+        assertThrows(IllegalArgumentException.class, () -> new Limits(PREFIXES, 2, 1, 1, 1, 0, 1, 1));
+        assertThrows(IllegalArgumentException.class, () -> new Limits(PREFIXES, 1, 1, 0, 1, 0, 1, 1));
+        assertThrows(IllegalArgumentException.class, () -> new Limits(PREFIXES, 1, 1, 1, 1, -1, 1, 1));
+        assertThrows(IllegalArgumentException.class, () -> new Limits(PREFIXES, 1, 1, 1, 1, 0, 0, 1));
     }
 
-    // Whatever comes: no taken request is closed, no more is open than there are places, but for those
-    // that hold requests, and each client keeps to its cap.
+    // No busy connection is closed, the open connections do not exceed the places except for busy ones, and no client
+    // exceeds its cap.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepEveryBound(long seed) {
-        Random dice = new Random(seed);
-        Limits limits = new Limits(WHOLE, 4, 8, 50, 20, 10, 30, 5000);
-        Gate<Integer> all = new Gate<>(limits, PHASES, 20);
+        Random random = new Random(seed);
+        Limits limits = new Limits(PREFIXES, 4, 8, 50, 20, 10, 30, 5000);
+        Gate<Integer> gateUnderTest = new Gate<>(limits, PHASES, 20);
         Map<Integer, Phase> open = new HashMap<>();
         Map<Integer, Integer> owner = new HashMap<>();
-        int[] turnedAway = new int[Why.values().length];
-        double now = 0;
+        int[] closedCounts = new int[CloseReason.values().length];
+        double nowMs = 0;
         for (int i = 0; i < 20_000; i++) {
-            now += dice.nextDouble() * 10;
+            nowMs += random.nextDouble() * 10;
             List<Integer> ids = new ArrayList<>(open.keySet());
-            if (ids.isEmpty() || dice.nextInt(3) == 0) {
-                int client = dice.nextInt(12);
-                Integer close = all.arrived(i, from(client), now);
+            if (ids.isEmpty() || random.nextInt(3) == 0) {
+                int client = random.nextInt(12);
+                Integer close = gateUnderTest.connectionOpened(i, address(client), nowMs);
                 if (close == null || close != i) {
                     open.put(i, Phase.SILENT);
                     owner.put(i, client);
                 }
                 if (close != null && close != i) {
-                    assertNotEquals(Phase.HELD, open.get(close));
+                    assertNotEquals(Phase.BUSY, open.get(close));
                     open.remove(close);
                 }
                 if (close != null) {
-                    all.left(close, now);
+                    gateUnderTest.connectionClosed(close, nowMs);
                 }
-                long held = open.values().stream().filter(p -> p == Phase.HELD).count();
+                long held = open.values().stream().filter(p -> p == Phase.BUSY).count();
                 assertTrue(open.size() <= Math.max(20, held), open::toString);
                 assertTrue(open.keySet().stream()
                                 .filter(c -> owner.get(c) == client)
                                 .count()
                         <= 8);
-            } else if (dice.nextInt(200) == 0) {
-                Integer close = all.noDescriptor(now);
+            } else if (random.nextInt(200) == 0) {
+                Integer close = gateUnderTest.descriptorsExhausted(nowMs);
                 if (close != null) {
-                    assertNotEquals(Phase.HELD, open.remove(close));
-                    all.left(close, now);
+                    assertNotEquals(Phase.BUSY, open.remove(close));
+                    gateUnderTest.connectionClosed(close, nowMs);
                 }
             } else {
-                Integer id = ids.get(dice.nextInt(ids.size()));
+                Integer id = ids.get(random.nextInt(ids.size()));
                 Phase next =
                         switch (open.get(id)) {
                             case SILENT, IDLE -> Phase.RECEIVING;
-                            case RECEIVING -> Phase.HELD;
-                            case HELD -> Phase.IDLE;
+                            case RECEIVING -> Phase.BUSY;
+                            case BUSY -> Phase.IDLE;
                         };
-                if (next == Phase.IDLE && dice.nextInt(4) == 0) {
+                if (next == Phase.IDLE && random.nextInt(4) == 0) {
                     open.remove(id);
-                    all.left(id, now);
+                    gateUnderTest.connectionClosed(id, nowMs);
                     continue;
                 }
                 open.put(id, next);
-                all.entered(id, next, now);
-                if (next == Phase.HELD) {
-                    // Some clients ask good requests, and some hardly ever.
-                    all.asked(id, owner.get(id) < 6 || dice.nextInt(5) == 0, now);
+                gateUnderTest.phaseChanged(id, next, nowMs);
+                if (next == Phase.BUSY) {
+                    // Some clients send good requests, others rarely do.
+                    gateUnderTest.requestReceived(id, owner.get(id) < 6 || random.nextInt(5) == 0, nowMs);
                 }
             }
-            assertEquals(open.size(), all.open());
-            assertTrue(all.clients() <= limits.remembered() + open.size());
+            assertEquals(open.size(), gateUnderTest.open());
+            assertTrue(gateUnderTest.clients() <= limits.maxRemembered() + open.size());
         }
-        for (Why why : Why.values()) {
-            turnedAway[why.ordinal()] = (int) all.closed(why);
+        for (CloseReason why : CloseReason.values()) {
+            closedCounts[why.ordinal()] = (int) gateUnderTest.closed(why);
         }
         assertTrue(
-                turnedAway[Why.CLIENT_CAP.ordinal()] > 0
-                        && turnedAway[Why.FULL.ordinal()] + turnedAway[Why.RESERVE.ordinal()] > 0,
-                "it came to that");
+                closedCounts[CloseReason.CLIENT_CAP.ordinal()] > 0
+                        && closedCounts[CloseReason.FULL.ordinal()] + closedCounts[CloseReason.RESERVE.ordinal()] > 0,
+                "some limit was never reached");
     }
 }
--- a/src/test/java/whinlead/consult/ConsultRandomEventsTest.java
+++ b/src/test/java/whinlead/consult/ConsultRandomEventsTest.java
@@ -20,88 +20,88 @@
 import whinlead.testbed.Settings;
 
 /**
- * Proxies that resend on their own, lose reports, report late, twice or of nothing, and die, drawn by a seed; what
- * truly ran is known.
+ * Seeded random proxies that resend on their own, lose reports, report late, twice or for unknown attempts, and are
+ * lost; the test records what actually ran.
  */
 class ConsultRandomEventsTest {
     private static final int REQUESTS = 3000;
     private static final int PROXIES = 4;
     private static final int ENDPOINTS = 6;
     private static final double GAP_MS = 4;
-    /** One in so many is full, reset, or its report is lost or comes twice. */
-    private static final int RARE = 30;
+    /** One in this many is full or reset, or its report is lost or sent twice. */
+    private static final int RARE_ONE_IN = 30;
 
-    private static final double GRACE = 1000;
+    private static final double GRACE_MS = 1000;
 
     private final DrivenClock clock = new DrivenClock();
-    private final Map<String, Double> drainedAt = new HashMap<>();
+    private final Map<String, Double> drainedAtMs = new HashMap<>();
     private final Map<String, Integer> totals = new HashMap<>();
-    private Random dice;
-    private Consultations all;
+    private Random random;
+    private Consultations consultations;
     private Peer[] proxies;
 
-    /** One request of a proxy's client and what truly became of it. */
-    private final class One {
+    /** One request of a proxy's client and what actually happened to it. */
+    private final class ClientRequest {
         final String id;
         final int classIndex;
-        final Request ask;
+        final Request request;
         int runs;
         int sends;
         boolean refused;
 
-        One(String id, int classIndex) {
+        ClientRequest(String id, int classIndex) {
             this.id = id;
             this.classIndex = classIndex;
-            this.ask = new Request(classIndex, -1, 50 + dice.nextInt(400), false);
+            this.request = new Request(classIndex, -1, 50 + random.nextInt(400), false);
         }
 
-        void ask() {
-            all.ask(proxies[dice.nextInt(PROXIES)], id, ask, this::told);
+        void request() {
+            consultations.ask(proxies[random.nextInt(PROXIES)], id, request, this::directed);
         }
 
-        void told(Directive d) {
-            totals.merge(d.getClass().getSimpleName(), 1, Integer::sum);
-            if (d instanceof Directive.Send send) {
+        void directed(Directive directive) {
+            totals.merge(directive.getClass().getSimpleName(), 1, Integer::sum);
+            if (directive instanceof Directive.Send send) {
                 sends++;
-                assertTrue(classIndex == 0 || runs == 0, "told to send what may have run");
-                assertTrue(classIndex == 0 || !refused, "told to send what was refused");
-                // A proxy that obeys sends before the answer is no longer valid.
-                clock.after(dice.nextDouble() * send.valid(), () -> send(send));
-            } else if (d instanceof Directive.Refused) {
+                assertTrue(classIndex == 0 || runs == 0, "directed to send a request that may have run");
+                assertTrue(classIndex == 0 || !refused, "directed to send a refused request");
+                // A conforming proxy sends while the directive is valid.
+                clock.after(random.nextDouble() * send.validMs(), () -> send(send));
+            } else if (directive instanceof Directive.Refused) {
                 refused = true;
-                assertTrue(classIndex == 0 || runs == 0, "refused, but ran");
+                assertTrue(classIndex == 0 || runs == 0, "refused a request that ran");
             }
         }
 
         private void send(Directive.Send send) {
-            Double drained = drainedAt.get(send.endpoint());
-            assertTrue(drained == null || clock.now() <= drained + GRACE, "sent to a drained endpoint");
-            boolean runs = dice.nextInt(RARE) > 0;
-            Outcome truth = runs ? dice.nextInt(RARE) > 0 ? Outcome.SERVED : Outcome.RESET : Outcome.FULL;
+            Double drained = drainedAtMs.get(send.endpoint());
+            assertTrue(drained == null || clock.now() <= drained + GRACE_MS, "sent to a drained endpoint");
+            boolean runs = random.nextInt(RARE_ONE_IN) > 0;
+            Outcome truth = runs ? random.nextInt(RARE_ONE_IN) > 0 ? Outcome.SERVED : Outcome.RESET : Outcome.FULL;
             this.runs += runs ? 1 : 0;
-            if (dice.nextInt(10) == 0) {
-                // It times out on its own and tries again, before it has reported or instead of it.
-                clock.after(dice.nextInt(30), this::ask);
+            if (random.nextInt(10) == 0) {
+                // The proxy times out on its own and retries, before its report or instead of it.
+                clock.after(random.nextInt(30), this::request);
             }
-            int reports = dice.nextInt(2 * RARE) == 0 ? 0 : dice.nextInt(RARE) == 0 ? 2 : 1;
+            int reports = random.nextInt(2 * RARE_ONE_IN) == 0 ? 0 : random.nextInt(RARE_ONE_IN) == 0 ? 2 : 1;
             for (int i = 0; i < reports; i++) {
-                clock.after(dice.nextInt(40), () -> report(send, truth));
+                clock.after(random.nextInt(40), () -> report(send, truth));
             }
         }
 
         private void report(Directive.Send send, Outcome truth) {
-            int kind = dice.nextInt(30);
+            int kind = random.nextInt(30);
             if (kind == 0) {
-                all.outcome(id, send.attempt() + 1, null, Outcome.ERROR, null, this::told);
+                consultations.outcome(id, send.attempt() + 1, null, Outcome.ERROR, null, this::directed);
             } else if (kind == 1) {
-                all.streaming(id, send.attempt());
+                consultations.streaming(id, send.attempt());
             } else if (kind == 2) {
-                all.gone(id);
+                consultations.abandoned(id);
             }
-            boolean comesAgain = dice.nextInt(4) == 0;
-            all.outcome(id, send.attempt(), send.endpoint(), truth, null, comesAgain ? null : this::told);
+            boolean comesAgain = random.nextInt(4) == 0;
+            consultations.outcome(id, send.attempt(), send.endpoint(), truth, null, comesAgain ? null : this::directed);
             if (comesAgain && truth != Outcome.SERVED) {
-                clock.after(dice.nextInt(20), this::ask);
+                clock.after(random.nextInt(20), this::request);
             }
         }
     }
@@ -109,7 +109,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void nothingUnsafeRunsTwiceAndNothingStaysOpen(long seed) {
-        dice = new Random(seed);
+        random = new Random(seed);
         proxies = new Peer[PROXIES];
         for (int i = 0; i < PROXIES; i++) {
             proxies[i] = new Peer();
@@ -120,45 +120,50 @@
                 Settings.type("job-submit", 1, Contract.Effect.UNSAFE));
         List<String> log = new ArrayList<>();
         Engine engine = new Engine(
-                clock, settings, actions -> new Decide(settings, seed, actions), list -> all.update(list), log::add);
-        all = new Consultations(engine, clock, settings, new Bounds(2000, 1000, 10_000, 60_000, 100), log::add);
+                clock,
+                settings,
+                actions -> new Decide(settings, seed, actions),
+                list -> consultations.update(list),
+                log::add);
+        consultations =
+                new Consultations(engine, clock, settings, new Bounds(2000, 1000, 10_000, 60_000, 100), log::add);
         engine.start(() -> {}, list());
-        List<One> ones = new ArrayList<>();
+        List<ClientRequest> requests = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
-            One one = new One("r" + i, dice.nextInt(2));
-            ones.add(one);
-            one.ask();
-            if (dice.nextInt(300) == 0) {
+            ClientRequest request = new ClientRequest("r" + i, random.nextInt(2));
+            requests.add(request);
+            request.request();
+            if (random.nextInt(300) == 0) {
                 engine.list(Contract.ListKind.FULL, list());
             }
-            if (dice.nextInt(300) == 0) {
-                all.gone(proxies[dice.nextInt(PROXIES)]);
+            if (random.nextInt(300) == 0) {
+                consultations.abandoned(proxies[random.nextInt(PROXIES)]);
             }
-            clock.runTo(clock.now() + dice.nextDouble() * 2 * GAP_MS);
+            clock.runTo(clock.now() + random.nextDouble() * 2 * GAP_MS);
         }
         clock.runTo(clock.now() + 3000);
         assertTrue(log.stream().noneMatch(l -> l.startsWith("decision failed")), log::toString);
-        assertEquals(0, all.open());
+        assertEquals(0, consultations.open());
         for (Peer p : proxies) {
             assertEquals(0, p.open());
         }
-        assertTrue(ones.stream().allMatch(o -> o.classIndex == 0 || o.runs <= 1), "an unsafe one ran twice");
+        assertTrue(requests.stream().allMatch(o -> o.classIndex == 0 || o.runs <= 1), "an unsafe request ran twice");
         assertTrue(totals.get("Send") > REQUESTS / 3, totals::toString);
         for (String kind : List.of("Served", "Refused", "Failed", "AlreadyOut")) {
             assertTrue(totals.containsKey(kind), totals::toString);
         }
-        assertTrue(ones.stream().anyMatch(o -> o.sends > 1), "nothing was tried again");
+        assertTrue(requests.stream().anyMatch(o -> o.sends > 1), "nothing was retried");
     }
 
     private EndpointList list() {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            boolean drains = i > 1 && dice.nextInt(4) == 0;
+            boolean drains = i > 1 && random.nextInt(4) == 0;
             String id = "s" + i;
             if (drains) {
-                drainedAt.putIfAbsent(id, clock.now());
+                drainedAtMs.putIfAbsent(id, clock.now());
             } else {
-                drainedAt.remove(id);
+                drainedAtMs.remove(id);
             }
             entries.add(new EndpointList.Entry(
                     new Contract.Server(id, drains ? Contract.Standing.DRAINING : Contract.Standing.UP, 1, "z", 0, 0),
--- a/src/test/java/whinlead/consult/ConsultationsTest.java
+++ b/src/test/java/whinlead/consult/ConsultationsTest.java
@@ -19,13 +19,13 @@
 import whinlead.testbed.DrivenClock;
 import whinlead.testbed.Settings;
 
-/** Consultations on the engine with the real module, under a driven clock. */
+/** Consultations on the engine with the real module and a driven clock. */
 class ConsultationsTest {
     private static final int READ = 0;
     private static final int SUBMIT = 1;
-    private static final double TIMEOUT = 1000;
-    private static final double PICK_UP = 200;
-    private static final double REMEMBER = 60_000;
+    private static final double TIMEOUT_MS = 1000;
+    private static final double PICK_UP_MS = 200;
+    private static final double REMEMBER_MS = 60_000;
     private static final Contract.Settings SETTINGS = Settings.of(
             true,
             Settings.type("read", 1, Contract.Effect.SAFE),
@@ -33,9 +33,9 @@
 
     private final DrivenClock clock = new DrivenClock();
     private final List<String> log = new ArrayList<>();
-    private final List<Directive> told = new ArrayList<>();
+    private final List<Directive> directives = new ArrayList<>();
     private final Peer peer = new Peer();
-    private Consultations all;
+    private Consultations consultations;
     private Engine engine;
 
     @BeforeEach
@@ -44,8 +44,9 @@
     }
 
     private void build(Function<Contract.Actions, Contract.Events> module) {
-        engine = new Engine(clock, SETTINGS, module, list -> all.update(list), log::add);
-        all = new Consultations(engine, clock, SETTINGS, new Bounds(10, 4, 8, REMEMBER, PICK_UP), log::add);
+        engine = new Engine(clock, SETTINGS, module, list -> consultations.update(list), log::add);
+        consultations =
+                new Consultations(engine, clock, SETTINGS, new Bounds(10, 4, 8, REMEMBER_MS, PICK_UP_MS), log::add);
         engine.start(() -> {}, list(Contract.Standing.UP));
     }
 
@@ -60,213 +61,214 @@
     }
 
     private void ask(String id, int classIndex) {
-        all.ask(peer, id, new Request(classIndex, -1, TIMEOUT, false), told::add);
+        consultations.ask(peer, id, new Request(classIndex, -1, TIMEOUT_MS, false), directives::add);
     }
 
-    private Directive last() {
-        return told.get(told.size() - 1);
+    private Directive lastDirective() {
+        return directives.get(directives.size() - 1);
     }
 
-    private Directive.Send sent() {
-        return assertInstanceOf(Directive.Send.class, last());
+    private Directive.Send lastSend() {
+        return assertInstanceOf(Directive.Send.class, lastDirective());
     }
 
     private void report(String id, Outcome outcome) {
         Directive.Send send = null;
-        for (Directive d : told) {
+        for (Directive d : directives) {
             send = d instanceof Directive.Send s ? s : send;
         }
-        all.outcome(id, send.attempt(), send.endpoint(), outcome, null, told::add);
+        consultations.outcome(id, send.attempt(), send.endpoint(), outcome, null, directives::add);
     }
 
     @Test
-    void whatIsServedIsOverAndLeavesNothingOpen() {
+    void servedRequestEndsAndLeavesNothingOpen() {
         ask("r", READ);
-        Directive.Send send = sent();
+        Directive.Send send = lastSend();
         assertEquals(0, send.attempt());
         assertEquals("127.0.0.1:" + (1 + Integer.parseInt(send.endpoint().substring(1))), send.address());
-        // A quarter of the grace, so that a caller that obeys it sends nothing to an endpoint drained since.
-        assertEquals(250, send.valid());
+        // A quarter of the grace, so that a conforming caller sends nothing to an endpoint that has drained since.
+        assertEquals(250, send.validMs());
         report("r", Outcome.SERVED);
-        assertEquals(new Directive.Served(), last());
-        assertEquals(0, all.open());
+        assertEquals(new Directive.Served(), lastDirective());
+        assertEquals(0, consultations.open());
         assertEquals(0, peer.open());
     }
 
     @Test
-    void aSafeRequestThatWasResetIsTriedElsewhereInTheSameConsultation() {
+    void resetSafeRequestIsRetriedOnAnotherEndpoint() {
         ask("r", READ);
-        String first = sent().endpoint();
+        String first = lastSend().endpoint();
         report("r", Outcome.RESET);
-        assertEquals(1, sent().attempt());
-        assertTrue(!sent().endpoint().equals(first));
+        assertEquals(1, lastSend().attempt());
+        assertTrue(!lastSend().endpoint().equals(first));
         report("r", Outcome.SERVED);
-        assertEquals(new Directive.Served(), last());
+        assertEquals(new Directive.Served(), lastDirective());
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsFailedAndItsResendTooForAWhile() {
+    void unsafeRequestThatMayHaveRunFailsAndSoDoesItsResendUntilForgotten() {
         ask("j", SUBMIT);
         report("j", Outcome.RESET);
-        assertEquals(new Directive.Failed(), last());
+        assertEquals(new Directive.Failed(), lastDirective());
         ask("j", SUBMIT);
-        assertEquals(new Directive.Failed(), last());
-        assertEquals(1, all.remembered());
-        clock.runTo(REMEMBER + 1);
+        assertEquals(new Directive.Failed(), lastDirective());
+        assertEquals(1, consultations.remembered());
+        clock.runTo(REMEMBER_MS + 1);
         ask("j", SUBMIT);
-        assertInstanceOf(Directive.Send.class, last());
+        assertInstanceOf(Directive.Send.class, lastDirective());
     }
 
     @Test
-    void aResendBeforeTheOutcomeIsAlreadyOutAndOneAfterItHasTheSameEnd() {
+    void resendBeforeTheOutcomeIsAlreadyOutAndOneAfterItGetsTheSameEnd() {
         ask("j", SUBMIT);
         ask("j", SUBMIT);
-        assertEquals(new Directive.AlreadyOut(), last());
+        assertEquals(new Directive.AlreadyOut(), lastDirective());
         report("j", Outcome.SERVED);
         ask("j", SUBMIT);
-        assertEquals(new Directive.Served(), last());
-        assertEquals(2, all.tally().count(Tally.Kind.JOINED));
-        assertEquals(1, told.stream().filter(Directive.Send.class::isInstance).count());
+        assertEquals(new Directive.Served(), lastDirective());
+        assertEquals(2, consultations.tally().count(Tally.Kind.JOINED));
+        assertEquals(
+                1, directives.stream().filter(Directive.Send.class::isInstance).count());
     }
 
     @Test
-    void aRetryWaitsForACallerThatAsksAgainAndIsAFurtherAttempt() {
+    void retryWaitsUntilACallerAsksAgain() {
         ask("r", READ);
-        Directive.Send first = sent();
-        all.outcome("r", 0, first.endpoint(), Outcome.RESET, null, null);
-        assertEquals(1, told.size());
+        Directive.Send first = lastSend();
+        consultations.outcome("r", 0, first.endpoint(), Outcome.RESET, null, null);
+        assertEquals(1, directives.size());
         Peer next = new Peer();
-        all.ask(next, "r", new Request(READ, -1, TIMEOUT, false), told::add);
-        assertEquals(1, sent().attempt());
-        all.gone(peer);
-        assertEquals(1, all.open(), "the request went over to the connection that came for it");
+        consultations.ask(next, "r", new Request(READ, -1, TIMEOUT_MS, false), directives::add);
+        assertEquals(1, lastSend().attempt());
+        consultations.abandoned(peer);
+        assertEquals(1, consultations.open(), "the request moved to the connection that picked it up");
         assertEquals(1, next.open());
     }
 
     @Test
-    void aRetryThatNobodyComesForIsTakenBackAndBlamedOnNobody() {
+    void retryThatIsNotPickedUpIsWithdrawn() {
         ask("r", READ);
-        all.outcome("r", 0, sent().endpoint(), Outcome.FULL, null, null);
-        clock.runTo(TIMEOUT);
-        assertTrue(all.tally().count(Tally.Kind.NOT_PICKED_UP) > 0);
-        assertEquals(0, all.open());
-        assertEquals(1, told.size());
+        consultations.outcome("r", 0, lastSend().endpoint(), Outcome.FULL, null, null);
+        clock.runTo(TIMEOUT_MS);
+        assertTrue(consultations.tally().count(Tally.Kind.NOT_PICKED_UP) > 0);
+        assertEquals(0, consultations.open());
+        assertEquals(1, directives.size());
     }
 
     @Test
-    void theEndThatNobodyHeardIsToldToTheProxysNextTry() {
+    void undeliveredFailureIsReturnedToTheNextAsk() {
         ask("j", SUBMIT);
-        all.outcome("j", 0, sent().endpoint(), Outcome.RESET, null, null);
+        consultations.outcome("j", 0, lastSend().endpoint(), Outcome.RESET, null, null);
         ask("j", SUBMIT);
-        assertEquals(new Directive.Failed(), last());
+        assertEquals(new Directive.Failed(), lastDirective());
     }
 
     @Test
-    void whatIsNeverReportedTimesOutAndALateReportIsDroppedAndCounted() {
+    void unreportedAttemptTimesOutAndALateReportIsCounted() {
         ask("j", SUBMIT);
-        clock.runTo(TIMEOUT);
-        assertEquals(0, all.open());
-        assertEquals(1, all.tally().count(Tally.Kind.NOT_REPORTED));
+        clock.runTo(TIMEOUT_MS);
+        assertEquals(0, consultations.open());
+        assertEquals(1, consultations.tally().count(Tally.Kind.NOT_REPORTED));
         report("j", Outcome.SERVED);
-        assertEquals(1, all.tally().count(Tally.Kind.LATE));
-        assertEquals(new Directive.Failed(), last(), "the one end that it had");
+        assertEquals(1, consultations.tally().count(Tally.Kind.LATE));
+        assertEquals(new Directive.Failed(), lastDirective(), "the request has only one end");
     }
 
     @Test
-    void aReportForAnAttemptThatWasNeverGivenChangesNothing() {
+    void reportOnAnUnknownAttemptChangesNothing() {
         ask("r", READ);
-        all.outcome("r", 5, sent().endpoint(), Outcome.ERROR, null, told::add);
-        assertEquals(new Directive.Unknown(), last());
-        all.outcome("nobody", 0, null, Outcome.ERROR, null, told::add);
-        assertEquals(new Directive.Unknown(), last());
-        assertEquals(1, all.tally().count(Tally.Kind.STRAY));
-        assertEquals(1, all.tally().count(Tally.Kind.LATE));
+        consultations.outcome("r", 5, lastSend().endpoint(), Outcome.ERROR, null, directives::add);
+        assertEquals(new Directive.Unknown(), lastDirective());
+        consultations.outcome("nobody", 0, null, Outcome.ERROR, null, directives::add);
+        assertEquals(new Directive.Unknown(), lastDirective());
+        assertEquals(1, consultations.tally().count(Tally.Kind.STRAY));
+        assertEquals(1, consultations.tally().count(Tally.Kind.LATE));
         report("r", Outcome.SERVED);
-        assertEquals(new Directive.Served(), last());
+        assertEquals(new Directive.Served(), lastDirective());
     }
 
     @Test
-    void whatWasSentElsewhereIsNoEvidenceAndNeverRunsAgain() {
+    void reportFromAnotherEndpointIsIgnoredAndTheRequestDoesNotRunAgain() {
         ask("j", SUBMIT);
-        String other = sent().endpoint().equals("s1") ? "s2" : "s1";
-        all.outcome("j", 0, other, Outcome.SERVED, null, told::add);
-        assertEquals(1, all.tally().count(Tally.Kind.MISDIRECTED));
+        String other = lastSend().endpoint().equals("s1") ? "s2" : "s1";
+        consultations.outcome("j", 0, other, Outcome.SERVED, null, directives::add);
+        assertEquals(1, consultations.tally().count(Tally.Kind.MISDIRECTED));
         assertTrue(log.stream().anyMatch(l -> l.contains("MISDIRECTED")));
-        assertEquals(0, all.open());
+        assertEquals(0, consultations.open());
         ask("j", SUBMIT);
-        assertEquals(new Directive.Failed(), last());
+        assertEquals(new Directive.Failed(), lastDirective());
     }
 
     @Test
-    void aCallerThatDiesLeavesNothingOpenAndItsUnsafeRequestsDoNotRunAgain() {
+    void lostCallerLeavesNothingOpenAndItsUnsafeRequestsDoNotRunAgain() {
         ask("a", SUBMIT);
         ask("b", READ);
-        all.gone(peer);
-        assertEquals(0, all.open());
+        consultations.abandoned(peer);
+        assertEquals(0, consultations.open());
         assertEquals(0, peer.open());
         ask("a", SUBMIT);
-        assertEquals(new Directive.Failed(), last());
+        assertEquals(new Directive.Failed(), lastDirective());
         ask("b", READ);
-        assertInstanceOf(Directive.Send.class, last());
+        assertInstanceOf(Directive.Send.class, lastDirective());
     }
 
     @Test
-    void oneCallerHasItsBoundAndOthersAreStillServed() {
+    void callerAtItsBoundDoesNotBlockOthers() {
         for (int i = 0; i < 5; i++) {
             ask("r" + i, READ);
         }
-        assertEquals(new Directive.TooMany(1000), last());
-        all.ask(new Peer(), "other", new Request(READ, -1, TIMEOUT, false), told::add);
-        assertInstanceOf(Directive.Send.class, last());
-        assertEquals(5, all.open());
+        assertEquals(new Directive.TooMany(1000), lastDirective());
+        consultations.ask(new Peer(), "other", new Request(READ, -1, TIMEOUT_MS, false), directives::add);
+        assertInstanceOf(Directive.Send.class, lastDirective());
+        assertEquals(5, consultations.open());
     }
 
     @Test
-    void aRetryThatWaitsIsTakenBackFromAnEndpointThatDrains() {
+    void waitingRetryIsWithdrawnFromADrainingEndpoint() {
         ScriptedModule module = scripted();
         ask("r", READ);
         module.actions.send(module.requests.get(0), "s1", 0);
-        all.outcome("r", 0, "s1", Outcome.RESET, null, null);
+        consultations.outcome("r", 0, "s1", Outcome.RESET, null, null);
         module.actions.send(module.requests.get(0), "s0", 0);
         engine.list(Contract.ListKind.FULL, list(Contract.Standing.DRAINING));
         assertTrue(module.heard.contains("outcome 0/1 NEVER_SENT"));
         ask("r", READ);
-        assertEquals(new Directive.AlreadyOut(), last());
+        assertEquals(new Directive.AlreadyOut(), lastDirective());
         module.actions.send(module.requests.get(0), "s0", 0);
         assertEquals("outcome 0/2 NEVER_SENT", module.heard.get(module.heard.size() - 1));
     }
 
     @Test
-    void aRefusalThatNobodyHeardIsToldToTheProxysNextTryAndLaterTheRequestIsNew() {
+    void undeliveredRefusalIsReturnedToTheNextAskUntilPickUpTimeIsOver() {
         ScriptedModule module = scripted();
         ask("r", READ);
         module.actions.send(module.requests.get(0), "s1", 0);
-        all.outcome("r", 0, "s1", Outcome.FULL, null, null);
+        consultations.outcome("r", 0, "s1", Outcome.FULL, null, null);
         module.actions.refuse(module.requests.get(0), 300);
         ask("r", READ);
-        assertEquals(new Directive.Refused(300), last());
-        clock.runTo(PICK_UP + 1);
+        assertEquals(new Directive.Refused(300), lastDirective());
+        clock.runTo(PICK_UP_MS + 1);
         ask("r", READ);
         assertEquals(2, module.requests.size());
     }
 
     @Test
-    void anUnsafeRequestThatWasRefusedIsSoForItsProxyWhileTheClientWaitsAndNewForTheClient() {
+    void refusedUnsafeRequestStaysRefusedUntilItsClientRepeatsItOrItsTimeIsOver() {
         ScriptedModule module = scripted();
         ask("j", SUBMIT);
         module.actions.refuse(module.requests.get(0), 300);
         ask("j", SUBMIT);
-        assertEquals(new Directive.Refused(300), last());
+        assertEquals(new Directive.Refused(300), lastDirective());
         assertEquals(1, module.requests.size());
-        all.ask(peer, "j", new Request(SUBMIT, -1, TIMEOUT, true), told::add);
+        consultations.ask(peer, "j", new Request(SUBMIT, -1, TIMEOUT_MS, true), directives::add);
         assertEquals(2, module.requests.size());
         module.actions.refuse(module.requests.get(1), 300);
-        clock.runTo(TIMEOUT + 1);
+        clock.runTo(TIMEOUT_MS + 1);
         ask("j", SUBMIT);
         assertEquals(3, module.requests.size());
     }
 
-    // In place of the real module.
+    // Replaces the real module.
     private ScriptedModule scripted() {
         ScriptedModule module = new ScriptedModule();
         build(actions -> {
@@ -277,22 +279,22 @@
     }
 
     @Test
-    void streamingEndsWhatIsOwedAndTheOutcomeStillCounts() {
+    void streamingEndsTheRequestAndTheOutcomeIsStillReceived() {
         ask("j", SUBMIT);
-        all.streaming("j", 0);
-        assertEquals(1, all.open());
+        consultations.streaming("j", 0);
+        assertEquals(1, consultations.open());
         report("j", Outcome.RESET);
-        assertEquals(new Directive.Served(), last());
-        assertEquals(0, all.open());
+        assertEquals(new Directive.Served(), lastDirective());
+        assertEquals(0, consultations.open());
     }
 
     @Test
-    void theMemoryOfEndsIsBounded() {
+    void rememberedEndsAreBounded() {
         for (int i = 0; i < 20; i++) {
             ask("j" + i, SUBMIT);
             report("j" + i, Outcome.SERVED);
         }
-        assertEquals(8, all.remembered());
-        assertEquals(12, all.tally().count(Tally.Kind.FORGOTTEN));
+        assertEquals(8, consultations.remembered());
+        assertEquals(12, consultations.tally().count(Tally.Kind.FORGOTTEN));
     }
 }
