--- a/src/test/java/whinlead/http/DecimalsTest.java
+++ b/src/test/java/whinlead/http/DecimalsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Numbers read and written by hand, against what the library's patterns and formats say. */
+/** Compares the hand-written parser and formatter of decimals with the library's patterns and formats. */
 class DecimalsTest {
     private static final Pattern PLAIN = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
@@ -36,17 +36,17 @@
                 "NaN",
                 "\u0661"
             })
-    void whatIsNoPlainDecimalIsNaN(String text) {
+    void malformedDecimalIsNaN(String text) {
         assertTrue(Double.isNaN(Decimals.parse(text, 1e15)), text);
     }
 
     @Test
-    void randomTextIsReadAsThePatternAndTheLibrarySay() {
-        Random dice = new Random(4);
+    void randomTextIsParsedAsByThePatternAndTheLibrary() {
+        Random random = new Random(4);
         for (int i = 0; i < 50_000; i++) {
             StringBuilder b = new StringBuilder();
-            for (int n = dice.nextInt(9); n >= 0; n--) {
-                b.append("0123456789..e ".charAt(dice.nextInt(14)));
+            for (int n = random.nextInt(9); n >= 0; n--) {
+                b.append("0123456789..e ".charAt(random.nextInt(14)));
             }
             double value = Decimals.parse(b.toString(), 1e15);
             if (PLAIN.matcher(b).matches()) {
@@ -58,16 +58,16 @@
     }
 
     @Test
-    void moreThanTheMostIsNaN() {
+    void valueAboveTheMaximumIsNaN() {
         assertEquals(5, Decimals.parse("5", 5));
         assertTrue(Double.isNaN(Decimals.parse("5.001", 5)));
     }
 
     @Test
-    void secondsAreWrittenAsTheLibraryFormatsThem() {
-        Random dice = new Random(4);
+    void secondsAreFormattedAsByTheLibrary() {
+        Random random = new Random(4);
         for (int i = 0; i < 10_000; i++) {
-            double millis = Math.rint(dice.nextDouble() * 100_000);
+            double millis = Math.rint(random.nextDouble() * 100_000);
             assertEquals(String.format(Locale.ROOT, "%.3f", millis / 1000), Decimals.seconds(millis));
         }
         assertEquals("0.005", Decimals.seconds(5));
--- a/src/test/java/whinlead/membership/RosterTest.java
+++ b/src/test/java/whinlead/membership/RosterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import whinlead.Contract;
 
-/** Lists that no source should send, and what they leave of the last good one. */
+/** Malformed and stale lists, and their effect on the last accepted one. */
 class RosterTest {
     private static EndpointList.Entry entry(String id, Contract.Standing standing) {
         return new EndpointList.Entry(
@@ -34,102 +34,103 @@
     }
 
     @Test
-    void twoEntriesOfOneIdSpoilTheListAndTwoIdsAtOneAddressDoNot() {
+    void listWithADuplicateIdIsRejectedButOneWithASharedAddressIsNot() {
         Roster roster = new Roster(list(5, true, "a"));
-        assertNotNull(roster.take(list(6, true, "a", "b", "a")));
-        assertEquals(5, roster.after());
-        assertNull(roster.take(list(6, true, "a", "b")));
-        assertEquals(6, roster.after());
+        assertNotNull(roster.accept(list(6, true, "a", "b", "a")));
+        assertEquals(5, roster.acceptedVersion());
+        assertNull(roster.accept(list(6, true, "a", "b")));
+        assertEquals(6, roster.acceptedVersion());
         assertThrows(IllegalArgumentException.class, () -> new Roster(list(5, true, "a", "a")));
     }
 
     @Test
-    void oneVersionThatGoesBackwardsIsNotBelievedAndTwoInARowAreASourceThatCountsAnew() {
+    void staleVersionIsRejectedAndTwoInARowRequestTheWholeList() {
         Roster roster = new Roster(list(50, true, "a"));
-        assertNotNull(roster.take(list(49, true, "a", "old")));
-        assertEquals(50, roster.after());
-        assertNull(roster.take(list(50, true, "a")), "the same version again does no harm");
-        assertNotNull(roster.take(list(3, false, "a")));
-        assertNotNull(roster.take(list(4, false, "a")));
-        assertNull(roster.after(), "the whole list is asked for");
-        assertNull(roster.take(list(4, true, "a")));
-        assertEquals(4, roster.after());
+        assertNotNull(roster.accept(list(49, true, "a", "old")));
+        assertEquals(50, roster.acceptedVersion());
+        assertNull(roster.accept(list(50, true, "a")), "the same version again does no harm");
+        assertNotNull(roster.accept(list(3, false, "a")));
+        assertNotNull(roster.accept(list(4, false, "a")));
+        assertNull(roster.acceptedVersion(), "the whole list is requested");
+        assertNull(roster.accept(list(4, true, "a")));
+        assertEquals(4, roster.acceptedVersion());
     }
 
     @Test
-    void thousandsAreTakenAndBeyondTheBoundNoneByListsOrByChanges() {
+    void endpointsBeyondTheBoundAreRejectedInListsAndChanges() {
         String[] most = new String[Roster.MAX_ENDPOINTS];
         for (int i = 0; i < most.length; i++) {
             most[i] = "s" + i;
         }
         Roster roster = new Roster(null);
-        assertNull(roster.take(list(1, true, most)));
-        assertNotNull(roster.take(list(2, false, "one-more")));
-        assertEquals(1, roster.after());
+        assertNull(roster.accept(list(1, true, most)));
+        assertNotNull(roster.accept(list(2, false, "one-more")));
+        assertEquals(1, roster.acceptedVersion());
         assertNull(
-                roster.take(new EndpointList(
+                roster.accept(new EndpointList(
                         2,
                         false,
                         List.of(entry("s0", Contract.Standing.GONE), entry("one-more", Contract.Standing.UP)))),
                 "in place of one that is gone");
         String[] more = Arrays.copyOf(most, most.length + 1);
         more[most.length] = "t";
-        assertNotNull(roster.take(list(3, true, more)));
+        assertNotNull(roster.accept(list(3, true, more)));
     }
 
-    /** What a reader holds that heeds what is believed, beside a source that is told truly. */
+    /** Compares the state of a reader that applies the accepted lists with the true state of the source. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void whatIsGoneStaysGoneWhateverElseIsSent(long seed) {
-        Random dice = new Random(seed);
+    void acceptedListsReproduceTheSourceDespiteStaleAndMalformedLists(long seed) {
+        Random random = new Random(seed);
         Map<String, Contract.Standing> truth = new HashMap<>();
-        Map<String, Contract.Standing> held = new HashMap<>();
+        Map<String, Contract.Standing> accepted = new HashMap<>();
         List<EndpointList> past = new ArrayList<>();
         Roster roster = new Roster(null);
         long seq = 0;
-        int believed = 0;
+        int acceptedCount = 0;
         for (int i = 0; i < 3000; i++) {
-            String id = "s" + dice.nextInt(40);
-            Contract.Standing now = Contract.Standing.values()[dice.nextInt(3)];
-            if (now == Contract.Standing.GONE) {
+            String id = "s" + random.nextInt(40);
+            Contract.Standing newStanding = Contract.Standing.values()[random.nextInt(3)];
+            if (newStanding == Contract.Standing.GONE) {
                 truth.remove(id);
             } else {
-                truth.put(id, now);
+                truth.put(id, newStanding);
             }
             seq++;
             List<EndpointList.Entry> all = new ArrayList<>();
             truth.forEach((s, standing) -> all.add(entry(s, standing)));
-            boolean whole = roster.after() == null || roster.after() < seq - 1 || dice.nextInt(4) == 0;
-            EndpointList good = new EndpointList(seq, whole, whole ? all : List.of(entry(id, now)));
+            boolean whole =
+                    roster.acceptedVersion() == null || roster.acceptedVersion() < seq - 1 || random.nextInt(4) == 0;
+            EndpointList good = new EndpointList(seq, whole, whole ? all : List.of(entry(id, newStanding)));
             EndpointList sent =
-                    switch (dice.nextInt(6)) {
-                        case 0 -> past.isEmpty() ? good : past.get(dice.nextInt(past.size()));
-                        case 1 -> new EndpointList(seq, true, twice(all));
+                    switch (random.nextInt(6)) {
+                        case 0 -> past.isEmpty() ? good : past.get(random.nextInt(past.size()));
+                        case 1 -> new EndpointList(seq, true, withDuplicate(all));
                         default -> good;
                     };
             past.add(good);
-            Long before = roster.after();
-            if (roster.take(sent) == null) {
-                believed++;
+            Long before = roster.acceptedVersion();
+            if (roster.accept(sent) == null) {
+                acceptedCount++;
                 assertTrue(before == null || sent.seq() >= before, "versions only grow");
                 if (sent.whole()) {
-                    held.clear();
+                    accepted.clear();
                 }
                 sent.entries().forEach(e -> {
-                    held.remove(e.server().id());
+                    accepted.remove(e.server().id());
                     if (e.server().standing() != Contract.Standing.GONE) {
-                        held.put(e.server().id(), e.server().standing());
+                        accepted.put(e.server().id(), e.server().standing());
                     }
                 });
             }
-            if (sent == good && roster.after() != null && roster.after() == seq) {
-                assertEquals(truth, held, "after " + i + " of seed " + seed);
+            if (sent == good && roster.acceptedVersion() != null && roster.acceptedVersion() == seq) {
+                assertEquals(truth, accepted, "after " + i + " of seed " + seed);
             }
         }
-        assertTrue(believed > 1500, "good lists are believed: " + believed);
+        assertTrue(acceptedCount > 1500, "good lists must be accepted: " + acceptedCount);
     }
 
-    private static List<EndpointList.Entry> twice(List<EndpointList.Entry> all) {
+    private static List<EndpointList.Entry> withDuplicate(List<EndpointList.Entry> all) {
         List<EndpointList.Entry> more = new ArrayList<>(all);
         more.add(entry("x", Contract.Standing.UP));
         more.add(entry("x", Contract.Standing.DRAINING));
