--- a/src/main/java/whinlead/front/spop/SpopConnection.java
+++ b/src/main/java/whinlead/front/spop/SpopConnection.java
@@ -18,45 +18,45 @@
 import whinlead.http.Decimals;
 
 /**
- * One connection of HAProxy's. It knows four messages, whose arguments have the names of the consult API's JSON but for
- * {@code timeout}, in seconds: {@code ask}, {@code outcome}, {@code streaming} and {@code cancel}. An answer sets
+ * One connection from HAProxy. It handles four messages, whose arguments are named as in the consult API's JSON except
+ * for {@code timeout}, in seconds: {@code ask}, {@code outcome}, {@code streaming} and {@code cancel}. An answer sets
  * variables: {@code do}, {@code endpoint}, {@code ip}, {@code port}, {@code attempt}, {@code retry_after}, or
  * {@code error}.
  */
 final class SpopConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final String VERSION = "2.0";
     private static final int MIN_FRAME = 256;
-    /** A peer that connects and says nothing. */
+    /** Time within which a peer must send its HELLO. */
     private static final long MAX_HELLO_S = 5;
 
-    // Its arguments are counted and checked as the header form is.
+    // The arguments are parsed and checked in the units of the header form.
     private static final HeaderNames HEADERS = new HeaderNames();
 
     private final Consultations consultations;
     private final ConsultRequest.Names names;
     private final Peer peer;
-    private final boolean room;
+    private final boolean admitted;
     private boolean greeted;
     private boolean ended;
-    private int frameMost = SpopServer.MAX_FRAME;
-    private Future<?> silent;
+    private int maxFrameSize = SpopServer.MAX_FRAME;
+    private Future<?> helloTimeout;
 
-    SpopConnection(Consultations consultations, ConsultRequest.Names names, Peer peer, boolean room) {
+    SpopConnection(Consultations consultations, ConsultRequest.Names names, Peer peer, boolean admitted) {
         this.consultations = consultations;
         this.names = names;
         this.peer = peer;
-        this.room = room;
+        this.admitted = admitted;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        silent = ctx.executor().schedule(() -> ctx.close(), MAX_HELLO_S, TimeUnit.SECONDS);
+        helloTimeout = ctx.executor().schedule(() -> ctx.close(), MAX_HELLO_S, TimeUnit.SECONDS);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         ended = true;
-        silent.cancel(false);
+        helloTimeout.cancel(false);
     }
 
     @Override
@@ -69,7 +69,7 @@
             switch (frame.type()) {
                 case HAPROXY_HELLO -> hello(ctx, frame);
                 case HAPROXY_DISCONNECT -> disconnect(ctx, SpopFrame.Status.NORMAL, "bye");
-                case NOTIFY -> notified(ctx, frame);
+                case NOTIFY -> handleNotify(ctx, frame);
                 default -> throw new SpopFrame.Invalid(SpopFrame.Status.INVALID, "an agent's frame");
             }
         } catch (SpopFrame.Invalid e) {
@@ -81,7 +81,7 @@
         if (greeted) {
             throw new SpopFrame.Invalid(SpopFrame.Status.INVALID, "a second HELLO");
         }
-        if (!room) {
+        if (!admitted) {
             throw new SpopFrame.Invalid(SpopFrame.Status.RESOURCES, "too many connections");
         }
         Map<String, String> pairs = frame.pairs();
@@ -96,25 +96,25 @@
         if (size == null) {
             throw new SpopFrame.Invalid(SpopFrame.Status.NO_FRAME_SIZE, "no frame size");
         }
-        double theirs = Decimals.parse(size, Integer.MAX_VALUE);
-        if (!(theirs >= MIN_FRAME)) {
+        double peerFrameSize = Decimals.parse(size, Integer.MAX_VALUE);
+        if (!(peerFrameSize >= MIN_FRAME)) {
             throw new SpopFrame.Invalid(SpopFrame.Status.BAD_FRAME_SIZE, "frame size under " + MIN_FRAME);
         }
-        frameMost = (int) Math.min(theirs, SpopServer.MAX_FRAME);
+        maxFrameSize = (int) Math.min(peerFrameSize, SpopServer.MAX_FRAME);
         greeted = true;
-        silent.cancel(false);
-        ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.AGENT_HELLO, 0, 0);
-        SpopFrame.pair(out, "version", VERSION);
-        SpopFrame.pair(out, "max-frame-size", frameMost);
-        SpopFrame.pair(out, "capabilities", "pipelining");
-        var written = ctx.writeAndFlush(SpopFrame.end(out));
+        helloTimeout.cancel(false);
+        ByteBuf frameBuffer = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.AGENT_HELLO, 0, 0);
+        SpopFrame.pair(frameBuffer, "version", VERSION);
+        SpopFrame.pair(frameBuffer, "max-frame-size", maxFrameSize);
+        SpopFrame.pair(frameBuffer, "capabilities", "pipelining");
+        var written = ctx.writeAndFlush(SpopFrame.end(frameBuffer));
         if ("1".equals(pairs.get("healthcheck"))) {
             ended = true;
             written.addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    private void notified(ChannelHandlerContext ctx, SpopFrame frame) throws SpopFrame.Invalid {
+    private void handleNotify(ChannelHandlerContext ctx, SpopFrame frame) throws SpopFrame.Invalid {
         if (!greeted) {
             throw new SpopFrame.Invalid(SpopFrame.Status.INVALID, "NOTIFY before HELLO");
         }
@@ -124,7 +124,7 @@
         }
         messages.forEach((name, arguments) -> {
             try {
-                message(
+                handleMessage(
                         name,
                         ConsultRequest.headers(f -> arguments.get(name(f)), HEADERS),
                         directive -> acknowledge(ctx, frame, directive));
@@ -141,12 +141,13 @@
         return field == ConsultRequest.Field.TIMEOUT ? "timeout" : field.json();
     }
 
-    private void message(String name, ConsultRequest call, Consultations.Reply reply) throws ConsultRequest.Bad {
+    private void handleMessage(String name, ConsultRequest call, Consultations.Reply reply) throws ConsultRequest.Bad {
         switch (name) {
             case "ask" -> consultations.ask(peer, call.id(), call.ask(names), reply);
             case "outcome" -> {
-                ConsultRequest.Ended e = call.ended();
-                consultations.outcome(call.id(), e.attempt(), e.endpoint(), e.outcome(), e.report(), reply);
+                ConsultRequest.Ended ended = call.ended();
+                consultations.outcome(
+                        call.id(), ended.attempt(), ended.endpoint(), ended.outcome(), ended.report(), reply);
             }
             case "streaming" -> {
                 consultations.streaming(call.id(), call.attempt());
@@ -181,11 +182,11 @@
         ctx.writeAndFlush(SpopFrame.end(out));
     }
 
-    private void disconnect(ChannelHandlerContext ctx, SpopFrame.Status status, String why) {
+    private void disconnect(ChannelHandlerContext ctx, SpopFrame.Status status, String reason) {
         ended = true;
         ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.AGENT_DISCONNECT, 0, 0);
         SpopFrame.pair(out, "status-code", status.code());
-        SpopFrame.pair(out, "message", why);
+        SpopFrame.pair(out, "message", reason);
         ctx.writeAndFlush(SpopFrame.end(out)).addListener(ChannelFutureListener.CLOSE);
     }
 
--- a/src/main/java/whinlead/front/spop/SpopFrame.java
+++ b/src/main/java/whinlead/front/spop/SpopFrame.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * One frame of HAProxy's Stream Processing Offload Protocol 2.0 (HAProxy's {@code doc/SPOE.txt}, section 3). By hand,
- * since no kept library for Java has it; Netty's codec for HAProxy is that of the PROXY protocol.
+ * One frame of HAProxy's Stream Processing Offload Protocol 2.0 (HAProxy's {@code doc/SPOE.txt}, section 3). Written by
+ * hand, since no maintained Java library implements it; Netty's codec for HAProxy is that of the PROXY protocol.
  *
- * @param payload the reader's until the frame's bytes are released
+ * @param payload valid until the frame's bytes are released
  */
 public record SpopFrame(Type type, boolean fin, boolean abort, long stream, long frame, ByteBuf payload) {
-    /** The kinds that either side sends, with their numbers on the wire. */
+    /** The frame types of both sides, with their numbers on the wire. */
     public enum Type {
         HAPROXY_HELLO(1),
         HAPROXY_DISCONNECT(2),
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Why a connection ends, with its number on the wire. */
+    /** The reason for a disconnect, with its number on the wire. */
     public enum Status {
         NORMAL(0),
         TOO_BIG(3),
@@ -60,7 +60,7 @@
         }
     }
 
-    /** A frame that can't be read, and what the peer is told of it. */
+    /** A malformed frame, with the status and message sent to the peer. */
     public static final class Invalid extends Exception {
         private static final long serialVersionUID = 1;
         private final Status status;
@@ -77,30 +77,30 @@
 
     private static final int FIN = 1;
     private static final int ABORT = 2;
-    /** From this value on a number takes more than one byte. */
-    private static final int ONE_BYTE = 240;
+    /** Numbers from this value on take more than one byte. */
+    private static final int ONE_BYTE_LIMIT = 240;
 
-    private static final int MORE = 128;
+    private static final int CONTINUATION = 128;
     private static final int NUMBER_BITS = 64;
     private static final int TYPE_MASK = 0x0f;
     private static final int TRUE_FLAG = 0x10;
-    private static final int T_NULL = 0;
-    private static final int T_BOOL = 1;
-    private static final int T_INT32 = 2;
-    private static final int T_UINT32 = 3;
-    private static final int T_INT64 = 4;
-    private static final int T_UINT64 = 5;
-    private static final int T_IPV4 = 6;
-    private static final int T_IPV6 = 7;
-    private static final int T_STRING = 8;
-    private static final int T_BINARY = 9;
+    private static final int TYPE_NULL = 0;
+    private static final int TYPE_BOOL = 1;
+    private static final int TYPE_INT32 = 2;
+    private static final int TYPE_UINT32 = 3;
+    private static final int TYPE_INT64 = 4;
+    private static final int TYPE_UINT64 = 5;
+    private static final int TYPE_IPV4 = 6;
+    private static final int TYPE_IPV6 = 7;
+    private static final int TYPE_STRING = 8;
+    private static final int TYPE_BINARY = 9;
     private static final int IPV4_BYTES = 4;
     private static final int IPV6_BYTES = 16;
     private static final int SET_VAR = 1;
     private static final int SET_VAR_ARGS = 3;
     private static final int SCOPE_TRANSACTION = 2;
 
-    /** Reads a frame without its length. */
+    /** Reads a frame that follows its length field. */
     public static SpopFrame read(ByteBuf in) throws Invalid {
         try {
             int type = in.readUnsignedByte();
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Starts a frame with room for its length; {@link #end} fills that in. */
+    /** Starts a frame with a placeholder for its length, which {@link #end} sets. */
     public static ByteBuf begin(ByteBuf out, Type type, long stream, long frame) {
         out.writeInt(0).writeByte(type.code).writeInt(FIN);
         number(out, stream);
@@ -125,12 +125,12 @@
         return out;
     }
 
-    /** Ends a frame that was begun at the buffer's start. */
+    /** Ends a frame that starts at the beginning of the buffer, and sets its length. */
     public static ByteBuf end(ByteBuf out) {
         return out.setInt(0, out.readableBytes() - Integer.BYTES);
     }
 
-    /** The pairs of a HELLO or DISCONNECT. */
+    /** The key-value pairs of a HELLO or DISCONNECT. */
     Map<String, String> pairs() throws Invalid {
         try {
             Map<String, String> pairs = new LinkedHashMap<>();
@@ -162,17 +162,17 @@
         }
     }
 
-    /** Writes a pair with a text. */
+    /** Writes a pair with a string value. */
     public static void pair(ByteBuf out, String key, String text) {
         string(out, key);
-        out.writeByte(T_STRING);
+        out.writeByte(TYPE_STRING);
         string(out, text);
     }
 
-    /** Writes a pair with a number. */
+    /** Writes a pair with a numeric value. */
     public static void pair(ByteBuf out, String key, int value) {
         string(out, key);
-        out.writeByte(T_UINT32);
+        out.writeByte(TYPE_UINT32);
         number(out, value);
     }
 
@@ -180,7 +180,7 @@
     static void setVariable(ByteBuf out, String name, String text) {
         out.writeByte(SET_VAR).writeByte(SET_VAR_ARGS).writeByte(SCOPE_TRANSACTION);
         string(out, name);
-        out.writeByte(T_STRING);
+        out.writeByte(TYPE_STRING);
         string(out, text);
     }
 
@@ -188,21 +188,21 @@
     static void setVariable(ByteBuf out, String name, byte[] address) {
         out.writeByte(SET_VAR).writeByte(SET_VAR_ARGS).writeByte(SCOPE_TRANSACTION);
         string(out, name);
-        out.writeByte(address.length == IPV4_BYTES ? T_IPV4 : T_IPV6).writeBytes(address);
+        out.writeByte(address.length == IPV4_BYTES ? TYPE_IPV4 : TYPE_IPV6).writeBytes(address);
     }
 
     /** Writes the action that sets a variable of the transaction to a number. */
     static void setVariable(ByteBuf out, String name, int value) {
         out.writeByte(SET_VAR).writeByte(SET_VAR_ARGS).writeByte(SCOPE_TRANSACTION);
         string(out, name);
-        out.writeByte(T_UINT32);
+        out.writeByte(TYPE_UINT32);
         number(out, value);
     }
 
-    /** Reads a number of HAProxy's variable length. */
+    /** Reads a number in HAProxy's variable-length encoding. */
     public static long number(ByteBuf in) throws Invalid {
         long value = in.readUnsignedByte();
-        if (value < ONE_BYTE) {
+        if (value < ONE_BYTE_LIMIT) {
             return value;
         }
         int shift = 4;
@@ -214,26 +214,26 @@
             more = in.readUnsignedByte();
             value += (long) more << shift;
             shift += 7;
-        } while (more >= MORE);
+        } while (more >= CONTINUATION);
         return value;
     }
 
-    /** Writes a number of HAProxy's variable length. */
+    /** Writes a number in HAProxy's variable-length encoding. */
     static void number(ByteBuf out, long number) {
-        if (number >= 0 && number < ONE_BYTE) {
+        if (number >= 0 && number < ONE_BYTE_LIMIT) {
             out.writeByte((int) number);
             return;
         }
-        out.writeByte((int) (number | ONE_BYTE));
-        long rest = number - ONE_BYTE >>> 4;
-        while (rest >= MORE) {
-            out.writeByte((int) (rest | MORE));
-            rest = rest - MORE >>> 7;
+        out.writeByte((int) (number | ONE_BYTE_LIMIT));
+        long rest = number - ONE_BYTE_LIMIT >>> 4;
+        while (rest >= CONTINUATION) {
+            out.writeByte((int) (rest | CONTINUATION));
+            rest = rest - CONTINUATION >>> 7;
         }
         out.writeByte((int) rest);
     }
 
-    /** Reads a text. */
+    /** Reads a string with its length. */
     public static String string(ByteBuf in) throws Invalid {
         long length = number(in);
         if (length < 0 || length > in.readableBytes()) {
@@ -242,28 +242,28 @@
         return in.readCharSequence((int) length, StandardCharsets.UTF_8).toString();
     }
 
-    /** Writes a text. */
+    /** Writes a string with its length. */
     public static void string(ByteBuf out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         number(out, bytes.length);
         out.writeBytes(bytes);
     }
 
-    /** Reads a value as text; null for none, and for an address. */
+    /** Reads a value as a string; null for the null type and for addresses. */
     public static String value(ByteBuf in) throws Invalid {
         int type = in.readUnsignedByte();
         return switch (type & TYPE_MASK) {
-            case T_NULL -> null;
-            case T_BOOL -> (type & TRUE_FLAG) != 0 ? "1" : "0";
-            case T_INT32, T_UINT32, T_INT64, T_UINT64 -> Long.toString(number(in));
-            case T_IPV4 -> skip(in, IPV4_BYTES);
-            case T_IPV6 -> skip(in, IPV6_BYTES);
-            case T_STRING, T_BINARY -> string(in);
+            case TYPE_NULL -> null;
+            case TYPE_BOOL -> (type & TRUE_FLAG) != 0 ? "1" : "0";
+            case TYPE_INT32, TYPE_UINT32, TYPE_INT64, TYPE_UINT64 -> Long.toString(number(in));
+            case TYPE_IPV4 -> skip(in, IPV4_BYTES);
+            case TYPE_IPV6 -> skip(in, IPV6_BYTES);
+            case TYPE_STRING, TYPE_BINARY -> string(in);
             default -> throw new Invalid(Status.INVALID, "a value of unknown type");
         };
     }
 
-    // Addresses are of no use here.
+    // Addresses are not used.
     private static String skip(ByteBuf in, int bytes) {
         in.skipBytes(bytes);
         return null;
--- a/src/main/java/whinlead/front/spop/SpopServer.java
+++ b/src/main/java/whinlead/front/spop/SpopServer.java
@@ -16,38 +16,38 @@
 import whinlead.front.consult.ConsultRequest;
 
 /**
- * An agent for HAProxy's filter {@code spoe}: protocol 2.0, pipelining, no fragments. What a caller has open outlives
- * its connections, which HAProxy opens and closes as it likes; the deadline ends it.
+ * An agent for HAProxy's filter {@code spoe}: protocol 2.0, pipelining, no fragments. The open requests of a caller
+ * outlive its connections, which HAProxy opens and closes at any time; they end by their deadline.
  */
 public final class SpopServer {
-    /** What HAProxy's buffers of 16 KiB allow. */
+    /** The largest frame that HAProxy's buffers of 16 KiB allow. */
     static final int MAX_FRAME = 16_380;
 
     private final EventLoop loop;
     private final Class<? extends ServerChannel> channels;
     private final Consultations consultations;
     private final ConsultRequest.Names names;
-    private final int most;
-    // HAProxy has sent the request by the time that it hears of an outcome: it can't follow a retry.
+    private final int maxConnections;
+    // HAProxy has already sent the request when it handles the reply to an outcome, so it can't execute a retry.
     private final Peers<InetAddress> peers = new Peers<>(name -> new Peer(false, name));
     private int open;
 
     /**
-     * An agent.
+     * Creates an agent.
      *
-     * @param most connections at once; ones beyond are told so and closed
+     * @param maxConnections concurrent connections; further ones get a DISCONNECT and are closed
      */
     public SpopServer(
             EventLoop loop,
             Class<? extends ServerChannel> channels,
             Consultations consultations,
             ConsultRequest.Names names,
-            int most) {
+            int maxConnections) {
         this.loop = loop;
         this.channels = channels;
         this.consultations = consultations;
         this.names = names;
-        this.most = most;
+        this.maxConnections = maxConnections;
     }
 
     /** Listens on this address only. */
@@ -75,6 +75,6 @@
         channel.pipeline()
                 .addLast(
                         new LengthFieldBasedFrameDecoder(MAX_FRAME + Integer.BYTES, 0, Integer.BYTES, 0, Integer.BYTES),
-                        new SpopConnection(consultations, names, peer, open <= most));
+                        new SpopConnection(consultations, names, peer, open <= maxConnections));
     }
 }
--- a/src/main/java/whinlead/front/spop/package-info.java
+++ b/src/main/java/whinlead/front/spop/package-info.java
@@ -1,6 +1,6 @@
 /**
  * An agent for HAProxy's stream processing offload protocol.
  *
- * <p>Begin with {@link whinlead.front.spop.SpopServer}.
+ * <p>Start with {@link whinlead.front.spop.SpopServer}.
  */
 package whinlead.front.spop;
--- a/src/test/java/whinlead/front/spop/SpopConnectionTest.java
+++ b/src/test/java/whinlead/front/spop/SpopConnectionTest.java
@@ -25,20 +25,20 @@
 import whinlead.testbed.DrivenClock;
 import whinlead.testbed.Settings;
 
-/** HAProxy's side of the protocol, kept and broken, without a socket. */
+/** Valid and invalid use of the protocol by HAProxy, without a socket. */
 class SpopConnectionTest {
     private final DrivenClock clock = new DrivenClock();
     private final Contract.Settings settings = Settings.of(
             true,
             Settings.type("read", 1, Contract.Effect.SAFE),
             Settings.type("job-submit", 1, Contract.Effect.UNSAFE));
-    private Consultations all;
+    private Consultations consultations;
     private final Engine engine =
-            new Engine(clock, settings, a -> new Decide(settings, 7, a), l -> all.update(l), line -> {});
+            new Engine(clock, settings, a -> new Decide(settings, 7, a), l -> consultations.update(l), line -> {});
     private final Peer peer = new Peer(false, "");
 
     SpopConnectionTest() {
-        all = new Consultations(engine, clock, settings, new Bounds(100, 50, 100, 60_000, 200), line -> {});
+        consultations = new Consultations(engine, clock, settings, new Bounds(100, 50, 100, 60_000, 200), line -> {});
         engine.start(
                 () -> {},
                 new EndpointList(
@@ -52,7 +52,7 @@
     private EmbeddedChannel channel(boolean room) {
         return new EmbeddedChannel(
                 new LengthFieldBasedFrameDecoder(SpopServer.MAX_FRAME + 4, 0, 4, 0, 4),
-                new SpopConnection(all, new ConsultRequest.Names(settings), peer, room));
+                new SpopConnection(consultations, new ConsultRequest.Names(settings), peer, room));
     }
 
     private static ByteBuf hello(String versions, int size, boolean healthcheck) {
@@ -87,7 +87,7 @@
         return frame.payload().toString(StandardCharsets.ISO_8859_1);
     }
 
-    private static void refused(EmbeddedChannel channel, SpopFrame.Status status) throws Exception {
+    private static void assertDisconnected(EmbeddedChannel channel, SpopFrame.Status status) throws Exception {
         SpopFrame frame = answer(channel);
         assertEquals(SpopFrame.Type.AGENT_DISCONNECT, frame.type());
         assertEquals(Integer.toString(status.code()), frame.pairs().get("status-code"));
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void severalRequestsAreAskedAboutAtOnceAndAnsweredEachOnItsStream() throws Exception {
+    void concurrentAsksAreAnsweredOnTheirStreams() throws Exception {
         EmbeddedChannel c = greeted();
         c.writeInbound(Unpooled.wrappedBuffer(
                 notify(1, "ask", Map.of("id", "a", "class", "read")),
@@ -116,24 +116,24 @@
         assertEquals(2, answer(c).stream());
         c.writeInbound(notify(1, "outcome", Map.of("id", "a", "attempt", "0", "status", "200")));
         assertTrue(text(answer(c)).contains("served"));
-        assertEquals(1, all.open());
+        assertEquals(1, consultations.open());
         c.close();
         clock.runTo(10_000);
-        assertEquals(0, all.open());
+        assertEquals(0, consultations.open());
     }
 
     @Test
-    void aRetryThatHaproxyCantFollowIsNotTold() throws Exception {
+    void retryIsNotSentToHaproxy() throws Exception {
         EmbeddedChannel c = greeted();
         c.writeInbound(notify(1, "ask", Map.of("id", "a", "class", "read")));
         answer(c);
         c.writeInbound(notify(1, "outcome", Map.of("id", "a", "attempt", "0", "status", "503", "connected", "-1")));
         assertFalse(text(answer(c)).contains("send"));
-        assertEquals(0, all.open());
+        assertEquals(0, consultations.open());
     }
 
     @Test
-    void aBadMessageIsToldWhyAndTheConnectionServesOn() throws Exception {
+    void badMessageGetsAnErrorAndTheConnectionStaysOpen() throws Exception {
         EmbeddedChannel c = greeted();
         c.writeInbound(notify(1, "ask", Map.of("id", "a", "class", "none")));
         assertTrue(text(answer(c)).contains("class 'none' is unknown"));
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aHealthcheckIsGreetedAndClosed() throws Exception {
+    void healthcheckGetsAHelloAndIsClosed() throws Exception {
         EmbeddedChannel c = channel(true);
         c.writeInbound(hello("2.0", 16_380, true));
         assertEquals(SpopFrame.Type.AGENT_HELLO, answer(c).type());
@@ -152,42 +152,43 @@
     }
 
     @Test
-    void eachBreachOfTheProtocolHasItsOwnStatus() throws Exception {
-        refuses(hello("1.0", 16_380, false), SpopFrame.Status.BAD_VERSION);
-        refuses(hello(null, 16_380, false), SpopFrame.Status.NO_VERSION);
-        refuses(hello("2.0", 0, false), SpopFrame.Status.NO_FRAME_SIZE);
-        refuses(hello("2.0", 100, false), SpopFrame.Status.BAD_FRAME_SIZE);
-        refuses(notify(1, "ask", Map.of("id", "a")), SpopFrame.Status.INVALID);
-        refuses(Unpooled.buffer().writeInt(100_000).writeZero(100), SpopFrame.Status.TOO_BIG);
-        refuses(Unpooled.buffer().writeInt(7).writeByte(3).writeInt(0).writeShort(0), SpopFrame.Status.FRAGMENTED);
-        refuses(Unpooled.buffer().writeInt(7).writeByte(99).writeInt(1).writeShort(0), SpopFrame.Status.INVALID);
-        refuses(Unpooled.buffer().writeInt(2).writeShort(0x0100), SpopFrame.Status.INVALID);
+    void eachProtocolErrorHasItsStatus() throws Exception {
+        assertRejected(hello("1.0", 16_380, false), SpopFrame.Status.BAD_VERSION);
+        assertRejected(hello(null, 16_380, false), SpopFrame.Status.NO_VERSION);
+        assertRejected(hello("2.0", 0, false), SpopFrame.Status.NO_FRAME_SIZE);
+        assertRejected(hello("2.0", 100, false), SpopFrame.Status.BAD_FRAME_SIZE);
+        assertRejected(notify(1, "ask", Map.of("id", "a")), SpopFrame.Status.INVALID);
+        assertRejected(Unpooled.buffer().writeInt(100_000).writeZero(100), SpopFrame.Status.TOO_BIG);
+        assertRejected(
+                Unpooled.buffer().writeInt(7).writeByte(3).writeInt(0).writeShort(0), SpopFrame.Status.FRAGMENTED);
+        assertRejected(Unpooled.buffer().writeInt(7).writeByte(99).writeInt(1).writeShort(0), SpopFrame.Status.INVALID);
+        assertRejected(Unpooled.buffer().writeInt(2).writeShort(0x0100), SpopFrame.Status.INVALID);
         EmbeddedChannel full = channel(false);
         full.writeInbound(hello("2.0", 16_380, false));
-        refused(full, SpopFrame.Status.RESOURCES);
+        assertDisconnected(full, SpopFrame.Status.RESOURCES);
     }
 
-    private void refuses(ByteBuf bytes, SpopFrame.Status status) throws Exception {
+    private void assertRejected(ByteBuf bytes, SpopFrame.Status status) throws Exception {
         EmbeddedChannel c = channel(true);
         c.writeInbound(bytes);
-        refused(c, status);
+        assertDisconnected(c, status);
     }
 
     @Test
-    void aCutInTheMidstOfAFrameLosesNothingOfOthers() throws Exception {
+    void connectionCutWithinAFrameDoesNotAffectOthers() throws Exception {
         EmbeddedChannel cut = greeted();
         ByteBuf whole = notify(1, "ask", Map.of("id", "cut", "class", "read"));
         cut.writeInbound(whole.readRetainedSlice(whole.readableBytes() / 2));
         assertNull(cut.readOutbound());
         cut.close();
-        assertEquals(0, all.open());
+        assertEquals(0, consultations.open());
         EmbeddedChannel other = greeted();
         other.writeInbound(notify(1, "ask", Map.of("id", "a", "class", "read")));
         assertTrue(text(answer(other)).contains("send"));
     }
 
     @Test
-    void randomBytesEndInADisconnectAndOpenNothing() throws Exception {
+    void randomBytesDisconnectAndOpenNothing() throws Exception {
         Random dice = new Random(11);
         for (int i = 0; i < 2000; i++) {
             byte[] bytes = new byte[8 + dice.nextInt(60)];
@@ -197,6 +198,6 @@
             assertTrue(!c.isOpen() || !c.outboundMessages().isEmpty());
             c.finishAndReleaseAll();
         }
-        assertEquals(0, all.open());
+        assertEquals(0, consultations.open());
     }
 }
--- a/src/test/java/whinlead/front/spop/SpopFrameTest.java
+++ b/src/test/java/whinlead/front/spop/SpopFrameTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The frames of SPOP, by the numbers of HAProxy's document and with random bytes. */
+/** SPOP frames, with the encodings of HAProxy's documentation and with random bytes. */
 class SpopFrameTest {
     @ParameterizedTest
     @CsvSource({"0,00", "239,ef", "240,f000", "241,f100", "2287,ff7f", "2288,f08000", "264431,ffff7f", "264432,f0808000"
     })
-    void numbersAreWrittenAsTheDocumentSays(long value, String hex) throws Exception {
+    void numbersAreEncodedAsDocumented(long value, String hex) throws Exception {
         ByteBuf out = Unpooled.buffer();
         SpopFrame.number(out, value);
         assertEquals(hex, ByteBufUtil.hexDump(out));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void randomNumbersAreReadAsTheyWereWritten() throws Exception {
+    void randomNumbersRoundTrip() throws Exception {
         Random dice = new Random(3);
         for (int i = 0; i < 20_000; i++) {
             long value = dice.nextLong() >>> 1 + dice.nextInt(62);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aMessageIsReadWithAllKindsOfValues() throws Exception {
+    void messageWithAllValueTypesIsRead() throws Exception {
         ByteBuf in = SpopFrame.begin(Unpooled.buffer(), SpopFrame.Type.NOTIFY, 7, 300);
         in.writeByte(3).writeBytes("ask".getBytes()).writeByte(6);
         in.writeByte(1).writeByte('a').writeByte(0);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void randomBytesAreReadOrAreInvalidAndNothingElse() {
+    void randomBytesAreReadOrRejectedAsInvalid() {
         Random dice = new Random(5);
         int read = 0;
         for (int i = 0; i < 50_000; i++) {
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aNumberWithoutEndIsInvalid() {
+    void unterminatedNumberIsInvalid() {
         ByteBuf in = Unpooled.buffer();
         for (int i = 0; i < 20; i++) {
             in.writeByte(0xff);
