--- a/src/main/java/whinlead/Contract.java
+++ b/src/main/java/whinlead/Contract.java
@@ -48,7 +48,7 @@
     }
 
     /** The state of a server on the list. */
-    enum Standing {
+    enum ServerState {
         UP,
         DRAINING,
         GONE
@@ -78,11 +78,11 @@
             String name,
             double worth,
             double lateWorth,
-            double aim,
+            double latencyTarget,
             double deadline,
             Effect effect,
-            Group group,
-            double window,
+            Group dedupGroup,
+            double dedupWindow,
             boolean stream) {}
 
     /** A tenant and the requests per second that are within its share, over all sidecars. */
@@ -91,7 +91,7 @@
     /** What the deployment permits the module to do; {@code probeCost} is the cost of one probe per request. */
     record Limits(
             int attempts,
-            boolean copies,
+            boolean duplicates,
             boolean cancel,
             boolean probes,
             boolean peers,
@@ -106,7 +106,7 @@
             double fallTime,
             double coldShare,
             double coldTime,
-            double askWithin) {}
+            double requestListWithin) {}
 
     /** All settings of the module, given at its start. */
     record Settings(
@@ -116,12 +116,12 @@
             Limits limits,
             Obligations obligations,
             Reporting reporting,
-            boolean listMustBeAsked,
+            boolean listMustBeRequested,
             int sidecars,
             int ordinal) {}
 
     /** An entry of the server list. A {@code startedAt} of 0, or before the clock's start, means long ago. */
-    record Server(String id, Standing standing, double size, String zone, int cell, double startedAt) {}
+    record Server(String id, ServerState state, double size, String zone, int cell, double startedAt) {}
 
     /** A load report; missing values are NaN. */
     record Report(double inflight, double queue, double util, double latency, double perSecond, double errors) {}
@@ -225,7 +225,7 @@
         void watchServers();
 
         /** Send a message to every other sidecar. */
-        void tellPeers(byte[] message);
+        void sendToPeers(byte[] message);
 
         /** Call {@link Events#wake} at this time. */
         void wake(double timeMs);
--- a/src/main/java/whinlead/benchlink/Instance.java
+++ b/src/main/java/whinlead/benchlink/Instance.java
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void tellPeers(byte[] text) {
+    public void sendToPeers(byte[] text) {
         startLine("notify")
                 .word(" * ")
                 .word(Base64.getEncoder().encodeToString(text))
--- a/src/main/java/whinlead/benchlink/Link.java
+++ b/src/main/java/whinlead/benchlink/Link.java
@@ -24,7 +24,7 @@
         Contract.Outcome.NEVER_SENT
     };
     private static final byte[][] STANDING_WORDS = bytes("U", "L", "D");
-    private static final Contract.Standing[] STANDING_VALUES = Contract.Standing.values();
+    private static final Contract.ServerState[] STANDING_VALUES = Contract.ServerState.values();
     private static final byte[][] LIST_KIND_WORDS = bytes("D", "F", "C", "X");
     private static final Contract.ListKind[] LIST_KIND_VALUES = Contract.ListKind.values();
     private static final byte[][] REPORT_FIELDS = bytes("inflight", "queue", "util", "latency_ms", "qps", "eps");
@@ -268,7 +268,7 @@
                 throw in.fault("message", "'" + in.text() + "' where an entry was expected");
             }
             double size = in.number("power_hint", 1);
-            Contract.Standing standing = STANDING_VALUES[in.choice("mode", STANDING_WORDS, false)];
+            Contract.ServerState standing = STANDING_VALUES[in.choice("mode", STANDING_WORDS, false)];
             in.field("family_type");
             String zone = in.word("area");
             int cell = (int) in.number("block", -1);
--- a/src/main/java/whinlead/capture/CaptureInput.java
+++ b/src/main/java/whinlead/capture/CaptureInput.java
@@ -18,7 +18,7 @@
  * previous entry's time. Not thread-safe.
  */
 public final class CaptureInput implements Closeable {
-    private static final RequestListener.End[] OUTCOMES = RequestListener.End.values();
+    private static final RequestListener.Result[] OUTCOMES = RequestListener.Result.values();
 
     private final DataInputStream input;
     private final List<String> classNames = new ArrayList<>();
--- a/src/main/java/whinlead/capture/Entry.java
+++ b/src/main/java/whinlead/capture/Entry.java
@@ -20,4 +20,4 @@
         int timeoutMs,
         int bodyBytes,
         boolean repeat,
-        RequestListener.End outcome) {}
+        RequestListener.Result outcome) {}
--- a/src/main/java/whinlead/capture/Recorder.java
+++ b/src/main/java/whinlead/capture/Recorder.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void over(Request request, double arrivalMs, End outcome) {
+    public void requestEnded(Request request, double arrivalMs, Result outcome) {
         if (Double.isNaN(captureStartMs)) {
             captureStartMs = arrivalMs;
         }
@@ -93,8 +93,8 @@
                         arrivalMicros,
                         request.classIndex(),
                         request.tenantIndex(),
-                        (int) Math.round(request.timeout()),
-                        request.size(),
+                        (int) Math.round(request.timeoutMs()),
+                        request.bodyBytes(),
                         request.repeat(),
                         outcome));
         enqueued.set(position + 1);
--- a/src/main/java/whinlead/capture/Summary.java
+++ b/src/main/java/whinlead/capture/Summary.java
@@ -35,7 +35,7 @@
     /** Reads a capture to its end and summarises it. */
     public static Summary of(CaptureInput input) throws IOException {
         long[] requestsByClass = new long[input.classNames().size()];
-        long[] requestsByOutcome = new long[RequestListener.End.values().length];
+        long[] requestsByOutcome = new long[RequestListener.Result.values().length];
         long requests = 0;
         long repeats = 0;
         long firstArrivalMicros = 0;
--- a/src/main/java/whinlead/consult/Consultation.java
+++ b/src/main/java/whinlead/consult/Consultation.java
@@ -27,19 +27,19 @@
     private Peer peer;
     private final Contract.Effect effect;
     private final double endByMs;
-    private Engine.Held<Void> engineRequest;
+    private Engine.PendingRequest<Void> engineRequest;
     /** The call that waits for the next directive; null if none does. */
     private Consultations.Reply waiting;
     /** The attempt that is out, waits for approval or waits to be picked up. */
     private Directive.Send currentAttempt;
 
-    private Outcomes<Void> outcomeListener;
+    private OutcomeListener<Void> outcomeListener;
     /**
      * The engine's number of the attempt. The caller may have been given another, since other group members count too.
      */
     private int engineAttempt;
     /** Runs while {@link #currentAttempt} waits for its caller; null once the attempt was delivered. */
-    private Timers.Timer pickUpTimer;
+    private Timers.TimerHandle pickUpTimer;
 
     private boolean everSent;
     private Directive end;
@@ -116,7 +116,7 @@
         return end != null && currentAttempt == null;
     }
 
-    void engineRequest(Engine.Held<Void> taken) {
+    void engineRequest(Engine.PendingRequest<Void> taken) {
         engineRequest = taken;
         // The request may have ended before the engine returned.
         owner.removeIfDone(this);
@@ -142,7 +142,7 @@
     // is already out.
     private void awaitEnd(double remainingMs, Consultations.Reply reply) {
         Consultations.Reply[] replyCell = new Consultations.Reply[1];
-        Timers.Timer timeout = owner.timers().after(remainingMs, () -> {
+        Timers.TimerHandle timeout = owner.timers().schedule(remainingMs, () -> {
             // The list may have been replaced or removed by now; the call is answered in any case.
             if (awaitingEnd != null) {
                 awaitingEnd.remove(replyCell[0]);
@@ -167,7 +167,7 @@
             return;
         }
         awaitingApproval = reply;
-        double askedMs = owner.timers().now();
+        double askedMs = owner.timers().nowMs();
         sharedRequest.allow(
                 currentAttempt.endpoint(), currentAttempt.validMs(), verdict -> approvalDecided(verdict, askedMs));
     }
@@ -177,7 +177,7 @@
         Consultations.Reply reply = awaitingApproval;
         awaitingApproval = null;
         if (verdict instanceof Keeper.Verdict.Granted granted) {
-            double elapsedMs = owner.timers().now() - askedMs;
+            double elapsedMs = owner.timers().nowMs() - askedMs;
             currentAttempt = new Directive.Send(
                     currentAttempt.endpoint(),
                     currentAttempt.address(),
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public Sending send(String endpoint, int attempt, double within, Outcomes<Void> outcomes) {
+    public AttemptHandle send(String endpoint, int attempt, double within, OutcomeListener<Void> outcomes) {
         String address = owner.address(endpoint);
         if (address == null || currentAttempt != null || isEnding() || attempt > 0 && !peer.retries()) {
             // One caller can't be given a second concurrent attempt, and not every caller can be given a retry.
@@ -223,7 +223,7 @@
         if (reply != null) {
             deliver(reply);
         } else {
-            pickUpTimer = owner.timers().after(Math.min(owner.bounds().pickUpMs(), PICK_UP_SHARE * within), () -> {
+            pickUpTimer = owner.timers().schedule(Math.min(owner.bounds().pickUpMs(), PICK_UP_SHARE * within), () -> {
                 owner.countEvent(Tally.Kind.NOT_PICKED_UP, id);
                 withdrawAttempt();
             });
@@ -243,7 +243,7 @@
         }
     }
 
-    private boolean attemptGivenUp(Outcomes<Void> listener) {
+    private boolean attemptGivenUp(OutcomeListener<Void> listener) {
         if (listener != outcomeListener) {
             return true;
         }
@@ -256,8 +256,8 @@
         return wasOut;
     }
 
-    private Outcomes<Void> clear() {
-        Outcomes<Void> listener = outcomeListener;
+    private OutcomeListener<Void> clear() {
+        OutcomeListener<Void> listener = outcomeListener;
         if (awaitingApproval != null) {
             sharedRequest.cancel();
             waiting = awaitingApproval;
@@ -274,7 +274,7 @@
 
     /** Ends the current attempt. */
     private void attemptEnded(Contract.Outcome outcome, Contract.Report report) {
-        Outcomes<Void> listener = clear();
+        OutcomeListener<Void> listener = clear();
         listener.ended(outcome, null, report);
         owner.removeIfDone(this);
     }
--- a/src/main/java/whinlead/consult/Consultations.java
+++ b/src/main/java/whinlead/consult/Consultations.java
@@ -75,7 +75,7 @@
             addresses.clear();
         }
         for (EndpointList.Entry e : list.entries()) {
-            if (e.server().standing() == Contract.Standing.UP && e.dialAddress() != null) {
+            if (e.server().state() == Contract.ServerState.UP && e.dialAddress() != null) {
                 addresses.put(e.server().id(), e.dialAddress());
             } else {
                 String known = addresses.remove(e.server().id());
@@ -93,11 +93,11 @@
      * @param id identifies the request for all callers; fronts limit its length
      */
     public void ask(Peer peer, String id, Request request, Reply reply) {
-        Directive ended = ends.find(id, timers.now());
+        Directive ended = ends.find(id, timers.nowMs());
         Consultation known = open.get(id);
         if (known != null) {
             countEvent(Tally.Kind.JOINED, id);
-            known.join(peer, request.timeout(), reply);
+            known.join(peer, request.timeoutMs(), reply);
         } else if (ended != null && !(request.repeat() && ended instanceof Directive.Refused)) {
             countEvent(Tally.Kind.JOINED, id);
             reply.onDirective(ended);
@@ -107,14 +107,14 @@
         } else {
             Contract.Effect effect =
                     settings.classes().get(request.classIndex()).effect();
-            double endByMs = timers.now() + request.timeout();
+            double endByMs = timers.nowMs() + request.timeoutMs();
             Keeper.Kept sharedRequest = sharedStore == null || effect == Contract.Effect.SAFE
                     ? null
                     : sharedStore.open(id, peer.name(), effect == Contract.Effect.KEYED, request.repeat(), endByMs);
             Consultation consultation = new Consultation(this, id, peer, effect, endByMs, sharedRequest, reply);
             open.put(id, consultation);
             peer.add(consultation);
-            consultation.engineRequest(engine.take(request, consultation, consultation));
+            consultation.engineRequest(engine.accept(request, consultation, consultation));
         }
     }
 
@@ -133,7 +133,7 @@
             return;
         }
         countEvent(Tally.Kind.LATE, id);
-        Directive ended = ends.find(id, timers.now());
+        Directive ended = ends.find(id, timers.nowMs());
         // A refusal known here says nothing about an attempt that another member has approved since.
         if ((ended == null || ended instanceof Directive.Refused) && sharedStore != null) {
             sharedStore.report(id, attempt, runResult(outcome), end -> answer(reply, end));
@@ -180,7 +180,7 @@
     /** How a request ended, while that is remembered; null while it is open or if it is unknown. */
     public Directive ended(String id) {
         Consultation consultation = open.get(id);
-        return consultation != null ? consultation.end() : ends.find(id, timers.now());
+        return consultation != null ? consultation.end() : ends.find(id, timers.nowMs());
     }
 
     /** Number of requests that are open or have an attempt out. */
@@ -233,7 +233,7 @@
         if (consultation.done() && open.remove(consultation.id(), consultation)) {
             consultation.peer().remove(consultation);
             double retentionMs = retentionMs(consultation);
-            if (retentionMs > 0 && !ends.add(consultation.id(), consultation.end(), timers.now(), retentionMs)) {
+            if (retentionMs > 0 && !ends.add(consultation.id(), consultation.end(), timers.nowMs(), retentionMs)) {
                 countEvent(Tally.Kind.FORGOTTEN, consultation.id());
             }
         }
@@ -251,12 +251,12 @@
             return undeliveredMs;
         }
         return consultation.end() instanceof Directive.Refused
-                ? Math.max(undeliveredMs, consultation.endByMs() - timers.now())
+                ? Math.max(undeliveredMs, consultation.endByMs() - timers.nowMs())
                 : bounds.rememberMs();
     }
 
     /** Removes a consultation once it is done, after the engine's current event. */
     void removeLater(Consultation consultation) {
-        timers.after(0, () -> removeIfDone(consultation));
+        timers.schedule(0, () -> removeIfDone(consultation));
     }
 }
--- a/src/main/java/whinlead/decide/Call.java
+++ b/src/main/java/whinlead/decide/Call.java
@@ -20,7 +20,7 @@
         this.request = request;
         this.requestClass = type;
         this.level = level;
-        this.targetAtMs = nowMs + type.aim();
+        this.targetAtMs = nowMs + type.latencyTarget();
         this.deadlineMs = nowMs + request.timeLeft;
     }
 
@@ -34,7 +34,7 @@
     boolean needsDedupGroup() {
         return mayHaveRun != null
                 && requestClass.effect() == Contract.Effect.KEYED
-                && requestClass.group() != Contract.Group.ALL;
+                && requestClass.dedupGroup() != Contract.Group.ALL;
     }
 
     // Never a server that was already tried. A keyed request that may have run stays within its group and window.
@@ -48,8 +48,8 @@
             return true;
         }
         Contract.Server server = mayHaveRun.node.entry;
-        return nowMs < mayHaveRun.sentAtMs + requestClass.window()
-                && switch (requestClass.group()) {
+        return nowMs < mayHaveRun.sentAtMs + requestClass.dedupWindow()
+                && switch (requestClass.dedupGroup()) {
                     case ALL -> true;
                     case ZONE -> server.zone().equals(node.entry.zone());
                     case CELL -> server.cell() == node.entry.cell();
@@ -63,7 +63,7 @@
 
     boolean clientMayRepeat() {
         return requestClass.effect() == Contract.Effect.SAFE
-                || requestClass.effect() == Contract.Effect.KEYED && requestClass.group() == Contract.Group.ALL;
+                || requestClass.effect() == Contract.Effect.KEYED && requestClass.dedupGroup() == Contract.Group.ALL;
     }
 
     // How long an attempt may stay in flight, in ms; 0 for as long as the client waits.
--- a/src/main/java/whinlead/decide/Decide.java
+++ b/src/main/java/whinlead/decide/Decide.java
@@ -46,7 +46,7 @@
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         double shortestTargetMs = settings.classes().stream()
-                .mapToDouble(Contract.RequestClass::aim)
+                .mapToDouble(Contract.RequestClass::latencyTarget)
                 .min()
                 .orElse(Double.MAX_VALUE);
         this.periodMs = Math.max(MIN_PERIOD_MS, shortestTargetMs * PERIOD_TARGET_SHARE);
@@ -66,7 +66,7 @@
     @Override
     public void start(double nowMs) {
         lastWakeMs = nowMs;
-        serverList.start(nowMs, settings.listMustBeAsked());
+        serverList.start(nowMs, settings.listMustBeRequested());
         wake(nowMs, 0.5 + random.nextDouble());
     }
 
@@ -171,7 +171,7 @@
                     call.request,
                     Math.min(
                             settings.limits().maxRetryAfter(),
-                            call.requestClass.aim()
+                            call.requestClass.latencyTarget()
                                     * (MIN_RETRY_AFTER_SHARE + FULL_DROP_RETRY_AFTER_SHARE * subset.meanDropShare())
                                     * (0.75 + 0.5 * random.nextDouble())));
         } else {
@@ -242,7 +242,7 @@
                 coldBudget.recordAnswer(node);
                 ceiling.answeredWork(
                         lateness.usualMs(classIndex),
-                        settings.classes().get(classIndex).aim());
+                        settings.classes().get(classIndex).latencyTarget());
                 lateness.recordAnswer(durationMs, classIndex);
                 relief.answered++;
             }
--- a/src/main/java/whinlead/decide/Lateness.java
+++ b/src/main/java/whinlead/decide/Lateness.java
@@ -39,9 +39,12 @@
     double pace = 1;
 
     Lateness(List<Contract.RequestClass> classes) {
-        this.targetMs = classes.stream().mapToDouble(Contract.RequestClass::aim).toArray();
-        this.recentMs =
-                classes.stream().mapToDouble(c -> c.aim() * INITIAL_USUAL_SHARE).toArray();
+        this.targetMs = classes.stream()
+                .mapToDouble(Contract.RequestClass::latencyTarget)
+                .toArray();
+        this.recentMs = classes.stream()
+                .mapToDouble(c -> c.latencyTarget() * INITIAL_USUAL_SHARE)
+                .toArray();
         this.usualMs = recentMs.clone();
     }
 
--- a/src/main/java/whinlead/decide/ServerList.java
+++ b/src/main/java/whinlead/decide/ServerList.java
@@ -30,7 +30,8 @@
         this.actions = actions;
         this.salt = random.nextLong();
         this.spreadMs = Math.min(
-                settings.obligations().askWithin() * MAX_SPREAD_SHARE, settings.sidecars() * SPREAD_PER_SIDECAR_MS);
+                settings.obligations().requestListWithin() * MAX_SPREAD_SHARE,
+                settings.sidecars() * SPREAD_PER_SIDECAR_MS);
     }
 
     void start(double nowMs, boolean mustBeAsked) {
@@ -93,7 +94,7 @@
             node.reset(entry.startedAt());
         }
         node.entry = entry;
-        node.usable = entry.standing() == Contract.Standing.UP;
-        node.listed = entry.standing() != Contract.Standing.GONE;
+        node.usable = entry.state() == Contract.ServerState.UP;
+        node.listed = entry.state() != Contract.ServerState.GONE;
     }
 }
--- a/src/main/java/whinlead/engine/Clock.java
+++ b/src/main/java/whinlead/engine/Clock.java
@@ -12,7 +12,7 @@
     private final long nanosAtStart = System.nanoTime();
 
     /** Milliseconds since the Unix epoch. */
-    public double now() {
+    public double nowMs() {
         return unixMsAtStart + (System.nanoTime() - nanosAtStart) / NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/whinlead/engine/Engine.java
+++ b/src/main/java/whinlead/engine/Engine.java
@@ -29,9 +29,9 @@
     private final Consumer<EndpointList> endpointListener;
     private final Consumer<String> log;
     private final Contract.Events module;
-    private final Map<Long, Held<?>> pendingRequests = new HashMap<>();
+    private final Map<Long, PendingRequest<?>> pendingRequests = new HashMap<>();
     private final ArrayDeque<Runnable> queuedEvents = new ArrayDeque<>();
-    private RequestListener journal = RequestListener.NONE;
+    private RequestListener requestListener = RequestListener.NONE;
     private Source listSource;
     private boolean dispatching;
     private long nextId;
@@ -56,18 +56,18 @@
     }
 
     /** Sets the listener that is notified of the end of each request from now on. */
-    public void journal(RequestListener listener) {
-        journal = listener;
+    public void requestListener(RequestListener listener) {
+        requestListener = listener;
     }
 
     /** Starts the module with the last known list, which may be null, and the source of further lists. */
     public void start(Source source, EndpointList lastKnown) {
         listSource = source;
-        dispatch(() -> module.start(timers.now()));
+        dispatch(() -> module.start(timers.nowMs()));
         if (lastKnown != null) {
             list(Contract.ListKind.STALE, lastKnown);
         }
-        if (!settings.listMustBeAsked()) {
+        if (!settings.listMustBeRequested()) {
             // A pushed list comes from an agent on this machine, so the module does not request it.
             listSource.watch();
         }
@@ -76,12 +76,12 @@
     @Override
     public void list(Contract.ListKind kind, EndpointList list) {
         endpointListener.accept(list);
-        dispatch(() -> module.servers(timers.now(), kind, list.servers()));
+        dispatch(() -> module.servers(timers.nowMs(), kind, list.servers()));
     }
 
     @Override
     public void outOfReach() {
-        dispatch(() -> module.servers(timers.now(), Contract.ListKind.FAILED, List.of()));
+        dispatch(() -> module.servers(timers.nowMs(), Contract.ListKind.FAILED, List.of()));
     }
 
     /**
@@ -89,9 +89,9 @@
      *
      * @param transport sends the attempts
      */
-    public <A> Held<A> take(Request request, Transport<A> transport, ResponseSink<A> sink) {
-        double timeLeftMs = Math.max(0, request.timeout() - ANSWER_MARGIN_MS);
-        Held<A> pending = new Held<>(
+    public <A> PendingRequest<A> accept(Request request, Transport<A> transport, ResponseSink<A> sink) {
+        double timeLeftMs = Math.max(0, request.timeoutMs() - ANSWER_MARGIN_MS);
+        PendingRequest<A> pending = new PendingRequest<>(
                 new Contract.Request(
                         nextId++,
                         request.classIndex(),
@@ -104,7 +104,7 @@
                 request);
         pendingRequests.put(pending.request.id, pending);
         dispatch(() -> {
-            double nowMs = timers.now();
+            double nowMs = timers.nowMs();
             pending.deadlineMs = nowMs + timeLeftMs;
             try {
                 module.request(nowMs, pending.request);
@@ -150,7 +150,7 @@
 
     @Override
     public void send(Contract.Request request, String server, double timeoutMs) {
-        Held<?> pending = pendingRequests.get(request.id);
+        PendingRequest<?> pending = pendingRequests.get(request.id);
         if (pending != null) {
             pending.send(server, timeoutMs);
         }
@@ -158,13 +158,13 @@
 
     @Override
     public boolean connected(Contract.Request request, String server) {
-        Held<?> pending = pendingRequests.get(request.id);
+        PendingRequest<?> pending = pendingRequests.get(request.id);
         return pending == null || pending.transport.connected(server);
     }
 
     @Override
     public void cancel(Contract.Request request, int attempt) {
-        Held<?> pending = pendingRequests.get(request.id);
+        PendingRequest<?> pending = pendingRequests.get(request.id);
         if (pending != null && attempt >= 0 && attempt < pending.attempts.size()) {
             pending.attempts.get(attempt).abort(Contract.Outcome.CANCELLED);
         }
@@ -172,9 +172,9 @@
 
     @Override
     public void refuse(Contract.Request request, double retryAfterMs) {
-        Held<?> pending = pendingRequests.get(request.id);
+        PendingRequest<?> pending = pendingRequests.get(request.id);
         if (pending != null && !pending.ended) {
-            pending.ended(pending.mayRefuse() ? RequestListener.End.REFUSED : RequestListener.End.FAILED);
+            pending.ended(pending.mayRefuse() ? RequestListener.Result.REFUSED : RequestListener.Result.FAILED);
             if (pending.mayRefuse()) {
                 pending.sink.refused(settings.limits().retryAfter() ? retryAfterMs : 0);
             } else {
@@ -185,16 +185,16 @@
 
     @Override
     public void fail(Contract.Request request) {
-        Held<?> pending = pendingRequests.get(request.id);
+        PendingRequest<?> pending = pendingRequests.get(request.id);
         if (pending != null && !pending.ended) {
-            pending.ended(RequestListener.End.FAILED);
+            pending.ended(RequestListener.Result.FAILED);
             pending.sink.failed();
         }
     }
 
     @Override
     public void probe(String server) {
-        dispatch(() -> module.probed(timers.now(), server, Contract.Outcome.NEVER_SENT, 0, null));
+        dispatch(() -> module.probed(timers.nowMs(), server, Contract.Outcome.NEVER_SENT, 0, null));
     }
 
     @Override
@@ -203,13 +203,13 @@
     }
 
     @Override
-    public void tellPeers(byte[] message) {
+    public void sendToPeers(byte[] message) {
         // Sidecars share nothing by design; the module sends no such message.
     }
 
     @Override
     public void wake(double timeMs) {
-        timers.after(timeMs - timers.now(), () -> dispatch(() -> module.wake(timers.now())));
+        timers.schedule(timeMs - timers.nowMs(), () -> dispatch(() -> module.wake(timers.nowMs())));
     }
 
     @Override
@@ -218,7 +218,7 @@
     }
 
     /** An accepted request. It is retained until it and all its attempts have ended. */
-    public final class Held<A> {
+    public final class PendingRequest<A> {
         private final Contract.Request request;
         private final Transport<A> transport;
         private final ResponseSink<A> sink;
@@ -226,9 +226,10 @@
         private final Request frontRequest;
         private double deadlineMs;
         private boolean ended;
-        private Timers.Timer deadlineTimer;
+        private Timers.TimerHandle deadlineTimer;
 
-        private Held(Contract.Request request, Transport<A> transport, ResponseSink<A> sink, Request frontRequest) {
+        private PendingRequest(
+                Contract.Request request, Transport<A> transport, ResponseSink<A> sink, Request frontRequest) {
             this.frontRequest = frontRequest;
             this.request = request;
             this.transport = transport;
@@ -238,8 +239,8 @@
         /** The client has disconnected; no answer is due any more. */
         public void abandon() {
             if (!ended) {
-                ended(RequestListener.End.LEFT);
-                dispatch(() -> module.abandoned(timers.now(), request));
+                ended(RequestListener.Result.LEFT);
+                dispatch(() -> module.abandoned(timers.nowMs(), request));
             }
         }
 
@@ -251,14 +252,14 @@
          */
         public void streaming(int attempt) {
             if (!ended) {
-                ended(RequestListener.End.SERVED);
-                dispatch(() -> module.streaming(timers.now(), request, attempt));
+                ended(RequestListener.Result.SERVED);
+                dispatch(() -> module.streaming(timers.nowMs(), request, attempt));
             }
         }
 
-        private void ended(RequestListener.End result) {
+        private void ended(RequestListener.Result result) {
             ended = true;
-            journal.over(frontRequest, deadlineMs - request.timeLeft, result);
+            requestListener.requestEnded(frontRequest, deadlineMs - request.timeLeft, result);
             if (deadlineTimer != null) {
                 deadlineTimer.cancel();
             }
@@ -293,7 +294,7 @@
         // instance because sending threw an exception, needs a timer here. Not set for every request, to save timers.
         private void ensureDeadlineTimer(double nowMs) {
             if (!ended && deadlineTimer == null && !hasAttemptInProgress()) {
-                deadlineTimer = timers.after(deadlineMs - nowMs + MODULE_GRACE_MS, this::failUnanswered);
+                deadlineTimer = timers.schedule(deadlineMs - nowMs + MODULE_GRACE_MS, this::failUnanswered);
             }
         }
 
@@ -301,9 +302,9 @@
         // process is killed.
         private void failUnanswered() {
             if (!ended) {
-                ended(RequestListener.End.FAILED);
+                ended(RequestListener.Result.FAILED);
                 sink.failed();
-                dispatch(() -> module.abandoned(timers.now(), request));
+                dispatch(() -> module.abandoned(timers.nowMs(), request));
             }
         }
 
@@ -311,12 +312,12 @@
         private boolean mayRefuse() {
             Contract.RequestClass requestClass = settings.classes().get(request.classIndex);
             return requestClass.effect() == Contract.Effect.SAFE
-                    || requestClass.effect() == Contract.Effect.KEYED && requestClass.group() == Contract.Group.ALL
+                    || requestClass.effect() == Contract.Effect.KEYED && requestClass.dedupGroup() == Contract.Group.ALL
                     || attempts.stream().allMatch(a -> a.outcome != null && a.outcome.neverRan);
         }
 
         private void send(String server, double requestedTimeoutMs) {
-            double nowMs = timers.now();
+            double nowMs = timers.nowMs();
             Attempt<A> attempt = new Attempt<>(this, attempts.size(), nowMs);
             attempts.add(attempt);
             if (ended
@@ -327,21 +328,21 @@
             }
             double timeoutMs =
                     requestedTimeoutMs > 0 ? Math.min(requestedTimeoutMs, deadlineMs - nowMs) : deadlineMs - nowMs;
-            attempt.timer = timers.after(timeoutMs, () -> attempt.abort(Contract.Outcome.TIMED_OUT));
+            attempt.timer = timers.schedule(timeoutMs, () -> attempt.abort(Contract.Outcome.TIMED_OUT));
             attempt.handle = transport.send(server, attempt.index, timeoutMs, attempt);
         }
     }
 
     /** One attempt, whose outcome is reported to the module exactly once. */
-    private final class Attempt<A> implements Transport.Outcomes<A> {
-        private final Held<A> pending;
+    private final class Attempt<A> implements Transport.OutcomeListener<A> {
+        private final PendingRequest<A> pending;
         private final int index;
         private final double sentAtMs;
-        private Transport.Sending handle;
-        private Timers.Timer timer;
+        private Transport.AttemptHandle handle;
+        private Timers.TimerHandle timer;
         private Contract.Outcome outcome;
 
-        private Attempt(Held<A> pending, int index, double sentAtMs) {
+        private Attempt(PendingRequest<A> pending, int index, double sentAtMs) {
             this.pending = pending;
             this.index = index;
             this.sentAtMs = sentAtMs;
@@ -350,7 +351,7 @@
         // A request that was not completely written cannot run, whatever the reason for aborting it.
         private void abort(Contract.Outcome reason) {
             if (inProgress()) {
-                ended(handle.giveUp() ? reason : Contract.Outcome.CONNECT_FAILED, null, null);
+                ended(handle.abort() ? reason : Contract.Outcome.CONNECT_FAILED, null, null);
             }
         }
 
@@ -370,9 +371,9 @@
             // Keeps events in order: an answer may trigger the client's next request at once. That one must wait until
             // the module has received this outcome, or the module would count the endpoint as still busy.
             dispatch(() -> {
-                double nowMs = timers.now();
+                double nowMs = timers.nowMs();
                 if (result == Contract.Outcome.SERVED && !pending.ended) {
-                    pending.ended(RequestListener.End.SERVED);
+                    pending.ended(RequestListener.Result.SERVED);
                     pending.sink.served(answer);
                 }
                 boolean finished = pending.ended;
--- a/src/main/java/whinlead/engine/RequestListener.java
+++ b/src/main/java/whinlead/engine/RequestListener.java
@@ -3,7 +3,7 @@
 /** Receives the end of every request, once, on the engine's thread. It must not block. */
 public interface RequestListener {
     /** How a request ended for its client. */
-    enum End {
+    enum Result {
         SERVED,
         REFUSED,
         FAILED,
@@ -18,5 +18,5 @@
      *
      * @param acceptedAtMs when it was accepted, in milliseconds of the engine's clock
      */
-    void over(Request request, double acceptedAtMs, End result);
+    void requestEnded(Request request, double acceptedAtMs, Result result);
 }
--- a/src/main/java/whinlead/engine/Timers.java
+++ b/src/main/java/whinlead/engine/Timers.java
@@ -6,14 +6,14 @@
  */
 public interface Timers {
     /** Milliseconds since the Unix epoch; never decreases. */
-    double now();
+    double nowMs();
 
     /** Runs a task once, no earlier than after this delay; with 0 or less, as soon as possible. */
-    Timer after(double delayMs, Runnable task);
+    TimerHandle schedule(double delayMs, Runnable task);
 
     /** A scheduled task. */
     @FunctionalInterface
-    interface Timer {
+    interface TimerHandle {
         /** Prevents the task from running; without effect once it has run. */
         void cancel();
     }
--- a/src/main/java/whinlead/engine/Transport.java
+++ b/src/main/java/whinlead/engine/Transport.java
@@ -18,7 +18,7 @@
      * @param timeoutMs milliseconds until the engine aborts it
      * @param listener receives its outcome once, unless it was aborted before
      */
-    Sending send(String endpoint, int attempt, double timeoutMs, Outcomes<A> listener);
+    AttemptHandle send(String endpoint, int attempt, double timeoutMs, OutcomeListener<A> listener);
 
     /** Whether an attempt at this endpoint would find an open connection; true where that is not known. */
     default boolean connected(String endpoint) {
@@ -26,17 +26,17 @@
     }
 
     /** An attempt in progress. */
-    interface Sending {
+    interface AttemptHandle {
         /**
          * Aborts the attempt; its outcome is no longer reported. Returns true if the endpoint may have received the
          * whole request, which may then run.
          */
-        boolean giveUp();
+        boolean abort();
     }
 
     /** Receives the outcome of an attempt. */
     @FunctionalInterface
-    interface Outcomes<A> {
+    interface OutcomeListener<A> {
         /**
          * The attempt has ended.
          *
--- a/src/main/java/whinlead/front/extproc/ExtProcStream.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcStream.java
@@ -43,7 +43,7 @@
     private boolean owesRoom;
     private String id;
     private Directive.Send sent;
-    private Timers.Timer silence;
+    private Timers.TimerHandle silence;
 
     ExtProcStream(
             Consultations consultations,
@@ -114,7 +114,7 @@
         if (directive instanceof Directive.Send send) {
             sent = send;
             state = State.SENT;
-            silence = timers.after(send.withinMs() + LINGER_MS, this::finish);
+            silence = timers.schedule(send.withinMs() + LINGER_MS, this::finish);
             answers.onNext(ExtProcAnswers.send(send));
         } else {
             end(ExtProcAnswers.over(directive));
--- a/src/main/java/whinlead/front/http1/ClientConnection.java
+++ b/src/main/java/whinlead/front/http1/ClientConnection.java
@@ -70,7 +70,7 @@
     private HttpRequest head;
     private RequestCheck.Checked checked;
     private boolean complete;
-    private Engine.Held<HttpAnswer> held;
+    private Engine.PendingRequest<HttpAnswer> held;
     private String heldId;
 
     ClientConnection(ClientServer server, Clock clock) {
@@ -149,7 +149,7 @@
     private void enter(Phase next) {
         // Guards against a client that says nothing for a while and then little: both together are bounded.
         if (next != Phase.RECEIVING || !first) {
-            since = clock.now();
+            since = clock.nowMs();
         }
         phase = next;
         server.entered(this, phase, since);
@@ -170,7 +170,7 @@
     }
 
     private void giveUp() {
-        Engine.Held<HttpAnswer> gone = held;
+        Engine.PendingRequest<HttpAnswer> gone = held;
         letGo();
         if (gone != null) {
             gone.abandon();
@@ -263,7 +263,7 @@
             return;
         }
         enter(Phase.OPEN);
-        Engine.Held<HttpAnswer> taken = server.take(
+        Engine.PendingRequest<HttpAnswer> taken = server.take(
                 request.ask(),
                 new HttpAsk(request.method(), request.uri(), request.headers(), body.toByteArray()),
                 this);
--- a/src/main/java/whinlead/front/http1/ClientServer.java
+++ b/src/main/java/whinlead/front/http1/ClientServer.java
@@ -172,9 +172,9 @@
     }
 
     /** Has the engine take a request. */
-    Engine.Held<HttpAnswer> take(Request ask, HttpAsk http, ResponseSink<HttpAnswer> caller) {
+    Engine.PendingRequest<HttpAnswer> take(Request ask, HttpAsk http, ResponseSink<HttpAnswer> caller) {
         double room = places == 0 ? 1 : Math.max(0, 1 - (double) openIds.size() / places);
-        return engine.take(ask.at(room, http.body().length), transport.apply(http), caller);
+        return engine.accept(ask.withFreeShareAndBody(room, http.body().length), transport.apply(http), caller);
     }
 
     /** Notes a request; false if one with this id is open already. */
@@ -208,7 +208,7 @@
         gate.places(budget.may(Budget.Purpose.CLIENTS));
         long before = gate.closed(Gate.CloseReason.FULL);
         byte[] address = ((InetSocketAddress) from).getAddress().getAddress();
-        ClientConnection close = gate.connectionOpened(connection, address, clock.now());
+        ClientConnection close = gate.connectionOpened(connection, address, clock.nowMs());
         if (gate.closed(Gate.CloseReason.FULL) > before) {
             budget.refused(Budget.Purpose.CLIENTS);
         }
@@ -220,18 +220,18 @@
 
     /** A request has come that is taken, or had to be turned away. */
     void asked(ClientConnection connection, boolean well) {
-        gate.requestReceived(connection, well, clock.now());
+        gate.requestReceived(connection, well, clock.nowMs());
     }
 
     void closed(ClientConnection connection) {
         connections.remove(connection);
-        gate.connectionClosed(connection, clock.now());
+        gate.connectionClosed(connection, clock.nowMs());
         budget.used(Budget.Purpose.CLIENTS, gate.open());
         finishDrain();
     }
 
     private void sweep() {
-        double now = clock.now();
+        double now = clock.nowMs();
         for (ClientConnection c : List.copyOf(connections)) {
             double age = now - c.since();
             switch (c.phase()) {
--- a/src/main/java/whinlead/front/http1/NoDescriptor.java
+++ b/src/main/java/whinlead/front/http1/NoDescriptor.java
@@ -30,7 +30,7 @@
             super.exceptionCaught(ctx, cause);
             return;
         }
-        C close = gate.descriptorsExhausted(clock.now());
+        C close = gate.descriptorsExhausted(clock.nowMs());
         ctx.channel().config().setAutoRead(false);
         ctx.channel()
                 .eventLoop()
--- a/src/main/java/whinlead/loop/LoopTimers.java
+++ b/src/main/java/whinlead/loop/LoopTimers.java
@@ -20,12 +20,12 @@
     }
 
     @Override
-    public double now() {
-        return clock.now();
+    public double nowMs() {
+        return clock.nowMs();
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
+    public TimerHandle schedule(double millis, Runnable task) {
         long nanos = (long) Math.ceil(Math.max(0, millis) * NANOS_IN_MILLI);
         Future<?> due = loop.schedule(task, nanos, TimeUnit.NANOSECONDS);
         return () -> due.cancel(false);
--- a/src/main/java/whinlead/membership/EndpointList.java
+++ b/src/main/java/whinlead/membership/EndpointList.java
@@ -51,11 +51,11 @@
         if (!host.path("host").isTextual() || id.isEmpty()) {
             throw new IllegalArgumentException("host is missing or malformed");
         }
-        Contract.Standing standing =
+        Contract.ServerState standing =
                 switch (host.path("health").asText()) {
-                    case "ready" -> Contract.Standing.UP;
-                    case "draining" -> Contract.Standing.DRAINING;
-                    case "gone" -> Contract.Standing.GONE;
+                    case "ready" -> Contract.ServerState.UP;
+                    case "draining" -> Contract.ServerState.DRAINING;
+                    case "gone" -> Contract.ServerState.GONE;
                     default -> throw new IllegalArgumentException("health of " + id + " is unknown");
                 };
         double bornMs = number(host, "born_ms", 0);
@@ -68,7 +68,7 @@
                 host.path("block").asInt(-1),
                 bornMs);
         // A removed endpoint gets no requests and needs no address; a list must not be rejected for the lack of one.
-        boolean gone = standing == Contract.Standing.GONE;
+        boolean gone = standing == Contract.ServerState.GONE;
         return new Entry(server, gone ? null : address(host.path("dial").asText()));
     }
 
--- a/src/main/java/whinlead/membership/Roster.java
+++ b/src/main/java/whinlead/membership/Roster.java
@@ -63,7 +63,7 @@
             if (!named.add(id)) {
                 return "an endpoint is named twice";
             }
-            if (entry.server().standing() != Contract.Standing.GONE) {
+            if (entry.server().state() != Contract.ServerState.GONE) {
                 present.add(id);
             }
             count += (present.contains(id) ? 1 : 0) - (!list.whole() && ids.contains(id) ? 1 : 0);
--- a/src/main/java/whinlead/mesh/control/ConsensusTicker.java
+++ b/src/main/java/whinlead/mesh/control/ConsensusTicker.java
@@ -26,7 +26,7 @@
     private final BooleanSupplier isBusy;
     private boolean active;
     private long activeUntilNs;
-    private Timers.Timer nextTimer;
+    private Timers.TimerHandle nextTimer;
 
     /**
      * A ticker that runs nothing before {@link #noteActivity} is called.
@@ -63,6 +63,6 @@
         }
         long periodNs = TimeUnit.MILLISECONDS.toNanos(active ? ACTIVE_PERIOD_MS : IDLE_PERIOD_MS);
         long delayNs = TimerGrid.untilNext(nanoClock.getAsLong(), periodNs);
-        nextTimer = timers.after(delayNs / NANOS_PER_MILLI, this::run);
+        nextTimer = timers.schedule(delayNs / NANOS_PER_MILLI, this::run);
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
+++ b/src/main/java/whinlead/mesh/sidecar/AlignedTimers.java
@@ -31,17 +31,17 @@
     }
 
     @Override
-    public double now() {
-        return timers.now();
+    public double nowMs() {
+        return timers.nowMs();
     }
 
     @Override
-    public Timer after(double delayMs, Runnable task) {
+    public TimerHandle schedule(double delayMs, Runnable task) {
         if (Math.abs(delayMs - periodMs) > periodMs * PERIOD_TOLERANCE) {
-            return timers.after(delayMs, task);
+            return timers.schedule(delayMs, task);
         }
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         // The nearest tick. It is at least half a period away, since the delay is close to a whole period.
-        return timers.after(Math.rint((nowMs + delayMs - phaseMs) / periodMs) * periodMs + phaseMs - nowMs, task);
+        return timers.schedule(Math.rint((nowMs + delayMs - phaseMs) / periodMs) * periodMs + phaseMs - nowMs, task);
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
@@ -134,7 +134,7 @@
     private double lastActivityMs;
     private double headReceivedMs;
     /** Rejects a request whose body does not arrive in time; null while no body is awaited. */
-    private Timers.Timer bodyTimer;
+    private Timers.TimerHandle bodyTimer;
 
     ClientConnection(RequestHandler handler) {
         this.handler = handler;
@@ -153,7 +153,7 @@
     }
 
     private double nowMs() {
-        return handler.timers().now();
+        return handler.timers().nowMs();
     }
 
     @Override
@@ -244,7 +244,8 @@
             double timeoutMs = handler.timeoutMs(requestHead);
             if (Double.isFinite(timeoutMs)) {
                 bodyTimer = handler.timers()
-                        .after(headReceivedMs + timeoutMs - nowMs(), () -> reject(HttpResponseStatus.REQUEST_TIMEOUT));
+                        .schedule(
+                                headReceivedMs + timeoutMs - nowMs(), () -> reject(HttpResponseStatus.REQUEST_TIMEOUT));
             }
         }
         ctx.fireChannelReadComplete();
--- a/src/main/java/whinlead/mesh/sidecar/ClientExchange.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientExchange.java
@@ -74,7 +74,7 @@
         this.target = target;
         this.rank = rank;
         this.timeoutMs = timeoutMs;
-        this.deadlineMs = timers.now() + timeoutMs;
+        this.deadlineMs = timers.nowMs() + timeoutMs;
         this.attempts = new EndpointAttempts(route.route().tries());
         if (tenant != null) {
             headers.add(ForwardedHeaders.TENANT);
@@ -107,8 +107,8 @@
             if (current == null || current == balancer) {
                 return false;
             }
-            double remainingMs = Math.max(1, deadlineMs - timers.now());
-            acceptedRequest = current.accept(request.within(remainingMs), sidecarCount, this, this);
+            double remainingMs = Math.max(1, deadlineMs - timers.nowMs());
+            acceptedRequest = current.accept(request.withTimeout(remainingMs), sidecarCount, this, this);
             return true;
         };
         response.onClientDisconnect(() -> {
@@ -126,7 +126,7 @@
 
     @Override
     public PeerMessage.ForwardRequest request(String endpoint) {
-        int remainingMs = (int) Math.max(1, deadlineMs - timers.now());
+        int remainingMs = (int) Math.max(1, deadlineMs - timers.nowMs());
         return new PeerMessage.ForwardRequest(0, method, uri, headers, body, remainingMs, target, endpoint, rank);
     }
 
@@ -182,7 +182,7 @@
         onEnd.accept(this);
         if (!attempts.mayHaveRun()) {
             reject(response, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterMs);
-        } else if (timers.now() >= deadlineMs - DEADLINE_SLACK_MS) {
+        } else if (timers.nowMs() >= deadlineMs - DEADLINE_SLACK_MS) {
             reject(response, HttpResponseStatus.GATEWAY_TIMEOUT);
         } else {
             reject(response, HttpResponseStatus.BAD_GATEWAY);
--- a/src/main/java/whinlead/mesh/sidecar/EgressListener.java
+++ b/src/main/java/whinlead/mesh/sidecar/EgressListener.java
@@ -206,7 +206,7 @@
             return;
         }
         double timeoutMs = Math.max(1, timeoutMs(route, requestedTimeoutMs) - response.readDurationMs());
-        IncomingRequest request = new IncomingRequest(head, body, response, route, tenant, timers.now() + timeoutMs);
+        IncomingRequest request = new IncomingRequest(head, body, response, route, tenant, timers.nowMs() + timeoutMs);
         if (tenant == null) {
             forward(request);
         } else {
@@ -306,7 +306,7 @@
                 tenant,
                 callerService.get(),
                 target,
-                Math.max(1, request.deadlineMs() - timers.now()),
+                Math.max(1, request.deadlineMs() - timers.nowMs()),
                 tenantRank == null ? route.route().rank() : tenantRank);
         exchanges.add(exchange);
         exchange.start(balancer, classes, sidecarCount());
--- a/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
@@ -106,7 +106,7 @@
      *     {@link PeerMessage.ForwardResponse} or a {@link PeerMessage.ForwardFailure}, without load figures
      */
     public Sent send(PeerMessage.ForwardRequest forwardRequest, String instance, Consumer<PeerMessage> resultListener) {
-        double deadlineMs = timers.now() + forwardRequest.leftMs();
+        double deadlineMs = timers.nowMs() + forwardRequest.leftMs();
         String attemptId = EndpointRequestEncoder.attemptId(forwardRequest);
         Connection connection = idle(attemptId);
         if (connection != null) {
@@ -178,7 +178,7 @@
         private PeerMessage.ForwardRequest forwardRequest;
         private String attemptId;
         private Consumer<PeerMessage> resultListener;
-        private Timers.Timer responseTimer;
+        private Timers.TimerHandle responseTimer;
         private HttpResponse responseHead;
         private boolean matchesAttempt;
         private boolean informational;
@@ -194,7 +194,7 @@
         }
 
         boolean isReusable() {
-            return channel.isActive() && timers.now() - idleSinceMs < idleMs * IDLE_USE_FRACTION;
+            return channel.isActive() && timers.nowMs() - idleSinceMs < idleMs * IDLE_USE_FRACTION;
         }
 
         void close() {
@@ -219,7 +219,7 @@
             forwardRequest = request;
             attemptId = id;
             resultListener = listener;
-            double remainingMs = deadlineMs - timers.now();
+            double remainingMs = deadlineMs - timers.nowMs();
             if (channel == null || !channel.isActive() || remainingMs < 1) {
                 // Nothing was written. The deadline may have passed while the connection was being opened.
                 boolean connected = channel != null && channel.isActive();
@@ -240,7 +240,7 @@
                 channel.close();
                 return;
             }
-            responseTimer = timers.after(remainingMs + TIMEOUT_SLACK_MS, () -> fail(PeerMessage.FailureReason.LATE));
+            responseTimer = timers.schedule(remainingMs + TIMEOUT_SLACK_MS, () -> fail(PeerMessage.FailureReason.LATE));
             writing = true;
             channel.writeAndFlush(httpRequest).addListener(f -> writeCompleted(f.isSuccess()));
         }
@@ -350,14 +350,14 @@
             }
             if (writing) {
                 // The rest of the request body must be written before the connection is used again.
-                responseTimer = timers.after(idleMs * IDLE_USE_FRACTION, this::close);
+                responseTimer = timers.schedule(idleMs * IDLE_USE_FRACTION, this::close);
             } else {
                 returnToIdle();
             }
         }
 
         private void returnToIdle() {
-            idleSinceMs = timers.now();
+            idleSinceMs = timers.nowMs();
             idle.addLast(this);
         }
 
--- a/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
@@ -63,12 +63,12 @@
 
     /** Records that this process is running; a long gap between calls shows that it was paused. */
     void recordRunning() {
-        forwardedTime.running(timers.now());
+        forwardedTime.running(timers.nowMs());
     }
 
     /** Delivers a request from another sidecar; its result is sent on the same connection if that is still open. */
     void deliverForwarded(PeerConnection source, PeerMessage.ForwardRequest request) {
-        int remainingMs = forwardedTime.left(timers.now(), source.transit(), request);
+        int remainingMs = forwardedTime.left(timers.nowMs(), source.transit(), request);
         if (remainingMs == 0) {
             // Its time ran out on the way and its caller has been answered, so it is not started.
             source.send(failure(request, PeerMessage.FailureReason.UNREACHED));
@@ -89,11 +89,11 @@
             loop.execute(() -> resultListener.accept(refusal));
             return;
         }
-        gate.requestStarted(timers.now());
+        gate.requestStarted(timers.nowMs());
         requests.begin(sender, request.stream());
         EndpointConnections.Sent sentRequest = connections.send(request, gate.endpoint(), outcome -> {
             requests.ended(sender, request.stream());
-            gate.requestEnded(timers.now(), outcome instanceof PeerMessage.ForwardResponse);
+            gate.requestEnded(timers.nowMs(), outcome instanceof PeerMessage.ForwardResponse);
             resultListener.accept(addLoad(request, outcome));
         });
         requests.sent(sender, request.stream(), sentRequest);
@@ -102,7 +102,7 @@
     // For sharded services the key is checked first: a sidecar that asks the wrong owner must not learn this
     // endpoint's load.
     private EndpointGate.Admission admit(PeerMessage.ForwardRequest request) {
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         if (!keys.isSharded() || !request.target().equals(gate.target())) {
             return gate.admit(nowMs, request.target(), request.rank());
         }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointGrants.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGrants.java
@@ -93,7 +93,7 @@
 
             @Override
             public DefaultFullHttpRequest request() {
-                writtenAtMs = timers.now();
+                writtenAtMs = timers.nowMs();
                 grantedMs = holdMs.applyAsDouble(writtenAtMs);
                 return grantedMs <= 0 ? null : post("/whinlead/grant", grantBody(call, grantedMs));
             }
@@ -249,7 +249,7 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
         private Call call;
-        private Timers.Timer timer;
+        private Timers.TimerHandle timer;
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
@@ -266,7 +266,7 @@
                 finishCall(null);
                 return;
             }
-            timer = timers.after(call.timeoutMs(), () -> finishCall(null));
+            timer = timers.schedule(call.timeoutMs(), () -> finishCall(null));
             channel.writeAndFlush(request);
         }
 
--- a/src/main/java/whinlead/mesh/sidecar/KeyClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/KeyClient.java
@@ -120,7 +120,7 @@
     public void grantorChanged(String controlNode) {
         grantor = controlNode;
         if (isActive()) {
-            report(timers.now());
+            report(timers.nowMs());
         }
     }
 
@@ -137,7 +137,7 @@
             endpointReplaced();
         }
         callEndpoint();
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         boolean draining = isDraining();
         boolean reportDue = nowMs - lastReportMs >= KeyTerms.REPORT_MS;
         boolean changed =
@@ -154,7 +154,7 @@
             consecutiveGrantFailures = 0;
         }
         endpointId = gate.endpoint();
-        loadMeter = new KeyLoadMeter(timers.now());
+        loadMeter = new KeyLoadMeter(timers.nowMs());
     }
 
     private boolean isDraining() {
@@ -226,7 +226,7 @@
         if (lease.sidecarLife() != incarnation) {
             return;
         }
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         grantor = controlNode;
         lastLeaseMs = nowMs;
         keyHolder.leased(nowMs, lease);
@@ -234,7 +234,7 @@
     }
 
     private void callEndpoint() {
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         keyHolder.grantsDue(nowMs).forEach(this::grant);
         keyHolder.releasesDue(nowMs).forEach(this::release);
     }
@@ -258,7 +258,7 @@
             @Override
             public void failed() {
                 consecutiveGrantFailures++;
-                lastGrantFailureMs = timers.now();
+                lastGrantFailureMs = timers.nowMs();
                 keyHolder.notGranted(call);
             }
         });
@@ -275,14 +275,14 @@
 
             @Override
             public void failed() {
-                timers.after(RELEASE_RETRY_MS, () -> keyHolder.notReleased(timers.now(), call));
+                timers.schedule(RELEASE_RETRY_MS, () -> keyHolder.notReleased(timers.nowMs(), call));
             }
         });
     }
 
     /** Whether a request with this key may go to the endpoint now; if so, it counts towards the load of the key. */
     public boolean admit(int key) {
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         if (!keyHolder.serves(nowMs, key)) {
             return false;
         }
--- a/src/main/java/whinlead/mesh/sidecar/QuotaClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/QuotaClient.java
@@ -88,7 +88,7 @@
 
     /** Called periodically: sends the lease reports that are due. */
     void tick() {
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         boolean hasNews = quota.hasNews(nowMs);
         connections.forEach((controlNode, connection) -> {
             LeaseSchedule schedule = schedules.get(controlNode);
@@ -121,7 +121,7 @@
         if (leasesEnabled) {
             schedules.values().forEach(LeaseSchedule::connected);
         } else {
-            LeaseReport report = quota.release(timers.now());
+            LeaseReport report = quota.release(timers.nowMs());
             connections.values().stream()
                     .filter(QuotaClient::grantsLeases)
                     .forEach(connection -> connection.send(new PeerMessage.QuotaLeaseReport(report)));
@@ -142,7 +142,7 @@
 
     /** Accepts a lease from a control node. */
     void leaseGranted(String controlNode, LeaseGrant grant) {
-        quota.granted(timers.now(), controlNode, grant);
+        quota.granted(timers.nowMs(), controlNode, grant);
     }
 
     /** Accepts a control node's answer to a token request. */
@@ -171,7 +171,7 @@
      */
     Runnable acquire(
             String tenant, double limitPerS, double burst, double targetMs, Consumer<QuotaDecision> decisionListener) {
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         QuotaDecision decision = quota.acquire(nowMs, tenant, limitPerS, burst);
         if (decision instanceof QuotaDecision.NeedsToken tokenNeeded) {
             return search(tokenNeeded, targetMs, decisionListener);
@@ -201,14 +201,14 @@
         TokenSearch search = new TokenSearch(reachable, tokenNeeded.allowance(), actions);
         actions.search = search;
         double maxSearchMs = Math.min(TokenSearch.MAX_MS, targetMs * TokenSearch.AIM_PART);
-        actions.hedgeTimer = timers.after(maxSearchMs * TokenSearch.HEDGE_PART, search::hedge);
-        actions.endTimer = timers.after(maxSearchMs, search::end);
+        actions.hedgeTimer = timers.schedule(maxSearchMs * TokenSearch.HEDGE_PART, search::hedge);
+        actions.endTimer = timers.schedule(maxSearchMs, search::end);
         search.begin();
         return search::cancel;
     }
 
     private QuotaDecision.Refused refusal(String tenant, double waitMs) {
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         logLimited(nowMs, tenant);
         return new QuotaDecision.Refused(quota.tokenDenied(nowMs, tenant, waitMs));
     }
@@ -235,8 +235,8 @@
         private final QuotaDecision.NeedsToken tokenNeeded;
         private final Consumer<QuotaDecision> decisionListener;
         private TokenSearch search;
-        private Timers.Timer hedgeTimer;
-        private Timers.Timer endTimer;
+        private Timers.TimerHandle hedgeTimer;
+        private Timers.TimerHandle endTimer;
 
         private SearchActions(QuotaDecision.NeedsToken tokenNeeded, Consumer<QuotaDecision> decisionListener) {
             this.tokenNeeded = tokenNeeded;
--- a/src/main/java/whinlead/mesh/sidecar/RecordPublisher.java
+++ b/src/main/java/whinlead/mesh/sidecar/RecordPublisher.java
@@ -69,19 +69,19 @@
                 service.get(),
                 draining ? EndpointRecord.Phase.DRAINING : gate.phase(),
                 gate.capacity(),
-                gate.remainingWarmupMs(timers.now())));
+                gate.remainingWarmupMs(timers.nowMs())));
         publish();
     }
 
     /** Publishes the current record. */
     void publish() {
-        lastPublishMs = timers.now();
+        lastPublishMs = timers.nowMs();
         publish.accept(registry.find(node));
     }
 
     /** Publishes the current record again if that is due. */
     void republishIfDue() {
-        if (timers.now() - lastPublishMs > REPUBLISH_INTERVAL_MS) {
+        if (timers.nowMs() - lastPublishMs > REPUBLISH_INTERVAL_MS) {
             publish();
         }
     }
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -40,7 +40,7 @@
     }
 
     /** A request that was sent. */
-    public interface Sent extends Transport.Sending {
+    public interface Sent extends Transport.AttemptHandle {
         /**
          * Cancels the request because its client has disconnected. If it is not written yet it never will be; otherwise
          * the other sidecar is notified, and stops the request at its endpoint if it is repeatable.
@@ -131,7 +131,7 @@
         }
 
         @Override
-        public boolean giveUp() {
+        public boolean abort() {
             ended = true;
             if (!written) {
                 removal.run();
@@ -141,7 +141,7 @@
 
         @Override
         public void cancel() {
-            if (!ended && giveUp()) {
+            if (!ended && abort()) {
                 removal.run();
                 cancelNotification.run();
             }
@@ -202,7 +202,7 @@
                 pending.remove(stream);
                 return;
             }
-            double remainingMs = waitingRequest.deadlineMs - timers.now();
+            double remainingMs = waitingRequest.deadlineMs - timers.nowMs();
             pendingForward.written = remainingMs >= 1;
             if (!pendingForward.written
                     || !path.send(withStream(stream, waitingRequest.request, (int) Math.round(remainingMs), stamp()))) {
@@ -219,7 +219,7 @@
 
         @Override
         public long stamp() {
-            return (long) (timers.now() * MICROS_PER_MILLI);
+            return (long) (timers.nowMs() * MICROS_PER_MILLI);
         }
 
         @Override
@@ -308,7 +308,7 @@
         };
         pendingForward.cancelNotification = () -> route.path.send(cancel);
         WaitingRequest waitingRequest = new WaitingRequest(
-                withStream(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), timers.now() + draft.leftMs());
+                withStream(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), timers.nowMs() + draft.leftMs());
         if (route.path.state() == ReconnectingConnection.State.UP) {
             route.write(waitingRequest);
         } else if (route.path.state() == ReconnectingConnection.State.SUSPECT) {
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -119,7 +119,7 @@
         for (EndpointRecord endpointRecord : records) {
             boolean available =
                     (ownsKeys || endpointRecord.acceptsRequests()) && forwarder.isReachable(endpointRecord.node());
-            double nowMs = timers.now();
+            double nowMs = timers.nowMs();
             double startMs = startTimesMs.getOrDefault(
                     endpointRecord.endpoint(),
                     endpointRecord.warmMs() > 0 ? nowMs - (COLD_MS - endpointRecord.warmMs()) : 0);
@@ -128,7 +128,7 @@
             entries.add(new EndpointList.Entry(
                     new Contract.Server(
                             endpointRecord.endpoint(),
-                            available ? Contract.Standing.UP : Contract.Standing.DRAINING,
+                            available ? Contract.ServerState.UP : Contract.ServerState.DRAINING,
                             preferredZone == null || preferredZone.equals(endpointRecord.zone()) ? 1 : OTHER_ZONE_SIZE,
                             endpointRecord.zone(),
                             -1,
@@ -169,7 +169,8 @@
             ResponseSink<PeerMessage.ForwardResponse> responseSink) {
         retryBudget.requestReceived(sidecarCount);
         AttemptTransport transport = new AttemptTransport(forwarded);
-        Engine.Held<PeerMessage.ForwardResponse> engineRequest = engine.take(request, transport, responseSink);
+        Engine.PendingRequest<PeerMessage.ForwardResponse> engineRequest =
+                engine.accept(request, transport, responseSink);
         return () -> {
             engineRequest.abandon();
             transport.cancel();
@@ -182,7 +183,7 @@
         /** The running attempt, of which there is at most one; its listener follows. */
         private RequestForwarder.Sent outstanding;
 
-        private Outcomes<PeerMessage.ForwardResponse> outcomeListener;
+        private OutcomeListener<PeerMessage.ForwardResponse> outcomeListener;
 
         private AttemptTransport(ForwardedRequest forwarded) {
             this.forwarded = forwarded;
@@ -190,8 +191,8 @@
         }
 
         @Override
-        public Sending send(
-                String endpoint, int attempt, double withinMs, Outcomes<PeerMessage.ForwardResponse> listener) {
+        public AttemptHandle send(
+                String endpoint, int attempt, double withinMs, OutcomeListener<PeerMessage.ForwardResponse> listener) {
             String node = nodesByEndpoint.get(endpoint);
             if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && retryBudget.trySpend())) {
                 listener.ended(Contract.Outcome.NEVER_SENT, null, null);
@@ -208,7 +209,7 @@
             outstanding = sentRequest;
             return () -> {
                 outstanding = null;
-                boolean written = sentRequest.giveUp();
+                boolean written = sentRequest.abort();
                 if (!written) {
                     attempts.neverWritten();
                 }
@@ -224,7 +225,7 @@
             }
         }
 
-        private void received(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> listener) {
+        private void received(PeerMessage message, OutcomeListener<PeerMessage.ForwardResponse> listener) {
             outstanding = null;
             Contract.Report report = null;
             if (message instanceof PeerMessage.ForwardResponse response) {
--- a/src/main/java/whinlead/mesh/sidecar/Shutdown.java
+++ b/src/main/java/whinlead/mesh/sidecar/Shutdown.java
@@ -52,7 +52,7 @@
         double answerS = graceS - ANSWER_BEFORE_KILL_S;
         schedule(redirectS, () -> {
             egress.closeConnections();
-            timers.after(POLL_MS, this::finishIfIdle);
+            timers.schedule(POLL_MS, this::finishIfIdle);
         });
         schedule(rejectS, egress::rejectRequests);
         schedule(answerS, egress::answerPending);
@@ -60,14 +60,14 @@
     }
 
     private void schedule(double seconds, Runnable task) {
-        timers.after(seconds * MILLIS_PER_SECOND, task);
+        timers.schedule(seconds * MILLIS_PER_SECOND, task);
     }
 
     private void finishIfIdle() {
         if (egress.pendingCount() == 0 && endpointRequests.getAsInt() == 0 && egress.connections() == 0) {
             finish();
         } else {
-            timers.after(POLL_MS, this::finishIfIdle);
+            timers.schedule(POLL_MS, this::finishIfIdle);
         }
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -135,7 +135,7 @@
     // The periods of all balancers are aligned, so that the process wakes up once for all of them.
     private Timers createPeriodTimers() {
         double periodMs = RequestClasses.periodMs();
-        return new AlignedTimers(timers, periodMs, timers.now() + nanosUntilNext((long) periodMs) / NANOS_PER_MILLI);
+        return new AlignedTimers(timers, periodMs, timers.nowMs() + nanosUntilNext((long) periodMs) / NANOS_PER_MILLI);
     }
 
     private KeyClient keys() {
@@ -244,7 +244,7 @@
 
     private void tick() {
         delivery.recordRunning();
-        if (gate.tick(timers.now())) {
+        if (gate.tick(timers.nowMs())) {
             Event.ENDPOINT.log(gate.endpoint() + " is silent");
             endpointChanged();
         }
@@ -285,7 +285,7 @@
         }
         String previousEndpoint = gate.endpoint();
         quota.setLeasesEnabled(!recordPublisher.isDraining());
-        if (gate.heartbeat(timers.now(), heartbeat.endpoint(), heartbeat.status())) {
+        if (gate.heartbeat(timers.nowMs(), heartbeat.endpoint(), heartbeat.status())) {
             Event.ENDPOINT.log(heartbeat.endpoint() + " of " + gate.target() + " " + gate.state());
             if (heartbeat.endpoint().equals(previousEndpoint)) {
                 recordPublisher.publishChange();
@@ -359,7 +359,7 @@
         public void message(PeerConnection connection, PeerMessage message) {
             if (message instanceof PeerMessage.Ping ping) {
                 delivery.recordRunning();
-                connection.transit().waited(timers.now(), ping.sentAt());
+                connection.transit().waited(timers.nowMs(), ping.sentAt());
                 connection.send(new PeerMessage.Pong(ping.number(), node, -1));
             } else if (message instanceof PeerMessage.ForwardRequest request) {
                 delivery.deliverForwarded(connection, request);
--- a/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
+++ b/src/main/java/whinlead/mesh/sidecar/TicklessModule.java
@@ -195,8 +195,8 @@
         }
 
         @Override
-        public void tellPeers(byte[] text) {
-            actions.tellPeers(text);
+        public void sendToPeers(byte[] text) {
+            actions.sendToPeers(text);
         }
 
         @Override
--- a/src/main/java/whinlead/plan/Bounds.java
+++ b/src/main/java/whinlead/plan/Bounds.java
@@ -40,7 +40,7 @@
      */
     public static double maxWorthShare(Fleet fleet, Load load) {
         double longestAim = fleet.settings().classes().stream()
-                .mapToDouble(c -> c.aim())
+                .mapToDouble(c -> c.latencyTarget())
                 .max()
                 .orElse(0);
         List<Integer> classesByWorthPerWork = new ArrayList<>();
--- a/src/main/java/whinlead/plan/Calendar.java
+++ b/src/main/java/whinlead/plan/Calendar.java
@@ -10,7 +10,7 @@
  */
 public final class Calendar implements Timers {
     /** A scheduled task, which can be cancelled. */
-    public static final class Due implements Timer {
+    public static final class Due implements TimerHandle {
         private final double timeMs;
         private final long sequence;
         private Runnable task;
@@ -34,7 +34,7 @@
     private long nextSequence;
 
     @Override
-    public double now() {
+    public double nowMs() {
         return now;
     }
 
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public Due after(double millis, Runnable task) {
+    public Due schedule(double millis, Runnable task) {
         return at(now + millis, task);
     }
 
--- a/src/main/java/whinlead/plan/ClientTry.java
+++ b/src/main/java/whinlead/plan/ClientTry.java
@@ -20,7 +20,7 @@
         this.arrival = arrival;
         this.tryNumber = tryNumber;
         this.requestClass = context.fleet().settings().classes().get(arrival.kind());
-        this.sentAtMs = context.calendar().now();
+        this.sentAtMs = context.calendar().nowMs();
     }
 
     /** Starts a client's first try at this sidecar; its retries go to the same sidecar. */
@@ -45,13 +45,13 @@
 
     /** Milliseconds left until the deadline. */
     double remainingMs() {
-        return sentAtMs + requestClass.deadline() - context.calendar().now();
+        return sentAtMs + requestClass.deadline() - context.calendar().nowMs();
     }
 
     @Override
     public void served(SimulatedFront front) {
         sidecar.release();
-        boolean withinAim = context.calendar().now() - sentAtMs <= requestClass.aim();
+        boolean withinAim = context.calendar().nowMs() - sentAtMs <= requestClass.latencyTarget();
         double worth = requestClass.worth() * (withinAim ? 1 : requestClass.lateWorth());
         context.tally().served(sentAtMs, withinAim, worth);
     }
@@ -77,7 +77,7 @@
         }
         boolean retryAfterHonoured = retryAfter > 0 && context.clientRandom().nextDouble() < clients.honourShare();
         double waitMs = retryAfterHonoured ? retryAfter : backOffMs(clients);
-        context.calendar().after(waitMs, () -> begin(context, sidecar, arrival, tryNumber + 1));
+        context.calendar().schedule(waitMs, () -> begin(context, sidecar, arrival, tryNumber + 1));
     }
 
     // Exponential back-off with jitter.
--- a/src/main/java/whinlead/plan/ConnectionPool.java
+++ b/src/main/java/whinlead/plan/ConnectionPool.java
@@ -25,7 +25,7 @@
     /** Whether there is an idle connection to a front. */
     boolean hasIdle(SimulatedFront front) {
         ArrayDeque<Double> toFront = idle.get(front);
-        while (toFront != null && !toFront.isEmpty() && toFront.peekFirst() < calendar.now() - limits.idle()) {
+        while (toFront != null && !toFront.isEmpty() && toFront.peekFirst() < calendar.nowMs() - limits.idle()) {
             toFront.pollFirst();
             recordClosed(front, front.incarnation());
         }
@@ -50,7 +50,7 @@
     /** Returns a connection to an incarnation of a front, for reuse or to be closed. */
     void release(SimulatedFront front, int incarnation, boolean reusable) {
         if (reusable && front.incarnation() == incarnation) {
-            idle.computeIfAbsent(front, k -> new ArrayDeque<>()).addLast(calendar.now());
+            idle.computeIfAbsent(front, k -> new ArrayDeque<>()).addLast(calendar.nowMs());
         } else {
             recordClosed(front, incarnation);
         }
--- a/src/main/java/whinlead/plan/FrontModel.java
+++ b/src/main/java/whinlead/plan/FrontModel.java
@@ -172,8 +172,8 @@
     }
 
     private void advance() {
-        double span = calendar.now() - lastAdvanceMs;
-        lastAdvanceMs = calendar.now();
+        double span = calendar.nowMs() - lastAdvanceMs;
+        lastAdvanceMs = calendar.nowMs();
         double attainedInSpan = span * serviceRate();
         attainedMs += attainedInSpan;
         workDone += attainedInSpan * inService.size();
@@ -190,7 +190,7 @@
         double rate = serviceRate();
         if (rate > 0) {
             nextCompletion = calendar.at(
-                    calendar.now() + (inService.peek().targetAttainedMs - attainedMs) / rate, this::completeNext);
+                    calendar.nowMs() + (inService.peek().targetAttainedMs - attainedMs) / rate, this::completeNext);
         }
     }
 
--- a/src/main/java/whinlead/plan/SimulatedAttempt.java
+++ b/src/main/java/whinlead/plan/SimulatedAttempt.java
@@ -4,11 +4,11 @@
 import whinlead.engine.Transport;
 
 /** One attempt from a sidecar to a front and back on a connection. Not thread-safe. */
-final class SimulatedAttempt implements Transport.Sending {
+final class SimulatedAttempt implements Transport.AttemptHandle {
     private final SimulationContext context;
     private final ConnectionPool connections;
     private final SimulatedFront front;
-    private final Transport.Outcomes<SimulatedFront> listener;
+    private final Transport.OutcomeListener<SimulatedFront> listener;
     /** Incarnation of the front when this attempt started. */
     private final int incarnation;
 
@@ -22,7 +22,7 @@
             SimulationContext context,
             ConnectionPool connections,
             SimulatedFront front,
-            Transport.Outcomes<SimulatedFront> listener) {
+            Transport.OutcomeListener<SimulatedFront> listener) {
         this.context = context;
         this.connections = connections;
         this.front = front;
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public boolean giveUp() {
+    public boolean abort() {
         if (!ended) {
             close(false);
             if (visit != null && context.fleet().front().cancelStops()) {
@@ -120,6 +120,6 @@
     }
 
     private void after(double millis, Runnable task) {
-        context.calendar().after(millis, task);
+        context.calendar().schedule(millis, task);
     }
 }
--- a/src/main/java/whinlead/plan/SimulatedFront.java
+++ b/src/main/java/whinlead/plan/SimulatedFront.java
@@ -86,7 +86,7 @@
 
     /** The front's entry in the endpoint list. */
     Contract.Server entry() {
-        Contract.Standing standing = lost ? Contract.Standing.GONE : Contract.Standing.UP;
+        Contract.ServerState standing = lost ? Contract.ServerState.GONE : Contract.ServerState.UP;
         return new Contract.Server(id, standing, 1, zone.name(), 0, startedAtMs);
     }
 
@@ -99,11 +99,11 @@
     private void updateSpeed() {
         double coldTime = fleet.front().coldTime();
         double coldShare = fleet.front().coldShare();
-        double age = startedAtMs == 0 ? coldTime : calendar.now() - startedAtMs;
+        double age = startedAtMs == 0 ? coldTime : calendar.nowMs() - startedAtMs;
         double warmth = coldTime == 0 ? 1 : Math.min(1, coldShare + (1 - coldShare) * age / coldTime);
         cores.speed(baseSpeed * speedFactor * warmth);
         if (warmth < 1) {
-            calendar.at(calendar.now() + COLD_STEP_MS, this::updateSpeed);
+            calendar.at(calendar.nowMs() + COLD_STEP_MS, this::updateSpeed);
         }
     }
 
@@ -119,7 +119,7 @@
     /** Restarts the front, cold. */
     void restart() {
         lost = false;
-        startedAtMs = calendar.now();
+        startedAtMs = calendar.nowMs();
         updateSpeed();
     }
 
@@ -142,8 +142,8 @@
     void requestCompleted() {
         double busyShare = (double) Math.min(model.cores(), cores.visitCount() + 1) / model.cores();
         utilisation += (busyShare - utilisation) * REPORT_WEIGHT;
-        meanAnswerGapMs += (calendar.now() - lastAnswerAtMs - meanAnswerGapMs) * REPORT_WEIGHT;
-        lastAnswerAtMs = calendar.now();
+        meanAnswerGapMs += (calendar.nowMs() - lastAnswerAtMs - meanAnswerGapMs) * REPORT_WEIGHT;
+        lastAnswerAtMs = calendar.nowMs();
     }
 
     /** The load report sent with an answer, or null for none. */
--- a/src/main/java/whinlead/plan/SimulatedSidecar.java
+++ b/src/main/java/whinlead/plan/SimulatedSidecar.java
@@ -76,14 +76,14 @@
     }
 
     @Override
-    public double now() {
-        return calendar.now();
+    public double nowMs() {
+        return calendar.nowMs();
     }
 
     // Timers are delayed until the processor has finished its queued work.
     @Override
-    public Timer after(double millis, Runnable task) {
-        return calendar.at(Math.max(calendar.now() + millis, busyUntilMs), task);
+    public TimerHandle schedule(double millis, Runnable task) {
+        return calendar.at(Math.max(calendar.nowMs() + millis, busyUntilMs), task);
     }
 
     /** Receives a client's try. */
@@ -96,7 +96,7 @@
         }
         // Its processor takes requests in turn.
         double work = limits.work();
-        busyUntilMs = Math.max(busyUntilMs, calendar.now()) + work;
+        busyUntilMs = Math.max(busyUntilMs, calendar.nowMs()) + work;
         processorTimeMs += work;
         calendar.at(busyUntilMs, () -> decide(clientTry));
     }
@@ -109,7 +109,7 @@
         }
         double freeShare = 1 - (double) openTries / limits.places();
         Arrival arrival = received.arrival();
-        engine.take(
+        engine.accept(
                 new Request(arrival.kind(), arrival.tenant(), remaining, received.repeat(), freeShare, 0),
                 new AttemptTransport(arrival.kind()),
                 received);
@@ -139,7 +139,8 @@
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double within, Outcomes<SimulatedFront> listener) {
+        public AttemptHandle send(
+                String endpoint, int attempt, double within, OutcomeListener<SimulatedFront> listener) {
             return SimulatedSidecar.this.send(requestClass, fronts.get(endpoint), listener);
         }
 
@@ -149,7 +150,8 @@
         }
     }
 
-    private SimulatedAttempt send(int requestClass, SimulatedFront front, Transport.Outcomes<SimulatedFront> listener) {
+    private SimulatedAttempt send(
+            int requestClass, SimulatedFront front, Transport.OutcomeListener<SimulatedFront> listener) {
         SimulatedAttempt attempt = new SimulatedAttempt(context, connections, front, listener);
         context.tally().attemptSent();
         if (front.lost()) {
--- a/src/main/java/whinlead/plan/Simulation.java
+++ b/src/main/java/whinlead/plan/Simulation.java
@@ -107,10 +107,10 @@
         scheduleNext(load);
         // Each arrival schedules the next, so the calendar holds only work in progress.
         while (load.hasNext()) {
-            calendar.runTo(calendar.now() + SECOND_MS);
+            calendar.runTo(calendar.nowMs() + SECOND_MS);
         }
-        calendar.runTo(Math.max(calendar.now(), lastArrivalMs));
-        double endMs = calendar.now();
+        calendar.runTo(Math.max(calendar.nowMs(), lastArrivalMs));
+        double endMs = calendar.nowMs();
         Outcome.Usage usage = usage(endMs);
         double longestDeadline = fleet.settings().classes().stream()
                 .mapToDouble(Contract.RequestClass::deadline)
--- a/src/main/java/whinlead/plan/tool/CaptureCommand.java
+++ b/src/main/java/whinlead/plan/tool/CaptureCommand.java
@@ -71,7 +71,7 @@
                                 (int) classes.get(arrival.kind()).deadline(),
                                 0,
                                 arrival.repeat(),
-                                RequestListener.End.SERVED));
+                                RequestListener.Result.SERVED));
                     }
                 }
                 Files.move(temporary, target, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
@@ -101,7 +101,7 @@
                 System.out.println("of class " + summary.classes().get(requestClass) + ": "
                         + summary.counts().get(requestClass));
             }
-            for (RequestListener.End e : RequestListener.End.values()) {
+            for (RequestListener.Result e : RequestListener.Result.values()) {
                 System.out.println(e.name().toLowerCase(Locale.ROOT) + ": "
                         + summary.ends().get(e.ordinal()));
             }
--- a/src/main/java/whinlead/replication/ReplicationClient.java
+++ b/src/main/java/whinlead/replication/ReplicationClient.java
@@ -102,7 +102,7 @@
                     case MAY_HAVE_RAN -> Command.AttemptOutcome.MAY_HAVE_RAN;
                     case SERVED -> Command.AttemptOutcome.SERVED;
                 };
-        double untilMs = timers.now() + timeouts.reportMs();
+        double untilMs = timers.nowMs() + timeouts.reportMs();
         new PendingCommand(
                         new Command.Report(id, attempt, reported),
                         untilMs,
@@ -115,7 +115,7 @@
     @Override
     public void drains(String endpoint) {
         if (drainsInProgress.add(endpoint)) {
-            double untilMs = timers.now() + timeouts.drainMs();
+            double untilMs = timers.nowMs() + timeouts.drainMs();
             new PendingCommand(
                             new Command.Drain(endpoint, timeouts.drainMs()),
                             untilMs,
@@ -159,8 +159,8 @@
         private Consumer<Reply> replyListener;
         private Runnable timeoutListener;
         private boolean done;
-        private Timers.Timer resubmitTimer = () -> {};
-        private Timers.Timer deadlineTimer;
+        private Timers.TimerHandle resubmitTimer = () -> {};
+        private Timers.TimerHandle deadlineTimer;
 
         /** Resubmits until {@code resubmitUntilMs}; after {@code deadlineMs} nobody waits for the reply. */
         private PendingCommand(
@@ -186,7 +186,7 @@
         }
 
         private PendingCommand start() {
-            deadlineTimer = timers.after(Math.max(0, deadlineMs - timers.now()), () -> {
+            deadlineTimer = timers.schedule(Math.max(0, deadlineMs - timers.nowMs()), () -> {
                 replyListener = null;
                 if (!done) {
                     timeoutListener.run();
@@ -199,10 +199,10 @@
         private void submit() {
             // Past its time the command is only no longer resubmitted: the deadline timer notifies the waiting
             // caller, and may run later than this one after the process was suspended.
-            if (done || timers.now() > resubmitUntilMs) {
+            if (done || timers.nowMs() > resubmitUntilMs) {
                 return;
             }
-            resubmitTimer = timers.after(timeouts.resubmitMs(), this::submit);
+            resubmitTimer = timers.schedule(timeouts.resubmitMs(), this::submit);
             Command submitted = command.get();
             if (submitted != null) {
                 group.submit(submitted, this::receiveReply);
@@ -252,12 +252,12 @@
         }
 
         private long remainingMs() {
-            return (long) Math.max(0, Math.ceil(deadlineMs - timers.now()));
+            return (long) Math.max(0, Math.ceil(deadlineMs - timers.nowMs()));
         }
 
         @Override
         public void allow(String endpoint, double validMs, Consumer<Verdict> listener) {
-            double nowMs = timers.now();
+            double nowMs = timers.nowMs();
             double waitMs = Math.min(validMs, deadlineMs - timeouts.marginMs() - nowMs);
             Command.Attempt attempt = new Command.Attempt(owner, ++lastNumber);
             lastAttempt = attempt;
@@ -270,7 +270,7 @@
                 public Command get() {
                     long groupTimeMs = created == null ? group.time(id) : 0;
                     if (created == null && groupTimeMs >= 0) {
-                        long validUntilMs = groupTimeMs + (long) Math.max(0, latestMs - timers.now());
+                        long validUntilMs = groupTimeMs + (long) Math.max(0, latestMs - timers.nowMs());
                         created = new Command.Allow(
                                 id, caller, guard, attempt, neverRan, endpoint, remainingMs(), validUntilMs, repeat);
                     }
@@ -296,7 +296,7 @@
         }
 
         private void receiveReply(Reply reply, Command.Attempt attempt, double latestMs, Consumer<Verdict> listener) {
-            if (reply instanceof Reply.Granted grant && timers.now() <= latestMs) {
+            if (reply instanceof Reply.Granted grant && timers.nowMs() <= latestMs) {
                 granted = true;
                 trace.step(id, Trace.Step.GRANTED, Integer.toString(grant.index()));
                 listener.accept(new Verdict.Granted(grant.index()));
@@ -325,7 +325,7 @@
         // The caller was not told of the attempt. The group has to know, or the attempt would block the client's retry.
         private void withdraw(Command.Attempt attempt) {
             trace.step(id, Trace.Step.TAKEN_BACK, "");
-            double untilMs = Math.max(deadlineMs, timers.now() + timeouts.reportMs());
+            double untilMs = Math.max(deadlineMs, timers.nowMs() + timeouts.reportMs());
             new PendingCommand(
                             new Command.Withdraw(id, attempt, remainingMs()), untilMs, untilMs, reply -> {}, () -> {})
                     .start();
@@ -348,7 +348,7 @@
         // A refusal states that no attempt has run and that none will run while the client may retry.
         private PendingCommand refuse(Directive directive, Consumer<Directive> listener) {
             trace.step(id, Trace.Step.REFUSING, "");
-            double latestMs = Math.min(deadlineMs - timeouts.marginMs(), timers.now() + timeouts.refuseMs());
+            double latestMs = Math.min(deadlineMs - timeouts.marginMs(), timers.nowMs() + timeouts.refuseMs());
             Command.Refuse command = new Command.Refuse(id, caller, guard, owner, neverRan, remainingMs());
             return new PendingCommand(
                             command,
@@ -378,7 +378,7 @@
                 return;
             }
             double replyDeadlineMs = deadlineMs - timeouts.marginMs();
-            double untilMs = Math.max(deadlineMs, timers.now() + timeouts.reportMs());
+            double untilMs = Math.max(deadlineMs, timers.nowMs() + timeouts.reportMs());
             trace.step(id, Trace.Step.ENDING, ending(directive).name());
             Command.End command = new Command.End(id, ending(directive), owner, neverRan);
             new PendingCommand(
--- a/src/main/java/whinlead/replication/net/PeerConnection.java
+++ b/src/main/java/whinlead/replication/net/PeerConnection.java
@@ -54,12 +54,12 @@
         this.pingSupplier = pingSupplier;
         this.frameListener = frameListener;
         this.downListener = downListener;
-        lastSentMs = timers.now();
+        lastSentMs = timers.nowMs();
         open();
     }
 
     private void open() {
-        if (stream == null && (keepOpen || timers.now() - lastSentMs < IDLE_TIMEOUT_MS)) {
+        if (stream == null && (keepOpen || timers.nowMs() - lastSentMs < IDLE_TIMEOUT_MS)) {
             Stream opened = new Stream();
             stream = opened;
             CopiesGrpc.newStub(channel).talk(opened);
@@ -69,8 +69,8 @@
 
     /** Sends a frame without a guarantee of delivery. */
     void send(Wire.Frame frame) {
-        boolean idle = !keepOpen && timers.now() - lastSentMs >= IDLE_TIMEOUT_MS;
-        lastSentMs = timers.now();
+        boolean idle = !keepOpen && timers.nowMs() - lastSentMs >= IDLE_TIMEOUT_MS;
+        lastSentMs = timers.nowMs();
         if (idle) {
             open();
         }
@@ -83,7 +83,7 @@
         private ClientCallStreamObserver<Wire.Frame> call;
         private long queuedBytes;
         private boolean established;
-        private double lastReceivedMs = timers.now();
+        private double lastReceivedMs = timers.nowMs();
 
         @Override
         public void beforeStart(ClientCallStreamObserver<Wire.Frame> startedCall) {
@@ -105,13 +105,13 @@
             if (stream != this) {
                 return;
             }
-            if (!keepOpen && timers.now() - lastSentMs >= IDLE_TIMEOUT_MS) {
+            if (!keepOpen && timers.nowMs() - lastSentMs >= IDLE_TIMEOUT_MS) {
                 stream = null;
                 call.onCompleted();
                 channel.enterIdle();
                 return;
             }
-            if (timers.now() - lastReceivedMs > SILENCE_TIMEOUT_MS) {
+            if (timers.nowMs() - lastReceivedMs > SILENCE_TIMEOUT_MS) {
                 // The connection is closed too: a new stream on it would get no answers either.
                 call.cancel("silent", null);
                 channel.enterIdle();
@@ -119,13 +119,13 @@
                 return;
             }
             send(pingSupplier.get());
-            timers.after(PING_INTERVAL_MS, this::ping);
+            timers.schedule(PING_INTERVAL_MS, this::ping);
         }
 
         @Override
         public void onNext(Wire.Frame frame) {
             established = true;
-            lastReceivedMs = timers.now();
+            lastReceivedMs = timers.nowMs();
             if (frame.getWhatCase() != Wire.Frame.WhatCase.PING && stream == this) {
                 frameListener.accept(frame);
             }
@@ -150,7 +150,7 @@
                 downListener.run();
             }
             channel.resetConnectBackoff();
-            timers.after(RECONNECT_DELAY_MS, PeerConnection.this::open);
+            timers.schedule(RECONNECT_DELAY_MS, PeerConnection.this::open);
         }
     }
 }
--- a/src/main/java/whinlead/replication/raft/CommandBatcher.java
+++ b/src/main/java/whinlead/replication/raft/CommandBatcher.java
@@ -29,14 +29,14 @@
     /** Proposes a command at the end of this turn; the listener is called later, at most once. */
     void propose(Command command, Consumer<Reply> listener) {
         if (commands.isEmpty()) {
-            timers.after(0, this::flush);
+            timers.schedule(0, this::flush);
         }
         commands.add(command);
         listeners.add(listener);
     }
 
     private void flush() {
-        Member.Batch batch = new Member.Batch(clock.time(timers.now()), commands);
+        Member.Batch batch = new Member.Batch(clock.time(timers.nowMs()), commands);
         List<Consumer<Reply>> batchListeners = List.copyOf(listeners);
         commands.clear();
         listeners.clear();
--- a/src/main/java/whinlead/replication/raft/GroupHost.java
+++ b/src/main/java/whinlead/replication/raft/GroupHost.java
@@ -120,7 +120,7 @@
 
     private Seat seat(String group, LogMirror log) {
         return new Seat(
-                setup.seatSetup(group), timers, new GroupClock(timers.now()), log, random, new Seat.Environment() {
+                setup.seatSetup(group), timers, new GroupClock(timers.nowMs()), log, random, new Seat.Environment() {
                     @Override
                     public void send(String to, GroupMessage message) {
                         environment.send(group, to, message);
@@ -190,7 +190,7 @@
             seat.submit(command, listener);
         } else {
             GroupRoute route = route(group);
-            route.query(command, listener, timers.now());
+            route.query(command, listener, timers.nowMs());
             trace.step(id, Trace.Step.PASSED_ON, route.target());
         }
     }
@@ -201,7 +201,7 @@
         Seat seat = seats.get(group);
         return seat != null && (seat.canServe() || otherFounders(group).isEmpty())
                 ? seat.time()
-                : route(group).time(timers.now());
+                : route(group).time(timers.nowMs());
     }
 
     // The other founders that may be queried. The order depends on this process's name, to spread the load.
@@ -239,7 +239,7 @@
             GroupRoute route = routes.get(group);
             if (route != null) {
                 String leader = setup.processes().contains(reply.leader()) ? reply.leader() : "";
-                route.receiveReply(reply.token(), reply.reply(), reply.groupTimeMs(), leader, timers.now());
+                route.receiveReply(reply.token(), reply.reply(), reply.groupTimeMs(), leader, timers.nowMs());
             }
         } else if (message.envelope() instanceof Envelope.Invite invite) {
             if (seat == null && !setup.isFounder(group)) {
--- a/src/main/java/whinlead/replication/raft/LeaderMonitor.java
+++ b/src/main/java/whinlead/replication/raft/LeaderMonitor.java
@@ -27,25 +27,25 @@
 
     /** Starts monitoring; called when the node starts. */
     void start() {
-        lastLeaderMessageMs = timers.now();
+        lastLeaderMessageMs = timers.nowMs();
         lastVoteRequestMs = lastLeaderMessageMs;
     }
 
     /** A message of the leader has arrived. */
     void leaderMessageReceived() {
-        lastLeaderMessageMs = timers.now();
+        lastLeaderMessageMs = timers.nowMs();
     }
 
     /** The node has requested votes. */
     void votesRequested() {
-        lastVoteRequestMs = timers.now();
+        lastVoteRequestMs = timers.nowMs();
     }
 
     /** Starts an election if the leader has been silent for too long. */
     void check() {
         node.report(report -> {
             MemberId leader = node.leader();
-            if (leader != null && follows() && silentSince(timers.now() - timeoutMs)) {
+            if (leader != null && follows() && silentSince(timers.nowMs() - timeoutMs)) {
                 node.requestElection(leader, report);
             }
         });
--- a/src/main/java/whinlead/replication/raft/Member.java
+++ b/src/main/java/whinlead/replication/raft/Member.java
@@ -131,7 +131,7 @@
     public void start(double joinEveryMs) {
         node.start();
         leaderMonitor.start();
-        timers.after(timeoutMs, this::check);
+        timers.schedule(timeoutMs, this::check);
         if (!founders.contains(id)) {
             askToJoin(joinEveryMs);
         }
@@ -156,7 +156,7 @@
             return;
         }
         leaderMonitor.check();
-        timers.after(timeoutMs, this::check);
+        timers.schedule(timeoutMs, this::check);
     }
 
     /**
@@ -164,8 +164,8 @@
      * message of it arrives until then. Otherwise the election would start only after the timeout for a silent leader.
      */
     public void suspect(String name, double afterMs) {
-        double sinceMs = timers.now();
-        timers.after(afterMs, () -> {
+        double sinceMs = timers.nowMs();
+        timers.schedule(afterMs, () -> {
             if (!stopped) {
                 leaderMonitor.suspect(name, sinceMs);
             }
@@ -180,7 +180,7 @@
                     .distinct()
                     .filter(name -> !name.equals(id.name()))
                     .forEach(name -> send(new MemberId(name, 0), new Envelope.Join(id)));
-            timers.after(everyMs, () -> askToJoin(everyMs));
+            timers.schedule(everyMs, () -> askToJoin(everyMs));
         }
     }
 
--- a/src/main/java/whinlead/replication/raft/MembershipChanges.java
+++ b/src/main/java/whinlead/replication/raft/MembershipChanges.java
@@ -56,7 +56,7 @@
     }
 
     private boolean isPending() {
-        return timers.now() <= pendingUntilMs;
+        return timers.nowMs() <= pendingUntilMs;
     }
 
     private void apply(MembershipManager.Step step) {
@@ -70,7 +70,7 @@
     }
 
     private void change(MemberId member, MembershipChangeMode mode) {
-        double untilMs = timers.now() + timeoutMs;
+        double untilMs = timers.nowMs() + timeoutMs;
         pendingUntilMs = untilMs;
         node.changeMembership(member, mode, node.membersIndex(), () -> {
             if (pendingUntilMs == untilMs) {
--- a/src/main/java/whinlead/replication/raft/NodeExecutor.java
+++ b/src/main/java/whinlead/replication/raft/NodeExecutor.java
@@ -29,16 +29,16 @@
 
     @Override
     public void execute(Runnable task) {
-        timers.after(0, unlessStopped(task));
+        timers.schedule(0, unlessStopped(task));
     }
 
     @Override
     public void submit(Runnable task) {
-        timers.after(0, unlessStopped(task));
+        timers.schedule(0, unlessStopped(task));
     }
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        timers.after(unit.toMillis(delay), unlessStopped(task));
+        timers.schedule(unit.toMillis(delay), unlessStopped(task));
     }
 }
--- a/src/main/java/whinlead/replication/raft/ReplacementDriver.java
+++ b/src/main/java/whinlead/replication/raft/ReplacementDriver.java
@@ -31,18 +31,18 @@
 
     /** A message of a process has arrived, possibly forwarded by another. */
     void recordContact(String name) {
-        replacement.recordContact(name, timers.now());
+        replacement.recordContact(name, timers.nowMs());
     }
 
     /** The seat that a newcomer may take, according to this member's view of the group. */
     Optional<Replacement.Claim> claim(MemberId newcomer, Member member) {
-        return replacement.claim(newcomer.name(), member.view(), timers.now());
+        return replacement.claim(newcomer.name(), member.view(), timers.nowMs());
     }
 
     /** Carries out what is due if this member leads; called periodically. */
     void tick(Member member) {
         if (member.leads()) {
-            replacement.tick(member.view(), timers.now()).ifPresent(action -> carryOut(action, member));
+            replacement.tick(member.view(), timers.nowMs()).ifPresent(action -> carryOut(action, member));
         } else {
             replacement.leadershipLost();
         }
--- a/src/main/java/whinlead/replication/raft/RequestStateMachine.java
+++ b/src/main/java/whinlead/replication/raft/RequestStateMachine.java
@@ -47,7 +47,7 @@
         for (Command command : batch.commands()) {
             replies.add(state.apply(batch.stampMs(), command));
         }
-        clock.committed(state.timeMs(), timers.now());
+        clock.committed(state.timeMs(), timers.nowMs());
         appliedIndex = index;
         return replies;
     }
@@ -81,11 +81,11 @@
         }
         state.restore(new ReplicatedState.Snapshot(commandCount, time, entries, drains));
         appliedIndex = index;
-        clock.committed(state.timeMs(), timers.now());
+        clock.committed(state.timeMs(), timers.nowMs());
     }
 
     @Override
     public Object getNewTermOperation() {
-        return new Member.Batch(clock.time(timers.now()), List.of());
+        return new Member.Batch(clock.time(timers.nowMs()), List.of());
     }
 }
--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -98,7 +98,7 @@
         takeSeat(formation.firstIncarnation(), founders, "is asked in as a guest");
         queryGroup();
         watch();
-        timers.after(GUEST_JOIN_TIMEOUT_MS, () -> {
+        timers.schedule(GUEST_JOIN_TIMEOUT_MS, () -> {
             if (!stopped && member != null && !member.members().contains(member.id())) {
                 retire("was not admitted in time");
             }
@@ -124,7 +124,7 @@
             }
             replacements.tick(member);
         }
-        timers.after(WATCH_INTERVAL_MS, this::watch);
+        timers.schedule(WATCH_INTERVAL_MS, this::watch);
     }
 
     /**
@@ -164,7 +164,7 @@
 
     /** The group's time, never ahead of the actual one. */
     public long time() {
-        return clock.time(timers.now());
+        return clock.time(timers.nowMs());
     }
 
     /** True if the process has an incarnation that votes, as far as it knows: it can answer queries to the group. */
@@ -192,7 +192,7 @@
             }
         }
         foundGroup();
-        timers.after(member == null ? QUERY_INTERVAL_MS : VERIFY_INTERVAL_MS, this::queryGroup);
+        timers.schedule(member == null ? QUERY_INTERVAL_MS : VERIFY_INTERVAL_MS, this::queryGroup);
     }
 
     private long incarnation() {
@@ -327,8 +327,8 @@
             sendGroupInfo(query, replySender);
             return;
         }
-        LivenessChallenges.Challenge challenge = challenges.challenge(sender, query.nonce(), timers.now());
-        switch (challenge.state(timers.now())) {
+        LivenessChallenges.Challenge challenge = challenges.challenge(sender, query.nonce(), timers.nowMs());
+        switch (challenge.state(timers.nowMs())) {
             case PROVEN -> replySender.accept(newMessage(query.nonce(), new Envelope.NameTaken()));
             case EXPIRED -> sendGroupInfo(query, replySender);
             case PENDING -> environment.send(sender, newMessage(0, new Envelope.GroupQuery(challenge.token())));
--- a/src/main/java/whinlead/replication/raft/TimersClock.java
+++ b/src/main/java/whinlead/replication/raft/TimersClock.java
@@ -32,6 +32,6 @@
 
     @Override
     public long millis() {
-        return (long) timers.now();
+        return (long) timers.nowMs();
     }
 }
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -123,7 +123,7 @@
             Recorder recorder =
                     captureConfig == null || onlyCheck ? null : captureConfig.start(config.settings(), Main::log);
             if (recorder != null) {
-                parts.engine.journal(recorder);
+                parts.engine.requestListener(recorder);
             }
             if (!onlyCheck) {
                 // Installed before the listener: once it accepts, a SIGTERM must not abort requests in progress.
@@ -261,7 +261,7 @@
                 loop,
                 config.discovery(),
                 mapper,
-                !settings.listMustBeAsked(),
+                !settings.listMustBeRequested(),
                 config.parseSeed(),
                 config.lastKnownEndpoints(),
                 engine);
--- a/src/main/java/whinlead/run/Warmup.java
+++ b/src/main/java/whinlead/run/Warmup.java
@@ -108,7 +108,7 @@
                 0,
                 true,
                 List.of(new EndpointList.Entry(
-                        new Contract.Server("warm", Contract.Standing.UP, 1, "", 0, 0), endpoint)));
+                        new Contract.Server("warm", Contract.ServerState.UP, 1, "", 0, 0), endpoint)));
         loop.execute(() -> {
             engine.start(() -> {}, list);
             server.ready();
--- a/src/main/java/whinlead/testbed/AlikeDay.java
+++ b/src/main/java/whinlead/testbed/AlikeDay.java
@@ -101,7 +101,7 @@
                 workshops.put("s" + i, new Workshop(script, seed + i, timer));
             }
             entries.add(new EndpointList.Entry(
-                    new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 0), EndpointList.address(dial)));
+                    new Contract.Server("s" + i, Contract.ServerState.UP, 1, "z", 0, 0), EndpointList.address(dial)));
         }
         Bounds bounds = new Bounds(4000, 4000, 10_000, 60_000, 100);
         try (ProcessorRig rig = new ProcessorRig(settings, this::decide, bounds, new EndpointList(1, true, entries))) {
--- a/src/main/java/whinlead/testbed/ConsultSpeed.java
+++ b/src/main/java/whinlead/testbed/ConsultSpeed.java
@@ -98,7 +98,7 @@
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
             entries.add(new EndpointList.Entry(
-                    new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 0),
+                    new Contract.Server("s" + i, Contract.ServerState.UP, 1, "z", 0, 0),
                     EndpointList.address("127.0.0.1:" + (i + 1))));
         }
         return new ProcessorRig(
--- a/src/main/java/whinlead/testbed/DrivenClock.java
+++ b/src/main/java/whinlead/testbed/DrivenClock.java
@@ -8,8 +8,8 @@
     private final Calendar calendar = new Calendar();
 
     @Override
-    public double now() {
-        return calendar.now();
+    public double nowMs() {
+        return calendar.nowMs();
     }
 
     @Override
@@ -18,8 +18,8 @@
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
-        return calendar.after(millis, task);
+    public TimerHandle schedule(double millis, Runnable task) {
+        return calendar.schedule(millis, task);
     }
 
     /** Runs all that falls due until this time, which then is now. */
--- a/src/main/java/whinlead/testbed/DrivenDay.java
+++ b/src/main/java/whinlead/testbed/DrivenDay.java
@@ -77,7 +77,7 @@
         List<Contract.Server> list = new ArrayList<>();
         for (EndpointScript e : fleet) {
             endpoints.put(e.id(), new DrivenEndpoint(e, clock, dice.nextLong()));
-            list.add(new Contract.Server(e.id(), Contract.Standing.UP, 1, "z", 0, 0));
+            list.add(new Contract.Server(e.id(), Contract.ServerState.UP, 1, "z", 0, 0));
         }
         module.servers(0, Contract.ListKind.FULL, list);
         loads.forEach(this::next);
@@ -95,10 +95,10 @@
 
     // Thinning: candidates at the highest rate, of which the share that is due is taken.
     private void next(Load load) {
-        double at = clock.now() - Math.log(1 - dice.nextDouble()) * 1000 / load.most();
+        double at = clock.nowMs() - Math.log(1 - dice.nextDouble()) * 1000 / load.most();
         if (at < length) {
             clock.at(at, () -> {
-                if (dice.nextDouble() * load.most() < load.perSecond().at(clock.now())) {
+                if (dice.nextDouble() * load.most() < load.perSecond().at(clock.nowMs())) {
                     ask(load, 1);
                 }
                 next(load);
@@ -107,7 +107,7 @@
     }
 
     private void ask(Load load, int tries) {
-        double now = clock.now();
+        double now = clock.nowMs();
         double deadline = settings.classes().get(load.classIndex()).deadline();
         Contract.Request r = new Contract.Request(nextId++, load.classIndex(), -1, deadline, tries > 1);
         Held h = new Held(r, load, tries, now + deadline);
@@ -119,10 +119,10 @@
 
     private void end(Held h, Ledger.End end, double retryAfter) {
         h.over = true;
-        ledger.ended(h.request.id, end, clock.now());
+        ledger.ended(h.request.id, end, clock.nowMs());
         double wait = end == Ledger.End.SERVED ? Double.NaN : h.load.habit().wait(h.tries, retryAfter, dice);
         if (!Double.isNaN(wait)) {
-            clock.at(clock.now() + wait, () -> ask(h.load, h.tries + 1));
+            clock.at(clock.nowMs() + wait, () -> ask(h.load, h.tries + 1));
         }
     }
 
@@ -134,7 +134,7 @@
     public void send(Contract.Request request, String server, double within) {
         Held h = held.get(request.id);
         int attempt = h.attemptsEnded.size();
-        double sentAt = clock.now();
+        double sentAt = clock.nowMs();
         h.attemptsEnded.add(false);
         double wait = within > 0 ? Math.min(within, h.endAt - sentAt) : h.endAt - sentAt;
         clock.at(sentAt + wait, () -> ended(h, attempt, sentAt, Contract.Outcome.TIMED_OUT));
@@ -154,7 +154,7 @@
                     @Override
                     public void ends(DrivenEndpoint.End end) {
                         clock.at(
-                                clock.now() + WAY_MS + late(),
+                                clock.nowMs() + WAY_MS + late(),
                                 () -> ended(
                                         h,
                                         attempt,
@@ -177,13 +177,13 @@
         if (outcome == Contract.Outcome.SERVED && !h.over) {
             end(h, Ledger.End.SERVED, 0);
         }
-        module.outcome(clock.now(), h.request, attempt, outcome, clock.now() - sentAt, h.over, null);
+        module.outcome(clock.nowMs(), h.request, attempt, outcome, clock.nowMs() - sentAt, h.over, null);
     }
 
     @Override
     public void cancel(Contract.Request request, int attempt) {
         Held h = held.get(request.id);
-        clock.at(clock.now(), () -> ended(h, attempt, clock.now(), Contract.Outcome.CANCELLED));
+        clock.at(clock.nowMs(), () -> ended(h, attempt, clock.nowMs(), Contract.Outcome.CANCELLED));
     }
 
     @Override
@@ -207,13 +207,13 @@
     }
 
     @Override
-    public void tellPeers(byte[] text) {
+    public void sendToPeers(byte[] text) {
         throw new IllegalStateException("a message where the settings allow none");
     }
 
     @Override
     public void wake(double at) {
-        clock.at(at + late(), () -> module.wake(clock.now()));
+        clock.at(at + late(), () -> module.wake(clock.nowMs()));
     }
 
     @Override
--- a/src/main/java/whinlead/testbed/DrivenEndpoint.java
+++ b/src/main/java/whinlead/testbed/DrivenEndpoint.java
@@ -35,7 +35,7 @@
     }
 
     void arrives(Visitor visitor) {
-        EndpointScript.Kind fault = script.fault(clock.now());
+        EndpointScript.Kind fault = script.fault(clock.nowMs());
         if (fault == EndpointScript.Kind.AWAY) {
             visitor.ends(End.REFUSED);
         } else if (fault == EndpointScript.Kind.RESETTING) {
@@ -62,7 +62,7 @@
     }
 
     private void leaves(Visitor visitor, Workshop.End end) {
-        EndpointScript.Kind fault = script.fault(clock.now());
+        EndpointScript.Kind fault = script.fault(clock.nowMs());
         if (fault == EndpointScript.Kind.SILENT) {
             return;
         }
--- a/src/main/java/whinlead/testbed/Ledger.java
+++ b/src/main/java/whinlead/testbed/Ledger.java
@@ -124,7 +124,7 @@
             }
             ends[e.end.ordinal()]++;
             if (e.end == End.SERVED
-                    && e.endAt - e.askedAt <= classes.get(e.classIndex).aim()) {
+                    && e.endAt - e.askedAt <= classes.get(e.classIndex).latencyTarget()) {
                 good++;
             }
         }
--- a/src/main/java/whinlead/testbed/LoopTimer.java
+++ b/src/main/java/whinlead/testbed/LoopTimer.java
@@ -26,13 +26,13 @@
     }
 
     @Override
-    public double now() {
+    public double nowMs() {
         return (System.nanoTime() - start) / NANOS_IN_MILLI;
     }
 
     @Override
     public void at(double time, Runnable task) {
-        double wait = time - now();
+        double wait = time - nowMs();
         if (wait < AT_ONCE_MS) {
             loop.execute(task);
         } else {
--- a/src/main/java/whinlead/testbed/OpenLoopClients.java
+++ b/src/main/java/whinlead/testbed/OpenLoopClients.java
@@ -112,7 +112,7 @@
 
     /** Begins to ask. */
     void run() {
-        sources.forEach(s -> s.next = timer.now() + gap(s.load));
+        sources.forEach(s -> s.next = timer.nowMs() + gap(s.load));
         step();
     }
 
@@ -129,7 +129,7 @@
 
     private void follow(Iterator<Arrival> arrivals, List<Load> kinds, Arrival due) {
         Arrival next = due;
-        while (next == null || next.at() <= timer.now()) {
+        while (next == null || next.at() <= timer.nowMs()) {
             if (next != null) {
                 ask(kinds.get(next.kind()), 1, next.at());
             }
@@ -149,7 +149,7 @@
 
     /** One more arrives now, beside the loads that it was made with. */
     void request(Load load) {
-        ask(load, 1, timer.now());
+        ask(load, 1, timer.nowMs());
     }
 
     private double gap(Load load) {
@@ -157,7 +157,7 @@
     }
 
     private void step() {
-        double now = timer.now();
+        double now = timer.nowMs();
         for (Source s : sources) {
             for (; s.next <= now && s.next < length; s.next += gap(s.load)) {
                 double due = s.load.perSecond().at(s.next) * Math.min(1, s.next / RAMP_MS);
@@ -193,7 +193,7 @@
     // The next try that waits for a connection; one whose time is up there was never asked of the sidecar.
     private Try nextWaiting() {
         Try t = waiting.pollFirst();
-        while (t != null && t.deadline() <= timer.now()) {
+        while (t != null && t.deadline() <= timer.nowMs()) {
             open--;
             ledger.ended(t.id(), Ledger.End.FAILED, t.deadline());
             t = waiting.pollFirst();
@@ -227,10 +227,10 @@
 
     private void end(Try t, Ledger.End end, double retryAfter) {
         open--;
-        ledger.ended(t.id(), end, timer.now());
+        ledger.ended(t.id(), end, timer.nowMs());
         double wait = end == Ledger.End.SERVED ? Double.NaN : t.load().habit().wait(t.tries(), retryAfter, dice);
         if (!Double.isNaN(wait)) {
-            timer.at(timer.now() + wait, () -> ask(t.load(), t.tries() + 1, timer.now()));
+            timer.at(timer.nowMs() + wait, () -> ask(t.load(), t.tries() + 1, timer.nowMs()));
         }
     }
 
@@ -249,7 +249,7 @@
                     safe ? HttpMethod.GET : HttpMethod.POST,
                     "/api?obj=" + t.id(),
                     Unpooled.EMPTY_BUFFER);
-            double left = Math.max(1, t.deadline() - timer.now());
+            double left = Math.max(1, t.deadline() - timer.nowMs());
             r.headers()
                     .set(HttpHeaderNames.HOST, "origin.svc")
                     .set("Request-Id", Long.toString(t.id()))
--- a/src/main/java/whinlead/testbed/Policies.java
+++ b/src/main/java/whinlead/testbed/Policies.java
@@ -52,7 +52,7 @@
 
             @Override
             void learn(Server s, Contract.RequestClass type, Contract.Outcome outcome, double took) {
-                boolean good = outcome == Contract.Outcome.SERVED && took < type.aim() * AIMD_AIM_SHARE;
+                boolean good = outcome == Contract.Outcome.SERVED && took < type.latencyTarget() * AIMD_AIM_SHARE;
                 s.limit = good
                         ? s.holds * 2 >= s.limit ? Math.min(MAX_AIMD, s.limit + 1 / s.limit) : s.limit
                         : Math.max(1, s.limit * AIMD_CUT);
@@ -103,7 +103,7 @@
             }
             for (Contract.Server e : entries) {
                 up.removeIf(s -> s.id.equals(e.id()));
-                if (e.standing() == Contract.Standing.UP) {
+                if (e.state() == Contract.ServerState.UP) {
                     up.add(new Server(e.id()));
                 }
             }
--- a/src/main/java/whinlead/testbed/ProcessorDay.java
+++ b/src/main/java/whinlead/testbed/ProcessorDay.java
@@ -110,7 +110,7 @@
                         settings,
                         actions -> new Decide(settings, seed, actions),
                         new Bounds(4000, 2000, 2 * requests, 60_000, 100),
-                        list(Contract.Standing.UP))
+                        list(Contract.ServerState.UP))
                 .consulted(front);
     }
 
@@ -152,7 +152,7 @@
         others.submit(() -> proxies.forEach(StandInProxy::programLost)).get();
         processor = processor();
         if (drains.since.containsKey("s0")) {
-            processor.list(list(Contract.Standing.DRAINING));
+            processor.list(list(Contract.ServerState.DRAINING));
         }
         SocketAddress at = processor.address();
         others.submit(() -> {
@@ -166,11 +166,11 @@
                 .get();
     }
 
-    private static EndpointList list(Contract.Standing first) {
+    private static EndpointList list(Contract.ServerState first) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
             entries.add(new EndpointList.Entry(
-                    new Contract.Server("s" + i, i == 0 ? first : Contract.Standing.UP, 1, "z", 0, 0),
+                    new Contract.Server("s" + i, i == 0 ? first : Contract.ServerState.UP, 1, "z", 0, 0),
                     EndpointList.address("127.0.0.1:" + (i + 1))));
         }
         return new EndpointList(1, true, entries);
@@ -240,8 +240,8 @@
             proxies.get(0).die();
         });
         timer.at(DRAIN_AT * length, () -> {
-            drains.since.put("s0", timer.now());
-            processor.list(list(Contract.Standing.DRAINING));
+            drains.since.put("s0", timer.nowMs());
+            processor.list(list(Contract.ServerState.DRAINING));
         });
         return proxies;
     }
--- a/src/main/java/whinlead/testbed/SidecarProcess.java
+++ b/src/main/java/whinlead/testbed/SidecarProcess.java
@@ -162,9 +162,9 @@
                                 case KEYED -> "deduplicated";
                                 case UNSAFE -> "at_most_once";
                             })
-                    .put("group", k.group().name().toLowerCase(Locale.ROOT))
-                    .put("window", k.window())
-                    .put("slo", k.aim())
+                    .put("group", k.dedupGroup().name().toLowerCase(Locale.ROOT))
+                    .put("window", k.dedupWindow())
+                    .put("slo", k.latencyTarget())
                     .put("deadline", k.deadline())
                     .put("value", k.worth())
                     .put("late_worth", k.lateWorth());
@@ -172,7 +172,7 @@
         Contract.Limits l = s.limits();
         settings.putObject("limits")
                 .put("attempts_cap", l.attempts())
-                .put("may_duplicate", l.copies())
+                .put("may_duplicate", l.duplicates())
                 .put("cancel", l.cancel())
                 .put("probes", false)
                 .put("peers", l.peers())
@@ -187,11 +187,11 @@
                 .put("overload_for", o.fallTime())
                 .put("cold_share", o.coldShare())
                 .put("cold", o.coldTime())
-                .put("ask_within", o.askWithin());
+                .put("ask_within", o.requestListWithin());
         ObjectNode reporting = settings.putObject("reporting");
         reporting.put("how", s.reporting() == Contract.Reporting.WITH_ANSWERS ? "inline" : "off");
         reporting.putArray("fields").add("util").add("qps").add("eps");
-        settings.put("discovery", s.listMustBeAsked() ? "ask" : "push")
+        settings.put("discovery", s.listMustBeRequested() ? "ask" : "push")
                 .put("over_share_worth", s.overShareWorth())
                 .put("peers_total", s.sidecars())
                 .put("ordinal", s.ordinal())
--- a/src/main/java/whinlead/testbed/SocketDay.java
+++ b/src/main/java/whinlead/testbed/SocketDay.java
@@ -132,7 +132,10 @@
                             clients.follow(asked.get(i).arrivals(), asked.get(i).habit());
                         }
                         loop.scheduleAtFixedRate(
-                                () -> eachSecond.accept(timer.now(), ledger), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+                                () -> eachSecond.accept(timer.nowMs(), ledger),
+                                TICK_MS,
+                                TICK_MS,
+                                TimeUnit.MILLISECONDS);
                     })
                     .get();
             double longest = settings.classes().stream()
@@ -162,14 +165,15 @@
                 settings.limits(),
                 settings.obligations(),
                 settings.reporting(),
-                settings.listMustBeAsked(),
+                settings.listMustBeRequested(),
                 asked.size(),
                 ordinal);
     }
 
     private static void tell(Notice n, List<SocketEndpoint> endpoints, StandInDiscovery discovery, LoopTimer timer) {
-        long startedAt =
-                Double.isNaN(n.startedAt()) ? 0 : Math.round(System.currentTimeMillis() - timer.now() + n.startedAt());
+        long startedAt = Double.isNaN(n.startedAt())
+                ? 0
+                : Math.round(System.currentTimeMillis() - timer.nowMs() + n.startedAt());
         endpoints.stream()
                 .filter(e -> e.id().equals(n.id()))
                 .findFirst()
--- a/src/main/java/whinlead/testbed/SocketEndpoint.java
+++ b/src/main/java/whinlead/testbed/SocketEndpoint.java
@@ -127,7 +127,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             long id = Long.parseLong(request.headers().get("Request-Id"));
             int k = classNames.indexOf(request.headers().get("Request-Class"));
-            EndpointScript.Kind fault = script.fault(timer.now());
+            EndpointScript.Kind fault = script.fault(timer.nowMs());
             if (fault == EndpointScript.Kind.SILENT) {
                 return;
             }
@@ -168,7 +168,7 @@
     }
 
     private void answer(Channel channel, Workshop.End end) {
-        EndpointScript.Kind fault = script.fault(timer.now());
+        EndpointScript.Kind fault = script.fault(timer.nowMs());
         if (fault == EndpointScript.Kind.SILENT || end == Workshop.End.DIED) {
             return;
         }
--- a/src/main/java/whinlead/testbed/StandInProxy.java
+++ b/src/main/java/whinlead/testbed/StandInProxy.java
@@ -132,7 +132,7 @@
     }
 
     private void request(long id, int classIndex, boolean belated) {
-        double now = timer.now();
+        double now = timer.nowMs();
         One one = new One(id, classIndex, now + timeout, belated);
         open.put(id, one);
         ledger.asked(id, classIndex, now, one.endBy);
@@ -150,7 +150,7 @@
         Map<String, String> arguments = new LinkedHashMap<>();
         arguments.put("id", Long.toString(one.id));
         arguments.put("class", classes.get(one.classIndex));
-        double left = Math.max(1, one.endBy - timer.now());
+        double left = Math.max(1, one.endBy - timer.nowMs());
         arguments.put("timeout_ms", Long.toString((long) left));
         arguments.put("timeout", Double.toString(Math.rint(left) / 1000));
         agent.call("ask", arguments, said -> told(one, said));
@@ -186,7 +186,7 @@
             return;
         }
         Double drained = drains.since.get(endpoint);
-        if (drained != null && timer.now() > drained + grace) {
+        if (drained != null && timer.nowMs() > drained + grace) {
             drains.sentAfterGrace++;
         }
         endpoints.get(endpoint).arrives(new Workshop.Visitor() {
@@ -251,8 +251,8 @@
             one.over = true;
             open.remove(one.id);
             double due = one.endBy - MARGIN_MS;
-            boolean inTime = timer.now() <= due;
-            ledger.ended(one.id, inTime ? how : Ledger.End.FAILED, inTime ? timer.now() : due);
+            boolean inTime = timer.nowMs() <= due;
+            ledger.ended(one.id, inTime ? how : Ledger.End.FAILED, inTime ? timer.nowMs() : due);
         }
     }
 
--- a/src/main/java/whinlead/testbed/Workshop.java
+++ b/src/main/java/whinlead/testbed/Workshop.java
@@ -12,7 +12,7 @@
 final class Workshop {
     /** Time, in milliseconds since the run began, and what is to be done then. */
     interface Timer {
-        double now();
+        double nowMs();
 
         void at(double time, Runnable task);
     }
@@ -68,9 +68,9 @@
 
     void arrives(Visitor visitor) {
         if (working.size() < script.cores()) {
-            work(visitor, timer.now());
+            work(visitor, timer.nowMs());
         } else if (waiting.size() < script.queueMost()) {
-            waiting.add(new Waiting(visitor, timer.now()));
+            waiting.add(new Waiting(visitor, timer.nowMs()));
         } else {
             visitor.ends(End.FULL);
         }
@@ -86,8 +86,8 @@
 
     private void done(Visitor visitor, double due) {
         busy += ((double) working.size() / script.cores() - busy) * REPORT_WEIGHT;
-        gap += (timer.now() - lastDone - gap) * REPORT_WEIGHT;
-        lastDone = timer.now();
+        gap += (timer.nowMs() - lastDone - gap) * REPORT_WEIGHT;
+        lastDone = timer.nowMs();
         // Not there any more if the process died meanwhile.
         if (working.remove(visitor)) {
             double away = script.lines().away().draw(dice, due, visitor.classIndex());
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerEndpoint.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerEndpoint.java
@@ -146,7 +146,7 @@
         }
 
         private void failure(double delayMs, String id, int status, String reason) {
-            calendar.after(delayMs, () -> observer.answeredWithStatus(id, status));
+            calendar.schedule(delayMs, () -> observer.answeredWithStatus(id, status));
             write(
                     delayMs,
                     id,
@@ -155,21 +155,21 @@
         }
 
         private void success(double delayMs, String id, String bytes) {
-            calendar.after(delayMs, () -> observer.answeredWhole(id));
+            calendar.schedule(delayMs, () -> observer.answeredWhole(id));
             write(delayMs, id, bytes);
         }
 
         private void writeTruncated(double delayMs, String id, String bytes) {
             write(delayMs, id, bytes.substring(0, random.nextInt(bytes.length())));
-            calendar.after(delayMs + 1, this::reset);
+            calendar.schedule(delayMs + 1, this::reset);
         }
 
         private void withoutLength(double delayMs, String id, String head, String body, boolean whole) {
             if (whole) {
-                calendar.after(delayMs, () -> observer.answeredWhole(id));
+                calendar.schedule(delayMs, () -> observer.answeredWhole(id));
             }
             write(delayMs, id, head + (whole ? body : body.substring(0, random.nextInt(body.length()))));
-            calendar.after(delayMs + 1, whole ? channel::close : this::reset);
+            calendar.schedule(delayMs + 1, whole ? channel::close : this::reset);
         }
 
         private void reset() {
@@ -180,7 +180,7 @@
         }
 
         private void write(double delayMs, String id, String bytes) {
-            calendar.after(delayMs, () -> {
+            calendar.schedule(delayMs, () -> {
                 observer.stopped(id);
                 if (channel.isActive()) {
                     channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1));
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -59,14 +59,14 @@
         if (state == ReconnectingConnection.State.UP) {
             connection++;
             setState(ReconnectingConnection.State.DOWN);
-            calendar.after(REDIAL_MS, this::dial);
+            calendar.schedule(REDIAL_MS, this::dial);
         }
     }
 
     @Override
     public void dial() {
         setState(ReconnectingConnection.State.DIALLING);
-        calendar.after(DIAL_MS, () -> setState(ReconnectingConnection.State.UP));
+        calendar.schedule(DIAL_MS, () -> setState(ReconnectingConnection.State.UP));
     }
 
     @Override
@@ -84,7 +84,7 @@
     public boolean send(PeerMessage message) {
         byte[] written = PeerMessageCodec.write(message);
         int sentOn = connection;
-        nextArrivalMs = Math.max(nextArrivalMs, calendar.now() + random.nextInt(3));
+        nextArrivalMs = Math.max(nextArrivalMs, calendar.nowMs() + random.nextInt(3));
         calendar.at(nextArrivalMs, () -> {
             PeerMessage read = read(written);
             if (read instanceof PeerMessage.ForwardRequest request) {
@@ -98,7 +98,7 @@
 
     private void answer(int receivedOn, PeerMessage message) {
         byte[] written = PeerMessageCodec.write(message);
-        nextReturnMs = Math.max(nextReturnMs, calendar.now() + random.nextInt(3));
+        nextReturnMs = Math.max(nextReturnMs, calendar.nowMs() + random.nextInt(3));
         calendar.at(nextReturnMs, () -> {
             if (receivedOn == connection) {
                 listener.message(read(written));
@@ -128,7 +128,7 @@
             }
         }));
         if (bug == AnswerBug.GIVES_UP_ON_SILENCE) {
-            calendar.after(SILENCE_MS, () -> {
+            calendar.schedule(SILENCE_MS, () -> {
                 if (!answered[0]) {
                     answered[0] = true;
                     answer.accept(
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -69,7 +69,7 @@
                     Integer.toString(i), 1, 1, "z", "i-" + i, SERVICE, EndpointRecord.Phase.SERVING, CAPACITY, 0));
         }
         RequestForwarder forwarder = new RequestForwarder(
-                calendar, task -> calendar.after(0, task), "near", (request, done) -> {}, this::path, () -> {});
+                calendar, task -> calendar.schedule(0, task), "near", (request, done) -> {}, this::path, () -> {});
         routing = routing(1, PREFIXES, SERVICE);
         sidecar = new ClientSide(calendar, nodeSettings, forwarder, () -> routing, seed);
         sidecar.endpoints(SERVICE, records);
@@ -135,7 +135,7 @@
     }
 
     private void recordViolation(String what) {
-        violations.add("at " + calendar.now() + ": " + what);
+        violations.add("at " + calendar.nowMs() + ": " + what);
     }
 
     private void count(String what) {
@@ -163,7 +163,7 @@
 
     private void terminate() {
         count("SIGTERMs");
-        terminatedAtMs = calendar.now();
+        terminatedAtMs = calendar.nowMs();
         sidecar.terminate();
         if (bug == AnswerBug.ENDS_ON_SIGTERM) {
             end();
@@ -177,7 +177,7 @@
 
     // Whether the rules allow an endpoint's work to be aborted now: in the second half of the grace period.
     private boolean inSecondHalf() {
-        return calendar.now() >= terminatedAtMs + GRACE_S * MS_PER_S / 2;
+        return calendar.nowMs() >= terminatedAtMs + GRACE_S * MS_PER_S / 2;
     }
 
     /** Records what endpoints do. */
@@ -217,7 +217,7 @@
     private final class Request {
         private final String id;
         private final boolean repeatable;
-        private final double sentAtMs = calendar.now();
+        private final double sentAtMs = calendar.nowMs();
         private final double deadlineMs;
         private final AnswerClient client = new AnswerClient(sidecar::accept);
         private final List<Integer> statuses = new ArrayList<>();
@@ -276,7 +276,7 @@
                 recordViolation(id + " has run but was refused");
             }
             boolean own = !success && answer.seal() == null && status != 503 && status != 404;
-            if (own && running > 0 && calendar.now() < deadlineMs - MARGIN_MS && !inSecondHalf()) {
+            if (own && running > 0 && calendar.nowMs() < deadlineMs - MARGIN_MS && !inSecondHalf()) {
                 recordViolation(id + " was answered " + status + " while its endpoint was working on it");
             }
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayCalls.java
@@ -74,7 +74,7 @@
 
     private void run(RpcCall order, Consumer<RpcResponse> answer) {
         String number = ((RpcCall.Depart) order).endpoint();
-        calendar.after(random.nextInt(40), () -> {
+        calendar.schedule(random.nextInt(40), () -> {
             answer.accept(new RpcResponse(200, number.getBytes(StandardCharsets.US_ASCII)));
             channel.runPendingTasks();
             receive();
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayEndpoint.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayEndpoint.java
@@ -60,7 +60,7 @@
         ChannelPromise dial = connection.channel.newPromise();
         boolean refused = random.nextInt(30) == 0;
         double wait = random.nextInt(12) == 0 ? 200 + random.nextInt(600) : random.nextInt(3);
-        calendar.after(
+        calendar.schedule(
                 wait,
                 () -> io.execute(() -> {
                     if (refused) {
@@ -137,7 +137,7 @@
             }
             if (behaviour == 5) {
                 count.accept("resets before the run");
-                calendar.after(delayMs, this::close);
+                calendar.schedule(delayMs, this::close);
                 return;
             }
             started.accept(id);
@@ -147,14 +147,14 @@
                 case 7 -> count.accept("silences");
                 case 8 -> {
                     String part = whole.substring(0, random.nextInt(whole.length()));
-                    calendar.after(delayMs, () -> {
+                    calendar.schedule(delayMs, () -> {
                         // Nothing else may be written before the end: no framing could tell it from the answer's own
                         // bytes.
                         partlyWritten = true;
                         write(part);
                     });
                     count.accept("cut answers");
-                    calendar.after(delayMs + random.nextInt(400), this::close);
+                    calendar.schedule(delayMs + random.nextInt(400), this::close);
                 }
                 case 9 -> writeAfter(delayMs, "ice cream" + HEAD_END, "no answers");
                 case 10 -> writeAfter(delayMs, answer("200 OK", id, "of " + id, ""), "unsealed answers");
@@ -177,7 +177,7 @@
 
         private void reset(double delayMs) {
             count.accept("resets after the run");
-            calendar.after(delayMs, this::close);
+            calendar.schedule(delayMs, this::close);
         }
 
         private void close() {
@@ -187,16 +187,16 @@
         private void writeAfter(double delayMs, String bytes, String what) {
             count.accept(what);
             int cut = random.nextInt(bytes.length() + 1);
-            calendar.after(delayMs, () -> {
+            calendar.schedule(delayMs, () -> {
                 partlyWritten = cut > 0;
                 write(bytes.substring(0, cut));
             });
-            calendar.after(delayMs + random.nextInt(20), () -> {
+            calendar.schedule(delayMs + random.nextInt(20), () -> {
                 // An earlier answer may arrive in place of the next one.
                 if (random.nextInt(10) == 0 && !lastAnswer.isEmpty()) {
                     String late = lastAnswer;
                     count.accept("late surplus answers");
-                    calendar.after(random.nextInt(40), () -> write(partlyWritten ? "" : late));
+                    calendar.schedule(random.nextInt(40), () -> write(partlyWritten ? "" : late));
                 }
                 lastAnswer = bytes;
                 busy = false;
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -80,20 +80,20 @@
         private final Consumer<PeerMessage> answers = this::answer;
 
         private void toFar(Runnable task) {
-            farArrivalMs = Math.max(Math.max(farArrivalMs, heldUntilMs), calendar.now() + 0.2 + random.nextInt(3));
+            farArrivalMs = Math.max(Math.max(farArrivalMs, heldUntilMs), calendar.nowMs() + 0.2 + random.nextInt(3));
             calendar.at(farArrivalMs, () -> far.execute(task));
         }
 
         private void toNear(Runnable task) {
-            nearArrivalMs = Math.max(Math.max(nearArrivalMs, heldUntilMs), calendar.now() + 0.2 + random.nextInt(3));
+            nearArrivalMs = Math.max(Math.max(nearArrivalMs, heldUntilMs), calendar.nowMs() + 0.2 + random.nextInt(3));
             calendar.at(nearArrivalMs, () -> near.execute(task));
         }
 
         private void send(byte[] written) {
-            double sentAt = calendar.now();
+            double sentAt = calendar.nowMs();
             toFar(() -> {
                 if (farOpen) {
-                    firstDelayMs = Double.isNaN(firstDelayMs) ? calendar.now() - sentAt : firstDelayMs;
+                    firstDelayMs = Double.isNaN(firstDelayMs) ? calendar.nowMs() - sentAt : firstDelayMs;
                     farEnd.receive(transit, firstDelayMs, read(written), answers);
                 }
             });
@@ -106,7 +106,7 @@
                 if (due) {
                     send(PeerMessageCodec.write(new PeerMessage.Ping(1, listener.stamp())));
                 }
-                near.after(PING_MS, () -> ping(due ? 1 : periods + 1));
+                near.schedule(PING_MS, () -> ping(due ? 1 : periods + 1));
             }
         }
 
@@ -144,7 +144,7 @@
         setState(ReconnectingConnection.State.DIALLING);
         boolean fails = random.nextInt(8) == 0;
         double wait = random.nextInt(5) == 0 ? 100 + random.nextInt(700) : 1 + random.nextInt(4);
-        calendar.after(
+        calendar.schedule(
                 wait,
                 () -> near.execute(() -> {
                     if (fails) {
@@ -202,7 +202,7 @@
     private void connectionLost() {
         drop();
         setState(ReconnectingConnection.State.DOWN);
-        near.after(REDIAL_MS + random.nextInt((int) REDIAL_MS), this::dial);
+        near.schedule(REDIAL_MS + random.nextInt((int) REDIAL_MS), this::dial);
     }
 
     /** Resets the connection; messages in transit are lost at either end, or arrive. */
@@ -237,7 +237,7 @@
         if (held == null) {
             return;
         }
-        held.heldUntilMs = Math.max(held.heldUntilMs, calendar.now() + durationMs);
+        held.heldUntilMs = Math.max(held.heldUntilMs, calendar.nowMs() + durationMs);
         silence(durationMs);
     }
 
@@ -247,12 +247,12 @@
         if (silent == null || durationMs < SUSPECT_MS) {
             return;
         }
-        near.after(SUSPECT_MS, () -> {
+        near.schedule(SUSPECT_MS, () -> {
             if (connection == silent && state == ReconnectingConnection.State.UP) {
                 setState(ReconnectingConnection.State.SUSPECT);
             }
         });
-        near.after(Math.min(durationMs, DEAD_MS), () -> {
+        near.schedule(Math.min(durationMs, DEAD_MS), () -> {
             if (connection == silent && state == ReconnectingConnection.State.SUSPECT) {
                 if (durationMs > DEAD_MS) {
                     connectionLost();
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -160,7 +160,7 @@
     }
 
     private void recordViolation(String what) {
-        violations.add("at " + calendar.now() + ": " + what);
+        violations.add("at " + calendar.nowMs() + ": " + what);
     }
 
     private void count(String what) {
@@ -179,7 +179,7 @@
         engine.start(() -> {}, null);
         forwarder = new RequestForwarder(
                 near,
-                task -> calendar.after(0, () -> near.execute(task)),
+                task -> calendar.schedule(0, () -> near.execute(task)),
                 "near",
                 (request, done) -> {},
                 (node, ear) -> {
@@ -200,7 +200,7 @@
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < FAR_SIDECARS; i++) {
             entries.add(new EndpointList.Entry(
-                    new Contract.Server(Integer.toString(i), Contract.Standing.UP, 1, "z", -1, 0), null));
+                    new Contract.Server(Integer.toString(i), Contract.ServerState.UP, 1, "z", -1, 0), null));
         }
         engine.list(Contract.ListKind.FULL, new EndpointList(incarnation, true, entries));
     }
@@ -250,9 +250,9 @@
         if (r.answered && r.incarnation == incarnation) {
             recordViolation(r.id + " was written after its caller had been answered");
         }
-        if (request.leftMs() > r.deadlineMs - calendar.now() + 1) {
+        if (request.leftMs() > r.deadlineMs - calendar.nowMs() + 1) {
             recordViolation(r.id + " was written with " + request.leftMs() + " ms, of which it had "
-                    + (r.deadlineMs - calendar.now()));
+                    + (r.deadlineMs - calendar.nowMs()));
         }
     }
 
@@ -282,7 +282,7 @@
     }
 
     private void checkStart(ClientRequest r) {
-        double nowMs = calendar.now();
+        double nowMs = calendar.nowMs();
         recordTime(
                 "a start after its request's time was up"
                         + (r.connectionPrompt ? "" : ", by a connection whose first message had waited"),
@@ -309,7 +309,7 @@
         private final int incarnation = RelayPlay.this.incarnation;
         private final boolean mutating = random.nextInt(3) > 0;
         private final double timeoutMs = 300 + random.nextInt(2500);
-        private final double deadlineMs = calendar.now() + timeoutMs;
+        private final double deadlineMs = calendar.nowMs() + timeoutMs;
         private final int maxEndpoints = 1 + requests.size() % MAX_TRIES;
         private final EndpointAttempts attempts = new EndpointAttempts(maxEndpoints);
         private final Set<Far> endpoints = new HashSet<>();
@@ -324,7 +324,7 @@
         /** The last attempt, and the receiver of its outcome. */
         private RequestForwarder.Sent sent;
 
-        private Outcomes<PeerMessage.ForwardResponse> outcomes;
+        private OutcomeListener<PeerMessage.ForwardResponse> outcomes;
 
         private ClientRequest(String id) {
             this.id = id;
@@ -332,14 +332,14 @@
         }
 
         private void start() {
-            Engine.Held<PeerMessage.ForwardResponse> held =
-                    engine.take(new Request(CLASSES.of(!mutating, 1, 500), -1, timeoutMs, false, 1, 0), this, this);
+            Engine.PendingRequest<PeerMessage.ForwardResponse> held =
+                    engine.accept(new Request(CLASSES.of(!mutating, 1, 500), -1, timeoutMs, false, 1, 0), this, this);
             if (requests.size() % LEAVE_PERIOD == 0) {
-                near.after(random.nextDouble() * timeoutMs, () -> leave(held));
+                near.schedule(random.nextDouble() * timeoutMs, () -> leave(held));
             }
         }
 
-        private void leave(Engine.Held<PeerMessage.ForwardResponse> held) {
+        private void leave(Engine.PendingRequest<PeerMessage.ForwardResponse> held) {
             if (answered) {
                 return;
             }
@@ -352,13 +352,14 @@
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double within, Outcomes<PeerMessage.ForwardResponse> told) {
+        public AttemptHandle send(
+                String endpoint, int attempt, double within, OutcomeListener<PeerMessage.ForwardResponse> told) {
             if (!attempts.mayBeSent()) {
                 told.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
             attempts.sent();
-            double left = bug == Bug.HANDS_OUT_WHOLE_TIME ? timeoutMs : deadlineMs - calendar.now();
+            double left = bug == Bug.HANDS_OUT_WHOLE_TIME ? timeoutMs : deadlineMs - calendar.nowMs();
             PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(
                     0,
                     "POST",
@@ -374,18 +375,18 @@
                     forwarder.send(endpoint, draft, !mutating, message -> attemptEnded(message, told));
             sent = attempted;
             return () -> {
-                boolean written = attempted.giveUp();
+                boolean written = attempted.abort();
                 if (!written) {
                     attempts.neverWritten();
                 }
                 if (!written && bug == Bug.WRITES_AFTER_ANSWER) {
-                    near.after(1, () -> forwarder.send(endpoint, draft, false, message -> {}));
+                    near.schedule(1, () -> forwarder.send(endpoint, draft, false, message -> {}));
                 }
                 return written;
             };
         }
 
-        private void attemptEnded(PeerMessage message, Outcomes<PeerMessage.ForwardResponse> told) {
+        private void attemptEnded(PeerMessage message, OutcomeListener<PeerMessage.ForwardResponse> told) {
             if (message instanceof PeerMessage.ForwardFailure r) {
                 attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.FailureReason.UNREACHED : r.why());
             }
@@ -401,7 +402,7 @@
                 recordViolation(id + " was answered twice");
             }
             answered = true;
-            answeredAtMs = calendar.now();
+            answeredAtMs = calendar.nowMs();
         }
 
         @Override
@@ -458,19 +459,19 @@
         }
 
         private void tick() {
-            forwardedTime.running(process.now());
-            process.after(TICK_MS, this::tick);
+            forwardedTime.running(process.nowMs());
+            process.schedule(TICK_MS, this::tick);
         }
 
         private void receive(
                 TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer) {
             if (message instanceof PeerMessage.Ping ping) {
-                forwardedTime.running(process.now());
-                transit.waited(process.now(), ping.sentAt());
+                forwardedTime.running(process.nowMs());
+                transit.waited(process.nowMs(), ping.sentAt());
             } else if (message instanceof PeerMessage.Cancel cancel) {
                 underWay.cancel(answer, cancel);
             } else if (message instanceof PeerMessage.ForwardRequest request) {
-                int left = forwardedTime.left(process.now(), transit, request);
+                int left = forwardedTime.left(process.nowMs(), transit, request);
                 requests.get(request.headers().get(1)).connectionPrompt = firstWaited < MAX_LATE_MS;
                 if (bug == Bug.COUNTS_FROM_ARRIVAL) {
                     run(request, answer);
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayProcess.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayProcess.java
@@ -31,14 +31,14 @@
     }
 
     @Override
-    public double now() {
-        return calendar.now() + clockOffsetMs;
+    public double nowMs() {
+        return calendar.nowMs() + clockOffsetMs;
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
+    public TimerHandle schedule(double millis, Runnable task) {
         boolean[] cancelled = {false};
-        calendar.after(Math.max(0, millis), whenRunning(dueTimers, () -> {
+        calendar.schedule(Math.max(0, millis), whenRunning(dueTimers, () -> {
             if (!cancelled[0]) {
                 task.run();
             }
@@ -68,14 +68,14 @@
 
     /** Whether the process is frozen. */
     boolean isFrozen() {
-        return calendar.now() < frozenUntilMs;
+        return calendar.nowMs() < frozenUntilMs;
     }
 
     /** Freezes the process for the given time. */
     void freeze(double millis) {
-        frozenUntilMs = calendar.now() + millis;
+        frozenUntilMs = calendar.nowMs() + millis;
         int ownIncarnation = incarnation;
-        calendar.after(millis, () -> {
+        calendar.schedule(millis, () -> {
             if (ownIncarnation == incarnation && !isFrozen()) {
                 boolean timersFirst = random.nextBoolean();
                 drain(timersFirst ? dueTimers : arrivals);
--- a/src/main/java/whinlead/testbed/replication/PointsDay.java
+++ b/src/main/java/whinlead/testbed/replication/PointsDay.java
@@ -124,12 +124,12 @@
                 1,
                 true,
                 List.of(new EndpointList.Entry(
-                        new Contract.Server("e", Contract.Standing.UP, 1, "a", -1, 0),
+                        new Contract.Server("e", Contract.ServerState.UP, 1, "a", -1, 0),
                         new InetSocketAddress("127.0.0.1", 1000))));
     }
 
     private void begin() {
-        truth.asked(ID, world.now() + TIME_MS);
+        truth.asked(ID, world.nowMs() + TIME_MS);
         victim = machines.values().stream()
                 .filter(m -> leads(m) == plan.leads)
                 .findFirst()
@@ -149,18 +149,18 @@
             if (!plan.disk) {
                 victim.loseDisk();
             }
-            world.after(AGAIN_MS, () -> start(victim));
+            world.schedule(AGAIN_MS, () -> start(victim));
         }
     }
 
     // The first asks the one that is to die; later ones ask the others in turn.
     private void ask(SimMachine m, boolean first) {
-        double left = BEGIN_MS + TIME_MS - world.now();
+        double left = BEGIN_MS + TIME_MS - world.nowMs();
         if (over || left < 1) {
             return;
         }
         int mine = ++call;
-        world.after(Math.min(left, RESEND_MS), () -> resend(mine));
+        world.schedule(Math.min(left, RESEND_MS), () -> resend(mine));
         if (!m.alive()) {
             return;
         }
@@ -202,12 +202,12 @@
         heard.add(d.word());
         if (d instanceof Directive.Send send) {
             runs++;
-            truth.ran(ID, true, SimRequestKind.at(plan.kind).keyWindowMs(), world.now());
+            truth.ran(ID, true, SimRequestKind.at(plan.kind).keyWindowMs(), world.nowMs());
             if (m == victim) {
                 reached(Point.SENT);
             }
             int next = call;
-            world.after(RESEND_MS, () -> resend(next));
+            world.schedule(RESEND_MS, () -> resend(next));
             if (!m.alive()) {
                 return;
             }
@@ -225,11 +225,11 @@
                                     end -> told(there, m, () -> heard(next, m, end)))));
         } else if (d instanceof Directive.AlreadyOut || d instanceof Directive.Unknown) {
             int next = call;
-            world.after(RESEND_MS, () -> resend(next));
+            world.schedule(RESEND_MS, () -> resend(next));
         } else {
             over = true;
             if (d instanceof Directive.Refused) {
-                truth.refused(ID, SimRequestKind.at(plan.kind).keyWindowMs(), world.now());
+                truth.refused(ID, SimRequestKind.at(plan.kind).keyWindowMs(), world.nowMs());
             }
         }
     }
@@ -242,7 +242,7 @@
             there.run(() -> m.consultations().ask(peer, ID, new Request(plan.kind, -1, TIME_MS, false), d -> {
                 ends.add(d.word());
                 if (d instanceof Directive.Send) {
-                    truth.ran(ID, true, SimRequestKind.at(plan.kind).keyWindowMs(), world.now());
+                    truth.ran(ID, true, SimRequestKind.at(plan.kind).keyWindowMs(), world.nowMs());
                 }
             }));
         }
--- a/src/main/java/whinlead/testbed/replication/SimCluster.java
+++ b/src/main/java/whinlead/testbed/replication/SimCluster.java
@@ -171,13 +171,14 @@
         drainingEndpoint = random.nextInt(ENDPOINTS);
         machines.stream()
                 .filter(SimMachine::alive)
-                .forEach(machine -> calendar.after(random.nextInt(withinMs), () -> machine.list(endpoints())));
+                .forEach(machine -> calendar.schedule(random.nextInt(withinMs), () -> machine.list(endpoints())));
     }
 
     private EndpointList endpoints() {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            Contract.Standing standing = i == drainingEndpoint ? Contract.Standing.DRAINING : Contract.Standing.UP;
+            Contract.ServerState standing =
+                    i == drainingEndpoint ? Contract.ServerState.DRAINING : Contract.ServerState.UP;
             entries.add(new EndpointList.Entry(
                     new Contract.Server("e" + i, standing, 1, "a", -1, 0),
                     new InetSocketAddress("127.0.0.1", FIRST_ENDPOINT_PORT + i)));
--- a/src/main/java/whinlead/testbed/replication/SimFaults.java
+++ b/src/main/java/whinlead/testbed/replication/SimFaults.java
@@ -74,7 +74,7 @@
         double duplicateShare = random.nextDouble() * MAX_WEATHER_SHARE;
         double delayMs = random.nextInt(DELAY_STEPS) * DELAY_STEP_MS;
         cluster.network().weather(lossShare, duplicateShare, delayMs);
-        calendar.after(
+        calendar.schedule(
                 MIN_WEATHER_MS + random.nextInt(WEATHER_SPREAD_MS),
                 () -> cluster.network().weather(0, 0, 0));
     }
@@ -92,7 +92,7 @@
         }
         reportLinksDown(machine);
         unreachable.add(machine.name());
-        calendar.after(MIN_CUT_MS + random.nextInt(CUT_SPREAD_MS), () -> {
+        calendar.schedule(MIN_CUT_MS + random.nextInt(CUT_SPREAD_MS), () -> {
             cluster.network().heal();
             unreachable.clear();
         });
@@ -114,7 +114,7 @@
             truth.seen("stays away");
         }
         double downMs = MIN_DOWN_MS + random.nextInt(DOWN_SPREAD_MS) + (staysAway ? AWAY_MS : 0);
-        calendar.after(downMs, () -> cluster.start(machine));
+        calendar.schedule(downMs, () -> cluster.start(machine));
     }
 
     // Links that go down are seen at once, or not at all before what is silent is given up.
@@ -123,7 +123,7 @@
             for (SimMachine other : cluster.machines()) {
                 if (other != machine && other.alive()) {
                     SimProcess process = other.process();
-                    calendar.after(
+                    calendar.schedule(
                             random.nextInt(LINK_DOWN_SPREAD_MS),
                             () -> process.run(() -> other.host().down(machine.name())));
                 }
--- a/src/main/java/whinlead/testbed/replication/SimMachine.java
+++ b/src/main/java/whinlead/testbed/replication/SimMachine.java
@@ -172,7 +172,7 @@
                 bug == Bug.BLIND_TO_STANDING_STILL ? process.blind() : process,
                 WAITS,
                 host,
-                (id, ending) -> truth.promised(id, ending, world.now()),
+                (id, ending) -> truth.promised(id, ending, world.nowMs()),
                 (id, step, detail) -> {});
         long seed = dice.nextLong();
         Engine[] made = new Engine[1];
@@ -229,17 +229,17 @@
 
                 @Override
                 public void allow(String endpoint, double valid, Consumer<Verdict> verdict) {
-                    double asked = world.now();
+                    double asked = world.nowMs();
                     told = false;
                     if (bug == Bug.ANSWER_BEFORE_COPY) {
-                        process.after(0, () -> {
+                        process.schedule(0, () -> {
                             told = true;
                             verdict.accept(new Verdict.Granted(0));
                         });
                     }
                     inner.allow(endpoint, valid, v -> {
                         truth.seen(v.getClass().getSimpleName());
-                        if (v instanceof Verdict.Granted && world.now() - asked > valid) {
+                        if (v instanceof Verdict.Granted && world.nowMs() - asked > valid) {
                             truth.broken("told too late");
                         }
                         reached.accept(Point.COPIED);
--- a/src/main/java/whinlead/testbed/replication/SimNet.java
+++ b/src/main/java/whinlead/testbed/replication/SimNet.java
@@ -32,7 +32,7 @@
         boolean twice = dice.nextDouble() < doubled;
         for (int i = 0; i < (twice ? 2 : 1); i++) {
             double delay = QUICK_MS + dice.nextDouble() * SLOW_MS + dice.nextDouble() * late;
-            world.after(delay, () -> {
+            world.schedule(delay, () -> {
                 // What is under way when the link is cut is lost with it.
                 if (!cut.contains(new Link(from, to))) {
                     deliver.run();
--- a/src/main/java/whinlead/testbed/replication/SimProcess.java
+++ b/src/main/java/whinlead/testbed/replication/SimProcess.java
@@ -24,14 +24,14 @@
     }
 
     @Override
-    public double now() {
-        return BEGAN_MS + world.now() + skew;
+    public double nowMs() {
+        return BEGAN_MS + world.nowMs() + skew;
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
+    public TimerHandle schedule(double millis, Runnable task) {
         Calendar.Due[] due = new Calendar.Due[1];
-        due[0] = world.after(Math.max(0, millis), () -> run(task, due));
+        due[0] = world.schedule(Math.max(0, millis), () -> run(task, due));
         return () -> due[0].cancel();
     }
 
@@ -45,7 +45,7 @@
         if (!alive) {
             return;
         }
-        if (world.now() < frozenUntil) {
+        if (world.nowMs() < frozenUntil) {
             due[0] = world.at(frozenUntil, () -> run(task, due));
         } else {
             task.run();
@@ -53,8 +53,8 @@
     }
 
     void freeze(double millis) {
-        double until = Math.max(frozenUntil, world.now() + millis);
-        stood += until - Math.max(frozenUntil, world.now());
+        double until = Math.max(frozenUntil, world.nowMs() + millis);
+        stood += until - Math.max(frozenUntil, world.nowMs());
         frozenUntil = until;
         lastFrozen = frozenUntil;
     }
@@ -65,7 +65,7 @@
     }
 
     boolean frozen() {
-        return world.now() < frozenUntil;
+        return world.nowMs() < frozenUntil;
     }
 
     void kill() {
@@ -80,17 +80,17 @@
     Timers blind() {
         return new Timers() {
             @Override
-            public double now() {
-                return SimProcess.this.now() - stood;
+            public double nowMs() {
+                return SimProcess.this.nowMs() - stood;
             }
 
             @Override
-            public Timer after(double millis, Runnable task) {
-                double due = now() + millis;
-                return SimProcess.this.after(millis, () -> {
-                    if (now() < due) {
+            public TimerHandle schedule(double millis, Runnable task) {
+                double due = nowMs() + millis;
+                return SimProcess.this.schedule(millis, () -> {
+                    if (nowMs() < due) {
                         // It went on while the process stood still.
-                        after(due - now(), task);
+                        schedule(due - nowMs(), task);
                     } else {
                         task.run();
                     }
--- a/src/main/java/whinlead/testbed/replication/SimRequest.java
+++ b/src/main/java/whinlead/testbed/replication/SimRequest.java
@@ -61,22 +61,22 @@
 
     /** The client sends it. */
     void begin() {
-        deadline = calendar.now() + timeoutMs;
+        deadline = calendar.nowMs() + timeoutMs;
         truth.asked(id, deadline);
         ask(cluster.randomMachine());
     }
 
     private void ask(SimMachine machine) {
-        double remaining = deadline - calendar.now();
+        double remaining = deadline - calendar.nowMs();
         if (over || calls >= MAX_CALLS || remaining < 1) {
             return;
         }
         calls++;
         int asked = ++epoch;
         int patience = MIN_PATIENCE_MS + random.nextInt(PATIENCE_SPREAD_MS);
-        calendar.after(Math.min(remaining, patience), () -> resend(asked));
+        calendar.schedule(Math.min(remaining, patience), () -> resend(asked));
         if (!machine.alive()) {
-            calendar.after(1, () -> resend(asked));
+            calendar.schedule(1, () -> resend(asked));
             return;
         }
         SimProcess process = machine.process();
@@ -89,7 +89,7 @@
 
     // On the machine that is asked.
     private void consult(SimMachine machine, SimProcess process, double remaining, int asked) {
-        double askedAt = calendar.now();
+        double askedAt = calendar.nowMs();
         boolean[] answered = new boolean[1];
         machine.consultations()
                 .ask(proxy.peer(), id, new Request(kind.classIndex(), -1, remaining, false), directive -> {
@@ -116,7 +116,7 @@
     }
 
     private void heard(int expectedEpoch, SimMachine machine, Directive directive) {
-        if (expectedEpoch != epoch || over || calendar.now() > deadline) {
+        if (expectedEpoch != epoch || over || calendar.nowMs() > deadline) {
             // The call it answers is closed, or its client has gone: nobody hears it.
             return;
         }
@@ -125,11 +125,11 @@
             send(machine, send);
         } else if (directive instanceof Directive.AlreadyOut) {
             int waiting = epoch;
-            calendar.after(ALREADY_OUT_RETRY_MS, () -> resend(waiting));
+            calendar.schedule(ALREADY_OUT_RETRY_MS, () -> resend(waiting));
         } else {
             over = true;
             if (directive instanceof Directive.Refused && kind.guarded()) {
-                truth.refused(id, kind.keyWindowMs(), calendar.now());
+                truth.refused(id, kind.keyWindowMs(), calendar.nowMs());
             }
         }
     }
@@ -137,10 +137,10 @@
     private void send(SimMachine machine, Directive.Send send) {
         Contract.Outcome outcome = randomOutcome();
         if (!outcome.neverRan) {
-            truth.ran(id, kind.guarded(), kind.keyWindowMs(), calendar.now());
+            truth.ran(id, kind.guarded(), kind.keyWindowMs(), calendar.nowMs());
         }
         int sent = epoch;
-        calendar.after(1 + random.nextInt(MAX_ATTEMPT_MS), () -> {
+        calendar.schedule(1 + random.nextInt(MAX_ATTEMPT_MS), () -> {
             if (outcome == Contract.Outcome.SERVED) {
                 over = true;
             }
--- a/src/main/java/whinlead/transport/EndpointPool.java
+++ b/src/main/java/whinlead/transport/EndpointPool.java
@@ -117,7 +117,7 @@
                 endpoint.closeIdle();
                 endpoint.address = entry.address();
             }
-            endpoint.up = entry.server().standing() == Contract.Standing.UP;
+            endpoint.up = entry.server().state() == Contract.ServerState.UP;
         }
         endpoints.values().removeIf(endpoint -> {
             if (!endpoint.up) {
@@ -131,7 +131,7 @@
     public Transport<HttpAnswer> transport(HttpAsk request) {
         return new Transport<>() {
             @Override
-            public Sending send(String endpoint, int attempt, double within, Outcomes<HttpAnswer> told) {
+            public AttemptHandle send(String endpoint, int attempt, double within, OutcomeListener<HttpAnswer> told) {
                 return EndpointPool.this.send(endpoint, request.attempt(attempt, within), told);
             }
 
@@ -143,14 +143,14 @@
         };
     }
 
-    private Attempt send(String id, FullHttpRequest request, Transport.Outcomes<HttpAnswer> listener) {
+    private Attempt send(String id, FullHttpRequest request, Transport.OutcomeListener<HttpAnswer> listener) {
         Attempt attempt = new Attempt(request, listener);
         Endpoint endpoint = endpoints.get(id);
         if (endpoint == null) {
             attempt.end(Contract.Outcome.NEVER_SENT, null, null);
             return attempt;
         }
-        Connection idle = endpoint.pollIdle(clock.now());
+        Connection idle = endpoint.pollIdle(clock.nowMs());
         if (idle != null) {
             idle.write(attempt);
         } else if (openConnections < budget.may(Budget.Purpose.ENDPOINTS) || closeOldestIdle()) {
@@ -201,7 +201,7 @@
     private void closeExpiredIdle() {
         for (Endpoint endpoint : endpoints.values()) {
             endpoint.maxIdleMs = Math.min(maxIdleMs, endpoint.maxIdleMs * IDLE_LIMIT_REGAIN);
-            double idleBeforeMs = clock.now() - endpoint.maxIdleMs;
+            double idleBeforeMs = clock.nowMs() - endpoint.maxIdleMs;
             while (!endpoint.idle.isEmpty() && endpoint.idle.peekFirst().idleSinceMs < idleBeforeMs) {
                 endpoint.idle.pollFirst().channel.close();
             }
@@ -209,7 +209,7 @@
     }
 
     private void settle(Connection connection) {
-        connection.settlingSinceMs = clock.now();
+        connection.settlingSinceMs = clock.nowMs();
         settling.addLast(connection);
         if (!settleTimerRunning) {
             settleTimerRunning = true;
@@ -220,7 +220,7 @@
     // One timer for all settling connections: at high request rates one timer each cost more than all other work on a
     // request.
     private void releaseSettled() {
-        double settlingBeforeMs = clock.now() - SETTLE_MS;
+        double settlingBeforeMs = clock.nowMs() - SETTLE_MS;
         while (!settling.isEmpty() && settling.peekFirst().settlingSinceMs <= settlingBeforeMs) {
             settling.pollFirst().release();
         }
@@ -277,13 +277,13 @@
     }
 
     /** One attempt at one endpoint. */
-    private final class Attempt implements Transport.Sending {
+    private final class Attempt implements Transport.AttemptHandle {
         private final FullHttpRequest request;
-        private final Transport.Outcomes<HttpAnswer> listener;
+        private final Transport.OutcomeListener<HttpAnswer> listener;
         private Connection connection;
         private boolean ended;
 
-        private Attempt(FullHttpRequest request, Transport.Outcomes<HttpAnswer> listener) {
+        private Attempt(FullHttpRequest request, Transport.OutcomeListener<HttpAnswer> listener) {
             this.request = request;
             this.listener = listener;
         }
@@ -297,7 +297,7 @@
 
         // Closes the connection of the attempt.
         @Override
-        public boolean giveUp() {
+        public boolean abort() {
             if (ended) {
                 return true;
             }
@@ -380,7 +380,7 @@
                     ((ByteBuf) message).release();
                     ctx.close();
                 } else {
-                    lastReadMs = clock.now();
+                    lastReadMs = clock.nowMs();
                     ctx.fireChannelRead(message);
                 }
             }
@@ -395,7 +395,7 @@
             complete = false;
             extraInput = false;
             lastReadMs = 0;
-            idleForMs = idleSinceMs > 0 ? clock.now() - idleSinceMs : 0;
+            idleForMs = idleSinceMs > 0 ? clock.nowMs() - idleSinceMs : 0;
             body.reset();
             channel.writeAndFlush(newAttempt.request).addListener(future -> {
                 if (future.isSuccess()) {
@@ -409,7 +409,7 @@
         // The endpoint may have moved while the connection was in use; a connection to its old address is closed.
         private void release() {
             if (channel.isActive() && endpoint.up && address.equals(endpoint.address)) {
-                idleSinceMs = clock.now();
+                idleSinceMs = clock.nowMs();
                 endpoint.idle.addLast(this);
             } else {
                 channel.close();
@@ -498,7 +498,7 @@
             stallTimer = loop.schedule(
                     () -> {
                         stallTimer = null;
-                        double leftMs = lastReadMs + STALL_TIMEOUT_MS - clock.now();
+                        double leftMs = lastReadMs + STALL_TIMEOUT_MS - clock.nowMs();
                         if (attempt != watched || watched.ended) {
                             return;
                         }
--- a/src/test/java/whinlead/bench/DecideBenchmark.java
+++ b/src/test/java/whinlead/bench/DecideBenchmark.java
@@ -68,7 +68,7 @@
         module.start(0);
         List<Contract.Server> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            list.add(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 0));
+            list.add(new Contract.Server("s" + i, Contract.ServerState.UP, 1, "z", 0, 0));
         }
         module.servers(0, Contract.ListKind.FULL, list);
         for (int i = 0; i < 10_000; i++) {
--- a/src/test/java/whinlead/bench/EngineBenchmark.java
+++ b/src/test/java/whinlead/bench/EngineBenchmark.java
@@ -51,7 +51,7 @@
     private final Request request = new Request(0, -1, Settings.DEADLINE, false);
     private final CountingSink sink = new CountingSink();
     private final Transport<String> transport = (endpoint, attempt, within, told) -> {
-        clock.after(DURATION_MS, () -> told.ended(Contract.Outcome.SERVED, "", null));
+        clock.schedule(DURATION_MS, () -> told.ended(Contract.Outcome.SERVED, "", null));
         return () -> true;
     };
     private Engine engine;
@@ -64,7 +64,7 @@
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             entries.add(new EndpointList.Entry(
-                    new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 0), new InetSocketAddress(1)));
+                    new Contract.Server("s" + i, Contract.ServerState.UP, 1, "z", 0, 0), new InetSocketAddress(1)));
         }
         engine.start(() -> {}, new EndpointList(1, true, entries));
         for (int i = 0; i < WARMUP_REQUESTS; i++) {
@@ -78,8 +78,8 @@
     /** One request, and the events until the next. */
     @Benchmark
     public Object request() {
-        Object pending = engine.take(request, transport, sink);
-        clock.runTo(clock.now() + GAP_MS);
+        Object pending = engine.accept(request, transport, sink);
+        clock.runTo(clock.nowMs() + GAP_MS);
         return pending;
     }
 
--- a/src/test/java/whinlead/capture/CaptureTest.java
+++ b/src/test/java/whinlead/capture/CaptureTest.java
@@ -34,7 +34,7 @@
                     random.nextInt(5000),
                     random.nextInt(70_000),
                     random.nextBoolean(),
-                    RequestListener.End.values()[random.nextInt(4)]));
+                    RequestListener.Result.values()[random.nextInt(4)]));
         }
         return list;
     }
@@ -120,10 +120,10 @@
     void reportsLostEntriesAndBackwardClockJumps() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (CaptureOutput out = new CaptureOutput(bytes, CLASSES)) {
-            out.write(new Entry(5_000_000, 0, -1, 10, 0, false, RequestListener.End.SERVED));
+            out.write(new Entry(5_000_000, 0, -1, 10, 0, false, RequestListener.Result.SERVED));
             out.writeLost(5_100_000, 17);
-            out.write(new Entry(1_000_000, 1, -1, 10, 0, true, RequestListener.End.REFUSED));
-            out.write(new Entry(7_500_000, 1, -1, 10, 0, false, RequestListener.End.LEFT));
+            out.write(new Entry(1_000_000, 1, -1, 10, 0, true, RequestListener.Result.REFUSED));
+            out.write(new Entry(7_500_000, 1, -1, 10, 0, false, RequestListener.Result.LEFT));
         }
         Summary summary = Summary.of(open(bytes.toByteArray()));
         assertEquals(
--- a/src/test/java/whinlead/capture/RecorderTest.java
+++ b/src/test/java/whinlead/capture/RecorderTest.java
@@ -48,19 +48,20 @@
         int count = 5000;
         try (Recorder recorder =
                 new Recorder(CLASSES, new Recorder.Bounds(65_536, 1000, 24_000), this::openNextFile, log::add)) {
-            recorder.over(new Request(0, -1, 500, false).at(1, 3), 100, RequestListener.End.SERVED);
+            recorder.requestEnded(
+                    new Request(0, -1, 500, false).withFreeShareAndBody(1, 3), 100, RequestListener.Result.SERVED);
             for (int i = 1; i < count; i++) {
                 // The requests end in this order, up to 1 s after their arrival.
-                recorder.over(
+                recorder.requestEnded(
                         new Request(i % 2, 2, 700, true),
                         2000 + i * 10 - 1000 * random.nextDouble(),
-                        RequestListener.End.REFUSED);
+                        RequestListener.Result.REFUSED);
             }
         }
         List<Entry> all = writtenEntries();
         assertEquals(count, all.size());
-        assertEquals(new Entry(0, 0, -1, 500, 3, false, RequestListener.End.SERVED), all.get(0));
-        assertEquals(RequestListener.End.REFUSED, all.get(1).outcome());
+        assertEquals(new Entry(0, 0, -1, 500, 3, false, RequestListener.Result.SERVED), all.get(0));
+        assertEquals(RequestListener.Result.REFUSED, all.get(1).outcome());
         assertTrue(files.size() >= count * CaptureOutput.ENTRY_BYTES / 24_000, "files: " + files.size());
         assertTrue(files.stream().allMatch(f -> f.size() <= 24_000 + 100));
         assertTrue(log.isEmpty(), log.toString());
@@ -87,11 +88,11 @@
         int arrivalMs = 0;
         // With a completion window of 0 the second entry causes the first to be written, and the disk stalls.
         while (stalled.getCount() > 0) {
-            recorder.over(new Request(0, -1, 500, false), arrivalMs++, RequestListener.End.SERVED);
+            recorder.requestEnded(new Request(0, -1, 500, false), arrivalMs++, RequestListener.Result.SERVED);
             Thread.onSpinWait();
         }
         while (arrivalMs < count) {
-            recorder.over(new Request(0, -1, 500, false), arrivalMs++, RequestListener.End.SERVED);
+            recorder.requestEnded(new Request(0, -1, 500, false), arrivalMs++, RequestListener.Result.SERVED);
         }
         assertTrue(recorder.lostEntries() > 0, "lost: " + recorder.lostEntries());
         resume.countDown();
@@ -120,11 +121,11 @@
                     logged.countDown();
                 })) {
             for (int arrivalMs = 0; logged.getCount() > 0; arrivalMs++) {
-                recorder.over(new Request(0, -1, 500, false), arrivalMs, RequestListener.End.SERVED);
+                recorder.requestEnded(new Request(0, -1, 500, false), arrivalMs, RequestListener.Result.SERVED);
                 Thread.onSpinWait();
             }
             for (int i = 0; i < 1000; i++) {
-                recorder.over(new Request(0, -1, 500, false), i, RequestListener.End.SERVED);
+                recorder.requestEnded(new Request(0, -1, 500, false), i, RequestListener.Result.SERVED);
             }
             assertTrue(recorder.lostEntries() > 900, "lost: " + recorder.lostEntries());
         }
--- a/src/test/java/whinlead/consult/ConsultRandomEventsTest.java
+++ b/src/test/java/whinlead/consult/ConsultRandomEventsTest.java
@@ -66,7 +66,7 @@
                 assertTrue(classIndex == 0 || runs == 0, "directed to send a request that may have run");
                 assertTrue(classIndex == 0 || !refused, "directed to send a refused request");
                 // A conforming proxy sends while the directive is valid.
-                clock.after(random.nextDouble() * send.validMs(), () -> send(send));
+                clock.schedule(random.nextDouble() * send.validMs(), () -> send(send));
             } else if (directive instanceof Directive.Refused) {
                 refused = true;
                 assertTrue(classIndex == 0 || runs == 0, "refused a request that ran");
@@ -75,17 +75,17 @@
 
         private void send(Directive.Send send) {
             Double drained = drainedAtMs.get(send.endpoint());
-            assertTrue(drained == null || clock.now() <= drained + GRACE_MS, "sent to a drained endpoint");
+            assertTrue(drained == null || clock.nowMs() <= drained + GRACE_MS, "sent to a drained endpoint");
             boolean runs = random.nextInt(RARE_ONE_IN) > 0;
             Outcome truth = runs ? random.nextInt(RARE_ONE_IN) > 0 ? Outcome.SERVED : Outcome.RESET : Outcome.FULL;
             this.runs += runs ? 1 : 0;
             if (random.nextInt(10) == 0) {
                 // The proxy times out on its own and retries, before its report or instead of it.
-                clock.after(random.nextInt(30), this::request);
+                clock.schedule(random.nextInt(30), this::request);
             }
             int reports = random.nextInt(2 * RARE_ONE_IN) == 0 ? 0 : random.nextInt(RARE_ONE_IN) == 0 ? 2 : 1;
             for (int i = 0; i < reports; i++) {
-                clock.after(random.nextInt(40), () -> report(send, truth));
+                clock.schedule(random.nextInt(40), () -> report(send, truth));
             }
         }
 
@@ -101,7 +101,7 @@
             boolean comesAgain = random.nextInt(4) == 0;
             consultations.outcome(id, send.attempt(), send.endpoint(), truth, null, comesAgain ? null : this::directed);
             if (comesAgain && truth != Outcome.SERVED) {
-                clock.after(random.nextInt(20), this::request);
+                clock.schedule(random.nextInt(20), this::request);
             }
         }
     }
@@ -139,9 +139,9 @@
             if (random.nextInt(300) == 0) {
                 consultations.abandoned(proxies[random.nextInt(PROXIES)]);
             }
-            clock.runTo(clock.now() + random.nextDouble() * 2 * GAP_MS);
+            clock.runTo(clock.nowMs() + random.nextDouble() * 2 * GAP_MS);
         }
-        clock.runTo(clock.now() + 3000);
+        clock.runTo(clock.nowMs() + 3000);
         assertTrue(log.stream().noneMatch(l -> l.startsWith("decision failed")), log::toString);
         assertEquals(0, consultations.open());
         for (Peer p : proxies) {
@@ -161,12 +161,13 @@
             boolean drains = i > 1 && random.nextInt(4) == 0;
             String id = "s" + i;
             if (drains) {
-                drainedAtMs.putIfAbsent(id, clock.now());
+                drainedAtMs.putIfAbsent(id, clock.nowMs());
             } else {
                 drainedAtMs.remove(id);
             }
             entries.add(new EndpointList.Entry(
-                    new Contract.Server(id, drains ? Contract.Standing.DRAINING : Contract.Standing.UP, 1, "z", 0, 0),
+                    new Contract.Server(
+                            id, drains ? Contract.ServerState.DRAINING : Contract.ServerState.UP, 1, "z", 0, 0),
                     EndpointList.address("127.0.0.1:" + (i + 1))));
         }
         return new EndpointList(1, true, entries);
--- a/src/test/java/whinlead/consult/ConsultationsTest.java
+++ b/src/test/java/whinlead/consult/ConsultationsTest.java
@@ -47,14 +47,14 @@
         engine = new Engine(clock, SETTINGS, module, list -> consultations.update(list), log::add);
         consultations =
                 new Consultations(engine, clock, SETTINGS, new Bounds(10, 4, 8, REMEMBER_MS, PICK_UP_MS), log::add);
-        engine.start(() -> {}, list(Contract.Standing.UP));
+        engine.start(() -> {}, list(Contract.ServerState.UP));
     }
 
-    private static EndpointList list(Contract.Standing first) {
+    private static EndpointList list(Contract.ServerState first) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             entries.add(new EndpointList.Entry(
-                    new Contract.Server("s" + i, i == 0 ? first : Contract.Standing.UP, 1, "z", 0, 0),
+                    new Contract.Server("s" + i, i == 0 ? first : Contract.ServerState.UP, 1, "z", 0, 0),
                     EndpointList.address("127.0.0.1:" + (1 + i))));
         }
         return new EndpointList(1, true, entries);
@@ -230,12 +230,12 @@
         module.actions.send(module.requests.get(0), "s1", 0);
         consultations.outcome("r", 0, "s1", Outcome.RESET, null, null);
         module.actions.send(module.requests.get(0), "s0", 0);
-        engine.list(Contract.ListKind.FULL, list(Contract.Standing.DRAINING));
-        assertTrue(module.heard.contains("outcome 0/1 NEVER_SENT"));
+        engine.list(Contract.ListKind.FULL, list(Contract.ServerState.DRAINING));
+        assertTrue(module.received.contains("outcome 0/1 NEVER_SENT"));
         ask("r", READ);
         assertEquals(new Directive.AlreadyOut(), lastDirective());
         module.actions.send(module.requests.get(0), "s0", 0);
-        assertEquals("outcome 0/2 NEVER_SENT", module.heard.get(module.heard.size() - 1));
+        assertEquals("outcome 0/2 NEVER_SENT", module.received.get(module.received.size() - 1));
     }
 
     @Test
--- a/src/test/java/whinlead/decide/ColdFleetTest.java
+++ b/src/test/java/whinlead/decide/ColdFleetTest.java
@@ -42,7 +42,7 @@
     /** A server that handles requests one at a time; its speed depends on how warm it is. */
     private final class Server {
         private double startedAtMs;
-        private Contract.Standing standing = Contract.Standing.UP;
+        private Contract.ServerState standing = Contract.ServerState.UP;
         private boolean silent;
         private final ArrayDeque<Double> arrivals = new ArrayDeque<>();
         private double busyUntilMs;
@@ -52,13 +52,13 @@
         }
 
         private double capacity() {
-            double age = clock.now() - startedAtMs;
+            double age = clock.nowMs() - startedAtMs;
             return WARM_CAPACITY_PER_SECOND
                     * (startedAtMs == 0 ? 1 : Math.min(1, COLD_SHARE + (1 - COLD_SHARE) * age / COLD_TIME_MS));
         }
 
         private double recordArrival() {
-            double nowMs = clock.now();
+            double nowMs = clock.nowMs();
             arrivals.add(nowMs);
             while (arrivals.peek() <= nowMs - FALL_TIME_MS) {
                 arrivals.poll();
@@ -100,41 +100,41 @@
         }
 
         private void start() {
-            module.start(clock.now());
+            module.start(clock.nowMs());
             sendServerList();
             scheduleNextRequest();
         }
 
         private void sendServerList() {
             module.servers(
-                    clock.now(),
+                    clock.nowMs(),
                     Contract.ListKind.FULL,
                     servers.entrySet().stream()
-                            .filter(e -> e.getValue().standing != Contract.Standing.GONE)
+                            .filter(e -> e.getValue().standing != Contract.ServerState.GONE)
                             .map(e -> new Contract.Server(
                                     e.getKey(), e.getValue().standing, 1, "z", 0, e.getValue().startedAtMs))
                             .toList());
         }
 
         private void scheduleNextRequest() {
-            clock.after(-Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> {
+            clock.schedule(-Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> {
                 requests++;
-                module.request(clock.now(), new Contract.Request(nextId++, 0, -1, DEADLINE_MS, false));
+                module.request(clock.nowMs(), new Contract.Request(nextId++, 0, -1, DEADLINE_MS, false));
                 scheduleNextRequest();
             });
         }
 
         @Override
         public void send(Contract.Request request, String server, double timeoutMs) {
-            double sentAtMs = clock.now();
+            double sentAtMs = clock.nowMs();
             int attempt = attempts.merge(request.id, 1, Integer::sum) - 1;
             Server target = servers.get(server);
-            sentToNotUp += target.standing == Contract.Standing.UP ? 0 : 1;
+            sentToNotUp += target.standing == Contract.ServerState.UP ? 0 : 1;
             if (target.silent) {
                 clock.at(
                         sentAtMs + CONNECT_TIMEOUT_MS,
                         () -> module.outcome(
-                                clock.now(),
+                                clock.nowMs(),
                                 request,
                                 attempt,
                                 Contract.Outcome.CONNECT_FAILED,
@@ -149,11 +149,11 @@
                 served += answeredAtMs <= sentAtMs + TARGET_MS ? 1 : 0;
                 attempts.remove(request.id);
                 module.outcome(
-                        clock.now(),
+                        clock.nowMs(),
                         request,
                         attempt,
                         late ? Contract.Outcome.TIMED_OUT : Contract.Outcome.SERVED,
-                        clock.now() - sentAtMs,
+                        clock.nowMs() - sentAtMs,
                         true,
                         null);
             });
@@ -161,7 +161,7 @@
 
         @Override
         public void wake(double timeMs) {
-            clock.at(timeMs, () -> module.wake(clock.now()));
+            clock.at(timeMs, () -> module.wake(clock.nowMs()));
         }
     }
 
@@ -190,7 +190,7 @@
         startSidecars(count, 0.7);
         clock.runTo(15_000);
         for (int i = 0; i < 3; i++) {
-            servers.put("new" + i, new Server(clock.now()));
+            servers.put("new" + i, new Server(clock.nowMs()));
         }
         sidecars.forEach(Sidecar::sendServerList);
         clock.runTo(30_000);
@@ -205,7 +205,7 @@
     void coldFleetIsNotOverloadedByNewSidecars(int count) {
         clock.runTo(1);
         for (int i = 0; i < SERVERS; i++) {
-            servers.put("s" + i, new Server(clock.now()));
+            servers.put("s" + i, new Server(clock.nowMs()));
         }
         // More than the servers can handle while cold.
         startSidecars(count, 0.5);
@@ -231,7 +231,7 @@
 
     /** Runs until then and returns the share of its requests that were served within the latency target. */
     private double servedShareUntil(double endMs) {
-        double fromMs = clock.now();
+        double fromMs = clock.nowMs();
         int requestsBefore = requests;
         int servedBefore = served;
         clock.runTo(endMs);
@@ -248,13 +248,13 @@
         List<Server> zone = servers.values().stream().limit(7).toList();
         zone.forEach(s -> s.silent = true);
         double unknown = servedShareUntil(13_000);
-        zone.forEach(s -> s.standing = Contract.Standing.GONE);
+        zone.forEach(s -> s.standing = Contract.ServerState.GONE);
         sendServerLists();
         double known = servedShareUntil(18_000);
         zone.forEach(s -> {
             s.silent = false;
-            s.startedAtMs = clock.now();
-            s.standing = Contract.Standing.UP;
+            s.startedAtMs = clock.nowMs();
+            s.standing = Contract.ServerState.UP;
         });
         sendServerLists();
         double back = servedShareUntil(26_000);
@@ -273,17 +273,17 @@
         startSidecars(count, 0.35);
         clock.runTo(10_000);
         List<Server> old = servers.values().stream().limit(12).toList();
-        old.forEach(s -> s.standing = Contract.Standing.DRAINING);
+        old.forEach(s -> s.standing = Contract.ServerState.DRAINING);
         sendServerLists();
         int before = sentToNotUp;
         double during = 0;
         for (int i = 0; i < 12; i++) {
-            servers.put("n" + i, new Server(clock.now()));
+            servers.put("n" + i, new Server(clock.nowMs()));
             sendServerLists();
-            double share = servedShareUntil(clock.now() + 580);
+            double share = servedShareUntil(clock.nowMs() + 580);
             during += share / 12;
         }
-        old.forEach(s -> s.standing = Contract.Standing.GONE);
+        old.forEach(s -> s.standing = Contract.ServerState.GONE);
         sendServerLists();
         double after = servedShareUntil(25_000);
         assertTrue(sentToNotUp == before, "sent to servers listed as draining: " + (sentToNotUp - before));
@@ -298,7 +298,7 @@
     void lightSidecarIsServedWithoutAnyWarmServer() {
         clock.runTo(1);
         for (int i = 0; i < SERVERS; i++) {
-            servers.put("s" + i, new Server(clock.now()));
+            servers.put("s" + i, new Server(clock.nowMs()));
         }
         sidecars.add(new Sidecar(0, 14, 5));
         sidecars.get(0).start();
--- a/src/test/java/whinlead/decide/ControllerTest.java
+++ b/src/test/java/whinlead/decide/ControllerTest.java
@@ -280,7 +280,7 @@
         drive(rig, 1, 6000, 5, s -> Contract.Outcome.SERVED);
         List<Contract.Server> cold = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            cold.add(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 6000));
+            cold.add(new Contract.Server("s" + i, Contract.ServerState.UP, 1, "z", 0, 6000));
         }
         rig.module.servers(6000, Contract.ListKind.CHANGES, cold);
         int early = total(drive(rig, 6000, 9000, 5, s -> Contract.Outcome.SERVED));
--- a/src/test/java/whinlead/decide/EmbeddingExampleTest.java
+++ b/src/test/java/whinlead/decide/EmbeddingExampleTest.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public void tellPeers(byte[] text) {
+        public void sendToPeers(byte[] text) {
             did.add("tell");
         }
 
@@ -80,7 +80,7 @@
         module.servers(
                 0,
                 Contract.ListKind.FULL,
-                List.of(new Contract.Server("db-1:443", Contract.Standing.UP, 1, "hall", 0, 0)));
+                List.of(new Contract.Server("db-1:443", Contract.ServerState.UP, 1, "hall", 0, 0)));
         Contract.Request request = new Contract.Request(1, 0, -1, 1000, false);
         module.request(5, request);
         module.outcome(25, request, 0, Contract.Outcome.SERVED, 20, true, null);
--- a/src/test/java/whinlead/decide/FleetSumsTest.java
+++ b/src/test/java/whinlead/decide/FleetSumsTest.java
@@ -96,15 +96,15 @@
         }
 
         private void start() {
-            module.start(clock.now());
-            module.servers(clock.now(), Contract.ListKind.FULL, Rig.fleet(SERVERS));
+            module.start(clock.nowMs());
+            module.servers(clock.nowMs(), Contract.ListKind.FULL, Rig.fleet(SERVERS));
             scheduleNextRequest();
         }
 
         private void scheduleNextRequest() {
-            clock.after(-Math.log(1 - random.nextDouble()) * 1000 / PER_SECOND, () -> {
+            clock.schedule(-Math.log(1 - random.nextDouble()) * 1000 / PER_SECOND, () -> {
                 requests++;
-                module.request(clock.now(), new Contract.Request(nextId++, 0, -1, DEADLINE_MS, false));
+                module.request(clock.nowMs(), new Contract.Request(nextId++, 0, -1, DEADLINE_MS, false));
                 scheduleNextRequest();
             });
         }
@@ -112,32 +112,32 @@
         @Override
         public boolean connected(Contract.Request request, String server) {
             ConnectionPool pool = pools.get(server);
-            return pool != null && pool.openCount(clock.now()) > pool.inUse;
+            return pool != null && pool.openCount(clock.nowMs()) > pool.inUse;
         }
 
         @Override
         public void send(Contract.Request request, String server, double timeoutMs) {
-            double sentAtMs = clock.now();
+            double sentAtMs = clock.nowMs();
             int attempt = attempts.merge(request.id, 1, Integer::sum) - 1;
             ConnectionPool pool = pools.computeIfAbsent(server, id -> new ConnectionPool());
             pool.send(sentAtMs);
-            clock.after(ANSWER_MS * (0.5 + random.nextDouble()), () -> {
-                pool.answered(clock.now());
+            clock.schedule(ANSWER_MS * (0.5 + random.nextDouble()), () -> {
+                pool.answered(clock.nowMs());
                 attempts.remove(request.id);
                 module.outcome(
-                        clock.now(), request, attempt, Contract.Outcome.SERVED, clock.now() - sentAtMs, true, null);
+                        clock.nowMs(), request, attempt, Contract.Outcome.SERVED, clock.nowMs() - sentAtMs, true, null);
             });
         }
 
         @Override
         public void probe(String server) {
             probes++;
-            clock.after(1, () -> module.probed(clock.now(), server, Contract.Outcome.SERVED, 1, null));
+            clock.schedule(1, () -> module.probed(clock.nowMs(), server, Contract.Outcome.SERVED, 1, null));
         }
 
         @Override
         public void wake(double timeMs) {
-            clock.at(timeMs, () -> module.wake(clock.now()));
+            clock.at(timeMs, () -> module.wake(clock.nowMs()));
         }
     }
 
@@ -162,7 +162,7 @@
     @CsvSource({"3", "14", "50", "200", "1000"})
     void connectionsAndHandshakesStayWithinTheStatedTotals(int count) {
         run(count, false);
-        double nowMs = clock.now();
+        double nowMs = clock.nowMs();
         double mean = (double) count * expectedSubsetSize(count) / SERVERS;
         int open = 0;
         int opened = 0;
--- a/src/test/java/whinlead/decide/LargeFleetTest.java
+++ b/src/test/java/whinlead/decide/LargeFleetTest.java
@@ -45,7 +45,7 @@
     }
 
     private static Contract.Server server(String id, double size, int cell, double startedAt) {
-        return new Contract.Server(id, Contract.Standing.UP, size, "z", cell, startedAt);
+        return new Contract.Server(id, Contract.ServerState.UP, size, "z", cell, startedAt);
     }
 
     /** How an attempt ends, by server and class. */
@@ -179,14 +179,14 @@
             }
             fleet.add(fleet.get(0));
             if (round % 3 == 0) {
-                fleet.set(1, new Contract.Server("r" + round + "-1", Contract.Standing.DRAINING, 1, "z", 0, 0));
+                fleet.set(1, new Contract.Server("r" + round + "-1", Contract.ServerState.DRAINING, 1, "z", 0, 0));
             }
             rig.module.servers(nowMs, Contract.ListKind.FULL, fleet);
             if (round % 3 == 1) {
                 rig.module.servers(
                         nowMs,
                         Contract.ListKind.CHANGES,
-                        List.of(new Contract.Server("r" + round + "-2", Contract.Standing.GONE, 1, "z", 0, 0)));
+                        List.of(new Contract.Server("r" + round + "-2", Contract.ServerState.GONE, 1, "z", 0, 0)));
             }
             while (inFlight.size() > 10) {
                 Contract.Request request = inFlight.remove(0);
@@ -296,7 +296,7 @@
                     nowMs,
                     Contract.ListKind.CHANGES,
                     List.of(
-                            new Contract.Server("s" + i, Contract.Standing.GONE, 1, "z", 0, 0),
+                            new Contract.Server("s" + i, Contract.ServerState.GONE, 1, "z", 0, 0),
                             server("n" + i, 1, 0, nowMs)));
             drive(
                             rig,
--- a/src/test/java/whinlead/decide/ListHerdTest.java
+++ b/src/test/java/whinlead/decide/ListHerdTest.java
@@ -51,27 +51,27 @@
 
         @Override
         public void watchServers() {
-            double nowMs = clock.now();
+            double nowMs = clock.nowMs();
             calls++;
             callTimesMs.add(nowMs);
             double serviceMs = Math.min(MAX_WAIT_MS / 2, ALL_CALLS_MS / sidecarCount);
             double doneMs = Math.max(busyUntilMs, nowMs) + serviceMs;
             if (nowMs < downUntilMs || doneMs - nowMs > MAX_WAIT_MS) {
-                clock.at(nowMs + 1, () -> module.servers(clock.now(), Contract.ListKind.FAILED, List.of()));
+                clock.at(nowMs + 1, () -> module.servers(clock.nowMs(), Contract.ListKind.FAILED, List.of()));
                 return;
             }
             busyUntilMs = doneMs;
             clock.at(doneMs, () -> {
-                module.servers(clock.now(), Contract.ListKind.FULL, Rig.fleet(10));
+                module.servers(clock.nowMs(), Contract.ListKind.FULL, Rig.fleet(10));
                 informed += hasList ? 0 : 1;
                 hasList = true;
-                lastInformedMs = clock.now();
+                lastInformedMs = clock.nowMs();
             });
         }
 
         @Override
         public void wake(double timeMs) {
-            clock.at(timeMs, () -> module.wake(clock.now()));
+            clock.at(timeMs, () -> module.wake(clock.nowMs()));
         }
     }
 
--- a/src/test/java/whinlead/decide/NoActions.java
+++ b/src/test/java/whinlead/decide/NoActions.java
@@ -23,7 +23,7 @@
     public void watchServers() {}
 
     @Override
-    public void tellPeers(byte[] text) {}
+    public void sendToPeers(byte[] text) {}
 
     @Override
     public void log(String line) {}
