--- a/src/test/java/whinlead/decide/RandomEventsTest.java
+++ b/src/test/java/whinlead/decide/RandomEventsTest.java
@@ -56,7 +56,7 @@
         Contract.Outcome[] outcomes = Contract.Outcome.values();
         List<Out> inFlight = new ArrayList<>();
         Map<Long, Integer> attempts = new HashMap<>();
-        Contract.Standing[] states = new Contract.Standing[12];
+        Contract.ServerState[] states = new Contract.ServerState[12];
         double[] startedAtMs = new double[12];
         double nowMs = 100000;
         rig.checkRules = true;
@@ -95,7 +95,7 @@
                 boolean full = random.nextBoolean();
                 for (int i = 0; i < 12; i++) {
                     if (full || random.nextInt(4) == 0) {
-                        states[i] = Contract.Standing.values()[random.nextInt(3) == 0 ? random.nextInt(3) : 0];
+                        states[i] = Contract.ServerState.values()[random.nextInt(3) == 0 ? random.nextInt(3) : 0];
                         startedAtMs[i] = random.nextInt(4) == 0 ? nowMs : startedAtMs[i];
                         list.add(new Contract.Server("s" + i, states[i], 1, "z" + i % 3, i / 4, startedAtMs[i]));
                     }
@@ -125,14 +125,16 @@
 
     /** Collects the attempts among the newest actions. Each must have gone to a server that is listed as up. */
     private static int collectAttempts(
-            Rig rig, int from, List<Out> inFlight, Map<Long, Integer> attempts, Contract.Standing[] states) {
+            Rig rig, int from, List<Out> inFlight, Map<Long, Integer> attempts, Contract.ServerState[] states) {
         for (int i = from; i < rig.actions.size(); i++) {
             String[] words = rig.actions.get(i).split(" ");
             if (words[0].equals("send")) {
                 Contract.Request request = rig.requests.get(Long.parseLong(words[1]));
                 inFlight.add(new Out(request, attempts.merge(request.id, 1, Integer::sum) - 1, rig.nowMs));
                 assertEquals(
-                        Contract.Standing.UP, states[Integer.parseInt(words[2].substring(1))], "sent to " + words[2]);
+                        Contract.ServerState.UP,
+                        states[Integer.parseInt(words[2].substring(1))],
+                        "sent to " + words[2]);
             }
         }
         return rig.actions.size();
--- a/src/test/java/whinlead/decide/Rig.java
+++ b/src/test/java/whinlead/decide/Rig.java
@@ -74,7 +74,7 @@
     private void checkRepeat(Contract.Request request, String server) {
         Contract.RequestClass requestClass = settings.classes().get(request.classIndex);
         List<Contract.Outcome> attemptOutcomes = outcomes.computeIfAbsent(request.id, x -> new ArrayList<>());
-        if (server != null && !settings.limits().copies() && outstanding(request) > 0) {
+        if (server != null && !settings.limits().duplicates() && outstanding(request) > 0) {
             throw new AssertionError("two attempts in flight for request " + request.id);
         }
         for (int i = 0; i < attemptOutcomes.size(); i++) {
@@ -90,7 +90,7 @@
             if (zone != Integer.parseInt(sentTo.get(request.id).get(i).substring(1)) % 3) {
                 throw new AssertionError("keyed request sent outside its group: " + request.id);
             }
-            if (nowMs > sentAtMs.get(request.id).get(i) + requestClass.window()) {
+            if (nowMs > sentAtMs.get(request.id).get(i) + requestClass.dedupWindow()) {
                 throw new AssertionError("keyed request sent after its deduplication window: " + request.id);
             }
         }
@@ -101,7 +101,7 @@
     }
 
     static Contract.Server upServer(String id) {
-        return new Contract.Server(id, Contract.Standing.UP, 1, "z", 0, 0);
+        return new Contract.Server(id, Contract.ServerState.UP, 1, "z", 0, 0);
     }
 
     static List<Contract.Server> fleet(int count) {
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public void tellPeers(byte[] text) {
+    public void sendToPeers(byte[] text) {
         actions.add("tell " + text.length);
     }
 
--- a/src/test/java/whinlead/decide/RulesTest.java
+++ b/src/test/java/whinlead/decide/RulesTest.java
@@ -71,7 +71,7 @@
             rig.module.start(0);
             List<Contract.Server> fleet = new java.util.ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                fleet.add(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z" + i % 2, 0, 0));
+                fleet.add(new Contract.Server("s" + i, Contract.ServerState.UP, 1, "z" + i % 2, 0, 0));
             }
             rig.module.servers(0, Contract.ListKind.FULL, fleet);
             Contract.Request request = rig.sendRequest(1, 0);
@@ -119,11 +119,11 @@
         rig.module.servers(
                 5,
                 Contract.ListKind.CHANGES,
-                List.of(new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0)));
+                List.of(new Contract.Server("s0", Contract.ServerState.DRAINING, 1, "z", 0, 0)));
         rig.module.servers(
                 6,
                 Contract.ListKind.FULL,
-                List.of(new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0), Rig.upServer("s1")));
+                List.of(new Contract.Server("s0", Contract.ServerState.DRAINING, 1, "z", 0, 0), Rig.upServer("s1")));
         for (int i = 0; i < 50; i++) {
             Contract.Request request = rig.sendRequest(7 + i, 0);
             assertEquals("s1", rig.lastServer(request));
@@ -144,7 +144,7 @@
                 rig.module.servers(
                         nowMs,
                         Contract.ListKind.CHANGES,
-                        List.of(new Contract.Server("s1", Contract.Standing.UP, 1, "z", 0, nowMs)));
+                        List.of(new Contract.Server("s1", Contract.ServerState.UP, 1, "z", 0, nowMs)));
             }
             Contract.Request request = rig.sendRequest(nowMs, 0);
             String server = rig.lastServer(request);
--- a/src/test/java/whinlead/engine/EngineRandomEventsTest.java
+++ b/src/test/java/whinlead/engine/EngineRandomEventsTest.java
@@ -45,7 +45,7 @@
 
         TestRequest(Contract.Effect effect, double timeoutMs, Random random) {
             this.effect = effect;
-            this.endByMs = clock.now() + timeoutMs;
+            this.endByMs = clock.nowMs() + timeoutMs;
             this.random = random;
         }
 
@@ -53,7 +53,7 @@
             endCount++;
             assertEquals(1, endCount);
             assertTrue(!abandoned, "an answer after the request was abandoned");
-            assertTrue(clock.now() <= endByMs, "an answer after the client's time-out");
+            assertTrue(clock.nowMs() <= endByMs, "an answer after the client's time-out");
         }
 
         @Override
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public Sending send(String endpoint, int attempt, double timeoutMs, Outcomes<String> listener) {
+        public AttemptHandle send(String endpoint, int attempt, double timeoutMs, OutcomeListener<String> listener) {
             assertEquals(0, endCount, "an attempt was sent after the answer");
             assertEquals(attempts.size(), attempt);
             assertTrue(
@@ -85,7 +85,7 @@
             Outcome outcome = faulty ? FAULTS[random.nextInt(FAULTS.length)] : Outcome.SERVED;
             boolean written = random.nextInt(4) > 0;
             if (random.nextInt(FAULT_EVERY) > 0) {
-                clock.after(random.nextInt(40), () -> end(attempt, outcome, listener));
+                clock.schedule(random.nextInt(40), () -> end(attempt, outcome, listener));
             }
             return () -> {
                 attempts.set(attempt, written ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED);
@@ -94,7 +94,7 @@
         }
 
         // As required of a transport, the outcome of an aborted attempt is not reported.
-        private void end(int attempt, Outcome outcome, Outcomes<String> listener) {
+        private void end(int attempt, Outcome outcome, OutcomeListener<String> listener) {
             if (attempts.get(attempt) == null) {
                 attempts.set(attempt, outcome);
                 listener.ended(outcome, outcome == Outcome.SERVED ? "answer" : null, null);
@@ -174,9 +174,10 @@
                     new TestRequest(settings.classes().get(classIndex).effect(), timeoutMs, random);
             all.add(request);
             accepted++;
-            Engine.Held<String> pending = engine.take(new Request(classIndex, -1, timeoutMs, false), request, request);
+            Engine.PendingRequest<String> pending =
+                    engine.accept(new Request(classIndex, -1, timeoutMs, false), request, request);
             if (random.nextInt(10) == 0) {
-                clock.after(random.nextInt(100), () -> {
+                clock.schedule(random.nextInt(100), () -> {
                     request.abandoned |= request.endCount == 0;
                     pending.abandon();
                 });
@@ -184,9 +185,9 @@
             if (random.nextInt(100) == 0) {
                 engine.list(Contract.ListKind.FULL, list(random));
             }
-            clock.runTo(clock.now() + random.nextDouble() * 2 * GAP_MS);
+            clock.runTo(clock.nowMs() + random.nextDouble() * 2 * GAP_MS);
         }
-        clock.runTo(clock.now() + 2000);
+        clock.runTo(clock.nowMs() + 2000);
         assertEquals(List.of(), log);
         assertTrue(all.stream().allMatch(o -> o.endCount == (o.abandoned ? 0 : 1)));
         int sent = all.stream().mapToInt(o -> o.attempts.size()).sum();
@@ -199,7 +200,8 @@
     private static EndpointList list(Random random) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            Contract.Standing state = random.nextInt(4) == 0 ? Contract.Standing.DRAINING : Contract.Standing.UP;
+            Contract.ServerState state =
+                    random.nextInt(4) == 0 ? Contract.ServerState.DRAINING : Contract.ServerState.UP;
             entries.add(new EndpointList.Entry(
                     new Contract.Server("s" + i, state, 1, "z", 0, 0), InetSocketAddress.createUnresolved("none", 1)));
         }
--- a/src/test/java/whinlead/engine/EngineTest.java
+++ b/src/test/java/whinlead/engine/EngineTest.java
@@ -42,8 +42,8 @@
                 log::add);
     }
 
-    private Engine.Held<String> accept(int classIndex) {
-        return engine.take(new Request(classIndex, -1, TIMEOUT_MS, false), transport, front);
+    private Engine.PendingRequest<String> accept(int classIndex) {
+        return engine.accept(new Request(classIndex, -1, TIMEOUT_MS, false), transport, front);
     }
 
     private void send(String server) {
@@ -59,7 +59,7 @@
         transport.sent.get(0).end(Outcome.RESET);
         clock.runTo(10 * TIMEOUT_MS);
         assertEquals(List.of("served answer"), front.results);
-        assertEquals(List.of("request 0", "outcome 0/0 SERVED over"), module.heard);
+        assertEquals(List.of("request 0", "outcome 0/0 SERVED over"), module.received);
     }
 
     @Test
@@ -75,7 +75,7 @@
         accept(READ);
         clock.runTo(TIMEOUT_MS);
         assertEquals(List.of("failed"), front.results);
-        assertEquals(List.of("request 0", "abandoned 0"), module.heard);
+        assertEquals(List.of("request 0", "abandoned 0"), module.received);
         send("a");
         assertTrue(transport.sent.isEmpty(), "no attempt is sent after the request has ended");
     }
@@ -86,7 +86,7 @@
         send("a");
         clock.runTo(TIMEOUT_MS);
         assertTrue(transport.sent.get(0).aborted);
-        assertEquals("outcome 0/0 TIMED_OUT", module.heard.get(1));
+        assertEquals("outcome 0/0 TIMED_OUT", module.received.get(1));
         assertEquals(List.of("failed"), front.results);
     }
 
@@ -96,7 +96,7 @@
         module.actions.send(module.requests.get(0), "a", 50);
         transport.sent.get(0).written = false;
         clock.runTo(60);
-        assertEquals("outcome 0/0 CONNECT_FAILED", module.heard.get(1));
+        assertEquals("outcome 0/0 CONNECT_FAILED", module.received.get(1));
         module.actions.refuse(module.requests.get(0), 300);
         assertEquals(List.of("refused 300"), front.results);
     }
@@ -127,7 +127,7 @@
             send("a");
         }
         assertEquals(3, transport.sent.size());
-        assertEquals("outcome 0/4 NEVER_SENT", module.heard.get(module.heard.size() - 1));
+        assertEquals("outcome 0/4 NEVER_SENT", module.received.get(module.received.size() - 1));
     }
 
     @Test
@@ -138,12 +138,12 @@
         transport.sent.get(1).end(Outcome.SERVED);
         transport.sent.get(0).end(Outcome.SERVED);
         assertEquals(List.of("served answer"), front.results);
-        assertEquals(List.of("request 0", "outcome 0/1 SERVED over", "outcome 0/0 SERVED over"), module.heard);
+        assertEquals(List.of("request 0", "outcome 0/1 SERVED over", "outcome 0/0 SERVED over"), module.received);
     }
 
     @Test
     void abandonedRequestHasNoAnswerAndIsReportedOnce() {
-        Engine.Held<String> pending = accept(READ);
+        Engine.PendingRequest<String> pending = accept(READ);
         send("a");
         pending.abandon();
         pending.abandon();
@@ -154,7 +154,7 @@
         assertEquals(List.of(), front.results);
         assertEquals(
                 List.of("request 0", "abandoned 0", "outcome 0/1 NEVER_SENT over", "outcome 0/0 SERVED over"),
-                module.heard);
+                module.received);
     }
 
     @Test
@@ -162,7 +162,7 @@
         List<String> answers = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             int number = i;
-            engine.take(new Request(READ, -1, TIMEOUT_MS, false), transport, new ResponseSink<String>() {
+            engine.accept(new Request(READ, -1, TIMEOUT_MS, false), transport, new ResponseSink<String>() {
                 @Override
                 public void served(String answer) {
                     answers.add("served " + number);
@@ -209,14 +209,14 @@
         };
         // Ends during the call that sends it, as for an unknown endpoint.
         engineWith(sendingModule)
-                .take(
+                .accept(
                         new Request(READ, -1, TIMEOUT_MS, false),
                         (endpoint, attempt, timeoutMs, listener) -> {
                             listener.ended(Outcome.NEVER_SENT, null, null);
                             return () -> false;
                         },
                         front);
-        assertEquals(List.of("request 0", "outcome 0/0 NEVER_SENT"), sendingModule.heard);
+        assertEquals(List.of("request 0", "outcome 0/0 NEVER_SENT"), sendingModule.received);
     }
 
     @Test
@@ -227,11 +227,11 @@
                 throw new IllegalStateException("on purpose");
             }
         };
-        engineWith(throwingModule).take(new Request(READ, -1, TIMEOUT_MS, false), transport, front);
+        engineWith(throwingModule).accept(new Request(READ, -1, TIMEOUT_MS, false), transport, front);
         assertTrue(log.get(0).startsWith("decision failed: java.lang.IllegalStateException: on purpose"));
         clock.runTo(TIMEOUT_MS);
         assertEquals(List.of("failed"), front.results);
-        assertFalse(throwingModule.heard.isEmpty());
+        assertFalse(throwingModule.received.isEmpty());
     }
 
     @Test
@@ -241,9 +241,9 @@
         module.actions.watchServers();
         engine.outOfReach();
         assertEquals(List.of("watch"), watchCalls);
-        assertEquals(List.of("start", "servers FAILED 0"), module.heard);
+        assertEquals(List.of("start", "servers FAILED 0"), module.received);
         engine.list(Contract.ListKind.FULL, new EndpointList(1, true, List.of()));
         assertEquals(List.of(0), listSizes);
-        assertEquals("servers FULL 0", module.heard.get(2));
+        assertEquals("servers FULL 0", module.received.get(2));
     }
 }
--- a/src/test/java/whinlead/engine/ScriptedModule.java
+++ b/src/test/java/whinlead/engine/ScriptedModule.java
@@ -7,7 +7,7 @@
 /** A module driven by a test; it records the events that it receives. */
 public class ScriptedModule implements Contract.Events {
     /** The events in order, as text. */
-    public final List<String> heard = new ArrayList<>();
+    public final List<String> received = new ArrayList<>();
     /** The requests received. */
     public final List<Contract.Request> requests = new ArrayList<>();
     /** Carries out the decisions; set by the test. */
@@ -15,17 +15,17 @@
 
     @Override
     public void start(double nowMs) {
-        heard.add("start");
+        received.add("start");
     }
 
     @Override
     public void servers(double nowMs, Contract.ListKind kind, List<Contract.Server> entries) {
-        heard.add("servers " + kind + " " + entries.size());
+        received.add("servers " + kind + " " + entries.size());
     }
 
     @Override
     public void request(double nowMs, Contract.Request request) {
-        heard.add("request " + request.id);
+        received.add("request " + request.id);
         requests.add(request);
     }
 
@@ -38,32 +38,32 @@
             double durationMs,
             boolean finished,
             Contract.Report report) {
-        heard.add("outcome " + request.id + "/" + attempt + " " + outcome + (finished ? " over" : ""));
+        received.add("outcome " + request.id + "/" + attempt + " " + outcome + (finished ? " over" : ""));
     }
 
     @Override
     public void streaming(double nowMs, Contract.Request request, int attempt) {
-        heard.add("streaming " + request.id + "/" + attempt);
+        received.add("streaming " + request.id + "/" + attempt);
     }
 
     @Override
     public void abandoned(double nowMs, Contract.Request request) {
-        heard.add("abandoned " + request.id);
+        received.add("abandoned " + request.id);
     }
 
     @Override
     public void probed(
             double nowMs, String server, Contract.Outcome outcome, double durationMs, Contract.Report report) {
-        heard.add("probed " + server + " " + outcome);
+        received.add("probed " + server + " " + outcome);
     }
 
     @Override
     public void message(double nowMs, int from, byte[] message) {
-        heard.add("message");
+        received.add("message");
     }
 
     @Override
     public void wake(double nowMs) {
-        heard.add("wake");
+        received.add("wake");
     }
 }
--- a/src/test/java/whinlead/engine/ScriptedTransport.java
+++ b/src/test/java/whinlead/engine/ScriptedTransport.java
@@ -7,15 +7,15 @@
 /** A transport that records the attempts; a test sets their outcomes. */
 final class ScriptedTransport implements Transport<String> {
     /** One attempt. */
-    static final class Sent implements Sending {
+    static final class Sent implements AttemptHandle {
         final String endpoint;
         final int attempt;
         final double timeoutMs;
-        final Outcomes<String> listener;
+        final OutcomeListener<String> listener;
         boolean written = true;
         boolean aborted;
 
-        private Sent(String endpoint, int attempt, double timeoutMs, Outcomes<String> listener) {
+        private Sent(String endpoint, int attempt, double timeoutMs, OutcomeListener<String> listener) {
             this.endpoint = endpoint;
             this.attempt = attempt;
             this.timeoutMs = timeoutMs;
@@ -27,7 +27,7 @@
         }
 
         @Override
-        public boolean giveUp() {
+        public boolean abort() {
             aborted = true;
             return written;
         }
@@ -36,7 +36,7 @@
     final List<Sent> sent = new ArrayList<>();
 
     @Override
-    public Sending send(String endpoint, int attempt, double timeoutMs, Outcomes<String> listener) {
+    public AttemptHandle send(String endpoint, int attempt, double timeoutMs, OutcomeListener<String> listener) {
         Sent attempted = new Sent(endpoint, attempt, timeoutMs, listener);
         sent.add(attempted);
         return attempted;
--- a/src/test/java/whinlead/front/extproc/ExtProcStreamTest.java
+++ b/src/test/java/whinlead/front/extproc/ExtProcStreamTest.java
@@ -116,7 +116,7 @@
                         1,
                         true,
                         List.of(new EndpointList.Entry(
-                                new Contract.Server("s0", Contract.Standing.UP, 1, "z", 0, 0),
+                                new Contract.Server("s0", Contract.ServerState.UP, 1, "z", 0, 0),
                                 EndpointList.address("127.0.0.1:81")))));
         return made;
     }
--- a/src/test/java/whinlead/membership/RosterTest.java
+++ b/src/test/java/whinlead/membership/RosterTest.java
@@ -20,7 +20,7 @@
 
 /** Malformed and stale lists, and their effect on the last accepted one. */
 class RosterTest {
-    private static EndpointList.Entry entry(String id, Contract.Standing standing) {
+    private static EndpointList.Entry entry(String id, Contract.ServerState standing) {
         return new EndpointList.Entry(
                 new Contract.Server(id, standing, 1, "z", 0, 0), new InetSocketAddress("127.0.0.1", 7001));
     }
@@ -28,7 +28,7 @@
     private static EndpointList list(long seq, boolean whole, String... ids) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (String id : ids) {
-            entries.add(entry(id, Contract.Standing.UP));
+            entries.add(entry(id, Contract.ServerState.UP));
         }
         return new EndpointList(seq, whole, entries);
     }
@@ -70,7 +70,7 @@
                 roster.accept(new EndpointList(
                         2,
                         false,
-                        List.of(entry("s0", Contract.Standing.GONE), entry("one-more", Contract.Standing.UP)))),
+                        List.of(entry("s0", Contract.ServerState.GONE), entry("one-more", Contract.ServerState.UP)))),
                 "in place of one that is gone");
         String[] more = Arrays.copyOf(most, most.length + 1);
         more[most.length] = "t";
@@ -82,16 +82,16 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void acceptedListsReproduceTheSourceDespiteStaleAndMalformedLists(long seed) {
         Random random = new Random(seed);
-        Map<String, Contract.Standing> truth = new HashMap<>();
-        Map<String, Contract.Standing> accepted = new HashMap<>();
+        Map<String, Contract.ServerState> truth = new HashMap<>();
+        Map<String, Contract.ServerState> accepted = new HashMap<>();
         List<EndpointList> past = new ArrayList<>();
         Roster roster = new Roster(null);
         long seq = 0;
         int acceptedCount = 0;
         for (int i = 0; i < 3000; i++) {
             String id = "s" + random.nextInt(40);
-            Contract.Standing newStanding = Contract.Standing.values()[random.nextInt(3)];
-            if (newStanding == Contract.Standing.GONE) {
+            Contract.ServerState newStanding = Contract.ServerState.values()[random.nextInt(3)];
+            if (newStanding == Contract.ServerState.GONE) {
                 truth.remove(id);
             } else {
                 truth.put(id, newStanding);
@@ -118,8 +118,8 @@
                 }
                 sent.entries().forEach(e -> {
                     accepted.remove(e.server().id());
-                    if (e.server().standing() != Contract.Standing.GONE) {
-                        accepted.put(e.server().id(), e.server().standing());
+                    if (e.server().state() != Contract.ServerState.GONE) {
+                        accepted.put(e.server().id(), e.server().state());
                     }
                 });
             }
@@ -132,8 +132,8 @@
 
     private static List<EndpointList.Entry> withDuplicate(List<EndpointList.Entry> all) {
         List<EndpointList.Entry> more = new ArrayList<>(all);
-        more.add(entry("x", Contract.Standing.UP));
-        more.add(entry("x", Contract.Standing.DRAINING));
+        more.add(entry("x", Contract.ServerState.UP));
+        more.add(entry("x", Contract.ServerState.DRAINING));
         return more;
     }
 }
--- a/src/test/java/whinlead/mesh/control/ConsensusTickerTest.java
+++ b/src/test/java/whinlead/mesh/control/ConsensusTickerTest.java
@@ -20,12 +20,12 @@
         private Runnable task;
 
         @Override
-        public double now() {
+        public double nowMs() {
             return now;
         }
 
         @Override
-        public Timer after(double millis, Runnable action) {
+        public TimerHandle schedule(double millis, Runnable action) {
             assertEquals(dueAtMs, Double.POSITIVE_INFINITY, "two timers are pending");
             dueAtMs = now + millis;
             task = action;
@@ -55,15 +55,15 @@
         busy = false;
         ticker = new ConsensusTicker(
                 timers,
-                () -> (long) (timers.now() * NANOS_PER_MILLI),
-                () -> actionTimesMs.add(timers.now()),
+                () -> (long) (timers.nowMs() * NANOS_PER_MILLI),
+                () -> actionTimesMs.add(timers.nowMs()),
                 () -> busy);
         ticker.noteActivity();
     }
 
     private int countActions(double durationMs) {
         int before = actionTimesMs.size();
-        timers.advanceTo(timers.now() + durationMs);
+        timers.advanceTo(timers.nowMs() + durationMs);
         return actionTimesMs.size() - before;
     }
 
@@ -81,7 +81,7 @@
     public void activityWhileIdleIsFollowedByActionAtOnce() {
         countActions(30_000);
         ticker.noteActivity();
-        double activityAtMs = timers.now();
+        double activityAtMs = timers.nowMs();
         countActions(200);
         double firstActionMs = actionTimesMs.stream()
                 .filter(at -> at > activityAtMs)
@@ -107,9 +107,9 @@
     public void activityFromItsOwnActionAddsNoTimer() {
         ticker = new ConsensusTicker(
                 timers,
-                () -> (long) (timers.now() * NANOS_PER_MILLI),
+                () -> (long) (timers.nowMs() * NANOS_PER_MILLI),
                 () -> {
-                    actionTimesMs.add(timers.now());
+                    actionTimesMs.add(timers.nowMs());
                     ticker.noteActivity();
                 },
                 () -> false);
--- a/src/test/java/whinlead/mesh/control/KeyChecker.java
+++ b/src/test/java/whinlead/mesh/control/KeyChecker.java
@@ -31,7 +31,7 @@
     }
 
     void check() {
-        calendar.after(CHECK_INTERVAL_MS, () -> {
+        calendar.schedule(CHECK_INTERVAL_MS, () -> {
             for (int key = 0; key <= KeyRange.MAX_KEY; key += KEY_STEP) {
                 check(key);
             }
@@ -40,7 +40,7 @@
     }
 
     private void check(int key) {
-        double nowMs = calendar.now();
+        double nowMs = calendar.nowMs();
         SimulatedEndpoint.Holding holding = null;
         SimulatedEndpoint holder = null;
         for (SimulatedEndpoint endpoint : endpoints) {
--- a/src/test/java/whinlead/mesh/control/KeyMesh.java
+++ b/src/test/java/whinlead/mesh/control/KeyMesh.java
@@ -54,7 +54,7 @@
                 long connection,
                 Runnable deliver) {
             // The process may be suspended between this decision and the write.
-            calendar.after(random.nextDouble() * MAX_SEND_DELAY_MS, () -> {
+            calendar.schedule(random.nextDouble() * MAX_SEND_DELAY_MS, () -> {
                 double arrivalMs = Math.max(lastMs, sender.sendTimeMs() + 1 + random.nextInt(scenario.maxDelayMs()));
                 double undelayedMs = arrivalMs;
                 while (sidecar >= 0 && !scenario.isReachable(sidecar, control, arrivalMs)
@@ -92,7 +92,7 @@
             }
             Decision decided = new Decision(first ? 0 : 3, 1, new byte[0], List.of(), voters);
             DutyPromise promise = fault == Fault.VOTES_LOST_AT_RESTART ? DutyPromise.NONE : disk[0];
-            duty = new KeyDuty(this::now, this::isConfirmed, id, decided, promise, this::record, this::send);
+            duty = new KeyDuty(this::nowMs, this::isConfirmed, id, decided, promise, this::record, this::send);
             tick();
         }
 
@@ -100,7 +100,7 @@
             int reached = 0;
             for (int other = 0; other < controls.length; other++) {
                 reached += other == index
-                                || controls[other].isUp() && scenario.isCoreReachable(index, other, calendar.now())
+                                || controls[other].isUp() && scenario.isCoreReachable(index, other, calendar.nowMs())
                         ? 1
                         : 0;
             }
@@ -108,7 +108,7 @@
         }
 
         private void record(DutyPromise promise, Runnable onRecorded) {
-            calendar.after(
+            calendar.schedule(
                     1 + random.nextInt(10),
                     () -> run(() -> {
                         disk[0] = promise;
@@ -129,7 +129,7 @@
         }
 
         private void tick() {
-            after(CONTROL_TICK_MS, () -> {
+            schedule(CONTROL_TICK_MS, () -> {
                 duty.tick();
                 tick();
             });
@@ -211,8 +211,8 @@
         }
 
         private void tick() {
-            after(SIDECAR_TICK_MS, () -> {
-                gate.tick(now());
+            schedule(SIDECAR_TICK_MS, () -> {
+                gate.tick(nowMs());
                 keys.tick();
                 for (int key = index * 7; key <= KeyRange.MAX_KEY; key += KEY_STEP * 5) {
                     keys.admit(key < 5000 ? key : key % 9000);
@@ -314,7 +314,7 @@
             Sidecar localSidecar = sidecars[index];
             if (endpoints[index] == source && localSidecar != null) {
                 localSidecar.run(() -> {
-                    localSidecar.gate.heartbeat(localSidecar.now(), source.id(), status);
+                    localSidecar.gate.heartbeat(localSidecar.nowMs(), source.id(), status);
                     localSidecar.keys.tick();
                 });
             }
@@ -330,7 +330,7 @@
         Connection connection = new Connection(sidecar, controlIndex, number);
         opened[sidecar][controlIndex] = connection;
         Sidecar process = sidecars[sidecar];
-        calendar.after(5, () -> {
+        calendar.schedule(5, () -> {
             if (!connection.isOpen() || !controls[controlIndex].isUp()) {
                 return;
             }
@@ -361,7 +361,7 @@
             case FREEZE_SIDECAR -> sidecars[index].freeze(event.durationMs());
             case RESTART_CONTROL -> {
                 controls[index].kill();
-                calendar.after(event.durationMs(), () -> {
+                calendar.schedule(event.durationMs(), () -> {
                     controls[index].kill();
                     controls[index] = new Control(index, disks[index], fault == Fault.VOTES_LOST_AT_RESTART);
                     for (int sidecar = 0; sidecar < sidecars.length; sidecar++) {
@@ -374,20 +374,20 @@
             case RESTART_SIDECAR -> {
                 if (sidecars[index] != null) {
                     sidecars[index].kill();
-                    calendar.after(event.durationMs(), () -> startSidecar(index));
+                    calendar.schedule(event.durationMs(), () -> startSidecar(index));
                 }
             }
             case CRASH_ENDPOINT -> {
                 endpoints[index].crash();
-                calendar.after(
+                calendar.schedule(
                         event.durationMs(),
-                        () -> endpoints[index] = endpoint(index, "endpoint-" + index + "-" + calendar.now()));
+                        () -> endpoints[index] = endpoint(index, "endpoint-" + index + "-" + calendar.nowMs()));
             }
             case DRAIN_ENDPOINT -> {
                 endpoints[index].drain();
-                calendar.after(
+                calendar.schedule(
                         event.durationMs(),
-                        () -> endpoints[index] = endpoint(index, "endpoint-" + index + "-" + calendar.now()));
+                        () -> endpoints[index] = endpoint(index, "endpoint-" + index + "-" + calendar.nowMs()));
             }
             case START_SIDECAR -> {
                 if (sidecars[index] == null) {
--- a/src/test/java/whinlead/mesh/control/SimulatedEndpoint.java
+++ b/src/test/java/whinlead/mesh/control/SimulatedEndpoint.java
@@ -53,7 +53,7 @@
     }
 
     private void scheduleHeartbeat() {
-        calendar.after(HEARTBEAT_MS * (0.9 + random.nextDouble() * 0.2), () -> {
+        calendar.schedule(HEARTBEAT_MS * (0.9 + random.nextDouble() * 0.2), () -> {
             if (up) {
                 String phase = draining ? "draining" : "serving";
                 sidecar.accept(this, new RpcCall.EndpointStatus(service, "z", CAPACITY, phase, 0, ++heartbeatCount));
@@ -69,7 +69,8 @@
             }
         }
         highestFence.put(range, fence);
-        holdings.put(range, new Holding(fence, calendar.now() + holdMs * clockLagFactor, grantedBy, calendar.now()));
+        holdings.put(
+                range, new Holding(fence, calendar.nowMs() + holdMs * clockLagFactor, grantedBy, calendar.nowMs()));
         return OK;
     }
 
@@ -81,7 +82,7 @@
     /** The holding that contains the key now; null if this endpoint does not hold it. */
     Holding holdingOf(int key) {
         Holding holding = holdings.get(key);
-        return up && holding != null && holding.untilMs() > calendar.now() ? holding : null;
+        return up && holding != null && holding.untilMs() > calendar.nowMs() ? holding : null;
     }
 
     void drain() {
--- a/src/test/java/whinlead/mesh/control/SimulatedEndpointKeys.java
+++ b/src/test/java/whinlead/mesh/control/SimulatedEndpointKeys.java
@@ -46,13 +46,13 @@
 
     @Override
     public void grant(GrantCall call, DoubleUnaryOperator holdMs, GrantListener listener) {
-        double writtenAtMs = sidecar.now();
+        double writtenAtMs = sidecar.nowMs();
         double requestedMs = holdMs.applyAsDouble(writtenAtMs);
         if (requestedMs <= 0) {
-            sidecar.after(0, listener::failed);
+            sidecar.schedule(0, listener::failed);
             return;
         }
-        calendar.after(random.nextDouble() * MAX_SEND_DELAY_MS, () -> {
+        calendar.schedule(random.nextDouble() * MAX_SEND_DELAY_MS, () -> {
             if (sidecar.isUp()) {
                 calendar.at(sidecar.sendTimeMs(), () -> deliverGrant(call, writtenAtMs, requestedMs, listener));
             }
@@ -91,7 +91,7 @@
     // Drops the answer if the endpoint has been replaced meanwhile.
     private void answer(double afterMs, Runnable listener) {
         int requestGeneration = generation;
-        calendar.after(
+        calendar.schedule(
                 afterMs,
                 () -> sidecar.run(() -> {
                     if (requestGeneration == generation) {
--- a/src/test/java/whinlead/mesh/control/SimulatedProcess.java
+++ b/src/test/java/whinlead/mesh/control/SimulatedProcess.java
@@ -25,13 +25,13 @@
     }
 
     @Override
-    public double now() {
-        return clockOffsetMs + calendar.now() * clockRate;
+    public double nowMs() {
+        return clockOffsetMs + calendar.nowMs() * clockRate;
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
-        return calendar.after(millis / clockRate, () -> run(task));
+    public TimerHandle schedule(double millis, Runnable task) {
+        return calendar.schedule(millis / clockRate, () -> run(task));
     }
 
     /** Runs a task; if the process is suspended, runs it on resumption; if the process has ended, never. */
@@ -39,7 +39,7 @@
         if (!up) {
             return;
         }
-        if (calendar.now() < frozenUntilMs) {
+        if (calendar.nowMs() < frozenUntilMs) {
             calendar.at(frozenUntilMs, () -> run(task));
         } else {
             task.run();
@@ -47,13 +47,13 @@
     }
 
     final void freeze(double durationMs) {
-        frozenUntilMs = Math.max(frozenUntilMs, calendar.now() + durationMs);
+        frozenUntilMs = Math.max(frozenUntilMs, calendar.nowMs() + durationMs);
         resumedAtMs = frozenUntilMs;
     }
 
     /** When a message sent now leaves the process. */
     final double sendTimeMs() {
-        return Math.max(frozenUntilMs, calendar.now());
+        return Math.max(frozenUntilMs, calendar.nowMs());
     }
 
     /** When the process last resumed, or will resume, in simulated time. */
--- a/src/test/java/whinlead/mesh/sidecar/AlignedTimersTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/AlignedTimersTest.java
@@ -23,12 +23,12 @@
         private double now = 1_000_003.7;
 
         @Override
-        public double now() {
+        public double nowMs() {
             return now;
         }
 
         @Override
-        public Timer after(double delayMs, Runnable task) {
+        public TimerHandle schedule(double delayMs, Runnable task) {
             ScheduledTask scheduled = new ScheduledTask(now + Math.max(0, delayMs), task);
             tasks.add(scheduled);
             return () -> tasks.remove(scheduled);
@@ -53,9 +53,9 @@
     }
 
     private static void startModule(Timers timers, Random random, List<Double> periodsMs) {
-        double startMs = timers.now();
-        timers.after(PERIOD_MS * (0.9 + 0.2 * random.nextDouble()), () -> {
-            periodsMs.add(timers.now() - startMs);
+        double startMs = timers.nowMs();
+        timers.schedule(PERIOD_MS * (0.9 + 0.2 * random.nextDouble()), () -> {
+            periodsMs.add(timers.nowMs() - startMs);
             startModule(timers, random, periodsMs);
         });
     }
@@ -65,7 +65,7 @@
         ManualTimers manualTimers = new ManualTimers();
         Timers alignedTimers = new AlignedTimers(manualTimers, PERIOD_MS);
         List<Double> periodsMs = new ArrayList<>();
-        double startMs = manualTimers.now();
+        double startMs = manualTimers.nowMs();
         for (int i = 0; i < 4; i++) {
             startModule(alignedTimers, new Random(i), periodsMs);
         }
@@ -80,10 +80,10 @@
     @Test
     public void ticksFollowTheGivenPhase() {
         ManualTimers manualTimers = new ManualTimers();
-        double tickMs = manualTimers.now() + 13.2;
+        double tickMs = manualTimers.nowMs() + 13.2;
         Timers alignedTimers = new AlignedTimers(manualTimers, PERIOD_MS, tickMs);
         List<Double> firedMs = new ArrayList<>();
-        alignedTimers.after(PERIOD_MS, () -> firedMs.add(manualTimers.now()));
+        alignedTimers.schedule(PERIOD_MS, () -> firedMs.add(manualTimers.nowMs()));
         manualTimers.runTo(tickMs + 10 * PERIOD_MS);
         assertEquals(firedMs.size(), 1);
         assertEquals(Math.IEEEremainder(firedMs.get(0) - tickMs, PERIOD_MS), 0, 0.001);
@@ -94,11 +94,11 @@
         ManualTimers manualTimers = new ManualTimers();
         Timers alignedTimers = new AlignedTimers(manualTimers, PERIOD_MS);
         List<Double> firedMs = new ArrayList<>();
-        double startMs = manualTimers.now();
+        double startMs = manualTimers.nowMs();
         for (double delayMs : new double[] {0, 7, 30, 50, 1234.5}) {
-            alignedTimers.after(delayMs, () -> firedMs.add(manualTimers.now() - startMs));
+            alignedTimers.schedule(delayMs, () -> firedMs.add(manualTimers.nowMs() - startMs));
         }
-        alignedTimers.after(60, () -> firedMs.add(-1.0)).cancel();
+        alignedTimers.schedule(60, () -> firedMs.add(-1.0)).cancel();
         manualTimers.runTo(startMs + 2000);
         assertEquals(firedMs.size(), 5);
         for (int i = 0; i < 5; i++) {
--- a/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
@@ -178,11 +178,11 @@
         for (int i = 0; i < 3; i++) {
             receive(get("/a"));
             respond(i, "");
-            calendar.runTo(calendar.now() + IDLE_MS * 4 / 5);
+            calendar.runTo(calendar.nowMs() + IDLE_MS * 4 / 5);
             connection.tick();
             assertTrue(channel.isActive());
         }
-        calendar.runTo(calendar.now() + IDLE_MS / 5 + 1);
+        calendar.runTo(calendar.nowMs() + IDLE_MS / 5 + 1);
         connection.tick();
         assertFalse(channel.isActive());
     }
--- a/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -51,13 +51,13 @@
         @Override
         public void dial() {
             super.dial();
-            calendar.after(connectMs, () -> changeState(ReconnectingConnection.State.UP));
+            calendar.schedule(connectMs, () -> changeState(ReconnectingConnection.State.UP));
         }
 
         @Override
         public boolean send(PeerMessage message) {
             if (message instanceof PeerMessage.ForwardRequest forwardRequest) {
-                written.add(new Written(this, calendar.now(), forwardRequest));
+                written.add(new Written(this, calendar.nowMs(), forwardRequest));
                 reaction.accept(this, forwardRequest);
             } else if (message instanceof PeerMessage.Cancel cancel) {
                 cancels.add(cancel);
@@ -86,7 +86,7 @@
         RequestClasses classes = new RequestClasses();
         RequestForwarder forwarder = new RequestForwarder(
                 calendar,
-                task -> calendar.after(0, task),
+                task -> calendar.schedule(0, task),
                 "here",
                 (forwardRequest, done) -> {},
                 (node, pathListener) -> new Path(pathListener),
@@ -152,8 +152,8 @@
     }
 
     private void runTo(double endMs) {
-        while (calendar.now() < endMs) {
-            calendar.runTo(Math.min(endMs, calendar.now() + 1));
+        while (calendar.nowMs() < endMs) {
+            calendar.runTo(Math.min(endMs, calendar.nowMs() + 1));
             collectOutput();
         }
     }
@@ -167,16 +167,16 @@
 
     /** The time of the response; fails if there is none by {@code endMs}. */
     private double awaitAnswer(double endMs) {
-        while (sentText.isEmpty() && calendar.now() < endMs) {
-            runTo(calendar.now() + 1);
+        while (sentText.isEmpty() && calendar.nowMs() < endMs) {
+            runTo(calendar.nowMs() + 1);
         }
         assertTrue(!sentText.isEmpty(), "no response until " + endMs);
-        return calendar.now();
+        return calendar.nowMs();
     }
 
     private void resetAfter(double delayMs) {
         reaction = (path, forwardRequest) ->
-                calendar.after(delayMs, () -> path.changeState(ReconnectingConnection.State.DOWN));
+                calendar.schedule(delayMs, () -> path.changeState(ReconnectingConnection.State.DOWN));
     }
 
     @DataProvider
@@ -193,7 +193,7 @@
         List<String> paths = List.of("/once/", "/twice/", "/thrice/");
         for (int tries = 1; tries <= paths.size(); tries++) {
             start();
-            reaction = (path, forwardRequest) -> calendar.after(delayMs, () -> path.changeState(nextState));
+            reaction = (path, forwardRequest) -> calendar.schedule(delayMs, () -> path.changeState(nextState));
             receive(requestWithoutBody(paths.get(tries - 1), ""));
             awaitAnswer(DEADLINE_MS);
             runTo(2 * DEADLINE_MS);
@@ -213,9 +213,9 @@
     @Test
     public void answerAfterSilenceIsAcceptedWhenNoOtherEndpointIsAllowed() {
         reaction = (path, forwardRequest) -> {
-            calendar.after(300, () -> path.changeState(ReconnectingConnection.State.SUSPECT));
-            calendar.after(900, () -> path.changeState(ReconnectingConnection.State.UP));
-            calendar.after(
+            calendar.schedule(300, () -> path.changeState(ReconnectingConnection.State.SUSPECT));
+            calendar.schedule(900, () -> path.changeState(ReconnectingConnection.State.UP));
+            calendar.schedule(
                     1800,
                     () -> path.listener.message(new PeerMessage.ForwardResponse(
                             forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
@@ -228,7 +228,7 @@
 
     @Test
     public void rejectionBySidecarDoesNotCountAsATry() {
-        reaction = (path, forwardRequest) -> calendar.after(1, () -> {
+        reaction = (path, forwardRequest) -> calendar.schedule(1, () -> {
             if (written.size() == 1) {
                 path.listener.message(
                         new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.FULL, 0, 0));
@@ -372,7 +372,7 @@
 
     @Test
     public void answeredRequestIsNotCancelled() {
-        reaction = (path, forwardRequest) -> calendar.after(
+        reaction = (path, forwardRequest) -> calendar.schedule(
                 5,
                 () -> path.listener.message(new PeerMessage.ForwardResponse(
                         forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -231,7 +231,7 @@
         receive(0, bytes);
         assertEquals(results, List.of(expected), name);
         connections.get(0).close();
-        calendar.runTo(calendar.now() + 2 * TIMEOUT_MS);
+        calendar.runTo(calendar.nowMs() + 2 * TIMEOUT_MS);
         assertEquals(results, List.of(expected), name + ", reported once");
         connections.get(0).checkException();
         assertEquals(sentRequestCount(), 1);
--- a/src/test/java/whinlead/mesh/sidecar/RequestFairnessTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestFairnessTest.java
@@ -45,14 +45,14 @@
         @Override
         public void dial() {
             super.dial();
-            calendar.after(1, () -> changeState(ReconnectingConnection.State.UP));
+            calendar.schedule(1, () -> changeState(ReconnectingConnection.State.UP));
         }
 
         @Override
         public boolean send(PeerMessage message) {
             PeerMessage.ForwardRequest forwardRequest = (PeerMessage.ForwardRequest) message;
             sentRequests.add(forwardRequest);
-            calendar.after(
+            calendar.schedule(
                     1,
                     () -> listener.message(new PeerMessage.ForwardResponse(
                             forwardRequest.stream(), 200, List.of("Server-Seal", "s"), new byte[0], 0, 0)));
@@ -73,7 +73,7 @@
         sentRequests = new ArrayList<>();
         RequestForwarder forwarder = new RequestForwarder(
                 calendar,
-                task -> calendar.after(0, task),
+                task -> calendar.schedule(0, task),
                 "here",
                 (forwardRequest, done) -> {},
                 (node, pathListener) -> new AnsweringPath(pathListener),
@@ -120,10 +120,10 @@
         });
         String request = "GET " + path + "x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\n" + headers + "\r\n";
         client.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.ISO_8859_1));
-        double endMs = calendar.now() + ANSWER_WITHIN_MS;
+        double endMs = calendar.nowMs() + ANSWER_WITHIN_MS;
         ByteBuf answer = client.readOutbound();
-        while (answer == null && calendar.now() < endMs) {
-            calendar.runTo(calendar.now() + 1);
+        while (answer == null && calendar.nowMs() < endMs) {
+            calendar.runTo(calendar.nowMs() + 1);
             answer = client.readOutbound();
         }
         int status =
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -73,10 +73,10 @@
         }
     }
 
-    private Transport.Sending send(String id, boolean repeatable) {
+    private Transport.AttemptHandle send(String id, boolean repeatable) {
         PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(
                 0, "POST", "/x", List.of("Attempt-Id", id), new byte[0], TIMEOUT_MS, "svc", "i-1", 0);
-        Transport.Sending sending = forwarder.send(
+        Transport.AttemptHandle sending = forwarder.send(
                 "there",
                 draft,
                 repeatable,
@@ -123,8 +123,8 @@
 
     @Test
     public void requestGivenUpWhileWaitingIsNotSent() {
-        Transport.Sending a = send("a", false);
-        assertFalse(a.giveUp(), "it was not written");
+        Transport.AttemptHandle a = send("a", false);
+        assertFalse(a.abort(), "it was not written");
         paths.get(0).changeState(ReconnectingConnection.State.UP);
         assertEquals(paths.get(0).sent.size(), 0);
         assertEquals(results, List.of());
@@ -133,8 +133,8 @@
     @Test
     public void requestGivenUpAfterWritingMayRunAndItsLateAnswerIsIgnored() {
         RecordingPath path = openPath();
-        Transport.Sending a = send("a", false);
-        assertTrue(a.giveUp(), "it was written and may run");
+        Transport.AttemptHandle a = send("a", false);
+        assertTrue(a.abort(), "it was written and may run");
         send("b", false);
         path.listener.message(answer(path.sent.get(0)));
         assertEquals(results, List.of());
--- a/src/test/java/whinlead/mesh/sidecar/RetryBudgetTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RetryBudgetTest.java
@@ -62,14 +62,14 @@
         @Override
         public void dial() {
             super.dial();
-            calendar.after(1, () -> changeState(ReconnectingConnection.State.UP));
+            calendar.schedule(1, () -> changeState(ReconnectingConnection.State.UP));
         }
 
         @Override
         public boolean send(PeerMessage message) {
             PeerMessage.ForwardRequest request = (PeerMessage.ForwardRequest) message;
             arrivalsByAttemptId.merge(EndpointRequestEncoder.attemptId(request), 1, Integer::sum);
-            calendar.after(
+            calendar.schedule(
                     1, () -> listener.message(new PeerMessage.ForwardFailure(request.stream(), failureReason, 0, 0)));
             return true;
         }
@@ -81,7 +81,7 @@
         arrivalsByAttemptId.clear();
         RequestForwarder forwarder = new RequestForwarder(
                 calendar,
-                task -> calendar.after(0, task),
+                task -> calendar.schedule(0, task),
                 "here",
                 (request, done) -> {},
                 (node, listener) -> new RejectingPath(listener),
@@ -123,7 +123,7 @@
             });
             String request = "GET /x/y HTTP/1.1\r\nHost: h\r\nAttempt-Id: a-" + i + "\r\n\r\n";
             client.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.ISO_8859_1));
-            calendar.runTo(calendar.now() + (double) WINDOW_MS / REQUESTS);
+            calendar.runTo(calendar.nowMs() + (double) WINDOW_MS / REQUESTS);
         }
     }
 
--- a/src/test/java/whinlead/mesh/sidecar/ServiceBalancerSettingsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerSettingsTest.java
@@ -97,7 +97,7 @@
         module.start(nowMs);
         List<Contract.Server> servers = new ArrayList<>();
         for (String id : List.of("a", "b", "c")) {
-            servers.add(new Contract.Server(id, Contract.Standing.UP, 1, "z", -1, 0));
+            servers.add(new Contract.Server(id, Contract.ServerState.UP, 1, "z", -1, 0));
         }
         module.servers(nowMs, Contract.ListKind.FULL, servers);
     }
--- a/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
@@ -21,13 +21,13 @@
         private int firedTimers;
 
         @Override
-        public double now() {
-            return calendar.now();
+        public double nowMs() {
+            return calendar.nowMs();
         }
 
         @Override
-        public Timer after(double delayMs, Runnable task) {
-            return calendar.after(delayMs, () -> {
+        public TimerHandle schedule(double delayMs, Runnable task) {
+            return calendar.schedule(delayMs, () -> {
                 firedTimers++;
                 task.run();
             });
--- a/src/test/java/whinlead/mesh/sidecar/TicklessModuleTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/TicklessModuleTest.java
@@ -91,7 +91,7 @@
         }
 
         @Override
-        public void tellPeers(byte[] text) {
+        public void sendToPeers(byte[] text) {
             decisions.add(nowMs + " peers");
         }
 
@@ -126,7 +126,7 @@
     private static void listServers(ManualDriver driver, int count) {
         List<Contract.Server> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            entries.add(new Contract.Server("server-" + i, Contract.Standing.UP, 1, "zone", -1, 0));
+            entries.add(new Contract.Server("server-" + i, Contract.ServerState.UP, 1, "zone", -1, 0));
         }
         driver.events.servers(driver.nowMs, Contract.ListKind.FULL, entries);
     }
--- a/src/test/java/whinlead/plan/FrontModelTest.java
+++ b/src/test/java/whinlead/plan/FrontModelTest.java
@@ -32,14 +32,14 @@
 
         private Job(Calendar calendar) {
             this.calendar = calendar;
-            this.arrivedAtMs = calendar.now();
+            this.arrivedAtMs = calendar.nowMs();
         }
 
         @Override
         public void accept(FrontModel.End how) {
             endCount++;
             end = how;
-            timeMs = calendar.now() - arrivedAtMs;
+            timeMs = calendar.nowMs() - arrivedAtMs;
         }
     }
 
@@ -173,11 +173,11 @@
         double capacity = 0;
         double speed = 1;
         for (int i = 0; i < 5000; i++) {
-            double before = calendar.now();
+            double before = calendar.nowMs();
             calendar.runTo(before + random.nextDouble() * 4);
-            capacity += (calendar.now() - before) * cores * speed;
+            capacity += (calendar.nowMs() - before) * cores * speed;
             assertTrue(front.workDone() <= capacity + 1e-6, "work done, at most " + capacity);
-            assertTrue(front.coreTime() <= calendar.now() * cores + 1e-6);
+            assertTrue(front.coreTime() <= calendar.nowMs() * cores + 1e-6);
             assertTrue(front.visitCount() <= room);
             switch (random.nextInt(12)) {
                 case 0 -> {
@@ -207,7 +207,7 @@
             }
         }
         front.speed(1);
-        calendar.runTo(calendar.now() + 1e6);
+        calendar.runTo(calendar.nowMs() + 1e6);
         assertEquals(0, front.visitCount());
         for (Job j : jobs) {
             assertEquals(withdrawn.contains(j) ? 0 : 1, j.endCount, "each visit ends once, or not at all if withdrawn");
--- a/src/test/java/whinlead/replication/ReplicationClientTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -24,13 +24,13 @@
     private final List<String> steps = new ArrayList<>();
     private final Timers timers = new Timers() {
         @Override
-        public double now() {
-            return clock.now();
+        public double nowMs() {
+            return clock.nowMs();
         }
 
         @Override
-        public Timer after(double millis, Runnable task) {
-            Calendar.Due due = clock.after(Math.max(0, millis), task);
+        public TimerHandle schedule(double millis, Runnable task) {
+            Calendar.Due due = clock.schedule(Math.max(0, millis), task);
             return due::cancel;
         }
     };
@@ -168,12 +168,12 @@
                 "b/1",
                 new Timers() {
                     @Override
-                    public double now() {
+                    public double nowMs() {
                         return nowMs[0];
                     }
 
                     @Override
-                    public Timer after(double millis, Runnable task) {
+                    public TimerHandle schedule(double millis, Runnable task) {
                         return () -> {};
                     }
                 },
--- a/src/test/java/whinlead/replication/raft/GroupHostTest.java
+++ b/src/test/java/whinlead/replication/raft/GroupHostTest.java
@@ -76,13 +76,13 @@
         }
 
         @Override
-        public double now() {
-            return clock.now();
+        public double nowMs() {
+            return clock.nowMs();
         }
 
         @Override
-        public Timer after(double millis, Runnable task) {
-            Calendar.Due due = clock.after(Math.max(0, millis), () -> {
+        public TimerHandle schedule(double millis, Runnable task) {
+            Calendar.Due due = clock.schedule(Math.max(0, millis), () -> {
                 if (!dead) {
                     task.run();
                 }
@@ -106,7 +106,7 @@
                             protocolVersion,
                             message.envelope()));
             if (receiver != null && !dead) {
-                clock.after(1, () -> {
+                clock.schedule(1, () -> {
                     if (!receiver.dead) {
                         receiver.host.received(
                                 group, Frames.message(frame), reply -> receiver.deliver(group, this, reply));
@@ -158,7 +158,7 @@
     }
 
     private void advance(double millis) {
-        clock.runTo(clock.now() + millis);
+        clock.runTo(clock.nowMs() + millis);
     }
 
     private void startAll() {
--- a/src/test/java/whinlead/replication/raft/MemberTest.java
+++ b/src/test/java/whinlead/replication/raft/MemberTest.java
@@ -26,13 +26,13 @@
 
     private final class WorldTimers implements Timers {
         @Override
-        public double now() {
-            return clock.now();
+        public double nowMs() {
+            return clock.nowMs();
         }
 
         @Override
-        public Timer after(double millis, Runnable task) {
-            Calendar.Due due = clock.after(Math.max(0, millis), task);
+        public TimerHandle schedule(double millis, Runnable task) {
+            Calendar.Due due = clock.schedule(Math.max(0, millis), task);
             return due::cancel;
         }
     }
@@ -103,7 +103,7 @@
                 new Random(seed),
                 who -> Optional.empty());
         member.start(100);
-        clock.runTo(clock.now() + 10);
+        clock.runTo(clock.nowMs() + 10);
         member.receive(
                 OTHER,
                 new Envelope.Consensus(new DefaultRaftModelFactory()
@@ -118,7 +118,7 @@
                         .setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0)
                         .build()));
-        clock.runTo(clock.now() + 10);
+        clock.runTo(clock.nowMs() + 10);
         assertEquals("b", member.leader());
         return member;
     }
--- a/src/test/java/whinlead/replication/raft/SeatTest.java
+++ b/src/test/java/whinlead/replication/raft/SeatTest.java
@@ -56,20 +56,20 @@
             seat = new Seat(
                     new SeatSetup(name, FOUNDER_NAMES, CONFIG, new ReplicatedState.Limits(100, 100, 10, 1000)),
                     this,
-                    new GroupClock(now()),
+                    new GroupClock(nowMs()),
                     log,
                     new Random(random.nextLong()),
                     this);
         }
 
         @Override
-        public double now() {
-            return clock.now();
+        public double nowMs() {
+            return clock.nowMs();
         }
 
         @Override
-        public Timer after(double millis, Runnable task) {
-            Calendar.Due due = clock.after(Math.max(0, millis), () -> run(task));
+        public TimerHandle schedule(double millis, Runnable task) {
+            Calendar.Due due = clock.schedule(Math.max(0, millis), () -> run(task));
             return due::cancel;
         }
 
@@ -77,7 +77,7 @@
             if (dead) {
                 return;
             }
-            if (clock.now() < suspendedUntilMs) {
+            if (clock.nowMs() < suspendedUntilMs) {
                 clock.at(suspendedUntilMs, () -> run(task));
             } else {
                 task.run();
@@ -91,7 +91,7 @@
 
         private void deliver(Process receiver, GroupMessage message) {
             if (receiver != null && !dead) {
-                clock.after(
+                clock.schedule(
                         1,
                         () -> receiver.run(
                                 () -> receiver.seat.receive(message, reply -> receiver.deliver(this, reply))));
@@ -128,7 +128,7 @@
     }
 
     private void advance(double millis) {
-        clock.runTo(clock.now() + millis);
+        clock.runTo(clock.nowMs() + millis);
     }
 
     private Map<String, Process> startGroup() {
@@ -263,7 +263,7 @@
         Map<String, Process> all = startGroup();
         Process suspended = all.get("b");
         MemberId before = suspended.seat.status().id();
-        suspended.suspendedUntilMs = clock.now() + 8000;
+        suspended.suspendedUntilMs = clock.nowMs() + 8000;
         Process other = start("b");
         advance(7000);
         assertTrue(other.seat.status().votes());
@@ -286,7 +286,7 @@
                     before.incarnation(),
                     all.get("a").seat.status().id().incarnation(),
                     new Envelope.GroupInfo(i, i, Set.of(), Set.of(), 0));
-            clock.after(i * 100, () -> all.get("a").seat.receive(late, p -> {}));
+            clock.schedule(i * 100, () -> all.get("a").seat.receive(late, p -> {}));
         }
         advance(8000);
         assertFalse(restarted.nameTaken);
--- a/src/test/java/whinlead/run/CaptureConfigTest.java
+++ b/src/test/java/whinlead/run/CaptureConfigTest.java
@@ -56,7 +56,10 @@
                 TestNode node = new TestNode(FakeServer.refusingAddress(), endpoint.address());
                 TestClient client = node.newClient()) {
             Recorder recorder = config("").start(node.settings, line -> {});
-            node.group.next().submit(() -> node.engine.journal(recorder)).get();
+            node.group
+                    .next()
+                    .submit(() -> node.engine.requestListener(recorder))
+                    .get();
             for (int i = 0; i < 5; i++) {
                 assertEquals(200, client.call(TestClient.submit("5")).status());
             }
@@ -65,7 +68,7 @@
                 assertEquals(List.of("status", "submit", "pay"), in.classNames());
                 for (int i = 0; i < 5; i++) {
                     Entry entry = in.next();
-                    assertEquals(RequestListener.End.SERVED, entry.outcome());
+                    assertEquals(RequestListener.Result.SERVED, entry.outcome());
                     assertEquals(1, entry.kind());
                     assertEquals(3, entry.bodyBytes());
                     assertEquals(5000, entry.timeoutMs());
--- a/src/test/java/whinlead/run/EndpointPoolTest.java
+++ b/src/test/java/whinlead/run/EndpointPoolTest.java
@@ -47,7 +47,7 @@
                             1,
                             true,
                             List.of(new EndpointList.Entry(
-                                    new Contract.Server("s", Contract.Standing.UP, 1, "a", 0, 0),
+                                    new Contract.Server("s", Contract.ServerState.UP, 1, "a", 0, 0),
                                     EndpointList.address(endpoint.address()))))))
                     .get();
             EXHAUSTED.set(true);
@@ -72,7 +72,7 @@
                             1,
                             true,
                             List.of(new EndpointList.Entry(
-                                    new Contract.Server("s", Contract.Standing.UP, 1, "a", 0, 0),
+                                    new Contract.Server("s", Contract.ServerState.UP, 1, "a", 0, 0),
                                     EndpointList.address(endpoint.address()))))))
                     .get();
             assertFalse(connected(loop, pool, "s"));
--- a/src/test/java/whinlead/run/FaultTest.java
+++ b/src/test/java/whinlead/run/FaultTest.java
@@ -53,7 +53,7 @@
                     0,
                     true,
                     List.of(new EndpointList.Entry(
-                            new Contract.Server("s0", Contract.Standing.UP, 1, "", 0, 0), null)));
+                            new Contract.Server("s0", Contract.ServerState.UP, 1, "", 0, 0), null)));
             ResponseSink<HttpAnswer> caller = new ResponseSink<>() {
                 @Override
                 public void served(HttpAnswer answer) {
@@ -73,7 +73,7 @@
             loop.submit(() -> {
                         engine.start(() -> {}, list);
                         HttpAsk http = new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
-                        engine.take(new Request(0, -1, 300, false), pool.transport(http), caller);
+                        engine.accept(new Request(0, -1, 300, false), pool.transport(http), caller);
                     })
                     .get();
             assertTrue(log.poll(FakeServer.TIMEOUT_S, TimeUnit.SECONDS).startsWith("decision failed"));
--- a/src/test/java/whinlead/run/WarmupTest.java
+++ b/src/test/java/whinlead/run/WarmupTest.java
@@ -18,8 +18,8 @@
     void engineClockStartsAtUnixTime() {
         double before = System.currentTimeMillis();
         Clock clock = new Clock();
-        double first = clock.now();
-        double second = clock.now();
+        double first = clock.nowMs();
+        double second = clock.nowMs();
         // Start times from before this process stay below the clock's start and above 0, which means long ago.
         assertTrue(first >= before, first + " is before " + before);
         assertTrue(second >= first);
