--- a/src/main/java/whinlead/mesh/consensus/Ballot.java
+++ b/src/main/java/whinlead/mesh/consensus/Ballot.java
@@ -8,12 +8,12 @@
  *
  * @param round counts up; 0 is before the first ballot
  */
-public record Ballot(long round, String by) implements Comparable<Ballot> {
+public record Ballot(long round, String proposer) implements Comparable<Ballot> {
     /** Lower than every ballot in use. */
     public static final Ballot NONE = new Ballot(0, "");
 
     private static final Comparator<Ballot> ORDER =
-            Comparator.comparingLong(Ballot::round).thenComparing(Ballot::by);
+            Comparator.comparingLong(Ballot::round).thenComparing(Ballot::proposer);
 
     @Override
     public int compareTo(Ballot other) {
--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -13,13 +13,13 @@
     /** The result of an operator's call. */
     public enum CallResult {
         /** The change is in force, or the read was confirmed. */
-        TAKEN,
+        APPLIED,
         /** Rejected: it builds on a version that is not the newest. */
-        MISMATCH,
+        VERSION_MISMATCH,
         /** Rejected: its version does not exceed the newest. */
         OLD_VERSION,
         /** The outcome is unknown: it may still come into force. */
-        UNCLEAR
+        UNKNOWN
     }
 
     /** Actions that the driver of a consensus node must execute. */
@@ -34,13 +34,13 @@
         void sync(Acceptor.State state, String recipient, Message message);
 
         /** Reports the result of an operator's call. */
-        void replaced(long call, CallResult result);
+        void replaceCompleted(long call, CallResult result);
 
         /** Reports the newest decision to a reader, or null if none could be confirmed. */
-        void read(long call, Decision newest);
+        void readCompleted(long call, Decision newest);
 
         /** A decision was learned; it need not be written before the consensus goes on. */
-        void decided(Decision decision);
+        void decisionLearned(Decision decision);
     }
 
     /** An own vote open for longer than this without a known decision is completed, in milliseconds. */
@@ -159,7 +159,7 @@
      * Whether it may stop: it has no vote or need not give it up, and a quorum and all voters in contact have stored
      * the decision that says so.
      */
-    public boolean mayEnd(double nowMs) {
+    public boolean mayStop(double nowMs) {
         return decided() == null || membership.mayStop(nowMs, decided(), storedSlot);
     }
 
@@ -177,7 +177,7 @@
         noteRunning(nowMs);
         quorum.update(nowMs, decided());
         // A node that may stop accepts nothing new: the caller then goes to a control node that stays.
-        boolean mayStop = membership.isLeaving() && mayEnd(nowMs);
+        boolean mayStop = membership.isLeaving() && mayStop(nowMs);
         if (quorum.isLost() || mayStop) {
             operations.reject(operation);
         } else {
@@ -196,7 +196,7 @@
     }
 
     /** Handles a message, which may come from this control node itself. */
-    public void received(double nowMs, String from, Message message) {
+    public void messageReceived(double nowMs, String from, Message message) {
         noteRunning(nowMs);
         if (message instanceof Message.Prepare prepare) {
             sendReply(from, acceptor.prepare(prepare));
@@ -212,7 +212,7 @@
             operations.stateReceived(from, state);
             failures.opinionsReceived(nowMs, from, state);
         } else if (message instanceof Message.Lagging lagging) {
-            if (lagging.have() < decidedSlot()) {
+            if (lagging.decidedSlot() < decidedSlot()) {
                 actions.send(from, new Message.Decided(decided()));
             }
         } else {
@@ -258,7 +258,7 @@
         if (acceptor.learn(decision)) {
             openVoteSinceMs = Double.NaN;
             operations.decisionLearned();
-            actions.decided(decision);
+            actions.decisionLearned(decision);
             retainVoters(nowMs, decision.voters());
             membership.decisionLearned(nowMs, decision);
         }
--- a/src/main/java/whinlead/mesh/consensus/Decision.java
+++ b/src/main/java/whinlead/mesh/consensus/Decision.java
@@ -12,16 +12,17 @@
  * @param body the configuration as it was sent, deflated
  * @param voters ids of the control nodes that vote on the next slot
  */
-public record Decision(long slot, long version, byte[] body, List<Taken> taken, List<String> voters) {
+public record Decision(
+        long slot, long version, byte[] body, List<AppliedVersion> appliedVersions, List<String> voters) {
     /** How many versions are remembered; for an older one it is unknown whether it was applied. */
-    public static final int MAX_TAKEN = 256;
+    public static final int MAX_APPLIED_VERSIONS = 256;
 
     /** A version and the digest of the configuration sent under it. */
-    public record Taken(long version, String digest) {}
+    public record AppliedVersion(long version, String digest) {}
 
     /** Copies the lists. */
     public Decision {
-        taken = List.copyOf(taken);
+        appliedVersions = List.copyOf(appliedVersions);
         voters = List.copyOf(voters);
     }
 
@@ -31,30 +32,31 @@
     }
 
     /** The next decision, with another configuration. */
-    public Decision with(long newVersion, String digest, byte[] newBody) {
-        List<Taken> versions = new ArrayList<>(taken);
-        versions.add(new Taken(newVersion, digest));
+    public Decision successor(long newVersion, String digest, byte[] newBody) {
+        List<AppliedVersion> versions = new ArrayList<>(appliedVersions);
+        versions.add(new AppliedVersion(newVersion, digest));
         return new Decision(
                 slot + 1,
                 newVersion,
                 newBody,
-                versions.subList(Math.max(0, versions.size() - MAX_TAKEN), versions.size()),
+                versions.subList(Math.max(0, versions.size() - MAX_APPLIED_VERSIONS), versions.size()),
                 voters);
     }
 
     /** The next decision, with other voters. */
-    public Decision with(List<String> newVoters) {
-        return new Decision(slot + 1, version, body, taken, newVoters);
+    public Decision successor(List<String> newVoters) {
+        return new Decision(slot + 1, version, body, appliedVersions, newVoters);
     }
 
     /** Whether exactly this configuration was applied under this version. */
-    public boolean has(long otherVersion, String digest) {
-        return taken.contains(new Taken(otherVersion, digest));
+    public boolean isApplied(long otherVersion, String digest) {
+        return appliedVersions.contains(new AppliedVersion(otherVersion, digest));
     }
 
     /** Whether a version missing from the remembered ones was certainly never applied; versions only increase. */
     public boolean coversVersion(long otherVersion) {
-        return taken.size() < MAX_TAKEN || otherVersion >= taken.get(0).version();
+        return appliedVersions.size() < MAX_APPLIED_VERSIONS
+                || otherVersion >= appliedVersions.get(0).version();
     }
 
     /** This decision without the parts that only control nodes need. */
@@ -72,7 +74,7 @@
         return o instanceof Decision other
                 && other.slot == slot
                 && other.version == version
-                && other.taken.equals(taken)
+                && other.appliedVersions.equals(appliedVersions)
                 && other.voters.equals(voters)
                 && java.util.Arrays.equals(other.body, body);
     }
--- a/src/main/java/whinlead/mesh/consensus/Message.java
+++ b/src/main/java/whinlead/mesh/consensus/Message.java
@@ -23,7 +23,7 @@
     record Nack(long slot, Ballot ballot, Ballot promised) implements Message {}
 
     /** Rejects a promise or vote because the sender knows no decision for the previous slot, only an older one. */
-    record Lagging(long slot, long have) implements Message {}
+    record Lagging(long slot, long decidedSlot) implements Message {}
 
     /** A decision, complete. */
     record Decided(Decision decision) implements Message {}
--- a/src/main/java/whinlead/mesh/consensus/OperationRunner.java
+++ b/src/main/java/whinlead/mesh/consensus/OperationRunner.java
@@ -68,7 +68,7 @@
 
     /** Completes an operation that was not accepted, with an unknown outcome. */
     void reject(PendingOperation operation) {
-        complete(operation, ConsensusNode.CallResult.UNCLEAR);
+        complete(operation, ConsensusNode.CallResult.UNKNOWN);
     }
 
     /** A nonce that was never used before, not even by an earlier process. */
@@ -98,7 +98,7 @@
         List<PendingOperation> overdue = withoutQuorum ? queue.removeAll() : queue.removeExpired(nowMs);
         overdue.forEach(operation -> {
             membershipTurn.operationEnded();
-            complete(operation, ConsensusNode.CallResult.UNCLEAR);
+            complete(operation, ConsensusNode.CallResult.UNKNOWN);
         });
         if (queue.head() != head) {
             quorumRead.reset();
@@ -123,7 +123,7 @@
             VoterChange change = host.dueChange(nowMs);
             if (change != null) {
                 Decision decided = host.decided();
-                propose(nowMs, null, decided.with(change.applyTo(decided.voters())));
+                propose(nowMs, null, decided.successor(change.applyTo(decided.voters())));
                 return true;
             }
         }
@@ -145,11 +145,11 @@
 
     private void advance(double nowMs, PendingOperation.Replace replace) {
         switch (verdict(replace)) {
-            case TAKEN -> completeHead(ConsensusNode.CallResult.TAKEN);
-            case FORGOTTEN -> completeHead(ConsensusNode.CallResult.UNCLEAR);
-            case NEXT ->
-                propose(nowMs, replace, host.decided().with(replace.version(), replace.digest(), replace.body()));
-            case MISMATCH, OLD_VERSION -> quorumRead.begin(nowMs, nextNonce());
+            case ALREADY_APPLIED -> completeHead(ConsensusNode.CallResult.APPLIED);
+            case OUTCOME_UNKNOWN -> completeHead(ConsensusNode.CallResult.UNKNOWN);
+            case APPLICABLE ->
+                propose(nowMs, replace, host.decided().successor(replace.version(), replace.digest(), replace.body()));
+            case VERSION_MISMATCH, OLD_VERSION -> quorumRead.begin(nowMs, nextNonce());
             default -> throw new IllegalStateException("unknown verdict on a configuration change");
         }
     }
@@ -177,12 +177,12 @@
 
     private ConsensusNode.CallResult refusalResult(PendingOperation operation) {
         boolean isOld =
-                operation instanceof PendingOperation.Replace replace && verdict(replace) == OrderRuling.OLD_VERSION;
-        return isOld ? ConsensusNode.CallResult.OLD_VERSION : ConsensusNode.CallResult.MISMATCH;
+                operation instanceof PendingOperation.Replace replace && verdict(replace) == ReplaceVerdict.OLD_VERSION;
+        return isOld ? ConsensusNode.CallResult.OLD_VERSION : ConsensusNode.CallResult.VERSION_MISMATCH;
     }
 
-    private OrderRuling verdict(PendingOperation.Replace replace) {
-        return OrderRuling.of(host.decided(), replace.version(), replace.builtOn(), replace.digest());
+    private ReplaceVerdict verdict(PendingOperation.Replace replace) {
+        return ReplaceVerdict.evaluate(host.decided(), replace.version(), replace.builtOn(), replace.digest());
     }
 
     private void propose(double nowMs, PendingOperation operation, Decision proposal) {
@@ -243,9 +243,9 @@
 
     private void complete(PendingOperation operation, ConsensusNode.CallResult result) {
         if (operation instanceof PendingOperation.Read read) {
-            actions.read(read.call(), result == ConsensusNode.CallResult.UNCLEAR ? null : host.decided());
+            actions.readCompleted(read.call(), result == ConsensusNode.CallResult.UNKNOWN ? null : host.decided());
         } else if (operation instanceof PendingOperation.Replace replace) {
-            actions.replaced(replace.call(), result);
+            actions.replaceCompleted(replace.call(), result);
         }
     }
 }
--- a/src/main/java/whinlead/mesh/consensus/OrderRuling.java
+++ b/src/main/java/whinlead/mesh/consensus/ReplaceVerdict.java
@@ -5,17 +5,17 @@
  * it builds on. All control nodes that know the decision reach the same verdict. A rejection is reported only once a
  * quorum has confirmed that there is no newer decision.
  */
-public enum OrderRuling {
+public enum ReplaceVerdict {
     /** Exactly this configuration was applied before: acknowledged again. */
-    TAKEN,
+    ALREADY_APPLIED,
     /** It builds on the newest version and may become the next decision. */
-    NEXT,
+    APPLICABLE,
     /** Rejected: it builds on a version that is not in force. */
-    MISMATCH,
+    VERSION_MISMATCH,
     /** Rejected: its version does not exceed the one in force. */
     OLD_VERSION,
     /** It may have been applied before the remembered versions: neither rejected nor acknowledged. */
-    FORGOTTEN;
+    OUTCOME_UNKNOWN;
 
     /**
      * Returns the verdict on a change request.
@@ -24,17 +24,17 @@
      * @param builtOn the version that it builds on
      * @param digest of the configuration as it was sent
      */
-    public static OrderRuling of(Decision newest, long version, long builtOn, String digest) {
-        if (newest.has(version, digest)) {
-            return TAKEN;
+    public static ReplaceVerdict evaluate(Decision newest, long version, long builtOn, String digest) {
+        if (newest.isApplied(version, digest)) {
+            return ALREADY_APPLIED;
         }
         // A request whose version does not exceed the one it builds on can never have been applied.
         if (version > builtOn && !newest.coversVersion(version)) {
-            return FORGOTTEN;
+            return OUTCOME_UNKNOWN;
         }
         if (builtOn != newest.version()) {
-            return MISMATCH;
+            return VERSION_MISMATCH;
         }
-        return version > builtOn ? NEXT : OLD_VERSION;
+        return version > builtOn ? APPLICABLE : OLD_VERSION;
     }
 }
--- a/src/main/java/whinlead/mesh/control/ControlNode.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -206,7 +206,7 @@
         consensus.leave(nowMs());
         loop.scheduleAtFixedRate(
                 () -> GuardedTask.run(() -> {
-                    if (nowMs() > exitAtMs || consensus.mayEnd(nowMs()) && calls.pendingCalls() == 0) {
+                    if (nowMs() > exitAtMs || consensus.mayStop(nowMs()) && calls.pendingCalls() == 0) {
                         readyToExit.countDown();
                     }
                 }),
@@ -297,7 +297,7 @@
                 sidecars.merge(connection, update.records());
             } else if (message instanceof PeerMessage.Consensus consensusMessage) {
                 ticker.noteActivity();
-                consensus.received(nowMs(), connection.peer(), consensusMessage.message());
+                consensus.messageReceived(nowMs(), connection.peer(), consensusMessage.message());
             } else if (message instanceof PeerMessage.DemandReport report) {
                 sidecars.report(connection, report);
             } else if (message instanceof PeerMessage.QuotaLeaseReport report) {
@@ -348,7 +348,7 @@
             if (recipient == null) {
                 peers.broadcast(new PeerMessage.Consensus(message));
             } else if (recipient.equals(id)) {
-                loop.execute(() -> GuardedTask.run(() -> consensus.received(nowMs(), id, message)));
+                loop.execute(() -> GuardedTask.run(() -> consensus.messageReceived(nowMs(), id, message)));
             } else {
                 peers.send(ConsensusNode.address(recipient), new PeerMessage.Consensus(message));
             }
@@ -361,7 +361,7 @@
         }
 
         @Override
-        public void decided(Decision decision) {
+        public void decisionLearned(Decision decision) {
             stateWriter.write(
                     AcceptorRecord.write(new Acceptor.State(decision, Ballot.NONE, null)),
                     () -> GuardedTask.run(() -> consensus.decisionStored(nowMs(), decision.slot())));
@@ -378,12 +378,12 @@
         }
 
         @Override
-        public void replaced(long call, ConsensusNode.CallResult result) {
+        public void replaceCompleted(long call, ConsensusNode.CallResult result) {
             calls.replaceCompleted(call, result);
         }
 
         @Override
-        public void read(long call, Decision newest) {
+        public void readCompleted(long call, Decision newest) {
             calls.readCompleted(call, newest);
         }
     }
--- a/src/main/java/whinlead/mesh/control/GuardedTask.java
+++ b/src/main/java/whinlead/mesh/control/GuardedTask.java
@@ -11,7 +11,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            Event.FAULT.log(e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
+            Event.INTERNAL_ERROR.log(e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
         }
     }
 }
--- a/src/main/java/whinlead/mesh/control/OperatorCalls.java
+++ b/src/main/java/whinlead/mesh/control/OperatorCalls.java
@@ -85,7 +85,7 @@
             Event.CALL_REJECTED.log(e.getMessage());
             respond.accept(RpcResponse.error(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
         } catch (RuntimeException e) {
-            Event.FAULT.log("checking a configuration failed: " + e);
+            Event.INTERNAL_ERROR.log("checking a configuration failed: " + e);
             respond.accept(unavailable("the configuration could not be checked"));
         }
     }
@@ -104,13 +104,13 @@
         }
         respond.accept(
                 switch (result) {
-                    case TAKEN -> RpcResponse.done();
-                    case MISMATCH ->
+                    case APPLIED -> RpcResponse.done();
+                    case VERSION_MISMATCH ->
                         RpcResponse.error(
                                 HttpResponseStatus.PRECONDITION_FAILED, "If-Match is not the version in force");
                     case OLD_VERSION ->
                         RpcResponse.error(HttpResponseStatus.BAD_REQUEST, "Epoch does not exceed the one in force");
-                    case UNCLEAR -> unavailable(NO_MAJORITY);
+                    case UNKNOWN -> unavailable(NO_MAJORITY);
                 });
     }
 
@@ -132,7 +132,7 @@
         try {
             return new RpcResponse(HttpResponseStatus.OK.code(), ConfigCodec.inflate(newest.body()));
         } catch (IOException e) {
-            Event.FAULT.log("the configuration agreed on can't be inflated: " + e.getMessage());
+            Event.INTERNAL_ERROR.log("the configuration agreed on can't be inflated: " + e.getMessage());
             return unavailable("the configuration can't be read here");
         }
     }
--- a/src/main/java/whinlead/mesh/control/RestoredState.java
+++ b/src/main/java/whinlead/mesh/control/RestoredState.java
@@ -37,7 +37,7 @@
 
     private static Acceptor.State read(StateStore.Entry entry) throws StateStoreException {
         try {
-            return AcceptorRecord.read(entry.memory());
+            return AcceptorRecord.read(entry.state());
         } catch (LaterFormatException e) {
             throw new StateStoreException(e.getMessage() + "; it is left unchanged", e);
         } catch (IOException e) {
--- a/src/main/java/whinlead/mesh/log/Event.java
+++ b/src/main/java/whinlead/mesh/log/Event.java
@@ -12,7 +12,7 @@
     ENDED(104, Level.INFO, "ended"),
     SETTINGS_REREAD(105, Level.INFO, "settings read again"),
     INVALID_SETTINGS(106, Level.WARNING, "settings can't be used"),
-    FAULT(107, Level.WARNING, "a fault of the program"),
+    INTERNAL_ERROR(107, Level.WARNING, "a fault of the program"),
     /** 2xx: consensus of the control nodes. */
     DECIDED(201, Level.INFO, "decided"),
     CALL_REJECTED(202, Level.INFO, "operator's call refused"),
@@ -24,13 +24,13 @@
     CONTROL_NODE_DOWN(302, Level.INFO, "control node out of reach"),
     PEER_DOWN(303, Level.INFO, "sidecar out of reach"),
     ENDPOINT(304, Level.INFO, "endpoint"),
-    PASSED_OVER(305, Level.INFO, "passed over, of a later version"),
-    PEER_REFUSED(306, Level.WARNING, "peer refused"),
+    UNKNOWN_INPUT_IGNORED(305, Level.INFO, "passed over, of a later version"),
+    PEER_REJECTED(306, Level.WARNING, "peer refused"),
     /** 4xx: configuration at sidecars. */
-    IN_FORCE(401, Level.INFO, "configuration in force"),
-    UNREADABLE(402, Level.WARNING, "configuration can't be read"),
+    CONFIG_IN_FORCE(401, Level.INFO, "configuration in force"),
+    CONFIG_UNREADABLE(402, Level.WARNING, "configuration can't be read"),
     /** 5xx: the decision module. */
-    MODULE(501, Level.INFO, "decisions"),
+    DECISION_MODULE(501, Level.INFO, "decisions"),
     /** 6xx: tenants' limits. */
     TENANT_LIMITED(601, Level.INFO, "tenant limited"),
     LEASES_RECOVERED(602, Level.INFO, "leases of an earlier process known"),
@@ -39,8 +39,8 @@
     KEY_GRANTING_STARTED(701, Level.INFO, "started granting keys"),
     KEY_GRANTING_STOPPED(702, Level.INFO, "stopped granting keys"),
     VOTE_NOT_RECORDED(703, Level.WARNING, "disk failed, no vote for who grants keys"),
-    KEYS_HELD(704, Level.INFO, "keys held"),
-    GRANT_REFUSED(705, Level.WARNING, "endpoint refused a grant");
+    KEY_HOLDING_CHANGED(704, Level.INFO, "keys held"),
+    GRANT_REJECTED(705, Level.WARNING, "endpoint refused a grant");
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final int number;
--- a/src/main/java/whinlead/mesh/log/Logs.java
+++ b/src/main/java/whinlead/mesh/log/Logs.java
@@ -21,7 +21,7 @@
     private Logs() {}
 
     /** Configures logging; must be called before the first event. */
-    public static void start() {
+    public static void configure() {
         System.setProperty("slf4j.internal.verbosity", "ERROR");
         try {
             LogManager.getLogManager()
--- a/src/main/java/whinlead/mesh/run/MeshCommand.java
+++ b/src/main/java/whinlead/mesh/run/MeshCommand.java
@@ -37,7 +37,7 @@
     private MeshCommand() {}
 
     /** Whether this is the name of a role of the mesh. */
-    public static boolean knows(String role) {
+    public static boolean isMeshRole(String role) {
         return SIDECAR.equals(role) || CONTROL.equals(role) || FORMER_NAMES.containsKey(role);
     }
 
@@ -52,7 +52,7 @@
      * @param dialAddresses maps another process's address to the address to dial
      */
     public static void run(UnaryOperator<InetSocketAddress> dialAddresses, String... args) {
-        Logs.start();
+        Logs.configure();
         Hangup hangup = installHangup();
         Options options = options();
         try {
--- a/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
@@ -288,7 +288,7 @@
 
     private static void logFault(RuntimeException fault) {
         StackTraceElement[] trace = fault.getStackTrace();
-        Event.FAULT.log(fault + " at " + (trace.length > 0 ? trace[0] : "?"));
+        Event.INTERNAL_ERROR.log(fault + " at " + (trace.length > 0 ? trace[0] : "?"));
     }
 
     // Answers a request that can't be accepted, after the earlier responses, and closes the connection.
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -360,12 +360,12 @@
             loop.execute(() -> {
                 if (routing == null || table.slot() > routing.slot()) {
                     routing = table;
-                    Event.IN_FORCE.log("version " + meshConfig.epoch() + " slot " + table.slot());
+                    Event.CONFIG_IN_FORCE.log("version " + meshConfig.epoch() + " slot " + table.slot());
                     listener.configChanged(table);
                 }
             });
         } catch (IOException | InvalidConfigException e) {
-            Event.UNREADABLE.log(e.getMessage());
+            Event.CONFIG_UNREADABLE.log(e.getMessage());
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/KeyClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/KeyClient.java
@@ -198,7 +198,7 @@
 
     private void logHeld(List<HeldKeys> heldKeys) {
         if ((loggedRangeCount == 0) != heldKeys.isEmpty()) {
-            Event.KEYS_HELD.log(
+            Event.KEY_HOLDING_CHANGED.log(
                     heldKeys.isEmpty()
                             ? "none"
                             : heldKeys.size() + " ranges from "
@@ -250,7 +250,7 @@
 
             @Override
             public void refused() {
-                Event.GRANT_REFUSED.log(call.range() + " fence " + call.fence());
+                Event.GRANT_REJECTED.log(call.range() + " fence " + call.fence());
                 keyHolder.refused(call);
                 tick();
             }
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -74,7 +74,7 @@
                 settings,
                 actions -> new TicklessModule(actions, watched -> new Decide(settings, seed, watched)),
                 list -> {},
-                Event.MODULE::log);
+                Event.DECISION_MODULE::log);
         engine.start(() -> {}, null);
     }
 
--- a/src/main/java/whinlead/mesh/storage/DutyStore.java
+++ b/src/main/java/whinlead/mesh/storage/DutyStore.java
@@ -41,8 +41,8 @@
             return DutyPromise.NONE;
         }
         // An earlier process may have been killed before its sync; sync before anything depends on what is read.
-        syncer.file(file);
-        syncer.folder(folder);
+        syncer.syncFile(file);
+        syncer.syncFolder(folder);
         List<String> lines = Files.readAllLines(file, StandardCharsets.UTF_8);
         try {
             return new DutyPromise(Long.parseLong(lines.get(0)), lines.get(1));
@@ -59,8 +59,8 @@
     public void write(DutyPromise promise) throws IOException {
         Path newFile = folder.resolve(NEW_FILE);
         Files.write(newFile, List.of(Long.toString(promise.epoch()), promise.holder()), StandardCharsets.UTF_8);
-        syncer.file(newFile);
+        syncer.syncFile(newFile);
         Files.move(newFile, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        syncer.folder(folder);
+        syncer.syncFolder(folder);
     }
 }
--- a/src/main/java/whinlead/mesh/storage/LesseeStore.java
+++ b/src/main/java/whinlead/mesh/storage/LesseeStore.java
@@ -59,8 +59,8 @@
             return new Entry(Set.of(), false);
         }
         // An earlier process may have been killed before its sync; sync before anything depends on what is read.
-        syncer.file(file);
-        syncer.folder(folder);
+        syncer.syncFile(file);
+        syncer.syncFolder(folder);
         Set<String> names = new LinkedHashSet<>(Files.readAllLines(file, StandardCharsets.UTF_8));
         names.remove("");
         boolean reserveInUse = names.remove(RESERVE_MARK);
@@ -80,8 +80,8 @@
         lines.addAll(entry.lessees());
         Path newFile = folder.resolve(NEW_FILE);
         Files.write(newFile, lines, StandardCharsets.UTF_8);
-        syncer.file(newFile);
+        syncer.syncFile(newFile);
         Files.move(newFile, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        syncer.folder(folder);
+        syncer.syncFolder(folder);
     }
 }
--- a/src/main/java/whinlead/mesh/storage/StateSchema.java
+++ b/src/main/java/whinlead/mesh/storage/StateSchema.java
@@ -54,7 +54,7 @@
                         "INSERT INTO office (one, id, memory) VALUES (1, ?, ?) ON CONFLICT (one) DO UPDATE"
                                 + " SET id = excluded.id, memory = excluded.memory",
                         entry.id(),
-                        entry.memory());
+                        entry.state());
                 execute(connection, "UPDATE checksum SET crc = ?", checksum(entry));
                 connection.commit();
             } catch (SQLException e) {
@@ -83,7 +83,7 @@
                     "INSERT INTO office (one, id, memory, crc) VALUES (1, ?, ?, ?) ON CONFLICT (one)"
                             + " DO UPDATE SET id = excluded.id, memory = excluded.memory, crc = excluded.crc",
                     entry.id(),
-                    entry.memory(),
+                    entry.state(),
                     checksum(entry));
         }
     };
@@ -147,7 +147,7 @@
                 return null;
             }
             StateStore.Entry entry = new StateStore.Entry(row.getString(2), row.getBytes(3));
-            boolean isComplete = row.getLong(1) == 1 && entry.id() != null && entry.memory() != null;
+            boolean isComplete = row.getLong(1) == 1 && entry.id() != null && entry.state() != null;
             boolean lacksChecksum = isComplete && row.getBoolean(5);
             boolean matches = isComplete && row.getString(4) != null && row.getLong(4) == checksum(entry);
             boolean isOnlyRow = !row.next();
@@ -169,7 +169,7 @@
         CRC32C crc = new CRC32C();
         crc.update(entry.id().getBytes(StandardCharsets.UTF_8));
         crc.update(0);
-        crc.update(entry.memory());
+        crc.update(entry.state());
         return crc.getValue();
     }
 }
--- a/src/main/java/whinlead/mesh/storage/StateStore.java
+++ b/src/main/java/whinlead/mesh/storage/StateStore.java
@@ -26,7 +26,7 @@
     private static final int CHECKPOINT_PAGES = 200;
 
     /** The persistent entry: the control node's id and its encoded state. */
-    public record Entry(String id, byte[] memory) {}
+    public record Entry(String id, byte[] state) {}
 
     private final Connection connection;
     private final StateSchema schema;
@@ -62,7 +62,7 @@
             }
             if (hasLog) {
                 // A process that was killed may have left writes in the log that were not synced.
-                syncer.file(folder.resolve(LOG_FILE));
+                syncer.syncFile(folder.resolve(LOG_FILE));
             }
             connection = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(FILE));
             return new StateStore(connection, prepare(connection, folder, syncer));
@@ -93,7 +93,7 @@
         }
         for (Path path : missing) {
             Files.createDirectory(path);
-            syncer.folder(path.getParent());
+            syncer.syncFolder(path.getParent());
         }
     }
 
@@ -114,7 +114,7 @@
             long format = queryNumber(statement, "PRAGMA user_version");
             if (queryNumber(statement, "SELECT count(*) FROM sqlite_schema") == 0) {
                 StateSchema.create(statement);
-                syncer.folder(folder);
+                syncer.syncFolder(folder);
                 return StateSchema.NEWEST;
             }
             StateSchema schema = StateSchema.forFormat(format);
--- a/src/main/java/whinlead/mesh/storage/Syncer.java
+++ b/src/main/java/whinlead/mesh/storage/Syncer.java
@@ -13,12 +13,12 @@
     /** Syncs to the physical disk. */
     Syncer DISK = new Syncer() {
         @Override
-        public void file(Path file) throws IOException {
+        public void syncFile(Path file) throws IOException {
             force(file, StandardOpenOption.WRITE);
         }
 
         @Override
-        public void folder(Path folder) throws IOException {
+        public void syncFolder(Path folder) throws IOException {
             force(folder, StandardOpenOption.READ);
         }
 
@@ -34,12 +34,12 @@
      *
      * @throws IOException if they may not be durable
      */
-    void file(Path file) throws IOException;
+    void syncFile(Path file) throws IOException;
 
     /**
      * Makes the creations and removals of names in a folder durable.
      *
      * @throws IOException if they may not be durable
      */
-    void folder(Path folder) throws IOException;
+    void syncFolder(Path folder) throws IOException;
 }
--- a/src/main/java/whinlead/mesh/wire/ConsensusMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/ConsensusMessageCodec.java
@@ -80,7 +80,7 @@
             ballot(packer, message.ballot());
             ballot(packer, message.promised());
         } else if (consensusMessage instanceof Message.Lagging message) {
-            packer.packByte(Kind.LAGGING.tag).packLong(message.slot()).packLong(message.have());
+            packer.packByte(Kind.LAGGING.tag).packLong(message.slot()).packLong(message.decidedSlot());
         } else if (consensusMessage instanceof Message.Decided message) {
             packer.packByte(Kind.DECIDED.tag);
             decision(packer, message.decision());
@@ -159,7 +159,7 @@
     }
 
     static void ballot(MessageBufferPacker packer, Ballot ballot) throws IOException {
-        packer.packLong(ballot.round()).packString(ballot.by());
+        packer.packLong(ballot.round()).packString(ballot.proposer());
     }
 
     static Ballot ballot(MessageUnpacker unpacker) throws IOException {
@@ -189,8 +189,8 @@
     static void decision(MessageBufferPacker packer, Decision decision) throws IOException {
         packer.packLong(decision.slot()).packLong(decision.version());
         bytes(packer, decision.body());
-        packer.packInt(decision.taken().size());
-        for (Decision.Taken taken : decision.taken()) {
+        packer.packInt(decision.appliedVersions().size());
+        for (Decision.AppliedVersion taken : decision.appliedVersions()) {
             packer.packLong(taken.version()).packString(taken.digest());
         }
         strings(packer, decision.voters());
@@ -201,9 +201,9 @@
         long version = unpacker.unpackLong();
         byte[] body = bytes(unpacker);
         int size = checkedSize(unpacker.unpackInt());
-        List<Decision.Taken> taken = new ArrayList<>();
+        List<Decision.AppliedVersion> taken = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            taken.add(new Decision.Taken(unpacker.unpackLong(), unpacker.unpackString()));
+            taken.add(new Decision.AppliedVersion(unpacker.unpackLong(), unpacker.unpackString()));
         }
         return new Decision(slot, version, body, taken, strings(unpacker));
     }
--- a/src/main/java/whinlead/mesh/wire/VersionEvents.java
+++ b/src/main/java/whinlead/mesh/wire/VersionEvents.java
@@ -18,12 +18,12 @@
 
     /** Logs that a kind, field or value of a later version was ignored. */
     void logIgnored(String detail) {
-        logOnce(Event.PASSED_OVER, detail);
+        logOnce(Event.UNKNOWN_INPUT_IGNORED, detail);
     }
 
     /** Logs that a message or a greeting was rejected. */
     void logRejected(String peer, String reason) {
-        logOnce(Event.PEER_REFUSED, (peer == null ? "unidentified peer" : peer) + ": " + reason);
+        logOnce(Event.PEER_REJECTED, (peer == null ? "unidentified peer" : peer) + ": " + reason);
     }
 
     /** Number of details that were logged. */
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -73,7 +73,7 @@
         // Netty would otherwise find the logging API of the planner's libraries and load it, and that API would
         // warn on standard error that it has no backend.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        if (args.length > 0 && MeshCommand.knows(args[0])) {
+        if (args.length > 0 && MeshCommand.isMeshRole(args[0])) {
             MeshCommand.main(args);
             return;
         }
--- a/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
+++ b/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
@@ -150,7 +150,7 @@
         }
 
         @Override
-        public void decided(Decision decision) {
+        public void decisionLearned(Decision decision) {
             Decision other = chosen.putIfAbsent(decision.slot(), decision);
             if (other != null && !other.equals(decision)) {
                 broken.add("slot " + decision.slot() + " has two values");
@@ -171,12 +171,12 @@
         }
 
         @Override
-        public void replaced(long call, ConsensusNode.CallResult verdict) {
+        public void replaceCompleted(long call, ConsensusNode.CallResult verdict) {
             ended(call, verdict);
         }
 
         @Override
-        public void read(long call, Decision newest) {
+        public void readCompleted(long call, Decision newest) {
             if (newest != null && newest.version() < readFloor.getOrDefault(call, 0L)) {
                 broken.add("read version " + newest.version() + " though " + readFloor.get(call)
                         + " was acknowledged before");
@@ -262,7 +262,7 @@
         String sender = from.id;
         at(from == to ? 0 : 0.5 + random.nextDouble() * 2, () -> {
             if (to.up && to.id.equals(id)) {
-                to.consensusNode.received(now, sender, message);
+                to.consensusNode.messageReceived(now, sender, message);
             }
         });
     }
@@ -303,7 +303,7 @@
     }
 
     private void ended(long call, ConsensusNode.CallResult verdict) {
-        if (verdict != ConsensusNode.CallResult.TAKEN) {
+        if (verdict != ConsensusNode.CallResult.APPLIED) {
             return;
         }
         Sent s = sent.get(call);
--- a/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
+++ b/src/main/java/whinlead/testbed/mesh/LocalMeshRun.java
@@ -43,7 +43,7 @@
 
     /** Walks; 0 if all was served. */
     public static int run() throws Exception {
-        Logs.start();
+        Logs.configure();
         TestbedSettings cards = new TestbedSettings(1);
         NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         Path data = Files.createTempDirectory("walk");
--- a/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Checker.java
@@ -77,7 +77,7 @@
         return a.version() == b.version()
                 && a.voters().equals(b.voters())
                 && Arrays.equals(a.body(), b.body())
-                && (!comparesTaken || a.taken().equals(b.taken()));
+                && (!comparesTaken || a.appliedVersions().equals(b.appliedVersions()));
     }
 
     /** The newest decision that any control node has learned; null before the first. */
@@ -115,7 +115,7 @@
         if (d.version() == 0) {
             return Value.NONE;
         }
-        String digest = d.taken().get(d.taken().size() - 1).digest();
+        String digest = d.appliedVersions().get(d.appliedVersions().size() - 1).digest();
         byte[] begin = digest.getBytes(StandardCharsets.UTF_8);
         if (d.body().length < begin.length || !Arrays.equals(begin, Arrays.copyOf(d.body(), begin.length))) {
             recordViolation("the body of version " + d.version() + " is not the one sent for it");
--- a/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
@@ -55,14 +55,14 @@
     }
 
     @Override
-    public void file(Path file) {
+    public void syncFile(Path file) {
         if (bug != LedgerPlay.Bug.KILLED_LOG_NOT_SYNCED && bug != LedgerPlay.Bug.SYNCS_IGNORED) {
             synced.remove(file.getFileName().toString());
         }
     }
 
     @Override
-    public void folder(Path folder) {
+    public void syncFolder(Path folder) {
         folderSynced();
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
@@ -200,14 +200,14 @@
         if (random.nextInt(4) == 0) {
             byte[] next = randomMemory();
             stateStore.write(ID, next);
-            if (!Arrays.equals(stateStore.read().memory(), next)) {
+            if (!Arrays.equals(stateStore.read().state(), next)) {
                 violations.add(how + ", " + disk.phase() + ": a written state is not read back");
             }
         }
     }
 
     private byte[] check(StateStore.Entry entry, String when) {
-        byte[] found = entry == null ? null : entry.memory();
+        byte[] found = entry == null ? null : entry.state();
         boolean old = Arrays.equals(found, acknowledged);
         boolean fresh = writing != null && Arrays.equals(found, writing);
         if (!old && !fresh || old && disk.mustBeNew() && writing != null) {
@@ -238,7 +238,7 @@
         count("rot");
         try (StateStore stateStore = StateStore.open(folder)) {
             StateStore.Entry entry = stateStore.read();
-            if (entry == null || !Arrays.equals(entry.memory(), acknowledged)) {
+            if (entry == null || !Arrays.equals(entry.state(), acknowledged)) {
                 violations.add("damaged: " + (entry == null ? "nothing" : "another memory") + " was read");
             }
         } catch (StateStoreException e) {
--- a/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -148,7 +148,7 @@
 
     /** Whether the process may exit: its consensus node has left, and no call is outstanding. */
     boolean mayExit() {
-        return up() && consensusNode.mayEnd(localNowMs()) && replaces.isEmpty() && reads.isEmpty();
+        return up() && consensusNode.mayStop(localNowMs()) && replaces.isEmpty() && reads.isEmpty();
     }
 
     /** Whether it got SIGTERM. */
@@ -390,7 +390,8 @@
             core.scheduler()
                     .schedule(
                             0,
-                            () -> runOnLoop(ownIncarnation, () -> consensusNode.received(localNowMs(), id, message)));
+                            () -> runOnLoop(
+                                    ownIncarnation, () -> consensusNode.messageReceived(localNowMs(), id, message)));
         } else {
             addKnown(ConsensusNode.address(to));
             sendMessage(ConsensusNode.address(to), message);
@@ -402,7 +403,7 @@
                             0,
                             () -> runOnLoop(
                                     ownIncarnation,
-                                    () -> consensusNode.received(
+                                    () -> consensusNode.messageReceived(
                                             localNowMs(),
                                             to,
                                             new Message.Accepted(p.value().slot(), p.ballot()))));
@@ -432,11 +433,11 @@
                     this);
         }
         if (message instanceof Message.Decided d && core.bug() == Bug.FORGETS_TAKEN) {
-            consensusNode.received(localNowMs(), from, new Message.Decided(withNewestTakenOnly(d.decision())));
+            consensusNode.messageReceived(localNowMs(), from, new Message.Decided(withNewestTakenOnly(d.decision())));
         } else if (message instanceof Message.State s && core.bug() == Bug.REMOVES_BY_ONE_WORD) {
-            consensusNode.received(localNowMs(), from, withAllSilent(s));
+            consensusNode.messageReceived(localNowMs(), from, withAllSilent(s));
         } else {
-            consensusNode.received(localNowMs(), from, message);
+            consensusNode.messageReceived(localNowMs(), from, message);
         }
     }
 
@@ -464,7 +465,7 @@
     }
 
     private static Decision withNewestTakenOnly(Decision d) {
-        List<Decision.Taken> taken = d.taken();
+        List<Decision.AppliedVersion> taken = d.appliedVersions();
         return new Decision(
                 d.slot(),
                 d.version(),
@@ -487,7 +488,7 @@
     }
 
     @Override
-    public void decided(Decision decision) {
+    public void decisionLearned(Decision decision) {
         if (core.isTraced()) {
             core.log(address + " learns slot " + decision.slot() + " version " + decision.version() + " voters "
                     + decision.voters());
@@ -525,8 +526,8 @@
         if (core.bug() == Bug.REFUSES_BY_LOCAL
                 && d != null
                 && d.version() != change.builtOn()
-                && !d.has(change.version(), change.digest())) {
-            end.accept(call, ConsensusNode.CallResult.MISMATCH);
+                && !d.isApplied(change.version(), change.digest())) {
+            end.accept(call, ConsensusNode.CallResult.VERSION_MISMATCH);
             return;
         }
         long callNumber = ++calls;
@@ -539,10 +540,10 @@
                 .ended(
                         call,
                         switch (verdict) {
-                            case TAKEN -> Operation.End.TAKEN;
-                            case MISMATCH -> Operation.End.MISMATCH;
+                            case APPLIED -> Operation.End.TAKEN;
+                            case VERSION_MISMATCH -> Operation.End.MISMATCH;
                             case OLD_VERSION -> Operation.End.OLD;
-                            case UNCLEAR -> Operation.End.UNCLEAR;
+                            case UNKNOWN -> Operation.End.UNCLEAR;
                         },
                         null);
         double elapsedMs = core.nowMs() - core.checker().invokedAt(call);
@@ -550,7 +551,7 @@
             // The node was frozen during the call, so its time says nothing.
             return;
         }
-        if (noMajority && !contactWithin(Core.CONTACT_MS) && verdict == ConsensusNode.CallResult.UNCLEAR) {
+        if (noMajority && !contactWithin(Core.CONTACT_MS) && verdict == ConsensusNode.CallResult.UNKNOWN) {
             core.checker().sample("a call where there was no majority for 3 s, ms to unclear", elapsedMs);
         } else {
             core.checker().sample("a call, ms to " + verdict, elapsedMs);
@@ -569,7 +570,7 @@
     }
 
     @Override
-    public void replaced(long call, ConsensusNode.CallResult verdict) {
+    public void replaceCompleted(long call, ConsensusNode.CallResult verdict) {
         Consumer<ConsensusNode.CallResult> then = replaces.remove(call);
         if (then != null) {
             then.accept(verdict);
@@ -577,7 +578,7 @@
     }
 
     @Override
-    public void read(long call, Decision newest) {
+    public void readCompleted(long call, Decision newest) {
         Consumer<Decision> then = reads.remove(call);
         if (then != null) {
             then.accept(newest);
--- a/src/main/java/whinlead/testbed/mesh/scale/Heard.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Heard.java
@@ -51,7 +51,7 @@
             events.merge(SILENT, 1, Integer::sum);
         }
         int at = line.indexOf(VERSION);
-        if (at >= 0 && line.startsWith(Event.IN_FORCE.number() + " ")) {
+        if (at >= 0 && line.startsWith(Event.CONFIG_IN_FORCE.number() + " ")) {
             String version = line.substring(at + VERSION.length()).split(" ")[0];
             inForce.computeIfAbsent(Long.parseLong(version, HEX), v -> new ArrayList<>())
                     .add(nanos);
--- a/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Hollow.java
@@ -176,7 +176,7 @@
             talks[i].close();
         } catch (IOException e) {
             // Not up yet, or closed as idle: the next one dials again.
-            Event.FAULT.log(e.getMessage());
+            Event.INTERNAL_ERROR.log(e.getMessage());
         }
         talks[i] = null;
     }
--- a/src/main/java/whinlead/testbed/mesh/scale/Weights.java
+++ b/src/main/java/whinlead/testbed/mesh/scale/Weights.java
@@ -29,7 +29,9 @@
         figures.put("configuration deflated, bytes", (double) body.length);
         figures.put("news of it to a sidecar, bytes", message(new PeerMessage.ConfigUpdate(decision(body, 0), true)));
         figures.put("decision between control nodes, bytes, nothing remembered", told(body, 0));
-        figures.put("decision between control nodes, bytes, all that is remembered", told(body, Decision.MAX_TAKEN));
+        figures.put(
+                "decision between control nodes, bytes, all that is remembered",
+                told(body, Decision.MAX_APPLIED_VERSIONS));
         EndpointRecord record = new EndpointRecord(
                 "10.123.45.67:8366",
                 1_790_000_000_000L,
@@ -55,9 +57,9 @@
     }
 
     private static Decision decision(byte[] body, int remembered) {
-        List<Decision.Taken> taken = new ArrayList<>();
+        List<Decision.AppliedVersion> taken = new ArrayList<>();
         for (int i = 0; i < remembered; i++) {
-            taken.add(new Decision.Taken(MANY + i, ConfigCodec.digest(new byte[] {(byte) i})));
+            taken.add(new Decision.AppliedVersion(MANY + i, ConfigCodec.digest(new byte[] {(byte) i})));
         }
         return new Decision(MANY, MANY, body, taken, VOTERS);
     }
--- a/src/test/java/whinlead/mesh/ConsensusContactTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusContactTest.java
@@ -26,8 +26,8 @@
         c.cutOff.add("a#0");
         c.now += 20_000;
         // Held back for twenty seconds: what the others asked, and answers to questions of before the cut.
-        a.received(c.now, "b#0", new Message.Query(1, 0));
-        a.received(c.now, "c#0", new Message.Query(1, 0));
+        a.messageReceived(c.now, "b#0", new Message.Query(1, 0));
+        a.messageReceived(c.now, "c#0", new Message.Query(1, 0));
         a.pongReceived(cutAt, "b#0", 0);
         a.pongReceived(cutAt, "c#0", 0);
         assertFalse(a.isInContactWithQuorum(c.now, WITHIN));
@@ -52,12 +52,12 @@
         c.all.get("a#0").replace(c.now, 1, 5, 0, "digest", new byte[] {1});
         c.all.get("a#0").read(c.now, 2);
         assertEquals(c.verdicts.size(), 2, "told in the same moment");
-        assertTrue(c.verdicts.stream().allMatch(v -> v == ConsensusNode.CallResult.UNCLEAR));
-        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN, "any other takes it");
+        assertTrue(c.verdicts.stream().allMatch(v -> v == ConsensusNode.CallResult.UNKNOWN));
+        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED, "any other takes it");
         c.cutOff.clear();
         c.pass(1000);
         assertEquals(c.all.get("a#0").decided().version(), 5L);
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED);
     }
 
     @Test
@@ -77,11 +77,11 @@
     @Test
     public void ofTwoChangesUnderOneNumberOneIsTakenAndItsRepeatsAtAnyControlNode() {
         ConsensusNodes c = new ConsensusNodes();
-        assertEquals(c.replace("a#0", 5, 0, "mine"), ConsensusNode.CallResult.TAKEN);
-        assertEquals(c.replace("b#0", 5, 0, "yours"), ConsensusNode.CallResult.MISMATCH);
+        assertEquals(c.replace("a#0", 5, 0, "mine"), ConsensusNode.CallResult.APPLIED);
+        assertEquals(c.replace("b#0", 5, 0, "yours"), ConsensusNode.CallResult.VERSION_MISMATCH);
         for (String controlNode : ConsensusNodes.FOUNDERS) {
-            assertEquals(c.replace(controlNode, 5, 0, "mine"), ConsensusNode.CallResult.TAKEN);
-            assertEquals(c.replace(controlNode, 5, 0, "yours"), ConsensusNode.CallResult.MISMATCH);
+            assertEquals(c.replace(controlNode, 5, 0, "mine"), ConsensusNode.CallResult.APPLIED);
+            assertEquals(c.replace(controlNode, 5, 0, "yours"), ConsensusNode.CallResult.VERSION_MISMATCH);
         }
     }
 
@@ -103,13 +103,13 @@
                 public void sync(Acceptor.State memory, String to, Message message) {}
 
                 @Override
-                public void replaced(long call, ConsensusNode.CallResult verdict) {}
+                public void replaceCompleted(long call, ConsensusNode.CallResult verdict) {}
 
                 @Override
-                public void read(long call, Decision newest) {}
+                public void readCompleted(long call, Decision newest) {}
 
                 @Override
-                public void decided(Decision decision) {}
+                public void decisionLearned(Decision decision) {}
             });
             ConsensusNodes.FOUNDERS.forEach(other -> c.pongReceived(0, other, 0));
             c.replace(0, 1, 5, 0, "digest", new byte[] {1});
@@ -121,15 +121,17 @@
     public void aRepeatAfterHundredsOfChangesIsTakenOrUnclearNeverRefused() {
         ConsensusNodes c = new ConsensusNodes();
         for (int v = 1; v <= 300; v++) {
-            assertEquals(c.replace("a#0", v, v - 1, "d" + v), ConsensusNode.CallResult.TAKEN);
+            assertEquals(c.replace("a#0", v, v - 1, "d" + v), ConsensusNode.CallResult.APPLIED);
         }
         for (int v = 1; v <= 300; v++) {
             ConsensusNode.CallResult verdict = c.replace("b#0", v, v - 1, "d" + v);
             assertEquals(
                     verdict,
-                    v > 300 - Decision.MAX_TAKEN ? ConsensusNode.CallResult.TAKEN : ConsensusNode.CallResult.UNCLEAR,
+                    v > 300 - Decision.MAX_APPLIED_VERSIONS
+                            ? ConsensusNode.CallResult.APPLIED
+                            : ConsensusNode.CallResult.UNKNOWN,
                     "version " + v);
         }
-        assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.CallResult.MISMATCH);
+        assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.CallResult.VERSION_MISMATCH);
     }
 }
--- a/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
@@ -49,7 +49,7 @@
         ConsensusNodes c = new ConsensusNodes();
         c.all.get("b#0").replace(c.now, 1, 5, 0, "digest", new byte[] {1});
         c.deliver();
-        assertEquals(c.verdicts, List.of(ConsensusNode.CallResult.TAKEN));
+        assertEquals(c.verdicts, List.of(ConsensusNode.CallResult.APPLIED));
         assertEquals(c.all.get("c#0").decided().version(), 5L);
     }
 
@@ -98,16 +98,16 @@
         ConsensusNode b = c.all.get("b#0");
         double from = c.now;
         b.leave(c.now);
-        assertFalse(b.mayEnd(c.now));
-        for (int i = 0; i < 40 && !b.mayEnd(c.now); i++) {
+        assertFalse(b.mayStop(c.now));
+        for (int i = 0; i < 40 && !b.mayStop(c.now); i++) {
             c.pass(25);
         }
-        assertTrue(b.mayEnd(c.now) && c.now - from <= 500, "left after " + (c.now - from) + " ms");
+        assertTrue(b.mayStop(c.now) && c.now - from <= 500, "left after " + (c.now - from) + " ms");
         c.all.remove("b#0");
         assertEquals(c.voters(), List.of("a#0", "c#0", "d#1"));
         // The next loss comes at once, and is borne.
         c.all.remove("c#0");
-        assertEquals(c.replace("a#0", 7, 0, "next"), ConsensusNode.CallResult.TAKEN);
+        assertEquals(c.replace("a#0", 7, 0, "next"), ConsensusNode.CallResult.APPLIED);
     }
 
     @Test
@@ -120,7 +120,7 @@
         b.leave(c.now);
         c.pass(2000);
         assertEquals(c.voters(), List.of("a#0", "c#0", "d#1"));
-        assertFalse(b.mayEnd(c.now), "c has told that its disk has an older decision");
+        assertFalse(b.mayStop(c.now), "c has told that its disk has an older decision");
     }
 
     @Test
@@ -152,14 +152,15 @@
         do {
             c.pass(25);
             version++;
-            assertEquals(c.replace("a#0", version, version - 1, "d" + version), ConsensusNode.CallResult.TAKEN);
+            assertEquals(c.replace("a#0", version, version - 1, "d" + version), ConsensusNode.CallResult.APPLIED);
             // It knows of this before any of the others has told it what is on its disk.
-            b.received(c.now, "a#0", new Message.Decided(c.decisions.lastEntry().getValue()));
-        } while (!b.mayEnd(c.now) && version < 20);
-        assertTrue(b.mayEnd(c.now), "it waits for slots that are decided without it");
+            b.messageReceived(
+                    c.now, "a#0", new Message.Decided(c.decisions.lastEntry().getValue()));
+        } while (!b.mayStop(c.now) && version < 20);
+        assertTrue(b.mayStop(c.now), "it waits for slots that are decided without it");
         assertEquals(
                 c.replace("b#0", version + 1, version, "next"),
-                ConsensusNode.CallResult.UNCLEAR,
+                ConsensusNode.CallResult.UNKNOWN,
                 "one that may end takes on nothing new");
     }
 
@@ -175,7 +176,7 @@
         c.cutOff.add("c#0");
         c.cutOff.add("d#0");
         c.pass(2000);
-        assertFalse(b.mayEnd(c.now), "two of four have it on disk, and the others are out of contact");
+        assertFalse(b.mayStop(c.now), "two of four have it on disk, and the others are out of contact");
     }
 
     @Test
@@ -184,7 +185,7 @@
         ConsensusNode b = c.all.get("b#0");
         b.leave(c.now);
         c.pass(100);
-        assertTrue(b.mayEnd(c.now));
+        assertTrue(b.mayStop(c.now));
         assertEquals(c.voters(), ConsensusNodes.FOUNDERS, "it may come back, and two would bear no loss");
     }
 
@@ -212,13 +213,13 @@
             ConsensusNode consensusNode = c.all.get(leaver);
             consensusNode.leave(c.now);
             c.pass(400);
-            assertTrue(consensusNode.mayEnd(c.now), leaver);
+            assertTrue(consensusNode.mayStop(c.now), leaver);
             c.all.remove(leaver);
         }
         assertEquals(c.voters().size(), 5);
         c.all.remove("d#0");
         c.all.remove("e#0");
-        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
+        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED);
     }
 
     @Test
@@ -231,7 +232,7 @@
         c.pass(4000);
         assertEquals(c.voters(), List.of("a#0", "b#0", "c#0"));
         c.all.remove("c#0");
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED);
     }
 
     @Test
@@ -314,7 +315,7 @@
     public void whoIsBehindAsksUntilItHasTheNewest() {
         ConsensusNodes c = new ConsensusNodes();
         c.lost = message -> message instanceof Message.Decided;
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED);
         c.lost = message -> message instanceof Message.Prepare;
         c.pass(1000);
         assertEquals(c.all.get("b#0").decided().version(), 5L);
--- a/src/test/java/whinlead/mesh/ConsensusNodes.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodes.java
@@ -80,7 +80,7 @@
                                 && !deaf.contains(name)
                                 && !cutPairs.contains(pair(id, name));
                 if ((to == null && !name.equals(id) || name.equals(to)) && open && !lost.test(message)) {
-                    mail.add(() -> c.received(now, id, message));
+                    mail.add(() -> c.messageReceived(now, id, message));
                 }
             });
         }
@@ -93,17 +93,17 @@
         }
 
         @Override
-        public void replaced(long call, ConsensusNode.CallResult verdict) {
+        public void replaceCompleted(long call, ConsensusNode.CallResult verdict) {
             verdicts.add(verdict);
         }
 
         @Override
-        public void read(long call, Decision newest) {
-            verdicts.add(newest == null ? ConsensusNode.CallResult.UNCLEAR : ConsensusNode.CallResult.TAKEN);
+        public void readCompleted(long call, Decision newest) {
+            verdicts.add(newest == null ? ConsensusNode.CallResult.UNKNOWN : ConsensusNode.CallResult.APPLIED);
         }
 
         @Override
-        public void decided(Decision decision) {
+        public void decisionLearned(Decision decision) {
             decisions.put(decision.slot(), decision);
             mail.add(() -> {
                 if (!stalled.containsKey(id) && all.containsKey(id)) {
--- a/src/test/java/whinlead/mesh/EarlierStateTest.java
+++ b/src/test/java/whinlead/mesh/EarlierStateTest.java
@@ -56,13 +56,13 @@
         try (StateStore store = StateStore.open(folder)) {
             StateStore.Entry entry = store.read();
             assertEquals(entry.id(), ID);
-            state = AcceptorRecord.read(entry.memory());
+            state = AcceptorRecord.read(entry.state());
             checkTheNewestDecision(state.decided());
             assertNull(state.vote());
             store.write(ID, AcceptorRecord.write(state));
         }
         try (StateStore store = StateStore.open(folder)) {
-            assertEquals(store.read().memory(), AcceptorRecord.write(state), "the same bytes");
+            assertEquals(store.read().state(), AcceptorRecord.write(state), "the same bytes");
         }
     }
 
@@ -72,7 +72,7 @@
         assertEquals(decided.voters(), List.of(ID));
         byte[] body = ConfigCodec.inflate(decided.body());
         assertTrue(new String(body, StandardCharsets.UTF_8).startsWith("{\"Epoch\":\"00000002\""));
-        assertTrue(decided.has(2, ConfigCodec.digest(body)), "a repeat of it is known again");
-        assertEquals(decided.taken().size(), 2, "and of the one before it there is a digest");
+        assertTrue(decided.isApplied(2, ConfigCodec.digest(body)), "a repeat of it is known again");
+        assertEquals(decided.appliedVersions().size(), 2, "and of the one before it there is a digest");
     }
 }
--- a/src/test/java/whinlead/mesh/LocalMesh.java
+++ b/src/test/java/whinlead/mesh/LocalMesh.java
@@ -64,7 +64,7 @@
     }
 
     private LocalMesh(int graceS, StandInApp.Script script) throws Exception {
-        Logs.start();
+        Logs.configure();
         cards = new TestbedSettings(1);
         NodeSettingsReader reader = new NodeSettingsReader(new ObjectMapper());
         EventLoop others = otherLoops.next();
--- a/src/test/java/whinlead/mesh/OrderOutcomesTest.java
+++ b/src/test/java/whinlead/mesh/OrderOutcomesTest.java
@@ -23,8 +23,8 @@
  */
 public class OrderOutcomesTest {
     private static final int CONTROL_NODES = 3;
-    private static final long CURRENT = Decision.MAX_TAKEN + 20;
-    private static final long OLDEST_REMEMBERED = CURRENT - Decision.MAX_TAKEN + 1;
+    private static final long CURRENT = Decision.MAX_APPLIED_VERSIONS + 20;
+    private static final long OLDEST_REMEMBERED = CURRENT - Decision.MAX_APPLIED_VERSIONS + 1;
     private static final long FORGOTTEN = 10;
     private static final long REMEMBERED = CURRENT - 50;
     private static final int TOO_LARGE_BYTES = (8 << 20) + 1;
--- a/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
+++ b/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
@@ -41,7 +41,11 @@
 /** PeerMessageCodec come back as they were written; bytes that are none are told so and do no other harm. */
 public class PeerMessageCodecTest {
     private static final Decision DECISION = new Decision(
-            7, 12, new byte[] {1, 2, 3}, List.of(new Decision.Taken(12, "d")), List.of("10.0.0.1#0", "10.0.0.2#a"));
+            7,
+            12,
+            new byte[] {1, 2, 3},
+            List.of(new Decision.AppliedVersion(12, "d")),
+            List.of("10.0.0.1#0", "10.0.0.2#a"));
     private static final Ballot BALLOT = new Ballot(3, "10.0.0.1#0");
 
     private static List<PeerMessage> messages() {
--- a/src/test/java/whinlead/mesh/sidecar/StartupConfigTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/StartupConfigTest.java
@@ -10,8 +10,8 @@
 /** Which configuration a sidecar without one adopts, and when. */
 public class StartupConfigTest {
     private static final Decision OLD_DECISION =
-            Decision.founding(List.of("a#0")).with(5, "d", new byte[] {1});
-    private static final Decision NEW_DECISION = OLD_DECISION.with(6, "e", new byte[] {2});
+            Decision.founding(List.of("a#0")).successor(5, "d", new byte[] {1});
+    private static final Decision NEW_DECISION = OLD_DECISION.successor(6, "e", new byte[] {2});
 
     @Test
     public void confirmedConfigIsAdoptedAtOnce() {
--- a/src/test/java/whinlead/mesh/storage/DutyStoreTest.java
+++ b/src/test/java/whinlead/mesh/storage/DutyStoreTest.java
@@ -26,12 +26,12 @@
     private DutyStore store() {
         return new DutyStore(folder, new Syncer() {
             @Override
-            public void file(Path file) {
+            public void syncFile(Path file) {
                 synced.add(file.getFileName().toString());
             }
 
             @Override
-            public void folder(Path which) {
+            public void syncFolder(Path which) {
                 synced.add("folder");
             }
         });
--- a/src/test/java/whinlead/mesh/storage/LesseeStoreTest.java
+++ b/src/test/java/whinlead/mesh/storage/LesseeStoreTest.java
@@ -24,12 +24,12 @@
     private LesseeStore store() {
         return new LesseeStore(folder, new Syncer() {
             @Override
-            public void file(Path file) {
+            public void syncFile(Path file) {
                 synced.add(file.getFileName().toString());
             }
 
             @Override
-            public void folder(Path which) {
+            public void syncFolder(Path which) {
                 synced.add("folder");
             }
         });
--- a/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
+++ b/src/test/java/whinlead/mesh/storage/OtherFormatTest.java
@@ -150,11 +150,11 @@
             predecessor.write(folder, filled(fill));
             for (int turn = 0; turn < 3; turn++) {
                 try (StateStore store = StateStore.open(folder)) {
-                    assertEquals(store.read().memory(), filled(fill), predecessor + " wrote this state");
+                    assertEquals(store.read().state(), filled(fill), predecessor + " wrote this state");
                     assertEquals(store.read().id(), ID);
                     store.write(ID, filled(++fill));
                     store.write(ID, filled(++fill));
-                    assertEquals(store.read().memory(), filled(fill));
+                    assertEquals(store.read().state(), filled(fill));
                 }
                 assertEquals(
                         predecessor.read(folder),
@@ -176,7 +176,7 @@
         assertEquals(Predecessor.WITH_COLUMN.read(folder), filled(1));
         Predecessor.WITH_COLUMN.write(folder, filled(2));
         try (StateStore store = StateStore.open(folder)) {
-            assertEquals(store.read().memory(), filled(2));
+            assertEquals(store.read().state(), filled(2));
         }
     }
 
@@ -191,7 +191,7 @@
         execute("UPDATE office SET crc = " + checksum(filled(2)));
         Predecessor.WITH_COLUMN.write(folder, filled(3));
         try (StateStore store = StateStore.open(folder)) {
-            assertEquals(store.read().memory(), filled(3));
+            assertEquals(store.read().state(), filled(3));
             store.write(ID, filled(4));
         }
         assertEquals(Predecessor.WITH_COLUMN.read(folder), filled(4));
@@ -204,9 +204,9 @@
             execute("ALTER TABLE office ADD COLUMN later TEXT DEFAULT 'kept'");
             execute("CREATE TABLE later (x)");
             try (StateStore store = StateStore.open(folder)) {
-                assertEquals(store.read().memory(), filled(1));
+                assertEquals(store.read().state(), filled(1));
                 store.write(ID, filled(2));
-                assertEquals(store.read().memory(), filled(2));
+                assertEquals(store.read().state(), filled(2));
             }
             try (Connection connection = connect(folder);
                     Statement statement = connection.createStatement();
@@ -258,9 +258,9 @@
                 + " AND (SELECT id FROM office) = 'full' BEGIN SELECT abs(-9223372036854775807 - 1); END");
         try (StateStore store = StateStore.open(folder)) {
             expectThrows(StateStoreException.class, () -> store.write("full", filled(3)));
-            assertEquals(store.read().memory(), filled(2));
+            assertEquals(store.read().state(), filled(2));
             store.write(ID, filled(4));
-            assertEquals(store.read().memory(), filled(4));
+            assertEquals(store.read().state(), filled(4));
         }
     }
 
--- a/src/test/java/whinlead/mesh/storage/StateStoreTest.java
+++ b/src/test/java/whinlead/mesh/storage/StateStoreTest.java
@@ -83,11 +83,11 @@
             assertNull(store.read());
             store.write("a#0", filled(1));
             store.write("a#0", filled(2));
-            assertEquals(store.read().memory(), filled(2));
+            assertEquals(store.read().state(), filled(2));
         }
         try (StateStore store = StateStore.open(folder)) {
             assertEquals(store.read().id(), "a#0");
-            assertEquals(store.read().memory(), filled(2));
+            assertEquals(store.read().state(), filled(2));
         }
     }
 
@@ -104,9 +104,9 @@
                 }
                 statement.execute("PRAGMA max_page_count=1000000");
             }
-            assertEquals(store.read().memory(), filled(1));
+            assertEquals(store.read().state(), filled(1));
             store.write("a#0", new byte[50_000]);
-            assertEquals(store.read().memory().length, 50_000);
+            assertEquals(store.read().state().length, 50_000);
         }
     }
 
@@ -117,7 +117,7 @@
         try (StateStore store = StateStore.open(folder)) {
             assertNull(store.read());
             store.write("a#0", filled(1));
-            assertEquals(store.read().memory(), filled(1));
+            assertEquals(store.read().state(), filled(1));
         }
     }
 
@@ -132,7 +132,7 @@
             statement.execute("INSERT INTO office VALUES (1, 'a#0', x'" + "07".repeat(1500) + "')");
         }
         try (StateStore store = StateStore.open(folder)) {
-            assertEquals(store.read().memory(), filled(7));
+            assertEquals(store.read().state(), filled(7));
         }
         corrupt(7);
         assertTrue(readError().contains("damaged"));
@@ -199,9 +199,9 @@
         }
         try (StateStore store = StateStore.open(folder)) {
             assertThrows(StateStoreException.class, () -> store.write("full", filled(2)));
-            assertEquals(store.read().memory(), filled(1));
+            assertEquals(store.read().state(), filled(1));
             store.write("a#0", filled(3));
-            assertEquals(store.read().memory(), filled(3));
+            assertEquals(store.read().state(), filled(3));
         }
     }
 
@@ -221,7 +221,7 @@
         RecordingSyncer recorder = new RecordingSyncer();
         try (StateStore store = StateStore.open(folder, recorder)) {
             assertEquals(recorder.syncs, List.of("file " + folder.resolve("office.db-wal")));
-            assertEquals(store.read().memory(), filled(1));
+            assertEquals(store.read().state(), filled(1));
         }
     }
 
@@ -232,10 +232,10 @@
                 StateStoreException.class,
                 () -> StateStore.open(base.resolve("other"), new Syncer() {
                     @Override
-                    public void file(Path synced) {}
+                    public void syncFile(Path synced) {}
 
                     @Override
-                    public void folder(Path synced) throws IOException {
+                    public void syncFolder(Path synced) throws IOException {
                         throw new IOException("no sync");
                     }
                 }));
@@ -245,15 +245,15 @@
         private final List<String> syncs = new ArrayList<>();
 
         @Override
-        public void file(Path synced) throws IOException {
+        public void syncFile(Path synced) throws IOException {
             syncs.add("file " + synced);
-            DISK.file(synced);
+            DISK.syncFile(synced);
         }
 
         @Override
-        public void folder(Path synced) throws IOException {
+        public void syncFolder(Path synced) throws IOException {
             syncs.add("folder " + synced);
-            DISK.folder(synced);
+            DISK.syncFolder(synced);
         }
     }
 }
--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -205,7 +205,7 @@
                                 7,
                                 12,
                                 new byte[] {1, 2},
-                                List.of(new Decision.Taken(12, "digest")),
+                                List.of(new Decision.AppliedVersion(12, "digest")),
                                 List.of("10.0.0.1#0")),
                         new Ballot(3, "10.0.0.1#0"),
                         null));
