--- a/src/main/java/whinlead/mesh/control/ConsensusTicker.java
+++ b/src/main/java/whinlead/mesh/control/ConsensusTicker.java
@@ -62,7 +62,7 @@
             nextTimer.cancel();
         }
         long periodNs = TimeUnit.MILLISECONDS.toNanos(active ? ACTIVE_PERIOD_MS : IDLE_PERIOD_MS);
-        long delayNs = TimerGrid.untilNext(nanoClock.getAsLong(), periodNs);
+        long delayNs = TimerGrid.nanosUntilNext(nanoClock.getAsLong(), periodNs);
         nextTimer = timers.schedule(delayNs / NANOS_PER_MILLI, this::run);
     }
 }
--- a/src/main/java/whinlead/mesh/control/ControlNode.java
+++ b/src/main/java/whinlead/mesh/control/ControlNode.java
@@ -312,9 +312,9 @@
         private void dispatchKeyMessage(PeerConnection connection, PeerMessage message) {
             if (message instanceof PeerMessage.KeyLeaseReport report) {
                 keyDuty.report(connection, report.report());
-            } else if (message instanceof PeerMessage.DutyQuestion question) {
+            } else if (message instanceof PeerMessage.DutyVoteRequest question) {
                 keyDuty.voteRequested(connection.peer(), question.request());
-            } else if (message instanceof PeerMessage.DutyAnswer answer) {
+            } else if (message instanceof PeerMessage.DutyVoteResponse answer) {
                 keyDuty.voteReceived(connection.peer(), answer.vote());
             }
         }
--- a/src/main/java/whinlead/mesh/control/ControlPeers.java
+++ b/src/main/java/whinlead/mesh/control/ControlPeers.java
@@ -118,7 +118,7 @@
 
     private final class ConnectionListener implements ReconnectingConnection.Listener {
         @Override
-        public void changed(ReconnectingConnection connection, ReconnectingConnection.State before) {
+        public void stateChanged(ReconnectingConnection connection, ReconnectingConnection.State before) {
             listener.connectionChanged();
             if (connection.state() == ReconnectingConnection.State.UP
                     && before == ReconnectingConnection.State.DIALLING) {
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public void message(ReconnectingConnection connection, PeerMessage message) {
+        public void messageReceived(ReconnectingConnection connection, PeerMessage message) {
             // Peers send messages on the connections that they open; only pongs arrive on this one.
         }
 
--- a/src/main/java/whinlead/mesh/control/KeyDuty.java
+++ b/src/main/java/whinlead/mesh/control/KeyDuty.java
@@ -118,7 +118,7 @@
         if (recipient.equals(id)) {
             voteRequested(id, request);
         } else {
-            peers.send(recipient, new PeerMessage.DutyQuestion(request));
+            peers.send(recipient, new PeerMessage.DutyVoteRequest(request));
         }
     }
 
@@ -138,7 +138,7 @@
         if (recipient.equals(id)) {
             voteReceived(id, vote);
         } else {
-            peers.send(recipient, new PeerMessage.DutyAnswer(vote));
+            peers.send(recipient, new PeerMessage.DutyVoteResponse(vote));
         }
     }
 
@@ -218,7 +218,7 @@
             return;
         }
         KeyGrantor grantor = grantorFor(nowMs, report.service());
-        if (grantor == null || !grantor.report(nowMs, node, report)) {
+        if (grantor == null || !grantor.handleReport(nowMs, node, report)) {
             return;
         }
         if (!report.released().isEmpty() || report.leaving()) {
@@ -241,7 +241,7 @@
     }
 
     private void sendChanges(double nowMs, String service, KeyGrantor grantor) {
-        grantor.takeDirty().forEach(node -> sendLease(nowMs, node, grantor));
+        grantor.takeNodesToNotify().forEach(node -> sendLease(nowMs, node, grantor));
         List<KeyRoute> routes = grantor.takeNewRoutes();
         if (!routes.isEmpty()) {
             byte[] encoded = PeerMessageCodec.write(new PeerMessage.KeyRoutesUpdate(service, routes));
@@ -253,7 +253,7 @@
 
     private void sendLease(double nowMs, String node, KeyGrantor grantor) {
         MessageSender connection = newestConnections.get(node);
-        KeyLease lease = connection == null ? null : grantor.lease(nowMs, node);
+        KeyLease lease = connection == null ? null : grantor.createLease(nowMs, node);
         if (lease != null) {
             connection.send(new PeerMessage.KeyLeaseGrant(lease));
         }
--- a/src/main/java/whinlead/mesh/control/QuotaLeases.java
+++ b/src/main/java/whinlead/mesh/control/QuotaLeases.java
@@ -132,7 +132,7 @@
 
     /** A newer decision is known; {@code isVoter} says whether it makes this control node a voter. */
     void decided(Decision decision, boolean isVoter) {
-        authority.decided(
+        authority.applyDecision(
                 clockMs.getAsDouble(), decision.slot(), decision.voters().size(), isVoter);
         tick();
     }
@@ -162,12 +162,12 @@
         tick();
         String sidecar = connection.peer();
         if (report.leaving()) {
-            grantor.report(clockMs.getAsDouble(), sidecar, report, false);
+            grantor.handleReport(clockMs.getAsDouble(), sidecar, report, false);
             recorder.prune();
             return;
         }
         boolean recorded = recorder.isRecorded(sidecar);
-        LeaseGrant grant = grantor.report(clockMs.getAsDouble(), sidecar, report, recorded);
+        LeaseGrant grant = grantor.handleReport(clockMs.getAsDouble(), sidecar, report, recorded);
         if (grant != null) {
             connection.send(new PeerMessage.QuotaLeaseGrant(grant));
         }
@@ -176,7 +176,7 @@
     /** A sidecar requests a token. */
     void tokenRequested(PeerConnection connection, TokenRequest request) {
         tick();
-        TokenResponse response = grantor.take(clockMs.getAsDouble(), request);
+        TokenResponse response = grantor.handleTokenRequest(clockMs.getAsDouble(), request);
         connection.send(new PeerMessage.QuotaTokenResponse(response));
     }
 
--- a/src/main/java/whinlead/mesh/control/SidecarChannel.java
+++ b/src/main/java/whinlead/mesh/control/SidecarChannel.java
@@ -157,9 +157,10 @@
 
     /** A sidecar of an earlier version reports its demand; it is sent the totals if it asks for them. */
     void report(PeerConnection connection, PeerMessage.DemandReport report) {
-        demand.report(clockMs.getAsDouble(), connection.peer(), report.uses());
-        if (report.wanted()) {
-            connection.send(new PeerMessage.DemandSums(demand.reportingNodes(), demand.totalsFor(connection.peer())));
+        demand.report(clockMs.getAsDouble(), connection.peer(), report.demands());
+        if (report.wantsTotals()) {
+            connection.send(
+                    new PeerMessage.DemandSums(demand.reportingSidecars(), demand.totalsFor(connection.peer())));
         }
     }
 }
--- a/src/main/java/whinlead/mesh/keys/KeyBalancer.java
+++ b/src/main/java/whinlead/mesh/keys/KeyBalancer.java
@@ -63,9 +63,9 @@
         int keysPerNode = (KeyRange.MAX_KEY + 1) / candidates.size();
         int parts = Math.max(1, Math.min(MAX_PARTS, (int) Math.ceil(2.0 * range.size() / keysPerNode)));
         Map<KeyRange, String> assignment = new LinkedHashMap<>();
-        int firstKey = range.from();
+        int firstKey = range.firstKey();
         for (int i = 1; i <= parts; i++) {
-            int lastKey = range.from() + (int) ((long) range.size() * i / parts) - 1;
+            int lastKey = range.firstKey() + (int) ((long) range.size() * i / parts) - 1;
             KeyRange part = new KeyRange(firstKey, lastKey);
             firstKey = lastKey + 1;
             String leastBusyNode = leastBusy(nowMs, candidates, owned);
@@ -135,7 +135,7 @@
         for (KeyRange range : ranges) {
             int movesBefore = moves.size();
             for (KeyLoad load : node.loads()) {
-                if (range.from() <= load.range().from() && load.range().to() <= range.to()) {
+                if (range.firstKey() <= load.range().firstKey() && load.range().lastKey() <= range.lastKey()) {
                     addMove(nowMs, load.range(), node.places(load), name, node, candidates, owned, moves);
                 }
             }
@@ -182,7 +182,7 @@
                         .orElseThrow();
                 if (widestRange.size() > 1) {
                     KeyRange upperHalf =
-                            new KeyRange(widestRange.from() + (widestRange.size() + 1) / 2, widestRange.to());
+                            new KeyRange(widestRange.firstKey() + (widestRange.size() + 1) / 2, widestRange.lastKey());
                     moves.add(new KeyMove(upperHalf, donorName, name));
                     donor.recordMove(nowMs, 0);
                     node.recordMove(nowMs, 1e-6);
@@ -286,7 +286,7 @@
     }
 
     private static boolean contains(KeyRange range, KeyLoad part) {
-        return range.from() <= part.range().from() && part.range().to() <= range.to();
+        return range.firstKey() <= part.range().firstKey() && part.range().lastKey() <= range.lastKey();
     }
 
     private static boolean isMoving(KeyLoad part, List<KeyMove> moves) {
--- a/src/main/java/whinlead/mesh/keys/KeyGrantor.java
+++ b/src/main/java/whinlead/mesh/keys/KeyGrantor.java
@@ -89,7 +89,7 @@
     }
 
     /** Handles a sidecar's report; returns false if the report is older than an earlier one, or if there is no room. */
-    public boolean report(double nowMs, String name, KeyReport report) {
+    public boolean handleReport(double nowMs, String name, KeyReport report) {
         advance(nowMs);
         KeyNode node = nodes.get(name);
         if (node == null && nodes.size() >= MAX_NODES) {
@@ -245,14 +245,14 @@
     }
 
     /** Returns the nodes that are to be sent a lease now, each once. */
-    public List<String> takeDirty() {
+    public List<String> takeNodesToNotify() {
         List<String> names = List.copyOf(nodesToNotify);
         nodesToNotify.clear();
         return names;
     }
 
     /** The lease of a node as an answer to its last report; null if it has not reported. */
-    public KeyLease lease(double nowMs, String name) {
+    public KeyLease createLease(double nowMs, String name) {
         advance(nowMs);
         KeyNode node = nodes.get(name);
         if (node == null) {
--- a/src/main/java/whinlead/mesh/keys/KeyHolder.java
+++ b/src/main/java/whinlead/mesh/keys/KeyHolder.java
@@ -147,11 +147,11 @@
      * @param maxHoldMs maximum duration of a grant to the endpoint
      */
     public KeyHolder(double maxHoldMs) {
-        this.maxHoldMs = Math.min(maxHoldMs, KeyTerms.HOLD_MS);
+        this.maxHoldMs = Math.min(maxHoldMs, KeyTerms.MAX_HOLD_MS);
     }
 
     /** Records that a report is sent now, and returns its number. */
-    public long reportSent(double nowMs) {
+    public long recordReportSent(double nowMs) {
         reportSentAtMs.put(++reportCount, nowMs);
         if (reportSentAtMs.size() > MAX_OPEN_REPORTS) {
             reportSentAtMs.remove(reportSentAtMs.keySet().iterator().next());
@@ -161,7 +161,7 @@
     }
 
     /** Whether there is a change that is to be reported to the control node at once. */
-    public boolean hasNews() {
+    public boolean hasUnreportedChange() {
         return hasUnreportedChange;
     }
 
@@ -179,7 +179,7 @@
     }
 
     /** Applies a lease from a control node. */
-    public void leased(double nowMs, KeyLease lease) {
+    public void applyLease(double nowMs, KeyLease lease) {
         advance(nowMs);
         boolean isOutdated = lease.epoch() < epoch || lease.epoch() == epoch && lease.number() <= leaseNumber;
         Double sentAtMs = reportSentAtMs.get(lease.reportNumber());
@@ -309,7 +309,7 @@
      * @param writtenAtMs when it was written
      * @param holdMs its duration
      */
-    public void granted(double writtenAtMs, double holdMs, GrantCall call) {
+    public void grantAccepted(double writtenAtMs, double holdMs, GrantCall call) {
         leaseStates.update(call.range(), state -> {
             if (state.fence() != call.fence()) {
                 return state;
@@ -320,12 +320,12 @@
     }
 
     /** Records that a grant's result is unknown; the call is repeated. */
-    public void notGranted(GrantCall call) {
+    public void grantFailed(GrantCall call) {
         leaseStates.update(call.range(), state -> state.fence() == call.fence() ? state.withoutCall() : state);
     }
 
     /** Records that the endpoint has seen a higher fence on these keys: this fence is not used again. */
-    public void refused(GrantCall call) {
+    public void grantRefused(GrantCall call) {
         for (KeyMap.Entry<LeaseState> each : leaseStates.overlapping(call.range())) {
             if (each.value().fence() == call.fence()) {
                 releaseKeys(each.range(), call.fence(), "");
@@ -359,7 +359,7 @@
     }
 
     /** Records that a release's result is unknown; the call is repeated. */
-    public void notReleased(double nowMs, ReleaseCall call) {
+    public void releaseFailed(double nowMs, ReleaseCall call) {
         leaseStates.update(
                 call.range(),
                 state ->
--- a/src/main/java/whinlead/mesh/keys/KeyLoadMeter.java
+++ b/src/main/java/whinlead/mesh/keys/KeyLoadMeter.java
@@ -46,8 +46,8 @@
     }
 
     /** Resets the counts of keys that are no longer held. */
-    public void forget(KeyRange range) {
-        for (int key = range.from(); key <= range.to(); key++) {
+    public void reset(KeyRange range) {
+        for (int key = range.firstKey(); key <= range.lastKey(); key++) {
             counts[key] = 0;
         }
     }
@@ -55,7 +55,7 @@
     /** Load of these keys in requests a second. */
     public double perSecond(double nowMs, KeyRange range) {
         double sum = 0;
-        for (int key = range.from(); key <= range.to(); key++) {
+        for (int key = range.firstKey(); key <= range.lastKey(); key++) {
             sum += counts[key];
         }
         return perSecond(nowMs, sum);
@@ -89,9 +89,9 @@
     }
 
     private void split(double nowMs, KeyRange range, double perPart, List<KeyLoad> loads) {
-        int firstKey = range.from();
+        int firstKey = range.firstKey();
         double sum = 0;
-        for (int key = range.from(); key <= range.to(); key++) {
+        for (int key = range.firstKey(); key <= range.lastKey(); key++) {
             double load = counts[key] > 0 ? perSecond(nowMs, counts[key]) : 0;
             if (sum > 0 && load > 0 && sum + load > perPart) {
                 loads.add(new KeyLoad(new KeyRange(firstKey, key - 1), sum));
@@ -100,6 +100,6 @@
             }
             sum += load;
         }
-        loads.add(new KeyLoad(new KeyRange(firstKey, range.to()), sum));
+        loads.add(new KeyLoad(new KeyRange(firstKey, range.lastKey()), sum));
     }
 }
--- a/src/main/java/whinlead/mesh/keys/KeyMap.java
+++ b/src/main/java/whinlead/mesh/keys/KeyMap.java
@@ -26,14 +26,14 @@
     /** Sets the value of these keys. */
     public void put(KeyRange range, V value) {
         remove(range);
-        cells.put(range.from(), new Cell<>(range.to(), value));
+        cells.put(range.firstKey(), new Cell<>(range.lastKey(), value));
     }
 
     /** Removes the values of these keys. */
     public void remove(KeyRange range) {
-        splitAt(range.from());
-        splitAt(range.to() + 1);
-        cells.subMap(range.from(), true, range.to(), true).clear();
+        splitAt(range.firstKey());
+        splitAt(range.lastKey() + 1);
+        cells.subMap(range.firstKey(), true, range.lastKey(), true).clear();
     }
 
     // Splits the range that contains this key, if there is one, so that a range starts at the key.
@@ -69,8 +69,8 @@
     /** The parts of this range that have values, in order. */
     public List<Entry<V>> overlapping(KeyRange range) {
         List<Entry<V>> entries = new ArrayList<>();
-        Integer firstCell = cells.floorKey(range.from());
-        cells.subMap(firstCell == null ? range.from() : firstCell, true, range.to(), true)
+        Integer firstCell = cells.floorKey(range.firstKey());
+        cells.subMap(firstCell == null ? range.firstKey() : firstCell, true, range.lastKey(), true)
                 .forEach((firstKey, cell) -> {
                     KeyRange cellRange = new KeyRange(firstKey, cell.lastKey());
                     if (cellRange.overlaps(range)) {
@@ -83,15 +83,15 @@
     /** The parts of this range that have no value, in order. */
     public List<KeyRange> gaps(KeyRange range) {
         List<KeyRange> gaps = new ArrayList<>();
-        int nextKey = range.from();
+        int nextKey = range.firstKey();
         for (Entry<V> each : overlapping(range)) {
-            if (each.range().from() > nextKey) {
-                gaps.add(new KeyRange(nextKey, each.range().from() - 1));
+            if (each.range().firstKey() > nextKey) {
+                gaps.add(new KeyRange(nextKey, each.range().firstKey() - 1));
             }
-            nextKey = each.range().to() + 1;
+            nextKey = each.range().lastKey() + 1;
         }
-        if (nextKey <= range.to()) {
-            gaps.add(new KeyRange(nextKey, range.to()));
+        if (nextKey <= range.lastKey()) {
+            gaps.add(new KeyRange(nextKey, range.lastKey()));
         }
         return gaps;
     }
--- a/src/main/java/whinlead/mesh/keys/KeyNode.java
+++ b/src/main/java/whinlead/mesh/keys/KeyNode.java
@@ -46,7 +46,7 @@
 
     /** Whether it has been busy for long enough that all other nodes have reported since. */
     boolean isBusy(double nowMs) {
-        return nowMs - busySinceMs >= KeyTerms.REPORT_MS + REPORT_SLACK_MS;
+        return nowMs - busySinceMs >= KeyTerms.REPORT_INTERVAL_MS + REPORT_SLACK_MS;
     }
 
     long sidecarLife() {
--- a/src/main/java/whinlead/mesh/keys/KeyRange.java
+++ b/src/main/java/whinlead/mesh/keys/KeyRange.java
@@ -1,7 +1,7 @@
 package whinlead.mesh.keys;
 
 /** A range of consecutive keys, including both ends. */
-public record KeyRange(int from, int to) {
+public record KeyRange(int firstKey, int lastKey) {
     /** The highest key. */
     public static final int MAX_KEY = 65_535;
     /** All keys. */
@@ -9,28 +9,28 @@
 
     /** Checks the bounds. */
     public KeyRange {
-        if (from < 0 || to < from || to > MAX_KEY) {
-            throw new IllegalArgumentException("invalid key range from " + from + " to " + to);
+        if (firstKey < 0 || lastKey < firstKey || lastKey > MAX_KEY) {
+            throw new IllegalArgumentException("invalid key range from " + firstKey + " to " + lastKey);
         }
     }
 
     /** Number of keys. */
     public int size() {
-        return to - from + 1;
+        return lastKey - firstKey + 1;
     }
 
     /** Whether this range contains the key. */
     public boolean contains(int key) {
-        return key >= from && key <= to;
+        return key >= firstKey && key <= lastKey;
     }
 
     /** Whether the ranges have a key in common. */
     public boolean overlaps(KeyRange other) {
-        return from <= other.to && other.from <= to;
+        return firstKey <= other.lastKey && other.firstKey <= lastKey;
     }
 
     /** The keys that are in both ranges, which must overlap. */
     public KeyRange intersection(KeyRange other) {
-        return new KeyRange(Math.max(from, other.from), Math.min(to, other.to));
+        return new KeyRange(Math.max(firstKey, other.firstKey), Math.min(lastKey, other.lastKey));
     }
 }
--- a/src/main/java/whinlead/mesh/keys/KeyTerms.java
+++ b/src/main/java/whinlead/mesh/keys/KeyTerms.java
@@ -19,11 +19,11 @@
      * Maximum duration of a grant to the endpoint, so that the keys of a crashed endpoint soon become free; the sidecar
      * extends the grant by itself while its lease lasts.
      */
-    public static final double HOLD_MS = 4500;
+    public static final double MAX_HOLD_MS = 4500;
     /** An endpoint's grant ends this long before the sidecar's lease, because the grant takes time to arrive. */
     public static final double GRANT_MARGIN_MS = 300;
     /** Interval between a sidecar's reports while nothing changes. */
-    public static final double REPORT_MS = 1000;
+    public static final double REPORT_INTERVAL_MS = 1000;
 
     private KeyTerms() {}
 }
--- a/src/main/java/whinlead/mesh/quota/DemandTotals.java
+++ b/src/main/java/whinlead/mesh/quota/DemandTotals.java
@@ -69,7 +69,7 @@
     }
 
     /** Number of sidecars with a recent report. */
-    public int reportingNodes() {
+    public int reportingSidecars() {
         return reports.size();
     }
 
--- a/src/main/java/whinlead/mesh/quota/GrantAuthority.java
+++ b/src/main/java/whinlead/mesh/quota/GrantAuthority.java
@@ -54,7 +54,7 @@
     }
 
     /** Records a newer decision. */
-    public void decided(double nowMs, long newSlot, int newVoters, boolean newIsVoter) {
+    public void applyDecision(double nowMs, long newSlot, int newVoters, boolean newIsVoter) {
         // This node may have lost and regained its vote in decisions that it has not seen.
         boolean mayHaveMissedDecisions = newSlot > slot + 1;
         if (newIsVoter && (!isVoter || mayHaveMissedDecisions)) {
--- a/src/main/java/whinlead/mesh/quota/LeaseSchedule.java
+++ b/src/main/java/whinlead/mesh/quota/LeaseSchedule.java
@@ -19,7 +19,7 @@
     private double sentAtMs = Double.NEGATIVE_INFINITY;
 
     /** Handles a new connection: a report is due at once. */
-    public void connected() {
+    public void onConnected() {
         sentAtMs = Double.NEGATIVE_INFINITY;
     }
 
@@ -30,7 +30,7 @@
     }
 
     /** Records that a report was sent. */
-    public void sent(double nowMs) {
+    public void reportSent(double nowMs) {
         sentAtMs = nowMs;
     }
 }
--- a/src/main/java/whinlead/mesh/quota/QuotaGrantor.java
+++ b/src/main/java/whinlead/mesh/quota/QuotaGrantor.java
@@ -103,7 +103,7 @@
      * @param recorded whether it is recorded on disk that this sidecar may have a lease
      * @return the lease, or null if none is granted
      */
-    public LeaseGrant report(double nowMs, String sidecar, LeaseReport report, boolean recorded) {
+    public LeaseGrant handleReport(double nowMs, String sidecar, LeaseReport report, boolean recorded) {
         advance(nowMs, capacity);
         if (report.leaving()) {
             remove(nowMs, sidecar);
@@ -138,7 +138,7 @@
     }
 
     /** Handles a sidecar's request for one token of the part that is not leased. */
-    public TokenResponse take(double nowMs, TokenRequest request) {
+    public TokenResponse handleTokenRequest(double nowMs, TokenRequest request) {
         advance(nowMs, capacity);
         Tenant tenant = tenant(nowMs, request.tenant(), request.allowance());
         if (tenant != null && takeFromReserve(tenant)) {
--- a/src/main/java/whinlead/mesh/quota/TenantQuota.java
+++ b/src/main/java/whinlead/mesh/quota/TenantQuota.java
@@ -93,7 +93,7 @@
      * Gives up all leases and returns the report that says so. Answers to earlier reports that are still in transit are
      * ignored.
      */
-    public LeaseReport release(double nowMs) {
+    public LeaseReport releaseAll(double nowMs) {
         expireLeases(nowMs);
         leases.values().forEach(QuotaLease::expire);
         leases.values().forEach(QuotaLease::dropOpenReports);
@@ -176,7 +176,7 @@
     }
 
     /** Whether demand has changed so much since the last report that a report is due at once. */
-    public boolean hasNews(double nowMs) {
+    public boolean hasDemandChanged(double nowMs) {
         for (Tenant tenant : tenants.values()) {
             double demandPerS = tenant.demand.perSecond(nowMs);
             double higherPerS = Math.max(demandPerS, tenant.reportedPerS);
@@ -194,7 +194,7 @@
     }
 
     /** Handles a new connection to a control node: answers to earlier reports no longer arrive. */
-    public void connected(String controlNode) {
+    public void onConnected(String controlNode) {
         QuotaLease lease = leases.get(controlNode);
         if (lease != null) {
             lease.dropOpenReports();
@@ -202,7 +202,7 @@
     }
 
     /** Creates a report for a control node, which must be sent at once; null if there is no room for its leases. */
-    public LeaseReport report(double nowMs, String controlNode) {
+    public LeaseReport createReport(double nowMs, String controlNode) {
         expireLeases(nowMs);
         if (!leases.containsKey(controlNode) && leases.size() >= MAX_CONTROL_NODES) {
             leases.values().removeIf(lease -> lease.validUntilMs() <= nowMs);
@@ -234,7 +234,7 @@
     }
 
     /** Applies a lease that a control node has granted. */
-    public void granted(double nowMs, String controlNode, LeaseGrant grant) {
+    public void applyGrant(double nowMs, String controlNode, LeaseGrant grant) {
         expireLeases(nowMs);
         QuotaLease lease = leases.get(controlNode);
         if (lease == null || !lease.accepts(grant)) {
--- a/src/main/java/whinlead/mesh/quota/TokenSearch.java
+++ b/src/main/java/whinlead/mesh/quota/TokenSearch.java
@@ -13,9 +13,9 @@
     /** The longest search, in milliseconds: two round trips between distant zones. */
     public static final double MAX_MS = 200;
     /** The fraction of a request's latency target that its search may take. */
-    public static final double AIM_PART = 0.25;
+    public static final double LATENCY_TARGET_FRACTION = 0.25;
     /** The fraction of a search's time without an answer after which the next control node is also asked. */
-    public static final double HEDGE_PART = 0.65;
+    public static final double HEDGE_FRACTION = 0.65;
     /**
      * If the allowance has a smaller depth than this for each control node, one node is often empty while others are
      * not, and asking them one after another takes too long: two are asked at the same time.
@@ -27,13 +27,13 @@
     /** Carries out the search's actions. */
     public interface Actions {
         /** Asks this control node for a token. */
-        void ask(String controlNode);
+        void requestToken(String controlNode);
 
         /** The request may proceed. */
         void granted();
 
         /** This control node gave a token that is no longer needed. */
-        void surplus(String controlNode);
+        void returnToken(String controlNode);
 
         /** There is no token; one may be available in this many milliseconds, 0 if not known. */
         void denied(double waitMs);
@@ -70,11 +70,11 @@
     }
 
     /** Handles a control node's answer. */
-    public void answered(String controlNode, boolean granted, double nodeWaitMs) {
+    public void onAnswer(String controlNode, boolean granted, double nodeWaitMs) {
         pendingAnswers--;
         if (isOver) {
             if (granted) {
-                actions.surplus(controlNode);
+                actions.returnToken(controlNode);
             }
             return;
         }
@@ -113,7 +113,7 @@
     private void askNextNode() {
         if (!remainingNodes.isEmpty()) {
             pendingAnswers++;
-            actions.ask(remainingNodes.poll());
+            actions.requestToken(remainingNodes.poll());
         } else if (pendingAnswers <= 0) {
             end();
         }
--- a/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
+++ b/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+    public void stateChanged(ReconnectingConnection source, ReconnectingConnection.State previousState) {
         boolean lost = previousState == ReconnectingConnection.State.UP
                 && source.state() != ReconnectingConnection.State.CLOSED;
         if (lost) {
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void message(ReconnectingConnection source, PeerMessage message) {
+    public void messageReceived(ReconnectingConnection source, PeerMessage message) {
         listener.message(message);
     }
 
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public long stamp() {
+    public long sendingTimeMicros() {
         return listener.stamp();
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -160,7 +160,8 @@
                 TIMEOUTS,
                 new ReconnectingConnection.Listener() {
                     @Override
-                    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+                    public void stateChanged(
+                            ReconnectingConnection source, ReconnectingConnection.State previousState) {
                         if (source.state() == ReconnectingConnection.State.UP
                                 && previousState == ReconnectingConnection.State.DIALLING) {
                             Event.CONTROL_NODE_UP.log(ip);
@@ -177,7 +178,7 @@
                     }
 
                     @Override
-                    public void message(ReconnectingConnection source, PeerMessage message) {
+                    public void messageReceived(ReconnectingConnection source, PeerMessage message) {
                         receive(ip, source, message);
                     }
 
@@ -265,14 +266,15 @@
                 TIMEOUTS,
                 new ReconnectingConnection.Listener() {
                     @Override
-                    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+                    public void stateChanged(
+                            ReconnectingConnection source, ReconnectingConnection.State previousState) {
                         if (source.state() == ReconnectingConnection.State.UP) {
                             source.send(new PeerMessage.FindControlNodes());
                         }
                     }
 
                     @Override
-                    public void message(ReconnectingConnection source, PeerMessage message) {
+                    public void messageReceived(ReconnectingConnection source, PeerMessage message) {
                         if (message instanceof PeerMessage.ControlNodes found) {
                             found.addresses().forEach(ControlClient.this::addControlNode);
                             source.close();
--- a/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
@@ -68,7 +68,7 @@
 
     /** Delivers a request from another sidecar; its result is sent on the same connection if that is still open. */
     void deliverForwarded(PeerConnection source, PeerMessage.ForwardRequest request) {
-        int remainingMs = forwardedTime.left(timers.nowMs(), source.transit(), request);
+        int remainingMs = forwardedTime.left(timers.nowMs(), source.transitClock(), request);
         if (remainingMs == 0) {
             // Its time ran out on the way and its caller has been answered, so it is not started.
             source.send(failure(request, PeerMessage.FailureReason.UNREACHED));
@@ -132,7 +132,7 @@
                     gate.utilization(),
                     gate.perSecond());
         }
-        return failure(request, ((PeerMessage.ForwardFailure) outcome).why());
+        return failure(request, ((PeerMessage.ForwardFailure) outcome).reason());
     }
 
     private PeerMessage.ForwardFailure failure(PeerMessage.ForwardRequest request, PeerMessage.FailureReason reason) {
--- a/src/main/java/whinlead/mesh/sidecar/EndpointGrants.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointGrants.java
@@ -153,8 +153,8 @@
     }
 
     private static String rangeFields(ReleaseCall call) {
-        return "\"Source\":" + call.range().from() + ",\"TargetVersion\":"
-                + call.range().to() + ",\"fence\":" + call.fence();
+        return "\"Source\":" + call.range().firstKey() + ",\"TargetVersion\":"
+                + call.range().lastKey() + ",\"fence\":" + call.fence();
     }
 
     private static String grantBody(GrantCall call, double holdMs) {
--- a/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
@@ -33,8 +33,8 @@
      */
     public int left(double nowMs, TransitClock transit, PeerMessage.ForwardRequest request) {
         running(nowMs);
-        int remainingMs = transit.left(nowMs, request.sentAt(), request.leftMs());
+        int remainingMs = transit.remainingMs(nowMs, request.sentAt(), request.leftMs());
         boolean backlog = nowMs - resumedMs < BACKLOG_WINDOW_MS;
-        return backlog && transit.firstArrivalAt() >= resumedMs ? 0 : remainingMs;
+        return backlog && transit.firstArrivalMs() >= resumedMs ? 0 : remainingMs;
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/KeyClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/KeyClient.java
@@ -139,9 +139,9 @@
         callEndpoint();
         double nowMs = timers.nowMs();
         boolean draining = isDraining();
-        boolean reportDue = nowMs - lastReportMs >= KeyTerms.REPORT_MS;
-        boolean changed =
-                (keyHolder.hasNews() || draining != reportedDraining) && nowMs - lastReportMs >= MIN_REPORT_INTERVAL_MS;
+        boolean reportDue = nowMs - lastReportMs >= KeyTerms.REPORT_INTERVAL_MS;
+        boolean changed = (keyHolder.hasUnreportedChange() || draining != reportedDraining)
+                && nowMs - lastReportMs >= MIN_REPORT_INTERVAL_MS;
         if (reportDue || changed) {
             report(nowMs);
         }
@@ -182,7 +182,7 @@
         List<HeldKeys> heldKeys = keyHolder.held(nowMs);
         List<KeyRange> ranges = heldKeys.stream().map(HeldKeys::range).toList();
         logHeld(heldKeys);
-        long reportNumber = keyHolder.reportSent(nowMs);
+        long reportNumber = keyHolder.recordReportSent(nowMs);
         return new KeyReport(
                 incarnation,
                 reportNumber,
@@ -229,7 +229,7 @@
         double nowMs = timers.nowMs();
         grantor = controlNode;
         lastLeaseMs = nowMs;
-        keyHolder.leased(nowMs, lease);
+        keyHolder.applyLease(nowMs, lease);
         tick();
     }
 
@@ -244,14 +244,14 @@
             @Override
             public void granted(double writtenAtMs, double holdMs) {
                 consecutiveGrantFailures = 0;
-                keyHolder.granted(writtenAtMs, holdMs, call);
+                keyHolder.grantAccepted(writtenAtMs, holdMs, call);
                 tick();
             }
 
             @Override
             public void refused() {
                 Event.GRANT_REJECTED.log(call.range() + " fence " + call.fence());
-                keyHolder.refused(call);
+                keyHolder.grantRefused(call);
                 tick();
             }
 
@@ -259,7 +259,7 @@
             public void failed() {
                 consecutiveGrantFailures++;
                 lastGrantFailureMs = timers.nowMs();
-                keyHolder.notGranted(call);
+                keyHolder.grantFailed(call);
             }
         });
     }
@@ -268,14 +268,14 @@
         endpointKeys.release(call, new EndpointKeys.ReleaseListener() {
             @Override
             public void released(String handoff) {
-                loadMeter.forget(call.range());
+                loadMeter.reset(call.range());
                 keyHolder.released(call, handoff);
                 tick();
             }
 
             @Override
             public void failed() {
-                timers.schedule(RELEASE_RETRY_MS, () -> keyHolder.notReleased(timers.nowMs(), call));
+                timers.schedule(RELEASE_RETRY_MS, () -> keyHolder.releaseFailed(timers.nowMs(), call));
             }
         });
     }
--- a/src/main/java/whinlead/mesh/sidecar/QuotaClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/QuotaClient.java
@@ -76,8 +76,8 @@
     /** Adds a new connection to a control node. */
     void connected(String controlNode, Connection connection) {
         connections.put(controlNode, connection);
-        schedules.computeIfAbsent(controlNode, name -> new LeaseSchedule()).connected();
-        quota.connected(controlNode);
+        schedules.computeIfAbsent(controlNode, name -> new LeaseSchedule()).onConnected();
+        quota.onConnected(controlNode);
     }
 
     /** Removes a control node that is no longer known. */
@@ -89,13 +89,13 @@
     /** Called periodically: sends the lease reports that are due. */
     void tick() {
         double nowMs = timers.nowMs();
-        boolean hasNews = quota.hasNews(nowMs);
+        boolean hasNews = quota.hasDemandChanged(nowMs);
         connections.forEach((controlNode, connection) -> {
             LeaseSchedule schedule = schedules.get(controlNode);
             if (leasesEnabled
                     && grantsLeases(connection)
                     && schedule.isDue(nowMs, quota.hasNeeds(nowMs, controlNode), hasNews)) {
-                schedule.sent(nowMs);
+                schedule.reportSent(nowMs);
                 report(nowMs, controlNode, connection);
             }
         });
@@ -103,7 +103,7 @@
     }
 
     private void report(double nowMs, String controlNode, Connection connection) {
-        LeaseReport report = quota.report(nowMs, controlNode);
+        LeaseReport report = quota.createReport(nowMs, controlNode);
         if (report != null) {
             connection.send(new PeerMessage.QuotaLeaseReport(report));
         }
@@ -119,9 +119,9 @@
         }
         leasesEnabled = enabled;
         if (leasesEnabled) {
-            schedules.values().forEach(LeaseSchedule::connected);
+            schedules.values().forEach(LeaseSchedule::onConnected);
         } else {
-            LeaseReport report = quota.release(timers.nowMs());
+            LeaseReport report = quota.releaseAll(timers.nowMs());
             connections.values().stream()
                     .filter(QuotaClient::grantsLeases)
                     .forEach(connection -> connection.send(new PeerMessage.QuotaLeaseReport(report)));
@@ -142,14 +142,14 @@
 
     /** Accepts a lease from a control node. */
     void leaseGranted(String controlNode, LeaseGrant grant) {
-        quota.granted(timers.nowMs(), controlNode, grant);
+        quota.applyGrant(timers.nowMs(), controlNode, grant);
     }
 
     /** Accepts a control node's answer to a token request. */
     void tokenAnswered(TokenResponse response) {
         SentTokenRequest tokenRequest = tokenRequests.remove(response.number());
         if (tokenRequest != null) {
-            tokenRequest.search.answered(tokenRequest.controlNode, response.granted(), response.waitMs());
+            tokenRequest.search.onAnswer(tokenRequest.controlNode, response.granted(), response.waitMs());
         }
     }
 
@@ -200,8 +200,8 @@
         SearchActions actions = new SearchActions(tokenNeeded, decisionListener);
         TokenSearch search = new TokenSearch(reachable, tokenNeeded.allowance(), actions);
         actions.search = search;
-        double maxSearchMs = Math.min(TokenSearch.MAX_MS, targetMs * TokenSearch.AIM_PART);
-        actions.hedgeTimer = timers.schedule(maxSearchMs * TokenSearch.HEDGE_PART, search::hedge);
+        double maxSearchMs = Math.min(TokenSearch.MAX_MS, targetMs * TokenSearch.LATENCY_TARGET_FRACTION);
+        actions.hedgeTimer = timers.schedule(maxSearchMs * TokenSearch.HEDGE_FRACTION, search::hedge);
         actions.endTimer = timers.schedule(maxSearchMs, search::end);
         search.begin();
         return search::cancel;
@@ -244,7 +244,7 @@
         }
 
         @Override
-        public void ask(String controlNode) {
+        public void requestToken(String controlNode) {
             long number = ++lastTokenRequest;
             rememberTokenRequest(number, new SentTokenRequest(controlNode, search));
             Connection connection = connections.get(controlNode);
@@ -262,7 +262,7 @@
         }
 
         @Override
-        public void surplus(String controlNode) {
+        public void returnToken(String controlNode) {
             quota.tokenUnused(controlNode, tokenNeeded.tenant());
         }
 
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -341,7 +341,7 @@
         if (message instanceof PeerMessage.ForwardResponse response) {
             return response.status() >= 500 ? Contract.Outcome.ERROR : Contract.Outcome.SERVED;
         }
-        return switch (((PeerMessage.ForwardFailure) message).why()) {
+        return switch (((PeerMessage.ForwardFailure) message).reason()) {
             case FULL, TURNED_AWAY -> Contract.Outcome.FULL;
             case MOVED, UNREACHED -> Contract.Outcome.CONNECT_FAILED;
             // Says nothing about the endpoint except that it does not own the key.
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -232,7 +232,7 @@
                 forwarded.responseReceived(response);
                 report = report(response.util(), response.perSecond());
             } else if (message instanceof PeerMessage.ForwardFailure failure) {
-                attempts.returned(failure.why());
+                attempts.returned(failure.reason());
                 report = report(failure.util(), failure.perSecond());
             }
             listener.ended(
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -142,7 +142,7 @@
         EndpointGrants grants = new EndpointGrants(
                 loop, timers, EndpointList.address(settings.self().appAddr()));
         Double holdCapS = settings.clauses().bounds().holdCapS();
-        double maxHoldMs = holdCapS == null ? KeyTerms.HOLD_MS : holdCapS * MILLIS_PER_SECOND;
+        double maxHoldMs = holdCapS == null ? KeyTerms.MAX_HOLD_MS : holdCapS * MILLIS_PER_SECOND;
         return new KeyClient(
                 timers,
                 gate,
@@ -201,7 +201,7 @@
 
     // Nanoseconds until the next tick, aligned with all timers of this process.
     private static long nanosUntilNext(long periodMs) {
-        return TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(periodMs));
+        return TimerGrid.nanosUntilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(periodMs));
     }
 
     /** Adds control nodes to connect to. */
@@ -359,7 +359,7 @@
         public void message(PeerConnection connection, PeerMessage message) {
             if (message instanceof PeerMessage.Ping ping) {
                 delivery.recordRunning();
-                connection.transit().waited(timers.nowMs(), ping.sentAt());
+                connection.transitClock().waitedMs(timers.nowMs(), ping.sentAt());
                 connection.send(new PeerMessage.Pong(ping.number(), node, -1));
             } else if (message instanceof PeerMessage.ForwardRequest request) {
                 delivery.deliverForwarded(connection, request);
--- a/src/main/java/whinlead/mesh/wire/KeyMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/KeyMessageCodec.java
@@ -23,8 +23,8 @@
     private KeyMessageCodec() {}
 
     static boolean isAboutKeys(PeerMessage message) {
-        return message instanceof PeerMessage.DutyQuestion
-                || message instanceof PeerMessage.DutyAnswer
+        return message instanceof PeerMessage.DutyVoteRequest
+                || message instanceof PeerMessage.DutyVoteResponse
                 || message instanceof PeerMessage.KeyGrantorChanged
                 || message instanceof PeerMessage.KeyLeaseReport
                 || message instanceof PeerMessage.KeyLeaseGrant
@@ -32,11 +32,11 @@
     }
 
     static void write(MessageBufferPacker packer, PeerMessage peerMessage) throws IOException {
-        if (peerMessage instanceof PeerMessage.DutyQuestion message) {
+        if (peerMessage instanceof PeerMessage.DutyVoteRequest message) {
             packer.packByte(PeerMessageKind.DUTY_REQUEST.tag());
             packer.packLong(message.request().number())
                     .packLong(message.request().epoch());
-        } else if (peerMessage instanceof PeerMessage.DutyAnswer message) {
+        } else if (peerMessage instanceof PeerMessage.DutyVoteResponse message) {
             packer.packByte(PeerMessageKind.DUTY_VOTE.tag());
             packer.packLong(message.vote().number()).packBoolean(message.vote().granted());
             packer.packLong(message.vote().epoch()).packBoolean(message.vote().first());
@@ -56,9 +56,10 @@
 
     static PeerMessage read(PeerMessageKind kind, MessageUnpacker unpacker) throws IOException {
         return switch (kind) {
-            case DUTY_REQUEST -> new PeerMessage.DutyQuestion(new DutyRequest(unpacker.unpackLong(), epoch(unpacker)));
+            case DUTY_REQUEST ->
+                new PeerMessage.DutyVoteRequest(new DutyRequest(unpacker.unpackLong(), epoch(unpacker)));
             case DUTY_VOTE ->
-                new PeerMessage.DutyAnswer(new DutyVote(
+                new PeerMessage.DutyVoteResponse(new DutyVote(
                         unpacker.unpackLong(), unpacker.unpackBoolean(), epoch(unpacker), unpacker.unpackBoolean()));
             case KEY_GRANTOR_CHANGED -> new PeerMessage.KeyGrantorChanged(epoch(unpacker));
             case KEY_REPORT -> new PeerMessage.KeyLeaseReport(report(unpacker));
@@ -172,7 +173,7 @@
     }
 
     private static void range(MessageBufferPacker packer, KeyRange range) throws IOException {
-        packer.packInt(range.from()).packInt(range.to());
+        packer.packInt(range.firstKey()).packInt(range.lastKey());
     }
 
     private static KeyRange range(MessageUnpacker unpacker) throws IOException {
--- a/src/main/java/whinlead/mesh/wire/PeerConnection.java
+++ b/src/main/java/whinlead/mesh/wire/PeerConnection.java
@@ -35,7 +35,7 @@
     }
 
     private final Channel channel;
-    private final TransitClock transit = new TransitClock();
+    private final TransitClock transitClock = new TransitClock();
     private String peer;
     /** The version that both sides use; the lowest one until the other side's greeting has arrived. */
     private int version = ProtocolVersion.UNVERSIONED;
@@ -78,8 +78,8 @@
     }
 
     /** Measures how long received messages waited on their way. */
-    public TransitClock transit() {
-        return transit;
+    public TransitClock transitClock() {
+        return transitClock;
     }
 
     /** The name that the other side's greeting gave; null before that. */
--- a/src/main/java/whinlead/mesh/wire/PeerMessage.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessage.java
@@ -95,10 +95,10 @@
     record QuotaTokenResponse(TokenResponse response) implements PeerMessage {}
 
     /** A control node asks a voter for its vote for a duty. */
-    record DutyQuestion(DutyRequest request) implements PeerMessage {}
+    record DutyVoteRequest(DutyRequest request) implements PeerMessage {}
 
     /** The voter's answer. */
-    record DutyAnswer(DutyVote vote) implements PeerMessage {}
+    record DutyVoteResponse(DutyVote vote) implements PeerMessage {}
 
     /** A control node announces that it grants keys from now on: sidecars of sharded services report to it. */
     record KeyGrantorChanged(long epoch) implements PeerMessage {}
@@ -118,7 +118,7 @@
     }
 
     /** A sidecar of an earlier version reports its demand and may ask for the totals. */
-    record DemandReport(List<TenantDemand> uses, boolean wanted) implements PeerMessage {}
+    record DemandReport(List<TenantDemand> demands, boolean wantsTotals) implements PeerMessage {}
 
     /** The total demand over this many sidecars, of the tenants that the receiver has reported. */
     record DemandSums(int sidecars, List<TenantDemand> totals) implements PeerMessage {}
@@ -179,7 +179,7 @@
             implements PeerMessage {}
 
     /** A request without a response, and the endpoint's load. */
-    record ForwardFailure(long stream, FailureReason why, double util, double perSecond) implements PeerMessage {}
+    record ForwardFailure(long stream, FailureReason reason, double util, double perSecond) implements PeerMessage {}
 
     /** Why there is no response. */
     enum FailureReason {
--- a/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
+++ b/src/main/java/whinlead/mesh/wire/PeerMessageCodec.java
@@ -52,7 +52,7 @@
             } else if (message instanceof PeerMessage.ForwardFailure msg) {
                 packer.packByte(PeerMessageKind.FORWARD_FAILURE.tag())
                         .packLong(msg.stream())
-                        .packInt(msg.why().ordinal());
+                        .packInt(msg.reason().ordinal());
                 packer.packDouble(msg.util()).packDouble(msg.perSecond());
             } else if (KeyMessageCodec.isAboutKeys(message)) {
                 KeyMessageCodec.write(packer, message);
@@ -101,8 +101,8 @@
             ConsensusMessageCodec.write(packer, msg.message());
         } else if (message instanceof PeerMessage.DemandReport msg) {
             packer.packByte(PeerMessageKind.DEMAND_REPORT.tag());
-            demands(packer, msg.uses());
-            packer.packBoolean(msg.wanted());
+            demands(packer, msg.demands());
+            packer.packBoolean(msg.wantsTotals());
         } else if (message instanceof PeerMessage.DemandSums msg) {
             packer.packByte(PeerMessageKind.DEMAND_SUMS.tag()).packInt(msg.sidecars());
             demands(packer, msg.totals());
--- a/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
+++ b/src/main/java/whinlead/mesh/wire/ReconnectingConnection.java
@@ -41,10 +41,10 @@
     /** Receives the events of the connection. */
     public interface Listener {
         /** The state has changed. */
-        void changed(ReconnectingConnection connection, State previous);
+        void stateChanged(ReconnectingConnection connection, State previous);
 
         /** A message was received. */
-        void message(ReconnectingConnection connection, PeerMessage message);
+        void messageReceived(ReconnectingConnection connection, PeerMessage message);
 
         /** A ping was answered that was sent at this time, by the loop's steady clock in milliseconds. */
         default void pongReceived(double sentAtMs, PeerMessage.Pong pong) {}
@@ -55,7 +55,7 @@
         }
 
         /** The sending time of a ping, in microseconds of a steady clock. */
-        default long stamp() {
+        default long sendingTimeMicros() {
             return PeerMessage.UNSTAMPED;
         }
 
@@ -162,7 +162,7 @@
         }
         State previous = state;
         state = newState;
-        listener.changed(this, previous);
+        listener.stateChanged(this, previous);
     }
 
     private void handleDisconnect() {
@@ -194,14 +194,14 @@
         }
         timer = loop.schedule(
                 this::checkLiveness,
-                TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(timeouts.pingMs())),
+                TimerGrid.nanosUntilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(timeouts.pingMs())),
                 TimeUnit.NANOSECONDS);
     }
 
     private void ping() {
         isPingPending = true;
         pingSentAtMs[(int) (++pingCount % MAX_OUTSTANDING_PINGS)] = System.nanoTime() / NANOS_PER_MILLI;
-        connection.send(new PeerMessage.Ping(pingCount, listener.stamp()));
+        connection.send(new PeerMessage.Ping(pingCount, listener.sendingTimeMicros()));
     }
 
     private final class Handler implements PeerConnection.MessageHandler {
@@ -215,7 +215,7 @@
             lastReceivedNanos = System.nanoTime();
             isPingPending = false;
             newConnection.send(hello);
-            if (listener.stamp() != PeerMessage.UNSTAMPED) {
+            if (listener.sendingTimeMicros() != PeerMessage.UNSTAMPED) {
                 // Sent before all other messages: the transit times of later messages are compared with this one's.
                 ping();
             }
@@ -237,7 +237,7 @@
                 changeState(State.UP);
             }
             if (!(message instanceof PeerMessage.Hello)) {
-                listener.message(ReconnectingConnection.this, message);
+                listener.messageReceived(ReconnectingConnection.this, message);
             }
         }
 
--- a/src/main/java/whinlead/mesh/wire/TimerGrid.java
+++ b/src/main/java/whinlead/mesh/wire/TimerGrid.java
@@ -15,7 +15,7 @@
     private TimerGrid() {}
 
     /** Nanoseconds until a timer of this period fires next: between half a period and one and a half. */
-    public static long untilNext(long nowNanos, long periodNanos) {
+    public static long nanosUntilNext(long nowNanos, long periodNanos) {
         long remainingNanos = periodNanos - Math.floorMod(nowNanos + OFFSET_NANOS, periodNanos);
         return remainingNanos < periodNanos / 2 ? remainingNanos + periodNanos : remainingNanos;
     }
--- a/src/main/java/whinlead/mesh/wire/TransitClock.java
+++ b/src/main/java/whinlead/mesh/wire/TransitClock.java
@@ -25,7 +25,7 @@
     private double minDifferenceMs = Double.POSITIVE_INFINITY;
     private double previousMinDifferenceMs = Double.POSITIVE_INFINITY;
     private double windowAgeMs;
-    private double firstArrivalAt = Double.NaN;
+    private double firstArrivalMs = Double.NaN;
     private double lastArrivalMs = Double.NaN;
 
     /**
@@ -34,7 +34,7 @@
      * @param nowMs by the receiver's steady clock
      * @param sentAtMicros the message's stamp in microseconds; for a message without a stamp the result is 0
      */
-    public double waited(double nowMs, long sentAtMicros) {
+    public double waitedMs(double nowMs, long sentAtMicros) {
         if (sentAtMicros == PeerMessage.UNSTAMPED) {
             return 0;
         }
@@ -50,18 +50,18 @@
      *
      * @param sentRemainingMs remaining time when the request was sent
      */
-    public int left(double nowMs, long sentAtMicros, int sentRemainingMs) {
-        return (int) Math.max(0, Math.floor(sentRemainingMs - waited(nowMs, sentAtMicros)));
+    public int remainingMs(double nowMs, long sentAtMicros, int sentRemainingMs) {
+        return (int) Math.max(0, Math.floor(sentRemainingMs - waitedMs(nowMs, sentAtMicros)));
     }
 
     /** When the first message with a stamp arrived, by the receiver's clock; NaN before that. */
-    public double firstArrivalAt() {
-        return firstArrivalAt;
+    public double firstArrivalMs() {
+        return firstArrivalMs;
     }
 
     private void advanceWindow(double nowMs) {
         if (Double.isNaN(lastArrivalMs)) {
-            firstArrivalAt = nowMs;
+            firstArrivalMs = nowMs;
         } else {
             windowAgeMs += Math.min(nowMs - lastArrivalMs, MAX_SILENCE_MS);
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -139,7 +139,8 @@
     }
 
     private PeerMessage withPlantedFault(PeerMessage.ForwardRequest request, PeerMessage message) {
-        boolean spoilt = message instanceof PeerMessage.ForwardFailure r && r.why() == PeerMessage.FailureReason.BROKEN;
+        boolean spoilt =
+                message instanceof PeerMessage.ForwardFailure r && r.reason() == PeerMessage.FailureReason.BROKEN;
         if (bug != AnswerBug.PASSES_HEADERS_OF_SPOILT_ANSWERS || !spoilt) {
             return message;
         }
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -388,7 +388,7 @@
 
         private void attemptEnded(PeerMessage message, OutcomeListener<PeerMessage.ForwardResponse> told) {
             if (message instanceof PeerMessage.ForwardFailure r) {
-                attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.FailureReason.UNREACHED : r.why());
+                attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.FailureReason.UNREACHED : r.reason());
             }
             told.ended(
                     RequestForwarder.outcome(message),
@@ -467,7 +467,7 @@
                 TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer) {
             if (message instanceof PeerMessage.Ping ping) {
                 forwardedTime.running(process.nowMs());
-                transit.waited(process.nowMs(), ping.sentAt());
+                transit.waitedMs(process.nowMs(), ping.sentAt());
             } else if (message instanceof PeerMessage.Cancel cancel) {
                 underWay.cancel(answer, cancel);
             } else if (message instanceof PeerMessage.ForwardRequest request) {
@@ -494,7 +494,7 @@
             EndpointConnections.Sent atEndpoint = endpointConnections.send(request, request.endpoint(), l -> {
                 underWay.ended(answer, request.stream());
                 boolean reset =
-                        l instanceof PeerMessage.ForwardFailure r && r.why() == PeerMessage.FailureReason.BROKEN;
+                        l instanceof PeerMessage.ForwardFailure r && r.reason() == PeerMessage.FailureReason.BROKEN;
                 if (reset && bug == Bug.RESET_NEVER_RAN) {
                     answer.accept(new PeerMessage.ForwardFailure(
                             request.stream(), PeerMessage.FailureReason.UNREACHED, 0, 0));
--- a/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
+++ b/src/test/java/whinlead/mesh/PeerMessageCodecTest.java
@@ -94,8 +94,8 @@
 
     private static List<PeerMessage> messagesAboutKeys() {
         return List.of(
-                new PeerMessage.DutyQuestion(new DutyRequest(4, 64)),
-                new PeerMessage.DutyAnswer(new DutyVote(4, true, 64, true)),
+                new PeerMessage.DutyVoteRequest(new DutyRequest(4, 64)),
+                new PeerMessage.DutyVoteResponse(new DutyVote(4, true, 64, true)),
                 new PeerMessage.KeyGrantorChanged(64),
                 new PeerMessage.KeyLeaseReport(new KeyReport(
                         7,
--- a/src/test/java/whinlead/mesh/control/KeyMesh.java
+++ b/src/test/java/whinlead/mesh/control/KeyMesh.java
@@ -120,9 +120,9 @@
             int other = Integer.parseInt(voter.substring("control-".length()));
             Control self = this;
             coreLinks[index][other].send(this, controls[other], -index - 1, other, 0, () -> {
-                if (message instanceof PeerMessage.DutyQuestion question) {
+                if (message instanceof PeerMessage.DutyVoteRequest question) {
                     controls[other].duty.voteRequested(self.id, question.request());
-                } else if (message instanceof PeerMessage.DutyAnswer answer) {
+                } else if (message instanceof PeerMessage.DutyVoteResponse answer) {
                     controls[other].duty.voteReceived(self.id, answer.vote());
                 }
             });
--- a/src/test/java/whinlead/mesh/keys/KeyGrantorTest.java
+++ b/src/test/java/whinlead/mesh/keys/KeyGrantorTest.java
@@ -43,16 +43,16 @@
             KeyReport report = new KeyReport(
                     1, ++reportCount, "s", "e-" + name, CAPACITY, leaving, totalLoad * 0.13, heldKeys, released, loads);
             released.clear();
-            grantor.report(nowMs, name, report);
+            grantor.handleReport(nowMs, name, report);
             grantor.plan(nowMs);
-            apply(grantor.lease(nowMs, name));
+            apply(grantor.createLease(nowMs, name));
         }
 
         // Splits a range into parts with about the same load.
         private void split(KeyRange range, double loadPerPart, List<KeyLoad> loads) {
-            int firstKey = range.from();
+            int firstKey = range.firstKey();
             double sum = 0;
-            for (int key = range.from(); key <= range.to(); key++) {
+            for (int key = range.firstKey(); key <= range.lastKey(); key++) {
                 double load = load(new KeyRange(key, key));
                 if (sum > 0 && sum + load > loadPerPart) {
                     loads.add(new KeyLoad(new KeyRange(firstKey, key - 1), sum));
@@ -61,13 +61,13 @@
                 }
                 sum += load;
             }
-            loads.add(new KeyLoad(new KeyRange(firstKey, range.to()), sum));
+            loads.add(new KeyLoad(new KeyRange(firstKey, range.lastKey()), sum));
         }
 
         private void apply(KeyLease lease) {
             lease.leased().forEach(each -> held.put(each.range(), each));
             lease.recalled().stream()
-                    .filter(each -> held.get(each.range().from()) != null)
+                    .filter(each -> held.get(each.range().firstKey()) != null)
                     .forEach(each -> {
                         held.remove(each.range());
                         released.add(new ReleasedKeys(each.range(), each.fence(), "h-" + each.fence()));
@@ -104,7 +104,7 @@
     private void runFor(double durationMs) {
         for (double endMs = nowMs + durationMs; nowMs < endMs; nowMs += 250) {
             List.copyOf(nodes.values()).forEach(Node::report);
-            grantor.takeDirty().forEach(name -> nodes.get(name).apply(grantor.lease(nowMs, name)));
+            grantor.takeNodesToNotify().forEach(name -> nodes.get(name).apply(grantor.createLease(nowMs, name)));
         }
     }
 
@@ -187,7 +187,7 @@
         Node silentNode = nodes.remove("n5");
         double silentSinceMs = nowMs;
         KeyRange range = silentNode.held.entries().get(0).range();
-        while (nodes.values().stream().noneMatch(node -> node.held.get(range.from()) != null)) {
+        while (nodes.values().stream().noneMatch(node -> node.held.get(range.firstKey()) != null)) {
             runFor(250);
         }
         assertTrue(
--- a/src/test/java/whinlead/mesh/keys/KeyHolderTest.java
+++ b/src/test/java/whinlead/mesh/keys/KeyHolderTest.java
@@ -33,17 +33,17 @@
 
     // The report is sent at 0 ms, the lease arrives at 10 ms, and the keys are granted to the endpoint at 12 ms.
     private void leaseAndGrant() {
-        long report = holder.reportSent(0);
-        holder.leased(10, lease(report, List.of(keys(RANGE, 5)), List.of()));
+        long report = holder.recordReportSent(0);
+        holder.applyLease(10, lease(report, List.of(keys(RANGE, 5)), List.of()));
         GrantCall call = holder.grantsDue(12).get(0);
         double holdMs = holder.holdMs(12, call);
-        holder.granted(12, holdMs, call);
+        holder.grantAccepted(12, holdMs, call);
     }
 
     @Test
     public void grantEndsBeforeTheLease() {
-        long report = holder.reportSent(0);
-        holder.leased(6000, lease(report, List.of(keys(RANGE, 5)), List.of()));
+        long report = holder.recordReportSent(0);
+        holder.applyLease(6000, lease(report, List.of(keys(RANGE, 5)), List.of()));
         GrantCall call = holder.grantsDue(6000).get(0);
         double heldMs = holder.holdMs(6001, call) * KeyTerms.ENDPOINT_CLOCK_FACTOR;
         assertTrue(
@@ -55,15 +55,15 @@
     @Test
     public void leaseInTransitWhileItsKeysWereReleasedIsIgnored() {
         leaseAndGrant();
-        long earlierReport = holder.reportSent(1000);
-        holder.leased(1010, lease(earlierReport, List.of(keys(RANGE, 5)), List.of(keys(HALF, 5))));
+        long earlierReport = holder.recordReportSent(1000);
+        holder.applyLease(1010, lease(earlierReport, List.of(keys(RANGE, 5)), List.of(keys(HALF, 5))));
         assertFalse(holder.serves(1011, 600), "recalled keys get no new requests");
         assertTrue(holder.serves(1011, 400));
         holder.released(holder.releasesDue(1011).get(0), "h-1");
         assertEquals(holder.released(), List.of(new ReleasedKeys(HALF, 5, "h-1")));
-        holder.leased(1020, lease(earlierReport, List.of(keys(RANGE, 5)), List.of()));
+        holder.applyLease(1020, lease(earlierReport, List.of(keys(RANGE, 5)), List.of()));
         assertTrue(holder.held(1020).stream().noneMatch(each -> each.range().overlaps(HALF)));
-        holder.leased(1030, lease(earlierReport, List.of(keys(HALF, 6)), List.of()));
+        holder.applyLease(1030, lease(earlierReport, List.of(keys(HALF, 6)), List.of()));
         assertTrue(
                 holder.held(1030).stream().anyMatch(each -> each.range().equals(HALF)),
                 "keys can be held again under a higher fence");
@@ -72,30 +72,30 @@
     @Test
     public void releaseIsReportedUntilAReportOfItIsAnswered() {
         leaseAndGrant();
-        holder.leased(20, lease(1, List.of(), List.of(keys(RANGE, 5))));
+        holder.applyLease(20, lease(1, List.of(), List.of(keys(RANGE, 5))));
         holder.released(holder.releasesDue(20).get(0), "h-1");
-        holder.leased(30, lease(1, List.of(), List.of()));
+        holder.applyLease(30, lease(1, List.of(), List.of()));
         assertEquals(holder.released().size(), 1, "an answer to an earlier report does not confirm the release");
-        long report = holder.reportSent(40);
-        holder.leased(50, lease(report, List.of(), List.of()));
+        long report = holder.recordReportSent(40);
+        holder.applyLease(50, lease(report, List.of(), List.of()));
         assertTrue(holder.released().isEmpty());
     }
 
     @Test
     public void keysOfAnEndedLeaseAreNotHeldAgainUnderTheSameFence() {
         leaseAndGrant();
-        long report = holder.reportSent(KeyTerms.LEASE_MS - 1);
+        long report = holder.recordReportSent(KeyTerms.LEASE_MS - 1);
         assertFalse(holder.serves(KeyTerms.LEASE_MS + 1, 5));
-        holder.leased(KeyTerms.LEASE_MS + 1, lease(report, List.of(keys(RANGE, 5)), List.of()));
+        holder.applyLease(KeyTerms.LEASE_MS + 1, lease(report, List.of(keys(RANGE, 5)), List.of()));
         assertTrue(holder.held(KeyTerms.LEASE_MS + 2).isEmpty());
     }
 
     @Test
     public void fenceRefusedByTheEndpointIsNotUsedAgain() {
-        long report = holder.reportSent(0);
-        holder.leased(10, lease(report, List.of(keys(RANGE, 5)), List.of()));
-        holder.refused(holder.grantsDue(12).get(0));
-        holder.leased(20, lease(report, List.of(keys(RANGE, 5)), List.of()));
+        long report = holder.recordReportSent(0);
+        holder.applyLease(10, lease(report, List.of(keys(RANGE, 5)), List.of()));
+        holder.grantRefused(holder.grantsDue(12).get(0));
+        holder.applyLease(20, lease(report, List.of(keys(RANGE, 5)), List.of()));
         assertTrue(holder.grantsDue(500).isEmpty());
         assertEquals(holder.released(), List.of(new ReleasedKeys(RANGE, 5, "")));
     }
@@ -104,11 +104,11 @@
     public void keysOfASilentEndpointAreReleasedAfterItsGrantHasEnded() {
         leaseAndGrant();
         for (double nowMs = 500; nowMs < 9000; nowMs += 500) {
-            long report = holder.reportSent(nowMs);
-            holder.leased(nowMs, lease(report, List.of(keys(RANGE, 5)), List.of()));
+            long report = holder.recordReportSent(nowMs);
+            holder.applyLease(nowMs, lease(report, List.of(keys(RANGE, 5)), List.of()));
             for (GrantCall call : holder.grantsDue(nowMs)) {
                 assertTrue(nowMs < 7000, "no grant is due after the keys were released");
-                holder.notGranted(call);
+                holder.grantFailed(call);
             }
         }
         assertTrue(holder.held(9000).isEmpty(), "keys must be released although the lease is still valid");
--- a/src/test/java/whinlead/mesh/keys/KeyMapTest.java
+++ b/src/test/java/whinlead/mesh/keys/KeyMapTest.java
@@ -28,7 +28,7 @@
             } else {
                 map.update(range, each -> each == value ? null : each + 1);
             }
-            for (int key = range.from(); key <= range.to(); key++) {
+            for (int key = range.firstKey(); key <= range.lastKey(); key++) {
                 boolean isRemoved = operation == 1 || operation == 2 && (array[key] == null || array[key] == value);
                 array[key] = isRemoved ? null : operation == 0 ? value : Integer.valueOf(array[key] + 1);
             }
@@ -43,11 +43,11 @@
         int covered = 0;
         for (KeyMap.Entry<Integer> each : map.overlapping(range)) {
             covered += each.range().size();
-            assertEquals(each.value(), array[each.range().from()]);
+            assertEquals(each.value(), array[each.range().firstKey()]);
         }
         for (KeyRange gap : map.gaps(range)) {
             covered += gap.size();
-            assertTrue(array[gap.from()] == null && array[gap.to()] == null);
+            assertTrue(array[gap.firstKey()] == null && array[gap.lastKey()] == null);
         }
         assertEquals(covered, range.size());
     }
--- a/src/test/java/whinlead/mesh/quota/GrantAuthorityTest.java
+++ b/src/test/java/whinlead/mesh/quota/GrantAuthorityTest.java
@@ -24,7 +24,7 @@
     @Test
     public void newVoterGrantsNothingUntilEarlierLeasesHaveEnded() {
         GrantAuthority joiningNode = new GrantAuthority(0, 4, 3, false, false);
-        joiningNode.decided(1000, 5, 4, true);
+        joiningNode.applyDecision(1000, 5, 4, true);
         assertEquals(joiningNode.capacity(1000 + LeaseTerms.SETTLED_MS - 1, true), 0.0);
         assertEquals(joiningNode.capacity(1000 + LeaseTerms.SETTLED_MS, true), 1.0 / 4);
     }
@@ -32,7 +32,7 @@
     @Test
     public void voterThatMayHaveMissedItsRemovalGrantsNothingUntilEarlierLeasesHaveEnded() {
         GrantAuthority laggingNode = new GrantAuthority(0, 0, 3, true, true);
-        laggingNode.decided(20_000, 5, 3, true);
+        laggingNode.applyDecision(20_000, 5, 3, true);
         assertEquals(laggingNode.capacity(20_001, true), 0.0);
         assertEquals(laggingNode.capacity(20_000 + LeaseTerms.SETTLED_MS, true), 1.0 / 3);
     }
@@ -40,7 +40,7 @@
     @Test
     public void withFewerVotersCapacityGrowsOnlyAfterEarlierLeasesHaveEnded() {
         GrantAuthority remainingNode = new GrantAuthority(0, 0, 4, true, true);
-        remainingNode.decided(10_000, 1, 3, true);
+        remainingNode.applyDecision(10_000, 1, 3, true);
         assertEquals(remainingNode.capacity(10_001, true), 1.0 / 4);
         assertEquals(remainingNode.capacity(10_000 + LeaseTerms.SETTLED_MS, true), 1.0 / 3);
     }
@@ -100,7 +100,7 @@
                             node.knownSlot == slot - 1 && nowMs - decidedAtMs < LeaseTerms.CONFIRMED_MS;
                     boolean confirmed = node.knownSlot == slot || isPreviousStillConfirmed;
                     if (node.knownSlot < slot && random.nextInt(40) == 0) {
-                        node.authority.decided(nowMs, slot, countTrue(votes), votes[i]);
+                        node.authority.applyDecision(nowMs, slot, countTrue(votes), votes[i]);
                         node.knownSlot = slot;
                     }
                     double grantedFraction = node.authority.capacity(nowMs, confirmed);
--- a/src/test/java/whinlead/mesh/quota/LeaseScheduleTest.java
+++ b/src/test/java/whinlead/mesh/quota/LeaseScheduleTest.java
@@ -20,7 +20,7 @@
             if (schedule.isDue(ms, hasNeeds, hasDemandChanged)) {
                 assertTrue(
                         2 * (ms - lastReportMs) < LeaseTerms.LEASE_MS, "no report for " + (ms - lastReportMs) + " ms");
-                schedule.sent(ms);
+                schedule.reportSent(ms);
                 lastReportMs = ms;
                 count++;
             }
@@ -41,7 +41,7 @@
     @Test
     public void changedDemandIsReportedEarlyButNotAtEachTick() {
         LeaseSchedule schedule = new LeaseSchedule();
-        schedule.sent(0);
+        schedule.reportSent(0);
         assertTrue(!schedule.isDue(100, true, true));
         assertTrue(schedule.isDue(200, true, true));
         assertTrue(!schedule.isDue(200, true, false));
@@ -51,8 +51,8 @@
     public void newConnectionIsReportedToImmediately() {
         LeaseSchedule schedule = new LeaseSchedule();
         assertTrue(schedule.isDue(0, false, false), "the first report");
-        schedule.sent(0);
-        schedule.connected();
+        schedule.reportSent(0);
+        schedule.onConnected();
         assertTrue(schedule.isDue(1, false, false));
     }
 }
--- a/src/test/java/whinlead/mesh/quota/QuotaLeaseTest.java
+++ b/src/test/java/whinlead/mesh/quota/QuotaLeaseTest.java
@@ -32,10 +32,10 @@
     }
 
     private LeaseGrant renew(double nowMs) {
-        LeaseReport report = quota.report(nowMs, CONTROL_NODE);
-        LeaseGrant grant = grantor.report(nowMs, SIDECAR, report, true);
+        LeaseReport report = quota.createReport(nowMs, CONTROL_NODE);
+        LeaseGrant grant = grantor.handleReport(nowMs, SIDECAR, report, true);
         if (grant != null) {
-            quota.granted(nowMs, CONTROL_NODE, grant);
+            quota.applyGrant(nowMs, CONTROL_NODE, grant);
         }
         return grant;
     }
@@ -64,9 +64,9 @@
         for (int ms = 0; ms < 2000; ms += 10) {
             isAdmitted(ms);
         }
-        LeaseReport report = quota.report(2000, CONTROL_NODE);
-        LeaseGrant grant = grantor.report(2500, SIDECAR, report, true);
-        quota.granted(3000, CONTROL_NODE, grant);
+        LeaseReport report = quota.createReport(2000, CONTROL_NODE);
+        LeaseGrant grant = grantor.handleReport(2500, SIDECAR, report, true);
+        quota.applyGrant(3000, CONTROL_NODE, grant);
         assertTrue(isAdmitted(3500));
         assertFalse(isAdmitted(2000 + LeaseTerms.LEASE_MS));
     }
@@ -76,17 +76,17 @@
         for (int ms = 0; ms < 2000; ms += 10) {
             isAdmitted(ms);
         }
-        LeaseReport report = quota.report(2000, CONTROL_NODE);
-        LeaseGrant grant = grantor.report(2000, SIDECAR, report, true);
-        quota.connected(CONTROL_NODE);
-        quota.granted(2100, CONTROL_NODE, grant);
+        LeaseReport report = quota.createReport(2000, CONTROL_NODE);
+        LeaseGrant grant = grantor.handleReport(2000, SIDECAR, report, true);
+        quota.onConnected(CONTROL_NODE);
+        quota.applyGrant(2100, CONTROL_NODE, grant);
         assertFalse(isAdmitted(2200));
     }
 
     @Test
     public void sidecarNotRecordedOnDiskIsGrantedNothing() {
         isAdmitted(0);
-        assertEquals(grantor.report(10, SIDECAR, quota.report(10, CONTROL_NODE), false), null);
+        assertEquals(grantor.handleReport(10, SIDECAR, quota.createReport(10, CONTROL_NODE), false), null);
     }
 
     @Test
@@ -95,26 +95,27 @@
         grantor.advance(2100, 0);
         assertEquals(renew(2200), null);
         TokenRequest request = new TokenRequest(1, TENANT, RULES.allowance(LIMIT, LIMIT));
-        assertFalse(grantor.take(2300, request).granted());
+        assertFalse(grantor.handleTokenRequest(2300, request).granted());
     }
 
     @Test
     public void restartedGrantorGrantsNothingNewUntilItsLesseesHaveReported() {
         obtainLease();
-        double heldShare = grantor.report(2100, SIDECAR, quota.report(2100, CONTROL_NODE), true)
+        double heldShare = grantor.handleReport(2100, SIDECAR, quota.createReport(2100, CONTROL_NODE), true)
                 .shares()
                 .get(0)
                 .share();
         grantor = new QuotaGrantor(3000, 8, Set.of(SIDECAR, "another"), false);
         grantor.advance(3000, 1);
         TokenRequest request = new TokenRequest(1, TENANT, RULES.allowance(LIMIT, LIMIT));
-        assertFalse(grantor.take(3100, request).granted(), "another sidecar may have a lease of this token");
+        assertFalse(
+                grantor.handleTokenRequest(3100, request).granted(), "another sidecar may have a lease of this token");
         LeaseGrant grant = renew(3200);
         assertTrue(grant.shares().get(0).share() <= heldShare + 1e-9, "its share must not grow");
         assertTrue(grantor.isRecovering());
-        grantor.report(3300, "another", new LeaseReport(5, 1, 0, 0, List.of()), true);
+        grantor.handleReport(3300, "another", new LeaseReport(5, 1, 0, 0, List.of()), true);
         assertFalse(grantor.isRecovering());
-        assertTrue(grantor.take(4000, request).granted());
+        assertTrue(grantor.handleTokenRequest(4000, request).granted());
     }
 
     @Test
@@ -124,7 +125,7 @@
         grantor.advance(3000, 0.5);
         int given = 0;
         for (int i = 0; i < 1000; i++) {
-            given += grantor.take(3100 + i, new TokenRequest(i, TENANT, allowance))
+            given += grantor.handleTokenRequest(3100 + i, new TokenRequest(i, TENANT, allowance))
                             .granted()
                     ? 1
                     : 0;
@@ -137,12 +138,12 @@
         obtainLease();
         TenantQuota second = new TenantQuota(RULES, 2);
         assertFalse(second.acquire(2100, TENANT, LIMIT, LIMIT) instanceof QuotaDecision.Admitted);
-        LeaseGrant grant = grantor.report(2200, SIDECAR, second.report(2200, CONTROL_NODE), true);
+        LeaseGrant grant = grantor.handleReport(2200, SIDECAR, second.createReport(2200, CONTROL_NODE), true);
         assertEquals(grant.reportNumber(), 1);
         // All of the limit but its own lease can be given out again.
         TokenRequest request = new TokenRequest(1, TENANT, RULES.allowance(LIMIT, LIMIT));
         int given = 0;
-        while (grantor.take(12_000, request).granted()) {
+        while (grantor.handleTokenRequest(12_000, request).granted()) {
             given++;
         }
         assertTrue(given > LIMIT, "only " + given + " tokens given out");
@@ -151,7 +152,7 @@
     @Test
     public void leavingSidecarHasNoLeases() {
         obtainLease();
-        grantor.report(2500, SIDECAR, quota.release(2500), true);
+        grantor.handleReport(2500, SIDECAR, quota.releaseAll(2500), true);
         assertEquals(grantor.lessees(), Set.of());
         assertFalse(isAdmitted(2600));
     }
@@ -162,15 +163,15 @@
         obtainLease();
         renew(2100);
         renew(2200);
-        grantor.report(2300, SIDECAR, quota.release(2300), true);
-        LeaseGrant inTransit = grantor.report(2400, SIDECAR, quota.report(2400, CONTROL_NODE), true);
+        grantor.handleReport(2300, SIDECAR, quota.releaseAll(2300), true);
+        LeaseGrant inTransit = grantor.handleReport(2400, SIDECAR, quota.createReport(2400, CONTROL_NODE), true);
         double share = inTransit.shares().get(0).share();
         assertTrue(share > 0);
         // The sidecar's entry may have been removed from the disk, so that it is granted nothing more.
-        grantor.report(2500, SIDECAR, quota.report(2500, CONTROL_NODE), false);
-        quota.granted(2600, CONTROL_NODE, inTransit);
+        grantor.handleReport(2500, SIDECAR, quota.createReport(2500, CONTROL_NODE), false);
+        quota.applyGrant(2600, CONTROL_NODE, inTransit);
         QuotaNeed need = new QuotaNeed(TENANT, 10_000, RULES.allowance(LIMIT, LIMIT), 0, 0);
-        LeaseGrant otherGrant = grantor.report(2700, "other", new LeaseReport(9, 1, 0, 0, List.of(need)), true);
+        LeaseGrant otherGrant = grantor.handleReport(2700, "other", new LeaseReport(9, 1, 0, 0, List.of(need)), true);
         assertTrue(
                 otherGrant.shares().get(0).share() + share <= 1 + 1e-9,
                 "shares of " + otherGrant + " and " + share + " exceed the limit");
@@ -179,8 +180,8 @@
     @Test
     public void outdatedReportIsIgnored() {
         obtainLease();
-        LeaseReport outdated = quota.report(2100, CONTROL_NODE);
+        LeaseReport outdated = quota.createReport(2100, CONTROL_NODE);
         assertTrue(renew(2200) != null);
-        assertEquals(grantor.report(2300, SIDECAR, outdated, true), null);
+        assertEquals(grantor.handleReport(2300, SIDECAR, outdated, true), null);
     }
 }
--- a/src/test/java/whinlead/mesh/quota/QuotaMesh.java
+++ b/src/test/java/whinlead/mesh/quota/QuotaMesh.java
@@ -198,7 +198,7 @@
         }
 
         private void begin() {
-            runAfter((int) (TokenSearch.MAX_MS * TokenSearch.HEDGE_PART), search::hedge);
+            runAfter((int) (TokenSearch.MAX_MS * TokenSearch.HEDGE_FRACTION), search::hedge);
             runAfter((int) TokenSearch.MAX_MS, search::end);
             nowMs = sentMs;
             search.begin();
@@ -217,18 +217,18 @@
         }
 
         @Override
-        public void ask(String controlNode) {
+        public void requestToken(String controlNode) {
             int nodeIndex = Integer.parseInt(controlNode);
             send(index, nodeIndex, nowMs, true, arrivedMs -> {
                 TokenResponse response = advanceControlNode(nodeIndex, arrivedMs)
-                        .take(arrivedMs, new TokenRequest(1, TENANT, need.allowance()));
+                        .handleTokenRequest(arrivedMs, new TokenRequest(1, TENANT, need.allowance()));
                 send(
                         index,
                         nodeIndex,
                         arrivedMs,
                         false,
                         answeredMs -> runIfAlive(
-                                answeredMs, () -> search.answered(controlNode, response.granted(), response.waitMs())));
+                                answeredMs, () -> search.onAnswer(controlNode, response.granted(), response.waitMs())));
             });
         }
 
@@ -241,7 +241,7 @@
         }
 
         @Override
-        public void surplus(String controlNode) {
+        public void returnToken(String controlNode) {
             sidecar.quota.tokenUnused("control-" + controlNode, TENANT);
         }
 
@@ -259,11 +259,11 @@
     private void sendDueReports(int sidecarIndex, int ms) {
         Sidecar sidecar = sidecars[sidecarIndex];
         double nowMs = ms;
-        boolean hasDemandChanged = sidecar.quota.hasNews(nowMs);
+        boolean hasDemandChanged = sidecar.quota.hasDemandChanged(nowMs);
         for (int c = 0; c < controlNodes.length; c++) {
             boolean hasNeeds = sidecar.quota.hasNeeds(nowMs, "control-" + c);
             if (sidecar.schedules[c].isDue(nowMs, hasNeeds, hasDemandChanged)) {
-                sidecar.schedules[c].sent(nowMs);
+                sidecar.schedules[c].reportSent(nowMs);
                 sendReport(sidecarIndex, c, ms);
             }
         }
@@ -271,17 +271,17 @@
 
     private void sendReport(int sidecarIndex, int nodeIndex, int ms) {
         Sidecar sender = sidecars[sidecarIndex];
-        LeaseReport report = sender.quota.report(ms, "control-" + nodeIndex);
+        LeaseReport report = sender.quota.createReport(ms, "control-" + nodeIndex);
         send(sidecarIndex, nodeIndex, ms, true, arrivedMs -> {
             String name = "sidecar-" + sidecarIndex;
             boolean recorded = recordedLessees.get(nodeIndex).contains(name);
-            LeaseGrant grant = advanceControlNode(nodeIndex, arrivedMs).report(arrivedMs, name, report, recorded);
+            LeaseGrant grant = advanceControlNode(nodeIndex, arrivedMs).handleReport(arrivedMs, name, report, recorded);
             // The sidecar is recorded on disk a little later; until then it is granted nothing.
             post(arrivedMs + 5, () -> recordedLessees.get(nodeIndex).add(name));
             if (grant != null) {
                 send(sidecarIndex, nodeIndex, arrivedMs, false, answeredMs -> {
                     if (sidecars[sidecarIndex] == sender) {
-                        sender.quota.granted(answeredMs, "control-" + nodeIndex, grant);
+                        sender.quota.applyGrant(answeredMs, "control-" + nodeIndex, grant);
                     }
                 });
             }
@@ -331,8 +331,8 @@
     private void reconnect(int sidecarIndex, int nodeIndex) {
         connectionNumbers[sidecarIndex][nodeIndex]++;
         if (sidecars[sidecarIndex] != null) {
-            sidecars[sidecarIndex].quota.connected("control-" + nodeIndex);
-            sidecars[sidecarIndex].schedules[nodeIndex].connected();
+            sidecars[sidecarIndex].quota.onConnected("control-" + nodeIndex);
+            sidecars[sidecarIndex].schedules[nodeIndex].onConnected();
         }
     }
 
--- a/src/test/java/whinlead/mesh/quota/TenantQuotaTest.java
+++ b/src/test/java/whinlead/mesh/quota/TenantQuotaTest.java
@@ -165,7 +165,7 @@
             expected.forEach((t, perS) -> assertEquals(actual.get(t), perS, 1e-6));
         }
         totals.report(9000, "n0", List.of());
-        assertEquals(totals.reportingNodes(), 1);
+        assertEquals(totals.reportingSidecars(), 1);
         assertTrue(totals.totalsFor("n0").isEmpty(), "outdated reports still count");
     }
 }
--- a/src/test/java/whinlead/mesh/quota/TokenSearchTest.java
+++ b/src/test/java/whinlead/mesh/quota/TokenSearchTest.java
@@ -17,7 +17,7 @@
         private final List<String> events = new ArrayList<>();
 
         @Override
-        public void ask(String controlNode) {
+        public void requestToken(String controlNode) {
             events.add("ask " + controlNode);
         }
 
@@ -27,7 +27,7 @@
         }
 
         @Override
-        public void surplus(String controlNode) {
+        public void returnToken(String controlNode) {
             events.add("surplus " + controlNode);
         }
 
@@ -54,16 +54,16 @@
     @Test
     public void nodesWithDeepBucketsAreAskedOneAfterAnother() {
         TokenSearch search = begin(DEEP);
-        search.answered("a", false, 30);
-        search.answered("b", true, 0);
+        search.onAnswer("a", false, 30);
+        search.onAnswer("b", true, 0);
         assertEquals(recorder.events, List.of("ask a", "ask b", "granted"));
     }
 
     @Test
     public void twoNodesWithShallowBucketsAreAskedAtOnceAndTheSurplusTokenIsReturned() {
         TokenSearch search = begin(SHALLOW);
-        search.answered("b", true, 0);
-        search.answered("a", true, 0);
+        search.onAnswer("b", true, 0);
+        search.onAnswer("a", true, 0);
         assertEquals(recorder.events, List.of("ask a", "ask b", "granted", "surplus a"));
     }
 
@@ -72,17 +72,17 @@
         TokenSearch search = begin(DEEP);
         search.hedge();
         search.end();
-        search.answered("b", true, 0);
-        search.answered("a", false, 10);
+        search.onAnswer("b", true, 0);
+        search.onAnswer("a", false, 10);
         assertEquals(recorder.events, List.of("ask a", "ask b", "denied 0", "surplus b"));
     }
 
     @Test
     public void searchEndsWithTheShortestWaitOnceAllNodesHaveRefused() {
         TokenSearch search = begin(DEEP);
-        search.answered("a", false, 40);
-        search.answered("b", false, 20);
-        search.answered("c", false, 30);
+        search.onAnswer("a", false, 40);
+        search.onAnswer("b", false, 20);
+        search.onAnswer("c", false, 30);
         assertEquals(recorder.events, List.of("ask a", "ask b", "ask c", "denied 20"));
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsSocketTest.java
@@ -63,7 +63,7 @@
                 message -> results.add(attemptId + " "
                         + (message instanceof PeerMessage.ForwardResponse response
                                 ? response.status() + " " + response.body().length
-                                : ((PeerMessage.ForwardFailure) message).why()))));
+                                : ((PeerMessage.ForwardFailure) message).reason()))));
     }
 
     private String nextResult() throws InterruptedException {
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -67,7 +67,7 @@
                 message -> results.add(id + " "
                         + (message instanceof PeerMessage.ForwardResponse response
                                 ? response.status() + " " + new String(response.body(), StandardCharsets.US_ASCII)
-                                : ((PeerMessage.ForwardFailure) message).why())));
+                                : ((PeerMessage.ForwardFailure) message).reason())));
     }
 
     private void receive(int connection, String text) {
@@ -158,7 +158,7 @@
                 new PeerMessage.ForwardRequest(
                         2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], TIMEOUT_MS, "svc", "i-1", 0),
                 "i-1",
-                message -> results.add("b " + ((PeerMessage.ForwardFailure) message).why()));
+                message -> results.add("b " + ((PeerMessage.ForwardFailure) message).reason()));
         assertEquals(results, List.of("b UNREACHED"));
         send("c");
         receive(1, successResponse("c"));
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderSocketTest.java
@@ -113,7 +113,7 @@
     private static String describe(PeerMessage message) {
         return message instanceof PeerMessage.ForwardResponse response
                 ? Integer.toString(response.status())
-                : ((PeerMessage.ForwardFailure) message).why().toString();
+                : ((PeerMessage.ForwardFailure) message).reason().toString();
     }
 
     private String nextResult() throws InterruptedException {
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -83,7 +83,7 @@
                 message -> results.add(id + " "
                         + (message instanceof PeerMessage.ForwardResponse response
                                 ? response.status()
-                                : ((PeerMessage.ForwardFailure) message).why())));
+                                : ((PeerMessage.ForwardFailure) message).reason())));
         soon();
         return sending;
     }
--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -170,7 +170,7 @@
         byte[] forwardFailure = encode(
                 FORWARD_FAILURE, p -> p.packLong(3).packInt(77).packDouble(0).packDouble(0));
         PeerMessage.ForwardFailure read = (PeerMessage.ForwardFailure) PeerMessageCodec.read(forwardFailure);
-        assertFalse(read.why().neverRan, "a request may have run if the reason is unknown");
+        assertFalse(read.reason().neverRan, "a request may have run if the reason is unknown");
     }
 
     @Test
--- a/src/test/java/whinlead/mesh/wire/TimerGridTest.java
+++ b/src/test/java/whinlead/mesh/wire/TimerGridTest.java
@@ -20,7 +20,7 @@
                 startNanos += 7 * NANOS_PER_MILLI + 11) {
             long nowNanos = startNanos;
             for (int fired = 0; fired < 4; fired++) {
-                long waitNanos = TimerGrid.untilNext(nowNanos, periodNanos);
+                long waitNanos = TimerGrid.nanosUntilNext(nowNanos, periodNanos);
                 assertTrue(waitNanos >= periodNanos / 2 && waitNanos <= periodNanos * 3 / 2, waitNanos + " ns");
                 nowNanos += waitNanos;
             }
--- a/src/test/java/whinlead/mesh/wire/TransitClockTest.java
+++ b/src/test/java/whinlead/mesh/wire/TransitClockTest.java
@@ -14,7 +14,7 @@
 
     // Reports the arrival of a message that was sent at this time of the sender's clock and waited this long.
     private static double waitedMs(TransitClock clock, double sentAtMs, double waitMs) {
-        return clock.waited(sentAtMs + CLOCK_OFFSET_MS + TRANSIT_MS + waitMs, Math.round(sentAtMs * 1000));
+        return clock.waitedMs(sentAtMs + CLOCK_OFFSET_MS + TRANSIT_MS + waitMs, Math.round(sentAtMs * 1000));
     }
 
     @Test
@@ -64,16 +64,16 @@
     public void messageWithoutAStampHasNoWaitingTime() {
         TransitClock clock = new TransitClock();
         waitedMs(clock, 0, 0);
-        assertEquals(clock.waited(1e9, PeerMessage.UNSTAMPED), 0, TOLERANCE_MS);
-        assertEquals(clock.left(1e9, PeerMessage.UNSTAMPED, 40), 40);
+        assertEquals(clock.waitedMs(1e9, PeerMessage.UNSTAMPED), 0, TOLERANCE_MS);
+        assertEquals(clock.remainingMs(1e9, PeerMessage.UNSTAMPED, 40), 40);
     }
 
     @Test
     public void remainingTimeIsRoundedDownAndNeverNegative() {
         TransitClock clock = new TransitClock();
         waitedMs(clock, 0, 0);
-        assertEquals(clock.left(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 39.5, 100_000, 40), 0);
-        assertEquals(clock.left(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 38.5, 100_000, 40), 1);
-        assertEquals(clock.left(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 900, 100_000, 40), 0);
+        assertEquals(clock.remainingMs(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 39.5, 100_000, 40), 0);
+        assertEquals(clock.remainingMs(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 38.5, 100_000, 40), 1);
+        assertEquals(clock.remainingMs(100 + CLOCK_OFFSET_MS + TRANSIT_MS + 900, 100_000, 40), 0);
     }
 }
