--- a/src/main/java/whinlead/mesh/run/MeshCommand.java
+++ b/src/main/java/whinlead/mesh/run/MeshCommand.java
@@ -144,9 +144,9 @@
             watcher.watch(hangup, loop, controlNode::addSeeds);
         } else {
             Sidecar sidecar = new Sidecar(settings, loop, mapper, dialAddresses);
-            Runtime.getRuntime().addShutdownHook(new Thread(sidecar::leave, "leave"));
+            Runtime.getRuntime().addShutdownHook(new Thread(sidecar::shutDown, "leave"));
             sidecar.start();
-            watcher.watch(hangup, loop, sidecar::seeds);
+            watcher.watch(hangup, loop, sidecar::addSeeds);
         }
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/ClientExchange.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientExchange.java
@@ -94,7 +94,7 @@
      */
     void start(Supplier<ServiceBalancer> balancerSupplier, RequestClasses classes, int sidecarCount) {
         Request request = new Request(
-                classes.of(route.isIdempotent(), rank, route.route().targetS() * MILLIS_PER_SECOND),
+                classes.indexOf(route.isIdempotent(), rank, route.route().targetS() * MILLIS_PER_SECOND),
                 -1,
                 timeoutMs,
                 false,
--- a/src/main/java/whinlead/mesh/sidecar/ClientSide.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientSide.java
@@ -75,7 +75,7 @@
     }
 
     /** Sets the endpoints of a service. */
-    public void endpoints(String target, List<EndpointRecord> records) {
+    public void updateEndpoints(String target, List<EndpointRecord> records) {
         balancer(target).update(records);
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
+++ b/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
@@ -55,12 +55,12 @@
         if (lost) {
             Event.PEER_DOWN.log(node + " " + source.state());
         }
-        listener.changed(source.state(), previousState);
+        listener.stateChanged(source.state(), previousState);
     }
 
     @Override
     public void messageReceived(ReconnectingConnection source, PeerMessage message) {
-        listener.message(message);
+        listener.messageReceived(message);
     }
 
     @Override
@@ -70,6 +70,6 @@
 
     @Override
     public long sendingTimeMicros() {
-        return listener.stamp();
+        return listener.timestampMicros();
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -207,7 +207,7 @@
         } else if (message instanceof PeerMessage.KeyGrantorChanged) {
             keys.grantorChanged(ip);
         } else if (message instanceof PeerMessage.KeyLeaseGrant lease) {
-            keys.leased(ip, lease.lease());
+            keys.leaseReceived(ip, lease.lease());
         } else if (message instanceof PeerMessage.KeyRoutesUpdate update) {
             listener.keyRoutesReceived(update);
         }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointAttempts.java
@@ -21,7 +21,7 @@
     }
 
     /** Whether the request may be sent to one more endpoint. */
-    public boolean mayBeSent() {
+    public boolean mayArriveAgain() {
         return arrivals == 0 || arrivals < maxArrivals;
     }
 
@@ -36,19 +36,19 @@
     }
 
     /** Counts an attempt that is being sent. */
-    public void sent() {
+    public void attemptSent() {
         arrivals++;
         mayHaveRun++;
     }
 
     /** Takes back the last attempt, which was given up before any of it was written. */
-    public void neverWritten() {
+    public void attemptNotWritten() {
         arrivals--;
         mayHaveRun--;
     }
 
     /** Records that an attempt ended without a response. */
-    public void returned(PeerMessage.FailureReason reason) {
+    public void attemptFailed(PeerMessage.FailureReason reason) {
         if (reason.neverRan) {
             mayHaveRun--;
         }
--- a/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointConnections.java
@@ -87,7 +87,7 @@
 
     /** A request that was sent and can be cancelled when its client disconnects. */
     @FunctionalInterface
-    public interface Sent {
+    public interface SentRequest {
         /**
          * Cancels the request: it is not written if it still waits for a connection. Has no effect once the request has
          * ended.
@@ -105,7 +105,8 @@
      * @param resultListener gets the result exactly once, also after a cancellation: a
      *     {@link PeerMessage.ForwardResponse} or a {@link PeerMessage.ForwardFailure}, without load figures
      */
-    public Sent send(PeerMessage.ForwardRequest forwardRequest, String instance, Consumer<PeerMessage> resultListener) {
+    public SentRequest send(
+            PeerMessage.ForwardRequest forwardRequest, String instance, Consumer<PeerMessage> resultListener) {
         double deadlineMs = timers.nowMs() + forwardRequest.leftMs();
         String attemptId = EndpointRequestEncoder.attemptId(forwardRequest);
         Connection connection = idle(attemptId);
--- a/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointDelivery.java
@@ -63,12 +63,12 @@
 
     /** Records that this process is running; a long gap between calls shows that it was paused. */
     void recordRunning() {
-        forwardedTime.running(timers.nowMs());
+        forwardedTime.recordRunning(timers.nowMs());
     }
 
     /** Delivers a request from another sidecar; its result is sent on the same connection if that is still open. */
     void deliverForwarded(PeerConnection source, PeerMessage.ForwardRequest request) {
-        int remainingMs = forwardedTime.left(timers.nowMs(), source.transitClock(), request);
+        int remainingMs = forwardedTime.remainingMs(timers.nowMs(), source.transitClock(), request);
         if (remainingMs == 0) {
             // Its time ran out on the way and its caller has been answered, so it is not started.
             source.send(failure(request, PeerMessage.FailureReason.UNREACHED));
@@ -90,13 +90,13 @@
             return;
         }
         gate.requestStarted(timers.nowMs());
-        requests.begin(sender, request.stream());
-        EndpointConnections.Sent sentRequest = connections.send(request, gate.endpoint(), outcome -> {
-            requests.ended(sender, request.stream());
+        requests.requestStarting(sender, request.stream());
+        EndpointConnections.SentRequest sentRequest = connections.send(request, gate.endpoint(), outcome -> {
+            requests.requestEnded(sender, request.stream());
             gate.requestEnded(timers.nowMs(), outcome instanceof PeerMessage.ForwardResponse);
             resultListener.accept(addLoad(request, outcome));
         });
-        requests.sent(sender, request.stream(), sentRequest);
+        requests.requestSent(sender, request.stream(), sentRequest);
     }
 
     // For sharded services the key is checked first: a sidecar that asks the wrong owner must not learn this
--- a/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
+++ b/src/main/java/whinlead/mesh/sidecar/EndpointRequests.java
@@ -12,26 +12,26 @@
     /** The sender of a request, which is a peer connection or this sidecar, and the request's stream number there. */
     private record Key(Object sender, long stream) {}
 
-    private final Map<Key, EndpointConnections.Sent> requests = new HashMap<>();
+    private final Map<Key, EndpointConnections.SentRequest> requests = new HashMap<>();
 
     /** Registers a request that is about to be sent; it may end before its handle is recorded. */
-    public void begin(Object sender, long stream) {
+    public void requestStarting(Object sender, long stream) {
         requests.put(new Key(sender, stream), whileRunning -> {});
     }
 
     /** Records the handle by which the request can be cancelled. */
-    public void sent(Object sender, long stream, EndpointConnections.Sent sentRequest) {
+    public void requestSent(Object sender, long stream, EndpointConnections.SentRequest sentRequest) {
         requests.replace(new Key(sender, stream), sentRequest);
     }
 
     /** Removes a request that has ended. */
-    public void ended(Object sender, long stream) {
+    public void requestEnded(Object sender, long stream) {
         requests.remove(new Key(sender, stream));
     }
 
     /** Cancels a request whose client has disconnected. */
     public void cancel(Object sender, PeerMessage.Cancel cancel) {
-        EndpointConnections.Sent sentRequest = requests.get(new Key(sender, cancel.stream()));
+        EndpointConnections.SentRequest sentRequest = requests.get(new Key(sender, cancel.stream()));
         if (sentRequest != null) {
             sentRequest.cancel(cancel.whileRunning());
         }
--- a/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
+++ b/src/main/java/whinlead/mesh/sidecar/ForwardedTime.java
@@ -19,7 +19,7 @@
     private double resumedMs = Double.NEGATIVE_INFINITY;
 
     /** Records that this process is running; must be called at least every {@link #PAUSE_THRESHOLD_MS}. */
-    public void running(double nowMs) {
+    public void recordRunning(double nowMs) {
         if (nowMs - lastRunningMs > PAUSE_THRESHOLD_MS) {
             resumedMs = nowMs;
         }
@@ -31,8 +31,8 @@
      *
      * @param transit the transit clock of the connection that it arrived on
      */
-    public int left(double nowMs, TransitClock transit, PeerMessage.ForwardRequest request) {
-        running(nowMs);
+    public int remainingMs(double nowMs, TransitClock transit, PeerMessage.ForwardRequest request) {
+        recordRunning(nowMs);
         int remainingMs = transit.remainingMs(nowMs, request.sentAt(), request.leftMs());
         boolean backlog = nowMs - resumedMs < BACKLOG_WINDOW_MS;
         return backlog && transit.firstArrivalMs() >= resumedMs ? 0 : remainingMs;
--- a/src/main/java/whinlead/mesh/sidecar/KeyClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/KeyClient.java
@@ -222,7 +222,7 @@
     }
 
     /** Accepts a lease from a control node. */
-    public void leased(String controlNode, KeyLease lease) {
+    public void leaseReceived(String controlNode, KeyLease lease) {
         if (lease.sidecarLife() != incarnation) {
             return;
         }
--- a/src/main/java/whinlead/mesh/sidecar/PeerPath.java
+++ b/src/main/java/whinlead/mesh/sidecar/PeerPath.java
@@ -23,15 +23,15 @@
     /** Receives the events of a path. */
     interface Listener {
         /** Called when the state has changed. */
-        void changed(ReconnectingConnection.State newState, ReconnectingConnection.State previousState);
+        void stateChanged(ReconnectingConnection.State newState, ReconnectingConnection.State previousState);
 
         /** Called when a message has arrived. */
-        void message(PeerMessage message);
+        void messageReceived(PeerMessage message);
 
         /** Whether responses are awaited on this path. */
         boolean hasPendingRequests();
 
         /** The time to be sent in messages that are written now, in microseconds of a monotonic clock. */
-        long stamp();
+        long timestampMicros();
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/RequestClasses.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestClasses.java
@@ -60,7 +60,7 @@
     }
 
     /** The index of a request's class; a target between two grid values counts as the shorter one. */
-    public int of(boolean repeatable, int rank, double targetMs) {
+    public int indexOf(boolean repeatable, int rank, double targetMs) {
         int targetIndex =
                 (int) Math.floor(Math.log(Math.max(MIN_TARGET_MS, targetMs) / MIN_TARGET_MS) / Math.log(TARGET_STEP));
         return ((repeatable ? 0 : RANK_COUNT) + Math.min(RANK_COUNT - 1, Math.max(0, rank))) * TARGET_COUNT
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -40,7 +40,7 @@
     }
 
     /** A request that was sent. */
-    public interface Sent extends Transport.AttemptHandle {
+    public interface SentRequest extends Transport.AttemptHandle {
         /**
          * Cancels the request because its client has disconnected. If it is not written yet it never will be; otherwise
          * the other sidecar is notified, and stops the request at its endpoint if it is repeatable.
@@ -99,7 +99,7 @@
     }
 
     /** A request that was passed to a path and has not ended. */
-    static final class PendingForward implements Sent {
+    static final class PendingForward implements SentRequest {
         private final Consumer<PeerMessage> resultListener;
         private final boolean repeatable;
         private final BooleanSupplier otherEndpointAllowed;
@@ -162,7 +162,7 @@
         }
 
         @Override
-        public void changed(ReconnectingConnection.State newState, ReconnectingConnection.State previousState) {
+        public void stateChanged(ReconnectingConnection.State newState, ReconnectingConnection.State previousState) {
             if (newState == ReconnectingConnection.State.UP) {
                 List<WaitingRequest> requests = new ArrayList<>(waiting.values());
                 waiting.clear();
@@ -205,7 +205,8 @@
             double remainingMs = waitingRequest.deadlineMs - timers.nowMs();
             pendingForward.written = remainingMs >= 1;
             if (!pendingForward.written
-                    || !path.send(withStream(stream, waitingRequest.request, (int) Math.round(remainingMs), stamp()))) {
+                    || !path.send(withStream(
+                            stream, waitingRequest.request, (int) Math.round(remainingMs), timestampMicros()))) {
                 pendingForward.written = false;
                 pending.remove(stream);
                 pendingForward.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0));
@@ -218,12 +219,12 @@
         }
 
         @Override
-        public long stamp() {
+        public long timestampMicros() {
             return (long) (timers.nowMs() * MICROS_PER_MILLI);
         }
 
         @Override
-        public void message(PeerMessage message) {
+        public void messageReceived(PeerMessage message) {
             long stream = message instanceof PeerMessage.ForwardResponse response
                     ? response.stream()
                     : message instanceof PeerMessage.ForwardFailure failure ? failure.stream() : -1;
@@ -270,7 +271,7 @@
     }
 
     /** Sends a request that may go to another endpoint whenever it is repeatable. */
-    public Sent send(
+    public SentRequest send(
             String node, PeerMessage.ForwardRequest draft, boolean repeatable, Consumer<PeerMessage> resultListener) {
         return send(node, draft, repeatable, () -> true, resultListener);
     }
@@ -284,7 +285,7 @@
      *     path; evaluated when the path becomes silent
      * @param resultListener gets the result once, unless the request is given up before
      */
-    public Sent send(
+    public SentRequest send(
             String node,
             PeerMessage.ForwardRequest draft,
             boolean repeatable,
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -181,7 +181,7 @@
         private final ForwardedRequest forwarded;
         private final EndpointAttempts attempts;
         /** The running attempt, of which there is at most one; its listener follows. */
-        private RequestForwarder.Sent outstanding;
+        private RequestForwarder.SentRequest outstanding;
 
         private OutcomeListener<PeerMessage.ForwardResponse> outcomeListener;
 
@@ -194,24 +194,24 @@
         public AttemptHandle send(
                 String endpoint, int attempt, double withinMs, OutcomeListener<PeerMessage.ForwardResponse> listener) {
             String node = nodesByEndpoint.get(endpoint);
-            if (node == null || attempts.mayHaveArrived() && !(attempts.mayBeSent() && retryBudget.trySpend())) {
+            if (node == null || attempts.mayHaveArrived() && !(attempts.mayArriveAgain() && retryBudget.trySpend())) {
                 listener.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
-            attempts.sent();
+            attempts.attemptSent();
             outcomeListener = listener;
-            RequestForwarder.Sent sentRequest = forwarder.send(
+            RequestForwarder.SentRequest sentRequest = forwarder.send(
                     node,
                     forwarded.request(endpoint),
                     forwarded.isIdempotent(),
-                    () -> attempts.mayBeSent() && retryBudget.canSpend(),
+                    () -> attempts.mayArriveAgain() && retryBudget.canSpend(),
                     message -> received(message, listener));
             outstanding = sentRequest;
             return () -> {
                 outstanding = null;
                 boolean written = sentRequest.abort();
                 if (!written) {
-                    attempts.neverWritten();
+                    attempts.attemptNotWritten();
                 }
                 return written;
             };
@@ -232,7 +232,7 @@
                 forwarded.responseReceived(response);
                 report = report(response.util(), response.perSecond());
             } else if (message instanceof PeerMessage.ForwardFailure failure) {
-                attempts.returned(failure.reason());
+                attempts.attemptFailed(failure.reason());
                 report = report(failure.util(), failure.perSecond());
             }
             listener.ended(
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -205,12 +205,12 @@
     }
 
     /** Adds control nodes to connect to. */
-    public void seeds(List<String> seeds) {
+    public void addSeeds(List<String> seeds) {
         controlClient.addSeeds(seeds);
     }
 
     /** Shuts the sidecar down; called on a separate thread while the process ends on SIGTERM. */
-    public void leave() {
+    public void shutDown() {
         Shutdown shutdown = new Shutdown(timers, settings.clauses().bounds().graceS(), egress, gate::inFlight);
         loop.execute(() -> {
             Event.LEAVING.log(egress.pendingCount() + " requests pending");
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -29,7 +29,7 @@
     private final PeerPath.Listener listener;
     private final AnswerBug bug;
     private final EndpointConnections endpointConnections;
-    private final Map<Long, EndpointConnections.Sent> sent = new HashMap<>();
+    private final Map<Long, EndpointConnections.SentRequest> sent = new HashMap<>();
     private ReconnectingConnection.State state = ReconnectingConnection.State.DOWN;
     private int connection;
     private double nextArrivalMs;
@@ -51,7 +51,7 @@
     private void setState(ReconnectingConnection.State next) {
         ReconnectingConnection.State before = state;
         state = next;
-        listener.changed(next, before);
+        listener.stateChanged(next, before);
     }
 
     /** Closes the connection and makes another one: a planted fault. */
@@ -101,7 +101,7 @@
         nextReturnMs = Math.max(nextReturnMs, calendar.nowMs() + random.nextInt(3));
         calendar.at(nextReturnMs, () -> {
             if (receivedOn == connection) {
-                listener.message(read(written));
+                listener.messageReceived(read(written));
             }
         });
     }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -72,7 +72,7 @@
                 calendar, task -> calendar.schedule(0, task), "near", (request, done) -> {}, this::path, () -> {});
         routing = routing(1, PREFIXES, SERVICE);
         sidecar = new ClientSide(calendar, nodeSettings, forwarder, () -> routing, seed);
-        sidecar.endpoints(SERVICE, records);
+        sidecar.updateEndpoints(SERVICE, records);
     }
 
     private AnswerPath path(String node, PeerPath.Listener listener) {
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -104,7 +104,7 @@
             if (nearOpen) {
                 boolean due = listener.hasPendingRequests() || periods >= IDLE_PING_PERIODS;
                 if (due) {
-                    send(PeerMessageCodec.write(new PeerMessage.Ping(1, listener.stamp())));
+                    send(PeerMessageCodec.write(new PeerMessage.Ping(1, listener.timestampMicros())));
                 }
                 near.schedule(PING_MS, () -> ping(due ? 1 : periods + 1));
             }
@@ -115,7 +115,7 @@
                 byte[] written = PeerMessageCodec.write(message);
                 toNear(() -> {
                     if (nearOpen) {
-                        listener.message(read(written));
+                        listener.messageReceived(read(written));
                     }
                 });
             }
@@ -195,7 +195,7 @@
         if (state != next && state != ReconnectingConnection.State.CLOSED) {
             ReconnectingConnection.State before = state;
             state = next;
-            listener.changed(next, before);
+            listener.stateChanged(next, before);
         }
     }
 
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -322,7 +322,7 @@
 
         private boolean refused;
         /** The last attempt, and the receiver of its outcome. */
-        private RequestForwarder.Sent sent;
+        private RequestForwarder.SentRequest sent;
 
         private OutcomeListener<PeerMessage.ForwardResponse> outcomes;
 
@@ -332,8 +332,8 @@
         }
 
         private void start() {
-            Engine.PendingRequest<PeerMessage.ForwardResponse> held =
-                    engine.accept(new Request(CLASSES.of(!mutating, 1, 500), -1, timeoutMs, false, 1, 0), this, this);
+            Engine.PendingRequest<PeerMessage.ForwardResponse> held = engine.accept(
+                    new Request(CLASSES.indexOf(!mutating, 1, 500), -1, timeoutMs, false, 1, 0), this, this);
             if (requests.size() % LEAVE_PERIOD == 0) {
                 near.schedule(random.nextDouble() * timeoutMs, () -> leave(held));
             }
@@ -354,11 +354,11 @@
         @Override
         public AttemptHandle send(
                 String endpoint, int attempt, double within, OutcomeListener<PeerMessage.ForwardResponse> told) {
-            if (!attempts.mayBeSent()) {
+            if (!attempts.mayArriveAgain()) {
                 told.ended(Contract.Outcome.NEVER_SENT, null, null);
                 return () -> false;
             }
-            attempts.sent();
+            attempts.attemptSent();
             double left = bug == Bug.HANDS_OUT_WHOLE_TIME ? timeoutMs : deadlineMs - calendar.nowMs();
             PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(
                     0,
@@ -371,13 +371,13 @@
                     endpoint,
                     1);
             outcomes = told;
-            RequestForwarder.Sent attempted =
+            RequestForwarder.SentRequest attempted =
                     forwarder.send(endpoint, draft, !mutating, message -> attemptEnded(message, told));
             sent = attempted;
             return () -> {
                 boolean written = attempted.abort();
                 if (!written) {
-                    attempts.neverWritten();
+                    attempts.attemptNotWritten();
                 }
                 if (!written && bug == Bug.WRITES_AFTER_ANSWER) {
                     near.schedule(1, () -> forwarder.send(endpoint, draft, false, message -> {}));
@@ -388,7 +388,8 @@
 
         private void attemptEnded(PeerMessage message, OutcomeListener<PeerMessage.ForwardResponse> told) {
             if (message instanceof PeerMessage.ForwardFailure r) {
-                attempts.returned(bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.FailureReason.UNREACHED : r.reason());
+                attempts.attemptFailed(
+                        bug == Bug.COUNTS_ANSWERED_ONLY ? PeerMessage.FailureReason.UNREACHED : r.reason());
             }
             told.ended(
                     RequestForwarder.outcome(message),
@@ -459,19 +460,19 @@
         }
 
         private void tick() {
-            forwardedTime.running(process.nowMs());
+            forwardedTime.recordRunning(process.nowMs());
             process.schedule(TICK_MS, this::tick);
         }
 
         private void receive(
                 TransitClock transit, double firstWaited, PeerMessage message, Consumer<PeerMessage> answer) {
             if (message instanceof PeerMessage.Ping ping) {
-                forwardedTime.running(process.nowMs());
+                forwardedTime.recordRunning(process.nowMs());
                 transit.waitedMs(process.nowMs(), ping.sentAt());
             } else if (message instanceof PeerMessage.Cancel cancel) {
                 underWay.cancel(answer, cancel);
             } else if (message instanceof PeerMessage.ForwardRequest request) {
-                int left = forwardedTime.left(process.nowMs(), transit, request);
+                int left = forwardedTime.remainingMs(process.nowMs(), transit, request);
                 requests.get(request.headers().get(1)).connectionPrompt = firstWaited < MAX_LATE_MS;
                 if (bug == Bug.COUNTS_FROM_ARRIVAL) {
                     run(request, answer);
@@ -490,9 +491,9 @@
                 answer.accept(new PeerMessage.ForwardFailure(request.stream(), PeerMessage.FailureReason.FULL, 0, 0));
                 return;
             }
-            underWay.begin(answer, request.stream());
-            EndpointConnections.Sent atEndpoint = endpointConnections.send(request, request.endpoint(), l -> {
-                underWay.ended(answer, request.stream());
+            underWay.requestStarting(answer, request.stream());
+            EndpointConnections.SentRequest atEndpoint = endpointConnections.send(request, request.endpoint(), l -> {
+                underWay.requestEnded(answer, request.stream());
                 boolean reset =
                         l instanceof PeerMessage.ForwardFailure r && r.reason() == PeerMessage.FailureReason.BROKEN;
                 if (reset && bug == Bug.RESET_NEVER_RAN) {
@@ -505,7 +506,7 @@
                     answer.accept(l);
                 }
             });
-            underWay.sent(answer, request.stream(), atEndpoint);
+            underWay.requestSent(answer, request.stream(), atEndpoint);
         }
 
         private void restart() {
--- a/src/test/java/whinlead/mesh/LocalMesh.java
+++ b/src/test/java/whinlead/mesh/LocalMesh.java
@@ -194,7 +194,7 @@
     CompletableFuture<Void> stop() {
         return CompletableFuture.runAsync(
                 () -> {
-                    near.leave();
+                    near.shutDown();
                     nearLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
                 },
                 task -> new Thread(task, "leave").start());
--- a/src/test/java/whinlead/mesh/control/KeyMesh.java
+++ b/src/test/java/whinlead/mesh/control/KeyMesh.java
@@ -223,7 +223,7 @@
 
         private void received(String control, PeerMessage message) {
             if (message instanceof PeerMessage.KeyLeaseGrant lease) {
-                keys.leased(control, lease.lease());
+                keys.leaseReceived(control, lease.lease());
             } else if (message instanceof PeerMessage.KeyGrantorChanged) {
                 keys.grantorChanged(control);
             } else if (message instanceof PeerMessage.KeyRoutesUpdate update) {
--- a/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -217,7 +217,7 @@
             calendar.schedule(900, () -> path.changeState(ReconnectingConnection.State.UP));
             calendar.schedule(
                     1800,
-                    () -> path.listener.message(new PeerMessage.ForwardResponse(
+                    () -> path.listener.messageReceived(new PeerMessage.ForwardResponse(
                             forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         };
         receive(requestWithoutBody("/once/", ""));
@@ -230,7 +230,7 @@
     public void rejectionBySidecarDoesNotCountAsATry() {
         reaction = (path, forwardRequest) -> calendar.schedule(1, () -> {
             if (written.size() == 1) {
-                path.listener.message(
+                path.listener.messageReceived(
                         new PeerMessage.ForwardFailure(forwardRequest.stream(), PeerMessage.FailureReason.FULL, 0, 0));
             } else {
                 path.changeState(ReconnectingConnection.State.DOWN);
@@ -374,7 +374,7 @@
     public void answeredRequestIsNotCancelled() {
         reaction = (path, forwardRequest) -> calendar.schedule(
                 5,
-                () -> path.listener.message(new PeerMessage.ForwardResponse(
+                () -> path.listener.messageReceived(new PeerMessage.ForwardResponse(
                         forwardRequest.stream(), 200, List.of("Attempt-Id", "a"), new byte[0], 0, 0)));
         receive(requestWithoutBody("/thrice/", ""));
         awaitAnswer(100);
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -54,11 +54,11 @@
         return promise;
     }
 
-    private EndpointConnections.Sent send(String id) {
+    private EndpointConnections.SentRequest send(String id) {
         return send(id, "POST");
     }
 
-    private EndpointConnections.Sent send(String id, String method) {
+    private EndpointConnections.SentRequest send(String id, String method) {
         PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(
                 1, method, "/x", List.of("Host", "h", "Attempt-Id", id), new byte[0], TIMEOUT_MS, "svc", "i-1", 0);
         return endpointConnections.send(
@@ -329,7 +329,7 @@
 
     @Test
     public void cancelWhileRunningClosesTheConnection() {
-        EndpointConnections.Sent sentRequest = send("a");
+        EndpointConnections.SentRequest sentRequest = send("a");
         sentRequest.cancel(true);
         assertFalse(connections.get(0).isActive());
         assertEquals(results, List.of("a BROKEN"));
@@ -339,7 +339,7 @@
 
     @Test
     public void cancelWithoutWhileRunningLetsTheRequestFinish() {
-        EndpointConnections.Sent sentRequest = send("a");
+        EndpointConnections.SentRequest sentRequest = send("a");
         sentRequest.cancel(false);
         receive(0, successResponse("a"));
         assertEquals(results, List.of("a 200 of a"));
@@ -350,7 +350,7 @@
         for (boolean whileRunning : new boolean[] {true, false}) {
             start();
             connectsAtOnce = false;
-            EndpointConnections.Sent sentRequest = send("a");
+            EndpointConnections.SentRequest sentRequest = send("a");
             sentRequest.cancel(whileRunning);
             connectPromises.get(0).setSuccess();
             assertEquals(results, List.of("a UNREACHED"));
@@ -363,7 +363,7 @@
 
     @Test
     public void cancelAfterTheResponseDoesNotAffectTheNextRequest() {
-        EndpointConnections.Sent sentRequest = send("a");
+        EndpointConnections.SentRequest sentRequest = send("a");
         receive(0, successResponse("a"));
         sentRequest.cancel(true);
         send("b");
--- a/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ForwardedTimeTest.java
@@ -18,7 +18,7 @@
     @BeforeMethod
     public void start() {
         forwardedTime = new ForwardedTime();
-        forwardedTime.running(0);
+        forwardedTime.recordRunning(0);
     }
 
     private static PeerMessage.ForwardRequest requestWrittenAt(double atMs) {
@@ -29,35 +29,37 @@
     @Test
     public void transitTimeIsSubtracted() {
         TransitClock transit = new TransitClock();
-        assertEquals(forwardedTime.left(100, transit, requestWrittenAt(100)), TIMEOUT_MS);
-        assertEquals(forwardedTime.left(400, transit, requestWrittenAt(200)), TIMEOUT_MS - 200);
+        assertEquals(forwardedTime.remainingMs(100, transit, requestWrittenAt(100)), TIMEOUT_MS);
+        assertEquals(forwardedTime.remainingMs(400, transit, requestWrittenAt(200)), TIMEOUT_MS - 200);
     }
 
     @Test
     public void requestThatExpiredDuringAPauseIsNotStarted() {
         TransitClock transit = new TransitClock();
-        forwardedTime.left(100, transit, requestWrittenAt(100));
+        forwardedTime.remainingMs(100, transit, requestWrittenAt(100));
         double resumedMs = 100 + PAUSE_MS;
-        assertEquals(forwardedTime.left(resumedMs, transit, requestWrittenAt(200)), 0);
-        assertEquals(forwardedTime.left(resumedMs, transit, requestWrittenAt(resumedMs - 300)), TIMEOUT_MS - 300);
+        assertEquals(forwardedTime.remainingMs(resumedMs, transit, requestWrittenAt(200)), 0);
+        assertEquals(
+                forwardedTime.remainingMs(resumedMs, transit, requestWrittenAt(resumedMs - 300)), TIMEOUT_MS - 300);
     }
 
     @Test
     public void backlogOfAConnectionMadeDuringAPauseIsNotStarted() {
         TransitClock transit = new TransitClock();
         double resumedMs = PAUSE_MS;
-        assertEquals(forwardedTime.left(resumedMs, transit, requestWrittenAt(500)), 0);
-        assertEquals(forwardedTime.left(resumedMs + 1, transit, requestWrittenAt(600)), 0);
-        forwardedTime.running(resumedMs + ForwardedTime.BACKLOG_WINDOW_MS);
+        assertEquals(forwardedTime.remainingMs(resumedMs, transit, requestWrittenAt(500)), 0);
+        assertEquals(forwardedTime.remainingMs(resumedMs + 1, transit, requestWrittenAt(600)), 0);
+        forwardedTime.recordRunning(resumedMs + ForwardedTime.BACKLOG_WINDOW_MS);
         double laterMs = resumedMs + ForwardedTime.BACKLOG_WINDOW_MS + 1;
-        assertEquals(forwardedTime.left(laterMs, transit, requestWrittenAt(laterMs)), TIMEOUT_MS);
+        assertEquals(forwardedTime.remainingMs(laterMs, transit, requestWrittenAt(laterMs)), TIMEOUT_MS);
     }
 
     @Test
     public void firstRequestOfAConnectionMadeWhileRunningKeepsItsTime() {
-        forwardedTime.running(ForwardedTime.PAUSE_THRESHOLD_MS);
+        forwardedTime.recordRunning(ForwardedTime.PAUSE_THRESHOLD_MS);
         assertEquals(
-                forwardedTime.left(ForwardedTime.PAUSE_THRESHOLD_MS + 100, new TransitClock(), requestWrittenAt(10)),
+                forwardedTime.remainingMs(
+                        ForwardedTime.PAUSE_THRESHOLD_MS + 100, new TransitClock(), requestWrittenAt(10)),
                 TIMEOUT_MS);
     }
 
@@ -65,6 +67,6 @@
     public void unstampedRequestKeepsItsTime() {
         PeerMessage.ForwardRequest unstamped =
                 new PeerMessage.ForwardRequest(1, "POST", "/x", List.of(), new byte[0], TIMEOUT_MS, "svc", "i-1", 0);
-        assertEquals(forwardedTime.left(PAUSE_MS, new TransitClock(), unstamped), TIMEOUT_MS);
+        assertEquals(forwardedTime.remainingMs(PAUSE_MS, new TransitClock(), unstamped), TIMEOUT_MS);
     }
 }
--- a/src/test/java/whinlead/mesh/sidecar/RequestFairnessTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestFairnessTest.java
@@ -54,7 +54,7 @@
             sentRequests.add(forwardRequest);
             calendar.schedule(
                     1,
-                    () -> listener.message(new PeerMessage.ForwardResponse(
+                    () -> listener.messageReceived(new PeerMessage.ForwardResponse(
                             forwardRequest.stream(), 200, List.of("Server-Seal", "s"), new byte[0], 0, 0)));
             return true;
         }
@@ -93,7 +93,7 @@
         for (int i = 0; i < 3; i++) {
             records.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 10, 0));
         }
-        sidecar.endpoints("svc", records);
+        sidecar.updateEndpoints("svc", records);
     }
 
     private static MeshConfig.Route route(String prefix, int rank, boolean open) {
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -92,7 +92,7 @@
         if (paths.isEmpty()) {
             send("first", true);
             paths.get(0).changeState(ReconnectingConnection.State.UP);
-            paths.get(0).listener.message(answer(paths.get(0).sent.remove(0)));
+            paths.get(0).listener.messageReceived(answer(paths.get(0).sent.remove(0)));
             results.clear();
         } else {
             paths.get(0).changeState(ReconnectingConnection.State.UP);
@@ -136,10 +136,10 @@
         Transport.AttemptHandle a = send("a", false);
         assertTrue(a.abort(), "it was written and may run");
         send("b", false);
-        path.listener.message(answer(path.sent.get(0)));
+        path.listener.messageReceived(answer(path.sent.get(0)));
         assertEquals(results, List.of());
-        path.listener.message(answer(path.sent.get(1)));
-        path.listener.message(answer(path.sent.get(1)));
+        path.listener.messageReceived(answer(path.sent.get(1)));
+        path.listener.messageReceived(answer(path.sent.get(1)));
         assertEquals(results, List.of("b 200"));
     }
 
@@ -155,10 +155,10 @@
         assertEquals(path.sent.size(), 2);
         send("c", false);
         // Earlier stream numbers are not reused, so late responses to them are ignored.
-        path.listener.message(answer(path.sent.get(0)));
-        path.listener.message(answer(path.sent.get(1)));
+        path.listener.messageReceived(answer(path.sent.get(0)));
+        path.listener.messageReceived(answer(path.sent.get(1)));
         assertEquals(results, List.of("a BROKEN", "b BROKEN"));
-        path.listener.message(answer(path.sent.get(2)));
+        path.listener.messageReceived(answer(path.sent.get(2)));
         assertEquals(results.get(2), "c 200");
     }
 
@@ -172,8 +172,8 @@
         send("c", false);
         assertEquals(results, List.of("b BROKEN", "c UNREACHED"));
         path.changeState(ReconnectingConnection.State.UP);
-        path.listener.message(answer(path.sent.get(1)));
-        path.listener.message(answer(path.sent.get(0)));
+        path.listener.messageReceived(answer(path.sent.get(1)));
+        path.listener.messageReceived(answer(path.sent.get(0)));
         assertEquals(results, List.of("b BROKEN", "c UNREACHED", "a 200"));
         assertEquals(path.sent.size(), 2);
     }
--- a/src/test/java/whinlead/mesh/sidecar/RetryBudgetTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RetryBudgetTest.java
@@ -70,7 +70,9 @@
             PeerMessage.ForwardRequest request = (PeerMessage.ForwardRequest) message;
             arrivalsByAttemptId.merge(EndpointRequestEncoder.attemptId(request), 1, Integer::sum);
             calendar.schedule(
-                    1, () -> listener.message(new PeerMessage.ForwardFailure(request.stream(), failureReason, 0, 0)));
+                    1,
+                    () -> listener.messageReceived(
+                            new PeerMessage.ForwardFailure(request.stream(), failureReason, 0, 0)));
             return true;
         }
     }
@@ -101,7 +103,7 @@
         for (int i = 0; i < ENDPOINTS; i++) {
             records.add(new EndpointRecord("n" + i, 1, 1, "z", "i-" + i, "svc", EndpointRecord.Phase.SERVING, 6, 0));
         }
-        sidecar.endpoints("svc", records);
+        sidecar.updateEndpoints("svc", records);
     }
 
     private static NodeSettings settings() {
--- a/src/test/java/whinlead/mesh/sidecar/ScriptedPath.java
+++ b/src/test/java/whinlead/mesh/sidecar/ScriptedPath.java
@@ -17,7 +17,7 @@
     final void changeState(ReconnectingConnection.State newState) {
         ReconnectingConnection.State previousState = state;
         state = newState;
-        listener.changed(newState, previousState);
+        listener.stateChanged(newState, previousState);
     }
 
     @Override
--- a/src/test/java/whinlead/mesh/sidecar/ServiceBalancerSettingsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerSettingsTest.java
@@ -19,8 +19,8 @@
     private static final int SIDECAR_COUNT = 4;
     private static final double RESPONSE_TIME_MS = 20;
     private final RequestClasses classes = new RequestClasses();
-    private final int highWorthClass = classes.of(true, 0, 400);
-    private final int lowWorthClass = classes.of(true, 2, 400);
+    private final int highWorthClass = classes.indexOf(true, 0, 400);
+    private final int lowWorthClass = classes.indexOf(true, 2, 400);
 
     private Decide module;
     private Map<String, Contract.Outcome> outcomesByServer;
