--- a/src/main/java/whinlead/replication/Placement.java
+++ b/src/main/java/whinlead/replication/Placement.java
@@ -30,7 +30,7 @@
     }
 
     /** The group that is responsible for the request with this id. */
-    public String of(String id) {
+    public String groupOf(String id) {
         long idHash = hash(id);
         int best = 0;
         for (int i = 1; i < groupHashes.length; i++) {
--- a/src/main/java/whinlead/replication/ReplicatedState.java
+++ b/src/main/java/whinlead/replication/ReplicatedState.java
@@ -71,7 +71,7 @@
      * The whole state, requests in order of arrival, with the number of commands applied: two states of one group with
      * the same number are equal.
      */
-    public record Snapshot(long commands, long time, List<Entry> entries, Map<String, Long> drains) {}
+    public record Snapshot(long commandCount, long time, List<Entry> entries, Map<String, Long> drains) {}
 
     private record Deadline(long timeMs, TrackedRequest request) {}
 
@@ -326,7 +326,7 @@
         drains.clear();
         deadlines.clear();
         refusedCount = 0;
-        commandCount = snapshot.commands();
+        commandCount = snapshot.commandCount();
         timeMs = snapshot.time();
         drains.putAll(snapshot.drains());
         for (Entry entry : snapshot.entries()) {
--- a/src/main/java/whinlead/replication/ReplicationClient.java
+++ b/src/main/java/whinlead/replication/ReplicationClient.java
@@ -40,10 +40,10 @@
      *     another leader
      * @param drainMs for which an endpoint is known to drain
      */
-    public record Waits(
+    public record Timeouts(
             double resubmitMs, double marginMs, double refuseMs, double reportMs, double retryAfterMs, long drainMs) {
         /** Checks the ranges. */
-        public Waits {
+        public Timeouts {
             if (!(resubmitMs >= 1)
                     || !(marginMs >= 0)
                     || !(refuseMs >= 0)
@@ -64,7 +64,7 @@
 
     private final String owner;
     private final Timers timers;
-    private final Waits timeouts;
+    private final Timeouts timeouts;
     private final Group group;
     private final EndingListener endingListener;
     private final Trace trace;
@@ -80,7 +80,7 @@
      *     owner, since it numbers its attempts from the start
      */
     public ReplicationClient(
-            String owner, Timers timers, Waits timeouts, Group group, EndingListener endingListener, Trace trace) {
+            String owner, Timers timers, Timeouts timeouts, Group group, EndingListener endingListener, Trace trace) {
         this.trace = trace;
         this.owner = owner;
         this.timers = timers;
--- a/src/main/java/whinlead/replication/disk/DiskLog.java
+++ b/src/main/java/whinlead/replication/disk/DiskLog.java
@@ -54,7 +54,7 @@
     private final FileChannel lockFile;
     private final FileLock lock;
     private Consumer<String> failureListener = why -> {};
-    private LogMirror found = new LogMirror();
+    private LogMirror restoredLog = new LogMirror();
     private FileChannel file;
     private RecordWriter writer;
     private long sizeAtRewrite;
@@ -206,24 +206,24 @@
         switch (logRecord.getWhatCase()) {
             case HEADER -> {}
             case SELF ->
-                found.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
+                restoredLog.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(Messages.id(logRecord.getSelf()))
                         .setVoting(logRecord.getVoting())
                         .build());
-            case FIRST -> found.persistAndFlushInitialGroupMembers(Messages.decodeMembers(logRecord.getFirst()));
+            case FIRST -> restoredLog.persistAndFlushInitialGroupMembers(Messages.decodeMembers(logRecord.getFirst()));
             case TERM ->
-                found.persistAndFlushTerm(MODELS.createRaftTermPersistentStateBuilder()
+                restoredLog.persistAndFlushTerm(MODELS.createRaftTermPersistentStateBuilder()
                         .setTerm(logRecord.getTerm().getTerm())
                         .setVotedFor(
                                 logRecord.getTerm().hasVotedFor()
                                         ? Messages.id(logRecord.getTerm().getVotedFor())
                                         : (RaftEndpoint) null)
                         .build());
-            case ENTRY -> found.persistLogEntries(List.of(Messages.decodeEntry(logRecord.getEntry())));
-            case CHUNK -> found.persistSnapshotChunk(Messages.decodeChunk(logRecord.getChunk()));
-            case CUT_FROM -> found.truncateLogEntriesFrom(logRecord.getCutFrom());
-            case CUT_UNTIL -> found.truncateLogEntriesUntil(logRecord.getCutUntil());
-            case CHUNKS_GONE -> found.deleteSnapshotChunks(logRecord.getChunksGone(), 0);
+            case ENTRY -> restoredLog.persistLogEntries(List.of(Messages.decodeEntry(logRecord.getEntry())));
+            case CHUNK -> restoredLog.persistSnapshotChunk(Messages.decodeChunk(logRecord.getChunk()));
+            case CUT_FROM -> restoredLog.truncateLogEntriesFrom(logRecord.getCutFrom());
+            case CUT_UNTIL -> restoredLog.truncateLogEntriesUntil(logRecord.getCutUntil());
+            case CHUNKS_GONE -> restoredLog.deleteSnapshotChunks(logRecord.getChunksGone(), 0);
             default -> throw new IllegalArgumentException("record of unknown kind");
         }
     }
@@ -232,14 +232,14 @@
      * The content that was read when the log was opened; later changes to it are written to this log. A second call
      * gives an empty mirror.
      */
-    public LogMirror found() {
-        LogMirror held = new LogMirror(found, this);
-        found = new LogMirror();
+    public LogMirror restoredLog() {
+        LogMirror held = new LogMirror(restoredLog, this);
+        restoredLog = new LogMirror();
         return held;
     }
 
     /** Erases the log; returns an empty mirror whose changes are written to it. */
-    public LogMirror wiped() {
+    public LogMirror wipe() {
         try {
             startFile();
         } catch (IOException e) {
@@ -318,7 +318,7 @@
     }
 
     @Override
-    public void shortened(LogMirror mirror) throws IOException {
+    public void logTruncated(LogMirror mirror) throws IOException {
         if (writer.size() > Math.max(MIN_REWRITE_BYTES, REWRITE_GROWTH_FACTOR * sizeAtRewrite)) {
             runUnlessFailed(() -> rewrite(mirror));
         }
--- a/src/main/java/whinlead/replication/disk/RecordWriter.java
+++ b/src/main/java/whinlead/replication/disk/RecordWriter.java
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void shortened(LogMirror mirror) {
+    public void logTruncated(LogMirror mirror) {
         // DiskLog, which owns the file, decides when to rewrite it.
     }
 }
--- a/src/main/java/whinlead/replication/net/Frames.java
+++ b/src/main/java/whinlead/replication/net/Frames.java
@@ -19,7 +19,7 @@
     private Frames() {}
 
     /** Encodes a message as a frame of this group. */
-    public static Wire.Frame of(String group, GroupMessage groupMessage) {
+    public static Wire.Frame encode(String group, GroupMessage groupMessage) {
         Wire.Frame.Builder builder = Wire.Frame.newBuilder()
                 .setGroup(group)
                 .setSender(groupMessage.sender())
@@ -64,7 +64,7 @@
     }
 
     /** Decodes a frame; null for a ping, and for kinds that a later version has added. */
-    public static GroupMessage message(Wire.Frame f) {
+    public static GroupMessage decode(Wire.Frame f) {
         MemberId from = new MemberId(f.getSender(), f.getSenderLife());
         Envelope envelope =
                 switch (f.getWhatCase()) {
--- a/src/main/java/whinlead/replication/net/GroupLink.java
+++ b/src/main/java/whinlead/replication/net/GroupLink.java
@@ -138,7 +138,7 @@
     /** Sends to a process without a guarantee of delivery. On the loop. */
     public void send(String group, String receiver, GroupMessage message) {
         if (!receiver.equals(name) && addresses.containsKey(receiver)) {
-            connection(receiver).send(countSent(Frames.of(group, message)));
+            connection(receiver).send(countSent(Frames.encode(group, message)));
         }
     }
 
@@ -159,7 +159,7 @@
         }
         GroupMessage message;
         try {
-            message = Frames.message(frame);
+            message = Frames.decode(frame);
         } catch (IllegalArgumentException e) {
             // Logs the 1st, 2nd, 4th, 8th and so on, so that a peer can't fill the log.
             if ((++undecodableFrames & undecodableFrames - 1) == 0) {
@@ -168,7 +168,7 @@
             return;
         }
         if (message != null) {
-            host.received(frame.getGroup(), message, replySender);
+            host.receive(frame.getGroup(), message, replySender);
         }
     }
 
@@ -188,7 +188,7 @@
                     }
                     receive(frame, message -> {
                         if (responses.isReady() && !responses.isCancelled()) {
-                            responses.onNext(countSent(Frames.of(frame.getGroup(), message)));
+                            responses.onNext(countSent(Frames.encode(frame.getGroup(), message)));
                         }
                     });
                 }
@@ -232,7 +232,7 @@
                         .setRequests(status.requests())
                         .setTimeMs(status.groupTimeMs());
                 if (!request.getRequest().isEmpty()) {
-                    builder.setKnown(Commands.encode(seat.member().book().lookUp(request.getRequest())));
+                    builder.setKnown(Commands.encode(seat.member().state().lookUp(request.getRequest())));
                 }
             }
             responseObserver.onNext(builder.build());
--- a/src/main/java/whinlead/replication/raft/GroupHost.java
+++ b/src/main/java/whinlead/replication/raft/GroupHost.java
@@ -30,24 +30,24 @@
  */
 public final class GroupHost implements ReplicationClient.Group {
     /** What the host needs of its process. */
-    public interface Outside {
+    public interface Environment {
         /** Sends once, without a guarantee of delivery; never calls back before it returns. */
         void send(String group, String to, GroupMessage message);
 
         /** The stored log of a seat in this group; empty if there is no seat or no disk. */
-        LogMirror found(String group);
+        LogMirror loadLog(String group);
 
         /** Erases the stored log; from now on the returned log is used. */
-        LogMirror wiped(String group);
+        LogMirror wipeLog(String group);
 
         /** The process no longer has a seat in this group. */
-        void retired(String group);
+        void seatRetired(String group);
 
         /** Reports a line to the operator. */
-        void note(String line);
+        void report(String line);
 
         /** Another process is running under this name: this one has to exit. */
-        void taken();
+        void nameTaken();
     }
 
     /**
@@ -91,7 +91,7 @@
     private final Setup setup;
     private final Timers timers;
     private final Random random;
-    private final Outside environment;
+    private final Environment environment;
     private final Placement placement;
     private final Trace trace;
     private final SortedMap<String, Seat> seats = new TreeMap<>();
@@ -103,7 +103,7 @@
      * @param random for the numbers that identify this process; needs a good seed, or two processes could get the same
      *     identity
      */
-    public GroupHost(Setup setup, Timers timers, Random random, Outside environment, Trace trace) {
+    public GroupHost(Setup setup, Timers timers, Random random, Environment environment, Trace trace) {
         this.trace = trace;
         this.setup = setup;
         this.timers = timers;
@@ -111,7 +111,7 @@
         this.environment = environment;
         placement = new Placement(setup.groups().keySet());
         for (String group : setup.groups().keySet()) {
-            LogMirror log = setup.isFounder(group) || setup.replaceAfterMs() > 0 ? environment.found(group) : null;
+            LogMirror log = setup.isFounder(group) || setup.replaceAfterMs() > 0 ? environment.loadLog(group) : null;
             if (setup.isFounder(group) || log != null && log.restored() != null) {
                 seats.put(group, seat(group, log));
             }
@@ -128,23 +128,23 @@
 
                     @Override
                     public LogMirror wipeLog() {
-                        return environment.wiped(group);
+                        return environment.wipeLog(group);
                     }
 
                     @Override
                     public void report(String line) {
-                        environment.note(line);
+                        environment.report(line);
                     }
 
                     @Override
                     public void nameTaken() {
-                        environment.taken();
+                        environment.nameTaken();
                     }
 
                     @Override
                     public void seatRetired() {
                         seats.remove(group);
-                        environment.retired(group);
+                        environment.seatRetired(group);
                     }
                 });
     }
@@ -184,7 +184,7 @@
             seats.values().forEach(seat -> seat.submit(command, listener));
             return;
         }
-        String group = placement.of(id);
+        String group = placement.groupOf(id);
         Seat seat = seats.get(group);
         if (seat != null && (seat.canServe() || otherFounders(group).isEmpty())) {
             seat.submit(command, listener);
@@ -197,7 +197,7 @@
 
     @Override
     public long time(String id) {
-        String group = placement.of(id);
+        String group = placement.groupOf(id);
         Seat seat = seats.get(group);
         return seat != null && (seat.canServe() || otherFounders(group).isEmpty())
                 ? seat.time()
@@ -228,7 +228,7 @@
      *
      * @param replySender replies to the process that sent the message, even if its name's address leads to another
      */
-    public void received(String group, GroupMessage message, Consumer<GroupMessage> replySender) {
+    public void receive(String group, GroupMessage message, Consumer<GroupMessage> replySender) {
         if (!setup.groups().containsKey(group) || !setup.processes().contains(message.sender())) {
             return;
         }
@@ -243,7 +243,7 @@
             }
         } else if (message.envelope() instanceof Envelope.Invite invite) {
             if (seat == null && !setup.isFounder(group)) {
-                Seat guest = seat(group, environment.wiped(group));
+                Seat guest = seat(group, environment.wipeLog(group));
                 seats.put(group, guest);
                 guest.acceptInvitation(invite.founders());
             }
--- a/src/main/java/whinlead/replication/raft/LogMirror.java
+++ b/src/main/java/whinlead/replication/raft/LogMirror.java
@@ -98,7 +98,7 @@
         entries.headMap(index, true).clear();
         if (disk != null) {
             disk.truncateLogEntriesUntil(index);
-            disk.shortened(this);
+            disk.logTruncated(this);
         }
     }
 
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void shortened(LogMirror mirror) {
+    public void logTruncated(LogMirror mirror) {
         // A mirror has nothing to compact.
     }
 
--- a/src/main/java/whinlead/replication/raft/Member.java
+++ b/src/main/java/whinlead/replication/raft/Member.java
@@ -62,7 +62,7 @@
     private final Set<MemberId> founders;
     private final Timers timers;
     private final MemberTransport transport;
-    private final ReplicatedState book;
+    private final ReplicatedState state;
     private final LogMirror log;
     private final RequestStateMachine stateMachine;
     private final ConsensusNode node;
@@ -105,7 +105,7 @@
         this.founders = MemberId.sorted(founders);
         this.timers = timers;
         this.transport = transport;
-        this.book = state;
+        this.state = state;
         this.log = log;
         forwarded = new ForwardedCommands(random.nextLong());
         stateMachine = new RequestStateMachine(state, clock, timers);
@@ -191,18 +191,18 @@
     }
 
     /** This member's state, which may be behind that of others. */
-    public ReplicatedState book() {
-        return book;
+    public ReplicatedState state() {
+        return state;
     }
 
     /** The log index up to which this member has applied the commands. */
-    public long known() {
+    public long appliedIndex() {
         return stateMachine.appliedIndex();
     }
 
     /** True if this member is over {@code steps} entries behind the leader's commit index; a few may be in transit. */
-    public boolean lags(int steps) {
-        return !leads() && leaderCommit > known() + steps;
+    public boolean isBehind(int steps) {
+        return !leads() && leaderCommit > appliedIndex() + steps;
     }
 
     /** True while this member believes that it leads. */
--- a/src/main/java/whinlead/replication/raft/RequestStateMachine.java
+++ b/src/main/java/whinlead/replication/raft/RequestStateMachine.java
@@ -61,7 +61,7 @@
             int end = Math.min(entries.size(), start + MAX_CHUNK_ENTRIES);
             Map<String, Long> drains = start == 0 ? snapshot.drains() : Map.of();
             chunks.accept(new Member.Chunk(
-                    snapshot.commands(), snapshot.time(), drains, List.copyOf(entries.subList(start, end))));
+                    snapshot.commandCount(), snapshot.time(), drains, List.copyOf(entries.subList(start, end))));
             start = end;
         } while (start < entries.size());
     }
--- a/src/main/java/whinlead/replication/raft/Seat.java
+++ b/src/main/java/whinlead/replication/raft/Seat.java
@@ -153,8 +153,8 @@
                         member.leads(),
                         member.votes(),
                         member.members(),
-                        member.book().size(),
-                        member.book().timeMs());
+                        member.state().size(),
+                        member.state().timeMs());
     }
 
     /** The process's incarnation; null while it has none. */
--- a/src/main/java/whinlead/run/ReplicationSetup.java
+++ b/src/main/java/whinlead/run/ReplicationSetup.java
@@ -105,7 +105,7 @@
         client = new ReplicationClient(
                 config.processName() + "/" + Long.toHexString(random.nextLong()),
                 timers,
-                new ReplicationClient.Waits(
+                new ReplicationClient.Timeouts(
                         RESEND_MS,
                         REPLY_MARGIN_MS,
                         REFUSE_TIMEOUT_MS,
@@ -118,7 +118,7 @@
     }
 
     /** Gives the groups access to connections, disks and the operator's log. */
-    private final class HostEnvironment implements GroupHost.Outside {
+    private final class HostEnvironment implements GroupHost.Environment {
         @Override
         public void send(String group, String targetMember, GroupMessage message) {
             groupLink.send(group, targetMember, message);
@@ -129,14 +129,14 @@
         }
 
         @Override
-        public LogMirror found(String group) {
+        public LogMirror loadLog(String group) {
             if (config.diskFolder() == null) {
                 return new LogMirror();
             }
             boolean guest = !config.groups().get(group).contains(config.processName());
             return guest && !Files.exists(groupFolder(group))
                     ? new LogMirror()
-                    : openDisk(group).found();
+                    : openDisk(group).restoredLog();
         }
 
         private DiskLog openDisk(String group) {
@@ -154,12 +154,12 @@
         }
 
         @Override
-        public LogMirror wiped(String group) {
+        public LogMirror wipeLog(String group) {
             if (config.diskFolder() == null) {
                 return new LogMirror();
             }
             try {
-                return openDisk(group).wiped();
+                return openDisk(group).wipe();
             } catch (UncheckedIOException e) {
                 // Without a disk the process is still a member, but its state is lost when the process ends.
                 log.accept("copies: no disk log for membership in " + group + ": "
@@ -169,10 +169,10 @@
         }
 
         @Override
-        public void retired(String group) {
+        public void seatRetired(String group) {
             DiskLog disk = disks.remove(group);
             if (disk != null) {
-                disk.wiped();
+                disk.wipe();
                 try {
                     disk.close();
                 } catch (IOException e) {
@@ -182,12 +182,12 @@
         }
 
         @Override
-        public void note(String line) {
+        public void report(String line) {
             log.accept(line);
         }
 
         @Override
-        public void taken() {
+        public void nameTaken() {
             log.accept("copies: another process has become member " + config.processName() + "; this one ends");
             // Not on the event loop: the shutdown hook waits for it.
             new Thread(() -> System.exit(EXIT_REPLACED), "taken").start();
--- a/src/main/java/whinlead/testbed/fleet/ClientTraffic.java
+++ b/src/main/java/whinlead/testbed/fleet/ClientTraffic.java
@@ -69,7 +69,7 @@
     }
 
     private FleetGroup ownerOf(String requestId) {
-        String name = placement.of(requestId);
+        String name = placement.groupOf(requestId);
         return groups.stream()
                 .filter(group -> group.name().equals(name))
                 .findFirst()
--- a/src/main/java/whinlead/testbed/replication/FinalStateCheck.java
+++ b/src/main/java/whinlead/testbed/replication/FinalStateCheck.java
@@ -51,9 +51,9 @@
                 truth.seen("consensus begun again");
             }
             if (member.votes()) {
-                ReplicatedState.Snapshot snapshot = member.book().snapshot();
-                commandCounts.add(snapshot.commands());
-                compare(snapshot, snapshots.putIfAbsent(member.known(), snapshot));
+                ReplicatedState.Snapshot snapshot = member.state().snapshot();
+                commandCounts.add(snapshot.commandCount());
+                compare(snapshot, snapshots.putIfAbsent(member.appliedIndex(), snapshot));
             }
         }
         // All is well again for long: a member that still lags, or a group without a leader, has stopped.
--- a/src/main/java/whinlead/testbed/replication/LossLimit.java
+++ b/src/main/java/whinlead/testbed/replication/LossLimit.java
@@ -55,7 +55,7 @@
     /** The names of a group's voters by the word of the member that knows most; its first members if none. */
     static Set<String> voters(SimCluster cluster, String group) {
         return cluster.liveMembers(group)
-                .max(Comparator.comparingLong(Member::known))
+                .max(Comparator.comparingLong(Member::appliedIndex))
                 .<Set<String>>map(member ->
                         member.view().voters().stream().map(MemberId::name).collect(Collectors.toSet()))
                 .orElse(cluster.groups().get(group));
@@ -67,7 +67,7 @@
         return machine.alive()
                 && member != null
                 && member.votes()
-                && !member.lags(MAX_LAG)
+                && !member.isBehind(MAX_LAG)
                 && (!cluster.replacing() || reachable(machine))
                 && cluster.liveMembers(group).allMatch(other -> other.members().contains(member.id()));
     }
--- a/src/main/java/whinlead/testbed/replication/PointsDay.java
+++ b/src/main/java/whinlead/testbed/replication/PointsDay.java
@@ -108,12 +108,12 @@
     }
 
     private void post(SimMachine from, SimMachine to, GroupMessage message) {
-        Wire.Frame frame = Frames.of(GROUP, message);
+        Wire.Frame frame = Frames.encode(GROUP, message);
         if (from.alive()) {
             net.send(from.name(), to.name(), () -> {
                 if (to.alive()) {
                     to.process()
-                            .run(() -> to.host().received(GROUP, Frames.message(frame), back -> post(to, from, back)));
+                            .run(() -> to.host().receive(GROUP, Frames.decode(frame), back -> post(to, from, back)));
                 }
             });
         }
--- a/src/main/java/whinlead/testbed/replication/SimCluster.java
+++ b/src/main/java/whinlead/testbed/replication/SimCluster.java
@@ -156,12 +156,12 @@
 
     // As messages go between processes: by the frames of their service.
     private void send(String group, SimMachine from, SimMachine to, GroupMessage message) {
-        Wire.Frame frame = Frames.of(group, message);
+        Wire.Frame frame = Frames.encode(group, message);
         network.send(from.name(), to.name(), () -> {
             if (to.alive()) {
                 to.process()
-                        .run(() -> to.host()
-                                .received(group, Frames.message(frame), reply -> send(group, to, from, reply)));
+                        .run(() ->
+                                to.host().receive(group, Frames.decode(frame), reply -> send(group, to, from, reply)));
             }
         });
     }
--- a/src/main/java/whinlead/testbed/replication/SimDisk.java
+++ b/src/main/java/whinlead/testbed/replication/SimDisk.java
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void shortened(LogMirror held) {
+    public void logTruncated(LogMirror held) {
         // It holds no past.
     }
 
--- a/src/main/java/whinlead/testbed/replication/SimMachine.java
+++ b/src/main/java/whinlead/testbed/replication/SimMachine.java
@@ -31,7 +31,8 @@
 final class SimMachine {
     private static final ReplicatedState.Limits LIMITS = new ReplicatedState.Limits(5000, 2000, 100, 60_000);
     private static final Bounds BOUNDS = new Bounds(2000, 1000, 10_000, 60_000, 100);
-    private static final ReplicationClient.Waits WAITS = new ReplicationClient.Waits(60, 25, 200, 1000, 1000, 5000);
+    private static final ReplicationClient.Timeouts WAITS =
+            new ReplicationClient.Timeouts(60, 25, 200, 1000, 1000, 5000);
     private static final RaftConfig CONFIG = RaftConfig.newBuilder()
             .setLeaderElectionTimeoutMillis(300)
             .setLeaderHeartbeatPeriodSecs(1)
@@ -123,7 +124,7 @@
                 setup,
                 process,
                 new Random(dice.nextLong()),
-                new GroupHost.Outside() {
+                new GroupHost.Environment() {
                     @Override
                     public void send(String group, String to, GroupMessage message) {
                         post.send(group, to, message);
@@ -137,31 +138,31 @@
                     }
 
                     @Override
-                    public LogMirror found(String group) {
+                    public LogMirror loadLog(String group) {
                         return disk(group);
                     }
 
                     @Override
-                    public LogMirror wiped(String group) {
+                    public LogMirror wipeLog(String group) {
                         truth.seen("begun anew");
                         disks.remove(group);
                         return disk(group);
                     }
 
                     @Override
-                    public void retired(String group) {
+                    public void seatRetired(String group) {
                         disks.remove(group);
                     }
 
                     @Override
-                    public void note(String line) {
+                    public void report(String line) {
                         truth.seen(line.replaceFirst("^copies: \\S+ ", "")
                                 .replaceAll("of g\\d+ ", "")
                                 .replaceAll("m\\d+", "another"));
                     }
 
                     @Override
-                    public void taken() {
+                    public void nameTaken() {
                         truth.broken("told that it is another");
                         mine.kill();
                     }
--- a/src/test/java/whinlead/replication/PlacementTest.java
+++ b/src/test/java/whinlead/replication/PlacementTest.java
@@ -24,13 +24,18 @@
         Placement placement = new Placement(groups(33));
         assertEquals(
                 List.of("g8", "g18", "g8", "g21"),
-                List.of(placement.of("r1"), placement.of("r2"), placement.of("7f3c0a52-job-submit"), placement.of("")));
+                List.of(
+                        placement.groupOf("r1"),
+                        placement.groupOf("r2"),
+                        placement.groupOf("7f3c0a52-job-submit"),
+                        placement.groupOf("")));
         assertEquals(List.of("p2", "p1", "p3"), Placement.ranked("g0", List.of("p3", "p1", "p2")));
     }
 
     @Test
     void theOrderOfTheGroupNamesDoesNotMatter() {
-        assertEquals(new Placement(List.of("a", "b", "c")).of("x"), new Placement(List.of("c", "a", "b")).of("x"));
+        assertEquals(
+                new Placement(List.of("a", "b", "c")).groupOf("x"), new Placement(List.of("c", "a", "b")).groupOf("x"));
         assertThrows(IllegalArgumentException.class, () -> new Placement(List.of()));
     }
 
@@ -39,7 +44,7 @@
         for (int groupCount : new int[] {2, 5, 33, 100}) {
             Placement placement = new Placement(groups(groupCount));
             Map<String, Integer> idsByGroup = new HashMap<>();
-            IntStream.range(0, ID_COUNT).forEach(i -> idsByGroup.merge(placement.of("req-" + i), 1, Integer::sum));
+            IntStream.range(0, ID_COUNT).forEach(i -> idsByGroup.merge(placement.groupOf("req-" + i), 1, Integer::sum));
             double mean = (double) ID_COUNT / groupCount;
             // Five standard deviations of a binomial share.
             double maximum = mean + 5 * Math.sqrt(mean);
@@ -55,8 +60,8 @@
         Placement after = new Placement(groups(21));
         int moved = 0;
         for (int i = 0; i < ID_COUNT; i++) {
-            String group = after.of("req-" + i);
-            if (!group.equals(before.of("req-" + i))) {
+            String group = after.groupOf("req-" + i);
+            if (!group.equals(before.groupOf("req-" + i))) {
                 assertEquals("g20", group);
                 moved++;
             }
--- a/src/test/java/whinlead/replication/ReplicationClientTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -50,7 +50,7 @@
     private final ReplicationClient client = new ReplicationClient(
             "a/1",
             timers,
-            new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000),
+            new ReplicationClient.Timeouts(60, 25, 150, 500, 1000, 5000),
             group,
             (id, ending) -> {},
             (id, step, detail) -> steps.add(id + " " + step + " " + detail));
@@ -177,7 +177,7 @@
                         return () -> {};
                     }
                 },
-                new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000),
+                new ReplicationClient.Timeouts(60, 25, 150, 500, 1000, 5000),
                 group,
                 (id, ending) -> {},
                 (id, step, detail) -> {});
--- a/src/test/java/whinlead/replication/disk/DiskLogTest.java
+++ b/src/test/java/whinlead/replication/disk/DiskLogTest.java
@@ -51,7 +51,7 @@
     }
 
     private static LogMirror startLog(DiskLog disk) throws IOException {
-        LogMirror log = disk.found();
+        LogMirror log = disk.restoredLog();
         log.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(ME)
                 .setVoting(true)
@@ -82,7 +82,7 @@
             log.flush();
         }
         try (DiskLog disk = open()) {
-            RestoredRaftState state = disk.found().restored();
+            RestoredRaftState state = disk.restoredLog().restored();
             assertEquals(ME, state.getLocalEndpointPersistentState().getLocalEndpoint());
             assertEquals(3, state.getTermPersistentState().getTerm());
             assertEquals(ME, state.getTermPersistentState().getVotedFor());
@@ -102,7 +102,7 @@
             Files.copy(in, folder.resolve("log"));
         }
         try (DiskLog disk = open()) {
-            RestoredRaftState state = disk.found().restored();
+            RestoredRaftState state = disk.restoredLog().restored();
             assertEquals(ME, state.getLocalEndpointPersistentState().getLocalEndpoint());
             assertEquals(3, state.getTermPersistentState().getTerm());
             assertEquals(ME, state.getTermPersistentState().getVotedFor());
@@ -117,7 +117,7 @@
     @Test
     void anEmptyDiskRestoresNothing() throws IOException {
         try (DiskLog disk = open()) {
-            assertNull(disk.found().restored());
+            assertNull(disk.restoredLog().restored());
         }
     }
 
@@ -151,7 +151,7 @@
             Files.write(folder.resolve("log"), Arrays.copyOf(bytes, length));
             notes.clear();
             try (DiskLog disk = open()) {
-                assertEquals(List.of(1L), indices(disk.found().restored()));
+                assertEquals(List.of(1L), indices(disk.restoredLog().restored()));
             }
             assertEquals(1, notes.size());
             assertEquals(intactBytes, Files.size(folder.resolve("log")));
@@ -196,7 +196,7 @@
             flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             Files.write(folder.resolve("log"), flipped);
             try (DiskLog disk = open()) {
-                List<Long> read = indices(disk.found().restored());
+                List<Long> read = indices(disk.restoredLog().restored());
                 assertTrue(read.size() >= 19, read::toString);
                 for (int k = 0; k < read.size(); k++) {
                     assertEquals(k + 1, read.get(k));
@@ -246,7 +246,7 @@
             assertTrue(Files.size(folder.resolve("log")) < 100_000);
         }
         try (DiskLog disk = open()) {
-            RestoredRaftState state = disk.found().restored();
+            RestoredRaftState state = disk.restoredLog().restored();
             assertEquals(2990, state.getSnapshotEntry().getIndex());
             assertEquals(11, state.getLogEntries().size());
             assertEquals(ME, state.getTermPersistentState().getVotedFor());
--- a/src/test/java/whinlead/replication/raft/GroupHostTest.java
+++ b/src/test/java/whinlead/replication/raft/GroupHostTest.java
@@ -50,7 +50,7 @@
     private final Random random = new Random(5);
     private long attempts;
 
-    private final class Process implements GroupHost.Outside, Timers {
+    private final class Process implements GroupHost.Environment, Timers {
         private final String name;
         private final GroupHost host;
         private final Map<String, LogMirror> disks;
@@ -97,7 +97,7 @@
 
         private void deliver(String group, Process receiver, GroupMessage message) {
             // Encoded and decoded, as between processes.
-            Wire.Frame frame = Frames.of(
+            Wire.Frame frame = Frames.encode(
                     group,
                     new GroupMessage(
                             message.sender(),
@@ -108,36 +108,36 @@
             if (receiver != null && !dead) {
                 clock.schedule(1, () -> {
                     if (!receiver.dead) {
-                        receiver.host.received(
-                                group, Frames.message(frame), reply -> receiver.deliver(group, this, reply));
+                        receiver.host.receive(
+                                group, Frames.decode(frame), reply -> receiver.deliver(group, this, reply));
                     }
                 });
             }
         }
 
         @Override
-        public LogMirror found(String group) {
+        public LogMirror loadLog(String group) {
             return disks.computeIfAbsent(group, g -> new LogMirror());
         }
 
         @Override
-        public LogMirror wiped(String group) {
+        public LogMirror wipeLog(String group) {
             disks.put(group, new LogMirror());
             return disks.get(group);
         }
 
         @Override
-        public void retired(String group) {
+        public void seatRetired(String group) {
             disks.remove(group);
         }
 
         @Override
-        public void note(String line) {
+        public void report(String line) {
             // Not checked here.
         }
 
         @Override
-        public void taken() {
+        public void nameTaken() {
             throw new IllegalStateException(name + " is another");
         }
 
@@ -175,7 +175,7 @@
 
     private static String requestIdPlacedIn(String group) {
         for (int i = 0; ; i++) {
-            if (new Placement(GROUPS.keySet()).of("r" + i).equals(group)) {
+            if (new Placement(GROUPS.keySet()).groupOf("r" + i).equals(group)) {
                 return "r" + i;
             }
         }
@@ -343,7 +343,7 @@
         processes
                 .get("x")
                 .host
-                .received("g", new GroupMessage("a", 0, 0, new Envelope.RoutedCommand(7, null)), replies::add);
+                .receive("g", new GroupMessage("a", 0, 0, new Envelope.RoutedCommand(7, null)), replies::add);
         assertEquals(
                 List.of(new Envelope.RoutedReply(7, null, -1, "")),
                 replies.stream().map(GroupMessage::envelope).toList());
