--- a/src/main/java/whinlead/admit/Budget.java
+++ b/src/main/java/whinlead/admit/Budget.java
@@ -77,19 +77,19 @@
     }
 
     /** Sets the number of descriptors that a purpose uses now. */
-    public void used(Purpose purpose, int count) {
+    public void setUsed(Purpose purpose, int count) {
         State state = states.get(purpose);
         state.used = count;
         state.peak = Math.max(state.peak, count);
     }
 
     /** Records that a purpose could not open a descriptor, or had to close another first. */
-    public void refused(Purpose purpose) {
+    public void recordRefusal(Purpose purpose) {
         states.get(purpose).refused = true;
     }
 
     /** The descriptors that a purpose may use now: its share, less what others use beyond theirs. */
-    public int may(Purpose purpose) {
+    public int limit(Purpose purpose) {
         int excess = 0;
         for (Map.Entry<Purpose, State> entry : states.entrySet()) {
             excess += entry.getKey() == purpose ? 0 : Math.max(0, entry.getValue().used - entry.getValue().limit);
--- a/src/main/java/whinlead/admit/Clients.java
+++ b/src/main/java/whinlead/admit/Clients.java
@@ -66,7 +66,7 @@
             double factor = known(nowMs) ? KNOWN_RATE_FACTOR : 1;
             tokens = Math.min(
                     gateLimits.burst() * factor,
-                    tokens + (nowMs - tokensAtMs) / MS_PER_SECOND * gateLimits.perSecond() * factor);
+                    tokens + (nowMs - tokensAtMs) / MS_PER_SECOND * gateLimits.connectionsPerSecond() * factor);
             tokensAtMs = nowMs;
             if (tokens < 1) {
                 return false;
--- a/src/main/java/whinlead/admit/Gate.java
+++ b/src/main/java/whinlead/admit/Gate.java
@@ -33,7 +33,7 @@
      * @param prefixes which addresses count as one client
      * @param perClient concurrent connections of a client; at least 1
      * @param perKnownClient concurrent connections of a known client; not lower
-     * @param perSecond new connections of a client per second; four times that for known clients
+     * @param connectionsPerSecond new connections of a client per second; four times that for known clients
      * @param burst new connections of a client allowed at once; at least 1
      * @param reserve places reserved for known clients, up to their recent peak
      * @param maxRemembered clients without connections that are remembered; at least 1
@@ -43,7 +43,7 @@
             Client.Prefixes prefixes,
             int perClient,
             int perKnownClient,
-            double perSecond,
+            double connectionsPerSecond,
             double burst,
             int reserve,
             int maxRemembered,
@@ -54,7 +54,7 @@
         public Limits {
             if (perClient < 1
                     || perKnownClient < perClient
-                    || !(perSecond > 0)
+                    || !(connectionsPerSecond > 0)
                     || !(burst >= 1)
                     || reserve < 0
                     || maxRemembered < 1
--- a/src/main/java/whinlead/capture/CaptureOutput.java
+++ b/src/main/java/whinlead/capture/CaptureOutput.java
@@ -46,12 +46,12 @@
 
     /** Writes an entry. Entries have to be written in the order of their arrival times. */
     public void write(Entry entry) throws IOException {
-        if (entry.kind() < 0 || entry.kind() >= classCount) {
-            throw new IllegalArgumentException("class " + entry.kind() + " is not in the capture header");
+        if (entry.classIndex() < 0 || entry.classIndex() >= classCount) {
+            throw new IllegalArgumentException("class " + entry.classIndex() + " is not in the capture header");
         }
         writeFields(
-                entry.at(),
-                entry.kind(),
+                entry.arrivalMicros(),
+                entry.classIndex(),
                 entry.repeat() ? 1 : 0,
                 entry.tenantIndex(),
                 entry.timeoutMs(),
--- a/src/main/java/whinlead/capture/Recorder.java
+++ b/src/main/java/whinlead/capture/Recorder.java
@@ -55,7 +55,8 @@
     private final AtomicLong dequeued = new AtomicLong();
 
     private final AtomicLong lostEntries = new AtomicLong();
-    private final PriorityQueue<Entry> sortedByArrival = new PriorityQueue<>(Comparator.comparingLong(Entry::at));
+    private final PriorityQueue<Entry> sortedByArrival =
+            new PriorityQueue<>(Comparator.comparingLong(Entry::arrivalMicros));
     private final Thread writerThread;
     private volatile boolean closing;
     private double captureStartMs = Double.NaN;
@@ -117,9 +118,9 @@
                 dequeued.incrementAndGet();
                 sortedByArrival.add(e);
                 // A request that ends now arrived within the completion window: all earlier entries are present.
-                long settledBeforeMicros = e.at() - Math.round(bounds.completionWindowMs() * MICROS_PER_MS);
+                long settledBeforeMicros = e.arrivalMicros() - Math.round(bounds.completionWindowMs() * MICROS_PER_MS);
                 while (!sortedByArrival.isEmpty()
-                        && (sortedByArrival.peek().at() < settledBeforeMicros
+                        && (sortedByArrival.peek().arrivalMicros() < settledBeforeMicros
                                 || sortedByArrival.size() > MAX_SORTED_QUEUES * bounds.queueEntries())) {
                     write(sortedByArrival.poll());
                 }
@@ -146,7 +147,7 @@
         }
         long lostSoFar = lostEntries.get();
         if (lostSoFar > lostEntriesWritten) {
-            output.writeLost(entry.at(), (int) Math.min(Integer.MAX_VALUE, lostSoFar - lostEntriesWritten));
+            output.writeLost(entry.arrivalMicros(), (int) Math.min(Integer.MAX_VALUE, lostSoFar - lostEntriesWritten));
             lostEntriesWritten = lostSoFar;
             fileBytesWritten += CaptureOutput.ENTRY_BYTES;
         }
--- a/src/main/java/whinlead/capture/Summary.java
+++ b/src/main/java/whinlead/capture/Summary.java
@@ -9,31 +9,32 @@
  * Statistics of a capture.
  *
  * @param classes names of the request classes, as in the header
- * @param counts number of requests of each class
+ * @param requestsByClass number of requests of each class
  * @param requests total number of requests
- * @param seconds time from the first entry to the last
- * @param peak number of requests in the busiest second
+ * @param durationSeconds time from the first entry to the last
+ * @param peakRequestsPerSecond number of requests in the busiest second
  * @param repeats number of requests that were repeats
- * @param ends number of requests by outcome, in the order of the constants of {@link RequestListener.End}
- * @param lost number of entries lost while the capture was written
- * @param jumps how often the clock went back
- * @param torn whether the last entry was truncated
+ * @param requestsByOutcome number of requests by outcome, in the order of the constants of
+ *     {@link RequestListener.Result}
+ * @param lostEntries number of entries lost while the capture was written
+ * @param backwardClockJumps how often the clock went back
+ * @param truncated whether the last entry was truncated
  */
 public record Summary(
         List<String> classes,
-        List<Long> counts,
+        List<Long> requestsByClass,
         long requests,
-        double seconds,
-        long peak,
+        double durationSeconds,
+        long peakRequestsPerSecond,
         long repeats,
-        List<Long> ends,
-        long lost,
-        long jumps,
-        boolean torn) {
+        List<Long> requestsByOutcome,
+        long lostEntries,
+        long backwardClockJumps,
+        boolean truncated) {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     /** Reads a capture to its end and summarises it. */
-    public static Summary of(CaptureInput input) throws IOException {
+    public static Summary read(CaptureInput input) throws IOException {
         long[] requestsByClass = new long[input.classNames().size()];
         long[] requestsByOutcome = new long[RequestListener.Result.values().length];
         long requests = 0;
@@ -44,14 +45,14 @@
         long requestsInSecond = 0;
         long peakRequestsPerSecond = 0;
         for (Entry entry = input.next(); entry != null; entry = input.next()) {
-            firstArrivalMicros = requests == 0 ? entry.at() : firstArrivalMicros;
-            lastArrivalMicros = entry.at();
+            firstArrivalMicros = requests == 0 ? entry.arrivalMicros() : firstArrivalMicros;
+            lastArrivalMicros = entry.arrivalMicros();
             requests++;
-            requestsByClass[entry.kind()]++;
+            requestsByClass[entry.classIndex()]++;
             requestsByOutcome[entry.outcome().ordinal()]++;
             repeats += entry.repeat() ? 1 : 0;
-            requestsInSecond = entry.at() / MICROS_PER_SECOND == currentSecond ? requestsInSecond + 1 : 1;
-            currentSecond = entry.at() / MICROS_PER_SECOND;
+            requestsInSecond = entry.arrivalMicros() / MICROS_PER_SECOND == currentSecond ? requestsInSecond + 1 : 1;
+            currentSecond = entry.arrivalMicros() / MICROS_PER_SECOND;
             peakRequestsPerSecond = Math.max(peakRequestsPerSecond, requestsInSecond);
         }
         return new Summary(
--- a/src/main/java/whinlead/consult/Consultation.java
+++ b/src/main/java/whinlead/consult/Consultation.java
@@ -45,7 +45,7 @@
     private Directive end;
     private boolean endUndelivered;
     /** The request as shared with other members; null if it is not shared. */
-    private final Keeper.Kept sharedRequest;
+    private final Keeper.SharedRequest sharedRequest;
     /** The call that gets {@link #currentAttempt} once other members have approved it; null if none waits. */
     private Consultations.Reply awaitingApproval;
     /** The calls that get the end once other members have agreed; null before the end and after the agreement. */
@@ -59,7 +59,7 @@
             Peer peer,
             Contract.Effect effect,
             double endBy,
-            Keeper.Kept kept,
+            Keeper.SharedRequest kept,
             Consultations.Reply firstReply) {
         this.sharedRequest = kept;
         this.owner = owner;
@@ -168,7 +168,7 @@
         }
         awaitingApproval = reply;
         double askedMs = owner.timers().nowMs();
-        sharedRequest.allow(
+        sharedRequest.requestAttempt(
                 currentAttempt.endpoint(), currentAttempt.validMs(), verdict -> approvalDecided(verdict, askedMs));
     }
 
@@ -194,7 +194,7 @@
             // The attempt was delivered to no caller, whatever the module does on the abandonment.
             awaitingApproval = reply;
             engineRequest.abandon();
-            end = verdict instanceof Keeper.Verdict.Over over
+            end = verdict instanceof Keeper.Verdict.Ended over
                     ? over.end()
                     : verdict instanceof Keeper.Verdict.Unknown ? new Directive.Failed() : new Directive.AlreadyOut();
             if (currentAttempt != null) {
--- a/src/main/java/whinlead/consult/Consultations.java
+++ b/src/main/java/whinlead/consult/Consultations.java
@@ -80,7 +80,7 @@
             } else {
                 String known = addresses.remove(e.server().id());
                 if (known != null && sharedStore != null) {
-                    sharedStore.drains(e.server().id());
+                    sharedStore.endpointDraining(e.server().id());
                 }
             }
         }
@@ -108,7 +108,7 @@
             Contract.Effect effect =
                     settings.classes().get(request.classIndex()).effect();
             double endByMs = timers.nowMs() + request.timeoutMs();
-            Keeper.Kept sharedRequest = sharedStore == null || effect == Contract.Effect.SAFE
+            Keeper.SharedRequest sharedRequest = sharedStore == null || effect == Contract.Effect.SAFE
                     ? null
                     : sharedStore.open(id, peer.name(), effect == Contract.Effect.KEYED, request.repeat(), endByMs);
             Consultation consultation = new Consultation(this, id, peer, effect, endByMs, sharedRequest, reply);
@@ -142,10 +142,10 @@
         }
     }
 
-    private static Keeper.How runResult(Contract.Outcome outcome) {
+    private static Keeper.RunResult runResult(Contract.Outcome outcome) {
         return outcome == Contract.Outcome.SERVED
-                ? Keeper.How.SERVED
-                : outcome.neverRan ? Keeper.How.NEVER_RAN : Keeper.How.MAY_HAVE_RAN;
+                ? Keeper.RunResult.SERVED
+                : outcome.neverRan ? Keeper.RunResult.NEVER_RAN : Keeper.RunResult.MAY_HAVE_RAN;
     }
 
     private static void answer(Reply reply, Directive end) {
--- a/src/main/java/whinlead/consult/Directive.java
+++ b/src/main/java/whinlead/consult/Directive.java
@@ -3,7 +3,7 @@
 /** What a caller has to do with its request. */
 public sealed interface Directive {
     /** The name of the directive in every protocol. */
-    String word();
+    String wireName();
 
     /**
      * Send the request to this endpoint once, and report the outcome.
@@ -16,7 +16,7 @@
      */
     record Send(String endpoint, String address, int attempt, double withinMs, double validMs) implements Directive {
         @Override
-        public String word() {
+        public String wireName() {
             return "send";
         }
     }
@@ -24,7 +24,7 @@
     /** The request has ended: an endpoint served it, and the caller has the answer. */
     record Served() implements Directive {
         @Override
-        public String word() {
+        public String wireName() {
             return "served";
         }
     }
@@ -36,7 +36,7 @@
      */
     record Refused(double retryAfterMs) implements Directive {
         @Override
-        public String word() {
+        public String wireName() {
             return "refuse";
         }
     }
@@ -44,7 +44,7 @@
     /** The request has ended: answer that it failed. It may have run. */
     record Failed() implements Directive {
         @Override
-        public String word() {
+        public String wireName() {
             return "fail";
         }
     }
@@ -54,7 +54,7 @@
      */
     record AlreadyOut() implements Directive {
         @Override
-        public String word() {
+        public String wireName() {
             return "already_out";
         }
     }
@@ -62,7 +62,7 @@
     /** Nothing is known of the request: it was never asked about, or ended long ago. */
     record Unknown() implements Directive {
         @Override
-        public String word() {
+        public String wireName() {
             return "unknown";
         }
     }
@@ -74,7 +74,7 @@
      */
     record TooMany(double retryAfterMs) implements Directive {
         @Override
-        public String word() {
+        public String wireName() {
             return "too_many";
         }
     }
--- a/src/main/java/whinlead/consult/Keeper.java
+++ b/src/main/java/whinlead/consult/Keeper.java
@@ -14,10 +14,10 @@
         record Granted(int attempt) implements Verdict {}
 
         /** Another attempt is out, possibly by another member. */
-        record Out() implements Verdict {}
+        record AlreadyOut() implements Verdict {}
 
         /** The request has ended, finally or as far as is known here. */
-        record Over(Directive end) implements Verdict {}
+        record Ended(Directive end) implements Verdict {}
 
         /** The endpoint accepts no new requests: another may be tried. */
         record Draining() implements Verdict {}
@@ -27,14 +27,14 @@
     }
 
     /** Whether an attempt ran. */
-    enum How {
+    enum RunResult {
         NEVER_RAN,
         MAY_HAVE_RAN,
         SERVED
     }
 
     /** One request held by this process. */
-    interface Kept {
+    interface SharedRequest {
         /**
          * Asks whether the next attempt may be sent; one at a time. The verdict never arrives before this method
          * returns.
@@ -42,7 +42,7 @@
          * @param valid milliseconds within which the attempt has to be delivered; later it must not be
          * @param told receives the verdict once, unless cancelled before
          */
-        void allow(String endpoint, double valid, Consumer<Verdict> told);
+        void requestAttempt(String endpoint, double valid, Consumer<Verdict> told);
 
         /** Cancels the pending question; the attempt has not been delivered. */
         void cancel();
@@ -68,7 +68,7 @@
      * @param repeat whether the client marks it as a repeat after a refusal
      * @param endBy end of the request's time, by the engine's clock
      */
-    Kept open(String id, String caller, boolean keyed, boolean repeat, double endBy);
+    SharedRequest open(String id, String caller, boolean keyed, boolean repeat, double endBy);
 
     /**
      * Handles a caller's report on an attempt at a request that this process does not hold.
@@ -76,8 +76,8 @@
      * @param attempt the attempt's number as delivered
      * @param told receives how the request ended, or null if it is unknown or can't be guaranteed
      */
-    void report(String id, int attempt, How how, Consumer<Directive> told);
+    void report(String id, int attempt, RunResult how, Consumer<Directive> told);
 
     /** An endpoint accepts no new requests. */
-    void drains(String endpoint);
+    void endpointDraining(String endpoint);
 }
--- a/src/main/java/whinlead/engine/Engine.java
+++ b/src/main/java/whinlead/engine/Engine.java
@@ -65,7 +65,7 @@
         listSource = source;
         dispatch(() -> module.start(timers.nowMs()));
         if (lastKnown != null) {
-            list(Contract.ListKind.STALE, lastKnown);
+            listReceived(Contract.ListKind.STALE, lastKnown);
         }
         if (!settings.listMustBeRequested()) {
             // A pushed list comes from an agent on this machine, so the module does not request it.
@@ -74,13 +74,13 @@
     }
 
     @Override
-    public void list(Contract.ListKind kind, EndpointList list) {
+    public void listReceived(Contract.ListKind kind, EndpointList list) {
         endpointListener.accept(list);
         dispatch(() -> module.servers(timers.nowMs(), kind, list.servers()));
     }
 
     @Override
-    public void outOfReach() {
+    public void sourceUnreachable() {
         dispatch(() -> module.servers(timers.nowMs(), Contract.ListKind.FAILED, List.of()));
     }
 
--- a/src/main/java/whinlead/front/consult/ConsultConnection.java
+++ b/src/main/java/whinlead/front/consult/ConsultConnection.java
@@ -147,7 +147,7 @@
         HttpResponseStatus status;
         double retryAfter = 0;
         if (directive instanceof Directive.Send send) {
-            body.put("do", directive.word())
+            body.put("do", directive.wireName())
                     .put("endpoint", send.endpoint())
                     .put("address", send.address())
                     .put("attempt", send.attempt())
@@ -155,24 +155,24 @@
                     .put("valid_ms", Math.floor(send.validMs()));
             status = HttpResponseStatus.OK;
         } else if (directive instanceof Directive.Served) {
-            body.put("do", directive.word());
+            body.put("do", directive.wireName());
             status = HttpResponseStatus.OK;
         } else if (directive instanceof Directive.Refused refused) {
-            body.put("do", directive.word());
+            body.put("do", directive.wireName());
             retryAfter = refused.retryAfterMs();
             status = HttpResponseStatus.SERVICE_UNAVAILABLE;
         } else if (directive instanceof Directive.Failed) {
-            body.put("do", directive.word());
+            body.put("do", directive.wireName());
             status = HttpResponseStatus.BAD_GATEWAY;
         } else if (directive instanceof Directive.AlreadyOut) {
-            body.put("do", directive.word());
+            body.put("do", directive.wireName());
             status = HttpResponseStatus.CONFLICT;
         } else if (directive instanceof Directive.TooMany tooMany) {
-            body.put("do", directive.word());
+            body.put("do", directive.wireName());
             retryAfter = tooMany.retryAfterMs();
             status = HttpResponseStatus.TOO_MANY_REQUESTS;
         } else {
-            body.put("do", directive.word());
+            body.put("do", directive.wireName());
             status = HttpResponseStatus.NOT_FOUND;
         }
         if (retryAfter > 0) {
--- a/src/main/java/whinlead/front/extproc/ExtProcAnswers.java
+++ b/src/main/java/whinlead/front/extproc/ExtProcAnswers.java
@@ -102,12 +102,13 @@
 
     private static ProcessingResponse immediate(StatusCode status, Directive directive, double retryAfter) {
         HeaderMutation.Builder headers =
-                HeaderMutation.newBuilder().addSetHeaders(EnvoyHeaders.set(DO, directive.word()));
+                HeaderMutation.newBuilder().addSetHeaders(EnvoyHeaders.set(DO, directive.wireName()));
         if (retryAfter > 0) {
             headers.addSetHeaders(EnvoyHeaders.set(RETRY_AFTER, Decimals.seconds(retryAfter)));
         }
         return immediate(
-                ImmediateResponse.newBuilder().setHeaders(headers).setDetails("whinlead_" + directive.word()), status);
+                ImmediateResponse.newBuilder().setHeaders(headers).setDetails("whinlead_" + directive.wireName()),
+                status);
     }
 
     /** Its headers can't be understood. */
--- a/src/main/java/whinlead/front/http1/ClientConnection.java
+++ b/src/main/java/whinlead/front/http1/ClientConnection.java
@@ -31,14 +31,14 @@
 import whinlead.engine.Engine;
 import whinlead.engine.ResponseSink;
 import whinlead.http.Decimals;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
+import whinlead.http.EndpointResponse;
+import whinlead.http.HttpCall;
 
 /**
  * One connection from the application and the one request that it may carry at a time. A bad request is answered as
  * soon as its head shows that, and ends the connection: nobody knows where the next one would begin.
  */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseSink<HttpAnswer> {
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseSink<EndpointResponse> {
     /** What the connection is about; {@link #since} tells for how long. */
     enum Phase {
         /** It has sent nothing yet. */
@@ -70,7 +70,7 @@
     private HttpRequest head;
     private RequestCheck.Checked checked;
     private boolean complete;
-    private Engine.PendingRequest<HttpAnswer> held;
+    private Engine.PendingRequest<EndpointResponse> held;
     private String heldId;
 
     ClientConnection(ClientServer server, Clock clock) {
@@ -170,7 +170,7 @@
     }
 
     private void giveUp() {
-        Engine.PendingRequest<HttpAnswer> gone = held;
+        Engine.PendingRequest<EndpointResponse> gone = held;
         letGo();
         if (gone != null) {
             gone.abandon();
@@ -209,7 +209,7 @@
         }
         if (message instanceof HttpContent part) {
             ByteBuf bytes = part.content();
-            if (body.size() + bytes.readableBytes() > HttpAsk.MAX_BODY) {
+            if (body.size() + bytes.readableBytes() > HttpCall.MAX_BODY_BYTES) {
                 reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                 return;
             }
@@ -263,9 +263,9 @@
             return;
         }
         enter(Phase.OPEN);
-        Engine.PendingRequest<HttpAnswer> taken = server.take(
+        Engine.PendingRequest<EndpointResponse> taken = server.take(
                 request.ask(),
-                new HttpAsk(request.method(), request.uri(), request.headers(), body.toByteArray()),
+                new HttpCall(request.method(), request.uri(), request.headers(), body.toByteArray()),
                 this);
         body.reset();
         // The answer may have gone out already.
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public void served(HttpAnswer answer) {
+    public void served(EndpointResponse answer) {
         FullHttpResponse response = response(HttpResponseStatus.OK, answer.body());
         if (answer.contentType() != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
--- a/src/main/java/whinlead/front/http1/ClientServer.java
+++ b/src/main/java/whinlead/front/http1/ClientServer.java
@@ -23,8 +23,8 @@
 import whinlead.engine.Request;
 import whinlead.engine.ResponseSink;
 import whinlead.engine.Transport;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
+import whinlead.http.EndpointResponse;
+import whinlead.http.HttpCall;
 
 /** Listens for the application: how many connections it may have and for how long, readiness and the drain. */
 public final class ClientServer {
@@ -50,7 +50,7 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Engine engine;
-    private final Function<HttpAsk, Transport<HttpAnswer>> transport;
+    private final Function<HttpCall, Transport<EndpointResponse>> transport;
     private final RequestCheck check;
     private final double longestDeadline;
     private final int most;
@@ -76,7 +76,7 @@
             EventLoop loop,
             Clock clock,
             Engine engine,
-            Function<HttpAsk, Transport<HttpAnswer>> transport,
+            Function<HttpCall, Transport<EndpointResponse>> transport,
             Contract.Settings settings,
             int most) {
         this(
@@ -101,7 +101,7 @@
             EventLoop loop,
             Clock clock,
             Engine engine,
-            Function<HttpAsk, Transport<HttpAnswer>> transport,
+            Function<HttpCall, Transport<EndpointResponse>> transport,
             Contract.Settings settings,
             Gate.Limits clients,
             Budget budget,
@@ -117,7 +117,7 @@
                 .orElse(0);
         this.budget = budget;
         this.places = places;
-        this.most = budget.may(Budget.Purpose.CLIENTS);
+        this.most = budget.limit(Budget.Purpose.CLIENTS);
         this.gate =
                 new Gate<>(clients, new Admission.Limits(UNKNOWN_PART, IDLE_LONG_MS, MIN_IDLE_MS, MIN_SLOW_MS), most);
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
@@ -172,7 +172,7 @@
     }
 
     /** Has the engine take a request. */
-    Engine.PendingRequest<HttpAnswer> take(Request ask, HttpAsk http, ResponseSink<HttpAnswer> caller) {
+    Engine.PendingRequest<EndpointResponse> take(Request ask, HttpCall http, ResponseSink<EndpointResponse> caller) {
         double room = places == 0 ? 1 : Math.max(0, 1 - (double) openIds.size() / places);
         return engine.accept(ask.withFreeShareAndBody(room, http.body().length), transport.apply(http), caller);
     }
@@ -205,14 +205,14 @@
      */
     void opened(ClientConnection connection, SocketAddress from) {
         connections.add(connection);
-        gate.places(budget.may(Budget.Purpose.CLIENTS));
+        gate.places(budget.limit(Budget.Purpose.CLIENTS));
         long before = gate.closed(Gate.CloseReason.FULL);
         byte[] address = ((InetSocketAddress) from).getAddress().getAddress();
         ClientConnection close = gate.connectionOpened(connection, address, clock.nowMs());
         if (gate.closed(Gate.CloseReason.FULL) > before) {
-            budget.refused(Budget.Purpose.CLIENTS);
+            budget.recordRefusal(Budget.Purpose.CLIENTS);
         }
-        budget.used(Budget.Purpose.CLIENTS, gate.open());
+        budget.setUsed(Budget.Purpose.CLIENTS, gate.open());
         if (close != null) {
             close.close();
         }
@@ -226,7 +226,7 @@
     void closed(ClientConnection connection) {
         connections.remove(connection);
         gate.connectionClosed(connection, clock.nowMs());
-        budget.used(Budget.Purpose.CLIENTS, gate.open());
+        budget.setUsed(Budget.Purpose.CLIENTS, gate.open());
         finishDrain();
     }
 
--- a/src/main/java/whinlead/front/http1/RequestCheck.java
+++ b/src/main/java/whinlead/front/http1/RequestCheck.java
@@ -16,7 +16,7 @@
 import whinlead.Contract;
 import whinlead.engine.Request;
 import whinlead.http.Decimals;
-import whinlead.http.HttpAsk;
+import whinlead.http.HttpCall;
 
 /**
  * Checks the head of a client's request, before its body is read. What it lets through is made anew from the checked
@@ -54,7 +54,7 @@
     private static final List<CharSequence> ONCE = List.of(
             ID,
             CLASS,
-            HttpAsk.TIMEOUT,
+            HttpCall.TIMEOUT,
             KEY,
             TENANT,
             REPEAT,
@@ -102,7 +102,7 @@
                 || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding)
                         && request.protocolVersion().minorVersion() > 0);
         require(request.protocolVersion().majorVersion() == 1 && visible(request.uri(), Integer.MAX_VALUE));
-        if (HttpUtil.getContentLength(request, 0L) > HttpAsk.MAX_BODY) {
+        if (HttpUtil.getContentLength(request, 0L) > HttpCall.MAX_BODY_BYTES) {
             throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
     }
@@ -123,7 +123,7 @@
         }
         String key = headers.get(KEY);
         require(key == null ? type.effect() != Contract.Effect.KEYED : visible(key, MAX_NAME));
-        String timeout = headers.get(HttpAsk.TIMEOUT);
+        String timeout = headers.get(HttpCall.TIMEOUT);
         double wait = timeout == null ? type.deadline() : Decimals.parse(timeout, MAX_TIMEOUT_S) * MILLIS;
         require(wait > 0);
         Request ask = new Request(
--- a/src/main/java/whinlead/front/spop/SpopConnection.java
+++ b/src/main/java/whinlead/front/spop/SpopConnection.java
@@ -166,7 +166,7 @@
             return;
         }
         ByteBuf out = SpopFrame.begin(ctx.alloc().buffer(), SpopFrame.Type.ACK, frame.stream(), frame.frame());
-        SpopFrame.setVariable(out, "do", directive.word());
+        SpopFrame.setVariable(out, "do", directive.wireName());
         if (directive instanceof Directive.Send send) {
             int colon = send.address().lastIndexOf(':');
             String host = send.address().substring(0, colon);
--- a/src/main/java/whinlead/http/HttpAnswer.java
+++ b/src/main/java/whinlead/http/EndpointResponse.java
@@ -5,4 +5,4 @@
  *
  * @param contentType the Content-Type header, or null
  */
-public record HttpAnswer(byte[] body, String contentType) {}
+public record EndpointResponse(byte[] body, String contentType) {}
--- a/src/main/java/whinlead/http/HttpAsk.java
+++ b/src/main/java/whinlead/http/HttpCall.java
@@ -15,11 +15,11 @@
  *
  * @param headers headers for the endpoint, without the timeout and the length
  */
-public record HttpAsk(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
+public record HttpCall(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
     /** The time for which the sender waits, in seconds. */
     public static final AsciiString TIMEOUT = AsciiString.cached("Request-Timeout");
     /** Maximum size of a request or response body; the bodies of the platform are far smaller. */
-    public static final int MAX_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
      * The request for one attempt.
--- a/src/main/java/whinlead/membership/Discovery.java
+++ b/src/main/java/whinlead/membership/Discovery.java
@@ -116,7 +116,7 @@
      * Moves the watch to another address immediately; the old list stays in use until a new one arrives. The full list
      * is requested, since another service may count versions differently and no change must be missed.
      */
-    public void move(InetSocketAddress next) {
+    public void changeAddress(InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
@@ -141,7 +141,7 @@
             backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
             loop.schedule(this::watch, (long) waitMs, TimeUnit.MILLISECONDS);
         } else {
-            membership.outOfReach();
+            membership.sourceUnreachable();
         }
     }
 
@@ -212,7 +212,7 @@
                 return;
             }
             backoffMs = FIRST_BACKOFF_MS;
-            membership.list(list.whole() ? Contract.ListKind.FULL : Contract.ListKind.CHANGES, list);
+            membership.listReceived(list.whole() ? Contract.ListKind.FULL : Contract.ListKind.CHANGES, list);
         }
 
         @Override
--- a/src/main/java/whinlead/mesh/run/SettingsWatcher.java
+++ b/src/main/java/whinlead/mesh/run/SettingsWatcher.java
@@ -31,7 +31,7 @@
 
     /** Starts watching; the callback receives the new seeds when they have changed. */
     void watch(Hangup hangup, EventLoop loop, Consumer<List<String>> seedsChanged) {
-        hangup.on(() -> loop.execute(() -> read(seedsChanged)));
+        hangup.onHangup(() -> loop.execute(() -> read(seedsChanged)));
         loop.scheduleAtFixedRate(() -> read(seedsChanged), INTERVAL_MS, INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
+++ b/src/main/java/whinlead/mesh/sidecar/ServiceBalancer.java
@@ -137,7 +137,7 @@
         }
         startTimesMs.clear();
         startTimesMs.putAll(listedStartTimesMs);
-        engine.list(Contract.ListKind.FULL, new EndpointList(++listSequence, true, entries));
+        engine.listReceived(Contract.ListKind.FULL, new EndpointList(++listSequence, true, entries));
     }
 
     /** A client's request that is to be forwarded. */
--- a/src/main/java/whinlead/plan/SimulatedSidecar.java
+++ b/src/main/java/whinlead/plan/SimulatedSidecar.java
@@ -58,12 +58,12 @@
     void start() {
         // Later updates of the list arrive through receiveChanges.
         engine.start(() -> {}, null);
-        engine.list(Contract.ListKind.FULL, list(fronts.values(), true));
+        engine.listReceived(Contract.ListKind.FULL, list(fronts.values(), true));
     }
 
     /** Passes changed endpoint list entries to the engine. */
     void receiveChanges(Collection<SimulatedFront> changed) {
-        engine.list(Contract.ListKind.CHANGES, list(changed, false));
+        engine.listReceived(Contract.ListKind.CHANGES, list(changed, false));
     }
 
     private static EndpointList list(Collection<SimulatedFront> fronts, boolean complete) {
--- a/src/main/java/whinlead/plan/tool/CaptureCommand.java
+++ b/src/main/java/whinlead/plan/tool/CaptureCommand.java
@@ -92,23 +92,23 @@
         public Integer call() throws IOException {
             Summary summary;
             try (CaptureInput in = new CaptureInput(Files.newInputStream(file))) {
-                summary = Summary.of(in);
+                summary = Summary.read(in);
             }
             System.out.println("requests: " + summary.requests());
-            System.out.printf(Locale.ROOT, "seconds: %.3f%n", summary.seconds());
-            System.out.println("fullest second: " + summary.peak());
+            System.out.printf(Locale.ROOT, "seconds: %.3f%n", summary.durationSeconds());
+            System.out.println("fullest second: " + summary.peakRequestsPerSecond());
             for (int requestClass = 0; requestClass < summary.classes().size(); requestClass++) {
                 System.out.println("of class " + summary.classes().get(requestClass) + ": "
-                        + summary.counts().get(requestClass));
+                        + summary.requestsByClass().get(requestClass));
             }
             for (RequestListener.Result e : RequestListener.Result.values()) {
                 System.out.println(e.name().toLowerCase(Locale.ROOT) + ": "
-                        + summary.ends().get(e.ordinal()));
+                        + summary.requestsByOutcome().get(e.ordinal()));
             }
             System.out.println("repeats: " + summary.repeats());
-            System.out.println("lost: " + summary.lost());
-            System.out.println("clock went back: " + summary.jumps());
-            System.out.println("torn at the end: " + summary.torn());
+            System.out.println("lost: " + summary.lostEntries());
+            System.out.println("clock went back: " + summary.backwardClockJumps());
+            System.out.println("torn at the end: " + summary.truncated());
             return 0;
         }
     }
--- a/src/main/java/whinlead/plan/tool/CaptureLoad.java
+++ b/src/main/java/whinlead/plan/tool/CaptureLoad.java
@@ -40,7 +40,7 @@
             throw new IllegalArgumentException(file + ": file can't be read");
         }
         try (CaptureInput in = new CaptureInput(Files.newInputStream(file))) {
-            summary = Summary.of(in);
+            summary = Summary.read(in);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(file + ": " + e.getMessage(), e);
         }
@@ -53,7 +53,7 @@
         fleetClasses = new int[summary.classes().size()];
         for (int k = 0; k < fleetClasses.length; k++) {
             fleetClasses[k] = known.indexOf(summary.classes().get(k));
-            if (fleetClasses[k] < 0 && summary.counts().get(k) > 0) {
+            if (fleetClasses[k] < 0 && summary.requestsByClass().get(k) > 0) {
                 throw new IllegalArgumentException(file + ": the description has no class "
                         + summary.classes().get(k));
             }
@@ -67,24 +67,25 @@
 
     /** Milliseconds from the first request to the last at a load factor. */
     public double length(double loadFactor) {
-        return summary.seconds() * 1000 / loadFactor;
+        return summary.durationSeconds() * 1000 / loadFactor;
     }
 
     /** Caveats for results from this capture at a load factor. */
     public List<String> caveats(double loadFactor) {
         List<String> lines = new ArrayList<>();
-        if (summary.lost() > 0) {
-            lines.add(summary.lost() + " of " + (summary.lost() + summary.requests())
+        if (summary.lostEntries() > 0) {
+            lines.add(summary.lostEntries() + " of " + (summary.lostEntries() + summary.requests())
                     + " requests are not in the capture: the load is too low by that part.");
         }
-        if (summary.jumps() > 0) {
-            lines.add("Its clock went back " + summary.jumps() + " times: the load around that is too dense.");
+        if (summary.backwardClockJumps() > 0) {
+            lines.add("Its clock went back " + summary.backwardClockJumps()
+                    + " times: the load around that is too dense.");
         }
-        if (summary.torn()) {
+        if (summary.truncated()) {
             lines.add("Its last entry was torn and is left out.");
         }
-        double mean = summary.requests() / Math.max(1e-3, summary.seconds());
-        if (mean * loadFactor > EXTRAPOLATION_FACTOR * summary.peak()) {
+        double mean = summary.requests() / Math.max(1e-3, summary.durationSeconds());
+        if (mean * loadFactor > EXTRAPOLATION_FACTOR * summary.peakRequestsPerSecond()) {
             lines.add("The load asked about is over " + EXTRAPOLATION_FACTOR
                     + " times the fullest second that was captured: this is"
                     + " extrapolated.");
@@ -111,9 +112,12 @@
                         in.close();
                         return null;
                     }
-                    first = first < 0 ? e.at() : first;
+                    first = first < 0 ? e.arrivalMicros() : first;
                     return new Arrival(
-                            (e.at() - first) / MICROS_PER_MS / loadFactor, fleetClasses[e.kind()], -1, e.repeat());
+                            (e.arrivalMicros() - first) / MICROS_PER_MS / loadFactor,
+                            fleetClasses[e.classIndex()],
+                            -1,
+                            e.repeat());
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
--- a/src/main/java/whinlead/replication/ReplicationClient.java
+++ b/src/main/java/whinlead/replication/ReplicationClient.java
@@ -90,12 +90,12 @@
     }
 
     @Override
-    public Kept open(String id, String caller, boolean keyed, boolean repeat, double deadlineMs) {
+    public SharedRequest open(String id, String caller, boolean keyed, boolean repeat, double deadlineMs) {
         return new ClientRequest(id, caller, keyed ? Command.Guard.KEYED : Command.Guard.UNSAFE, repeat, deadlineMs);
     }
 
     @Override
-    public void report(String id, int attempt, How outcome, Consumer<Directive> listener) {
+    public void report(String id, int attempt, RunResult outcome, Consumer<Directive> listener) {
         Command.AttemptOutcome reported =
                 switch (outcome) {
                     case NEVER_RAN -> Command.AttemptOutcome.NEVER_RAN;
@@ -113,7 +113,7 @@
     }
 
     @Override
-    public void drains(String endpoint) {
+    public void endpointDraining(String endpoint) {
         if (drainsInProgress.add(endpoint)) {
             double untilMs = timers.nowMs() + timeouts.drainMs();
             new PendingCommand(
@@ -230,7 +230,7 @@
     }
 
     /** A request that this member handles. */
-    private final class ClientRequest implements Kept {
+    private final class ClientRequest implements SharedRequest {
         private final String id;
         private final String caller;
         private final Command.Guard guard;
@@ -256,7 +256,7 @@
         }
 
         @Override
-        public void allow(String endpoint, double validMs, Consumer<Verdict> listener) {
+        public void requestAttempt(String endpoint, double validMs, Consumer<Verdict> listener) {
             double nowMs = timers.nowMs();
             double waitMs = Math.min(validMs, deadlineMs - timeouts.marginMs() - nowMs);
             Command.Attempt attempt = new Command.Attempt(owner, ++lastNumber);
@@ -304,11 +304,11 @@
             }
             trace.step(id, Trace.Step.DENIED, reply.getClass().getSimpleName());
             if (reply instanceof Reply.Over) {
-                listener.accept(new Verdict.Over(outcome(id, reply)));
+                listener.accept(new Verdict.Ended(outcome(id, reply)));
             } else if (reply instanceof Reply.Drains) {
                 listener.accept(new Verdict.Draining());
             } else if (reply instanceof Reply.Out) {
-                listener.accept(new Verdict.Out());
+                listener.accept(new Verdict.AlreadyOut());
             } else {
                 if (reply instanceof Reply.Granted) {
                     // This process was suspended: the attempt was valid to send then but may not be now.
@@ -317,7 +317,7 @@
                 neverRan.add(attempt.number());
                 pendingCommand = refuse(new Directive.Refused(timeouts.retryAfterMs()), end -> {
                     pendingCommand = null;
-                    listener.accept(new Verdict.Over(end));
+                    listener.accept(new Verdict.Ended(end));
                 });
             }
         }
--- a/src/main/java/whinlead/run/Main.java
+++ b/src/main/java/whinlead/run/Main.java
@@ -148,7 +148,7 @@
                 }
                 // Runs on the loop, which owns the discovery watch and executes several reloads in order. Installed
                 // after the start, because a watch that has not begun can't be moved.
-                hangup.on(() -> loop.execute(() -> {
+                hangup.onHangup(() -> loop.execute(() -> {
                     reload.run();
                     if (processorConfig != null) {
                         parts.processor.reload(processorPath);
--- a/src/main/java/whinlead/run/Reload.java
+++ b/src/main/java/whinlead/run/Reload.java
@@ -25,7 +25,7 @@
     public void run() {
         try {
             Config config = Config.read(path, mapper);
-            discovery.move(config.discovery());
+            discovery.changeAddress(config.discovery());
             log.accept("configuration reread: discovery address is " + config.discovery());
         } catch (IllegalArgumentException e) {
             log.accept("configuration not applied: " + e.getMessage());
--- a/src/main/java/whinlead/run/Warmup.java
+++ b/src/main/java/whinlead/run/Warmup.java
@@ -27,7 +27,7 @@
 import whinlead.engine.Clock;
 import whinlead.engine.Engine;
 import whinlead.front.http1.ClientServer;
-import whinlead.http.HttpAsk;
+import whinlead.http.HttpCall;
 import whinlead.http.LoadReport;
 import whinlead.loop.LoopTimers;
 import whinlead.membership.EndpointList;
@@ -214,7 +214,7 @@
                     (body.length == 0 ? "GET" : "POST") + " /api?obj=warm HTTP/1.1\r\nRequest-Id: warm"
                             + requestsLeft + "\r\nRequest-Class: " + requestClass.name()
                             + "\r\nIdempotency-Key: warm\r\n"
-                            + HttpAsk.TIMEOUT + ": 5.000\r\nContent-Length: " + body.length + "\r\n\r\n",
+                            + HttpCall.TIMEOUT + ": 5.000\r\nContent-Length: " + body.length + "\r\n\r\n",
                     body);
         }
     }
--- a/src/main/java/whinlead/signals/Hangup.java
+++ b/src/main/java/whinlead/signals/Hangup.java
@@ -40,7 +40,7 @@
     }
 
     /** Runs this task for every SIGHUP from now on, and once now if one was received before. */
-    public void on(Runnable reload) {
+    public void onHangup(Runnable reload) {
         task = reload;
         // The task is set before the flag is read, and the handler sets the flag before it reads the task: no signal is
         // lost between the two.
--- a/src/main/java/whinlead/testbed/ProcessorRig.java
+++ b/src/main/java/whinlead/testbed/ProcessorRig.java
@@ -123,7 +123,7 @@
 
     /** The list has changed. */
     void list(EndpointList list) {
-        loop.execute(() -> engine.list(Contract.ListKind.FULL, list));
+        loop.execute(() -> engine.listReceived(Contract.ListKind.FULL, list));
     }
 
     /** To be run on its loop, which owns the engine and the module. */
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -202,7 +202,7 @@
             entries.add(new EndpointList.Entry(
                     new Contract.Server(Integer.toString(i), Contract.ServerState.UP, 1, "z", -1, 0), null));
         }
-        engine.list(Contract.ListKind.FULL, new EndpointList(incarnation, true, entries));
+        engine.listReceived(Contract.ListKind.FULL, new EndpointList(incarnation, true, entries));
     }
 
     private void fault() {
--- a/src/main/java/whinlead/testbed/replication/PointsDay.java
+++ b/src/main/java/whinlead/testbed/replication/PointsDay.java
@@ -199,7 +199,7 @@
             return;
         }
         call++;
-        heard.add(d.word());
+        heard.add(d.wireName());
         if (d instanceof Directive.Send send) {
             runs++;
             truth.ran(ID, true, SimRequestKind.at(plan.kind).keyWindowMs(), world.nowMs());
@@ -240,7 +240,7 @@
         for (SimMachine m : machines.values()) {
             SimProcess there = m.process();
             there.run(() -> m.consultations().ask(peer, ID, new Request(plan.kind, -1, TIME_MS, false), d -> {
-                ends.add(d.word());
+                ends.add(d.wireName());
                 if (d instanceof Directive.Send) {
                     truth.ran(ID, true, SimRequestKind.at(plan.kind).keyWindowMs(), world.nowMs());
                 }
--- a/src/main/java/whinlead/testbed/replication/SimMachine.java
+++ b/src/main/java/whinlead/testbed/replication/SimMachine.java
@@ -201,7 +201,7 @@
     }
 
     void list(EndpointList list) {
-        process.run(() -> engine.list(Contract.ListKind.FULL, list));
+        process.run(() -> engine.listReceived(Contract.ListKind.FULL, list));
     }
 
     void kill() {
@@ -222,14 +222,14 @@
         }
 
         @Override
-        public Kept open(String id, String caller, boolean keyed, boolean repeat, double endBy) {
+        public SharedRequest open(String id, String caller, boolean keyed, boolean repeat, double endBy) {
             reached.accept(Point.TAKEN);
-            Kept inner = desk.open(id, caller, keyed, repeat, endBy);
-            return new Kept() {
+            SharedRequest inner = desk.open(id, caller, keyed, repeat, endBy);
+            return new SharedRequest() {
                 private boolean told;
 
                 @Override
-                public void allow(String endpoint, double valid, Consumer<Verdict> verdict) {
+                public void requestAttempt(String endpoint, double valid, Consumer<Verdict> verdict) {
                     double asked = world.nowMs();
                     told = false;
                     if (bug == Bug.ANSWER_BEFORE_COPY) {
@@ -238,7 +238,7 @@
                             verdict.accept(new Verdict.Granted(0));
                         });
                     }
-                    inner.allow(endpoint, valid, v -> {
+                    inner.requestAttempt(endpoint, valid, v -> {
                         truth.seen(v.getClass().getSimpleName());
                         if (v instanceof Verdict.Granted && world.nowMs() - asked > valid) {
                             truth.broken("told too late");
@@ -276,13 +276,13 @@
         }
 
         @Override
-        public void report(String id, int attempt, How how, Consumer<Directive> answer) {
+        public void report(String id, int attempt, RunResult how, Consumer<Directive> answer) {
             desk.report(id, attempt, how, answer);
         }
 
         @Override
-        public void drains(String endpoint) {
-            desk.drains(endpoint);
+        public void endpointDraining(String endpoint) {
+            desk.endpointDraining(endpoint);
         }
     }
 }
--- a/src/main/java/whinlead/testbed/replication/SimRequest.java
+++ b/src/main/java/whinlead/testbed/replication/SimRequest.java
@@ -97,7 +97,7 @@
                         truth.broken("answered twice");
                     }
                     answered[0] = true;
-                    truth.seen(directive.word());
+                    truth.seen(directive.wireName());
                     cluster.network().send(machine.name(), proxy.name(), () -> heard(asked, machine, directive));
                 });
         double due = askedAt + remaining + SLACK_MS;
@@ -187,7 +187,7 @@
 
     // On the machine that was told.
     private void reported(int expectedEpoch, SimMachine machine, Directive directive) {
-        truth.seen("after report " + directive.word());
+        truth.seen("after report " + directive.wireName());
         cluster.network().send(machine.name(), proxy.name(), () -> heard(expectedEpoch, machine, directive));
     }
 }
--- a/src/main/java/whinlead/transport/EndpointPool.java
+++ b/src/main/java/whinlead/transport/EndpointPool.java
@@ -39,8 +39,8 @@
 import whinlead.admit.Budget;
 import whinlead.engine.Clock;
 import whinlead.engine.Transport;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
+import whinlead.http.EndpointResponse;
+import whinlead.http.HttpCall;
 import whinlead.http.LoadReport;
 import whinlead.membership.EndpointList;
 
@@ -128,10 +128,11 @@
     }
 
     /** Returns the transport that sends the attempts of this request. */
-    public Transport<HttpAnswer> transport(HttpAsk request) {
+    public Transport<EndpointResponse> transport(HttpCall request) {
         return new Transport<>() {
             @Override
-            public AttemptHandle send(String endpoint, int attempt, double within, OutcomeListener<HttpAnswer> told) {
+            public AttemptHandle send(
+                    String endpoint, int attempt, double within, OutcomeListener<EndpointResponse> told) {
                 return EndpointPool.this.send(endpoint, request.attempt(attempt, within), told);
             }
 
@@ -143,7 +144,7 @@
         };
     }
 
-    private Attempt send(String id, FullHttpRequest request, Transport.OutcomeListener<HttpAnswer> listener) {
+    private Attempt send(String id, FullHttpRequest request, Transport.OutcomeListener<EndpointResponse> listener) {
         Attempt attempt = new Attempt(request, listener);
         Endpoint endpoint = endpoints.get(id);
         if (endpoint == null) {
@@ -153,11 +154,11 @@
         Connection idle = endpoint.pollIdle(clock.nowMs());
         if (idle != null) {
             idle.write(attempt);
-        } else if (openConnections < budget.may(Budget.Purpose.ENDPOINTS) || closeOldestIdle()) {
+        } else if (openConnections < budget.limit(Budget.Purpose.ENDPOINTS) || closeOldestIdle()) {
             connect(endpoint, attempt);
         } else {
             // Guards against running out of descriptors. Nothing was sent, so the module may choose another endpoint.
-            budget.refused(Budget.Purpose.ENDPOINTS);
+            budget.recordRefusal(Budget.Purpose.ENDPOINTS);
             attempt.end(Contract.Outcome.CONNECT_FAILED, null, null);
         }
         return attempt;
@@ -195,7 +196,7 @@
 
     private void changeOpenConnections(int change) {
         openConnections += change;
-        budget.used(Budget.Purpose.ENDPOINTS, openConnections);
+        budget.setUsed(Budget.Purpose.ENDPOINTS, openConnections);
     }
 
     private void closeExpiredIdle() {
@@ -279,16 +280,16 @@
     /** One attempt at one endpoint. */
     private final class Attempt implements Transport.AttemptHandle {
         private final FullHttpRequest request;
-        private final Transport.OutcomeListener<HttpAnswer> listener;
+        private final Transport.OutcomeListener<EndpointResponse> listener;
         private Connection connection;
         private boolean ended;
 
-        private Attempt(FullHttpRequest request, Transport.OutcomeListener<HttpAnswer> listener) {
+        private Attempt(FullHttpRequest request, Transport.OutcomeListener<EndpointResponse> listener) {
             this.request = request;
             this.listener = listener;
         }
 
-        private void end(Contract.Outcome outcome, HttpAnswer answer, Contract.Report report) {
+        private void end(Contract.Outcome outcome, EndpointResponse answer, Contract.Report report) {
             if (!ended) {
                 ended = true;
                 listener.ended(outcome, answer, report);
@@ -449,7 +450,7 @@
             }
             if (message instanceof HttpContent part) {
                 ByteBuf bytes = part.content();
-                if (body.size() + bytes.readableBytes() > HttpAsk.MAX_BODY) {
+                if (body.size() + bytes.readableBytes() > HttpCall.MAX_BODY_BYTES) {
                     closeAndFail();
                     return;
                 }
@@ -478,7 +479,8 @@
             if (encoding != null) {
                 return HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding);
             }
-            return HttpUtil.isContentLengthSet(response) && HttpUtil.getContentLength(response) <= HttpAsk.MAX_BODY;
+            return HttpUtil.isContentLengthSet(response)
+                    && HttpUtil.getContentLength(response) <= HttpCall.MAX_BODY_BYTES;
         }
 
         @Override
@@ -531,8 +533,8 @@
             }
             Contract.Outcome outcome = outcome(response);
             HttpHeaders headers = response.headers();
-            HttpAnswer answer = outcome == Contract.Outcome.SERVED
-                    ? new HttpAnswer(body.toByteArray(), headers.get(HttpHeaderNames.CONTENT_TYPE))
+            EndpointResponse answer = outcome == Contract.Outcome.SERVED
+                    ? new EndpointResponse(body.toByteArray(), headers.get(HttpHeaderNames.CONTENT_TYPE))
                     : null;
             finished.end(outcome, answer, LoadReport.parse(headers.getAll(LoadReport.HEADER)));
         }
--- a/src/test/java/whinlead/admit/BudgetTest.java
+++ b/src/test/java/whinlead/admit/BudgetTest.java
@@ -22,7 +22,7 @@
 
     private void refuse(Purpose purpose, int ticks) {
         for (int i = 0; i < ticks; i++) {
-            budget.refused(purpose);
+            budget.recordRefusal(purpose);
             budget.tick();
         }
     }
@@ -32,59 +32,59 @@
         refuse(CLIENTS, 1);
         budget.tick();
         refuse(CLIENTS, 1);
-        assertEquals(160, budget.may(CLIENTS));
+        assertEquals(160, budget.limit(CLIENTS));
     }
 
     @Test
     void unusedDescriptorsGoToTheRefusedPurpose() {
-        budget.used(ENDPOINTS, 40);
+        budget.setUsed(ENDPOINTS, 40);
         refuse(CLIENTS, 100);
         // The lender keeps its minimum of half, and its use plus a margin.
-        assertEquals(240, budget.may(CLIENTS));
-        assertEquals(80, budget.may(ENDPOINTS));
+        assertEquals(240, budget.limit(CLIENTS));
+        assertEquals(80, budget.limit(ENDPOINTS));
     }
 
     @Test
     void purposeThatUsesItsShareLendsNothing() {
-        budget.used(ENDPOINTS, 150);
+        budget.setUsed(ENDPOINTS, 150);
         refuse(CLIENTS, 100);
-        assertEquals(160, budget.may(CLIENTS));
+        assertEquals(160, budget.limit(CLIENTS));
     }
 
     @Test
     void lenderRegainsFreeDescriptorsAtOnce() {
         refuse(CLIENTS, 100);
-        budget.used(CLIENTS, 230);
+        budget.setUsed(CLIENTS, 230);
         refuse(ENDPOINTS, 1);
-        assertEquals(160, budget.may(CLIENTS));
-        assertEquals(90, budget.may(ENDPOINTS), "70 are still in use by clients");
-        budget.used(CLIENTS, 160);
-        assertEquals(160, budget.may(ENDPOINTS));
+        assertEquals(160, budget.limit(CLIENTS));
+        assertEquals(90, budget.limit(ENDPOINTS), "70 are still in use by clients");
+        budget.setUsed(CLIENTS, 160);
+        assertEquals(160, budget.limit(ENDPOINTS));
     }
 
     @Test
     void borrowedDescriptorsReturnGraduallyWithoutRefusals() {
         refuse(CLIENTS, 100);
-        int lent = budget.may(CLIENTS);
+        int lent = budget.limit(CLIENTS);
         for (int i = 0; i < 149; i++) {
             budget.tick();
         }
-        assertEquals(lent, budget.may(CLIENTS));
+        assertEquals(lent, budget.limit(CLIENTS));
         for (int i = 0; i < 151 * 10; i++) {
             budget.tick();
         }
-        assertEquals(160, budget.may(CLIENTS));
-        assertEquals(160, budget.may(ENDPOINTS));
+        assertEquals(160, budget.limit(CLIENTS));
+        assertEquals(160, budget.limit(ENDPOINTS));
     }
 
     @Test
     void fixedBudgetNeverChanges() {
         Budget fixed = Budget.fixed(CLIENTS, 7);
         for (int i = 0; i < 50; i++) {
-            fixed.refused(CLIENTS);
+            fixed.recordRefusal(CLIENTS);
             fixed.tick();
         }
-        assertEquals(7, fixed.may(CLIENTS));
+        assertEquals(7, fixed.limit(CLIENTS));
     }
 
     // The descriptors in use never exceed the sum of the initial shares.
@@ -101,21 +101,21 @@
             }
             Purpose purpose = random.nextDouble() < bias ? CLIENTS : ENDPOINTS;
             if (random.nextInt(5) < 3) {
-                if (used.get(purpose) < budget.may(purpose)) {
+                if (used.get(purpose) < budget.limit(purpose)) {
                     used.merge(purpose, 1, Integer::sum);
                 } else {
-                    budget.refused(purpose);
+                    budget.recordRefusal(purpose);
                 }
             } else if (used.get(purpose) > 0) {
                 used.merge(purpose, -1, Integer::sum);
             }
-            budget.used(purpose, used.get(purpose));
+            budget.setUsed(purpose, used.get(purpose));
             if (random.nextInt(20) == 0) {
                 budget.tick();
             }
             highest.merge(purpose, used.get(purpose), Math::max);
             assertTrue(used.get(CLIENTS) + used.get(ENDPOINTS) <= 320, used::toString);
-            assertTrue(budget.may(CLIENTS) >= 1 && budget.may(ENDPOINTS) >= 1);
+            assertTrue(budget.limit(CLIENTS) >= 1 && budget.limit(ENDPOINTS) >= 1);
         }
         assertTrue(highest.values().stream().anyMatch(h -> h > 160), "no descriptors were moved: " + highest);
     }
--- a/src/test/java/whinlead/capture/CaptureTest.java
+++ b/src/test/java/whinlead/capture/CaptureTest.java
@@ -125,7 +125,7 @@
             out.write(new Entry(1_000_000, 1, -1, 10, 0, true, RequestListener.Result.REFUSED));
             out.write(new Entry(7_500_000, 1, -1, 10, 0, false, RequestListener.Result.LEFT));
         }
-        Summary summary = Summary.of(open(bytes.toByteArray()));
+        Summary summary = Summary.read(open(bytes.toByteArray()));
         assertEquals(
                 new Summary(CLASSES, List.of(1L, 2L), 3, 2.5, 2, 1, List.of(1L, 1L, 0L, 1L), 17, 1, false), summary);
     }
@@ -134,7 +134,7 @@
     void emptyCaptureHasNoEntries() throws IOException {
         CaptureInput in = open(encode(List.of()));
         assertNull(in.next());
-        assertEquals(0, Summary.of(open(encode(List.of()))).requests());
+        assertEquals(0, Summary.read(open(encode(List.of()))).requests());
     }
 
     @Test
@@ -157,6 +157,6 @@
                 return Byte.toUnsignedInt(b);
             }
         };
-        assertEquals(count, Summary.of(new CaptureInput(repeatedEntries)).requests());
+        assertEquals(count, Summary.read(new CaptureInput(repeatedEntries)).requests());
     }
 }
--- a/src/test/java/whinlead/capture/RecorderTest.java
+++ b/src/test/java/whinlead/capture/RecorderTest.java
@@ -100,11 +100,13 @@
         Summary summary;
         try (CaptureInput in =
                 new CaptureInput(new ByteArrayInputStream(files.get(0).toByteArray()))) {
-            summary = Summary.of(in);
+            summary = Summary.read(in);
         }
         assertEquals(
-                arrivalMs, summary.requests() + summary.lost(), "each entry is written or counted as lost: " + summary);
-        assertEquals(recorder.lostEntries(), summary.lost());
+                arrivalMs,
+                summary.requests() + summary.lostEntries(),
+                "each entry is written or counted as lost: " + summary);
+        assertEquals(recorder.lostEntries(), summary.lostEntries());
     }
 
     @Test
--- a/src/test/java/whinlead/consult/ConsultRandomEventsTest.java
+++ b/src/test/java/whinlead/consult/ConsultRandomEventsTest.java
@@ -134,7 +134,7 @@
             requests.add(request);
             request.request();
             if (random.nextInt(300) == 0) {
-                engine.list(Contract.ListKind.FULL, list());
+                engine.listReceived(Contract.ListKind.FULL, list());
             }
             if (random.nextInt(300) == 0) {
                 consultations.abandoned(proxies[random.nextInt(PROXIES)]);
--- a/src/test/java/whinlead/consult/ConsultationsTest.java
+++ b/src/test/java/whinlead/consult/ConsultationsTest.java
@@ -230,7 +230,7 @@
         module.actions.send(module.requests.get(0), "s1", 0);
         consultations.outcome("r", 0, "s1", Outcome.RESET, null, null);
         module.actions.send(module.requests.get(0), "s0", 0);
-        engine.list(Contract.ListKind.FULL, list(Contract.ServerState.DRAINING));
+        engine.listReceived(Contract.ListKind.FULL, list(Contract.ServerState.DRAINING));
         assertTrue(module.received.contains("outcome 0/1 NEVER_SENT"));
         ask("r", READ);
         assertEquals(new Directive.AlreadyOut(), lastDirective());
--- a/src/test/java/whinlead/engine/EngineRandomEventsTest.java
+++ b/src/test/java/whinlead/engine/EngineRandomEventsTest.java
@@ -183,7 +183,7 @@
                 });
             }
             if (random.nextInt(100) == 0) {
-                engine.list(Contract.ListKind.FULL, list(random));
+                engine.listReceived(Contract.ListKind.FULL, list(random));
             }
             clock.runTo(clock.nowMs() + random.nextDouble() * 2 * GAP_MS);
         }
--- a/src/test/java/whinlead/engine/EngineTest.java
+++ b/src/test/java/whinlead/engine/EngineTest.java
@@ -239,10 +239,10 @@
         List<String> watchCalls = new ArrayList<>();
         engine.start(() -> watchCalls.add("watch"), null);
         module.actions.watchServers();
-        engine.outOfReach();
+        engine.sourceUnreachable();
         assertEquals(List.of("watch"), watchCalls);
         assertEquals(List.of("start", "servers FAILED 0"), module.received);
-        engine.list(Contract.ListKind.FULL, new EndpointList(1, true, List.of()));
+        engine.listReceived(Contract.ListKind.FULL, new EndpointList(1, true, List.of()));
         assertEquals(List.of(0), listSizes);
         assertEquals("servers FULL 0", module.received.get(2));
     }
--- a/src/test/java/whinlead/replication/ReplicationClientTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -54,7 +54,7 @@
             group,
             (id, ending) -> {},
             (id, step, detail) -> steps.add(id + " " + step + " " + detail));
-    private final Keeper.Kept request = client.open("r", "proxy", false, false, DEADLINE_MS);
+    private final Keeper.SharedRequest request = client.open("r", "proxy", false, false, DEADLINE_MS);
 
     private Command lastCommand() {
         return commands.get(commands.size() - 1);
@@ -66,7 +66,7 @@
 
     @Test
     void unansweredCommandIsResubmittedAndItsGrantIsReportedOnce() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         clock.runTo(130);
         assertEquals(3, commands.size());
         assertEquals(1, commands.stream().distinct().count());
@@ -81,7 +81,7 @@
     @Test
     void noAttemptIsSubmittedUntilTheGroupTimeIsKnown() {
         groupTimeMs = -1;
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         clock.runTo(59);
         assertEquals(List.of(), commands);
         groupTimeMs = 7000;
@@ -93,7 +93,7 @@
 
     @Test
     void unansweredAttemptIsReportedUnknownAndWithdrawn() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         clock.runTo(VALID_MS + 1);
         assertEquals(List.of(new Keeper.Verdict.Unknown()), results);
         assertEquals(new Command.Attempt("a/1", 1), ((Command.Withdraw) lastCommand()).attempt());
@@ -101,17 +101,17 @@
 
     @Test
     void aFullGroupIsReportedAsRefusalOnlyAfterTheGroupAgrees() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Full());
         assertTrue(results.isEmpty());
         assertEquals(List.of(1L), ((Command.Refuse) lastCommand()).neverRan());
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
-        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), results);
+        assertEquals(List.of(new Keeper.Verdict.Ended(new Directive.Refused(1000))), results);
     }
 
     @Test
     void cancelledCallerIsNotNotifiedOfAPendingRefusal() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Late());
         request.cancel();
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
@@ -140,7 +140,7 @@
 
     @Test
     void anEndingWithoutReplyIsReportedBeforeTheDeadline() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Granted(0));
         results.clear();
         request.end(new Directive.Failed(), results::add);
@@ -152,7 +152,7 @@
 
     @Test
     void theGroupsEndingOverridesTheRequestedOne() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Granted(0));
         results.clear();
         request.end(new Directive.Failed(), results::add);
@@ -181,17 +181,17 @@
                 group,
                 (id, ending) -> {},
                 (id, step, detail) -> {});
-        slow.open("s", "proxy", false, false, DEADLINE_MS).allow("e", VALID_MS, results::add);
+        slow.open("s", "proxy", false, false, DEADLINE_MS).requestAttempt("e", VALID_MS, results::add);
         nowMs[0] = VALID_MS + 50;
         replyToLast(new Reply.Granted(0));
         assertTrue(commands.stream().anyMatch(c -> c instanceof Command.Withdraw w && w.id().equals("s")));
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
-        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), results);
+        assertEquals(List.of(new Keeper.Verdict.Ended(new Directive.Refused(1000))), results);
     }
 
     @Test
     void eachTraceStepCarriesTheRequestId() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Granted(4));
         request.end(new Directive.Served(), results::add);
         replyToLast(new Reply.Over(Command.Ending.SERVED));
@@ -200,11 +200,11 @@
 
     @Test
     void aDrainIsSubmittedOnceWhileItIsPending() {
-        client.drains("e");
-        client.drains("e");
+        client.endpointDraining("e");
+        client.endpointDraining("e");
         assertEquals(1, commands.size());
         replyToLast(new Reply.Noted());
-        client.drains("e");
+        client.endpointDraining("e");
         assertEquals(2, commands.size());
     }
 }
--- a/src/test/java/whinlead/run/AdmissionConfigTest.java
+++ b/src/test/java/whinlead/run/AdmissionConfigTest.java
@@ -31,7 +31,7 @@
         AdmissionConfig config = AdmissionConfig.parse("{}", mapper);
         assertEquals(1024, config.clientLimits().perClient());
         assertEquals(0, config.clientLimits().reserve());
-        assertTrue(config.clientLimits().perSecond() >= 1e6);
+        assertTrue(config.clientLimits().connectionsPerSecond() >= 1e6);
     }
 
     @ParameterizedTest
--- a/src/test/java/whinlead/run/CaptureConfigTest.java
+++ b/src/test/java/whinlead/run/CaptureConfigTest.java
@@ -69,7 +69,7 @@
                 for (int i = 0; i < 5; i++) {
                     Entry entry = in.next();
                     assertEquals(RequestListener.Result.SERVED, entry.outcome());
-                    assertEquals(1, entry.kind());
+                    assertEquals(1, entry.classIndex());
                     assertEquals(3, entry.bodyBytes());
                     assertEquals(5000, entry.timeoutMs());
                 }
--- a/src/test/java/whinlead/run/EndpointPoolTest.java
+++ b/src/test/java/whinlead/run/EndpointPoolTest.java
@@ -18,7 +18,7 @@
 import whinlead.Contract;
 import whinlead.admit.Budget;
 import whinlead.engine.Clock;
-import whinlead.http.HttpAsk;
+import whinlead.http.HttpCall;
 import whinlead.membership.EndpointList;
 import whinlead.transport.EndpointPool;
 
@@ -88,15 +88,15 @@
     }
 
     private static boolean connected(EventLoop loop, EndpointPool pool, String id) throws Exception {
-        return loop.submit(
-                        () -> pool.transport(new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
-                                .connected(id))
+        return loop.submit(() -> pool.transport(
+                                new HttpCall(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
+                        .connected(id))
                 .get();
     }
 
     private static Contract.Outcome send(EventLoop loop, EndpointPool pool) throws Exception {
         CompletableFuture<Contract.Outcome> ended = new CompletableFuture<>();
-        loop.execute(() -> pool.transport(new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
+        loop.execute(() -> pool.transport(new HttpCall(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]))
                 .send("s", 0, 1000, (outcome, answer, report) -> ended.complete(outcome)));
         return ended.get(FakeServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
--- a/src/test/java/whinlead/run/FaultTest.java
+++ b/src/test/java/whinlead/run/FaultTest.java
@@ -21,8 +21,8 @@
 import whinlead.engine.Engine;
 import whinlead.engine.Request;
 import whinlead.engine.ResponseSink;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
+import whinlead.http.EndpointResponse;
+import whinlead.http.HttpCall;
 import whinlead.loop.LoopTimers;
 import whinlead.membership.EndpointList;
 import whinlead.transport.EndpointPool;
@@ -54,9 +54,9 @@
                     true,
                     List.of(new EndpointList.Entry(
                             new Contract.Server("s0", Contract.ServerState.UP, 1, "", 0, 0), null)));
-            ResponseSink<HttpAnswer> caller = new ResponseSink<>() {
+            ResponseSink<EndpointResponse> caller = new ResponseSink<>() {
                 @Override
-                public void served(HttpAnswer answer) {
+                public void served(EndpointResponse answer) {
                     ends.add("served");
                 }
 
@@ -72,7 +72,7 @@
             };
             loop.submit(() -> {
                         engine.start(() -> {}, list);
-                        HttpAsk http = new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
+                        HttpCall http = new HttpCall(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
                         engine.accept(new Request(0, -1, 300, false), pool.transport(http), caller);
                     })
                     .get();
