--- a/src/main/java/whinlead/plan/Bounds.java
+++ b/src/main/java/whinlead/plan/Bounds.java
@@ -28,7 +28,7 @@
     private static double meanWork(Fleet fleet, Load load) {
         double mean = 0;
         for (int k = 0; k < fleet.work().size(); k++) {
-            mean += load.mix().get(k) * fleet.work().get(k).core().mean();
+            mean += load.mix().get(k) * fleet.work().get(k).onCore().mean();
         }
         return mean;
     }
@@ -48,19 +48,20 @@
             classesByWorthPerWork.add(k);
         }
         classesByWorthPerWork.sort((a, b) -> Double.compare(worthPerWork(fleet, b), worthPerWork(fleet, a)));
-        TreeSet<Double> edges = new TreeSet<>(List.of(0.0, load.length()));
+        TreeSet<Double> edges = new TreeSet<>(List.of(0.0, load.lengthMs()));
         for (Load.Burst b : load.bursts()) {
-            edges.add(Math.min(load.length(), b.from()));
-            edges.add(Math.min(load.length(), b.to()));
+            edges.add(Math.min(load.lengthMs(), b.from()));
+            edges.add(Math.min(load.lengthMs(), b.to()));
         }
         double offeredWorth = 0;
         double servedWorth = 0;
-        for (double from : edges.headSet(load.length())) {
+        for (double from : edges.headSet(load.lengthMs())) {
             double span = edges.higher(from) - from;
             double coreTimeLeft = capacity(fleet) * (span + longestAim);
             for (int k : classesByWorthPerWork) {
-                double arrived = load.rate(from) / 1000 * span * load.mix().get(k);
-                double work = fleet.work().get(k).core().mean();
+                double arrived =
+                        load.ratePerSecond(from) / 1000 * span * load.mix().get(k);
+                double work = fleet.work().get(k).onCore().mean();
                 double served = work == 0 ? arrived : Math.min(arrived, coreTimeLeft / work);
                 coreTimeLeft -= served * work;
                 offeredWorth += arrived * fleet.settings().classes().get(k).worth();
@@ -72,6 +73,6 @@
 
     private static double worthPerWork(Fleet fleet, int requestClass) {
         return fleet.settings().classes().get(requestClass).worth()
-                / Math.max(1e-9, fleet.work().get(requestClass).core().mean());
+                / Math.max(1e-9, fleet.work().get(requestClass).onCore().mean());
     }
 }
--- a/src/main/java/whinlead/plan/Calendar.java
+++ b/src/main/java/whinlead/plan/Calendar.java
@@ -10,12 +10,12 @@
  */
 public final class Calendar implements Timers {
     /** A scheduled task, which can be cancelled. */
-    public static final class Due implements TimerHandle {
+    public static final class Event implements TimerHandle {
         private final double timeMs;
         private final long sequence;
         private Runnable task;
 
-        private Due(double timeMs, long sequence, Runnable task) {
+        private Event(double timeMs, long sequence, Runnable task) {
             this.timeMs = timeMs;
             this.sequence = sequence;
             this.task = task;
@@ -28,8 +28,8 @@
         }
     }
 
-    private final PriorityQueue<Due> events =
-            new PriorityQueue<>(Comparator.<Due>comparingDouble(d -> d.timeMs).thenComparingLong(d -> d.sequence));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.<Event>comparingDouble(d -> d.timeMs).thenComparingLong(d -> d.sequence));
     private double now;
     private long nextSequence;
 
@@ -39,21 +39,21 @@
     }
 
     /** Schedules a task for a time. If that time has passed, the task runs next, after those already due now. */
-    public Due at(double timeMs, Runnable task) {
-        Due added = new Due(Math.max(now, timeMs), nextSequence++, task);
+    public Event scheduleAt(double timeMs, Runnable task) {
+        Event added = new Event(Math.max(now, timeMs), nextSequence++, task);
         events.add(added);
         return added;
     }
 
     @Override
-    public Due schedule(double millis, Runnable task) {
-        return at(now + millis, task);
+    public Event schedule(double millis, Runnable task) {
+        return scheduleAt(now + millis, task);
     }
 
     /** Runs all tasks that are due up to this time, inclusive, and advances the clock to it. */
-    public void runTo(double endMs) {
+    public void runUntil(double endMs) {
         while (!events.isEmpty() && events.peek().timeMs <= endMs) {
-            Due next = events.poll();
+            Event next = events.poll();
             now = next.timeMs;
             if (next.task != null) {
                 next.task.run();
--- a/src/main/java/whinlead/plan/Law.java
+++ b/src/main/java/whinlead/plan/Distribution.java
@@ -8,9 +8,9 @@
  * @param mean milliseconds on a core of speed 1; at least 0
  * @param cv coefficient of variation: 0 for constant, 1 for exponential, otherwise lognormal; at least 0
  */
-public record Law(double mean, double cv) {
+public record Distribution(double mean, double cv) {
     /** Throws {@link IllegalArgumentException} for a value that is negative, infinite or not a number. */
-    public Law {
+    public Distribution {
         if (!(mean >= 0) || !(cv >= 0) || Double.isInfinite(mean + cv)) {
             throw new IllegalArgumentException("mean and cv must be finite numbers of 0 or more");
         }
--- a/src/main/java/whinlead/plan/Fleet.java
+++ b/src/main/java/whinlead/plan/Fleet.java
@@ -51,10 +51,10 @@
     /**
      * Work that a request of a class causes at a front.
      *
-     * @param core work on one of the front's cores
-     * @param away time spent waiting for other systems, without occupying a core
+     * @param onCore work on one of the front's cores
+     * @param offCore time spent waiting for other systems, without occupying a core
      */
-    public record Work(Law core, Law away) {}
+    public record Work(Distribution onCore, Distribution offCore) {}
 
     /**
      * Properties of every front.
@@ -163,7 +163,7 @@
     public record Clients(int tries, double backOff, double honourShare) {}
 
     /** Kind of a change. */
-    public enum Kind {
+    public enum ChangeKind {
         /** A share of the fronts runs at reduced speed. */
         SLOWED,
         /** A zone stops responding, is removed from the endpoint list after a delay, and returns cold. */
@@ -178,9 +178,10 @@
      * @param zone the affected zone, or null for all zones
      * @param share share of the fronts affected there
      * @param speed remaining share of their own speed
-     * @param notice delay until the endpoint list shows the change
+     * @param noticeDelay delay until the endpoint list shows the change
      */
-    public record Change(Kind kind, String zone, double share, double speed, double from, double to, double notice) {}
+    public record Change(
+            ChangeKind kind, String zone, double share, double speed, double from, double to, double noticeDelay) {}
 
     /** Returns a copy with this number of fronts. */
     public Fleet fronts(int count) {
@@ -233,12 +234,12 @@
                     change.zone() == null
                             || zones.stream().anyMatch(z -> z.name().equals(change.zone())),
                     "changes: no zone " + change.zone());
-            require(change.kind() == Kind.SLOWED || change.zone() != null, "changes: a lost zone must be named");
+            require(change.kind() == ChangeKind.SLOWED || change.zone() != null, "changes: a lost zone must be named");
             require(change.to() >= change.from(), "changes: a change ends before it begins");
             require(
-                    change.kind() == Kind.SLOWED
+                    change.kind() == ChangeKind.SLOWED
                             || changes.stream()
-                                            .filter(other -> other.kind() != Kind.SLOWED
+                                            .filter(other -> other.kind() != ChangeKind.SLOWED
                                                     && Objects.equals(other.zone(), change.zone())
                                                     && other.from() <= change.to()
                                                     && other.to() >= change.from())
--- a/src/main/java/whinlead/plan/FrontModel.java
+++ b/src/main/java/whinlead/plan/FrontModel.java
@@ -54,7 +54,7 @@
     private final PriorityQueue<Visit> inService = new PriorityQueue<>(
             Comparator.<Visit>comparingDouble(v -> v.targetAttainedMs).thenComparingLong(v -> v.sequence));
     private final ArrayDeque<Visit> waiting = new ArrayDeque<>();
-    private Calendar.Due nextCompletion;
+    private Calendar.Event nextCompletion;
     private double speed = 1;
     private boolean thrashing;
     private double attainedMs;
@@ -189,7 +189,7 @@
         }
         double rate = serviceRate();
         if (rate > 0) {
-            nextCompletion = calendar.at(
+            nextCompletion = calendar.scheduleAt(
                     calendar.nowMs() + (inService.peek().targetAttainedMs - attainedMs) / rate, this::completeNext);
         }
     }
--- a/src/main/java/whinlead/plan/Load.java
+++ b/src/main/java/whinlead/plan/Load.java
@@ -10,22 +10,22 @@
  * @param perSecond mean arrivals a second outside bursts
  * @param mix share of each class of the settings; they add up to 1
  * @param bursts periods with a different rate; the factors of overlapping bursts multiply
- * @param length duration in milliseconds
+ * @param lengthMs duration in milliseconds
  */
-public record Load(double perSecond, List<Double> mix, List<Burst> bursts, double length) {
+public record Load(double perSecond, List<Double> mix, List<Burst> bursts, double lengthMs) {
     /** Between two times, in milliseconds, the rate is multiplied by a factor. */
-    public record Burst(double from, double to, double times) {}
+    public record Burst(double from, double to, double rateFactor) {}
 
     /** Returns a copy with the rate multiplied by a factor. */
     public Load scaled(double factor) {
-        return new Load(perSecond * factor, mix, bursts, length);
+        return new Load(perSecond * factor, mix, bursts, lengthMs);
     }
 
     /** Arrivals per second at a time in milliseconds. */
-    public double rate(double atMs) {
+    public double ratePerSecond(double atMs) {
         double rate = perSecond;
         for (Burst b : bursts) {
-            rate *= atMs >= b.from() && atMs < b.to() ? b.times() : 1;
+            rate *= atMs >= b.from() && atMs < b.to() ? b.rateFactor() : 1;
         }
         return rate;
     }
@@ -33,7 +33,7 @@
     /** The arrivals for this seed, in order of time. */
     public Iterator<Arrival> arrivals(long seed) {
         double maxPerSecond = perSecond
-                * bursts.stream().mapToDouble(b -> Math.max(1, b.times())).reduce(1, (a, b) -> a * b);
+                * bursts.stream().mapToDouble(b -> Math.max(1, b.rateFactor())).reduce(1, (a, b) -> a * b);
         Random random = new Random(seed);
         return new Arrivals() {
             private double at;
@@ -41,9 +41,9 @@
             // Thinning: draws candidates at the highest rate and accepts the share for the current rate.
             @Override
             protected Arrival findNext() {
-                while (maxPerSecond > 0 && at < length) {
+                while (maxPerSecond > 0 && at < lengthMs) {
                     at += -Math.log(1 - random.nextDouble()) * 1000 / maxPerSecond;
-                    if (at < length && random.nextDouble() * maxPerSecond < rate(at)) {
+                    if (at < lengthMs && random.nextDouble() * maxPerSecond < ratePerSecond(at)) {
                         return new Arrival(at, drawClass(random), -1, false);
                     }
                 }
--- a/src/main/java/whinlead/plan/Machines.java
+++ b/src/main/java/whinlead/plan/Machines.java
@@ -10,9 +10,9 @@
  * affects. Adding a front leaves the others unchanged.
  *
  * @param all the fronts, ordered by number
- * @param met for each change of the fleet, in order, the indexes of the affected fronts
+ * @param affected for each change of the fleet, in order, the indexes of the affected fronts
  */
-public record Machines(List<Machine> all, List<List<Integer>> met) {
+public record Machines(List<Machine> all, List<List<Integer>> affected) {
     /** Multiples of this, modulo 1, are spread evenly for any count. */
     private static final double GOLDEN_RATIO_CONJUGATE = (Math.sqrt(5) - 1) / 2;
 
--- a/src/main/java/whinlead/plan/SimulatedAttempt.java
+++ b/src/main/java/whinlead/plan/SimulatedAttempt.java
@@ -36,8 +36,8 @@
         written = reused;
         Fleet.Work work = context.fleet().work().get(requestClass);
         double handshake = reused ? 0 : context.fleet().front().handshake();
-        double coreWork = work.core().draw(context.workRandom()) + handshake;
-        double offCoreTime = work.away().draw(context.workRandom());
+        double coreWork = work.onCore().draw(context.workRandom()) + handshake;
+        double offCoreTime = work.offCore().draw(context.workRandom());
         context.tally().frontWork(coreWork);
         double latency = front.latency();
         // A new connection takes one round trip before the request is sent.
--- a/src/main/java/whinlead/plan/SimulatedFront.java
+++ b/src/main/java/whinlead/plan/SimulatedFront.java
@@ -103,7 +103,7 @@
         double warmth = coldTime == 0 ? 1 : Math.min(1, coldShare + (1 - coldShare) * age / coldTime);
         cores.speed(baseSpeed * speedFactor * warmth);
         if (warmth < 1) {
-            calendar.at(calendar.nowMs() + COLD_STEP_MS, this::updateSpeed);
+            calendar.scheduleAt(calendar.nowMs() + COLD_STEP_MS, this::updateSpeed);
         }
     }
 
--- a/src/main/java/whinlead/plan/SimulatedSidecar.java
+++ b/src/main/java/whinlead/plan/SimulatedSidecar.java
@@ -83,7 +83,7 @@
     // Timers are delayed until the processor has finished its queued work.
     @Override
     public TimerHandle schedule(double millis, Runnable task) {
-        return calendar.at(Math.max(calendar.nowMs() + millis, busyUntilMs), task);
+        return calendar.scheduleAt(Math.max(calendar.nowMs() + millis, busyUntilMs), task);
     }
 
     /** Receives a client's try. */
@@ -98,7 +98,7 @@
         double work = limits.work();
         busyUntilMs = Math.max(busyUntilMs, calendar.nowMs()) + work;
         processorTimeMs += work;
-        calendar.at(busyUntilMs, () -> decide(clientTry));
+        calendar.scheduleAt(busyUntilMs, () -> decide(clientTry));
     }
 
     private void decide(ClientTry received) {
--- a/src/main/java/whinlead/plan/Simulation.java
+++ b/src/main/java/whinlead/plan/Simulation.java
@@ -53,7 +53,7 @@
         for (int i = 0; i < fleet.changes().size(); i++) {
             schedule(
                     fleet.changes().get(i),
-                    machines.met().get(i).stream().map(fronts::get).toList());
+                    machines.affected().get(i).stream().map(fronts::get).toList());
         }
         sidecars.forEach(SimulatedSidecar::start);
     }
@@ -75,15 +75,15 @@
     private void schedule(Fleet.Change change, List<SimulatedFront> affected) {
         switch (change.kind()) {
             case SLOWED -> {
-                calendar.at(change.from(), () -> affected.forEach(front -> front.scaleSpeed(change.speed())));
-                calendar.at(change.to(), () -> affected.forEach(front -> front.scaleSpeed(1 / change.speed())));
+                calendar.scheduleAt(change.from(), () -> affected.forEach(front -> front.scaleSpeed(change.speed())));
+                calendar.scheduleAt(change.to(), () -> affected.forEach(front -> front.scaleSpeed(1 / change.speed())));
             }
             case ZONE_LOST, ZONE_DIED -> {
-                boolean silently = change.kind() == Fleet.Kind.ZONE_LOST;
-                calendar.at(change.from(), () -> affected.forEach(front -> lose(front, silently)));
-                calendar.at(change.from() + change.notice(), () -> notifySidecars(affected));
-                calendar.at(change.to(), () -> affected.forEach(SimulatedFront::restart));
-                calendar.at(change.to() + change.notice(), () -> notifySidecars(affected));
+                boolean silently = change.kind() == Fleet.ChangeKind.ZONE_LOST;
+                calendar.scheduleAt(change.from(), () -> affected.forEach(front -> lose(front, silently)));
+                calendar.scheduleAt(change.from() + change.noticeDelay(), () -> notifySidecars(affected));
+                calendar.scheduleAt(change.to(), () -> affected.forEach(SimulatedFront::restart));
+                calendar.scheduleAt(change.to() + change.noticeDelay(), () -> notifySidecars(affected));
             }
             default -> throw new IllegalStateException("no such change: " + change.kind());
         }
@@ -103,28 +103,28 @@
      *
      * @param load arrivals in order of time, from 0
      */
-    public Outcome play(Iterator<Arrival> load) {
+    public Outcome run(Iterator<Arrival> load) {
         scheduleNext(load);
         // Each arrival schedules the next, so the calendar holds only work in progress.
         while (load.hasNext()) {
-            calendar.runTo(calendar.nowMs() + SECOND_MS);
+            calendar.runUntil(calendar.nowMs() + SECOND_MS);
         }
-        calendar.runTo(Math.max(calendar.nowMs(), lastArrivalMs));
+        calendar.runUntil(Math.max(calendar.nowMs(), lastArrivalMs));
         double endMs = calendar.nowMs();
         Outcome.Usage usage = usage(endMs);
         double longestDeadline = fleet.settings().classes().stream()
                 .mapToDouble(Contract.RequestClass::deadline)
                 .max()
                 .orElse(0);
-        calendar.runTo(endMs + fleet.clients().tries() * (longestDeadline + TAIL_MS));
+        calendar.runUntil(endMs + fleet.clients().tries() * (longestDeadline + TAIL_MS));
         return tally.outcome(usage);
     }
 
     private void scheduleNext(Iterator<Arrival> load) {
         if (load.hasNext()) {
             Arrival arrival = load.next();
-            lastArrivalMs = Math.max(lastArrivalMs, arrival.at());
-            calendar.at(arrival.at(), () -> {
+            lastArrivalMs = Math.max(lastArrivalMs, arrival.atMs());
+            calendar.scheduleAt(arrival.atMs(), () -> {
                 ClientTry.begin(context, randomSidecar(), arrival);
                 scheduleNext(load);
             });
--- a/src/main/java/whinlead/plan/Solver.java
+++ b/src/main/java/whinlead/plan/Solver.java
@@ -40,7 +40,7 @@
      * @param outOfRuns whether the limit on runs was reached; {@code fronts} may then not be the least
      * @param points all counts that were tried
      */
-    public record Answer(int fronts, boolean certain, boolean outOfRuns, Map<Integer, Point> points) {}
+    public record Result(int fronts, boolean certain, boolean outOfRuns, Map<Integer, Point> points) {}
 
     /**
      * Limits of a search.
@@ -52,16 +52,16 @@
      * @param maxRuns number of runs after which the search stops
      * @param confirmations how many of the next counts must also meet the goal
      */
-    public record Bounds(int minFronts, int maxFronts, int seeds, int maxSeeds, int maxRuns, int confirmations) {}
+    public record SearchBounds(int minFronts, int maxFronts, int seeds, int maxSeeds, int maxRuns, int confirmations) {}
 
     private final Trial trial;
     private final double goal;
-    private final Bounds bounds;
+    private final SearchBounds bounds;
     private final Map<Integer, List<Double>> samplesByFronts = new TreeMap<>();
     private int runs;
 
     /** Creates a search. */
-    public Solver(Trial trial, double goal, Bounds bounds) {
+    public Solver(Trial trial, double goal, SearchBounds bounds) {
         if (bounds.seeds() < 2 || bounds.minFronts() < 1 || bounds.maxFronts() < bounds.minFronts()) {
             throw new IllegalArgumentException(
                     "at least two seeds and a non-empty range of 1 or more fronts are required");
@@ -72,7 +72,7 @@
     }
 
     /** Runs the search; may be called once only. */
-    public Answer solve() {
+    public Result solve() {
         int missed = bounds.minFronts() - 1;
         int met = 0;
         // Doubles the step until a count meets the goal.
@@ -147,13 +147,13 @@
         return Interval.of(samples.stream().mapToDouble(d -> d).toArray());
     }
 
-    private Answer result(int fronts) {
+    private Result result(int fronts) {
         Map<Integer, Point> points = new TreeMap<>();
         samplesByFronts.forEach(
                 (count, samples) -> points.put(count, new Point(verdictOf(samples), interval(samples))));
         Point below = points.get(fronts - 1);
         boolean certain =
                 fronts > 0 && (fronts == bounds.minFronts() || below != null && below.verdict() == Verdict.MISSED);
-        return new Answer(fronts, certain, runsExhausted(), points);
+        return new Result(fronts, certain, runsExhausted(), points);
     }
 }
--- a/src/main/java/whinlead/plan/tool/CaptureCommand.java
+++ b/src/main/java/whinlead/plan/tool/CaptureCommand.java
@@ -65,7 +65,7 @@
                     for (Iterator<Arrival> load = description.load().arrivals(seed); load.hasNext(); ) {
                         Arrival arrival = load.next();
                         out.write(new Entry(
-                                Math.round(arrival.at() * MICROS_PER_MS),
+                                Math.round(arrival.atMs() * MICROS_PER_MS),
                                 arrival.kind(),
                                 arrival.tenant(),
                                 (int) classes.get(arrival.kind()).deadline(),
--- a/src/main/java/whinlead/plan/tool/CaptureLoad.java
+++ b/src/main/java/whinlead/plan/tool/CaptureLoad.java
@@ -66,7 +66,7 @@
     }
 
     /** Milliseconds from the first request to the last at a load factor. */
-    public double length(double loadFactor) {
+    public double lengthMs(double loadFactor) {
         return summary.durationSeconds() * 1000 / loadFactor;
     }
 
--- a/src/main/java/whinlead/plan/tool/Description.java
+++ b/src/main/java/whinlead/plan/tool/Description.java
@@ -15,8 +15,8 @@
 import java.util.Locale;
 import java.util.Set;
 import whinlead.Contract;
+import whinlead.plan.Distribution;
 import whinlead.plan.Fleet;
-import whinlead.plan.Law;
 import whinlead.plan.Load;
 
 /**
@@ -79,7 +79,7 @@
                     number(c, "window", 0),
                     false));
             work.add(new Fleet.Work(
-                    distribution(c.get("work")), c.has("away") ? distribution(c.get("away")) : new Law(0, 0)));
+                    distribution(c.get("work")), c.has("away") ? distribution(c.get("away")) : new Distribution(0, 0)));
         }
         JsonNode rules = root.get("rules");
         JsonNode sidecars = root.get("sidecars");
@@ -177,7 +177,7 @@
         List<Fleet.Change> changes = new ArrayList<>();
         for (JsonNode c : list) {
             changes.add(new Fleet.Change(
-                    Fleet.Kind.valueOf(c.get("kind").textValue().toUpperCase(Locale.ROOT)),
+                    Fleet.ChangeKind.valueOf(c.get("kind").textValue().toUpperCase(Locale.ROOT)),
                     c.has("zone") ? c.get("zone").textValue() : null,
                     number(c, "share", 1),
                     number(c, "speed", 1),
@@ -217,8 +217,8 @@
                 node.get("seconds").doubleValue() * SECOND_MS);
     }
 
-    private static Law distribution(JsonNode node) {
-        return new Law(node.get("mean").doubleValue(), node.get("cv").doubleValue());
+    private static Distribution distribution(JsonNode node) {
+        return new Distribution(node.get("mean").doubleValue(), node.get("cv").doubleValue());
     }
 
     private static double number(JsonNode node, String field, double defaultValue) {
--- a/src/main/java/whinlead/plan/tool/PlanCommand.java
+++ b/src/main/java/whinlead/plan/tool/PlanCommand.java
@@ -178,11 +178,11 @@
                 addBound(report, plan, ci(outcomes, Outcome::worth));
                 report.plot(
                         "Worth served by the second asked in",
-                        meanBySecond(outcomes, plan.load().length()));
+                        meanBySecond(outcomes, plan.load().lengthMs()));
                 for (Fleet.Change c : plan.fleet().changes()) {
                     addRecovery(
                             report,
-                            c.kind() == Fleet.Kind.SLOWED ? "slowed fronts" : "zone " + c.zone(),
+                            c.kind() == Fleet.ChangeKind.SLOWED ? "slowed fronts" : "zone " + c.zone(),
                             outcomes,
                             c.from(),
                             c.to());
@@ -195,7 +195,7 @@
                         plan.load().perSecond(),
                         plan.load().mix(),
                         List.of(),
-                        plan.load().length());
+                        plan.load().lengthMs());
                 addRamp(report, plan.fleet(), (f, t) -> runner.run(f, steady.scaled(t)::arrivals, RAMP_SEEDS));
             }
             common.write(report);
@@ -208,7 +208,7 @@
             List<Outcome> outcomes = runner.run(fleet, seed -> load.arrivals(common.times), common.seeds());
             report.figure("requests in the capture", load.summary().requests());
             addService(report, "", outcomes);
-            report.plot("Worth served by the second asked in", meanBySecond(outcomes, load.length(common.times)));
+            report.plot("Worth served by the second asked in", meanBySecond(outcomes, load.lengthMs(common.times)));
             load.caveats(common.times).forEach(report::note);
             addRamp(report, fleet, (f, t) -> runner.run(f, seed -> load.arrivals(common.times * t), RAMP_SEEDS));
         }
@@ -301,14 +301,14 @@
             Fleet fleet = zone == null ? plan.fleet() : withLostZone(plan);
             fleet.check();
             Report report = new Report("How many fronts serve " + goal + " of the worth", common.file, common.seeds());
-            Solver.Answer found;
+            Solver.Result found;
             try (Runner runner = new Runner(common.threads)) {
                 found = new Solver(
                                 (n, seeds) -> runner.run(fleet.fronts(n), plan.load()::arrivals, seeds).stream()
                                         .mapToDouble(Outcome::worth)
                                         .toArray(),
                                 goal,
-                                new Solver.Bounds(least, most, common.seeds, 4 * common.seeds, runs, 1))
+                                new Solver.SearchBounds(least, most, common.seeds, 4 * common.seeds, runs, 1))
                         .solve();
                 for (Map.Entry<Integer, Solver.Point> point : found.points().entrySet()) {
                     report.figure(
@@ -325,17 +325,17 @@
         private Fleet withLostZone(Description plan) {
             List<Fleet.Change> changes = new ArrayList<>(plan.fleet().changes());
             changes.add(new Fleet.Change(
-                    Fleet.Kind.ZONE_LOST,
+                    Fleet.ChangeKind.ZONE_LOST,
                     zone,
                     1,
                     1,
-                    plan.load().length() / 4,
-                    plan.load().length() * 2,
+                    plan.load().lengthMs() / 4,
+                    plan.load().lengthMs() * 2,
                     2000));
             return plan.fleet().changes(changes);
         }
 
-        private void addConclusion(Report report, Solver.Answer found, Fleet fleet, Load load, Runner runner) {
+        private void addConclusion(Report report, Solver.Result found, Fleet fleet, Load load, Runner runner) {
             if (found.fronts() == 0) {
                 List<Limit.BindingLimit> limits = Limit.ramp(
                         fleet.fronts(most),
@@ -388,8 +388,8 @@
                 report.figure("worth served, second less first, by pairs", Interval.of(differences));
                 report.plot(
                         "First: worth served by second",
-                        meanBySecond(first, base.load().length()));
-                report.plot("Second: worth served by second", meanBySecond(second, secondLoad.length()));
+                        meanBySecond(first, base.load().lengthMs()));
+                report.plot("Second: worth served by second", meanBySecond(second, secondLoad.lengthMs()));
             }
             common.write(report);
             return 0;
--- a/src/main/java/whinlead/plan/tool/Runner.java
+++ b/src/main/java/whinlead/plan/tool/Runner.java
@@ -25,7 +25,7 @@
     List<Outcome> run(Fleet fleet, LongFunction<Iterator<Arrival>> load, long[] seeds) {
         List<Future<Outcome>> running = new ArrayList<>();
         for (long seed : seeds) {
-            running.add(threads.submit(() -> new Simulation(fleet, seed).play(load.apply(seed))));
+            running.add(threads.submit(() -> new Simulation(fleet, seed).run(load.apply(seed))));
         }
         List<Outcome> outcomes = new ArrayList<>();
         for (Future<Outcome> future : running) {
--- a/src/main/java/whinlead/testbed/DrivenClock.java
+++ b/src/main/java/whinlead/testbed/DrivenClock.java
@@ -14,7 +14,7 @@
 
     @Override
     public void at(double time, Runnable task) {
-        calendar.at(time, task);
+        calendar.scheduleAt(time, task);
     }
 
     @Override
@@ -24,6 +24,6 @@
 
     /** Runs all that falls due until this time, which then is now. */
     public void runTo(double end) {
-        calendar.runTo(end);
+        calendar.runUntil(end);
     }
 }
--- a/src/main/java/whinlead/testbed/HardeningRehearsal.java
+++ b/src/main/java/whinlead/testbed/HardeningRehearsal.java
@@ -16,11 +16,11 @@
 import whinlead.testbed.mesh.hardening.AnswerBug;
 import whinlead.testbed.mesh.hardening.AnswerPlay;
 import whinlead.testbed.mesh.hardening.Bug;
-import whinlead.testbed.mesh.hardening.Hunt;
 import whinlead.testbed.mesh.hardening.MembershipPlay;
 import whinlead.testbed.mesh.hardening.Outcome;
-import whinlead.testbed.mesh.hardening.Point;
 import whinlead.testbed.mesh.hardening.RelayPlay;
+import whinlead.testbed.mesh.hardening.Scenario;
+import whinlead.testbed.mesh.hardening.ScheduleRunner;
 import whinlead.testbed.mesh.hardening.Trace;
 
 /**
@@ -122,15 +122,15 @@
         if (point == RELAYS || point == ANSWERS) {
             return promises.kept() ? 0 : 1;
         }
-        List<Point> points = all ? List.of(Point.values()) : List.of(Point.of(point));
+        List<Scenario> points = all ? List.of(Scenario.values()) : List.of(Scenario.forNumber(point));
         if (trace) {
-            Outcome o = points.get(0) == Point.SEATS
-                    ? Point.playSeats(seed, bug, new Trace(System.out), distance)
+            Outcome o = points.get(0) == Scenario.SEATS
+                    ? Scenario.playSeats(seed, bug, new Trace(System.out), distance)
                     : points.get(0).play(seed, bug, new Trace(System.out));
             System.out.println(o.broken());
             return o.broken().isEmpty() ? 0 : 1;
         }
-        for (Point p : points) {
+        for (Scenario p : points) {
             if (planted) {
                 Arrays.stream(Bug.values()).filter(b -> b.point() == p.number()).forEach(b -> find(promises, p, b));
             } else if (bug != Bug.NONE) {
@@ -185,25 +185,26 @@
 
     private void membership(Promises promises) throws InterruptedException {
         for (int underWay : UNDER_WAY) {
-            Hunt hunt = Hunt.of(seed, schedules, threads, s -> MembershipPlay.play(s, bug, Trace.NONE, underWay));
+            ScheduleRunner hunt = ScheduleRunner.run(
+                    seed, schedules, threads, s -> MembershipPlay.play(s, bug, Trace.NONE, underWay));
             hunt.samples()
                     .forEach((name, samples) -> System.out.printf(
                             Locale.ROOT,
                             "| %s | %d | %.0f | %.0f | %d |%n",
                             name,
                             samples.size(),
-                            samples.part(0.5),
-                            samples.part(1),
+                            samples.quantile(0.5),
+                            samples.quantile(1),
                             samples.worstSeed()));
             tell(hunt);
             promises.under(
                     "membership, " + underWay + " under way, schedules with a broken promise",
-                    hunt.broken().size(),
+                    hunt.violations().size(),
                     1);
         }
     }
 
-    private void find(Promises promises, Point p, Bug planted) {
+    private void find(Promises promises, Scenario p, Bug planted) {
         int took = 0;
         Outcome o;
         do {
@@ -217,24 +218,24 @@
         }
     }
 
-    private void play(Promises promises, Point p) throws InterruptedException {
+    private void play(Promises promises, Scenario p) throws InterruptedException {
         String of = "point " + p.number() + ", ";
-        Hunt hunt = Hunt.of(seed, schedules, threads, s -> p.play(s, Bug.NONE, Trace.NONE));
+        ScheduleRunner hunt = ScheduleRunner.run(seed, schedules, threads, s -> p.play(s, Bug.NONE, Trace.NONE));
         promises.figure(of + "schedules", schedules);
         hunt.counts().forEach((name, value) -> promises.figure(of + name, value));
         hunt.samples().forEach((name, s) -> {
-            promises.figure(of + name + ", median of " + s.size(), s.part(0.5));
+            promises.figure(of + name + ", median of " + s.size(), s.quantile(0.5));
             Double most = most(name);
             if (most == null) {
-                promises.figure(of + name + ", worst", s.part(1));
+                promises.figure(of + name + ", worst", s.quantile(1));
             } else {
-                promises.under(of + name + ", worst", s.part(1), most);
+                promises.under(of + name + ", worst", s.quantile(1), most);
             }
             promises.figure(of + name + ", seed of the worst", s.worstSeed());
         });
         tell(hunt);
-        promises.under(of + "schedules with a broken promise", hunt.broken().size(), 1);
-        if (p == Point.SEATS && !withoutMargins) {
+        promises.under(of + "schedules with a broken promise", hunt.violations().size(), 1);
+        if (p == Scenario.SEATS && !withoutMargins) {
             margins(promises);
         }
     }
@@ -250,11 +251,11 @@
         return synced ? Double.valueOf(SYNC) : bounds.get(name);
     }
 
-    private static void tell(Hunt hunt) {
+    private static void tell(ScheduleRunner hunt) {
         Map<String, Integer> kinds = new TreeMap<>();
-        hunt.broken().values().forEach(b -> kinds.merge(b.get(0).replaceAll("\\d+", "#"), 1, Integer::sum));
+        hunt.violations().values().forEach(b -> kinds.merge(b.get(0).replaceAll("\\d+", "#"), 1, Integer::sum));
         kinds.forEach((what, times) -> System.out.printf(Locale.ROOT, "broken %d times: %s%n", times, what));
-        hunt.broken().entrySet().stream()
+        hunt.violations().entrySet().stream()
                 .limit(SEEDS_TOLD)
                 .forEach(e -> System.out.println("seed " + e.getKey() + ": " + e.getValue()));
     }
@@ -262,14 +263,15 @@
     private void margins(Promises promises) throws InterruptedException {
         long each = Math.max(1, schedules / MARGIN);
         for (double d : DISTANCES) {
-            Hunt hunt = Hunt.of(seed, each, threads, s -> Point.playSeats(s, Bug.NONE, Trace.NONE, d));
-            long still = hunt.broken().values().stream()
+            ScheduleRunner hunt =
+                    ScheduleRunner.run(seed, each, threads, s -> Scenario.playSeats(s, Bug.NONE, Trace.NONE, d));
+            long still = hunt.violations().values().stream()
                     .filter(b -> b.get(0).startsWith("stands still"))
                     .count();
             String at = String.format(
                     Locale.ROOT, "point 3, next loss %.1f s after the return, of %d " + "schedules ", d / 1000, each);
             promises.figure(at + "stood still", still);
-            promises.figure(at + "broke otherwise", hunt.broken().size() - still);
+            promises.figure(at + "broke otherwise", hunt.violations().size() - still);
         }
     }
 }
--- a/src/main/java/whinlead/testbed/OpenLoopClients.java
+++ b/src/main/java/whinlead/testbed/OpenLoopClients.java
@@ -129,9 +129,9 @@
 
     private void follow(Iterator<Arrival> arrivals, List<Load> kinds, Arrival due) {
         Arrival next = due;
-        while (next == null || next.at() <= timer.nowMs()) {
+        while (next == null || next.atMs() <= timer.nowMs()) {
             if (next != null) {
-                ask(kinds.get(next.kind()), 1, next.at());
+                ask(kinds.get(next.kind()), 1, next.atMs());
             }
             if (!arrivals.hasNext()) {
                 return;
@@ -139,7 +139,7 @@
             next = arrivals.next();
         }
         Arrival ahead = next;
-        timer.at(next.at(), () -> follow(arrivals, kinds, ahead));
+        timer.at(next.atMs(), () -> follow(arrivals, kinds, ahead));
     }
 
     /** Tries that have not ended. */
--- a/src/main/java/whinlead/testbed/PlanDay.java
+++ b/src/main/java/whinlead/testbed/PlanDay.java
@@ -9,8 +9,8 @@
 import java.util.stream.StreamSupport;
 import whinlead.Contract;
 import whinlead.plan.Arrival;
+import whinlead.plan.Distribution;
 import whinlead.plan.Fleet;
-import whinlead.plan.Law;
 import whinlead.plan.Load;
 import whinlead.plan.Machines;
 import whinlead.plan.Outcome;
@@ -50,7 +50,7 @@
         for (int i = 0; i < RAMP_STEPS; i++) {
             bursts.add(new Load.Burst(i * RAMP / RAMP_STEPS, (i + 1) * RAMP / RAMP_STEPS, (i + 0.5) / RAMP_STEPS));
         }
-        Load ramped = new Load(load.perSecond(), load.mix(), bursts, load.length());
+        Load ramped = new Load(load.perSecond(), load.mix(), bursts, load.lengthMs());
         return predict(seed, ramped.arrivals(seed));
     }
 
@@ -61,23 +61,24 @@
      */
     Result measure(long seed) throws IOException {
         List<SocketDay.Asked> asked = new ArrayList<>();
-        double most =
-                load.bursts().stream().mapToDouble(b -> Math.max(1, b.times())).reduce(1, (a, b) -> a * b);
+        double most = load.bursts().stream()
+                .mapToDouble(b -> Math.max(1, b.rateFactor()))
+                .reduce(1, (a, b) -> a * b);
         for (double share : fleet.shares()) {
             List<whinlead.testbed.Load> mine = new ArrayList<>();
             for (int k = 0; k < load.mix().size(); k++) {
                 double part = share * load.mix().get(k);
                 mine.add(new whinlead.testbed.Load(
-                        k, now -> load.rate(now) * part, load.perSecond() * part * most, habit));
+                        k, now -> load.ratePerSecond(now) * part, load.perSecond() * part * most, habit));
             }
             asked.add(SocketDay.Asked.of(mine));
         }
-        return measure(seed, asked, load.length());
+        return measure(seed, asked, load.lengthMs());
     }
 
     /** What the planner says of a load whose arrivals are given. */
     Result predict(long seed, Iterator<Arrival> arrivals) {
-        return result(new Simulation(fleet, seed).play(arrivals));
+        return result(new Simulation(fleet, seed).run(arrivals));
     }
 
     /**
@@ -153,18 +154,20 @@
         double bornAt = Double.NEGATIVE_INFINITY;
         for (int c = 0; c < fleet.changes().size(); c++) {
             Fleet.Change change = fleet.changes().get(c);
-            if (!machines.met().get(c).contains(i)) {
+            if (!machines.affected().get(c).contains(i)) {
                 continue;
             }
-            if (change.kind() == Fleet.Kind.SLOWED) {
+            if (change.kind() == Fleet.ChangeKind.SLOWED) {
                 slowed.add(change);
             } else {
                 faults.add(new EndpointScript.Fault(
-                        change.kind() == Fleet.Kind.ZONE_DIED ? EndpointScript.Kind.AWAY : EndpointScript.Kind.SILENT,
+                        change.kind() == Fleet.ChangeKind.ZONE_DIED
+                                ? EndpointScript.Kind.AWAY
+                                : EndpointScript.Kind.SILENT,
                         change.from(),
                         change.to()));
-                notices.add(new SocketDay.Notice(change.from() + change.notice(), m.id(), "gone", Double.NaN));
-                notices.add(new SocketDay.Notice(change.to() + change.notice(), m.id(), "ready", change.to()));
+                notices.add(new SocketDay.Notice(change.from() + change.noticeDelay(), m.id(), "gone", Double.NaN));
+                notices.add(new SocketDay.Notice(change.to() + change.noticeDelay(), m.id(), "ready", change.to()));
                 bornAt = change.to();
             }
         }
@@ -181,13 +184,13 @@
                 reports,
                 faults,
                 new EndpointScript.Lines(
-                        (dice, now, k) -> fleet.work().get(k).away().draw(dice), f.handshake(), f.connections()));
+                        (dice, now, k) -> fleet.work().get(k).offCore().draw(dice), f.handshake(), f.connections()));
     }
 
     private ServiceLaw law(double speed, List<Fleet.Change> slowed, double bornAt) {
         Fleet.Front f = fleet.front();
         return (dice, now, k) -> {
-            Law core = fleet.work().get(k).core();
+            Distribution core = fleet.work().get(k).onCore();
             double pace = speed;
             for (Fleet.Change c : slowed) {
                 pace *= now >= c.from() && now < c.to() ? c.speed() : 1;
--- a/src/main/java/whinlead/testbed/PlanRehearsal.java
+++ b/src/main/java/whinlead/testbed/PlanRehearsal.java
@@ -56,18 +56,20 @@
             List<Load.Burst> bursts,
             List<Fleet.Change> changes,
             Habit habit) {
-        Load mixed = new Load(1, List.of(polls, 1 - polls), List.of(), d.load().length());
+        Load mixed = new Load(1, List.of(polls, 1 - polls), List.of(), d.load().lengthMs());
         double one = Bounds.utilisation(d.fleet(), mixed);
         return new Scenario(
                 name,
                 new PlanDay(
-                        d.fleet().changes(changes), new Load(part / one, mixed.mix(), bursts, mixed.length()), habit));
+                        d.fleet().changes(changes),
+                        new Load(part / one, mixed.mix(), bursts, mixed.lengthMs()),
+                        habit));
     }
 
     private static List<Scenario> all(Description d) {
-        Fleet.Change slowed = new Fleet.Change(Fleet.Kind.SLOWED, null, 0.25, 0.4, 3000, 12_000, 0);
-        Fleet.Change died = new Fleet.Change(Fleet.Kind.ZONE_DIED, "b", 1, 1, 3000, 60_000, 1000);
-        Fleet.Change back = new Fleet.Change(Fleet.Kind.ZONE_DIED, "b", 1, 1, 2500, 4500, 700);
+        Fleet.Change slowed = new Fleet.Change(Fleet.ChangeKind.SLOWED, null, 0.25, 0.4, 3000, 12_000, 0);
+        Fleet.Change died = new Fleet.Change(Fleet.ChangeKind.ZONE_DIED, "b", 1, 1, 3000, 60_000, 1000);
+        Fleet.Change back = new Fleet.Change(Fleet.ChangeKind.ZONE_DIED, "b", 1, 1, 2500, 4500, 700);
         return List.of(
                 scenario(d, "calm", 0.5, 0.8, List.of(), List.of(), Habit.NONE),
                 scenario(d, "burst", 0.5, 0.8, List.of(new Load.Burst(4000, 6000, 3)), List.of(), Habit.NONE),
@@ -113,13 +115,13 @@
 
     // The number that the solver finds, and one fewer, on sockets.
     private void solver(Promises promises, Description d) throws IOException {
-        Solver.Answer found = new Solver(
+        Solver.Result found = new Solver(
                         (n, seeds) -> LongStream.of(seeds)
                                 .parallel()
                                 .mapToDouble(s -> solved(d, n).predict(s).worth())
                                 .toArray(),
                         GOAL,
-                        new Solver.Bounds(2, MAX_FRONTS, SEEDS, 4 * SEEDS, MAX_RUNS, 1))
+                        new Solver.SearchBounds(2, MAX_FRONTS, SEEDS, 4 * SEEDS, MAX_RUNS, 1))
                 .solve();
         promises.figure("solver, fronts for " + GOAL + " of the worth", found.fronts());
         for (int n : new int[] {found.fronts(), found.fronts() - 1}) {
--- a/src/main/java/whinlead/testbed/ReplayCommand.java
+++ b/src/main/java/whinlead/testbed/ReplayCommand.java
@@ -46,15 +46,15 @@
     public Integer call() throws IOException {
         Description d = Description.read(file);
         CaptureLoad load = new CaptureLoad(capture, d.fleet());
-        if (!(speed > 0) || load.length(speed) > MAX_LENGTH) {
+        if (!(speed > 0) || load.lengthMs(speed) > MAX_LENGTH) {
             throw new IllegalArgumentException("--speed: a replay takes ten minutes at most");
         }
         if (d.fleet().shares().size() > MAX_SIDECARS) {
             throw new IllegalArgumentException("sidecars.shares: a replay has " + MAX_SIDECARS + " sidecars at most");
         }
-        PlanDay day = new PlanDay(d.fleet(), new Load(0, List.of(), List.of(), load.length(speed)), habit);
+        PlanDay day = new PlanDay(d.fleet(), new Load(0, List.of(), List.of(), load.lengthMs(speed)), habit);
         PlanDay.Result said = day.predict(seed, load.arrivals(speed));
-        PlanDay.Result done = day.measure(seed, () -> load.arrivals(speed), load.length(speed));
+        PlanDay.Result done = day.measure(seed, () -> load.arrivals(speed), load.lengthMs(speed));
         Promises figures = new Promises(System.out);
         figures.figure("requests", load.summary().requests());
         figures.figure("worth served, predicted", said.worth());
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPath.java
@@ -85,7 +85,7 @@
         byte[] written = PeerMessageCodec.write(message);
         int sentOn = connection;
         nextArrivalMs = Math.max(nextArrivalMs, calendar.nowMs() + random.nextInt(3));
-        calendar.at(nextArrivalMs, () -> {
+        calendar.scheduleAt(nextArrivalMs, () -> {
             PeerMessage read = read(written);
             if (read instanceof PeerMessage.ForwardRequest request) {
                 forward(request, answer -> answer(sentOn, answer));
@@ -99,7 +99,7 @@
     private void answer(int receivedOn, PeerMessage message) {
         byte[] written = PeerMessageCodec.write(message);
         nextReturnMs = Math.max(nextReturnMs, calendar.nowMs() + random.nextInt(3));
-        calendar.at(nextReturnMs, () -> {
+        calendar.scheduleAt(nextReturnMs, () -> {
             if (receivedOn == connection) {
                 listener.messageReceived(read(written));
             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/AnswerPlay.java
@@ -108,17 +108,17 @@
     private RelayPlay.Outcome play() {
         for (int i = 0; i < REQUESTS; i++) {
             String id = "a-" + i;
-            calendar.at(random.nextDouble() * LENGTH_MS, () -> begin(id));
+            calendar.scheduleAt(random.nextDouble() * LENGTH_MS, () -> begin(id));
         }
         for (int i = 0; i < CONFIGURATIONS; i++) {
             int slot = i + 2;
-            calendar.at(random.nextDouble() * LENGTH_MS, () -> configure(slot));
+            calendar.scheduleAt(random.nextDouble() * LENGTH_MS, () -> configure(slot));
         }
         if (random.nextBoolean()) {
-            calendar.at(LENGTH_MS / 2 * random.nextDouble(), this::terminate);
+            calendar.scheduleAt(LENGTH_MS / 2 * random.nextDouble(), this::terminate);
         }
         for (double nowMs = 0; nowMs < LENGTH_MS + CALM_MS; nowMs++) {
-            calendar.runTo(nowMs);
+            calendar.runUntil(nowMs);
             endpoints.forEach(AnswerEndpoint::receive);
             if (nowMs % TICK_MS == 0) {
                 sidecar.tick();
--- a/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CutDisk.java
@@ -32,7 +32,7 @@
     private static final byte[] NONE = new byte[0];
 
     private final SplittableRandom random;
-    private final LedgerPlay.Bug bug;
+    private final StateStorePlay.Bug bug;
     /** The files as a process sees them. */
     private Map<String, byte[]> files = new TreeMap<>();
     /** The synced content of files that a killed process left partly unsynced. */
@@ -49,14 +49,14 @@
     private String phase = "";
     private boolean mustBeNew;
 
-    CutDisk(SplittableRandom random, LedgerPlay.Bug bug) {
+    CutDisk(SplittableRandom random, StateStorePlay.Bug bug) {
         this.random = random;
         this.bug = bug;
     }
 
     @Override
     public void syncFile(Path file) {
-        if (bug != LedgerPlay.Bug.KILLED_LOG_NOT_SYNCED && bug != LedgerPlay.Bug.SYNCS_IGNORED) {
+        if (bug != StateStorePlay.Bug.KILLED_LOG_NOT_SYNCED && bug != StateStorePlay.Bug.SYNCS_IGNORED) {
             synced.remove(file.getFileName().toString());
         }
     }
@@ -67,7 +67,7 @@
     }
 
     private void folderSynced() {
-        if (bug != LedgerPlay.Bug.FOLDER_SYNCS_IGNORED) {
+        if (bug != StateStorePlay.Bug.FOLDER_SYNCS_IGNORED) {
             removedNames.clear();
             createdNames.clear();
         }
@@ -127,7 +127,7 @@
         beforeStep = files;
         afterStep = image(folder);
         founding = bytesOf(beforeStep, MAIN).length == 0 || bytesOf(beforeStep, JOURNAL).length > 0;
-        if (founding && bug == LedgerPlay.Bug.FOLDER_SYNCS_IGNORED) {
+        if (founding && bug == StateStorePlay.Bug.FOLDER_SYNCS_IGNORED) {
             removedNames.put(JOURNAL, journal());
         }
         afterStep.keySet().stream().filter(n -> !beforeStep.containsKey(n)).forEach(createdNames::add);
@@ -155,7 +155,7 @@
 
     /** A write has returned. */
     void written() {
-        if (bug != LedgerPlay.Bug.SYNCS_IGNORED) {
+        if (bug != StateStorePlay.Bug.SYNCS_IGNORED) {
             synced.remove(LOG);
         }
         folderSynced();
@@ -218,7 +218,7 @@
     private Map<String, byte[]> afterSync(Map<String, byte[]> seen, String where) {
         phase = where;
         Map<String, byte[]> state = new TreeMap<>(seen);
-        if (bug == LedgerPlay.Bug.SYNCS_IGNORED) {
+        if (bug == StateStorePlay.Bug.SYNCS_IGNORED) {
             state.replaceAll((n, b) -> torn(bytesOf(atOpen, n), b));
         }
         synced.forEach((n, b) -> state.computeIfPresent(n, (k, v) -> torn(b, v)));
@@ -292,7 +292,7 @@
         if (!header && synced.containsKey(MAIN)) {
             state.put(MAIN, torn(synced.get(MAIN), bytesOf(beforeStep, MAIN)));
         }
-        if (bug == LedgerPlay.Bug.SYNCS_IGNORED) {
+        if (bug == StateStorePlay.Bug.SYNCS_IGNORED) {
             mustBeNew = random.nextBoolean();
             return afterSync(afterStep, mustBeNew ? "written" : "frames");
         }
@@ -321,7 +321,7 @@
                             ? bytesOf(state, MAIN)
                             : torn(bytesOf(state, MAIN), bytesOf(afterStep, MAIN)));
         }
-        if (bug == LedgerPlay.Bug.FOLDER_SYNCS_IGNORED) {
+        if (bug == StateStorePlay.Bug.FOLDER_SYNCS_IGNORED) {
             loseNames(state);
         }
         return state;
@@ -339,7 +339,7 @@
                 state.remove(LOG);
             }
         }
-        if (bug == LedgerPlay.Bug.FOLDER_SYNCS_IGNORED) {
+        if (bug == StateStorePlay.Bug.FOLDER_SYNCS_IGNORED) {
             loseNames(state);
         }
         return state;
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPath.java
@@ -81,12 +81,12 @@
 
         private void toFar(Runnable task) {
             farArrivalMs = Math.max(Math.max(farArrivalMs, heldUntilMs), calendar.nowMs() + 0.2 + random.nextInt(3));
-            calendar.at(farArrivalMs, () -> far.execute(task));
+            calendar.scheduleAt(farArrivalMs, () -> far.execute(task));
         }
 
         private void toNear(Runnable task) {
             nearArrivalMs = Math.max(Math.max(nearArrivalMs, heldUntilMs), calendar.nowMs() + 0.2 + random.nextInt(3));
-            calendar.at(nearArrivalMs, () -> near.execute(task));
+            calendar.scheduleAt(nearArrivalMs, () -> near.execute(task));
         }
 
         private void send(byte[] written) {
--- a/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/RelayPlay.java
@@ -141,16 +141,17 @@
         calls.start(bug == Bug.ANSWERS_AS_THEY_COME);
         for (int i = 0; i < REQUESTS; i++) {
             String id = "a-" + i;
-            calendar.at(random.nextDouble() * LENGTH_MS, () -> near.execute(() -> new ClientRequest(id).start()));
+            calendar.scheduleAt(
+                    random.nextDouble() * LENGTH_MS, () -> near.execute(() -> new ClientRequest(id).start()));
         }
         for (int i = 0; i < CALLS; i++) {
-            calendar.at(random.nextDouble() * LENGTH_MS / 4, calls::call);
+            calendar.scheduleAt(random.nextDouble() * LENGTH_MS / 4, calls::call);
         }
         for (int i = 0; i < FAULTS; i++) {
-            calendar.at(random.nextDouble() * LENGTH_MS, this::fault);
+            calendar.scheduleAt(random.nextDouble() * LENGTH_MS, this::fault);
         }
         for (double nowMs = 0; nowMs < LENGTH_MS + CALM_MS; nowMs += nowMs < LENGTH_MS + QUIET_MS ? 1 : 20) {
-            calendar.runTo(nowMs);
+            calendar.runUntil(nowMs);
             fars.forEach(f -> f.endpoint.receive());
         }
         requests.values().forEach(ClientRequest::checkAnswered);
--- a/src/main/java/whinlead/testbed/mesh/hardening/Point.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Scenario.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** The kinds of schedules. */
-public enum Point {
+public enum Scenario {
     /** Machines isolated for about 20 s. */
     CUT(1, CutPlay::play),
     /** Histories of concurrent operators. */
@@ -23,7 +23,7 @@
     private final int number;
     private final Play play;
 
-    Point(int number, Play play) {
+    Scenario(int number, Play play) {
         this.number = number;
         this.play = play;
     }
@@ -38,7 +38,7 @@
      *
      * @throws IllegalArgumentException if there is none
      */
-    public static Point of(int number) {
+    public static Scenario forNumber(int number) {
         return Arrays.stream(values())
                 .filter(p -> p.number == number)
                 .findFirst()
--- a/src/main/java/whinlead/testbed/mesh/hardening/Hunt.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/ScheduleRunner.java
@@ -9,7 +9,7 @@
 import java.util.function.LongFunction;
 
 /** Plays many schedules and aggregates their outcomes. Used by one thread; starts and joins worker threads. */
-public final class Hunt {
+public final class ScheduleRunner {
     /** The measurements of all schedules. */
     public static final class Samples {
         private double[] values = new double[16];
@@ -31,7 +31,7 @@
         }
 
         /** The quantile for a share; 1 gives the maximum. */
-        public double part(double share) {
+        public double quantile(double share) {
             if (!sorted) {
                 Arrays.sort(values, 0, size);
                 sorted = true;
@@ -50,7 +50,7 @@
         }
     }
 
-    private final Map<Long, List<String>> broken = new TreeMap<>();
+    private final Map<Long, List<String>> violations = new TreeMap<>();
     private final Map<String, Integer> counts = new TreeMap<>();
     private final Map<String, Samples> samples = new TreeMap<>();
 
@@ -61,9 +61,9 @@
      * @param play plays one schedule
      * @throws InterruptedException if interrupted
      */
-    public static Hunt of(long first, long schedules, int threads, LongFunction<Outcome> play)
+    public static ScheduleRunner run(long first, long schedules, int threads, LongFunction<Outcome> play)
             throws InterruptedException {
-        Hunt hunt = new Hunt();
+        ScheduleRunner hunt = new ScheduleRunner();
         AtomicLong next = new AtomicLong(first);
         List<Thread> workers = new ArrayList<>();
         List<Throwable> failed = new ArrayList<>();
@@ -96,7 +96,7 @@
 
     private synchronized void add(long seed, Outcome o) {
         if (!o.broken().isEmpty()) {
-            broken.put(seed, o.broken());
+            violations.put(seed, o.broken());
         }
         o.counts().forEach((k, v) -> counts.merge(k, v, Integer::sum));
         o.samples()
@@ -105,8 +105,8 @@
     }
 
     /** Violated guarantees by seed. */
-    public Map<Long, List<String>> broken() {
-        return broken;
+    public Map<Long, List<String>> violations() {
+        return violations;
     }
 
     /** Counted occurrences. */
--- a/src/main/java/whinlead/testbed/mesh/hardening/LedgerPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/StateStorePlay.java
@@ -19,7 +19,7 @@
  * whose write had returned or the one being written, that it returns it again later, and that damaged files are
  * refused. Deterministic for a seed, except for the salts that SQLite draws. Single-threaded; waits for the real disk.
  */
-public final class LedgerPlay {
+public final class StateStorePlay {
     /** A fault planted to verify that it is detected. */
     public enum Bug {
         /** None. */
@@ -59,7 +59,7 @@
     private int folders;
     private int maxBytes;
 
-    private LedgerPlay(long seed, Bug bug, Path base) {
+    private StateStorePlay(long seed, Bug bug, Path base) {
         random = new SplittableRandom(seed);
         this.bug = bug;
         this.baseFolder = base;
@@ -71,7 +71,7 @@
         try {
             Path base = Files.createTempDirectory("state store");
             try {
-                return new LedgerPlay(seed, bug, base).run();
+                return new StateStorePlay(seed, bug, base).run();
             } finally {
                 CutDisk.remove(base);
             }
--- a/src/main/java/whinlead/testbed/replication/CopiesDay.java
+++ b/src/main/java/whinlead/testbed/replication/CopiesDay.java
@@ -77,14 +77,14 @@
         cluster.start();
         for (int i = 0; i < REQUESTS; i++) {
             SimRequest request = new SimRequest(cluster, proxies, "r" + i);
-            calendar.at(randomTime(), request::begin);
+            calendar.scheduleAt(randomTime(), request::begin);
         }
         int faultCount = MIN_FAULTS + random.nextInt(FAULTS_SPREAD);
         for (int i = 0; i < faultCount; i++) {
-            calendar.at(randomTime(), faults::inject);
+            calendar.scheduleAt(randomTime(), faults::inject);
         }
-        calendar.at(SETTLE_MS + FAULTS_MS, cluster.network()::heal);
-        calendar.runTo(END_MS);
+        calendar.scheduleAt(SETTLE_MS + FAULTS_MS, cluster.network()::heal);
+        calendar.runUntil(END_MS);
         new FinalStateCheck(cluster).run();
         return new Result(cluster.truth().broken(), cluster.truth().seen());
     }
--- a/src/main/java/whinlead/testbed/replication/PointsDay.java
+++ b/src/main/java/whinlead/testbed/replication/PointsDay.java
@@ -97,9 +97,9 @@
     public static Result play(Plan plan) {
         PointsDay day = new PointsDay(plan);
         day.machines.values().forEach(day::start);
-        day.world.at(BEGIN_MS, day::begin);
-        day.world.at(BEGIN_MS + AFTERWARDS_MS, day::askAll);
-        day.world.runTo(END_MS);
+        day.world.scheduleAt(BEGIN_MS, day::begin);
+        day.world.scheduleAt(BEGIN_MS + AFTERWARDS_MS, day::askAll);
+        day.world.runUntil(END_MS);
         return new Result(day.runs, day.heard, day.truth.broken(), day.ends);
     }
 
--- a/src/main/java/whinlead/testbed/replication/SimProcess.java
+++ b/src/main/java/whinlead/testbed/replication/SimProcess.java
@@ -30,23 +30,23 @@
 
     @Override
     public TimerHandle schedule(double millis, Runnable task) {
-        Calendar.Due[] due = new Calendar.Due[1];
+        Calendar.Event[] due = new Calendar.Event[1];
         due[0] = world.schedule(Math.max(0, millis), () -> run(task, due));
         return () -> due[0].cancel();
     }
 
     /** Runs this as soon as the process can; never if it is dead by then. */
     void run(Runnable task) {
-        run(task, new Calendar.Due[1]);
+        run(task, new Calendar.Event[1]);
     }
 
     // A timer that is put off while the process stands still can still be called off.
-    private void run(Runnable task, Calendar.Due[] due) {
+    private void run(Runnable task, Calendar.Event[] due) {
         if (!alive) {
             return;
         }
         if (world.nowMs() < frozenUntil) {
-            due[0] = world.at(frozenUntil, () -> run(task, due));
+            due[0] = world.scheduleAt(frozenUntil, () -> run(task, due));
         } else {
             task.run();
         }
--- a/src/main/java/whinlead/testbed/replication/SimRequest.java
+++ b/src/main/java/whinlead/testbed/replication/SimRequest.java
@@ -101,7 +101,7 @@
                     cluster.network().send(machine.name(), proxy.name(), () -> heard(asked, machine, directive));
                 });
         double due = askedAt + remaining + SLACK_MS;
-        calendar.at(due, () -> {
+        calendar.scheduleAt(due, () -> {
             if (!answered[0] && process.alive() && !process.stoodStill(due - remaining - SLACK_MS)) {
                 truth.broken("unanswered");
             }
--- a/src/test/java/whinlead/mesh/StateStoreCutTest.java
+++ b/src/test/java/whinlead/mesh/StateStoreCutTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import whinlead.testbed.mesh.hardening.LedgerPlay;
+import whinlead.testbed.mesh.hardening.StateStorePlay;
 
 /** A promise that was said outlasts losses of power, on the real state store and a modelled disk. */
 public class StateStoreCutTest {
@@ -20,7 +20,7 @@
         long states = LongStream.range(0, SCHEDULES)
                 .parallel()
                 .map(seed -> {
-                    LedgerPlay.Outcome o = LedgerPlay.play(seed, LedgerPlay.Bug.NONE);
+                    StateStorePlay.Outcome o = StateStorePlay.play(seed, StateStorePlay.Bug.NONE);
                     assertEquals(o.broken(), List.of(), "schedule " + seed);
                     return o.figures().getOrDefault("states", 0L);
                 })
@@ -32,18 +32,19 @@
     @DataProvider
     public Object[][] planted() {
         return new Object[][] {
-            {LedgerPlay.Bug.SYNCS_IGNORED},
-            {LedgerPlay.Bug.FOLDER_SYNCS_IGNORED},
-            {LedgerPlay.Bug.SAID_BEFORE_SYNC},
-            {LedgerPlay.Bug.KILLED_LOG_NOT_SYNCED}
+            {StateStorePlay.Bug.SYNCS_IGNORED},
+            {StateStorePlay.Bug.FOLDER_SYNCS_IGNORED},
+            {StateStorePlay.Bug.SAID_BEFORE_SYNC},
+            {StateStorePlay.Bug.KILLED_LOG_NOT_SYNCED}
         };
     }
 
     @Test(dataProvider = "planted")
-    public void aPlantedFaultIsFound(LedgerPlay.Bug bug) {
+    public void aPlantedFaultIsFound(StateStorePlay.Bug bug) {
         assertTrue(
                 LongStream.range(0, FOUND_WITHIN)
-                        .anyMatch(seed -> !LedgerPlay.play(seed, bug).broken().isEmpty()),
+                        .anyMatch(
+                                seed -> !StateStorePlay.play(seed, bug).broken().isEmpty()),
                 bug + " was not found");
     }
 }
--- a/src/test/java/whinlead/mesh/control/KeyMesh.java
+++ b/src/test/java/whinlead/mesh/control/KeyMesh.java
@@ -63,7 +63,7 @@
                 }
                 lastMs = arrivalMs;
                 boolean isLost = arrivalMs - undelayedMs > CONNECTION_LOST_MS;
-                calendar.at(arrivalMs, () -> {
+                calendar.scheduleAt(arrivalMs, () -> {
                     if (!isLost) {
                         recipient.run(deliver);
                     } else if (sidecar >= 0 && connections[sidecar][control] == connection) {
@@ -293,9 +293,9 @@
 
     static KeyOutcome run(KeyScenario scenario, Fault fault) {
         KeyMesh mesh = new KeyMesh(scenario, fault);
-        scenario.events().forEach(event -> mesh.calendar.at(event.atMs(), () -> mesh.apply(event)));
+        scenario.events().forEach(event -> mesh.calendar.scheduleAt(event.atMs(), () -> mesh.apply(event)));
         mesh.checker.check();
-        mesh.calendar.runTo(scenario.lengthMs());
+        mesh.calendar.runUntil(scenario.lengthMs());
         return mesh.checker.outcome();
     }
 
--- a/src/test/java/whinlead/mesh/control/SimulatedEndpointKeys.java
+++ b/src/test/java/whinlead/mesh/control/SimulatedEndpointKeys.java
@@ -54,7 +54,7 @@
         }
         calendar.schedule(random.nextDouble() * MAX_SEND_DELAY_MS, () -> {
             if (sidecar.isUp()) {
-                calendar.at(sidecar.sendTimeMs(), () -> deliverGrant(call, writtenAtMs, requestedMs, listener));
+                calendar.scheduleAt(sidecar.sendTimeMs(), () -> deliverGrant(call, writtenAtMs, requestedMs, listener));
             }
         });
     }
@@ -77,7 +77,7 @@
 
     @Override
     public void release(ReleaseCall call, ReleaseListener listener) {
-        calendar.at(sidecar.sendTimeMs(), () -> {
+        calendar.scheduleAt(sidecar.sendTimeMs(), () -> {
             SimulatedEndpoint current = endpoint.get();
             if (current.isUp()) {
                 String handoff = current.release(call.range(), call.fence());
--- a/src/test/java/whinlead/mesh/control/SimulatedProcess.java
+++ b/src/test/java/whinlead/mesh/control/SimulatedProcess.java
@@ -40,7 +40,7 @@
             return;
         }
         if (calendar.nowMs() < frozenUntilMs) {
-            calendar.at(frozenUntilMs, () -> run(task));
+            calendar.scheduleAt(frozenUntilMs, () -> run(task));
         } else {
             task.run();
         }
--- a/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ClientConnectionTest.java
@@ -178,11 +178,11 @@
         for (int i = 0; i < 3; i++) {
             receive(get("/a"));
             respond(i, "");
-            calendar.runTo(calendar.nowMs() + IDLE_MS * 4 / 5);
+            calendar.runUntil(calendar.nowMs() + IDLE_MS * 4 / 5);
             connection.tick();
             assertTrue(channel.isActive());
         }
-        calendar.runTo(calendar.nowMs() + IDLE_MS / 5 + 1);
+        calendar.runUntil(calendar.nowMs() + IDLE_MS / 5 + 1);
         connection.tick();
         assertFalse(channel.isActive());
     }
@@ -191,11 +191,11 @@
     public void slowBodyIsRejectedAtItsTimeout() {
         receive(post("/a", "", 50, ""));
         for (int ms = 100; ms < TIMEOUT_MS; ms += 100) {
-            calendar.runTo(ms);
+            calendar.runUntil(ms);
             receive("x");
         }
         assertEquals(sentText(), "");
-        calendar.runTo(TIMEOUT_MS);
+        calendar.runUntil(TIMEOUT_MS);
         assertTrue(sentText().matches("(?s)HTTP/1.1 408.*onnection: close.*"));
         assertEquals(handledUris, List.of());
         assertEquals(reservedBytes, 0);
@@ -205,13 +205,13 @@
     @Test
     public void readDurationIsCountedForEachRequest() {
         receive(post("/a", "", 2, "x"));
-        calendar.runTo(TIMEOUT_MS - 500);
+        calendar.runUntil(TIMEOUT_MS - 500);
         receive("x" + post("/b", "", 2, ""));
         assertEquals(responses.get(0).readDurationMs(), TIMEOUT_MS - 500);
-        calendar.runTo(2 * TIMEOUT_MS - 501);
+        calendar.runUntil(2 * TIMEOUT_MS - 501);
         receive("xx");
         assertEquals(responses.get(1).readDurationMs(), TIMEOUT_MS - 1);
-        calendar.runTo(4 * TIMEOUT_MS);
+        calendar.runUntil(4 * TIMEOUT_MS);
         assertTrue(channel.isActive());
     }
 
--- a/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EgressListenerTest.java
@@ -153,7 +153,7 @@
 
     private void runTo(double endMs) {
         while (calendar.nowMs() < endMs) {
-            calendar.runTo(Math.min(endMs, calendar.nowMs() + 1));
+            calendar.runUntil(Math.min(endMs, calendar.nowMs() + 1));
             collectOutput();
         }
     }
@@ -324,7 +324,7 @@
     @Test
     public void requestWhoseBodyUsedItsTimeIsNotSent() {
         receive(request("/sign/", "Deadline-Ms: 500\r\n") + "Content-Length: 2" + END_OF_HEADERS + "x");
-        calendar.runTo(499.5);
+        calendar.runUntil(499.5);
         receive("x");
         awaitAnswer(500);
         assertTrue(sentText.toString().startsWith("HTTP/1.1 503"), sentText.toString());
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -231,7 +231,7 @@
         receive(0, bytes);
         assertEquals(results, List.of(expected), name);
         connections.get(0).close();
-        calendar.runTo(calendar.nowMs() + 2 * TIMEOUT_MS);
+        calendar.runUntil(calendar.nowMs() + 2 * TIMEOUT_MS);
         assertEquals(results, List.of(expected), name + ", reported once");
         connections.get(0).checkException();
         assertEquals(sentRequestCount(), 1);
@@ -288,9 +288,9 @@
     public void timedOutRequestIsReportedAsLateAndItsResponseIgnored() {
         send("a");
         receive(0, successResponse("a").substring(0, 20));
-        calendar.runTo(TIMEOUT_MS);
+        calendar.runUntil(TIMEOUT_MS);
         assertEquals(results, List.of());
-        calendar.runTo(TIMEOUT_MS + 100);
+        calendar.runUntil(TIMEOUT_MS + 100);
         assertEquals(results, List.of("a LATE"));
         assertFalse(connections.get(0).isActive());
         send("b");
@@ -313,17 +313,17 @@
         connectsAtOnce = false;
         send("a");
         send("b");
-        calendar.runTo(400);
+        calendar.runUntil(400);
         connectPromises.get(0).setSuccess();
         String sent = sentText(0);
         assertTrue(sent.contains("Deadline-Ms: 585"), sent);
-        calendar.runTo(TIMEOUT_MS);
+        calendar.runUntil(TIMEOUT_MS);
         connectPromises.get(1).setSuccess();
         assertEquals(results, List.of("b UNREACHED"), "its deadline has passed, so it is not sent");
         assertEquals(sentText(1), "");
         send("c");
         assertEquals(connections.size(), 2, "the connection is reused");
-        calendar.runTo(TIMEOUT_MS + 20);
+        calendar.runUntil(TIMEOUT_MS + 20);
         assertEquals(results, List.of("b UNREACHED", "a LATE"));
     }
 
@@ -387,7 +387,7 @@
         send("a", "HEAD");
         receive(0, successResponse("z"));
         receive(0, "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 4\r\n\r\n");
-        calendar.runTo(TIMEOUT_MS + 100);
+        calendar.runUntil(TIMEOUT_MS + 100);
         assertEquals(results.size(), 1);
         assertTrue(results.get(0).startsWith("a "), results.toString());
         send("b");
--- a/src/test/java/whinlead/mesh/sidecar/RequestFairnessTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestFairnessTest.java
@@ -123,7 +123,7 @@
         double endMs = calendar.nowMs() + ANSWER_WITHIN_MS;
         ByteBuf answer = client.readOutbound();
         while (answer == null && calendar.nowMs() < endMs) {
-            calendar.runTo(calendar.nowMs() + 1);
+            calendar.runUntil(calendar.nowMs() + 1);
             answer = client.readOutbound();
         }
         int status =
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -111,9 +111,9 @@
     @Test
     public void waitingForThePathCountsAgainstTheDeadline() {
         send("a", false);
-        calendar.runTo(400);
+        calendar.runUntil(400);
         send("b", false);
-        calendar.runTo(TIMEOUT_MS);
+        calendar.runUntil(TIMEOUT_MS);
         paths.get(0).changeState(ReconnectingConnection.State.UP);
         assertEquals(results, List.of("a UNREACHED"), "its deadline has passed, so it is not sent");
         assertEquals(paths.get(0).sent.size(), 1);
--- a/src/test/java/whinlead/mesh/sidecar/RetryBudgetTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RetryBudgetTest.java
@@ -125,7 +125,7 @@
             });
             String request = "GET /x/y HTTP/1.1\r\nHost: h\r\nAttempt-Id: a-" + i + "\r\n\r\n";
             client.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.ISO_8859_1));
-            calendar.runTo(calendar.nowMs() + (double) WINDOW_MS / REQUESTS);
+            calendar.runUntil(calendar.nowMs() + (double) WINDOW_MS / REQUESTS);
         }
     }
 
--- a/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
@@ -79,7 +79,7 @@
             balancer.update(List.of(new EndpointRecord(
                     "node", 1, 1, "z", "endpoint", "service-" + i, EndpointRecord.Phase.SERVING, 6, 0)));
         }
-        timers.calendar.runTo(DURATION_MS);
+        timers.calendar.runUntil(DURATION_MS);
         double periods = services * DURATION_MS / RequestClasses.periodMs();
         assertTrue(
                 timers.firedTimers <= services * (DURATION_MS / TicklessModule.SLEEP_MS + 1),
--- a/src/test/java/whinlead/plan/Fleets.java
+++ b/src/test/java/whinlead/plan/Fleets.java
@@ -29,13 +29,13 @@
                 false,
                 sidecars,
                 0);
-        Law core = new Law(CORE_MS, 1);
+        Distribution core = new Distribution(CORE_MS, 1);
         Fleet fleet = new Fleet(
                 settings,
                 List.of(new Fleet.Model("m", CORES, 1, 1, 1)),
                 List.of(new Fleet.Zone("a", 0.4, 0.2), new Fleet.Zone("b", 0.3, 0.2), new Fleet.Zone("c", 0.3, 0.2)),
                 FRONTS,
-                List.of(new Fleet.Work(core, new Law(5, 0)), new Fleet.Work(core, new Law(5, 0))),
+                List.of(new Fleet.Work(core, new Distribution(5, 0)), new Fleet.Work(core, new Distribution(5, 0))),
                 new Fleet.Front(false, 20, 500, 2, 0.2, 20_000, 0, 1, 0, false),
                 new Fleet.Sidecar(0.1, 1000, 1000, 250, 60_000),
                 Collections.nCopies(sidecars, 1.0 / sidecars),
--- a/src/test/java/whinlead/plan/FrontModelTest.java
+++ b/src/test/java/whinlead/plan/FrontModelTest.java
@@ -44,20 +44,20 @@
     }
 
     private static List<Job> playPoisson(
-            FrontModel front, Calendar calendar, Law law, double perMs, int count, long seed) {
+            FrontModel front, Calendar calendar, Distribution law, double perMs, int count, long seed) {
         Random random = new Random(seed);
         List<Job> jobs = new ArrayList<>();
         double atMs = 0;
         for (int i = 0; i < count; i++) {
             atMs += -Math.log(1 - random.nextDouble()) / perMs;
             double work = law.draw(random);
-            calendar.at(atMs, () -> {
+            calendar.scheduleAt(atMs, () -> {
                 Job job = new Job(calendar);
                 jobs.add(job);
                 front.arrive(work, job);
             });
         }
-        calendar.runTo(atMs + 1e7);
+        calendar.runUntil(atMs + 1e7);
         return jobs;
     }
 
@@ -89,7 +89,7 @@
         Calendar calendar = new Calendar();
         FrontModel front = new FrontModel(calendar, cores, false, Integer.MAX_VALUE, FrontModel.Thrash.NONE);
         double perMs = load * cores / MEAN_WORK_MS;
-        List<Job> jobs = playPoisson(front, calendar, new Law(MEAN_WORK_MS, 1), perMs, 200_000, 7);
+        List<Job> jobs = playPoisson(front, calendar, new Distribution(MEAN_WORK_MS, 1), perMs, 200_000, 7);
         List<Job> settled = jobs.subList(20_000, jobs.size());
         assertWithinInterval(
                 Formulas.meanTime(perMs, MEAN_WORK_MS, cores),
@@ -107,7 +107,7 @@
         Calendar calendar = new Calendar();
         FrontModel front = new FrontModel(calendar, 1, true, Integer.MAX_VALUE, FrontModel.Thrash.NONE);
         double perMs = load / MEAN_WORK_MS;
-        List<Job> jobs = playPoisson(front, calendar, new Law(MEAN_WORK_MS, cv), perMs, 200_000, 11);
+        List<Job> jobs = playPoisson(front, calendar, new Distribution(MEAN_WORK_MS, cv), perMs, 200_000, 11);
         assertWithinInterval(
                 Formulas.meanSharedTime(perMs, MEAN_WORK_MS),
                 jobs.subList(20_000, jobs.size()).stream().map(j -> j.timeMs).toList());
@@ -117,7 +117,8 @@
     void rejectedShareUnderOverloadAgreesWithFiniteQueueFormula() {
         Calendar calendar = new Calendar();
         FrontModel front = new FrontModel(calendar, 2, false, 8, FrontModel.Thrash.NONE);
-        List<Job> jobs = playPoisson(front, calendar, new Law(MEAN_WORK_MS, 1), 2 * 2 / MEAN_WORK_MS, 100_000, 3);
+        List<Job> jobs =
+                playPoisson(front, calendar, new Distribution(MEAN_WORK_MS, 1), 2 * 2 / MEAN_WORK_MS, 100_000, 3);
         double full = jobs.stream().filter(j -> j.end == FrontModel.End.FULL).count() / (double) jobs.size();
         // M/M/2/8 at twice the capacity: the probability of n visits grows as r^n with r = 2 from two on; takes the
         // last.
@@ -142,13 +143,13 @@
             }
             // Load of 0.7 of the normal capacity, above the 0.5 that is left while thrashing.
             for (double atMs = 0; atMs < 20_000; atMs += -Math.log(1 - random.nextDouble()) * MEAN_WORK_MS / 0.7) {
-                calendar.at(atMs, () -> {
+                calendar.scheduleAt(atMs, () -> {
                     Job j = new Job(calendar);
                     late.add(j);
                     front.arrive(MEAN_WORK_MS, j);
                 });
             }
-            calendar.runTo(20_000);
+            calendar.runUntil(20_000);
             boolean recovered = front.visitCount() < 20;
             assertEquals(
                     thrash == FrontModel.Thrash.NONE,
@@ -174,7 +175,7 @@
         double speed = 1;
         for (int i = 0; i < 5000; i++) {
             double before = calendar.nowMs();
-            calendar.runTo(before + random.nextDouble() * 4);
+            calendar.runUntil(before + random.nextDouble() * 4);
             capacity += (calendar.nowMs() - before) * cores * speed;
             assertTrue(front.workDone() <= capacity + 1e-6, "work done, at most " + capacity);
             assertTrue(front.coreTime() <= calendar.nowMs() * cores + 1e-6);
@@ -207,7 +208,7 @@
             }
         }
         front.speed(1);
-        calendar.runTo(calendar.nowMs() + 1e6);
+        calendar.runUntil(calendar.nowMs() + 1e6);
         assertEquals(0, front.visitCount());
         for (Job j : jobs) {
             assertEquals(withdrawn.contains(j) ? 0 : 1, j.endCount, "each visit ends once, or not at all if withdrawn");
--- a/src/test/java/whinlead/plan/LimitTest.java
+++ b/src/test/java/whinlead/plan/LimitTest.java
@@ -16,7 +16,7 @@
         return Limit.ramp(
                 f,
                 (fleet, times) ->
-                        List.of(new Simulation(fleet, 1).play(load.scaled(times).arrivals(1))),
+                        List.of(new Simulation(fleet, 1).run(load.scaled(times).arrivals(1))),
                 0.3,
                 1.1,
                 1.6);
@@ -77,10 +77,10 @@
     void retriesBindUntilClientsAreLimitedToOneTry() {
         Fleet f = plainFleet().with(new Fleet.Clients(4, 50, 0));
         Load load = Fleets.load(f, 1.5, LENGTH_MS);
-        double reading = Limit.RETRIES.reading(new Simulation(f, 1).play(load.arrivals(1)));
+        double reading = Limit.RETRIES.reading(new Simulation(f, 1).run(load.arrivals(1)));
         assertTrue(reading > Limit.RETRIES.bindingReading(), "tries beyond the first: " + reading);
         Fleet once = Limit.RETRIES.withoutLimit(f);
-        assertEquals(0, Limit.RETRIES.reading(new Simulation(once, 1).play(load.arrivals(1))));
+        assertEquals(0, Limit.RETRIES.reading(new Simulation(once, 1).run(load.arrivals(1))));
     }
 
     @Test
@@ -89,7 +89,7 @@
         // times.
         Fleet f = plainFleet().with(plainFleet().sidecar().work(2.5)).with(new Fleet.Clients(4, 50, 0));
         Load mean = Fleets.load(f, 0.5, 40_000);
-        Outcome steady = new Simulation(f, 1).play(mean.arrivals(1));
+        Outcome steady = new Simulation(f, 1).run(mean.arrivals(1));
         assertTrue(steady.worth() > 0.98, "service at the mean load: " + steady.worth());
         Recovery stuck = recoveryFromBurst(f, mean);
         Recovery sound = recoveryFromBurst(f.with(new Fleet.Clients(1, 50, 0)), mean);
@@ -108,8 +108,8 @@
     }
 
     private static Recovery recoveryFromBurst(Fleet f, Load mean) {
-        Load burst = new Load(mean.perSecond(), mean.mix(), List.of(new Load.Burst(8000, 9500, 8)), mean.length());
-        return Recovery.of(new Simulation(f, 1).play(burst.arrivals(1)).worthBySecond(), 8000, 9500);
+        Load burst = new Load(mean.perSecond(), mean.mix(), List.of(new Load.Burst(8000, 9500, 8)), mean.lengthMs());
+        return Recovery.of(new Simulation(f, 1).run(burst.arrivals(1)).worthBySecond(), 8000, 9500);
     }
 
     @Test
--- a/src/test/java/whinlead/plan/MachinesTest.java
+++ b/src/test/java/whinlead/plan/MachinesTest.java
@@ -14,8 +14,8 @@
                 .with(List.of(new Fleet.Model("small", 2, 0.5, 1, 0.75), new Fleet.Model("large", 4, 1, 2, 0.25)));
         return f.fronts(fronts)
                 .changes(List.of(
-                        new Fleet.Change(Fleet.Kind.SLOWED, null, 0.25, 0.5, 0, 1, 0),
-                        new Fleet.Change(Fleet.Kind.ZONE_DIED, "a", 1, 1, 0, 1, 0)));
+                        new Fleet.Change(Fleet.ChangeKind.SLOWED, null, 0.25, 0.5, 0, 1, 0),
+                        new Fleet.Change(Fleet.ChangeKind.ZONE_DIED, "a", 1, 1, 0, 1, 0)));
     }
 
     @Test
@@ -51,11 +51,11 @@
     @Test
     void changeAffectsItsShareOfFrontsOrItsWholeZone() {
         Machines m = Machines.of(mixedFleet(80), 5);
-        assertEquals(20, m.met().get(0).size());
-        assertTrue(m.met().get(1).stream()
+        assertEquals(20, m.affected().get(0).size());
+        assertTrue(m.affected().get(1).stream()
                 .allMatch(i -> m.all().get(i).zone().name().equals("a")));
         assertEquals(
                 m.all().stream().filter(x -> x.zone().name().equals("a")).count(),
-                m.met().get(1).size());
+                m.affected().get(1).size());
     }
 }
--- a/src/test/java/whinlead/plan/SimulationTest.java
+++ b/src/test/java/whinlead/plan/SimulationTest.java
@@ -18,7 +18,7 @@
 /** Tests the simulation: invariants for random fleets, and the effect of each part of a description. */
 class SimulationTest {
     private static Outcome run(Fleet f, Load load, long seed) {
-        return new Simulation(f, seed).play(load.arrivals(seed));
+        return new Simulation(f, seed).run(load.arrivals(seed));
     }
 
     @Test
@@ -48,7 +48,7 @@
         Load load = Fleets.load(f, 0.8, 20_000);
         double calm = run(f, load, 2).worth();
         double slowed = run(
-                        f.changes(List.of(new Fleet.Change(Fleet.Kind.SLOWED, null, 0.25, 0.4, 5000, 20_000, 0))),
+                        f.changes(List.of(new Fleet.Change(Fleet.ChangeKind.SLOWED, null, 0.25, 0.4, 5000, 20_000, 0))),
                         load,
                         2)
                 .worth();
@@ -58,7 +58,7 @@
     @Test
     void serviceRecoversAfterLostZoneReturns() {
         Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS)
-                .changes(List.of(new Fleet.Change(Fleet.Kind.ZONE_LOST, "a", 1, 0, 5000, 12_000, 2000)));
+                .changes(List.of(new Fleet.Change(Fleet.ChangeKind.ZONE_LOST, "a", 1, 0, 5000, 12_000, 2000)));
         Outcome o = run(f, Fleets.load(f, 0.5, 40_000), 3);
         double[] s = o.worthBySecond();
         assertTrue(s[3] > 0.98, "before: " + s[3]);
@@ -73,8 +73,8 @@
         Fleet f = Fleets.fleet(3, Contract.Reporting.NONE);
         Load load = Fleets.load(f, 0.5, 12_000);
         double[] worth = new double[2];
-        for (Fleet.Kind kind : List.of(Fleet.Kind.ZONE_LOST, Fleet.Kind.ZONE_DIED)) {
-            worth[kind == Fleet.Kind.ZONE_LOST ? 0 : 1] = run(
+        for (Fleet.ChangeKind kind : List.of(Fleet.ChangeKind.ZONE_LOST, Fleet.ChangeKind.ZONE_DIED)) {
+            worth[kind == Fleet.ChangeKind.ZONE_LOST ? 0 : 1] = run(
                             f.changes(List.of(new Fleet.Change(kind, "a", 1, 1, 3000, 20_000, 1000))), load, 3)
                     .worth();
         }
@@ -129,7 +129,7 @@
     @Test
     void sameSeedGivesSameOutcomeOnOneOrSeveralThreads() {
         Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS)
-                .changes(List.of(new Fleet.Change(Fleet.Kind.ZONE_LOST, "b", 1, 0, 1000, 2000, 500)));
+                .changes(List.of(new Fleet.Change(Fleet.ChangeKind.ZONE_LOST, "b", 1, 0, 1000, 2000, 500)));
         Load load = Fleets.load(f, 0.9, 4000);
         List<Outcome> alone =
                 LongStream.range(0, 16).mapToObj(s -> run(f, load, s)).toList();
@@ -161,7 +161,7 @@
             changes.add(
                     random.nextBoolean()
                             ? new Fleet.Change(
-                                    Fleet.Kind.SLOWED,
+                                    Fleet.ChangeKind.SLOWED,
                                     null,
                                     random.nextDouble(),
                                     random.nextDouble(),
@@ -169,7 +169,7 @@
                                     from + 2000,
                                     0)
                             : new Fleet.Change(
-                                    Fleet.Kind.ZONE_LOST,
+                                    Fleet.ChangeKind.ZONE_LOST,
                                     String.valueOf("abc".charAt(i - 1)),
                                     1,
                                     0,
@@ -234,12 +234,12 @@
         assertTrue(assertThrows(IllegalArgumentException.class, zones::check)
                 .getMessage()
                 .startsWith("zones:"));
-        Fleet nowhere = f.changes(List.of(new Fleet.Change(Fleet.Kind.ZONE_LOST, "x", 1, 0, 0, 1, 0)));
+        Fleet nowhere = f.changes(List.of(new Fleet.Change(Fleet.ChangeKind.ZONE_LOST, "x", 1, 0, 0, 1, 0)));
         assertEquals(
                 "changes: no zone x",
                 assertThrows(IllegalArgumentException.class, nowhere::check).getMessage());
         for (double bad : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            assertThrows(IllegalArgumentException.class, () -> new Law(bad, 0));
+            assertThrows(IllegalArgumentException.class, () -> new Distribution(bad, 0));
         }
     }
 }
--- a/src/test/java/whinlead/plan/SolverTest.java
+++ b/src/test/java/whinlead/plan/SolverTest.java
@@ -14,7 +14,7 @@
 
 /** Tests the search for the least number of fronts under noise and where service does not increase with fronts. */
 class SolverTest {
-    private static final Solver.Bounds BOUNDS = new Solver.Bounds(1, 64, 4, 32, 2000, 2);
+    private static final Solver.SearchBounds BOUNDS = new Solver.SearchBounds(1, 64, 4, 32, 2000, 2);
 
     private static Solver.Trial noisy(IntToDoubleFunction service, double noise) {
         return (n, seeds) -> {
@@ -29,14 +29,14 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 7, 8, 16, 31, 60})
     void leastFrontCountIsFoundUnderNoise(int wanted) {
-        Solver.Answer a = new Solver(noisy(n -> n >= wanted ? 0.97 : 0.93, 0.01), 0.95, BOUNDS).solve();
+        Solver.Result a = new Solver(noisy(n -> n >= wanted ? 0.97 : 0.93, 0.01), 0.95, BOUNDS).solve();
         assertEquals(wanted, a.fronts());
         assertTrue(a.certain());
     }
 
     @Test
     void resultIsZeroWhenNoCountMeetsGoal() {
-        Solver.Answer a = new Solver(noisy(n -> 0.9, 0.01), 0.95, BOUNDS).solve();
+        Solver.Result a = new Solver(noisy(n -> 0.9, 0.01), 0.95, BOUNDS).solve();
         assertEquals(0, a.fronts());
         assertFalse(a.certain());
         assertEquals(Solver.Verdict.MISSED, a.points().get(64).verdict());
@@ -46,7 +46,7 @@
     void isolatedCountThatMeetsGoalIsRejected() {
         // For example where a few fronts happen to be of the fast model: three and eight meet the goal, four and
         // nine do not.
-        Solver.Answer a =
+        Solver.Result a =
                 new Solver(noisy(n -> n == 3 || n == 8 || n >= 21 ? 0.97 : 0.93, 0.002), 0.95, BOUNDS).solve();
         assertEquals(21, a.fronts());
     }
@@ -54,7 +54,7 @@
     @Test
     void leastCountIsFoundWhenServiceFallsAgainWithMoreFronts() {
         // Handshakes and few observations of each front: above 24 fronts the goal is missed again.
-        Solver.Answer a = new Solver(noisy(n -> n >= 12 && n <= 24 ? 0.97 : 0.9, 0.002), 0.95, BOUNDS).solve();
+        Solver.Result a = new Solver(noisy(n -> n >= 12 && n <= 24 ? 0.97 : 0.9, 0.002), 0.95, BOUNDS).solve();
         assertTrue(a.fronts() == 12, "found " + a.fronts() + " of " + a.points().keySet());
     }
 
@@ -62,13 +62,13 @@
     void goalWithinNoiseStaysUndecidedWithinRunLimit() {
         int[] runs = new int[1];
         Solver.Trial exact = noisy(n -> 0.95, 0.05);
-        Solver.Answer a = new Solver(
+        Solver.Result a = new Solver(
                         (n, seeds) -> {
                             runs[0] += seeds.length;
                             return exact.service(n, seeds);
                         },
                         0.95,
-                        new Solver.Bounds(1, 64, 4, 16, 100, 1))
+                        new Solver.SearchBounds(1, 64, 4, 16, 100, 1))
                 .solve();
         assertFalse(a.certain() && a.fronts() > 1, "certain of " + a.fronts());
         assertTrue(runs[0] <= 100 + 16, "runs: " + runs[0]);
@@ -92,25 +92,26 @@
     void invalidBoundsAreRejected() {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Solver((n, s) -> s == null ? null : new double[0], 1, new Solver.Bounds(1, 4, 1, 4, 10, 1)));
+                () -> new Solver(
+                        (n, s) -> s == null ? null : new double[0], 1, new Solver.SearchBounds(1, 4, 1, 4, 10, 1)));
     }
 
     @Test
     void solvedFrontCountIsNearCapacityEstimate() {
         Fleet f = Fleets.fleet(3, Contract.Reporting.WITH_ANSWERS);
         Load load = Fleets.load(f, 0.5, 8000);
-        Solver.Answer a = new Solver(
+        Solver.Result a = new Solver(
                         (n, seeds) -> {
                             double[] v = new double[seeds.length];
                             for (int i = 0; i < v.length; i++) {
                                 v[i] = new Simulation(f.fronts(n), seeds[i])
-                                        .play(load.arrivals(seeds[i]))
+                                        .run(load.arrivals(seeds[i]))
                                         .worth();
                             }
                             return v;
                         },
                         0.97,
-                        new Solver.Bounds(1, 24, 3, 6, 300, 1))
+                        new Solver.SearchBounds(1, 24, 3, 6, 300, 1))
                 .solve();
         // The load needs the capacity of six fronts; fewer cannot serve it, and twice as many suffice.
         assertTrue(a.fronts() >= 6 && a.fronts() <= 12, "fronts: " + a.fronts() + " " + a.points());
--- a/src/test/java/whinlead/replication/ReplicationClientTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -30,7 +30,7 @@
 
         @Override
         public TimerHandle schedule(double millis, Runnable task) {
-            Calendar.Due due = clock.schedule(Math.max(0, millis), task);
+            Calendar.Event due = clock.schedule(Math.max(0, millis), task);
             return due::cancel;
         }
     };
@@ -67,12 +67,12 @@
     @Test
     void unansweredCommandIsResubmittedAndItsGrantIsReportedOnce() {
         request.requestAttempt("e", VALID_MS, results::add);
-        clock.runTo(130);
+        clock.runUntil(130);
         assertEquals(3, commands.size());
         assertEquals(1, commands.stream().distinct().count());
         replyToLast(new Reply.Granted(4));
         replyListeners.get(0).accept(new Reply.Granted(4));
-        clock.runTo(DEADLINE_MS);
+        clock.runUntil(DEADLINE_MS);
         assertEquals(List.of(new Keeper.Verdict.Granted(4)), results);
         assertEquals(3, commands.size());
     }
@@ -82,10 +82,10 @@
     void noAttemptIsSubmittedUntilTheGroupTimeIsKnown() {
         groupTimeMs = -1;
         request.requestAttempt("e", VALID_MS, results::add);
-        clock.runTo(59);
+        clock.runUntil(59);
         assertEquals(List.of(), commands);
         groupTimeMs = 7000;
-        clock.runTo(61);
+        clock.runUntil(61);
         assertEquals(7000 + (long) VALID_MS - 60, ((Command.Allow) lastCommand()).validUntilMs());
         replyToLast(new Reply.Granted(0));
         assertEquals(List.of(new Keeper.Verdict.Granted(0)), results);
@@ -94,7 +94,7 @@
     @Test
     void unansweredAttemptIsReportedUnknownAndWithdrawn() {
         request.requestAttempt("e", VALID_MS, results::add);
-        clock.runTo(VALID_MS + 1);
+        clock.runUntil(VALID_MS + 1);
         assertEquals(List.of(new Keeper.Verdict.Unknown()), results);
         assertEquals(new Command.Attempt("a/1", 1), ((Command.Withdraw) lastCommand()).attempt());
     }
@@ -115,7 +115,7 @@
         replyToLast(new Reply.Late());
         request.cancel();
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
-        clock.runTo(DEADLINE_MS);
+        clock.runUntil(DEADLINE_MS);
         assertEquals(List.of(), results);
     }
 
@@ -128,7 +128,7 @@
         request.end(new Directive.Refused(70), results::add);
         replyToLast(new Reply.Out());
         request.end(new Directive.Refused(70), results::add);
-        clock.runTo(150 + 1);
+        clock.runUntil(150 + 1);
         assertEquals(
                 List.of(
                         new Directive.Refused(70),
@@ -144,9 +144,9 @@
         replyToLast(new Reply.Granted(0));
         results.clear();
         request.end(new Directive.Failed(), results::add);
-        clock.runTo(DEADLINE_MS - 26);
+        clock.runUntil(DEADLINE_MS - 26);
         assertEquals(List.of(), results);
-        clock.runTo(DEADLINE_MS);
+        clock.runUntil(DEADLINE_MS);
         assertEquals(List.of(new Directive.Failed()), results);
     }
 
--- a/src/test/java/whinlead/replication/raft/GroupHostTest.java
+++ b/src/test/java/whinlead/replication/raft/GroupHostTest.java
@@ -82,7 +82,7 @@
 
         @Override
         public TimerHandle schedule(double millis, Runnable task) {
-            Calendar.Due due = clock.schedule(Math.max(0, millis), () -> {
+            Calendar.Event due = clock.schedule(Math.max(0, millis), () -> {
                 if (!dead) {
                     task.run();
                 }
@@ -158,7 +158,7 @@
     }
 
     private void advance(double millis) {
-        clock.runTo(clock.nowMs() + millis);
+        clock.runUntil(clock.nowMs() + millis);
     }
 
     private void startAll() {
--- a/src/test/java/whinlead/replication/raft/MemberTest.java
+++ b/src/test/java/whinlead/replication/raft/MemberTest.java
@@ -32,7 +32,7 @@
 
         @Override
         public TimerHandle schedule(double millis, Runnable task) {
-            Calendar.Due due = clock.schedule(Math.max(0, millis), task);
+            Calendar.Event due = clock.schedule(Math.max(0, millis), task);
             return due::cancel;
         }
     }
@@ -73,14 +73,14 @@
                 new Random(1),
                 who -> Optional.empty());
         member.start(100);
-        clock.runTo(10);
+        clock.runUntil(10);
         member.receive(OTHER, voteRequest(3));
-        clock.runTo(20);
+        clock.runUntil(20);
         assertEquals(3, log.restored().getTermPersistentState().getTerm());
         int before = sent.size();
         member.receive(OTHER, voteRequest(7));
         member.stop();
-        clock.runTo(1000);
+        clock.runUntil(1000);
         assertEquals(3, log.restored().getTermPersistentState().getTerm());
         assertEquals(before, sent.size());
     }
@@ -103,7 +103,7 @@
                 new Random(seed),
                 who -> Optional.empty());
         member.start(100);
-        clock.runTo(clock.nowMs() + 10);
+        clock.runUntil(clock.nowMs() + 10);
         member.receive(
                 OTHER,
                 new Envelope.Consensus(new DefaultRaftModelFactory()
@@ -118,7 +118,7 @@
                         .setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0)
                         .build()));
-        clock.runTo(clock.nowMs() + 10);
+        clock.runUntil(clock.nowMs() + 10);
         assertEquals("b", member.leader());
         return member;
     }
--- a/src/test/java/whinlead/replication/raft/SeatTest.java
+++ b/src/test/java/whinlead/replication/raft/SeatTest.java
@@ -69,7 +69,7 @@
 
         @Override
         public TimerHandle schedule(double millis, Runnable task) {
-            Calendar.Due due = clock.schedule(Math.max(0, millis), () -> run(task));
+            Calendar.Event due = clock.schedule(Math.max(0, millis), () -> run(task));
             return due::cancel;
         }
 
@@ -78,7 +78,7 @@
                 return;
             }
             if (clock.nowMs() < suspendedUntilMs) {
-                clock.at(suspendedUntilMs, () -> run(task));
+                clock.scheduleAt(suspendedUntilMs, () -> run(task));
             } else {
                 task.run();
             }
@@ -128,7 +128,7 @@
     }
 
     private void advance(double millis) {
-        clock.runTo(clock.nowMs() + millis);
+        clock.runUntil(clock.nowMs() + millis);
     }
 
     private Map<String, Process> startGroup() {
--- a/src/test/java/whinlead/testbed/PlanDayTest.java
+++ b/src/test/java/whinlead/testbed/PlanDayTest.java
@@ -41,7 +41,7 @@
         Load load = new Load(200, d.load().mix(), List.of(), 2000);
         PlanDay day = new PlanDay(d.fleet(), load, Habit.NONE);
         PlanDay.Result said = day.predict(1, load.arrivals(1));
-        agrees(said, 0.05, () -> day.measure(1, () -> load.arrivals(1), load.length()));
+        agrees(said, 0.05, () -> day.measure(1, () -> load.arrivals(1), load.lengthMs()));
     }
 
     @Test
--- a/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
@@ -17,15 +17,15 @@
     private static final int MAX_SCHEDULES = 1000;
     private static final int THREADS = 3;
 
-    private static Hunt hunt(Point point, int schedules) throws InterruptedException {
-        Hunt hunt = Hunt.of(1, schedules, THREADS, seed -> point.play(seed, Bug.NONE, Trace.NONE));
-        assertEquals(hunt.broken(), Map.of(), "by seed");
+    private static ScheduleRunner hunt(Scenario point, int schedules) throws InterruptedException {
+        ScheduleRunner hunt = ScheduleRunner.run(1, schedules, THREADS, seed -> point.play(seed, Bug.NONE, Trace.NONE));
+        assertEquals(hunt.violations(), Map.of(), "by seed");
         return hunt;
     }
 
     @Test
     public void isolatedMachineNeitherClaimsContactNorRefuses() throws InterruptedException {
-        Hunt hunt = hunt(Point.CUT, 150);
+        ScheduleRunner hunt = hunt(Scenario.CUT, 150);
         // Schedules in which hardly any order is taken, or no sidecar starts, would prove nothing.
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 150 * 15,
@@ -38,7 +38,7 @@
 
     @Test
     public void operatorHistoriesAreLinearizable() throws InterruptedException {
-        Hunt hunt = hunt(Point.HISTORY, 150);
+        ScheduleRunner hunt = hunt(Scenario.HISTORY, 150);
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 150 * 10,
                 hunt.counts().toString());
@@ -47,14 +47,14 @@
 
     @Test
     public void majoritySurvivesNextLoss() throws InterruptedException {
-        Hunt hunt = hunt(Point.SEATS, 150);
+        ScheduleRunner hunt = hunt(Scenario.SEATS, 150);
         assertTrue(hunt.counts().get("losses") > 150 * 3, hunt.counts().toString());
         assertTrue(hunt.counts().get("members that left by agreement") > 10);
     }
 
     @Test
     public void memberThatMissedHundredsOfChangesCatchesUp() throws InterruptedException {
-        Hunt hunt = hunt(Point.CATCH_UP, 60);
+        ScheduleRunner hunt = hunt(Scenario.CATCH_UP, 60);
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 60 * 300,
                 hunt.counts().toString());
@@ -74,7 +74,7 @@
 
     @Test(dataProvider = "seedsOfChangesUnderOrders")
     public void votersChangeUnderContinuousOrders(long seed) {
-        Outcome outcome = Point.SEATS.play(seed, Bug.NONE, Trace.NONE);
+        Outcome outcome = Scenario.SEATS.play(seed, Bug.NONE, Trace.NONE);
         assertEquals(outcome.broken(), List.of());
         assertEquals(outcome.counts().get("members that left when their time was up"), null);
         outcome.samples().forEach((name, values) -> {
@@ -89,21 +89,22 @@
     @Test
     public void voterChangeIsNotDelayedByOrders() throws InterruptedException {
         for (int underWay : new int[] {1, 4, 8}) {
-            Hunt hunt = Hunt.of(1, 60, THREADS, seed -> MembershipPlay.play(seed, Bug.NONE, Trace.NONE, underWay));
-            assertEquals(hunt.broken(), Map.of(), "by seed");
+            ScheduleRunner hunt = ScheduleRunner.run(
+                    1, 60, THREADS, seed -> MembershipPlay.play(seed, Bug.NONE, Trace.NONE, underWay));
+            assertEquals(hunt.violations(), Map.of(), "by seed");
             hunt.samples().forEach((name, samples) -> {
                 double bound =
                         name.endsWith("changes decided meanwhile") ? 15 : name.contains("process's end") ? 4000 : 3000;
                 assertTrue(
-                        !name.contains("under way") || samples.part(1) < bound,
-                        name + ": " + samples.part(1) + " in seed " + samples.worstSeed());
+                        !name.contains("under way") || samples.quantile(1) < bound,
+                        name + ": " + samples.quantile(1) + " in seed " + samples.worstSeed());
             });
         }
     }
 
     @Test
     public void voterThatReachesQuorumKeepsItsVote() throws InterruptedException {
-        Hunt hunt = hunt(Point.PAIR_CUT, 100);
+        ScheduleRunner hunt = hunt(Scenario.PAIR_CUT, 100);
         assertTrue(hunt.counts().get("losses") > 100 * 3, hunt.counts().toString());
         assertTrue(hunt.counts().get("cuts, BOTH") > 100 * 2, hunt.counts().toString());
         assertTrue(hunt.samples()
@@ -114,7 +115,7 @@
 
     @Test
     public void sameSeedGivesSameOutcome() {
-        for (Point p : Point.values()) {
+        for (Scenario p : Scenario.values()) {
             assertEquals(p.play(7, Bug.NONE, Trace.NONE), p.play(7, Bug.NONE, Trace.NONE));
         }
     }
@@ -129,7 +130,7 @@
 
     @Test(dataProvider = "bugs")
     public void plantedFaultIsFound(Bug bug) {
-        Point point = Point.of(bug.point());
+        Scenario point = Scenario.forNumber(bug.point());
         for (long seed = 1; seed <= MAX_SCHEDULES; seed++) {
             if (!point.play(seed, bug, Trace.NONE).broken().isEmpty()) {
                 return;
