--- a/src/main/java/whinlead/capture/Summary.java
+++ b/src/main/java/whinlead/capture/Summary.java
@@ -6,65 +6,66 @@
 import whinlead.engine.RequestListener;
 
 /**
- * What a capture holds.
+ * Statistics of a capture.
  *
- * @param classes names, as in its head
- * @param counts entries of each class
- * @param requests entries in all
- * @param seconds from its first entry to its last
- * @param peak entries in its fullest second
- * @param repeats entries that were repeats
- * @param ends how many ended in each way, in the order of {@link RequestListener.End}
- * @param lost entries that were lost as it was written
- * @param jumps how often its clock went back
- * @param torn whether its last entry was torn
+ * @param classes names of the request classes, as in the header
+ * @param requestsByClass number of requests of each class
+ * @param requests total number of requests
+ * @param durationSeconds time from the first entry to the last
+ * @param peakRequestsPerSecond number of requests in the busiest second
+ * @param repeats number of requests that were repeats
+ * @param requestsByOutcome number of requests by outcome, in the order of the constants of
+ *     {@link RequestListener.Result}
+ * @param lostEntries number of entries lost while the capture was written
+ * @param backwardClockJumps how often the clock went back
+ * @param truncated whether the last entry was truncated
  */
 public record Summary(
         List<String> classes,
-        List<Long> counts,
+        List<Long> requestsByClass,
         long requests,
-        double seconds,
-        long peak,
+        double durationSeconds,
+        long peakRequestsPerSecond,
         long repeats,
-        List<Long> ends,
-        long lost,
-        long jumps,
-        boolean torn) {
-    private static final long SECOND = 1_000_000;
+        List<Long> requestsByOutcome,
+        long lostEntries,
+        long backwardClockJumps,
+        boolean truncated) {
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** Reads a capture to its end. */
-    public static Summary of(CaptureInput in) throws IOException {
-        long[] counts = new long[in.classes().size()];
-        long[] ends = new long[RequestListener.End.values().length];
+    /** Reads a capture to its end and summarises it. */
+    public static Summary read(CaptureInput input) throws IOException {
+        long[] requestsByClass = new long[input.classNames().size()];
+        long[] requestsByOutcome = new long[RequestListener.Result.values().length];
         long requests = 0;
         long repeats = 0;
-        long first = 0;
-        long last = 0;
-        long second = -1;
-        long here = 0;
-        long peak = 0;
-        for (Entry e = in.next(); e != null; e = in.next()) {
-            first = requests == 0 ? e.at() : first;
-            last = e.at();
+        long firstArrivalMicros = 0;
+        long lastArrivalMicros = 0;
+        long currentSecond = -1;
+        long requestsInSecond = 0;
+        long peakRequestsPerSecond = 0;
+        for (Entry entry = input.next(); entry != null; entry = input.next()) {
+            firstArrivalMicros = requests == 0 ? entry.arrivalMicros() : firstArrivalMicros;
+            lastArrivalMicros = entry.arrivalMicros();
             requests++;
-            counts[e.kind()]++;
-            ends[e.end().ordinal()]++;
-            repeats += e.repeat() ? 1 : 0;
-            here = e.at() / SECOND == second ? here + 1 : 1;
-            second = e.at() / SECOND;
-            peak = Math.max(peak, here);
+            requestsByClass[entry.classIndex()]++;
+            requestsByOutcome[entry.outcome().ordinal()]++;
+            repeats += entry.repeat() ? 1 : 0;
+            requestsInSecond = entry.arrivalMicros() / MICROS_PER_SECOND == currentSecond ? requestsInSecond + 1 : 1;
+            currentSecond = entry.arrivalMicros() / MICROS_PER_SECOND;
+            peakRequestsPerSecond = Math.max(peakRequestsPerSecond, requestsInSecond);
         }
         return new Summary(
-                in.classes(),
-                list(counts),
+                input.classNames(),
+                list(requestsByClass),
                 requests,
-                (double) (last - first) / SECOND,
-                peak,
+                (double) (lastArrivalMicros - firstArrivalMicros) / MICROS_PER_SECOND,
+                peakRequestsPerSecond,
                 repeats,
-                list(ends),
-                in.lost(),
-                in.jumps(),
-                in.torn());
+                list(requestsByOutcome),
+                input.lostEntries(),
+                input.backwardClockJumps(),
+                input.truncated());
     }
 
     private static List<Long> list(long[] values) {
--- a/src/main/java/whinlead/front/http1/ClientServer.java
+++ b/src/main/java/whinlead/front/http1/ClientServer.java
@@ -23,8 +23,8 @@
 import whinlead.engine.Request;
 import whinlead.engine.ResponseSink;
 import whinlead.engine.Transport;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
+import whinlead.http.EndpointResponse;
+import whinlead.http.HttpCall;
 
 /** Listens for the application: how many connections it may have and for how long, readiness and the drain. */
 public final class ClientServer {
@@ -50,7 +50,7 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Engine engine;
-    private final Function<HttpAsk, Transport<HttpAnswer>> transport;
+    private final Function<HttpCall, Transport<EndpointResponse>> transport;
     private final RequestCheck check;
     private final double longestDeadline;
     private final int most;
@@ -76,7 +76,7 @@
             EventLoop loop,
             Clock clock,
             Engine engine,
-            Function<HttpAsk, Transport<HttpAnswer>> transport,
+            Function<HttpCall, Transport<EndpointResponse>> transport,
             Contract.Settings settings,
             int most) {
         this(
@@ -101,7 +101,7 @@
             EventLoop loop,
             Clock clock,
             Engine engine,
-            Function<HttpAsk, Transport<HttpAnswer>> transport,
+            Function<HttpCall, Transport<EndpointResponse>> transport,
             Contract.Settings settings,
             Gate.Limits clients,
             Budget budget,
@@ -117,7 +117,7 @@
                 .orElse(0);
         this.budget = budget;
         this.places = places;
-        this.most = budget.may(Budget.Purpose.CLIENTS);
+        this.most = budget.limit(Budget.Purpose.CLIENTS);
         this.gate =
                 new Gate<>(clients, new Admission.Limits(UNKNOWN_PART, IDLE_LONG_MS, MIN_IDLE_MS, MIN_SLOW_MS), most);
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
@@ -172,9 +172,9 @@
     }
 
     /** Has the engine take a request. */
-    Engine.Held<HttpAnswer> take(Request ask, HttpAsk http, ResponseSink<HttpAnswer> caller) {
+    Engine.PendingRequest<EndpointResponse> take(Request ask, HttpCall http, ResponseSink<EndpointResponse> caller) {
         double room = places == 0 ? 1 : Math.max(0, 1 - (double) openIds.size() / places);
-        return engine.take(ask.at(room, http.body().length), transport.apply(http), caller);
+        return engine.accept(ask.withFreeShareAndBody(room, http.body().length), transport.apply(http), caller);
     }
 
     /** Notes a request; false if one with this id is open already. */
@@ -188,13 +188,13 @@
 
     /** A connection has come, or come into a phase. */
     void entered(ClientConnection connection, ClientConnection.Phase phase, double since) {
-        gate.entered(
+        gate.phaseChanged(
                 connection,
                 switch (phase) {
                     case SILENT -> Admission.Phase.SILENT;
                     case IDLE -> Admission.Phase.IDLE;
                     case RECEIVING -> Admission.Phase.RECEIVING;
-                    case OPEN, ANSWERING, ENDING -> Admission.Phase.HELD;
+                    case OPEN, ANSWERING, ENDING -> Admission.Phase.BUSY;
                 },
                 since);
     }
@@ -205,14 +205,14 @@
      */
     void opened(ClientConnection connection, SocketAddress from) {
         connections.add(connection);
-        gate.places(budget.may(Budget.Purpose.CLIENTS));
-        long before = gate.closed(Gate.Why.FULL);
+        gate.places(budget.limit(Budget.Purpose.CLIENTS));
+        long before = gate.closed(Gate.CloseReason.FULL);
         byte[] address = ((InetSocketAddress) from).getAddress().getAddress();
-        ClientConnection close = gate.arrived(connection, address, clock.now());
-        if (gate.closed(Gate.Why.FULL) > before) {
-            budget.refused(Budget.Purpose.CLIENTS);
+        ClientConnection close = gate.connectionOpened(connection, address, clock.nowMs());
+        if (gate.closed(Gate.CloseReason.FULL) > before) {
+            budget.recordRefusal(Budget.Purpose.CLIENTS);
         }
-        budget.used(Budget.Purpose.CLIENTS, gate.open());
+        budget.setUsed(Budget.Purpose.CLIENTS, gate.open());
         if (close != null) {
             close.close();
         }
@@ -220,18 +220,18 @@
 
     /** A request has come that is taken, or had to be turned away. */
     void asked(ClientConnection connection, boolean well) {
-        gate.asked(connection, well, clock.now());
+        gate.requestReceived(connection, well, clock.nowMs());
     }
 
     void closed(ClientConnection connection) {
         connections.remove(connection);
-        gate.left(connection, clock.now());
-        budget.used(Budget.Purpose.CLIENTS, gate.open());
+        gate.connectionClosed(connection, clock.nowMs());
+        budget.setUsed(Budget.Purpose.CLIENTS, gate.open());
         finishDrain();
     }
 
     private void sweep() {
-        double now = clock.now();
+        double now = clock.nowMs();
         for (ClientConnection c : List.copyOf(connections)) {
             double age = now - c.since();
             switch (c.phase()) {
@@ -249,10 +249,10 @@
         }
         // Guards against clients that ask once and stay: the room they take is wanted by those that ask
         // again.
-        ClientConnection idle = gate.idleFor(now, IDLE_LONG_MS);
+        ClientConnection idle = gate.longestIdle(now, IDLE_LONG_MS);
         while (connections.size() > most / MANY_SHARE && idle != null) {
             idle.close();
-            idle = gate.idleFor(now, IDLE_LONG_MS);
+            idle = gate.longestIdle(now, IDLE_LONG_MS);
         }
     }
 
--- a/src/main/java/whinlead/loop/LoopTimers.java
+++ b/src/main/java/whinlead/loop/LoopTimers.java
@@ -6,26 +6,26 @@
 import whinlead.engine.Clock;
 import whinlead.engine.Timers;
 
-/** The timers of an event loop, on whose thread they run. */
+/** Timers that run on the thread of an event loop. */
 public final class LoopTimers implements Timers {
     private static final double NANOS_IN_MILLI = 1e6;
 
     private final EventLoop loop;
     private final Clock clock;
 
-    /** Timers of this loop by this clock. */
+    /** Creates timers of this loop with this clock. */
     public LoopTimers(EventLoop loop, Clock clock) {
         this.loop = loop;
         this.clock = clock;
     }
 
     @Override
-    public double now() {
-        return clock.now();
+    public double nowMs() {
+        return clock.nowMs();
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
+    public TimerHandle schedule(double millis, Runnable task) {
         long nanos = (long) Math.ceil(Math.max(0, millis) * NANOS_IN_MILLI);
         Future<?> due = loop.schedule(task, nanos, TimeUnit.NANOSECONDS);
         return () -> due.cancel(false);
--- a/src/main/java/whinlead/mesh/consensus/Message.java
+++ b/src/main/java/whinlead/mesh/consensus/Message.java
@@ -23,14 +23,14 @@
     record Nack(long slot, Ballot ballot, Ballot promised) implements Message {}
 
     /** Rejects a promise or vote because the sender knows no decision for the previous slot, only an older one. */
-    record Lagging(long slot, long have) implements Message {}
+    record Lagging(long slot, long decidedSlot) implements Message {}
 
     /** A decision, complete. */
     record Decided(Decision decision) implements Message {}
 
     /** A voter's contact with another voter. */
     enum Reachability {
-        /** The other voter answered lately. */
+        /** The other voter answered recently. */
         REACHED,
         /** Neither of the others: no answer came for some time, or the silence time has not passed yet. */
         UNSURE,
--- a/src/main/java/whinlead/mesh/control/ConsensusTicker.java
+++ b/src/main/java/whinlead/mesh/control/ConsensusTicker.java
@@ -26,7 +26,7 @@
     private final BooleanSupplier isBusy;
     private boolean active;
     private long activeUntilNs;
-    private Timers.Timer nextTimer;
+    private Timers.TimerHandle nextTimer;
 
     /**
      * A ticker that runs nothing before {@link #noteActivity} is called.
@@ -62,7 +62,7 @@
             nextTimer.cancel();
         }
         long periodNs = TimeUnit.MILLISECONDS.toNanos(active ? ACTIVE_PERIOD_MS : IDLE_PERIOD_MS);
-        long delayNs = TimerGrid.untilNext(nanoClock.getAsLong(), periodNs);
-        nextTimer = timers.after(delayNs / NANOS_PER_MILLI, this::run);
+        long delayNs = TimerGrid.nanosUntilNext(nanoClock.getAsLong(), periodNs);
+        nextTimer = timers.schedule(delayNs / NANOS_PER_MILLI, this::run);
     }
 }
--- a/src/main/java/whinlead/mesh/control/QuotaLeases.java
+++ b/src/main/java/whinlead/mesh/control/QuotaLeases.java
@@ -27,7 +27,7 @@
  * loop's thread.
  */
 final class QuotaLeases {
-    /** Stands for unknown sidecars, if the disk does not tell which held leases. */
+    /** Stands for unknown sidecars, if the disk does not record which held leases. */
     private static final String UNKNOWN_LESSEE = "unknown";
     /** How often sidecars that no longer hold leases are removed, in milliseconds. */
     private static final double PRUNE_INTERVAL_MS = 1000;
@@ -56,7 +56,7 @@
      * The leases of a process that starts.
      *
      * @param clockMs steady, in milliseconds
-     * @param confirmed whether a quorum has lately confirmed that there is no newer decision
+     * @param confirmed whether a quorum has recently confirmed that there is no newer decision
      * @param id this control node's id
      * @param decided the decision on its disk, or null
      * @param folder of its disk
@@ -132,7 +132,7 @@
 
     /** A newer decision is known; {@code isVoter} says whether it makes this control node a voter. */
     void decided(Decision decision, boolean isVoter) {
-        authority.decided(
+        authority.applyDecision(
                 clockMs.getAsDouble(), decision.slot(), decision.voters().size(), isVoter);
         tick();
     }
@@ -162,12 +162,12 @@
         tick();
         String sidecar = connection.peer();
         if (report.leaving()) {
-            grantor.report(clockMs.getAsDouble(), sidecar, report, false);
+            grantor.handleReport(clockMs.getAsDouble(), sidecar, report, false);
             recorder.prune();
             return;
         }
         boolean recorded = recorder.isRecorded(sidecar);
-        LeaseGrant grant = grantor.report(clockMs.getAsDouble(), sidecar, report, recorded);
+        LeaseGrant grant = grantor.handleReport(clockMs.getAsDouble(), sidecar, report, recorded);
         if (grant != null) {
             connection.send(new PeerMessage.QuotaLeaseGrant(grant));
         }
@@ -176,7 +176,7 @@
     /** A sidecar requests a token. */
     void tokenRequested(PeerConnection connection, TokenRequest request) {
         tick();
-        TokenResponse response = grantor.take(clockMs.getAsDouble(), request);
+        TokenResponse response = grantor.handleTokenRequest(clockMs.getAsDouble(), request);
         connection.send(new PeerMessage.QuotaTokenResponse(response));
     }
 
--- a/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
+++ b/src/main/java/whinlead/mesh/sidecar/ClientConnection.java
@@ -134,7 +134,7 @@
     private double lastActivityMs;
     private double headReceivedMs;
     /** Rejects a request whose body does not arrive in time; null while no body is awaited. */
-    private Timers.Timer bodyTimer;
+    private Timers.TimerHandle bodyTimer;
 
     ClientConnection(RequestHandler handler) {
         this.handler = handler;
@@ -153,7 +153,7 @@
     }
 
     private double nowMs() {
-        return handler.timers().now();
+        return handler.timers().nowMs();
     }
 
     @Override
@@ -244,7 +244,8 @@
             double timeoutMs = handler.timeoutMs(requestHead);
             if (Double.isFinite(timeoutMs)) {
                 bodyTimer = handler.timers()
-                        .after(headReceivedMs + timeoutMs - nowMs(), () -> reject(HttpResponseStatus.REQUEST_TIMEOUT));
+                        .schedule(
+                                headReceivedMs + timeoutMs - nowMs(), () -> reject(HttpResponseStatus.REQUEST_TIMEOUT));
             }
         }
         ctx.fireChannelReadComplete();
@@ -287,7 +288,7 @@
 
     private static void logFault(RuntimeException fault) {
         StackTraceElement[] trace = fault.getStackTrace();
-        Event.FAULT.log(fault + " at " + (trace.length > 0 ? trace[0] : "?"));
+        Event.INTERNAL_ERROR.log(fault + " at " + (trace.length > 0 ? trace[0] : "?"));
     }
 
     // Answers a request that can't be accepted, after the earlier responses, and closes the connection.
--- a/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
+++ b/src/main/java/whinlead/mesh/sidecar/ConnectionPath.java
@@ -49,18 +49,18 @@
     }
 
     @Override
-    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+    public void stateChanged(ReconnectingConnection source, ReconnectingConnection.State previousState) {
         boolean lost = previousState == ReconnectingConnection.State.UP
                 && source.state() != ReconnectingConnection.State.CLOSED;
         if (lost) {
             Event.PEER_DOWN.log(node + " " + source.state());
         }
-        listener.changed(source.state(), previousState);
+        listener.stateChanged(source.state(), previousState);
     }
 
     @Override
-    public void message(ReconnectingConnection source, PeerMessage message) {
-        listener.message(message);
+    public void messageReceived(ReconnectingConnection source, PeerMessage message) {
+        listener.messageReceived(message);
     }
 
     @Override
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public long stamp() {
-        return listener.stamp();
+    public long sendingTimeMicros() {
+        return listener.timestampMicros();
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/ControlClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/ControlClient.java
@@ -160,7 +160,8 @@
                 TIMEOUTS,
                 new ReconnectingConnection.Listener() {
                     @Override
-                    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+                    public void stateChanged(
+                            ReconnectingConnection source, ReconnectingConnection.State previousState) {
                         if (source.state() == ReconnectingConnection.State.UP
                                 && previousState == ReconnectingConnection.State.DIALLING) {
                             Event.CONTROL_NODE_UP.log(ip);
@@ -177,7 +178,7 @@
                     }
 
                     @Override
-                    public void message(ReconnectingConnection source, PeerMessage message) {
+                    public void messageReceived(ReconnectingConnection source, PeerMessage message) {
                         receive(ip, source, message);
                     }
 
@@ -206,7 +207,7 @@
         } else if (message instanceof PeerMessage.KeyGrantorChanged) {
             keys.grantorChanged(ip);
         } else if (message instanceof PeerMessage.KeyLeaseGrant lease) {
-            keys.leased(ip, lease.lease());
+            keys.leaseReceived(ip, lease.lease());
         } else if (message instanceof PeerMessage.KeyRoutesUpdate update) {
             listener.keyRoutesReceived(update);
         }
@@ -265,14 +266,15 @@
                 TIMEOUTS,
                 new ReconnectingConnection.Listener() {
                     @Override
-                    public void changed(ReconnectingConnection source, ReconnectingConnection.State previousState) {
+                    public void stateChanged(
+                            ReconnectingConnection source, ReconnectingConnection.State previousState) {
                         if (source.state() == ReconnectingConnection.State.UP) {
                             source.send(new PeerMessage.FindControlNodes());
                         }
                     }
 
                     @Override
-                    public void message(ReconnectingConnection source, PeerMessage message) {
+                    public void messageReceived(ReconnectingConnection source, PeerMessage message) {
                         if (message instanceof PeerMessage.ControlNodes found) {
                             found.addresses().forEach(ControlClient.this::addControlNode);
                             source.close();
@@ -360,12 +362,12 @@
             loop.execute(() -> {
                 if (routing == null || table.slot() > routing.slot()) {
                     routing = table;
-                    Event.IN_FORCE.log("version " + meshConfig.epoch() + " slot " + table.slot());
+                    Event.CONFIG_IN_FORCE.log("version " + meshConfig.epoch() + " slot " + table.slot());
                     listener.configChanged(table);
                 }
             });
         } catch (IOException | InvalidConfigException e) {
-            Event.UNREADABLE.log(e.getMessage());
+            Event.CONFIG_UNREADABLE.log(e.getMessage());
         }
     }
 }
--- a/src/main/java/whinlead/mesh/sidecar/KeyClient.java
+++ b/src/main/java/whinlead/mesh/sidecar/KeyClient.java
@@ -120,7 +120,7 @@
     public void grantorChanged(String controlNode) {
         grantor = controlNode;
         if (isActive()) {
-            report(timers.now());
+            report(timers.nowMs());
         }
     }
 
@@ -137,11 +137,11 @@
             endpointReplaced();
         }
         callEndpoint();
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         boolean draining = isDraining();
-        boolean reportDue = nowMs - lastReportMs >= KeyTerms.REPORT_MS;
-        boolean changed =
-                (keyHolder.hasNews() || draining != reportedDraining) && nowMs - lastReportMs >= MIN_REPORT_INTERVAL_MS;
+        boolean reportDue = nowMs - lastReportMs >= KeyTerms.REPORT_INTERVAL_MS;
+        boolean changed = (keyHolder.hasUnreportedChange() || draining != reportedDraining)
+                && nowMs - lastReportMs >= MIN_REPORT_INTERVAL_MS;
         if (reportDue || changed) {
             report(nowMs);
         }
@@ -154,7 +154,7 @@
             consecutiveGrantFailures = 0;
         }
         endpointId = gate.endpoint();
-        loadMeter = new KeyLoadMeter(timers.now());
+        loadMeter = new KeyLoadMeter(timers.nowMs());
     }
 
     private boolean isDraining() {
@@ -182,7 +182,7 @@
         List<HeldKeys> heldKeys = keyHolder.held(nowMs);
         List<KeyRange> ranges = heldKeys.stream().map(HeldKeys::range).toList();
         logHeld(heldKeys);
-        long reportNumber = keyHolder.reportSent(nowMs);
+        long reportNumber = keyHolder.recordReportSent(nowMs);
         return new KeyReport(
                 incarnation,
                 reportNumber,
@@ -198,7 +198,7 @@
 
     private void logHeld(List<HeldKeys> heldKeys) {
         if ((loggedRangeCount == 0) != heldKeys.isEmpty()) {
-            Event.KEYS_HELD.log(
+            Event.KEY_HOLDING_CHANGED.log(
                     heldKeys.isEmpty()
                             ? "none"
                             : heldKeys.size() + " ranges from "
@@ -222,19 +222,19 @@
     }
 
     /** Accepts a lease from a control node. */
-    public void leased(String controlNode, KeyLease lease) {
+    public void leaseReceived(String controlNode, KeyLease lease) {
         if (lease.sidecarLife() != incarnation) {
             return;
         }
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         grantor = controlNode;
         lastLeaseMs = nowMs;
-        keyHolder.leased(nowMs, lease);
+        keyHolder.applyLease(nowMs, lease);
         tick();
     }
 
     private void callEndpoint() {
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         keyHolder.grantsDue(nowMs).forEach(this::grant);
         keyHolder.releasesDue(nowMs).forEach(this::release);
     }
@@ -244,22 +244,22 @@
             @Override
             public void granted(double writtenAtMs, double holdMs) {
                 consecutiveGrantFailures = 0;
-                keyHolder.granted(writtenAtMs, holdMs, call);
+                keyHolder.grantAccepted(writtenAtMs, holdMs, call);
                 tick();
             }
 
             @Override
             public void refused() {
-                Event.GRANT_REFUSED.log(call.range() + " fence " + call.fence());
-                keyHolder.refused(call);
+                Event.GRANT_REJECTED.log(call.range() + " fence " + call.fence());
+                keyHolder.grantRefused(call);
                 tick();
             }
 
             @Override
             public void failed() {
                 consecutiveGrantFailures++;
-                lastGrantFailureMs = timers.now();
-                keyHolder.notGranted(call);
+                lastGrantFailureMs = timers.nowMs();
+                keyHolder.grantFailed(call);
             }
         });
     }
@@ -268,21 +268,21 @@
         endpointKeys.release(call, new EndpointKeys.ReleaseListener() {
             @Override
             public void released(String handoff) {
-                loadMeter.forget(call.range());
+                loadMeter.reset(call.range());
                 keyHolder.released(call, handoff);
                 tick();
             }
 
             @Override
             public void failed() {
-                timers.after(RELEASE_RETRY_MS, () -> keyHolder.notReleased(timers.now(), call));
+                timers.schedule(RELEASE_RETRY_MS, () -> keyHolder.releaseFailed(timers.nowMs(), call));
             }
         });
     }
 
     /** Whether a request with this key may go to the endpoint now; if so, it counts towards the load of the key. */
     public boolean admit(int key) {
-        double nowMs = timers.now();
+        double nowMs = timers.nowMs();
         if (!keyHolder.serves(nowMs, key)) {
             return false;
         }
--- a/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
+++ b/src/main/java/whinlead/mesh/sidecar/RequestForwarder.java
@@ -40,7 +40,7 @@
     }
 
     /** A request that was sent. */
-    public interface Sent extends Transport.Sending {
+    public interface SentRequest extends Transport.AttemptHandle {
         /**
          * Cancels the request because its client has disconnected. If it is not written yet it never will be; otherwise
          * the other sidecar is notified, and stops the request at its endpoint if it is repeatable.
@@ -99,7 +99,7 @@
     }
 
     /** A request that was passed to a path and has not ended. */
-    static final class PendingForward implements Sent {
+    static final class PendingForward implements SentRequest {
         private final Consumer<PeerMessage> resultListener;
         private final boolean repeatable;
         private final BooleanSupplier otherEndpointAllowed;
@@ -131,7 +131,7 @@
         }
 
         @Override
-        public boolean giveUp() {
+        public boolean abort() {
             ended = true;
             if (!written) {
                 removal.run();
@@ -141,7 +141,7 @@
 
         @Override
         public void cancel() {
-            if (!ended && giveUp()) {
+            if (!ended && abort()) {
                 removal.run();
                 cancelNotification.run();
             }
@@ -162,7 +162,7 @@
         }
 
         @Override
-        public void changed(ReconnectingConnection.State newState, ReconnectingConnection.State previousState) {
+        public void stateChanged(ReconnectingConnection.State newState, ReconnectingConnection.State previousState) {
             if (newState == ReconnectingConnection.State.UP) {
                 List<WaitingRequest> requests = new ArrayList<>(waiting.values());
                 waiting.clear();
@@ -202,10 +202,11 @@
                 pending.remove(stream);
                 return;
             }
-            double remainingMs = waitingRequest.deadlineMs - timers.now();
+            double remainingMs = waitingRequest.deadlineMs - timers.nowMs();
             pendingForward.written = remainingMs >= 1;
             if (!pendingForward.written
-                    || !path.send(withStream(stream, waitingRequest.request, (int) Math.round(remainingMs), stamp()))) {
+                    || !path.send(withStream(
+                            stream, waitingRequest.request, (int) Math.round(remainingMs), timestampMicros()))) {
                 pendingForward.written = false;
                 pending.remove(stream);
                 pendingForward.end(new PeerMessage.ForwardFailure(stream, PeerMessage.FailureReason.UNREACHED, 0, 0));
@@ -218,12 +219,12 @@
         }
 
         @Override
-        public long stamp() {
-            return (long) (timers.now() * MICROS_PER_MILLI);
+        public long timestampMicros() {
+            return (long) (timers.nowMs() * MICROS_PER_MILLI);
         }
 
         @Override
-        public void message(PeerMessage message) {
+        public void messageReceived(PeerMessage message) {
             long stream = message instanceof PeerMessage.ForwardResponse response
                     ? response.stream()
                     : message instanceof PeerMessage.ForwardFailure failure ? failure.stream() : -1;
@@ -270,7 +271,7 @@
     }
 
     /** Sends a request that may go to another endpoint whenever it is repeatable. */
-    public Sent send(
+    public SentRequest send(
             String node, PeerMessage.ForwardRequest draft, boolean repeatable, Consumer<PeerMessage> resultListener) {
         return send(node, draft, repeatable, () -> true, resultListener);
     }
@@ -284,7 +285,7 @@
      *     path; evaluated when the path becomes silent
      * @param resultListener gets the result once, unless the request is given up before
      */
-    public Sent send(
+    public SentRequest send(
             String node,
             PeerMessage.ForwardRequest draft,
             boolean repeatable,
@@ -308,7 +309,7 @@
         };
         pendingForward.cancelNotification = () -> route.path.send(cancel);
         WaitingRequest waitingRequest = new WaitingRequest(
-                withStream(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), timers.now() + draft.leftMs());
+                withStream(stream, draft, draft.leftMs(), PeerMessage.UNSTAMPED), timers.nowMs() + draft.leftMs());
         if (route.path.state() == ReconnectingConnection.State.UP) {
             route.write(waitingRequest);
         } else if (route.path.state() == ReconnectingConnection.State.SUSPECT) {
@@ -341,7 +342,7 @@
         if (message instanceof PeerMessage.ForwardResponse response) {
             return response.status() >= 500 ? Contract.Outcome.ERROR : Contract.Outcome.SERVED;
         }
-        return switch (((PeerMessage.ForwardFailure) message).why()) {
+        return switch (((PeerMessage.ForwardFailure) message).reason()) {
             case FULL, TURNED_AWAY -> Contract.Outcome.FULL;
             case MOVED, UNREACHED -> Contract.Outcome.CONNECT_FAILED;
             // Says nothing about the endpoint except that it does not own the key.
--- a/src/main/java/whinlead/mesh/sidecar/Sidecar.java
+++ b/src/main/java/whinlead/mesh/sidecar/Sidecar.java
@@ -135,14 +135,14 @@
     // The periods of all balancers are aligned, so that the process wakes up once for all of them.
     private Timers createPeriodTimers() {
         double periodMs = RequestClasses.periodMs();
-        return new AlignedTimers(timers, periodMs, timers.now() + nanosUntilNext((long) periodMs) / NANOS_PER_MILLI);
+        return new AlignedTimers(timers, periodMs, timers.nowMs() + nanosUntilNext((long) periodMs) / NANOS_PER_MILLI);
     }
 
     private KeyClient keys() {
         EndpointGrants grants = new EndpointGrants(
                 loop, timers, EndpointList.address(settings.self().appAddr()));
         Double holdCapS = settings.clauses().bounds().holdCapS();
-        double maxHoldMs = holdCapS == null ? KeyTerms.HOLD_MS : holdCapS * MILLIS_PER_SECOND;
+        double maxHoldMs = holdCapS == null ? KeyTerms.MAX_HOLD_MS : holdCapS * MILLIS_PER_SECOND;
         return new KeyClient(
                 timers,
                 gate,
@@ -201,16 +201,16 @@
 
     // Nanoseconds until the next tick, aligned with all timers of this process.
     private static long nanosUntilNext(long periodMs) {
-        return TimerGrid.untilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(periodMs));
+        return TimerGrid.nanosUntilNext(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(periodMs));
     }
 
     /** Adds control nodes to connect to. */
-    public void seeds(List<String> seeds) {
+    public void addSeeds(List<String> seeds) {
         controlClient.addSeeds(seeds);
     }
 
     /** Shuts the sidecar down; called on a separate thread while the process ends on SIGTERM. */
-    public void leave() {
+    public void shutDown() {
         Shutdown shutdown = new Shutdown(timers, settings.clauses().bounds().graceS(), egress, gate::inFlight);
         loop.execute(() -> {
             Event.LEAVING.log(egress.pendingCount() + " requests pending");
@@ -244,7 +244,7 @@
 
     private void tick() {
         delivery.recordRunning();
-        if (gate.tick(timers.now())) {
+        if (gate.tick(timers.nowMs())) {
             Event.ENDPOINT.log(gate.endpoint() + " is silent");
             endpointChanged();
         }
@@ -285,7 +285,7 @@
         }
         String previousEndpoint = gate.endpoint();
         quota.setLeasesEnabled(!recordPublisher.isDraining());
-        if (gate.heartbeat(timers.now(), heartbeat.endpoint(), heartbeat.status())) {
+        if (gate.heartbeat(timers.nowMs(), heartbeat.endpoint(), heartbeat.status())) {
             Event.ENDPOINT.log(heartbeat.endpoint() + " of " + gate.target() + " " + gate.state());
             if (heartbeat.endpoint().equals(previousEndpoint)) {
                 recordPublisher.publishChange();
@@ -359,7 +359,7 @@
         public void message(PeerConnection connection, PeerMessage message) {
             if (message instanceof PeerMessage.Ping ping) {
                 delivery.recordRunning();
-                connection.transit().waited(timers.now(), ping.sentAt());
+                connection.transitClock().waitedMs(timers.nowMs(), ping.sentAt());
                 connection.send(new PeerMessage.Pong(ping.number(), node, -1));
             } else if (message instanceof PeerMessage.ForwardRequest request) {
                 delivery.deliverForwarded(connection, request);
--- a/src/main/java/whinlead/replication/raft/Member.java
+++ b/src/main/java/whinlead/replication/raft/Member.java
@@ -62,7 +62,7 @@
     private final Set<MemberId> founders;
     private final Timers timers;
     private final MemberTransport transport;
-    private final ReplicatedState book;
+    private final ReplicatedState state;
     private final LogMirror log;
     private final RequestStateMachine stateMachine;
     private final ConsensusNode node;
@@ -105,7 +105,7 @@
         this.founders = MemberId.sorted(founders);
         this.timers = timers;
         this.transport = transport;
-        this.book = state;
+        this.state = state;
         this.log = log;
         forwarded = new ForwardedCommands(random.nextLong());
         stateMachine = new RequestStateMachine(state, clock, timers);
@@ -131,7 +131,7 @@
     public void start(double joinEveryMs) {
         node.start();
         leaderMonitor.start();
-        timers.after(timeoutMs, this::check);
+        timers.schedule(timeoutMs, this::check);
         if (!founders.contains(id)) {
             askToJoin(joinEveryMs);
         }
@@ -156,7 +156,7 @@
             return;
         }
         leaderMonitor.check();
-        timers.after(timeoutMs, this::check);
+        timers.schedule(timeoutMs, this::check);
     }
 
     /**
@@ -164,8 +164,8 @@
      * message of it arrives until then. Otherwise the election would start only after the timeout for a silent leader.
      */
     public void suspect(String name, double afterMs) {
-        double sinceMs = timers.now();
-        timers.after(afterMs, () -> {
+        double sinceMs = timers.nowMs();
+        timers.schedule(afterMs, () -> {
             if (!stopped) {
                 leaderMonitor.suspect(name, sinceMs);
             }
@@ -180,7 +180,7 @@
                     .distinct()
                     .filter(name -> !name.equals(id.name()))
                     .forEach(name -> send(new MemberId(name, 0), new Envelope.Join(id)));
-            timers.after(everyMs, () -> askToJoin(everyMs));
+            timers.schedule(everyMs, () -> askToJoin(everyMs));
         }
     }
 
@@ -191,18 +191,18 @@
     }
 
     /** This member's state, which may be behind that of others. */
-    public ReplicatedState book() {
-        return book;
+    public ReplicatedState state() {
+        return state;
     }
 
     /** The log index up to which this member has applied the commands. */
-    public long known() {
+    public long appliedIndex() {
         return stateMachine.appliedIndex();
     }
 
     /** True if this member is over {@code steps} entries behind the leader's commit index; a few may be in transit. */
-    public boolean lags(int steps) {
-        return !leads() && leaderCommit > known() + steps;
+    public boolean isBehind(int steps) {
+        return !leads() && leaderCommit > appliedIndex() + steps;
     }
 
     /** True while this member believes that it leads. */
--- a/src/main/java/whinlead/replication/raft/RequestStateMachine.java
+++ b/src/main/java/whinlead/replication/raft/RequestStateMachine.java
@@ -47,7 +47,7 @@
         for (Command command : batch.commands()) {
             replies.add(state.apply(batch.stampMs(), command));
         }
-        clock.committed(state.timeMs(), timers.now());
+        clock.committed(state.timeMs(), timers.nowMs());
         appliedIndex = index;
         return replies;
     }
@@ -61,7 +61,7 @@
             int end = Math.min(entries.size(), start + MAX_CHUNK_ENTRIES);
             Map<String, Long> drains = start == 0 ? snapshot.drains() : Map.of();
             chunks.accept(new Member.Chunk(
-                    snapshot.commands(), snapshot.time(), drains, List.copyOf(entries.subList(start, end))));
+                    snapshot.commandCount(), snapshot.time(), drains, List.copyOf(entries.subList(start, end))));
             start = end;
         } while (start < entries.size());
     }
@@ -81,11 +81,11 @@
         }
         state.restore(new ReplicatedState.Snapshot(commandCount, time, entries, drains));
         appliedIndex = index;
-        clock.committed(state.timeMs(), timers.now());
+        clock.committed(state.timeMs(), timers.nowMs());
     }
 
     @Override
     public Object getNewTermOperation() {
-        return new Member.Batch(clock.time(timers.now()), List.of());
+        return new Member.Batch(clock.time(timers.nowMs()), List.of());
     }
 }
--- a/src/main/java/whinlead/testbed/DrivenClock.java
+++ b/src/main/java/whinlead/testbed/DrivenClock.java
@@ -8,22 +8,22 @@
     private final Calendar calendar = new Calendar();
 
     @Override
-    public double now() {
-        return calendar.now();
+    public double nowMs() {
+        return calendar.nowMs();
     }
 
     @Override
     public void at(double time, Runnable task) {
-        calendar.at(time, task);
+        calendar.scheduleAt(time, task);
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
-        return calendar.after(millis, task);
+    public TimerHandle schedule(double millis, Runnable task) {
+        return calendar.schedule(millis, task);
     }
 
     /** Runs all that falls due until this time, which then is now. */
     public void runTo(double end) {
-        calendar.runTo(end);
+        calendar.runUntil(end);
     }
 }
--- a/src/main/java/whinlead/testbed/replication/SimCluster.java
+++ b/src/main/java/whinlead/testbed/replication/SimCluster.java
@@ -156,12 +156,12 @@
 
     // As messages go between processes: by the frames of their service.
     private void send(String group, SimMachine from, SimMachine to, GroupMessage message) {
-        Wire.Frame frame = Frames.of(group, message);
+        Wire.Frame frame = Frames.encode(group, message);
         network.send(from.name(), to.name(), () -> {
             if (to.alive()) {
                 to.process()
-                        .run(() -> to.host()
-                                .received(group, Frames.message(frame), reply -> send(group, to, from, reply)));
+                        .run(() ->
+                                to.host().receive(group, Frames.decode(frame), reply -> send(group, to, from, reply)));
             }
         });
     }
@@ -171,13 +171,14 @@
         drainingEndpoint = random.nextInt(ENDPOINTS);
         machines.stream()
                 .filter(SimMachine::alive)
-                .forEach(machine -> calendar.after(random.nextInt(withinMs), () -> machine.list(endpoints())));
+                .forEach(machine -> calendar.schedule(random.nextInt(withinMs), () -> machine.list(endpoints())));
     }
 
     private EndpointList endpoints() {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            Contract.Standing standing = i == drainingEndpoint ? Contract.Standing.DRAINING : Contract.Standing.UP;
+            Contract.ServerState standing =
+                    i == drainingEndpoint ? Contract.ServerState.DRAINING : Contract.ServerState.UP;
             entries.add(new EndpointList.Entry(
                     new Contract.Server("e" + i, standing, 1, "a", -1, 0),
                     new InetSocketAddress("127.0.0.1", FIRST_ENDPOINT_PORT + i)));
--- a/src/main/java/whinlead/testbed/replication/SimMachine.java
+++ b/src/main/java/whinlead/testbed/replication/SimMachine.java
@@ -31,7 +31,8 @@
 final class SimMachine {
     private static final ReplicatedState.Limits LIMITS = new ReplicatedState.Limits(5000, 2000, 100, 60_000);
     private static final Bounds BOUNDS = new Bounds(2000, 1000, 10_000, 60_000, 100);
-    private static final ReplicationClient.Waits WAITS = new ReplicationClient.Waits(60, 25, 200, 1000, 1000, 5000);
+    private static final ReplicationClient.Timeouts WAITS =
+            new ReplicationClient.Timeouts(60, 25, 200, 1000, 1000, 5000);
     private static final RaftConfig CONFIG = RaftConfig.newBuilder()
             .setLeaderElectionTimeoutMillis(300)
             .setLeaderHeartbeatPeriodSecs(1)
@@ -123,7 +124,7 @@
                 setup,
                 process,
                 new Random(dice.nextLong()),
-                new GroupHost.Outside() {
+                new GroupHost.Environment() {
                     @Override
                     public void send(String group, String to, GroupMessage message) {
                         post.send(group, to, message);
@@ -137,31 +138,31 @@
                     }
 
                     @Override
-                    public LogMirror found(String group) {
+                    public LogMirror loadLog(String group) {
                         return disk(group);
                     }
 
                     @Override
-                    public LogMirror wiped(String group) {
+                    public LogMirror wipeLog(String group) {
                         truth.seen("begun anew");
                         disks.remove(group);
                         return disk(group);
                     }
 
                     @Override
-                    public void retired(String group) {
+                    public void seatRetired(String group) {
                         disks.remove(group);
                     }
 
                     @Override
-                    public void note(String line) {
+                    public void report(String line) {
                         truth.seen(line.replaceFirst("^copies: \\S+ ", "")
                                 .replaceAll("of g\\d+ ", "")
                                 .replaceAll("m\\d+", "another"));
                     }
 
                     @Override
-                    public void taken() {
+                    public void nameTaken() {
                         truth.broken("told that it is another");
                         mine.kill();
                     }
@@ -172,7 +173,7 @@
                 bug == Bug.BLIND_TO_STANDING_STILL ? process.blind() : process,
                 WAITS,
                 host,
-                (id, ending) -> truth.promised(id, ending, world.now()),
+                (id, ending) -> truth.promised(id, ending, world.nowMs()),
                 (id, step, detail) -> {});
         long seed = dice.nextLong();
         Engine[] made = new Engine[1];
@@ -200,7 +201,7 @@
     }
 
     void list(EndpointList list) {
-        process.run(() -> engine.list(Contract.ListKind.FULL, list));
+        process.run(() -> engine.listReceived(Contract.ListKind.FULL, list));
     }
 
     void kill() {
@@ -221,25 +222,25 @@
         }
 
         @Override
-        public Kept open(String id, String caller, boolean keyed, boolean repeat, double endBy) {
+        public SharedRequest open(String id, String caller, boolean keyed, boolean repeat, double endBy) {
             reached.accept(Point.TAKEN);
-            Kept inner = desk.open(id, caller, keyed, repeat, endBy);
-            return new Kept() {
+            SharedRequest inner = desk.open(id, caller, keyed, repeat, endBy);
+            return new SharedRequest() {
                 private boolean told;
 
                 @Override
-                public void allow(String endpoint, double valid, Consumer<Verdict> verdict) {
-                    double asked = world.now();
+                public void requestAttempt(String endpoint, double valid, Consumer<Verdict> verdict) {
+                    double asked = world.nowMs();
                     told = false;
                     if (bug == Bug.ANSWER_BEFORE_COPY) {
-                        process.after(0, () -> {
+                        process.schedule(0, () -> {
                             told = true;
                             verdict.accept(new Verdict.Granted(0));
                         });
                     }
-                    inner.allow(endpoint, valid, v -> {
+                    inner.requestAttempt(endpoint, valid, v -> {
                         truth.seen(v.getClass().getSimpleName());
-                        if (v instanceof Verdict.Granted && world.now() - asked > valid) {
+                        if (v instanceof Verdict.Granted && world.nowMs() - asked > valid) {
                             truth.broken("told too late");
                         }
                         reached.accept(Point.COPIED);
@@ -275,13 +276,13 @@
         }
 
         @Override
-        public void report(String id, int attempt, How how, Consumer<Directive> answer) {
+        public void report(String id, int attempt, RunResult how, Consumer<Directive> answer) {
             desk.report(id, attempt, how, answer);
         }
 
         @Override
-        public void drains(String endpoint) {
-            desk.drains(endpoint);
+        public void endpointDraining(String endpoint) {
+            desk.endpointDraining(endpoint);
         }
     }
 }
--- a/src/main/java/whinlead/testbed/replication/SimProcess.java
+++ b/src/main/java/whinlead/testbed/replication/SimProcess.java
@@ -24,37 +24,37 @@
     }
 
     @Override
-    public double now() {
-        return BEGAN_MS + world.now() + skew;
+    public double nowMs() {
+        return BEGAN_MS + world.nowMs() + skew;
     }
 
     @Override
-    public Timer after(double millis, Runnable task) {
-        Calendar.Due[] due = new Calendar.Due[1];
-        due[0] = world.after(Math.max(0, millis), () -> run(task, due));
+    public TimerHandle schedule(double millis, Runnable task) {
+        Calendar.Event[] due = new Calendar.Event[1];
+        due[0] = world.schedule(Math.max(0, millis), () -> run(task, due));
         return () -> due[0].cancel();
     }
 
     /** Runs this as soon as the process can; never if it is dead by then. */
     void run(Runnable task) {
-        run(task, new Calendar.Due[1]);
+        run(task, new Calendar.Event[1]);
     }
 
     // A timer that is put off while the process stands still can still be called off.
-    private void run(Runnable task, Calendar.Due[] due) {
+    private void run(Runnable task, Calendar.Event[] due) {
         if (!alive) {
             return;
         }
-        if (world.now() < frozenUntil) {
-            due[0] = world.at(frozenUntil, () -> run(task, due));
+        if (world.nowMs() < frozenUntil) {
+            due[0] = world.scheduleAt(frozenUntil, () -> run(task, due));
         } else {
             task.run();
         }
     }
 
     void freeze(double millis) {
-        double until = Math.max(frozenUntil, world.now() + millis);
-        stood += until - Math.max(frozenUntil, world.now());
+        double until = Math.max(frozenUntil, world.nowMs() + millis);
+        stood += until - Math.max(frozenUntil, world.nowMs());
         frozenUntil = until;
         lastFrozen = frozenUntil;
     }
@@ -65,7 +65,7 @@
     }
 
     boolean frozen() {
-        return world.now() < frozenUntil;
+        return world.nowMs() < frozenUntil;
     }
 
     void kill() {
@@ -80,17 +80,17 @@
     Timers blind() {
         return new Timers() {
             @Override
-            public double now() {
-                return SimProcess.this.now() - stood;
+            public double nowMs() {
+                return SimProcess.this.nowMs() - stood;
             }
 
             @Override
-            public Timer after(double millis, Runnable task) {
-                double due = now() + millis;
-                return SimProcess.this.after(millis, () -> {
-                    if (now() < due) {
+            public TimerHandle schedule(double millis, Runnable task) {
+                double due = nowMs() + millis;
+                return SimProcess.this.schedule(millis, () -> {
+                    if (nowMs() < due) {
                         // It went on while the process stood still.
-                        after(due - now(), task);
+                        schedule(due - nowMs(), task);
                     } else {
                         task.run();
                     }
--- a/src/test/java/whinlead/admit/BudgetTest.java
+++ b/src/test/java/whinlead/admit/BudgetTest.java
@@ -14,7 +14,7 @@
 import whinlead.admit.Budget.Purpose;
 import whinlead.admit.Budget.Share;
 
-/** Descriptors by purpose, and how they move. */
+/** Descriptors by purpose, and their transfer between purposes. */
 class BudgetTest {
     private static final Share HALF = new Share(160, 80);
 
@@ -22,101 +22,101 @@
 
     private void refuse(Purpose purpose, int ticks) {
         for (int i = 0; i < ticks; i++) {
-            budget.refused(purpose);
+            budget.recordRefusal(purpose);
             budget.tick();
         }
     }
 
     @Test
-    void oneRefusalMovesNothing() {
+    void singleRefusalMovesNothing() {
         refuse(CLIENTS, 1);
         budget.tick();
         refuse(CLIENTS, 1);
-        assertEquals(160, budget.may(CLIENTS));
+        assertEquals(160, budget.limit(CLIENTS));
     }
 
     @Test
-    void whatAnotherDoesNotUseGoesToTheOneThatIsRefused() {
-        budget.used(ENDPOINTS, 40);
+    void unusedDescriptorsGoToTheRefusedPurpose() {
+        budget.setUsed(ENDPOINTS, 40);
         refuse(CLIENTS, 100);
-        // The lender keeps half, and what it uses with a margin.
-        assertEquals(240, budget.may(CLIENTS));
-        assertEquals(80, budget.may(ENDPOINTS));
+        // The lender keeps its minimum of half, and its use plus a margin.
+        assertEquals(240, budget.limit(CLIENTS));
+        assertEquals(80, budget.limit(ENDPOINTS));
     }
 
     @Test
-    void oneThatUsesItsShareLendsNothing() {
-        budget.used(ENDPOINTS, 150);
+    void purposeThatUsesItsShareLendsNothing() {
+        budget.setUsed(ENDPOINTS, 150);
         refuse(CLIENTS, 100);
-        assertEquals(160, budget.may(CLIENTS));
+        assertEquals(160, budget.limit(CLIENTS));
     }
 
     @Test
-    void theLenderHasItBackAtOnceAsFarAsItIsFree() {
+    void lenderRegainsFreeDescriptorsAtOnce() {
         refuse(CLIENTS, 100);
-        budget.used(CLIENTS, 230);
+        budget.setUsed(CLIENTS, 230);
         refuse(ENDPOINTS, 1);
-        assertEquals(160, budget.may(CLIENTS));
-        assertEquals(90, budget.may(ENDPOINTS), "70 are still held by clients");
-        budget.used(CLIENTS, 160);
-        assertEquals(160, budget.may(ENDPOINTS));
+        assertEquals(160, budget.limit(CLIENTS));
+        assertEquals(90, budget.limit(ENDPOINTS), "70 are still in use by clients");
+        budget.setUsed(CLIENTS, 160);
+        assertEquals(160, budget.limit(ENDPOINTS));
     }
 
     @Test
-    void aCalmTimeGivesItBackByAndBy() {
+    void borrowedDescriptorsReturnGraduallyWithoutRefusals() {
         refuse(CLIENTS, 100);
-        int lent = budget.may(CLIENTS);
+        int lent = budget.limit(CLIENTS);
         for (int i = 0; i < 149; i++) {
             budget.tick();
         }
-        assertEquals(lent, budget.may(CLIENTS));
+        assertEquals(lent, budget.limit(CLIENTS));
         for (int i = 0; i < 151 * 10; i++) {
             budget.tick();
         }
-        assertEquals(160, budget.may(CLIENTS));
-        assertEquals(160, budget.may(ENDPOINTS));
+        assertEquals(160, budget.limit(CLIENTS));
+        assertEquals(160, budget.limit(ENDPOINTS));
     }
 
     @Test
-    void aFixedOneNeverMoves() {
+    void fixedBudgetNeverChanges() {
         Budget fixed = Budget.fixed(CLIENTS, 7);
         for (int i = 0; i < 50; i++) {
-            fixed.refused(CLIENTS);
+            fixed.recordRefusal(CLIENTS);
             fixed.tick();
         }
-        assertEquals(7, fixed.may(CLIENTS));
+        assertEquals(7, fixed.limit(CLIENTS));
     }
 
-    // Whatever comes, no more is ever open than the first shares together.
+    // The descriptors in use never exceed the sum of the initial shares.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void randomEventsNeverExceedTheWhole(long seed) {
-        Random dice = new Random(seed);
+    void randomEventsNeverExceedTheTotal(long seed) {
+        Random random = new Random(seed);
         Map<Purpose, Integer> used = new EnumMap<>(Map.of(CLIENTS, 0, ENDPOINTS, 0));
         Map<Purpose, Integer> highest = new EnumMap<>(Map.of(CLIENTS, 0, ENDPOINTS, 0));
-        double bias = dice.nextDouble();
+        double bias = random.nextDouble();
         for (int i = 0; i < 100_000; i++) {
-            if (dice.nextInt(2000) == 0) {
-                bias = dice.nextDouble();
+            if (random.nextInt(2000) == 0) {
+                bias = random.nextDouble();
             }
-            Purpose p = dice.nextDouble() < bias ? CLIENTS : ENDPOINTS;
-            if (dice.nextInt(5) < 3) {
-                if (used.get(p) < budget.may(p)) {
-                    used.merge(p, 1, Integer::sum);
+            Purpose purpose = random.nextDouble() < bias ? CLIENTS : ENDPOINTS;
+            if (random.nextInt(5) < 3) {
+                if (used.get(purpose) < budget.limit(purpose)) {
+                    used.merge(purpose, 1, Integer::sum);
                 } else {
-                    budget.refused(p);
+                    budget.recordRefusal(purpose);
                 }
-            } else if (used.get(p) > 0) {
-                used.merge(p, -1, Integer::sum);
+            } else if (used.get(purpose) > 0) {
+                used.merge(purpose, -1, Integer::sum);
             }
-            budget.used(p, used.get(p));
-            if (dice.nextInt(20) == 0) {
+            budget.setUsed(purpose, used.get(purpose));
+            if (random.nextInt(20) == 0) {
                 budget.tick();
             }
-            highest.merge(p, used.get(p), Math::max);
+            highest.merge(purpose, used.get(purpose), Math::max);
             assertTrue(used.get(CLIENTS) + used.get(ENDPOINTS) <= 320, used::toString);
-            assertTrue(budget.may(CLIENTS) >= 1 && budget.may(ENDPOINTS) >= 1);
+            assertTrue(budget.limit(CLIENTS) >= 1 && budget.limit(ENDPOINTS) >= 1);
         }
-        assertTrue(highest.values().stream().anyMatch(h -> h > 160), "it moved: " + highest);
+        assertTrue(highest.values().stream().anyMatch(h -> h > 160), "no descriptors were moved: " + highest);
     }
 }
--- a/src/test/java/whinlead/decide/EmbeddingExampleTest.java
+++ b/src/test/java/whinlead/decide/EmbeddingExampleTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 import whinlead.Contract;
 
-/** The README's example of a sidecar that embeds the module; it compiles and runs here. */
+/** The README's example of a sidecar that embeds the module, compiled and run. */
 class EmbeddingExampleTest {
-    /** A sidecar's side: it carries out what the module decides. */
+    /** The sidecar's part: carries out the module's decisions. */
     static final class Sidecar implements Contract.Actions {
         final List<String> did = new ArrayList<>();
 
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public void tellPeers(byte[] text) {
+        public void sendToPeers(byte[] text) {
             did.add("tell");
         }
 
@@ -80,7 +80,7 @@
         module.servers(
                 0,
                 Contract.ListKind.FULL,
-                List.of(new Contract.Server("db-1:443", Contract.Standing.UP, 1, "hall", 0, 0)));
+                List.of(new Contract.Server("db-1:443", Contract.ServerState.UP, 1, "hall", 0, 0)));
         Contract.Request request = new Contract.Request(1, 0, -1, 1000, false);
         module.request(5, request);
         module.outcome(25, request, 0, Contract.Outcome.SERVED, 20, true, null);
--- a/src/test/java/whinlead/decide/NoActions.java
+++ b/src/test/java/whinlead/decide/NoActions.java
@@ -2,10 +2,10 @@
 
 import whinlead.Contract;
 
-/** Carries nothing out; tests override what they look at. */
+/** Actions that do nothing; tests override those that they observe. */
 public abstract class NoActions implements Contract.Actions {
     @Override
-    public void send(Contract.Request request, String server, double within) {}
+    public void send(Contract.Request request, String server, double timeoutMs) {}
 
     @Override
     public void cancel(Contract.Request request, int attempt) {}
@@ -23,7 +23,7 @@
     public void watchServers() {}
 
     @Override
-    public void tellPeers(byte[] text) {}
+    public void sendToPeers(byte[] text) {}
 
     @Override
     public void log(String line) {}
--- a/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/EndpointConnectionsTest.java
@@ -54,11 +54,11 @@
         return promise;
     }
 
-    private EndpointConnections.Sent send(String id) {
+    private EndpointConnections.SentRequest send(String id) {
         return send(id, "POST");
     }
 
-    private EndpointConnections.Sent send(String id, String method) {
+    private EndpointConnections.SentRequest send(String id, String method) {
         PeerMessage.ForwardRequest request = new PeerMessage.ForwardRequest(
                 1, method, "/x", List.of("Host", "h", "Attempt-Id", id), new byte[0], TIMEOUT_MS, "svc", "i-1", 0);
         return endpointConnections.send(
@@ -67,7 +67,7 @@
                 message -> results.add(id + " "
                         + (message instanceof PeerMessage.ForwardResponse response
                                 ? response.status() + " " + new String(response.body(), StandardCharsets.US_ASCII)
-                                : ((PeerMessage.ForwardFailure) message).why())));
+                                : ((PeerMessage.ForwardFailure) message).reason())));
     }
 
     private void receive(int connection, String text) {
@@ -158,7 +158,7 @@
                 new PeerMessage.ForwardRequest(
                         2, "NO METHOD", "/x", List.of("Attempt-Id", "b"), new byte[0], TIMEOUT_MS, "svc", "i-1", 0),
                 "i-1",
-                message -> results.add("b " + ((PeerMessage.ForwardFailure) message).why()));
+                message -> results.add("b " + ((PeerMessage.ForwardFailure) message).reason()));
         assertEquals(results, List.of("b UNREACHED"));
         send("c");
         receive(1, successResponse("c"));
@@ -231,7 +231,7 @@
         receive(0, bytes);
         assertEquals(results, List.of(expected), name);
         connections.get(0).close();
-        calendar.runTo(calendar.now() + 2 * TIMEOUT_MS);
+        calendar.runUntil(calendar.nowMs() + 2 * TIMEOUT_MS);
         assertEquals(results, List.of(expected), name + ", reported once");
         connections.get(0).checkException();
         assertEquals(sentRequestCount(), 1);
@@ -288,9 +288,9 @@
     public void timedOutRequestIsReportedAsLateAndItsResponseIgnored() {
         send("a");
         receive(0, successResponse("a").substring(0, 20));
-        calendar.runTo(TIMEOUT_MS);
+        calendar.runUntil(TIMEOUT_MS);
         assertEquals(results, List.of());
-        calendar.runTo(TIMEOUT_MS + 100);
+        calendar.runUntil(TIMEOUT_MS + 100);
         assertEquals(results, List.of("a LATE"));
         assertFalse(connections.get(0).isActive());
         send("b");
@@ -313,23 +313,23 @@
         connectsAtOnce = false;
         send("a");
         send("b");
-        calendar.runTo(400);
+        calendar.runUntil(400);
         connectPromises.get(0).setSuccess();
         String sent = sentText(0);
         assertTrue(sent.contains("Deadline-Ms: 585"), sent);
-        calendar.runTo(TIMEOUT_MS);
+        calendar.runUntil(TIMEOUT_MS);
         connectPromises.get(1).setSuccess();
         assertEquals(results, List.of("b UNREACHED"), "its deadline has passed, so it is not sent");
         assertEquals(sentText(1), "");
         send("c");
         assertEquals(connections.size(), 2, "the connection is reused");
-        calendar.runTo(TIMEOUT_MS + 20);
+        calendar.runUntil(TIMEOUT_MS + 20);
         assertEquals(results, List.of("b UNREACHED", "a LATE"));
     }
 
     @Test
     public void cancelWhileRunningClosesTheConnection() {
-        EndpointConnections.Sent sentRequest = send("a");
+        EndpointConnections.SentRequest sentRequest = send("a");
         sentRequest.cancel(true);
         assertFalse(connections.get(0).isActive());
         assertEquals(results, List.of("a BROKEN"));
@@ -339,7 +339,7 @@
 
     @Test
     public void cancelWithoutWhileRunningLetsTheRequestFinish() {
-        EndpointConnections.Sent sentRequest = send("a");
+        EndpointConnections.SentRequest sentRequest = send("a");
         sentRequest.cancel(false);
         receive(0, successResponse("a"));
         assertEquals(results, List.of("a 200 of a"));
@@ -350,7 +350,7 @@
         for (boolean whileRunning : new boolean[] {true, false}) {
             start();
             connectsAtOnce = false;
-            EndpointConnections.Sent sentRequest = send("a");
+            EndpointConnections.SentRequest sentRequest = send("a");
             sentRequest.cancel(whileRunning);
             connectPromises.get(0).setSuccess();
             assertEquals(results, List.of("a UNREACHED"));
@@ -363,7 +363,7 @@
 
     @Test
     public void cancelAfterTheResponseDoesNotAffectTheNextRequest() {
-        EndpointConnections.Sent sentRequest = send("a");
+        EndpointConnections.SentRequest sentRequest = send("a");
         receive(0, successResponse("a"));
         sentRequest.cancel(true);
         send("b");
@@ -387,7 +387,7 @@
         send("a", "HEAD");
         receive(0, successResponse("z"));
         receive(0, "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 4\r\n\r\n");
-        calendar.runTo(TIMEOUT_MS + 100);
+        calendar.runUntil(TIMEOUT_MS + 100);
         assertEquals(results.size(), 1);
         assertTrue(results.get(0).startsWith("a "), results.toString());
         send("b");
--- a/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/RequestForwarderTest.java
@@ -73,17 +73,17 @@
         }
     }
 
-    private Transport.Sending send(String id, boolean repeatable) {
+    private Transport.AttemptHandle send(String id, boolean repeatable) {
         PeerMessage.ForwardRequest draft = new PeerMessage.ForwardRequest(
                 0, "POST", "/x", List.of("Attempt-Id", id), new byte[0], TIMEOUT_MS, "svc", "i-1", 0);
-        Transport.Sending sending = forwarder.send(
+        Transport.AttemptHandle sending = forwarder.send(
                 "there",
                 draft,
                 repeatable,
                 message -> results.add(id + " "
                         + (message instanceof PeerMessage.ForwardResponse response
                                 ? response.status()
-                                : ((PeerMessage.ForwardFailure) message).why())));
+                                : ((PeerMessage.ForwardFailure) message).reason())));
         soon();
         return sending;
     }
@@ -92,7 +92,7 @@
         if (paths.isEmpty()) {
             send("first", true);
             paths.get(0).changeState(ReconnectingConnection.State.UP);
-            paths.get(0).listener.message(answer(paths.get(0).sent.remove(0)));
+            paths.get(0).listener.messageReceived(answer(paths.get(0).sent.remove(0)));
             results.clear();
         } else {
             paths.get(0).changeState(ReconnectingConnection.State.UP);
@@ -111,9 +111,9 @@
     @Test
     public void waitingForThePathCountsAgainstTheDeadline() {
         send("a", false);
-        calendar.runTo(400);
+        calendar.runUntil(400);
         send("b", false);
-        calendar.runTo(TIMEOUT_MS);
+        calendar.runUntil(TIMEOUT_MS);
         paths.get(0).changeState(ReconnectingConnection.State.UP);
         assertEquals(results, List.of("a UNREACHED"), "its deadline has passed, so it is not sent");
         assertEquals(paths.get(0).sent.size(), 1);
@@ -123,8 +123,8 @@
 
     @Test
     public void requestGivenUpWhileWaitingIsNotSent() {
-        Transport.Sending a = send("a", false);
-        assertFalse(a.giveUp(), "it was not written");
+        Transport.AttemptHandle a = send("a", false);
+        assertFalse(a.abort(), "it was not written");
         paths.get(0).changeState(ReconnectingConnection.State.UP);
         assertEquals(paths.get(0).sent.size(), 0);
         assertEquals(results, List.of());
@@ -133,13 +133,13 @@
     @Test
     public void requestGivenUpAfterWritingMayRunAndItsLateAnswerIsIgnored() {
         RecordingPath path = openPath();
-        Transport.Sending a = send("a", false);
-        assertTrue(a.giveUp(), "it was written and may run");
+        Transport.AttemptHandle a = send("a", false);
+        assertTrue(a.abort(), "it was written and may run");
         send("b", false);
-        path.listener.message(answer(path.sent.get(0)));
+        path.listener.messageReceived(answer(path.sent.get(0)));
         assertEquals(results, List.of());
-        path.listener.message(answer(path.sent.get(1)));
-        path.listener.message(answer(path.sent.get(1)));
+        path.listener.messageReceived(answer(path.sent.get(1)));
+        path.listener.messageReceived(answer(path.sent.get(1)));
         assertEquals(results, List.of("b 200"));
     }
 
@@ -155,10 +155,10 @@
         assertEquals(path.sent.size(), 2);
         send("c", false);
         // Earlier stream numbers are not reused, so late responses to them are ignored.
-        path.listener.message(answer(path.sent.get(0)));
-        path.listener.message(answer(path.sent.get(1)));
+        path.listener.messageReceived(answer(path.sent.get(0)));
+        path.listener.messageReceived(answer(path.sent.get(1)));
         assertEquals(results, List.of("a BROKEN", "b BROKEN"));
-        path.listener.message(answer(path.sent.get(2)));
+        path.listener.messageReceived(answer(path.sent.get(2)));
         assertEquals(results.get(2), "c 200");
     }
 
@@ -172,8 +172,8 @@
         send("c", false);
         assertEquals(results, List.of("b BROKEN", "c UNREACHED"));
         path.changeState(ReconnectingConnection.State.UP);
-        path.listener.message(answer(path.sent.get(1)));
-        path.listener.message(answer(path.sent.get(0)));
+        path.listener.messageReceived(answer(path.sent.get(1)));
+        path.listener.messageReceived(answer(path.sent.get(0)));
         assertEquals(results, List.of("b BROKEN", "c UNREACHED", "a 200"));
         assertEquals(path.sent.size(), 2);
     }
--- a/src/test/java/whinlead/mesh/sidecar/ServiceBalancerSettingsTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerSettingsTest.java
@@ -19,8 +19,8 @@
     private static final int SIDECAR_COUNT = 4;
     private static final double RESPONSE_TIME_MS = 20;
     private final RequestClasses classes = new RequestClasses();
-    private final int highWorthClass = classes.of(true, 0, 400);
-    private final int lowWorthClass = classes.of(true, 2, 400);
+    private final int highWorthClass = classes.indexOf(true, 0, 400);
+    private final int lowWorthClass = classes.indexOf(true, 2, 400);
 
     private Decide module;
     private Map<String, Contract.Outcome> outcomesByServer;
@@ -97,7 +97,7 @@
         module.start(nowMs);
         List<Contract.Server> servers = new ArrayList<>();
         for (String id : List.of("a", "b", "c")) {
-            servers.add(new Contract.Server(id, Contract.Standing.UP, 1, "z", -1, 0));
+            servers.add(new Contract.Server(id, Contract.ServerState.UP, 1, "z", -1, 0));
         }
         module.servers(nowMs, Contract.ListKind.FULL, servers);
     }
--- a/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
+++ b/src/test/java/whinlead/mesh/sidecar/ServiceBalancerTest.java
@@ -21,13 +21,13 @@
         private int firedTimers;
 
         @Override
-        public double now() {
-            return calendar.now();
+        public double nowMs() {
+            return calendar.nowMs();
         }
 
         @Override
-        public Timer after(double delayMs, Runnable task) {
-            return calendar.after(delayMs, () -> {
+        public TimerHandle schedule(double delayMs, Runnable task) {
+            return calendar.schedule(delayMs, () -> {
                 firedTimers++;
                 task.run();
             });
@@ -79,7 +79,7 @@
             balancer.update(List.of(new EndpointRecord(
                     "node", 1, 1, "z", "endpoint", "service-" + i, EndpointRecord.Phase.SERVING, 6, 0)));
         }
-        timers.calendar.runTo(DURATION_MS);
+        timers.calendar.runUntil(DURATION_MS);
         double periods = services * DURATION_MS / RequestClasses.periodMs();
         assertTrue(
                 timers.firedTimers <= services * (DURATION_MS / TicklessModule.SLEEP_MS + 1),
--- a/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
+++ b/src/test/java/whinlead/mesh/wire/OtherVersionTest.java
@@ -170,7 +170,7 @@
         byte[] forwardFailure = encode(
                 FORWARD_FAILURE, p -> p.packLong(3).packInt(77).packDouble(0).packDouble(0));
         PeerMessage.ForwardFailure read = (PeerMessage.ForwardFailure) PeerMessageCodec.read(forwardFailure);
-        assertFalse(read.why().neverRan, "a request may have run if the reason is unknown");
+        assertFalse(read.reason().neverRan, "a request may have run if the reason is unknown");
     }
 
     @Test
@@ -205,7 +205,7 @@
                                 7,
                                 12,
                                 new byte[] {1, 2},
-                                List.of(new Decision.Taken(12, "digest")),
+                                List.of(new Decision.AppliedVersion(12, "digest")),
                                 List.of("10.0.0.1#0")),
                         new Ballot(3, "10.0.0.1#0"),
                         null));
--- a/src/test/java/whinlead/replication/ReplicationClientTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -24,13 +24,13 @@
     private final List<String> steps = new ArrayList<>();
     private final Timers timers = new Timers() {
         @Override
-        public double now() {
-            return clock.now();
+        public double nowMs() {
+            return clock.nowMs();
         }
 
         @Override
-        public Timer after(double millis, Runnable task) {
-            Calendar.Due due = clock.after(Math.max(0, millis), task);
+        public TimerHandle schedule(double millis, Runnable task) {
+            Calendar.Event due = clock.schedule(Math.max(0, millis), task);
             return due::cancel;
         }
     };
@@ -50,11 +50,11 @@
     private final ReplicationClient client = new ReplicationClient(
             "a/1",
             timers,
-            new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000),
+            new ReplicationClient.Timeouts(60, 25, 150, 500, 1000, 5000),
             group,
             (id, ending) -> {},
             (id, step, detail) -> steps.add(id + " " + step + " " + detail));
-    private final Keeper.Kept request = client.open("r", "proxy", false, false, DEADLINE_MS);
+    private final Keeper.SharedRequest request = client.open("r", "proxy", false, false, DEADLINE_MS);
 
     private Command lastCommand() {
         return commands.get(commands.size() - 1);
@@ -66,13 +66,13 @@
 
     @Test
     void unansweredCommandIsResubmittedAndItsGrantIsReportedOnce() {
-        request.allow("e", VALID_MS, results::add);
-        clock.runTo(130);
+        request.requestAttempt("e", VALID_MS, results::add);
+        clock.runUntil(130);
         assertEquals(3, commands.size());
         assertEquals(1, commands.stream().distinct().count());
         replyToLast(new Reply.Granted(4));
         replyListeners.get(0).accept(new Reply.Granted(4));
-        clock.runTo(DEADLINE_MS);
+        clock.runUntil(DEADLINE_MS);
         assertEquals(List.of(new Keeper.Verdict.Granted(4)), results);
         assertEquals(3, commands.size());
     }
@@ -81,11 +81,11 @@
     @Test
     void noAttemptIsSubmittedUntilTheGroupTimeIsKnown() {
         groupTimeMs = -1;
-        request.allow("e", VALID_MS, results::add);
-        clock.runTo(59);
+        request.requestAttempt("e", VALID_MS, results::add);
+        clock.runUntil(59);
         assertEquals(List.of(), commands);
         groupTimeMs = 7000;
-        clock.runTo(61);
+        clock.runUntil(61);
         assertEquals(7000 + (long) VALID_MS - 60, ((Command.Allow) lastCommand()).validUntilMs());
         replyToLast(new Reply.Granted(0));
         assertEquals(List.of(new Keeper.Verdict.Granted(0)), results);
@@ -93,29 +93,29 @@
 
     @Test
     void unansweredAttemptIsReportedUnknownAndWithdrawn() {
-        request.allow("e", VALID_MS, results::add);
-        clock.runTo(VALID_MS + 1);
+        request.requestAttempt("e", VALID_MS, results::add);
+        clock.runUntil(VALID_MS + 1);
         assertEquals(List.of(new Keeper.Verdict.Unknown()), results);
         assertEquals(new Command.Attempt("a/1", 1), ((Command.Withdraw) lastCommand()).attempt());
     }
 
     @Test
     void aFullGroupIsReportedAsRefusalOnlyAfterTheGroupAgrees() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Full());
         assertTrue(results.isEmpty());
         assertEquals(List.of(1L), ((Command.Refuse) lastCommand()).neverRan());
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
-        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), results);
+        assertEquals(List.of(new Keeper.Verdict.Ended(new Directive.Refused(1000))), results);
     }
 
     @Test
     void cancelledCallerIsNotNotifiedOfAPendingRefusal() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Late());
         request.cancel();
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
-        clock.runTo(DEADLINE_MS);
+        clock.runUntil(DEADLINE_MS);
         assertEquals(List.of(), results);
     }
 
@@ -128,7 +128,7 @@
         request.end(new Directive.Refused(70), results::add);
         replyToLast(new Reply.Out());
         request.end(new Directive.Refused(70), results::add);
-        clock.runTo(150 + 1);
+        clock.runUntil(150 + 1);
         assertEquals(
                 List.of(
                         new Directive.Refused(70),
@@ -140,19 +140,19 @@
 
     @Test
     void anEndingWithoutReplyIsReportedBeforeTheDeadline() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Granted(0));
         results.clear();
         request.end(new Directive.Failed(), results::add);
-        clock.runTo(DEADLINE_MS - 26);
+        clock.runUntil(DEADLINE_MS - 26);
         assertEquals(List.of(), results);
-        clock.runTo(DEADLINE_MS);
+        clock.runUntil(DEADLINE_MS);
         assertEquals(List.of(new Directive.Failed()), results);
     }
 
     @Test
     void theGroupsEndingOverridesTheRequestedOne() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Granted(0));
         results.clear();
         request.end(new Directive.Failed(), results::add);
@@ -168,30 +168,30 @@
                 "b/1",
                 new Timers() {
                     @Override
-                    public double now() {
+                    public double nowMs() {
                         return nowMs[0];
                     }
 
                     @Override
-                    public Timer after(double millis, Runnable task) {
+                    public TimerHandle schedule(double millis, Runnable task) {
                         return () -> {};
                     }
                 },
-                new ReplicationClient.Waits(60, 25, 150, 500, 1000, 5000),
+                new ReplicationClient.Timeouts(60, 25, 150, 500, 1000, 5000),
                 group,
                 (id, ending) -> {},
                 (id, step, detail) -> {});
-        slow.open("s", "proxy", false, false, DEADLINE_MS).allow("e", VALID_MS, results::add);
+        slow.open("s", "proxy", false, false, DEADLINE_MS).requestAttempt("e", VALID_MS, results::add);
         nowMs[0] = VALID_MS + 50;
         replyToLast(new Reply.Granted(0));
         assertTrue(commands.stream().anyMatch(c -> c instanceof Command.Withdraw w && w.id().equals("s")));
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
-        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), results);
+        assertEquals(List.of(new Keeper.Verdict.Ended(new Directive.Refused(1000))), results);
     }
 
     @Test
     void eachTraceStepCarriesTheRequestId() {
-        request.allow("e", VALID_MS, results::add);
+        request.requestAttempt("e", VALID_MS, results::add);
         replyToLast(new Reply.Granted(4));
         request.end(new Directive.Served(), results::add);
         replyToLast(new Reply.Over(Command.Ending.SERVED));
@@ -200,11 +200,11 @@
 
     @Test
     void aDrainIsSubmittedOnceWhileItIsPending() {
-        client.drains("e");
-        client.drains("e");
+        client.endpointDraining("e");
+        client.endpointDraining("e");
         assertEquals(1, commands.size());
         replyToLast(new Reply.Noted());
-        client.drains("e");
+        client.endpointDraining("e");
         assertEquals(2, commands.size());
     }
 }
--- a/src/test/java/whinlead/run/FaultTest.java
+++ b/src/test/java/whinlead/run/FaultTest.java
@@ -21,21 +21,21 @@
 import whinlead.engine.Engine;
 import whinlead.engine.Request;
 import whinlead.engine.ResponseSink;
-import whinlead.http.HttpAnswer;
-import whinlead.http.HttpAsk;
+import whinlead.http.EndpointResponse;
+import whinlead.http.HttpCall;
 import whinlead.loop.LoopTimers;
 import whinlead.membership.EndpointList;
 import whinlead.transport.EndpointPool;
 
-/** A fault in carrying out a decision: the request that it strikes still has its one end. */
+/** An exception while a decision is executed: the affected request still ends exactly once. */
 class FaultTest {
     @Test
-    void aRequestWhoseSendingFailsByAFaultHasOneEnd() throws Exception {
+    void requestEndsOnceWhenSendingThrows() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             var loop = group.next();
             Contract.Settings settings = Config.parse(
-                            TestNode.config("127.0.0.1:0", "127.0.0.1:1", 64), new ObjectMapper())
+                            TestNode.configJson("127.0.0.1:0", "127.0.0.1:1", 64), new ObjectMapper())
                     .settings();
             Clock clock = new Clock();
             BlockingQueue<String> log = new LinkedBlockingQueue<>();
@@ -48,15 +48,15 @@
                     actions -> new Decide(settings, 1, actions),
                     pool::update,
                     log::add);
-            // To connect to no address throws.
+            // A connect to a null address throws.
             EndpointList list = new EndpointList(
                     0,
                     true,
                     List.of(new EndpointList.Entry(
-                            new Contract.Server("s0", Contract.Standing.UP, 1, "", 0, 0), null)));
-            ResponseSink<HttpAnswer> caller = new ResponseSink<>() {
+                            new Contract.Server("s0", Contract.ServerState.UP, 1, "", 0, 0), null)));
+            ResponseSink<EndpointResponse> caller = new ResponseSink<>() {
                 @Override
-                public void served(HttpAnswer answer) {
+                public void served(EndpointResponse answer) {
                     ends.add("served");
                 }
 
@@ -72,12 +72,12 @@
             };
             loop.submit(() -> {
                         engine.start(() -> {}, list);
-                        HttpAsk http = new HttpAsk(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
-                        engine.take(new Request(0, -1, 300, false), pool.transport(http), caller);
+                        HttpCall http = new HttpCall(HttpMethod.GET, "/api", new DefaultHttpHeaders(), new byte[0]);
+                        engine.accept(new Request(0, -1, 300, false), pool.transport(http), caller);
                     })
                     .get();
-            assertTrue(log.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS).startsWith("decision failed"));
-            assertEquals("failed", ends.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(log.poll(FakeServer.TIMEOUT_S, TimeUnit.SECONDS).startsWith("decision failed"));
+            assertEquals("failed", ends.poll(FakeServer.TIMEOUT_S, TimeUnit.SECONDS));
             assertTrue(ends.isEmpty());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
+++ b/src/test/java/whinlead/testbed/mesh/hardening/HardeningTest.java
@@ -9,21 +9,24 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Some hundred schedules of each of the worst days on the real consensus nodes, and the faults that they find. */
+/**
+ * Plays 60 to 150 fault schedules of each kind on the real consensus nodes, and checks that planted faults are
+ * detected.
+ */
 public class HardeningTest {
-    private static final int FOUND_WITHIN = 1000;
+    private static final int MAX_SCHEDULES = 1000;
     private static final int THREADS = 3;
 
-    private static Hunt hunt(Point point, int schedules) throws InterruptedException {
-        Hunt hunt = Hunt.of(1, schedules, THREADS, seed -> point.play(seed, Bug.NONE, Trace.NONE));
-        assertEquals(hunt.broken(), Map.of(), "by seed");
+    private static ScheduleRunner hunt(Scenario point, int schedules) throws InterruptedException {
+        ScheduleRunner hunt = ScheduleRunner.run(1, schedules, THREADS, seed -> point.play(seed, Bug.NONE, Trace.NONE));
+        assertEquals(hunt.violations(), Map.of(), "by seed");
         return hunt;
     }
 
     @Test
-    public void aMachineThatIsCutOffClaimsAndRefusesNothing() throws InterruptedException {
-        Hunt hunt = hunt(Point.CUT, 150);
-        // Schedules in which hardly anything is taken, or nobody starts, would show nothing.
+    public void isolatedMachineNeitherClaimsContactNorRefuses() throws InterruptedException {
+        ScheduleRunner hunt = hunt(Scenario.CUT, 150);
+        // Schedules in which hardly any order is taken, or no sidecar starts, would prove nothing.
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 150 * 15,
                 hunt.counts().toString());
@@ -34,8 +37,8 @@
     }
 
     @Test
-    public void operatorsHistoriesAreThoseOfOneRegister() throws InterruptedException {
-        Hunt hunt = hunt(Point.HISTORY, 150);
+    public void operatorHistoriesAreLinearizable() throws InterruptedException {
+        ScheduleRunner hunt = hunt(Scenario.HISTORY, 150);
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 150 * 10,
                 hunt.counts().toString());
@@ -43,15 +46,15 @@
     }
 
     @Test
-    public void theNextLossFindsAMajority() throws InterruptedException {
-        Hunt hunt = hunt(Point.SEATS, 150);
+    public void majoritySurvivesNextLoss() throws InterruptedException {
+        ScheduleRunner hunt = hunt(Scenario.SEATS, 150);
         assertTrue(hunt.counts().get("losses") > 150 * 3, hunt.counts().toString());
         assertTrue(hunt.counts().get("members that left by agreement") > 10);
     }
 
     @Test
-    public void aMemberThatMissedHundredsOfChangesCatchesUp() throws InterruptedException {
-        Hunt hunt = hunt(Point.CATCH_UP, 60);
+    public void memberThatMissedHundredsOfChangesCatchesUp() throws InterruptedException {
+        ScheduleRunner hunt = hunt(Scenario.CATCH_UP, 60);
         assertTrue(
                 hunt.counts().get("orders acknowledged") > 60 * 300,
                 hunt.counts().toString());
@@ -60,18 +63,18 @@
     @DataProvider
     public Object[][] seedsOfChangesUnderOrders() {
         return new Object[][] {
-            // One told to leave kept its vote to its end: its removal waited for a moment without orders.
+            // A leaving machine kept its vote until it exited: its removal waited for a moment without orders.
             {942640L},
-            // One that was removed after 1 s ended 4.3 s after SIGTERM: it waited for the newest slot.
+            // A machine that was removed after 1 s exited 4.3 s after SIGTERM: it waited for the newest slot.
             {303800L},
-            // A planned replacement took 4,095 ms: the removal waited for 2.8 s, as in the first.
+            // A planned replacement took 4,095 ms: the removal waited for 2.8 s, as in the first case.
             {926450L},
         };
     }
 
     @Test(dataProvider = "seedsOfChangesUnderOrders")
-    public void votersChangeWhileOrdersComeWithoutAPause(long seed) {
-        Outcome outcome = Point.SEATS.play(seed, Bug.NONE, Trace.NONE);
+    public void votersChangeUnderContinuousOrders(long seed) {
+        Outcome outcome = Scenario.SEATS.play(seed, Bug.NONE, Trace.NONE);
         assertEquals(outcome.broken(), List.of());
         assertEquals(outcome.counts().get("members that left when their time was up"), null);
         outcome.samples().forEach((name, values) -> {
@@ -84,23 +87,24 @@
     }
 
     @Test
-    public void aChangeOfVotersTakesItsTurnAmongTheOrders() throws InterruptedException {
+    public void voterChangeIsNotDelayedByOrders() throws InterruptedException {
         for (int underWay : new int[] {1, 4, 8}) {
-            Hunt hunt = Hunt.of(1, 60, THREADS, seed -> MembershipPlay.play(seed, Bug.NONE, Trace.NONE, underWay));
-            assertEquals(hunt.broken(), Map.of(), "by seed");
+            ScheduleRunner hunt = ScheduleRunner.run(
+                    1, 60, THREADS, seed -> MembershipPlay.play(seed, Bug.NONE, Trace.NONE, underWay));
+            assertEquals(hunt.violations(), Map.of(), "by seed");
             hunt.samples().forEach((name, samples) -> {
                 double bound =
                         name.endsWith("changes decided meanwhile") ? 15 : name.contains("process's end") ? 4000 : 3000;
                 assertTrue(
-                        !name.contains("under way") || samples.part(1) < bound,
-                        name + ": " + samples.part(1) + " in seed " + samples.worstSeed());
+                        !name.contains("under way") || samples.quantile(1) < bound,
+                        name + ": " + samples.quantile(1) + " in seed " + samples.worstSeed());
             });
         }
     }
 
     @Test
-    public void aVoterThatReachesAQuorumKeepsItsSeatWhoeverCantReachIt() throws InterruptedException {
-        Hunt hunt = hunt(Point.PAIR_CUT, 100);
+    public void voterThatReachesQuorumKeepsItsVote() throws InterruptedException {
+        ScheduleRunner hunt = hunt(Scenario.PAIR_CUT, 100);
         assertTrue(hunt.counts().get("losses") > 100 * 3, hunt.counts().toString());
         assertTrue(hunt.counts().get("cuts, BOTH") > 100 * 2, hunt.counts().toString());
         assertTrue(hunt.samples()
@@ -110,8 +114,8 @@
     }
 
     @Test
-    public void theSameSeedPlaysTheSame() {
-        for (Point p : Point.values()) {
+    public void sameSeedGivesSameOutcome() {
+        for (Scenario p : Scenario.values()) {
             assertEquals(p.play(7, Bug.NONE, Trace.NONE), p.play(7, Bug.NONE, Trace.NONE));
         }
     }
@@ -125,13 +129,13 @@
     }
 
     @Test(dataProvider = "bugs")
-    public void aPlantedFaultIsFound(Bug bug) {
-        Point point = Point.of(bug.point());
-        for (long seed = 1; seed <= FOUND_WITHIN; seed++) {
+    public void plantedFaultIsFound(Bug bug) {
+        Scenario point = Scenario.forNumber(bug.point());
+        for (long seed = 1; seed <= MAX_SCHEDULES; seed++) {
             if (!point.play(seed, bug, Trace.NONE).broken().isEmpty()) {
                 return;
             }
         }
-        throw new AssertionError(bug + " is not found in " + FOUND_WITHIN + " schedules");
+        throw new AssertionError(bug + " is not detected in " + MAX_SCHEDULES + " schedules");
     }
 }
