--- a/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
+++ b/src/main/java/whinlead/mesh/consensus/ConsensusNode.java
@@ -13,13 +13,13 @@
     /** The result of an operator's call. */
     public enum CallResult {
         /** The change is in force, or the read was confirmed. */
-        APPLIED,
+        TAKEN,
         /** Rejected: it builds on a version that is not the newest. */
-        VERSION_MISMATCH,
+        MISMATCH,
         /** Rejected: its version does not exceed the newest. */
         OLD_VERSION,
         /** The outcome is unknown: it may still come into force. */
-        UNKNOWN
+        UNCLEAR
     }
 
     /** Actions that the driver of a consensus node must execute. */
--- a/src/main/java/whinlead/mesh/consensus/OperationRunner.java
+++ b/src/main/java/whinlead/mesh/consensus/OperationRunner.java
@@ -68,7 +68,7 @@
 
     /** Completes an operation that was not accepted, with an unknown outcome. */
     void reject(PendingOperation operation) {
-        complete(operation, ConsensusNode.CallResult.UNKNOWN);
+        complete(operation, ConsensusNode.CallResult.UNCLEAR);
     }
 
     /** A nonce that was never used before, not even by an earlier process. */
@@ -98,7 +98,7 @@
         List<PendingOperation> overdue = withoutQuorum ? queue.removeAll() : queue.removeExpired(nowMs);
         overdue.forEach(operation -> {
             membershipTurn.operationEnded();
-            complete(operation, ConsensusNode.CallResult.UNKNOWN);
+            complete(operation, ConsensusNode.CallResult.UNCLEAR);
         });
         if (queue.head() != head) {
             quorumRead.reset();
@@ -145,8 +145,8 @@
 
     private void advance(double nowMs, PendingOperation.Replace replace) {
         switch (verdict(replace)) {
-            case ALREADY_APPLIED -> completeHead(ConsensusNode.CallResult.APPLIED);
-            case OUTCOME_UNKNOWN -> completeHead(ConsensusNode.CallResult.UNKNOWN);
+            case ALREADY_APPLIED -> completeHead(ConsensusNode.CallResult.TAKEN);
+            case OUTCOME_UNKNOWN -> completeHead(ConsensusNode.CallResult.UNCLEAR);
             case APPLICABLE ->
                 propose(nowMs, replace, host.decided().successor(replace.version(), replace.digest(), replace.body()));
             case VERSION_MISMATCH, OLD_VERSION -> quorumRead.begin(nowMs, nextNonce());
@@ -178,7 +178,7 @@
     private ConsensusNode.CallResult refusalResult(PendingOperation operation) {
         boolean isOld =
                 operation instanceof PendingOperation.Replace replace && verdict(replace) == ReplaceVerdict.OLD_VERSION;
-        return isOld ? ConsensusNode.CallResult.OLD_VERSION : ConsensusNode.CallResult.VERSION_MISMATCH;
+        return isOld ? ConsensusNode.CallResult.OLD_VERSION : ConsensusNode.CallResult.MISMATCH;
     }
 
     private ReplaceVerdict verdict(PendingOperation.Replace replace) {
@@ -243,7 +243,7 @@
 
     private void complete(PendingOperation operation, ConsensusNode.CallResult result) {
         if (operation instanceof PendingOperation.Read read) {
-            actions.readCompleted(read.call(), result == ConsensusNode.CallResult.UNKNOWN ? null : host.decided());
+            actions.readCompleted(read.call(), result == ConsensusNode.CallResult.UNCLEAR ? null : host.decided());
         } else if (operation instanceof PendingOperation.Replace replace) {
             actions.replaceCompleted(replace.call(), result);
         }
--- a/src/main/java/whinlead/mesh/control/OperatorCalls.java
+++ b/src/main/java/whinlead/mesh/control/OperatorCalls.java
@@ -104,13 +104,13 @@
         }
         respond.accept(
                 switch (result) {
-                    case APPLIED -> RpcResponse.done();
-                    case VERSION_MISMATCH ->
+                    case TAKEN -> RpcResponse.done();
+                    case MISMATCH ->
                         RpcResponse.error(
                                 HttpResponseStatus.PRECONDITION_FAILED, "If-Match is not the version in force");
                     case OLD_VERSION ->
                         RpcResponse.error(HttpResponseStatus.BAD_REQUEST, "Epoch does not exceed the one in force");
-                    case UNKNOWN -> unavailable(NO_MAJORITY);
+                    case UNCLEAR -> unavailable(NO_MAJORITY);
                 });
     }
 
--- a/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
+++ b/src/main/java/whinlead/testbed/mesh/ConsensusSimulation.java
@@ -303,7 +303,7 @@
     }
 
     private void ended(long call, ConsensusNode.CallResult verdict) {
-        if (verdict != ConsensusNode.CallResult.APPLIED) {
+        if (verdict != ConsensusNode.CallResult.TAKEN) {
             return;
         }
         Sent s = sent.get(call);
--- a/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/CatchUpPlay.java
@@ -219,7 +219,7 @@
         Change c = operators.change(behind);
         core.checker().count("orders put to a member at its return");
         member.runOnLoop(() -> member.replace(c, operators.body(c), verdict -> {
-            if (verdict == ConsensusNode.CallResult.APPLIED) {
+            if (verdict == ConsensusNode.CallResult.TAKEN) {
                 // The member was not behind.
                 baseVersion = Math.max(baseVersion, c.version());
             }
--- a/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/HistoryPlay.java
@@ -143,7 +143,7 @@
     private void repeat(Operators.Order o, String address) {
         operators.repeat(o, address, verdict -> {
             core.checker().count("calls of a change that was taken, again: " + verdict);
-            if (verdict != ConsensusNode.CallResult.APPLIED && verdict != ConsensusNode.CallResult.UNKNOWN) {
+            if (verdict != ConsensusNode.CallResult.TAKEN && verdict != ConsensusNode.CallResult.UNCLEAR) {
                 core.checker()
                         .recordViolation("a change that was taken was sent again to " + address + " and was refused: "
                                 + o.change());
--- a/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Machine.java
@@ -527,7 +527,7 @@
                 && d != null
                 && d.version() != change.builtOn()
                 && !d.isApplied(change.version(), change.digest())) {
-            end.accept(call, ConsensusNode.CallResult.VERSION_MISMATCH);
+            end.accept(call, ConsensusNode.CallResult.MISMATCH);
             return;
         }
         long callNumber = ++calls;
@@ -540,10 +540,10 @@
                 .ended(
                         call,
                         switch (verdict) {
-                            case APPLIED -> Operation.End.TAKEN;
-                            case VERSION_MISMATCH -> Operation.End.MISMATCH;
+                            case TAKEN -> Operation.End.TAKEN;
+                            case MISMATCH -> Operation.End.MISMATCH;
                             case OLD_VERSION -> Operation.End.OLD;
-                            case UNKNOWN -> Operation.End.UNCLEAR;
+                            case UNCLEAR -> Operation.End.UNCLEAR;
                         },
                         null);
         double elapsedMs = core.nowMs() - core.checker().invokedAt(call);
@@ -551,7 +551,7 @@
             // The node was frozen during the call, so its time says nothing.
             return;
         }
-        if (noMajority && !contactWithin(Core.CONTACT_MS) && verdict == ConsensusNode.CallResult.UNKNOWN) {
+        if (noMajority && !contactWithin(Core.CONTACT_MS) && verdict == ConsensusNode.CallResult.UNCLEAR) {
             core.checker().sample("a call where there was no majority for 3 s, ms to unclear", elapsedMs);
         } else {
             core.checker().sample("a call, ms to " + verdict, elapsedMs);
--- a/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
+++ b/src/main/java/whinlead/testbed/mesh/hardening/Operators.java
@@ -62,7 +62,7 @@
         }
 
         boolean taken() {
-            return end == ConsensusNode.CallResult.APPLIED;
+            return end == ConsensusNode.CallResult.TAKEN;
         }
     }
 
@@ -142,7 +142,7 @@
                 address,
                 o,
                 verdict -> {
-                    if (verdict == ConsensusNode.CallResult.UNKNOWN) {
+                    if (verdict == ConsensusNode.CallResult.UNCLEAR) {
                         next.run();
                     } else if (o.end == null && o.tries == attempt) {
                         o.end = verdict;
--- a/src/test/java/whinlead/mesh/ConsensusContactTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusContactTest.java
@@ -52,12 +52,12 @@
         c.all.get("a#0").replace(c.now, 1, 5, 0, "digest", new byte[] {1});
         c.all.get("a#0").read(c.now, 2);
         assertEquals(c.verdicts.size(), 2, "told in the same moment");
-        assertTrue(c.verdicts.stream().allMatch(v -> v == ConsensusNode.CallResult.UNKNOWN));
-        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED, "any other takes it");
+        assertTrue(c.verdicts.stream().allMatch(v -> v == ConsensusNode.CallResult.UNCLEAR));
+        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN, "any other takes it");
         c.cutOff.clear();
         c.pass(1000);
         assertEquals(c.all.get("a#0").decided().version(), 5L);
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
     }
 
     @Test
@@ -77,11 +77,11 @@
     @Test
     public void ofTwoChangesUnderOneNumberOneIsTakenAndItsRepeatsAtAnyControlNode() {
         ConsensusNodes c = new ConsensusNodes();
-        assertEquals(c.replace("a#0", 5, 0, "mine"), ConsensusNode.CallResult.APPLIED);
-        assertEquals(c.replace("b#0", 5, 0, "yours"), ConsensusNode.CallResult.VERSION_MISMATCH);
+        assertEquals(c.replace("a#0", 5, 0, "mine"), ConsensusNode.CallResult.TAKEN);
+        assertEquals(c.replace("b#0", 5, 0, "yours"), ConsensusNode.CallResult.MISMATCH);
         for (String controlNode : ConsensusNodes.FOUNDERS) {
-            assertEquals(c.replace(controlNode, 5, 0, "mine"), ConsensusNode.CallResult.APPLIED);
-            assertEquals(c.replace(controlNode, 5, 0, "yours"), ConsensusNode.CallResult.VERSION_MISMATCH);
+            assertEquals(c.replace(controlNode, 5, 0, "mine"), ConsensusNode.CallResult.TAKEN);
+            assertEquals(c.replace(controlNode, 5, 0, "yours"), ConsensusNode.CallResult.MISMATCH);
         }
     }
 
@@ -121,17 +121,17 @@
     public void aRepeatAfterHundredsOfChangesIsTakenOrUnclearNeverRefused() {
         ConsensusNodes c = new ConsensusNodes();
         for (int v = 1; v <= 300; v++) {
-            assertEquals(c.replace("a#0", v, v - 1, "d" + v), ConsensusNode.CallResult.APPLIED);
+            assertEquals(c.replace("a#0", v, v - 1, "d" + v), ConsensusNode.CallResult.TAKEN);
         }
         for (int v = 1; v <= 300; v++) {
             ConsensusNode.CallResult verdict = c.replace("b#0", v, v - 1, "d" + v);
             assertEquals(
                     verdict,
                     v > 300 - Decision.MAX_APPLIED_VERSIONS
-                            ? ConsensusNode.CallResult.APPLIED
-                            : ConsensusNode.CallResult.UNKNOWN,
+                            ? ConsensusNode.CallResult.TAKEN
+                            : ConsensusNode.CallResult.UNCLEAR,
                     "version " + v);
         }
-        assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.CallResult.VERSION_MISMATCH);
+        assertEquals(c.replace("b#0", 299, 298, "other"), ConsensusNode.CallResult.MISMATCH);
     }
 }
--- a/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
+++ b/src/test/java/whinlead/mesh/ConsensusMembershipTest.java
@@ -49,7 +49,7 @@
         ConsensusNodes c = new ConsensusNodes();
         c.all.get("b#0").replace(c.now, 1, 5, 0, "digest", new byte[] {1});
         c.deliver();
-        assertEquals(c.verdicts, List.of(ConsensusNode.CallResult.APPLIED));
+        assertEquals(c.verdicts, List.of(ConsensusNode.CallResult.TAKEN));
         assertEquals(c.all.get("c#0").decided().version(), 5L);
     }
 
@@ -107,7 +107,7 @@
         assertEquals(c.voters(), List.of("a#0", "c#0", "d#1"));
         // The next loss comes at once, and is borne.
         c.all.remove("c#0");
-        assertEquals(c.replace("a#0", 7, 0, "next"), ConsensusNode.CallResult.APPLIED);
+        assertEquals(c.replace("a#0", 7, 0, "next"), ConsensusNode.CallResult.TAKEN);
     }
 
     @Test
@@ -152,7 +152,7 @@
         do {
             c.pass(25);
             version++;
-            assertEquals(c.replace("a#0", version, version - 1, "d" + version), ConsensusNode.CallResult.APPLIED);
+            assertEquals(c.replace("a#0", version, version - 1, "d" + version), ConsensusNode.CallResult.TAKEN);
             // It knows of this before any of the others has told it what is on its disk.
             b.messageReceived(
                     c.now, "a#0", new Message.Decided(c.decisions.lastEntry().getValue()));
@@ -160,7 +160,7 @@
         assertTrue(b.mayStop(c.now), "it waits for slots that are decided without it");
         assertEquals(
                 c.replace("b#0", version + 1, version, "next"),
-                ConsensusNode.CallResult.UNKNOWN,
+                ConsensusNode.CallResult.UNCLEAR,
                 "one that may end takes on nothing new");
     }
 
@@ -219,7 +219,7 @@
         assertEquals(c.voters().size(), 5);
         c.all.remove("d#0");
         c.all.remove("e#0");
-        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED);
+        assertEquals(c.replace("b#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
     }
 
     @Test
@@ -232,7 +232,7 @@
         c.pass(4000);
         assertEquals(c.voters(), List.of("a#0", "b#0", "c#0"));
         c.all.remove("c#0");
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
     }
 
     @Test
@@ -315,7 +315,7 @@
     public void whoIsBehindAsksUntilItHasTheNewest() {
         ConsensusNodes c = new ConsensusNodes();
         c.lost = message -> message instanceof Message.Decided;
-        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.APPLIED);
+        assertEquals(c.replace("a#0", 5, 0, "digest"), ConsensusNode.CallResult.TAKEN);
         c.lost = message -> message instanceof Message.Prepare;
         c.pass(1000);
         assertEquals(c.all.get("b#0").decided().version(), 5L);
--- a/src/test/java/whinlead/mesh/ConsensusNodes.java
+++ b/src/test/java/whinlead/mesh/ConsensusNodes.java
@@ -99,7 +99,7 @@
 
         @Override
         public void readCompleted(long call, Decision newest) {
-            verdicts.add(newest == null ? ConsensusNode.CallResult.UNKNOWN : ConsensusNode.CallResult.APPLIED);
+            verdicts.add(newest == null ? ConsensusNode.CallResult.UNCLEAR : ConsensusNode.CallResult.TAKEN);
         }
 
         @Override
