--- a/src/main/java/whinlead/consult/Consultation.java
+++ b/src/main/java/whinlead/consult/Consultation.java
@@ -194,7 +194,7 @@
             // The attempt was delivered to no caller, whatever the module does on the abandonment.
             awaitingApproval = reply;
             engineRequest.abandon();
-            end = verdict instanceof Keeper.Verdict.Ended over
+            end = verdict instanceof Keeper.Verdict.Over over
                     ? over.end()
                     : verdict instanceof Keeper.Verdict.Unknown ? new Directive.Failed() : new Directive.AlreadyOut();
             if (currentAttempt != null) {
--- a/src/main/java/whinlead/consult/Keeper.java
+++ b/src/main/java/whinlead/consult/Keeper.java
@@ -14,10 +14,10 @@
         record Granted(int attempt) implements Verdict {}
 
         /** Another attempt is out, possibly by another member. */
-        record AlreadyOut() implements Verdict {}
+        record Out() implements Verdict {}
 
         /** The request has ended, finally or as far as is known here. */
-        record Ended(Directive end) implements Verdict {}
+        record Over(Directive end) implements Verdict {}
 
         /** The endpoint accepts no new requests: another may be tried. */
         record Draining() implements Verdict {}
--- a/src/main/java/whinlead/replication/ReplicationClient.java
+++ b/src/main/java/whinlead/replication/ReplicationClient.java
@@ -304,11 +304,11 @@
             }
             trace.step(id, Trace.Step.DENIED, reply.getClass().getSimpleName());
             if (reply instanceof Reply.Over) {
-                listener.accept(new Verdict.Ended(outcome(id, reply)));
+                listener.accept(new Verdict.Over(outcome(id, reply)));
             } else if (reply instanceof Reply.Drains) {
                 listener.accept(new Verdict.Draining());
             } else if (reply instanceof Reply.Out) {
-                listener.accept(new Verdict.AlreadyOut());
+                listener.accept(new Verdict.Out());
             } else {
                 if (reply instanceof Reply.Granted) {
                     // This process was suspended: the attempt was valid to send then but may not be now.
@@ -317,7 +317,7 @@
                 neverRan.add(attempt.number());
                 pendingCommand = refuse(new Directive.Refused(timeouts.retryAfterMs()), end -> {
                     pendingCommand = null;
-                    listener.accept(new Verdict.Ended(end));
+                    listener.accept(new Verdict.Over(end));
                 });
             }
         }
--- a/src/test/java/whinlead/replication/ReplicationClientTest.java
+++ b/src/test/java/whinlead/replication/ReplicationClientTest.java
@@ -106,7 +106,7 @@
         assertTrue(results.isEmpty());
         assertEquals(List.of(1L), ((Command.Refuse) lastCommand()).neverRan());
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
-        assertEquals(List.of(new Keeper.Verdict.Ended(new Directive.Refused(1000))), results);
+        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), results);
     }
 
     @Test
@@ -186,7 +186,7 @@
         replyToLast(new Reply.Granted(0));
         assertTrue(commands.stream().anyMatch(c -> c instanceof Command.Withdraw w && w.id().equals("s")));
         replyToLast(new Reply.Over(Command.Ending.REFUSED));
-        assertEquals(List.of(new Keeper.Verdict.Ended(new Directive.Refused(1000))), results);
+        assertEquals(List.of(new Keeper.Verdict.Over(new Directive.Refused(1000))), results);
     }
 
     @Test
